--- /dev/null
+++ b/tests/digest.rs
@@ -0,0 +1,695 @@
+//! A guard for changes of the module's text that are to change none of its decisions: thousands of random
+//! lives of a router, under random configurations, and one digest over everything that it says in them.
+//!
+//! What is digested are small numbers, indices, times in nanoseconds and the bits of floats: no words that a
+//! mere renaming would change. What a life goes on with depends on what the router said before, so the first
+//! decision that differs makes the rest differ as well.
+
+use emberflow::*;
+use expect_test::expect;
+use sha2::{Digest, Sha256};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+const LIVES: u64 = 2000;
+
+/// Kinds of action, as they are written into the digest and counted.
+const SEND: usize = 0;
+const TERMS: usize = 1;
+const CANCEL: usize = 2;
+const BOUNCE: usize = 3;
+const GIVE_UP: usize = 4;
+const PROBE: usize = 5;
+const WAKE_AFTER: usize = 6;
+const WATCH: usize = 7;
+const FORGET: usize = 8;
+const ROOM: usize = 9;
+const EXPECTED_WORK: usize = 10;
+const INPUT: usize = 11;
+const KEPT: usize = 12;
+
+/// The least that all lives together must hold of each, so that the digest tells something of each.
+const LEAST: [(usize, u64); 13] = [
+    (SEND, 40_000),
+    (TERMS, 40_000),
+    (CANCEL, 5_000),
+    (BOUNCE, 20_000),
+    (GIVE_UP, 2_000),
+    (PROBE, 1_000),
+    (WAKE_AFTER, 40_000),
+    (WATCH, 1_000),
+    (FORGET, 500),
+    (ROOM, 50_000),
+    (EXPECTED_WORK, 20_000),
+    (INPUT, 200_000),
+    (KEPT, LIVES),
+];
+
+#[test]
+fn random_lives_say_what_they_always_said() {
+    let mut log = Log::default();
+    for seed in 0..LIVES {
+        log = Life::new(seed, log).play();
+    }
+    for (kind, least) in LEAST {
+        assert!(log.counts[kind] >= least, "action {kind}: {} of at least {least}", log.counts[kind]);
+    }
+    let digest: String = log.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    expect!["5b7f7a0e0625171505bc27b73182cae01a0424bfa5152c41b047ec6ca7ca94d3"].assert_eq(&digest);
+}
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+/// SplitMix64: the same numbers on every machine and with every version of every crate.
+///
+/// Half of the lives go in whole milliseconds, so that things fall due at the same time and what holds at an
+/// edge is seen as well.
+struct Random {
+    state: u64,
+    coarse: bool,
+}
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.state ^ (self.state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn below(&mut self, end: usize) -> usize {
+        (self.next() % end as u64) as usize
+    }
+
+    /// From the first to the last, both included.
+    fn among(&mut self, first: u64, last: u64) -> u64 {
+        first + self.next() % (last - first + 1)
+    }
+
+    /// At least 0 and under 1.
+    fn part(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    fn between(&mut self, least: f64, most: f64) -> f64 {
+        least + self.part() * (most - least)
+    }
+
+    fn percent(&mut self, percent: u64) -> bool {
+        self.next() % 100 < percent
+    }
+
+    fn one_of<T: Copy>(&mut self, values: &[T]) -> T {
+        values[self.below(values.len())]
+    }
+
+    fn time(&mut self, first_ms: u64, last_ms: u64) -> Duration {
+        let time = Duration::from_micros(self.among(first_ms * 1000, last_ms * 1000));
+        self.grained(time)
+    }
+
+    /// The time as this life tells times.
+    fn grained(&self, time: Duration) -> Duration {
+        if self.coarse { Duration::from_millis(time.as_millis() as u64) } else { time }
+    }
+
+    fn maybe<T>(&mut self, percent: u64, value: impl FnOnce(&mut Self) -> T) -> Option<T> {
+        self.percent(percent).then(|| value(self))
+    }
+}
+
+/// What the router asked of its caller in one call, to be acted on after it.
+enum Asked {
+    Hop { task: TaskId, engine: EngineId, until: Duration },
+    Cancel { task: TaskId, hop: usize },
+    Answered(TaskId),
+    Probe(EngineId),
+    Wake(Duration),
+    Forget(EngineId),
+}
+
+/// Everything that was said in all lives so far.
+#[derive(Default)]
+struct Log {
+    digest: Sha256,
+    counts: [u64; 13],
+    asked: Vec<Asked>,
+}
+
+impl Log {
+    fn add(&mut self, kind: usize, numbers: &[u64]) {
+        self.counts[kind] += 1;
+        self.digest.update([kind as u8]);
+        numbers.iter().for_each(|number| self.digest.update(number.to_le_bytes()));
+    }
+}
+
+fn nanos(time: Duration) -> u64 {
+    time.as_nanos() as u64
+}
+
+impl Outlet for Log {
+    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration) {
+        self.add(SEND, &[task.into(), engine as u64, nanos(until)]);
+        self.asked.push(Asked::Hop { task, engine, until });
+    }
+    fn terms(&mut self, task: TaskId, grant_mb: f64, priority: u8) {
+        self.add(TERMS, &[task.into(), grant_mb.to_bits(), priority.into()]);
+    }
+    fn cancel(&mut self, task: TaskId, hop: usize) {
+        self.add(CANCEL, &[task.into(), hop as u64]);
+        self.asked.push(Asked::Cancel { task, hop });
+    }
+    fn bounce(&mut self, task: TaskId, retry_after: Option<Duration>) {
+        self.add(BOUNCE, &[task.into(), retry_after.map_or(u64::MAX, nanos)]);
+        self.asked.push(Asked::Answered(task));
+    }
+    fn give_up(&mut self, task: TaskId) {
+        self.add(GIVE_UP, &[task.into()]);
+        self.asked.push(Asked::Answered(task));
+    }
+    fn probe(&mut self, engine: EngineId) {
+        self.add(PROBE, &[engine as u64]);
+        self.asked.push(Asked::Probe(engine));
+    }
+    fn wake_after(&mut self, wait: Duration) {
+        self.add(WAKE_AFTER, &[nanos(wait)]);
+        self.asked.push(Asked::Wake(wait));
+    }
+    fn watch(&mut self) {
+        self.add(WATCH, &[]);
+    }
+    fn forget(&mut self, engine: EngineId) {
+        self.add(FORGET, &[engine as u64]);
+        self.asked.push(Asked::Forget(engine));
+    }
+}
+
+/// What the world of one life does besides what the router was started with.
+struct Habits {
+    estimates: u64,
+    bills: u64,
+    signals: u64,
+    tells_busy: bool,
+    tells_in_flight: bool,
+    tells_memory: bool,
+    tells_later_tries: bool,
+    faults: u64,
+    longest_gap: u64,
+    tasks: usize,
+    closes: bool,
+    note_every: Option<Duration>,
+}
+
+/// An engine as it truly is.
+#[derive(Clone)]
+struct Machine {
+    location: usize,
+    kind: usize,
+    cell: u64,
+    ready: bool,
+    gone: bool,
+    launched: Option<Duration>,
+    /// Times as long as a run should take.
+    slowness: f64,
+    silent: bool,
+    fails: bool,
+}
+
+/// A task that is not over, or of which a hop is out.
+struct Asking {
+    arrival: Arrival,
+    hops: usize,
+    answered: bool,
+}
+
+struct Running {
+    engine: EngineId,
+    sent: Duration,
+    until: Duration,
+    run: Duration,
+}
+
+enum Event {
+    Arrival,
+    Wake,
+    HopEnd(TaskId, usize, HopEnd),
+    Note(TaskId, usize),
+    Probed(EngineId),
+    Engines,
+    ClientsLeave,
+    ListFails,
+    Closing,
+    Look,
+}
+
+struct Life {
+    random: Random,
+    router: Router,
+    log: Log,
+    habits: Habits,
+    kinds: usize,
+    /// Patience and threads of each type.
+    traffic: Vec<(Duration, f64)>,
+    now: Duration,
+    events: BTreeMap<(Duration, u64), Event>,
+    planned: u64,
+    arrived: TaskId,
+    machines: BTreeMap<EngineId, Machine>,
+    asking: BTreeMap<TaskId, Asking>,
+    running: BTreeMap<(TaskId, usize), Running>,
+}
+
+fn effect(random: &mut Random) -> Effect {
+    let window = random.time(100, 800);
+    match random.below(6) {
+        0 | 1 => Effect::Replayable,
+        2 => Effect::Referenced { scope: Scope::All, window },
+        3 => Effect::Referenced { scope: Scope::Location, window },
+        4 => Effect::Referenced { scope: Scope::Cell, window },
+        _ => Effect::SingleUse,
+    }
+}
+
+fn traffic_type(random: &mut Random, kinds: usize) -> TrafficType {
+    let target = random.time(100, 800);
+    TrafficType {
+        target,
+        target_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
+        patience: target * random.among(1, 8) as u32,
+        revenue: random.between(0.5, 8.0),
+        late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
+        effect: effect(random),
+        keeps_order: random.percent(25),
+        kinds: random.maybe(15, |random| vec![random.below(kinds)]),
+        locations: random.maybe(15, |random| vec![random.below(2), 2]),
+        threads: random.one_of(&[0.5, 1.0, 1.0, 2.0, 4.0]),
+        holds_group: random.percent(20),
+        waits_for_loads: random.percent(30),
+    }
+}
+
+fn fleet(random: &mut Random) -> Fleet {
+    let kind = |random: &mut Random| Kind {
+        cores: random.one_of(&[2.0, 4.0, 8.0]),
+        memory_mb: random.one_of(&[2000.0, 8000.0, 16000.0]),
+    };
+    Fleet {
+        seed: random.next(),
+        routers: random.one_of(&[1, 1, 1, 2, 8, 40]),
+        home: random.below(3),
+        kinds: (0..=random.below(3)).map(|_| kind(random)).collect(),
+        largest_share: random.one_of(&[0.25, 0.5, 0.9]),
+        heeds_priorities: random.percent(50),
+        cuts_grants: random.percent(40),
+        note_every: random.maybe(60, |random| random.time(20, 120)),
+        probes_tell: random.percent(35),
+        list_is_asked: random.percent(50),
+        tick: random.time(2, 8),
+    }
+}
+
+fn duties(random: &mut Random) -> Duties {
+    Duties {
+        most_hops: random.one_of(&[1, 2, 3, 3, 5]),
+        may_cancel: random.percent(80),
+        may_probe: random.percent(80),
+        start_capacity: random.one_of(&[0.1, 0.3, 1.0]),
+        warm_up: random.time(100, 3000),
+        overload_factor: random.one_of(&[0.5, 1.0, 2.0]),
+        fall: random.time(50, 500),
+        key_rest: random.maybe(50, |random| random.time(20, 300)),
+        hop_budget: random.maybe(50, |random| HopBudget {
+            spare: random.one_of(&[0.0, 1.0, 4.0]),
+            per_task: random.one_of(&[0.0, 0.1, 0.5]),
+            over: random.time(200, 2000),
+        }),
+        longest_retry_after: random.maybe(70, |random| random.time(20, 500)),
+    }
+}
+
+fn habits(random: &mut Random, fleet: &Fleet) -> Habits {
+    Habits {
+        estimates: random.one_of(&[0, 50, 95, 100, 100]),
+        bills: random.one_of(&[0, 60, 100]),
+        signals: random.one_of(&[0, 50, 100]),
+        tells_busy: random.percent(60),
+        tells_in_flight: random.percent(60),
+        tells_memory: random.percent(70),
+        tells_later_tries: random.percent(50),
+        faults: random.one_of(&[0, 3, 10, 30]),
+        longest_gap: random.one_of(&[3, 8, 20, 60]),
+        tasks: random.one_of(&[20, 30, 50, 70]),
+        closes: random.percent(25),
+        note_every: fleet.note_every,
+    }
+}
+
+fn machine(random: &mut Random, kinds: usize, launched: Option<Duration>) -> Machine {
+    let location = random.below(3);
+    Machine {
+        location,
+        kind: random.below(kinds),
+        cell: (location * 2 + random.below(2)) as u64,
+        ready: random.percent(92),
+        gone: false,
+        launched,
+        slowness: random.one_of(&[1.0, 1.0, 1.0, 1.5, 4.0, 12.0]),
+        silent: random.percent(5),
+        fails: random.percent(5),
+    }
+}
+
+fn listing(engine: EngineId, machine: &Machine) -> Listing {
+    let Machine { location, kind, cell, ready, gone, launched, .. } = *machine;
+    Listing { engine, location, kind, cell, ready, gone, launched }
+}
+
+impl Life {
+    fn new(seed: u64, log: Log) -> Self {
+        let mut random = Random { state: seed, coarse: seed.is_multiple_of(2) };
+        let (fleet, duties) = (fleet(&mut random), duties(&mut random));
+        let habits = habits(&mut random, &fleet);
+        let kinds = fleet.kinds.len();
+        let traffic: Vec<TrafficType> =
+            (0..=random.below(4)).map(|_| traffic_type(&mut random, kinds)).collect();
+        let now = random.time(2_000, 20_000);
+        let machines = (0..=random.below(6)).map(|engine| (engine, machine(&mut random, kinds, None)));
+        Self {
+            machines: machines.collect(),
+            traffic: traffic.iter().map(|traffic| (traffic.patience, traffic.threads)).collect(),
+            router: Router::new(fleet, traffic, duties),
+            random,
+            log,
+            habits,
+            kinds,
+            now,
+            events: BTreeMap::new(),
+            planned: 0,
+            arrived: 0,
+            asking: BTreeMap::new(),
+            running: BTreeMap::new(),
+        }
+    }
+
+    fn play(mut self) -> Log {
+        self.list_engines(true);
+        self.plan(ms(0), Event::Arrival);
+        let some_time = |random: &mut Random| random.time(10, 1000);
+        for event in [Event::Engines, Event::ClientsLeave, Event::Look, Event::ListFails] {
+            let wait = some_time(&mut self.random);
+            self.plan(wait, event);
+        }
+        if self.habits.closes {
+            let wait = self.random.time(100, 1500);
+            self.plan(wait, Event::Closing);
+        }
+        while let Some(((at, _), event)) = self.events.pop_first() {
+            self.now = at;
+            self.happen(event);
+            self.act();
+        }
+        let Kept { tasks, engines, keys } = self.router.kept();
+        self.log.add(KEPT, &[tasks as u64, engines as u64, keys as u64]);
+        self.log
+    }
+
+    fn plan(&mut self, wait: Duration, event: Event) {
+        self.planned += 1;
+        let at = self.random.grained(self.now + wait);
+        self.events.insert((at.max(self.now), self.planned), event);
+    }
+
+    /// Whether tasks are still to come or to be answered.
+    fn goes_on(&self) -> bool {
+        (self.arrived as usize) < self.habits.tasks || !self.running.is_empty()
+    }
+
+    fn plan_again(&mut self, first_ms: u64, last_ms: u64, event: Event) {
+        if self.goes_on() {
+            let wait = self.random.time(first_ms, last_ms);
+            self.plan(wait, event);
+        }
+    }
+
+    fn happen(&mut self, event: Event) {
+        self.log.add(INPUT, &[nanos(self.now)]);
+        match event {
+            Event::Arrival => self.task_arrives(),
+            Event::Wake => self.router.wake(self.now, &mut self.log),
+            Event::HopEnd(task, hop, end) => self.hop_ends(task, hop, end),
+            Event::Note(task, hop) => self.note_comes(task, hop),
+            Event::Probed(engine) => self.probe_ends(engine),
+            Event::Engines => {
+                self.engines_change();
+                self.plan_again(50, 600, Event::Engines);
+            }
+            Event::ClientsLeave => {
+                self.clients_leave();
+                self.plan_again(20, 400, Event::ClientsLeave);
+            }
+            Event::ListFails => {
+                self.router.list_failed(self.now, &mut self.log);
+                self.plan_again(200, 1500, Event::ListFails);
+            }
+            Event::Closing => {
+                let by = self.now + self.random.time(20, 800);
+                self.router.closing(self.now, by, &mut self.log);
+            }
+            Event::Look => {
+                self.look_for_room();
+                self.plan_again(10, 100, Event::Look);
+            }
+        }
+    }
+
+    /// Does what the router asked for; it asks for nothing more meanwhile.
+    fn act(&mut self) {
+        for asked in std::mem::take(&mut self.log.asked) {
+            match asked {
+                Asked::Hop { task, engine, until } => self.hop_starts(task, engine, until),
+                Asked::Cancel { task, hop } => self.hop_is_cancelled(task, hop),
+                Asked::Answered(task) => self.task_is_answered(task),
+                Asked::Probe(engine) => {
+                    let wait = self.random.time(1, 60);
+                    self.plan(wait, Event::Probed(engine));
+                }
+                Asked::Wake(wait) => self.plan(wait, Event::Wake),
+                Asked::Forget(engine) => {
+                    self.machines.remove(&engine);
+                }
+            }
+        }
+    }
+
+    fn arrival(&mut self) -> Arrival {
+        let random = &mut self.random;
+        let traffic = random.below(self.traffic.len());
+        let (patience, _) = self.traffic[traffic];
+        let is_later = random.percent(15);
+        let told = random.percent(self.habits.estimates);
+        let memory = random.one_of(&[5.0, 40.0, 300.0, 1200.0, 4000.0]) * random.between(0.5, 1.5);
+        let cost = random.one_of(&[10, 40, 150, 600]) * random.among(5, 15) / 10;
+        Arrival {
+            task: self.arrived,
+            traffic,
+            key: random.maybe(60, |random| random.below(4) as KeyId),
+            cost: told.then_some(ms(cost)),
+            memory_mb: (told && !random.percent(10)).then_some(memory),
+            patience: if is_later { patience.mul_f64(random.between(0.3, 0.9)) } else { patience },
+            waited: if random.percent(30) { random.time(1, 60) } else { ms(0) },
+            later_try: self.habits.tells_later_tries.then_some(is_later),
+            group: random.maybe(50, |random| random.below(4) as u64),
+        }
+    }
+
+    fn task_arrives(&mut self) {
+        // Some come at once, as after a pause.
+        let crowd = if self.random.percent(4) { self.random.among(5, 45) } else { 1 };
+        for _ in 0..crowd {
+            let arrival = self.arrival();
+            self.arrived += 1;
+            let asking = Asking { arrival: arrival.clone(), hops: 0, answered: false };
+            self.asking.insert(arrival.task, asking);
+            self.router.accept(self.now, arrival, &mut self.log);
+            self.act();
+        }
+        if (self.arrived as usize) < self.habits.tasks {
+            let wait = self.random.time(0, self.habits.longest_gap);
+            self.plan(wait, Event::Arrival);
+        }
+    }
+
+    fn hop_starts(&mut self, task: TaskId, engine: EngineId, until: Duration) {
+        let asking = self.asking.get_mut(&task).expect("a task that arrived");
+        let hop = asking.hops;
+        asking.hops += 1;
+        let (machine, random) = (&self.machines[&engine], &mut self.random);
+        let (_, threads) = self.traffic[asking.arrival.traffic];
+        let cost = asking.arrival.cost.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
+        let misjudged = random.one_of(&[0.7, 1.0, 1.0, 1.2, 2.0, 10.0]);
+        let run = cost.mul_f64(misjudged * machine.slowness * random.between(0.9, 1.6)) + ms(1);
+        let left = until.saturating_sub(self.now);
+        let faulty = random.percent(self.habits.faults);
+        let (wait, end) = match () {
+            _ if machine.silent => (left, HopEnd::TimedOut),
+            _ if machine.gone => (random.time(1, 30).min(left), HopEnd::Unreachable),
+            _ if machine.fails => (random.time(1, 10).min(left), HopEnd::Failed),
+            _ if faulty => {
+                let ends = [
+                    HopEnd::Failed,
+                    HopEnd::Overloaded,
+                    HopEnd::Overloaded,
+                    HopEnd::TimedOut,
+                    HopEnd::Unreachable,
+                    HopEnd::Broken,
+                    HopEnd::Void,
+                ];
+                (run.mul_f64(random.part()).min(left), random.one_of(&ends))
+            }
+            _ if run >= left => (left, HopEnd::TimedOut),
+            _ => (run, HopEnd::Succeeded),
+        };
+        let silent = machine.silent;
+        self.running.insert((task, hop), Running { engine, sent: self.now, until, run });
+        self.plan(wait, Event::HopEnd(task, hop, end));
+        if let Some(every) = self.habits.note_every.filter(|_| !silent) {
+            self.plan(every, Event::Note(task, hop));
+        }
+    }
+
+    fn hop_is_cancelled(&mut self, task: TaskId, hop: usize) {
+        let ends = [HopEnd::Withdrawn, HopEnd::Withdrawn, HopEnd::Withdrawn, HopEnd::Void, HopEnd::Broken];
+        let (wait, end) = (self.random.time(0, 10), self.random.one_of(&ends));
+        self.plan(wait, Event::HopEnd(task, hop, end));
+    }
+
+    fn task_is_answered(&mut self, task: TaskId) {
+        self.asking.get_mut(&task).expect("a task that arrived").answered = true;
+    }
+
+    /// What the engine says of its load, as far as engines do in this life.
+    fn signals(&mut self, engine: EngineId) -> Option<Signals> {
+        let out = self.running.values().filter(|running| running.engine == engine).count() as f64;
+        let (habits, random) = (&self.habits, &mut self.random);
+        let waiting = random.maybe(20, |random| random.below(3) as f64);
+        Some(Signals {
+            busy: habits.tells_busy.then(|| (out / 4.0 * random.between(0.5, 1.5)).min(1.0)),
+            in_flight: habits.tells_in_flight.then(|| out + random.below(4) as f64),
+            waiting,
+            memory: habits.tells_memory.then(|| (out / 6.0 * random.between(0.5, 1.5)).min(1.0)),
+            disks: random.maybe(20, Random::part),
+        })
+    }
+
+    fn hop_ends(&mut self, task: TaskId, hop: usize, end: HopEnd) {
+        let Some(running) = self.running.remove(&(task, hop)) else { return };
+        let tells = !matches!(end, HopEnd::TimedOut | HopEnd::Unreachable | HopEnd::Broken);
+        let signals = if tells && self.random.percent(self.habits.signals) {
+            self.signals(running.engine)
+        } else {
+            None
+        };
+        let asking = self.asking.get_mut(&task).expect("a task that arrived");
+        let took = self.now - running.sent;
+        let told = asking.arrival.memory_mb.unwrap_or(100.0);
+        let random = &mut self.random;
+        let billed = end == HopEnd::Succeeded && random.percent(self.habits.bills);
+        let bill = billed.then(|| Bill {
+            cost: took.mul_f64(random.between(0.5, 1.0)),
+            memory_mb: told * random.between(0.4, 2.0),
+        });
+        asking.answered |= end == HopEnd::Succeeded;
+        let over = asking.answered;
+        let ended = Ended { task, hop, engine: running.engine, end, took, bill, signals, over };
+        self.router.hop_ended(self.now, ended, &mut self.log);
+    }
+
+    fn note_comes(&mut self, task: TaskId, hop: usize) {
+        let Some(Running { engine, sent, until, run }) = self.running.get(&(task, hop)) else { return };
+        let (since, random) = (self.now - *sent, &mut self.random);
+        if self.machines[engine].silent || *until <= self.now {
+            return;
+        }
+        let done = since.as_nanos() as f64 / run.as_nanos() as f64;
+        let notice = match random.below(12) {
+            0 | 1 => Notice::Runs,
+            2 => Notice::Spills(random.between(10.0, 900.0)),
+            3 => random.one_of(&[Notice::WaitsForMemory, Notice::WaitsForLoad, Notice::Runs]),
+            4 => Notice::Done(0.0),
+            _ => Notice::Done(done.min(1.0)),
+        };
+        self.router.notice(self.now, task, hop, notice, &mut self.log);
+        if let Some(every) = self.habits.note_every
+            && self.random.percent(93)
+        {
+            self.plan(every, Event::Note(task, hop));
+        }
+    }
+
+    fn probe_ends(&mut self, engine: EngineId) {
+        let answers = self.machines.get(&engine).is_some_and(|machine| !machine.silent && !machine.gone);
+        let signals = if answers && !self.random.percent(10) { self.signals(engine) } else { None };
+        self.router.probed(self.now, engine, signals, &mut self.log);
+    }
+
+    fn list_engines(&mut self, whole: bool) {
+        let rows = self.machines.iter().map(|(engine, machine)| listing(*engine, machine)).collect();
+        self.router.engines_changed(self.now, whole, rows, &mut self.log);
+        self.act();
+    }
+
+    fn engines_change(&mut self) {
+        let engines: Vec<EngineId> = self.machines.keys().copied().collect();
+        let (random, now) = (&mut self.random, self.now);
+        let change = random.below(10);
+        if engines.is_empty() || change == 0 {
+            let free = engines.last().map_or(0, |last| last + 1);
+            let launched = random.maybe(50, |random| now.saturating_sub(random.time(0, 500)));
+            self.machines.insert(free, machine(random, self.kinds, launched));
+            let whole = self.random.percent(30);
+            return self.list_engines(whole);
+        }
+        let engine = random.one_of(&engines);
+        let machine = self.machines.get_mut(&engine).expect("a listed engine");
+        match change {
+            1 => machine.ready = !machine.ready,
+            2 => (machine.ready, machine.gone) = (false, true),
+            3 | 4 => {
+                (machine.ready, machine.gone, machine.launched) = (true, false, Some(now));
+                (machine.silent, machine.fails, machine.slowness) = (false, false, 1.0);
+            }
+            5 => machine.silent = !machine.silent,
+            6 => machine.fails = !machine.fails,
+            7 => machine.slowness = random.one_of(&[1.0, 2.0, 6.0, 20.0]),
+            8 => {
+                let rows = self.machines.iter().filter(|_| !random.percent(20));
+                let rows = rows.map(|(engine, machine)| listing(*engine, machine)).collect();
+                return self.router.engines_changed(now, true, rows, &mut self.log);
+            }
+            _ => machine.ready = true,
+        }
+        let row = listing(engine, machine);
+        self.router.engines_changed(now, false, vec![row], &mut self.log);
+    }
+
+    fn clients_leave(&mut self) {
+        let waiting = self.asking.iter().filter(|(_, asking)| !asking.answered).map(|(task, _)| *task);
+        let leaving: BTreeSet<TaskId> = waiting.filter(|_| self.random.percent(8)).collect();
+        let (over, ended): (Vec<TaskId>, Vec<TaskId>) = leaving.iter().partition(|task| *task % 2 == 0);
+        over.iter().for_each(|task| self.task_is_answered(*task));
+        self.router.clients_left(self.now, &over, &ended, &mut self.log);
+    }
+
+    fn look_for_room(&mut self) {
+        let arrivals: Vec<Arrival> = (0..3).map(|_| self.arrival()).collect();
+        let mut room = self.router.room(self.now);
+        for arrival in &arrivals {
+            self.log.add(ROOM, &[u64::from(room.takes(arrival))]);
+        }
+        let work = self.router.expected_work(&arrivals[0]);
+        self.log.add(EXPECTED_WORK, &[nanos(work), nanos(self.router.margin())]);
+    }
+}
