--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -255,7 +255,7 @@
 fn keeps(home: &Home, act: &Act) -> bool {
     let floor = &home.front.floor;
     let (_, links, hops) = floor.engines.held();
-    let kept = links + hops + floor.works.deadlines.len() + floor.clients.table.len() + home.far.len();
+    let kept = links + hops + floor.works.timers.len() + floor.clients.table.len() + home.far.len();
     matches!(act, Act::Rests) && !home.front.left && (kept > 0 || !floor.tasks.is_empty())
 }
 
@@ -547,7 +547,7 @@
         if self.restarts && !home.terminated {
             moves.push(Step::Terminate);
         }
-        if !home.front.floor.works.deadlines.is_empty() {
+        if !home.front.floor.works.timers.is_empty() {
             moves.push(Step::Pass);
         }
     }
@@ -616,11 +616,11 @@
                 next.front.close();
             }
             Step::Pass => {
-                let to = next.front.works().deadlines.first().map_or(next.now, |at| at.max(next.now));
+                let to = next.front.works().timers.first().map_or(next.now, |at| at.max(next.now));
                 next.judge(&Act::Pass { to });
                 next.now = to;
                 next.front.works().now = to;
-                while let Some(due) = next.front.works().deadlines.pop(to) {
+                while let Some(due) = next.front.works().timers.pop(to) {
                     next.front.due(due);
                     next.pump(None);
                 }
--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -6,10 +6,10 @@
 use crate::witness;
 use emberflow::{EngineId, HopEnd, TaskId};
 use emberflow_router::bulletin::Row;
-use emberflow_router::deadlines::Due;
 use emberflow_router::engines::{Ask, Call, Engines, News};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
+use emberflow_router::timers::Timer;
 use emberflow_router::works::Works;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -216,7 +216,7 @@
 
 fn keeps(scene: &Scene, act: &Act) -> bool {
     let (_, links, hops) = scene.engines.held();
-    matches!(act, Act::Rests) && links + hops + scene.works.deadlines.len() + scene.far.len() > 0
+    matches!(act, Act::Rests) && links + hops + scene.works.timers.len() + scene.far.len() > 0
 }
 
 pub(crate) struct Socket<'a>(pub &'a mut Far);
@@ -516,7 +516,7 @@
         if !scene.listed {
             moves.extend(self.listed.iter().map(|what| Step::List { what: *what }));
         }
-        if scene.works.deadlines.first().is_some() {
+        if scene.works.timers.first().is_some() {
             moves.push(Step::Pass);
         }
     }
@@ -565,17 +565,17 @@
                 }
             }
             Step::Pass => {
-                let to = next.works.deadlines.first().map_or(next.now, |at| at.max(next.now));
+                let to = next.works.timers.first().map_or(next.now, |at| at.max(next.now));
                 next.judge(&Act::Passes { to });
                 next.now = to;
                 next.works.now = next.now;
-                while let Some(due) = next.works.deadlines.pop(next.now) {
+                while let Some(due) = next.works.timers.pop(next.now) {
                     let (engines, works) = (&mut next.engines, &mut next.works);
                     match due {
-                        Due::Hop(slot) => engines.overdue(slot, works),
-                        Due::Link(slot) => engines.link_overdue(slot, next.now, works),
-                        Due::Whole(slot) => engines.not_whole(slot, works),
-                        Due::Idle(slot) => engines.link_idle(slot, works),
+                        Timer::Hop(slot) => engines.overdue(slot, works),
+                        Timer::Link(slot) => engines.link_overdue(slot, next.now, works),
+                        Timer::Whole(slot) => engines.not_whole(slot, works),
+                        Timer::Idle(slot) => engines.link_idle(slot, works),
                         _ => {}
                     }
                 }
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -141,7 +141,7 @@
     ),
     engines(
         "idle connections are kept",
-        "works.deadlines.set(if link.retired { now } else { idle }, Due::Idle(at));",
+        "works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));",
         "",
     ),
     engines(
@@ -159,7 +159,7 @@
         "match self.links.get(slot).and_then(|link| link.hops.get(&id)).copied() {",
         "match self.links.get(slot).and_then(|link| link.hops.get(&id).or(link.hops.values().next())).copied() {",
     ),
-    engines("a hop without a deadline", "        works.deadlines.set(call.until, Due::Hop(hop));\n", ""),
+    engines("a hop without a deadline", "        works.timers.set(call.until, Timer::Hop(hop));\n", ""),
     Mutant {
         name: "an answered task goes on",
         file: FLOOR,
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -4,13 +4,13 @@
 use crate::bulletin;
 use crate::clients::CROSSING;
 use crate::clock::Clock;
-use crate::deadlines::Due;
 use crate::engines::Ask;
 use crate::front::Front;
 use crate::premises::Briefing;
 use crate::ready::Ready;
 use crate::ring::Filled;
 use crate::slots::Slot;
+use crate::timers::Timer;
 use crate::wires::{Wire, listen};
 use crate::works::Works;
 use calloop::generic::Generic;
@@ -120,7 +120,7 @@
         edge.looked = edge.clock.now();
         edge.dial_bulletin();
         while !edge.front.left {
-            let due = edge.front.works().deadlines.first().map(|at| at.saturating_sub(edge.clock.now()));
+            let due = edge.front.works().timers.first().map(|at| at.saturating_sub(edge.clock.now()));
             let done = edge.unheard.is_empty() && edge.unread.is_empty() && edge.not_read_out.is_empty();
             let wait = if done { due } else { Some(Duration::ZERO) };
             (edge.work, edge.looking) = (edge.clock.now().saturating_sub(edge.looked), true);
@@ -190,23 +190,23 @@
         loop {
             self.look_at_the_clock();
             let now = self.front.works().now();
-            let Some(due) = self.front.works().deadlines.pop(now) else { break };
+            let Some(due) = self.front.works().timers.pop(now) else { break };
             match due {
                 // Guards against a router that is late itself: what came meanwhile counts.
-                Due::Client(slot) => self.hear(slot, self.since()),
-                Due::Hop(hop) => {
+                Timer::Client(slot) => self.hear(slot, self.since()),
+                Timer::Hop(hop) => {
                     if let Some(link) = self.front.floor.engines.link_of(hop) {
                         self.link_ready(link);
                     }
                 }
-                Due::Link(slot) => self.link_ready(slot),
-                Due::Whole(slot) => self.read_link(slot),
-                Due::Bulletin => self.await_bulletin(),
-                Due::Admit => self.open_the_door(),
-                Due::Leave => self.look_around(),
-                Due::Reload => self.reload(),
-                Due::Part(slot) => drop(self.parting.remove(&slot)),
-                Due::Wake | Due::Idle(_) | Due::Door => {}
+                Timer::Link(slot) => self.link_ready(slot),
+                Timer::Whole(slot) => self.read_link(slot),
+                Timer::Bulletin => self.await_bulletin(),
+                Timer::Admit => self.open_the_door(),
+                Timer::Leave => self.look_around(),
+                Timer::Reload => self.reload(),
+                Timer::Part(slot) => drop(self.parting.remove(&slot)),
+                Timer::Wake | Timer::Idle(_) | Timer::Door => {}
             }
             self.front.due(due);
             self.carry_out();
@@ -274,7 +274,7 @@
         }
         let works = self.front.works();
         works.counters.count("clients_read_out");
-        works.deadlines.set(works.now() + CROSSING, Due::Part(slot));
+        works.timers.set(works.now() + CROSSING, Timer::Part(slot));
         self.parting.insert(slot, wire);
         self.read_out(slot);
     }
@@ -366,7 +366,7 @@
     fn pause(&mut self) {
         let works = self.front.works();
         works.counters.count("accepts_paused");
-        works.deadlines.set(works.now() + CROSSING, Due::Admit);
+        works.timers.set(works.now() + CROSSING, Timer::Admit);
         if let Err(error) = self.ear.disable(&self.door) {
             log::warn!("accepting can't pause: {error}");
         }
@@ -489,9 +489,9 @@
     /// The bulletin is dialled anew unless this is put off in time.
     fn expect_bulletin(&mut self, wait: Duration) {
         let Front { bulletin, floor, .. } = &mut self.front;
-        floor.works.deadlines.clear(bulletin.due, Due::Bulletin);
+        floor.works.timers.clear(bulletin.due, Timer::Bulletin);
         bulletin.due = floor.works.now() + wait;
-        floor.works.deadlines.set(bulletin.due, Due::Bulletin);
+        floor.works.timers.set(bulletin.due, Timer::Bulletin);
     }
 
     fn bulletin_ready(&mut self) {
@@ -568,7 +568,7 @@
                     now + WRITTEN
                 });
                 if now < last {
-                    works.deadlines.set(now + AGAIN, Due::Reload);
+                    works.timers.set(now + AGAIN, Timer::Reload);
                     self.again = Some((now + AGAIN, last));
                 } else {
                     log::error!("configuration not looked at again: {error}");
@@ -612,7 +612,7 @@
         match signal {
             Signal::SIGHUP => {
                 if let Some((due, _)) = self.again.take() {
-                    self.front.works().deadlines.clear(due, Due::Reload);
+                    self.front.works().timers.clear(due, Timer::Reload);
                 }
                 self.reload();
             }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -2,10 +2,10 @@
 
 use crate::bulletin::Row;
 use crate::clock::whole_ms;
-use crate::deadlines::Due;
 use crate::resp;
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
+use crate::timers::Timer;
 use crate::works::Works;
 use emberflow::{Bill, Ended, EngineId, HopEnd, Listing, Notice, Signals, TaskId};
 use emberflow_startup::{from_ms, load};
@@ -280,7 +280,7 @@
             dropped: None,
             result: None,
         });
-        works.deadlines.set(call.until, Due::Hop(hop));
+        works.timers.set(call.until, Timer::Hop(hop));
         works.counters.count("hops_sent");
         self.place(hop, works);
         hop
@@ -342,7 +342,7 @@
             whole_by: None,
             idle: None,
         });
-        works.deadlines.set(due, Due::Link(slot));
+        works.timers.set(due, Timer::Link(slot));
         self.asks.push_back(Ask::Dial(slot, address));
         self.book.entry(engine).and_modify(|known| known.links.push(slot));
         Some(slot)
@@ -353,7 +353,7 @@
         row.link = Some(slot);
         link.hops.insert(row.id.clone(), hop);
         if let Some(at) = link.idle.take() {
-            works.deadlines.clear(at, Due::Idle(slot));
+            works.timers.clear(at, Timer::Idle(slot));
         }
         link.waiting.push(hop);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
@@ -374,9 +374,9 @@
 
     fn look_at(&mut self, slot: Slot, at: Duration, works: &mut Works) {
         let Some(link) = self.links.get_mut(slot) else { return };
-        link.due.inspect(|at| works.deadlines.clear(*at, Due::Link(slot)));
+        link.due.inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
         link.due = Some(at);
-        works.deadlines.set(at, Due::Link(slot));
+        works.timers.set(at, Timer::Link(slot));
     }
 
     /// Writes what waits, as far as the connection is known to work.
@@ -424,7 +424,7 @@
         link.up = true;
         link.heard = works.now();
         log::debug!("engine {}: connection {slot:?} up after {:?}", link.engine, link.heard - link.opened);
-        link.due.take().inspect(|at| works.deadlines.clear(*at, Due::Link(slot)));
+        link.due.take().inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
         self.go_on(slot, works);
     }
 
@@ -475,7 +475,7 @@
         if link.whole_by.is_none() && !link.input.is_empty() {
             let by = works.now() + self.comes_up * 2;
             link.whole_by = Some(by);
-            works.deadlines.set(by, Due::Whole(slot));
+            works.timers.set(by, Timer::Whole(slot));
         }
         matches!(filled, Ok(Filled::Enough))
     }
@@ -500,7 +500,7 @@
             let body = part(3).to_vec();
             link.input.consume(length);
             link.heard = works.now();
-            link.whole_by.take().inspect(|at| works.deadlines.clear(*at, Due::Whole(slot)));
+            link.whole_by.take().inspect(|at| works.timers.clear(*at, Timer::Whole(slot)));
             if std::mem::take(&mut link.asked) {
                 self.go_on(slot, works);
             }
@@ -610,9 +610,9 @@
         let Some(hop) = self.hops.get_mut(slot) else { return Ok(()) };
         let Some(result) = hop.result.as_mut() else { return Ok(()) };
         if result.got.iter().any(Option::is_none) {
-            works.deadlines.clear(hop.until, Due::Hop(slot));
+            works.timers.clear(hop.until, Timer::Hop(slot));
             hop.until = hop.until.min(works.now() + self.comes_up * 2);
-            works.deadlines.set(hop.until, Due::Hop(slot));
+            works.timers.set(hop.until, Timer::Hop(slot));
             return Ok(());
         }
         let pages: Vec<Vec<u8>> = std::mem::take(&mut result.got).into_iter().flatten().collect();
@@ -642,7 +642,7 @@
     ) {
         let Some(hop) = self.hops.take(slot) else { return };
         let now = works.now();
-        works.deadlines.clear(hop.until, Due::Hop(slot));
+        works.timers.clear(hop.until, Timer::Hop(slot));
         works.counters.count(match end {
             HopEnd::Succeeded => "hops_succeeded",
             HopEnd::Failed => "hops_failed",
@@ -659,7 +659,7 @@
             if link.hops.is_empty() {
                 let idle = now + self.idle_close.mul_f64(RETIRED);
                 link.idle = Some(idle);
-                works.deadlines.set(if link.retired { now } else { idle }, Due::Idle(at));
+                works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
             }
         }
         let (bill, told) = hop.result.map_or((None, None), |result| (result.bill, result.signals));
@@ -800,9 +800,9 @@
         self.asks.push_back(Ask::Close(slot));
         log::debug!("engine {}: connection {slot:?} over with {} hops: {why}", link.engine, link.hops.len());
         self.book.entry(link.engine).and_modify(|known| known.links.retain(|other| *other != slot));
-        link.due.inspect(|at| works.deadlines.clear(*at, Due::Link(slot)));
-        link.whole_by.inspect(|at| works.deadlines.clear(*at, Due::Whole(slot)));
-        link.idle.inspect(|at| works.deadlines.clear(*at, Due::Idle(slot)));
+        link.due.inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
+        link.whole_by.inspect(|at| works.timers.clear(*at, Timer::Whole(slot)));
+        link.idle.inspect(|at| works.timers.clear(*at, Timer::Idle(slot)));
         if there && !link.hops.is_empty() {
             works.counters.count("links_lost");
         }
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/floor.rs
@@ -2,11 +2,11 @@
 
 use crate::clients::Clients;
 use crate::clock::whole_ms;
-use crate::deadlines::Due;
 use crate::engines::{Call, Engines};
 use crate::jsonrpc;
 use crate::premises::Premises;
 use crate::slots::{Slot, Slots};
+use crate::timers::Timer;
 use crate::works::Works;
 use emberflow::{EngineId, Outlet, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -148,7 +148,7 @@
     /// Never asked for here.
     fn probe(&mut self, _: EngineId) {}
     fn wake_after(&mut self, wait: Duration) {
-        self.works.deadlines.set(self.works.now() + wait, Due::Wake);
+        self.works.timers.set(self.works.now() + wait, Timer::Wake);
     }
     /// The bulletin tells its changes unasked.
     fn watch(&mut self) {}
@@ -193,8 +193,9 @@
             task.owing.iter().filter_map(|link| self.engines.link_place(*link)).for_each(|at| at.hash(into));
         }
         // What else falls due is told by the connections and hops themselves.
-        let due = self.works.deadlines.iter();
-        let due = due.filter(|(_, due)| matches!(due, Due::Wake | Due::Bulletin | Due::Admit | Due::Leave));
+        let due = self.works.timers.iter();
+        let due =
+            due.filter(|(_, due)| matches!(due, Timer::Wake | Timer::Bulletin | Timer::Admit | Timer::Leave));
         due.for_each(|(at, due)| (at.as_micros() as i64 - now.as_micros() as i64, due).hash(into));
         self.serving.hash(into);
     }
@@ -204,11 +205,11 @@
         let (engines, links, hops) = self.engines.held();
         format!(
             "{} held_clients={} held_tasks={} held_engines={engines} held_links={links} held_hops={hops} \
-             held_deadlines={}",
+             held_timers={}",
             self.works.counters,
             self.clients.table.len(),
             self.tasks.table.len(),
-            self.works.deadlines.len()
+            self.works.timers.len()
         )
     }
 
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -3,7 +3,6 @@
 
 use crate::bulletin::{Bulletin, Row};
 use crate::clients::{Heard, MOST_OPEN};
-use crate::deadlines::Due;
 use crate::door::{Door, Knock};
 use crate::engines::News;
 use crate::floor::{Floor, Task};
@@ -12,6 +11,7 @@
 use crate::ring::Ring;
 use crate::slots::Slot;
 use crate::statement;
+use crate::timers::Timer;
 use crate::works::Works;
 use emberflow::{Arrival, Ended, KeyId, Outlet, Print, Router, TaskId};
 use emberflow_operator::Roll;
@@ -95,7 +95,7 @@
         let Floor { clients, works, .. } = &mut self.floor;
         let slot = clients.table.next();
         let due = clients.admit(works.now());
-        works.deadlines.set(due, Due::Client(slot));
+        works.timers.set(due, Timer::Client(slot));
         works.counters.count("clients_admitted");
         slot
     }
@@ -119,18 +119,18 @@
     }
 
     /// What falls due; whoever holds the sockets has read what came for it before.
-    pub fn due(&mut self, due: Due) {
+    pub fn due(&mut self, due: Timer) {
         let now = self.floor.works.now();
         let Floor { engines, works, .. } = &mut self.floor;
         match due {
-            Due::Wake => self.router.wake(now, &mut self.floor),
-            Due::Hop(slot) => engines.overdue(slot, works),
-            Due::Link(slot) => engines.link_overdue(slot, now, works),
-            Due::Whole(slot) => engines.not_whole(slot, works),
-            Due::Idle(slot) => engines.link_idle(slot, works),
-            Due::Client(slot) => self.client_overdue(slot, now),
-            Due::Leave => self.leave(),
-            Due::Bulletin | Due::Admit | Due::Door | Due::Reload | Due::Part(_) => {}
+            Timer::Wake => self.router.wake(now, &mut self.floor),
+            Timer::Hop(slot) => engines.overdue(slot, works),
+            Timer::Link(slot) => engines.link_overdue(slot, now, works),
+            Timer::Whole(slot) => engines.not_whole(slot, works),
+            Timer::Idle(slot) => engines.link_idle(slot, works),
+            Timer::Client(slot) => self.client_overdue(slot, now),
+            Timer::Leave => self.leave(),
+            Timer::Bulletin | Timer::Admit | Timer::Door | Timer::Reload | Timer::Part(_) => {}
         }
         self.tell();
     }
@@ -458,11 +458,11 @@
         // What opens by time alone is looked for by the decisions' own step.
         let due = door.due().map(|due| due.min(now + self.router.margin()));
         if due != self.door_due {
-            let deadlines = &mut self.floor.works.deadlines;
+            let timers = &mut self.floor.works.timers;
             if let Some(old) = std::mem::replace(&mut self.door_due, due) {
-                deadlines.clear(old, Due::Door);
+                timers.clear(old, Timer::Door);
             }
-            due.into_iter().for_each(|at| deadlines.set(at, Due::Door));
+            due.into_iter().for_each(|at| timers.set(at, Timer::Door));
         }
         false
     }
@@ -488,7 +488,7 @@
                 self.empty_the_door(now);
                 (self.door, self.floor.closed) = (None, None);
                 if let Some(due) = self.door_due.take() {
-                    self.floor.works.deadlines.clear(due, Due::Door);
+                    self.floor.works.timers.clear(due, Timer::Door);
                 }
             }
             (None, Some(roll)) => {
@@ -518,7 +518,7 @@
                 }
                 self.client_gone(slot, if begun { "stopped within a line" } else { "idle" });
             }
-            Err(due) => self.floor.works.deadlines.set(due, Due::Client(slot)),
+            Err(due) => self.floor.works.timers.set(due, Timer::Client(slot)),
         }
     }
 
@@ -534,7 +534,7 @@
     fn part(&mut self, slot: Slot, why: &str) -> Vec<TaskId> {
         let Some(client) = self.floor.clients.take(slot) else { return Vec::new() };
         log::debug!("client {slot:?} over with {}: {why}", client.held());
-        self.floor.works.deadlines.clear(client.due, Due::Client(slot));
+        self.floor.works.timers.clear(client.due, Timer::Client(slot));
         self.closed.push((slot, client.output));
         client.open.into_values().collect()
     }
@@ -578,7 +578,7 @@
         let now = works.now();
         let by = now + self.longest.min(LONGEST_COUNTED) + STRAGGLERS - ON_THE_WAY;
         self.leaving = Some(by);
-        works.deadlines.set(now + STRAGGLERS, Due::Leave);
+        works.timers.set(now + STRAGGLERS, Timer::Leave);
         self.empty_the_door(now);
         self.router.closing(now, by, &mut self.floor);
         self.tell();
@@ -589,7 +589,7 @@
         let now = self.floor.works.now();
         let done = self.is_done() && !self.unheard;
         self.left = done || self.leaving.is_some_and(|by| now >= by);
-        self.floor.works.deadlines.set(now + LOOK, Due::Leave);
+        self.floor.works.timers.set(now + LOOK, Timer::Leave);
     }
 
     /// Whether nothing is owed, as far as clients were heard.
--- a/crates/router/src/deadlines.rs
+++ b/crates/router/src/timers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Due {
+pub enum Timer {
     /// The decisions asked to be woken.
     Wake,
     /// A hop is abandoned.
@@ -33,16 +33,16 @@
 }
 
 #[derive(Clone, Default)]
-pub struct Deadlines {
-    ordered: BTreeSet<(Duration, Due)>,
+pub struct Timers {
+    ordered: BTreeSet<(Duration, Timer)>,
 }
 
-impl Deadlines {
-    pub fn set(&mut self, at: Duration, due: Due) {
+impl Timers {
+    pub fn set(&mut self, at: Duration, due: Timer) {
         self.ordered.insert((at, due));
     }
 
-    pub fn clear(&mut self, at: Duration, due: Due) {
+    pub fn clear(&mut self, at: Duration, due: Timer) {
         self.ordered.remove(&(at, due));
     }
 
@@ -54,7 +54,7 @@
         self.ordered.is_empty()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Duration, Due)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Duration, Timer)> {
         self.ordered.iter().copied()
     }
 
@@ -62,7 +62,7 @@
         self.ordered.first().map(|(at, _)| *at)
     }
 
-    pub fn pop(&mut self, now: Duration) -> Option<Due> {
+    pub fn pop(&mut self, now: Duration) -> Option<Timer> {
         let (at, due) = *self.ordered.first()?;
         (at <= now && self.ordered.remove(&(at, due))).then_some(due)
     }
--- a/crates/router/src/works.rs
+++ b/crates/router/src/works.rs
@@ -1,7 +1,7 @@
 //! What every part of the router uses: the time of the input being taken, the deadlines, the counters.
 
 use crate::counters::Counters;
-use crate::deadlines::Deadlines;
+use crate::timers::Timers;
 use std::time::Duration;
 
 #[derive(Clone, Default)]
@@ -10,7 +10,7 @@
     pub now: Duration,
     /// What the clock showed at the Unix epoch's millisecond 0, as a span before its own zero.
     pub zero: Duration,
-    pub deadlines: Deadlines,
+    pub timers: Timers,
     pub counters: Counters,
 }
 
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -2,12 +2,12 @@
 //! one digest over all that its peers would see of them: the bytes on each connection, what is dialled and closed,
 //! and when it wants to be looked at next. Log lines are not in it.
 
-use emberflow_router::deadlines::Due;
 use emberflow_router::engines::Ask;
 use emberflow_router::front::Front;
 use emberflow_router::premises::Briefing;
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
+use emberflow_router::timers::Timer;
 use emberflow_router::works::Works;
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -669,11 +669,11 @@
     /// Time passes, and what falls due is done when it does, or a little late.
     fn time_passes(&mut self, most_ms: u64) {
         let to = self.front.floor.works.now() + Duration::from_micros(self.chance.below(most_ms * 1000));
-        while let Some(at) = self.front.floor.works.deadlines.first().filter(|at| *at <= to) {
+        while let Some(at) = self.front.floor.works.timers.first().filter(|at| *at <= to) {
             let late = Duration::from_micros(self.chance.pick(&[0, 0, 0, 700]));
             let now = self.front.floor.works.now().max(at + late);
             self.front.floor.works.now = now;
-            while let Some(due) = self.front.floor.works.deadlines.pop(now) {
+            while let Some(due) = self.front.floor.works.timers.pop(now) {
                 self.falls_due(due);
             }
             self.note_when_due();
@@ -682,10 +682,10 @@
     }
 
     /// As whoever holds the sockets does: what came before is heard before.
-    fn falls_due(&mut self, due: Due) {
+    fn falls_due(&mut self, due: Timer) {
         match due {
-            Due::Client(slot) => self.hear(slot, &[], After::Silence),
-            Due::Hop(hop) => {
+            Timer::Client(slot) => self.hear(slot, &[], After::Silence),
+            Timer::Hop(hop) => {
                 if let Some(link) = self.front.floor.engines.link_of(hop) {
                     self.flush_link(link);
                 }
@@ -708,7 +708,7 @@
     // ---- what the front asks for ----
 
     fn note_when_due(&mut self) {
-        let first = self.front.floor.works.deadlines.first();
+        let first = self.front.floor.works.timers.first();
         let first = first.map_or(u64::MAX, |at| at.as_micros() as u64);
         self.witness.note("due", first, &[]);
     }
--- a/crates/router/tests/front.rs
+++ b/crates/router/tests/front.rs
@@ -1,9 +1,9 @@
 //! The machine that owns the decisions, without sockets or clock.
 
-use emberflow_router::deadlines::Due;
 use emberflow_router::front::Front;
 use emberflow_router::premises::Briefing;
 use emberflow_router::slots::Slot;
+use emberflow_router::timers::Timer;
 use emberflow_router::works::Works;
 use expect_test::expect;
 use std::io::{ErrorKind, Read, Result};
@@ -85,7 +85,7 @@
     let slots = [front.admit(), front.admit()];
     front.floor.works.now = NOW + Duration::from_secs(2);
     front.client_gone(slots[0], "closed by the client");
-    slots.into_iter().for_each(|slot| front.due(Due::Client(slot)));
+    slots.into_iter().for_each(|slot| front.due(Timer::Client(slot)));
     expect!["clients_admitted=2 clients_idle=1"].assert_eq(&front.floor.works.counters.to_string());
 }
 
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -963,10 +963,10 @@
         }
     }
     let counters = ["tasks_succeeded", "clients_admitted", "engines_forgotten"];
-    let held = ["held_clients", "held_tasks", "held_hops", "held_engines", "held_links", "held_deadlines"];
+    let held = ["held_clients", "held_tasks", "held_hops", "held_engines", "held_links", "held_timers"];
     let told = house.end(&[&counters[..], &held].concat());
-    let (told, deadlines) = told.trim().rsplit_once("held_deadlines=").expect("the last");
-    let few = deadlines.parse::<u64>().is_ok_and(|count| count < 20);
+    let (told, timers) = told.trim().rsplit_once("held_timers=").expect("the last");
+    let few = timers.parse::<u64>().is_ok_and(|count| count < 20);
     expect![[r#"
         bulletin after 1
         ended with Some(0): clients_admitted=2000 engines_forgotten=3000 tasks_succeeded=200 held_clients=0 held_tasks=0 held_engines=1 held_links=1 held_hops=0 few deadlines: true"#]].assert_eq(&format!("{told}few deadlines: {few}"));
