--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -33,8 +33,8 @@
 /// What a client may say, each once.
 #[derive(Clone, Copy, Debug)]
 pub enum Line {
-    /// A task under an id on this connection, by its class and the number that its `req` is made of.
-    Task {
+    /// A request under an id on this connection, by its class and the number that its `req` is made of.
+    Request {
         id: u64,
         class: &'static str,
         req: u64,
@@ -132,7 +132,7 @@
     rest: Option<(usize, Vec<u8>)>,
 }
 
-/// A task as its client sees it.
+/// A request as its client sees it.
 #[derive(Clone)]
 struct Asked {
     client: usize,
@@ -209,7 +209,7 @@
     Law("no call for nobody", "nothing is sent for a request that was answered or withdrawn", for_nobody),
     Law("no call for one that left", "nothing is sent once its client has ended its side", for_one_that_left),
     Law("own fault", "what a client does closes no other client's connection", closes_another),
-    Law("an empty house", "at rest there is no client, task, hop, connection or deadline", keeps),
+    Law("an empty house", "at rest there is no client, request, hop, connection or deadline", keeps),
 ];
 
 fn second_line(home: &Home, act: &Act) -> bool {
@@ -256,7 +256,7 @@
     let floor = &home.front.floor;
     let (_, links, hops) = floor.engines.held();
     let kept = links + hops + floor.works.timers.len() + floor.clients.table.len() + home.far.len();
-    matches!(act, Act::Rests) && !home.front.left && (kept > 0 || !floor.tasks.is_empty())
+    matches!(act, Act::Rests) && !home.front.left && (kept > 0 || !floor.requests.is_empty())
 }
 
 fn req(number: u64) -> String {
@@ -346,7 +346,7 @@
     fn say(&mut self, world: &House, client: usize, line: usize) {
         self.seats[client].said |= 1 << line;
         let mut text = match world.lines[client][line] {
-            Line::Task { id, class, req: number } => format!(
+            Line::Request { id, class, req: number } => format!(
                 r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{}","timeout":{PATIENCE_MS},"ms":20,"memory":300,"data":""}}}}"#,
                 req(number)
             ),
@@ -372,7 +372,7 @@
     /// A line that is whole is a request, or takes one back.
     fn asks(&mut self, world: &House, client: usize, line: usize) {
         match world.lines[client][line] {
-            Line::Task { id, class, req: number } => {
+            Line::Request { id, class, req: number } => {
                 let (once, by) = (class == "post", self.now + Duration::from_millis(PATIENCE_MS));
                 let (answers, withdrawn) = (0, false);
                 self.asked.push(Asked { client, id, req: number, once, by, answers, withdrawn });
@@ -663,8 +663,8 @@
     }
 }
 
-const LOOKUP: Line = Line::Task { id: 1, class: "lookup", req: 1 };
-const POST: Line = Line::Task { id: 1, class: "post", req: 1 };
+const LOOKUP: Line = Line::Request { id: 1, class: "lookup", req: 1 };
+const POST: Line = Line::Request { id: 1, class: "post", req: 1 };
 
 pub const WORLDS: &[House] = &[
     House {
@@ -685,7 +685,7 @@
         name: "an open request again",
         says: "a client that sends an open single-use request again under another id",
         engines: 1,
-        lines: &[&[POST, Line::Task { id: 2, class: "post", req: 1 }]],
+        lines: &[&[POST, Line::Request { id: 2, class: "post", req: 1 }]],
         leaves: false,
         faults: 0,
         drains: false,
@@ -741,7 +741,7 @@
         name: "a restart under two",
         says: "a single-use and a replayable request when the process ends",
         engines: 1,
-        lines: &[&[POST, Line::Task { id: 2, class: "lookup", req: 2 }]],
+        lines: &[&[POST, Line::Request { id: 2, class: "lookup", req: 2 }]],
         leaves: false,
         faults: 0,
         drains: false,
@@ -783,7 +783,7 @@
         name: "a line without end",
         says: "a client that asks and says a line that never ends, beside one that asks",
         engines: 1,
-        lines: &[&[LOOKUP, Line::Endless], &[Line::Task { id: 1, class: "lookup", req: 2 }]],
+        lines: &[&[LOOKUP, Line::Endless], &[Line::Request { id: 1, class: "lookup", req: 2 }]],
         leaves: false,
         faults: 0,
         drains: false,
@@ -797,7 +797,7 @@
         name: "a restart under a booking",
         says: "a referenced request whose connection may break when the process ends",
         engines: 2,
-        lines: &[&[Line::Task { id: 1, class: "book", req: 1 }]],
+        lines: &[&[Line::Request { id: 1, class: "book", req: 1 }]],
         leaves: false,
         faults: 1,
         drains: false,
--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -3,7 +3,7 @@
 
 use crate::life::{Act, Life, Truth};
 use crate::world::{Asks, World};
-use emberflow::{Effect, Scope, TaskId};
+use emberflow::{Effect, RequestId, Scope};
 use std::time::Duration;
 
 pub struct Law {
@@ -19,18 +19,18 @@
 }
 
 pub const LAWS: [Law; 18] = [
-    Law { name: "one answer", says: "no task gets a second final answer", breaks: second_answer },
-    Law { name: "in time", says: "a task is answered before its patience ends", breaks: late_answer },
-    Law { name: "nothing after", says: "nothing is sent for a task after its answer", breaks: sent_after },
-    Law { name: "one hop out", says: "a task has at most one hop out", breaks: two_hops_out },
+    Law { name: "one answer", says: "no request gets a second final answer", breaks: second_answer },
+    Law { name: "in time", says: "a request is answered before its patience ends", breaks: late_answer },
+    Law { name: "nothing after", says: "nothing is sent for a request after its answer", breaks: sent_after },
+    Law { name: "one hop out", says: "a request has at most one hop out", breaks: two_hops_out },
     Law {
         name: "single-use",
-        says: "a single-use task that may have run is not sent again",
+        says: "a single-use request that may have run is not sent again",
         breaks: runs_twice,
     },
     Law {
         name: "referenced",
-        says: "a referenced task that may have run is sent again only within its scope and window",
+        says: "a referenced request that may have run is sent again only within its scope and window",
         breaks: repeat_unknown,
     },
     Law {
@@ -50,64 +50,65 @@
     },
     Law {
         name: "key order",
-        says: "tasks of one key run one at a time, in their order",
+        says: "requests of one key run one at a time, in their order",
         breaks: out_of_turn,
     },
     Law { name: "key rest", says: "a key rests after a hop that may still run", breaks: key_disturbed },
     Law { name: "placement", says: "every hop goes where its traffic type is placed", breaks: misplaced },
-    Law { name: "hop limit", says: "a task has no more hops than allowed", breaks: too_many_hops },
+    Law { name: "hop limit", says: "a request has no more hops than allowed", breaks: too_many_hops },
     Law { name: "hop budget", says: "further hops stay within their budget", breaks: over_budget },
     Law { name: "cancel", says: "only a hop that is out is cancelled, and once", breaks: cancels_nothing },
     Law { name: "grant", says: "a grant stays within what an engine allows", breaks: grant_too_large },
-    Law { name: "wakes", says: "no open task without a wake-up due", breaks: stands_still },
+    Law { name: "wakes", says: "no open request without a wake-up due", breaks: stands_still },
     Law { name: "comes to rest", says: "a life that has ended leaves nothing behind", breaks: leaves_behind },
 ];
 
-fn task<'a>(life: &'a Life, number: &TaskId) -> &'a Truth {
-    &life.tasks[*number as usize]
+fn request<'a>(life: &'a Life, number: &RequestId) -> &'a Truth {
+    &life.requests[*number as usize]
 }
 
 fn second_answer(_: &World, life: &Life, act: &Act) -> bool {
     match act {
-        Act::Bounce { task: number } | Act::GiveUp { task: number } | Act::Serve { task: number } => {
-            task(life, number).answer.is_some()
-        }
+        Act::Bounce { request: number }
+        | Act::GiveUp { request: number }
+        | Act::Serve { request: number } => request(life, number).answer.is_some(),
         _ => false,
     }
 }
 
 fn late_answer(_: &World, life: &Life, act: &Act) -> bool {
     let Act::Pass { to } = act else { return false };
-    let late =
-        |task: &Truth| task.open() && (task.patience <= *to || life.closing.is_some_and(|by| by <= *to));
+    let late = |request: &Truth| {
+        request.open() && (request.patience <= *to || life.closing.is_some_and(|by| by <= *to))
+    };
     // What nothing would wake the module for is another law's matter.
-    !life.wakes.is_empty() && life.tasks.iter().any(late)
+    !life.wakes.is_empty() && life.requests.iter().any(late)
 }
 
 fn sent_after(_: &World, life: &Life, act: &Act) -> bool {
-    matches!(act, Act::Send { task: number, .. } if !task(life, number).open())
+    matches!(act, Act::Send { request: number, .. } if !request(life, number).open())
 }
 
 fn two_hops_out(_: &World, life: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, .. } = act else { return false };
-    let task = task(life, number);
-    task.open() && task.out().is_some()
+    let Act::Send { request: number, .. } = act else { return false };
+    let request = request(life, number);
+    request.open() && request.out().is_some()
 }
 
-/// The ended hops of an open task that is to be sent.
+/// The ended hops of an open request that is to be sent.
 fn sent_again<'a>(life: &'a Life, act: &Act) -> Option<&'a Truth> {
-    let Act::Send { task: number, .. } = act else { return None };
-    Some(task(life, number)).filter(|task| task.open() && task.out().is_none())
+    let Act::Send { request: number, .. } = act else { return None };
+    Some(request(life, number)).filter(|request| request.open() && request.out().is_none())
 }
 
 fn runs_twice(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, .. } = act else { return false };
-    let ran = sent_again(life, act).is_some_and(|task| task.first_that_may_have_run().is_some());
+    let Act::Send { request: number, .. } = act else { return false };
+    let ran = sent_again(life, act).is_some_and(|request| request.first_that_may_have_run().is_some());
     ran && matches!(world.traffic_of(*number).effect, Effect::SingleUse)
 }
 
 fn repeat_unknown(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, engine, .. } = act else { return false };
+    let Act::Send { request: number, engine, .. } = act else { return false };
     let Some(first) = sent_again(life, act).and_then(Truth::first_that_may_have_run) else { return false };
     let Effect::Referenced { scope, window } = &world.traffic_of(*number).effect else { return false };
     let (was, is) = (world.engines[first.engine], world.engines[*engine]);
@@ -120,14 +121,14 @@
 }
 
 fn harmful_bounce(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Bounce { task: number } = act else { return false };
-    let task = task(life, number);
+    let Act::Bounce { request: number } = act else { return false };
+    let request = request(life, number);
     let known = match &world.traffic_of(*number).effect {
         Effect::Replayable => true,
         Effect::Referenced { scope, .. } => *scope == Scope::All,
         Effect::SingleUse => false,
     };
-    task.open() && !known && task.first_that_may_have_run().is_some()
+    request.open() && !known && request.first_that_may_have_run().is_some()
 }
 
 fn sent_to_drained(_: &World, life: &Life, act: &Act) -> bool {
@@ -135,10 +136,10 @@
 }
 
 /// By the rule's own figures: what an engine can do at its warmth, times the factor, over the time after which
-/// it falls, of which this router has an equal part. Where that is less than one task, one may go in a time as
+/// it falls, of which this router has an equal part. Where that is less than one request, one may go in a time as
 /// much longer.
 fn cold_overrun(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, engine, .. } = act else { return false };
+    let Act::Send { request: number, engine, .. } = act else { return false };
     let site = &life.sites[*engine];
     let Some(launched) = site.launched else { return false };
     let World { fleet, duties, .. } = world;
@@ -149,56 +150,57 @@
     let capacity = fleet.kinds[world.kind(*engine)].cores
         * (duties.start_capacity + (1.0 - duties.start_capacity) * warmth);
     let part = duties.overload_factor * capacity * duties.fall.as_secs_f64() / fleet.routers as f64;
-    let usual = world.tasks[*number as usize].cost as f64 / 1e3;
+    let usual = world.requests[*number as usize].cost as f64 / 1e3;
     let over = duties.fall.mul_f64((usual / part).max(1.0));
     let sent = site.sent.iter().filter(|(at, _)| *at + over > life.now).map(|(_, work)| work);
     sent.sum::<f64>() + usual > part.max(usual) * (1.0 + 1e-9)
 }
 
 fn out_of_turn(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, .. } = act else { return false };
+    let Act::Send { request: number, .. } = act else { return false };
     let at = *number as usize;
-    let Some(key) = world.tasks[at].key.filter(|_| world.traffic_of(*number).keeps_order) else {
+    let Some(key) = world.requests[at].key.filter(|_| world.traffic_of(*number).keeps_order) else {
         return false;
     };
-    let before = life.tasks[..at].iter().zip(world.tasks);
-    let unfinished =
-        |(task, asks): (&Truth, &Asks)| asks.key == Some(key) && (task.open() || task.out().is_some());
-    life.tasks[at].open() && life.tasks[at].out().is_none() && before.into_iter().any(unfinished)
+    let before = life.requests[..at].iter().zip(world.requests);
+    let unfinished = |(request, asks): (&Truth, &Asks)| {
+        asks.key == Some(key) && (request.open() || request.out().is_some())
+    };
+    life.requests[at].open() && life.requests[at].out().is_none() && before.into_iter().any(unfinished)
 }
 
 fn key_disturbed(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, .. } = act else { return false };
-    let key = world.tasks[*number as usize].key;
-    let rests = |(other, by, until): &(u32, TaskId, Duration)| {
+    let Act::Send { request: number, .. } = act else { return false };
+    let key = world.requests[*number as usize].key;
+    let rests = |(other, by, until): &(u32, RequestId, Duration)| {
         Some(*other) == key && by != number && *until > life.now
     };
     sent_again(life, act).is_some() && life.rests.iter().any(rests)
 }
 
 fn misplaced(world: &World, _: &Life, act: &Act) -> bool {
-    let Act::Send { task: number, engine, .. } = act else { return false };
+    let Act::Send { request: number, engine, .. } = act else { return false };
     let traffic = world.traffic_of(*number);
     let kind = traffic.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&world.kind(*engine)));
     kind || traffic.locations.as_ref().is_some_and(|places| !places.contains(&world.engines[*engine].0))
 }
 
 fn too_many_hops(world: &World, life: &Life, act: &Act) -> bool {
-    sent_again(life, act).is_some_and(|task| task.hops.len() >= world.duties.most_hops)
+    sent_again(life, act).is_some_and(|request| request.hops.len() >= world.duties.most_hops)
 }
 
 fn over_budget(world: &World, life: &Life, act: &Act) -> bool {
     let Some(budget) = &world.duties.hop_budget else { return false };
-    let further = sent_again(life, act).is_some_and(|task| !task.hops.is_empty());
+    let further = sent_again(life, act).is_some_and(|request| !request.hops.is_empty());
     let lately = |at: Duration| at + budget.over > life.now;
     let made = life.further.iter().filter(|at| lately(**at)).count() as f64;
-    let taken = life.tasks.iter().filter(|task| lately(task.arrived)).count() as f64;
-    further && made + 1.0 > budget.spare + budget.per_task * taken
+    let taken = life.requests.iter().filter(|request| lately(request.arrived)).count() as f64;
+    further && made + 1.0 > budget.spare + budget.per_request * taken
 }
 
 fn cancels_nothing(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Cancel { task: number, hop } = act else { return false };
-    let hop = task(life, number).hops.get(*hop);
+    let Act::Cancel { request: number, hop } = act else { return false };
+    let hop = request(life, number).hops.get(*hop);
     !world.duties.may_cancel || hop.is_none_or(|hop| hop.end.is_some() || hop.cancelled)
 }
 
@@ -210,7 +212,7 @@
 }
 
 fn stands_still(_: &World, life: &Life, act: &Act) -> bool {
-    matches!(act, Act::Pass { .. }) && life.wakes.is_empty() && life.tasks.iter().any(Truth::open)
+    matches!(act, Act::Pass { .. }) && life.wakes.is_empty() && life.requests.iter().any(Truth::open)
 }
 
 fn leaves_behind(_: &World, life: &Life, act: &Act) -> bool {
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -19,16 +19,16 @@
 /// come any more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Act {
-    Send { task: TaskId, engine: EngineId, until: Duration },
-    Terms { task: TaskId, grant_mb: f64 },
-    Cancel { task: TaskId, hop: usize },
-    Bounce { task: TaskId },
-    GiveUp { task: TaskId },
+    Send { request: RequestId, engine: EngineId, until: Duration },
+    Terms { request: RequestId, grant_mb: f64 },
+    Cancel { request: RequestId, hop: usize },
+    Bounce { request: RequestId },
+    GiveUp { request: RequestId },
     Wake { wait: Duration },
     Watch,
     Probe { engine: EngineId },
     Forget { engine: EngineId },
-    Serve { task: TaskId },
+    Serve { request: RequestId },
     Pass { to: Duration },
     Rest,
 }
@@ -45,20 +45,20 @@
 }
 
 impl Outlet for Acts {
-    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration) {
-        self.note(Act::Send { task, engine, until });
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        self.note(Act::Send { request, engine, until });
     }
-    fn terms(&mut self, task: TaskId, grant_mb: f64, _: u8) {
-        self.note(Act::Terms { task, grant_mb });
+    fn terms(&mut self, request: RequestId, grant_mb: f64, _: u8) {
+        self.note(Act::Terms { request, grant_mb });
     }
-    fn cancel(&mut self, task: TaskId, hop: usize) {
-        self.note(Act::Cancel { task, hop });
+    fn cancel(&mut self, request: RequestId, hop: usize) {
+        self.note(Act::Cancel { request, hop });
     }
-    fn bounce(&mut self, task: TaskId, _: Option<Duration>) {
-        self.note(Act::Bounce { task });
+    fn bounce(&mut self, request: RequestId, _: Option<Duration>) {
+        self.note(Act::Bounce { request });
     }
-    fn give_up(&mut self, task: TaskId) {
-        self.note(Act::GiveUp { task });
+    fn give_up(&mut self, request: RequestId) {
+        self.note(Act::GiveUp { request });
     }
     fn probe(&mut self, engine: EngineId) {
         self.note(Act::Probe { engine });
@@ -78,12 +78,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Move {
     Arrive { draw: u64 },
-    End { task: usize, end: HopEnd, draw: u64 },
-    Note { task: usize, notice: Notice, draw: u64 },
+    End { request: usize, end: HopEnd, draw: u64 },
+    Note { request: usize, notice: Notice, draw: u64 },
     List { engine: EngineId, what: Listed, draw: u64 },
     ListLost,
     ListFailed,
-    Leave { task: usize, draw: u64 },
+    Leave { request: usize, draw: u64 },
     Wake { draw: u64 },
     Close,
     Pass,
@@ -134,14 +134,14 @@
     pub now: Duration,
     pub router: Router,
     /// In the order of arrival; those still to come are not here.
-    pub tasks: Vec<Truth>,
+    pub requests: Vec<Truth>,
     pub sites: Vec<Site>,
     /// When the module asked to be woken.
     pub wakes: Vec<Duration>,
     /// Further hops, by when they were sent.
     pub further: Vec<Duration>,
     /// Until when a key rests, by whose hop may still run.
-    pub rests: Vec<(KeyId, TaskId, Duration)>,
+    pub rests: Vec<(KeyId, RequestId, Duration)>,
     pub listed: u8,
     pub left: u8,
     pub closing: Option<Duration>,
@@ -152,7 +152,7 @@
 
 impl std::fmt::Debug for Life {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{:?} {}", self.now, self.tasks.len())
+        write!(f, "{:?} {}", self.now, self.requests.len())
     }
 }
 
@@ -195,7 +195,7 @@
         let mut life = Self {
             now,
             router: Router::new(fleet, traffic, duties),
-            tasks: Vec::new(),
+            requests: Vec::new(),
             sites: Vec::new(),
             wakes: Vec::new(),
             further: Vec::new(),
@@ -226,7 +226,7 @@
 
     fn sign(&mut self, world: &World) {
         let mut digest = DefaultHasher::new();
-        let more = self.tasks.len() < world.tasks.len();
+        let more = self.requests.len() < world.requests.len();
         let beside = |engine: EngineId| {
             let site = &self.sites[engine];
             let mut digest = DefaultHasher::new();
@@ -243,26 +243,26 @@
         for site in self.sites.iter().filter(|site| site.forgotten) {
             (site.ready, site.gone).hash(&mut digest);
         }
-        for task in &self.tasks {
-            (task.answer.is_some(), task.out().is_some()).hash(&mut digest);
-            if task.open() || task.out().is_some() {
-                let noted = task.hops.last().map(|hop| (hop.noted, hop.cancelled));
-                let until = task.out().map(|hop| hop.until.saturating_sub(self.now));
-                (noted, until, task.hops.len()).hash(&mut digest);
-                (task.patience.saturating_sub(self.now), self.now - task.arrived).hash(&mut digest);
+        for request in &self.requests {
+            (request.answer.is_some(), request.out().is_some()).hash(&mut digest);
+            if request.open() || request.out().is_some() {
+                let noted = request.hops.last().map(|hop| (hop.noted, hop.cancelled));
+                let until = request.out().map(|hop| hop.until.saturating_sub(self.now));
+                (noted, until, request.hops.len()).hash(&mut digest);
+                (request.patience.saturating_sub(self.now), self.now - request.arrived).hash(&mut digest);
             }
         }
         for wake in &self.wakes {
             wake.saturating_sub(self.now).hash(&mut digest);
             self.now.saturating_sub(*wake).hash(&mut digest);
         }
-        for (key, task, until) in &self.rests {
-            (key, task, until.saturating_sub(self.now)).hash(&mut digest);
+        for (key, request, until) in &self.rests {
+            (key, request, until.saturating_sub(self.now)).hash(&mut digest);
         }
         if world.duties.hop_budget.is_some() {
             self.further.iter().for_each(|at| (self.now - *at).hash(&mut digest));
         }
-        (self.tasks.len(), self.listed, self.left, self.watched).hash(&mut digest);
+        (self.requests.len(), self.listed, self.left, self.watched).hash(&mut digest);
         self.closing.map(|by| by.saturating_sub(self.now)).hash(&mut digest);
         self.broken.map(|law| law.name).hash(&mut digest);
         self.print = digest.finish();
@@ -273,15 +273,15 @@
         if self.broken.is_some() {
             return;
         }
-        let held = self.tasks.iter().any(|task| task.open() && task.out().is_none());
+        let held = self.requests.iter().any(|request| request.open() && request.out().is_none());
         // Chance counts where something may be sent.
         let draws = |may_send: bool| if may_send && world.engines.len() > 1 { 0..DRAWS } else { 0..1 };
-        let coming = self.tasks.len() < world.tasks.len() && self.closing.is_none();
+        let coming = self.requests.len() < world.requests.len() && self.closing.is_none();
         if coming {
             moves.extend(draws(true).map(|draw| Move::Arrive { draw }));
         }
         let mut owed = false;
-        for (task, truth) in self.tasks.iter().enumerate() {
+        for (request, truth) in self.requests.iter().enumerate() {
             let Some(hop) = truth.out() else { continue };
             let given_up = hop.cancelled || !truth.open();
             let ends: &[HopEnd] = match () {
@@ -294,21 +294,22 @@
             owed |= given_up || hop.until <= self.now;
             for end in ends {
                 let again = *end != HopEnd::Succeeded && truth.open() || held;
-                moves.extend(draws(again).map(|draw| Move::End { task, end: *end, draw }));
+                moves.extend(draws(again).map(|draw| Move::End { request, end: *end, draw }));
             }
             if !given_up && hop.noted < world.notes {
                 let notes = world.notices.iter().copied();
-                moves.extend(
-                    notes.flat_map(|notice| draws(held).map(move |draw| Move::Note { task, notice, draw })),
-                );
+                moves
+                    .extend(notes.flat_map(|notice| {
+                        draws(held).map(move |draw| Move::Note { request, notice, draw })
+                    }));
             }
         }
-        for (task, truth) in self.tasks.iter().enumerate() {
+        for (request, truth) in self.requests.iter().enumerate() {
             if truth.open() && self.left < world.leaves {
-                moves.extend(draws(held).map(|draw| Move::Leave { task, draw }));
+                moves.extend(draws(held).map(|draw| Move::Leave { request, draw }));
             }
         }
-        let goes_on = coming || self.tasks.iter().any(|task| task.open() || task.out().is_some());
+        let goes_on = coming || self.requests.iter().any(|request| request.open() || request.out().is_some());
         if self.listed < world.events && goes_on {
             for (engine, site) in self.sites.iter().enumerate() {
                 let comes = |what: &&Listed| match what {
@@ -330,7 +331,7 @@
         if due.is_some_and(|at| at <= self.now) {
             moves.extend(draws(held).map(|draw| Move::Wake { draw }));
         }
-        if world.closes && self.closing.is_none() && !self.tasks.is_empty() {
+        if world.closes && self.closing.is_none() && !self.requests.is_empty() {
             moves.push(Move::Close);
         }
         let overdue = due.is_some_and(|at| at + world.late <= self.now);
@@ -347,23 +348,23 @@
         }
         let (around, before) =
             (|at: Duration| [at - INSTANT, at, at + INSTANT], |at: Duration| [at - INSTANT, at]);
-        for (at, task) in self.tasks.iter().enumerate().filter(|(_, task)| task.open()) {
-            let number = at as TaskId;
-            times.push(task.patience);
-            times.extend(task.out().map(|hop| hop.until));
+        for (at, request) in self.requests.iter().enumerate().filter(|(_, request)| request.open()) {
+            let number = at as RequestId;
+            times.push(request.patience);
+            times.extend(request.out().map(|hop| hop.until));
             if world.fine {
-                times.extend(around(task.arrived + world.traffic_of(number).target));
+                times.extend(around(request.arrived + world.traffic_of(number).target));
             }
-            if let (Some(window), Some(hop)) = (world.window(number), task.first_that_may_have_run()) {
+            if let (Some(window), Some(hop)) = (world.window(number), request.first_that_may_have_run()) {
                 times.extend(before(hop.sent + window - world.margin()));
             }
         }
-        if self.tasks.iter().any(Truth::open) {
+        if self.requests.iter().any(Truth::open) {
             times.extend(self.rests.iter().flat_map(|(.., until)| before(*until)));
             times.extend(self.closing);
         }
-        // Where a cold engine's window ends, another task may find room.
-        if self.tasks.len() < world.tasks.len() {
+        // Where a cold engine's window ends, another request may find room.
+        if self.requests.len() < world.requests.len() {
             let cold = self.sites.iter().filter(|site| site.launched.is_some());
             times
                 .extend(cold.flat_map(|site| &site.sent).flat_map(|(at, _)| before(*at + world.duties.fall)));
@@ -373,14 +374,14 @@
 
     /// Whether a life that can't go on has ended as it should: nothing is owed and nothing is kept.
     pub fn rests(&self) -> bool {
-        if self.tasks.iter().any(|task| task.open() || task.out().is_some()) {
+        if self.requests.iter().any(|request| request.open() || request.out().is_some()) {
             return false;
         }
         let mut router = self.router.clone();
         let mut acts = Acts::default();
         router.engines_changed(self.now, true, Vec::new(), &mut acts);
         let quiet = acts.0.iter().all(|act| matches!(act, Act::Forget { .. }));
-        quiet && (router.kept().tasks, router.kept().engines) == (0, 0)
+        quiet && (router.kept().requests, router.kept().engines) == (0, 0)
     }
 
     pub fn step(&self, world: &World, step: &Move) -> Self {
@@ -398,16 +399,20 @@
         }
         match *step {
             Move::Arrive { .. } => {
-                let number = life.tasks.len();
+                let number = life.requests.len();
                 let arrival = world.arrival(number);
-                life.tasks.push(Truth { arrived: now, patience: now + arrival.patience, ..Truth::default() });
+                life.requests.push(Truth {
+                    arrived: now,
+                    patience: now + arrival.patience,
+                    ..Truth::default()
+                });
                 life.router.accept(now, arrival, &mut acts);
             }
-            Move::End { task, end, .. } => life.end(world, task, end, &mut acts),
-            Move::Note { task, notice, .. } => {
-                let hop = life.tasks[task].hops.len() - 1;
-                life.tasks[task].hops[hop].noted += 1;
-                life.router.notice(now, task as TaskId, hop, notice, &mut acts);
+            Move::End { request, end, .. } => life.end(world, request, end, &mut acts),
+            Move::Note { request, notice, .. } => {
+                let hop = life.requests[request].hops.len() - 1;
+                life.requests[request].hops[hop].noted += 1;
+                life.router.notice(now, request as RequestId, hop, notice, &mut acts);
             }
             Move::List { engine, what, .. } => {
                 life.listed += 1;
@@ -434,10 +439,10 @@
                 life.watched = false;
                 life.router.list_failed(now, &mut acts);
             }
-            Move::Leave { task, .. } => {
+            Move::Leave { request, .. } => {
                 life.left += 1;
-                life.tasks[task].answer = Some(Answer::Left);
-                life.router.clients_left(now, &[task as TaskId], &[], &mut acts);
+                life.requests[request].answer = Some(Answer::Left);
+                life.router.clients_left(now, &[request as RequestId], &[], &mut acts);
             }
             Move::Wake { .. } => {
                 life.wakes.retain(|at| *at > now);
@@ -462,25 +467,26 @@
     }
 
     /// A hop's end, as its caller tells it: a result goes to the client first, where one still waits.
-    fn end(&mut self, world: &World, task: usize, end: HopEnd, acts: &mut Acts) {
-        let (now, number) = (self.now, task as TaskId);
-        let hop = self.tasks[task].hops.len() - 1;
-        if end == HopEnd::Succeeded && self.tasks[task].open() {
-            self.judge(world, Act::Serve { task: number });
-            self.tasks[task].answer = Some(Answer::Served);
+    fn end(&mut self, world: &World, request: usize, end: HopEnd, acts: &mut Acts) {
+        let (now, number) = (self.now, request as RequestId);
+        let hop = self.requests[request].hops.len() - 1;
+        if end == HopEnd::Succeeded && self.requests[request].open() {
+            self.judge(world, Act::Serve { request: number });
+            self.requests[request].answer = Some(Answer::Served);
         }
-        let over = !self.tasks[task].open();
-        let truth = &mut self.tasks[task].hops[hop];
+        let over = !self.requests[request].open();
+        let truth = &mut self.requests[request].hops[hop];
         truth.end = Some(end);
         let (engine, took) = (truth.engine, now - truth.sent);
         if let (Some(key), Some(rest), HopEnd::TimedOut | HopEnd::Broken | HopEnd::Withdrawn) =
-            (world.tasks[task].key, world.duties.key_rest, end)
+            (world.requests[request].key, world.duties.key_rest, end)
         {
             // All that are still owed: one after another's hop does not end that of an earlier.
             self.rests.retain(|(.., until)| *until > now);
             self.rests.push((key, number, now + rest));
         }
-        let ended = Ended { task: number, hop, engine, end, took, bill: None, signals: world.signals, over };
+        let ended =
+            Ended { request: number, hop, engine, end, took, bill: None, signals: world.signals, over };
         self.router.hop_ended(now, ended, acts);
     }
 
@@ -497,19 +503,19 @@
                 return;
             }
             match act {
-                Act::Send { task, engine, until } => {
-                    let (sent, usual) = (self.now, world.tasks[task as usize].cost as f64 / 1e3);
-                    let truth = &mut self.tasks[task as usize];
+                Act::Send { request, engine, until } => {
+                    let (sent, usual) = (self.now, world.requests[request as usize].cost as f64 / 1e3);
+                    let truth = &mut self.requests[request as usize];
                     if !truth.hops.is_empty() {
                         self.further.push(sent);
                     }
                     truth.hops.push(HopTruth { engine, sent, until, end: None, cancelled: false, noted: 0 });
                     self.sites[engine].sent.push((sent, usual));
                 }
-                Act::Terms { task, grant_mb } => self.tasks[task as usize].grant = Some(grant_mb),
-                Act::Cancel { task, hop } => self.tasks[task as usize].hops[hop].cancelled = true,
-                Act::Bounce { task } => self.tasks[task as usize].answer = Some(Answer::Bounced),
-                Act::GiveUp { task } => self.tasks[task as usize].answer = Some(Answer::GivenUp),
+                Act::Terms { request, grant_mb } => self.requests[request as usize].grant = Some(grant_mb),
+                Act::Cancel { request, hop } => self.requests[request as usize].hops[hop].cancelled = true,
+                Act::Bounce { request } => self.requests[request as usize].answer = Some(Answer::Bounced),
+                Act::GiveUp { request } => self.requests[request as usize].answer = Some(Answer::GivenUp),
                 Act::Wake { wait } => {
                     self.wakes.push(self.now + wait);
                     self.wakes.sort_unstable();
@@ -529,14 +535,20 @@
             return;
         }
         let mut acts = vec![Act::Pass { to: self.now + Duration::from_secs(3600) }, Act::Rest];
-        let numbers = || (0..self.tasks.len()).map(|task| task as TaskId);
-        let until = |task: TaskId| self.tasks[task as usize].patience - world.margin();
-        for task in numbers() {
-            acts.extend([Act::Bounce { task }, Act::GiveUp { task }, Act::Serve { task }]);
-            acts.push(Act::Terms { task, grant_mb: f64::from(u32::MAX) });
-            acts.extend((0..self.tasks[task as usize].hops.len()).map(|hop| Act::Cancel { task, hop }));
-            acts.extend((0..self.sites.len()).map(|engine| Act::Send { task, engine, until: until(task) }));
-            acts.push(Act::Send { task, engine: 0, until: self.now + Duration::from_secs(3600) });
+        let numbers = || (0..self.requests.len()).map(|request| request as RequestId);
+        let until = |request: RequestId| self.requests[request as usize].patience - world.margin();
+        for request in numbers() {
+            acts.extend([Act::Bounce { request }, Act::GiveUp { request }, Act::Serve { request }]);
+            acts.push(Act::Terms { request, grant_mb: f64::from(u32::MAX) });
+            acts.extend(
+                (0..self.requests[request as usize].hops.len()).map(|hop| Act::Cancel { request, hop }),
+            );
+            acts.extend((0..self.sites.len()).map(|engine| Act::Send {
+                request,
+                engine,
+                until: until(request),
+            }));
+            acts.push(Act::Send { request, engine: 0, until: self.now + Duration::from_secs(3600) });
         }
         acts.extend((0..self.sites.len()).map(|engine| Act::Forget { engine }));
         for act in acts {
--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -4,7 +4,7 @@
 
 use crate::search::Walk;
 use crate::witness;
-use emberflow::{EngineId, HopEnd, TaskId};
+use emberflow::{EngineId, HopEnd, RequestId};
 use emberflow_router::bulletin::Row;
 use emberflow_router::engines::{Ask, Call, Engines, News};
 use emberflow_router::resp;
@@ -24,8 +24,8 @@
 pub struct Links {
     pub name: &'static str,
     pub says: &'static str,
-    /// How many tasks, and hops of each.
-    pub tasks: usize,
+    /// How many requests, and hops of each.
+    pub requests: usize,
     pub hops: usize,
     /// What an engine may say, and how often in all it may do what it should not.
     pub words: &'static [Word],
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    Call { task: usize },
+    Call { request: usize },
     Up { link: Slot },
     Refuse { link: Slot },
     Says { link: Slot, call: usize, word: Word },
@@ -112,7 +112,7 @@
 /// A hop as the world knows it.
 #[derive(Clone)]
 struct Hop {
-    task: usize,
+    request: usize,
     number: usize,
     slot: Slot,
     until: Duration,
@@ -133,7 +133,7 @@
     ready: bool,
     far: BTreeMap<Slot, Far>,
     hops: Vec<Hop>,
-    /// Connections that may still answer a hop that was given up, by its task.
+    /// Connections that may still answer a hop that was given up, by its request.
     owing: Vec<(usize, Slot)>,
     faults: u8,
     listed: bool,
@@ -205,7 +205,7 @@
     let Act::Ends { hop, end, body, .. } = act else { return false };
     let hop = &scene.hops[*hop];
     let pages = hop.hit.unwrap_or(0);
-    let whole: String = (0..pages).map(|at| page(hop.task, hop.number, at)).collect();
+    let whole: String = (0..pages).map(|at| page(hop.request, hop.number, at)).collect();
     let right = pages > 0 && *body == Some(whole.as_bytes());
     (*end == HopEnd::Succeeded) != body.is_some() || body.is_some() && !right
 }
@@ -262,12 +262,12 @@
     }
 }
 
-fn id(task: usize) -> String {
-    format!("{task:016x}")
+fn id(request: usize) -> String {
+    format!("{request:016x}")
 }
 
-fn page(task: usize, number: usize, page: usize) -> String {
-    format!("task {task}\thop {number}\tpage {page}\n")
+fn page(request: usize, number: usize, page: usize) -> String {
+    format!("request {request}\thop {number}\tpage {page}\n")
 }
 
 fn row(id: u32, ready: bool, gone: bool, up_since_ms: u64) -> Row {
@@ -311,11 +311,11 @@
         }
     }
 
-    fn call(&mut self, task: usize) {
-        let number = self.hops.iter().filter(|hop| hop.task == task).count();
-        let (name, statement) = (id(task), format!("task {task} hop {number}"));
+    fn call(&mut self, request: usize) {
+        let number = self.hops.iter().filter(|hop| hop.request == request).count();
+        let (name, statement) = (id(request), format!("request {request} hop {number}"));
         let call = Call {
-            task: task as TaskId,
+            request: request as RequestId,
             number,
             id: &name,
             class: "lookup",
@@ -326,26 +326,26 @@
             until: self.now + PATIENCE,
         };
         let owing: Vec<Slot> =
-            self.owing.iter().filter(|(by, _)| *by == task).map(|(_, link)| *link).collect();
+            self.owing.iter().filter(|(by, _)| *by == request).map(|(_, link)| *link).collect();
         // The hop must be known before its news is.
         let slot = self.engines.send(self.engine, call, &owing, &mut self.works);
         let until = self.now + PATIENCE;
-        self.hops.push(Hop { task, number, slot, until, end: None, came: 0, hit: None, noted: false });
+        self.hops.push(Hop { request, number, slot, until, end: None, came: 0, hit: None, noted: false });
     }
 
     fn says(&mut self, link: Slot, call: usize, word: Word) {
         let Some(far) = self.far.get_mut(&link) else { return };
         far.spoilt |= word == Word::Noise;
-        let name = self.hops.get(call).map_or_else(String::new, |hop| id(hop.task));
-        let (task, number) = self.hops.get(call).map_or((0, 0), |hop| (hop.task, hop.number));
+        let name = self.hops.get(call).map_or_else(String::new, |hop| id(hop.request));
+        let (request, number) = self.hops.get(call).map_or((0, 0), |hop| (hop.request, hop.number));
         let say = |words: &[&str]| resp::array(&words.iter().map(|word| word.as_bytes()).collect::<Vec<_>>());
-        let whole = say(&[&name, "HIT", "pages=1", &page(task, number, 0)]);
+        let whole = say(&[&name, "HIT", "pages=1", &page(request, number, 0)]);
         let bytes = match word {
             Word::Hit | Word::Again => whole,
-            Word::HitOfTwo => say(&[&name, "HIT", "pages=2", &page(task, number, 0)]),
+            Word::HitOfTwo => say(&[&name, "HIT", "pages=2", &page(request, number, 0)]),
             Word::Part => {
                 far.asked.retain(|asked| *asked != call);
-                say(&[&name, "PART", "page=1", &page(task, number, 1)])
+                say(&[&name, "PART", "page=1", &page(request, number, 1)])
             }
             Word::Shed => say(&[&name, "SHED", "-", ""]),
             Word::Fault => say(&[&name, "FAULT", "-", ""]),
@@ -395,8 +395,8 @@
             while let Some(news) = self.engines.news.pop_front() {
                 quiet = false;
                 if let News::Ended(ended, body, owing) = news {
-                    self.owing.extend(owing.map(|link| (ended.task as usize, link)));
-                    self.ended(ended.task as usize, ended.hop, ended.end, body, only);
+                    self.owing.extend(owing.map(|link| (ended.request as usize, link)));
+                    self.ended(ended.request as usize, ended.hop, ended.end, body, only);
                 }
             }
             if quiet {
@@ -405,8 +405,16 @@
         }
     }
 
-    fn ended(&mut self, task: usize, number: usize, end: HopEnd, body: Option<Vec<u8>>, by: Option<usize>) {
-        let Some(hop) = self.hops.iter().position(|hop| (hop.task, hop.number) == (task, number)) else {
+    fn ended(
+        &mut self,
+        request: usize,
+        number: usize,
+        end: HopEnd,
+        body: Option<Vec<u8>>,
+        by: Option<usize>,
+    ) {
+        let Some(hop) = self.hops.iter().position(|hop| (hop.request, hop.number) == (request, number))
+        else {
             self.broken = self.broken.or(Some("one end"));
             return;
         };
@@ -424,8 +432,10 @@
         while let Ok(Some((parts, length))) = resp::parse(&far.inbox[taken..]) {
             let part =
                 |at: usize| String::from_utf8_lossy(parts.get(at).copied().unwrap_or_default()).into_owned();
-            let at =
-                self.hops.iter().position(|hop| part(3) == format!("task {} hop {}", hop.task, hop.number));
+            let at = self
+                .hops
+                .iter()
+                .position(|hop| part(3) == format!("request {} hop {}", hop.request, hop.number));
             match (part(0).as_str(), at) {
                 ("GET", Some(at)) => {
                     far.got.push(at);
@@ -433,7 +443,7 @@
                 }
                 ("PING", _) => far.pings += 1,
                 ("PAGE", _) => {
-                    let mut asks = far.got.iter().copied().filter(|at| id(self.hops[*at].task) == part(1));
+                    let mut asks = far.got.iter().copied().filter(|at| id(self.hops[*at].request) == part(1));
                     far.asked.extend(asks.next_back());
                 }
                 _ => {}
@@ -463,11 +473,11 @@
         if scene.broken.is_some() {
             return;
         }
-        for task in 0..self.tasks {
-            let hops = || scene.hops.iter().filter(|hop| hop.task == task);
+        for request in 0..self.requests {
+            let hops = || scene.hops.iter().filter(|hop| hop.request == request);
             let done = hops().any(|hop| hop.end.is_none() || hop.end == Some(HopEnd::Succeeded));
             if scene.ready && !done && hops().count() < self.hops {
-                moves.push(Step::Call { task });
+                moves.push(Step::Call { request });
             }
         }
         for (link, far) in &scene.far {
@@ -525,7 +535,7 @@
         let mut next = scene.clone();
         let mut only = None;
         match *step {
-            Step::Call { task } => next.call(task),
+            Step::Call { request } => next.call(request),
             Step::Up { link } => {
                 next.far.entry(link).and_modify(|far| far.up = true);
                 next.engines.came_up(link, &mut next.works);
@@ -597,10 +607,11 @@
             let at = scene.engines.link_of(hop.slot).and_then(|link| places.get(&link));
             let left = hop.until.saturating_sub(scene.now);
             let left = hop.end.is_none().then_some(left);
-            (hop.task, left, hop.end.map(|end| end as u8), hop.came, hop.hit, hop.noted, at).hash(&mut into);
+            (hop.request, left, hop.end.map(|end| end as u8), hop.came, hop.hit, hop.noted, at)
+                .hash(&mut into);
         }
-        for (task, link) in &scene.owing {
-            (task, places.get(link)).hash(&mut into);
+        for (request, link) in &scene.owing {
+            (request, places.get(link)).hash(&mut into);
         }
         (scene.ready, scene.faults, scene.listed, scene.broken).hash(&mut into);
         into.finish()
@@ -619,8 +630,8 @@
 pub const WORLDS: &[Links] = &[
     Links {
         name: "a connection's answers",
-        says: "one task of two hops, every word, calls taken back, the engine draining, starting anew, gone or replaced",
-        tasks: 1,
+        says: "one request of two hops, every word, calls taken back, the engine draining, starting anew, gone or replaced",
+        requests: 1,
         hops: 2,
         words: ANSWERS,
         faults: 0,
@@ -633,8 +644,8 @@
     },
     Links {
         name: "a connection's faults",
-        says: "one task of two hops, answers split, repeated, strayed or spoilt, resets, twice in all",
-        tasks: 1,
+        says: "one request of two hops, answers split, repeated, strayed or spoilt, resets, twice in all",
+        requests: 1,
         hops: 2,
         words: &[
             Word::Hit,
@@ -657,8 +668,8 @@
     },
     Links {
         name: "a shared connection",
-        says: "two tasks on one connection, one of which is dropped, one fault",
-        tasks: 2,
+        says: "two requests on one connection, one of which is dropped, one fault",
+        requests: 2,
         hops: 1,
         words: &[Word::Hit, Word::HitOfTwo, Word::Part, Word::Pong, Word::Again, Word::Stray, Word::Noise],
         faults: 1,
@@ -671,8 +682,8 @@
     },
     Links {
         name: "a narrow connection",
-        says: "one task of two hops on sockets that take ten bytes at first, a drain or a new start, one reset",
-        tasks: 1,
+        says: "one request of two hops on sockets that take ten bytes at first, a drain or a new start, one reset",
+        requests: 1,
         hops: 2,
         words: &[Word::Hit, Word::Pong],
         faults: 1,
@@ -685,8 +696,8 @@
     },
     Links {
         name: "two on a narrow connection",
-        says: "two tasks on one connection that takes nothing at first, a drain",
-        tasks: 2,
+        says: "two requests on one connection that takes nothing at first, a drain",
+        requests: 2,
         hops: 1,
         words: &[Word::Hit, Word::Pong],
         faults: 0,
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -39,8 +39,8 @@
 pub const MUTANTS: &[Mutant] = &[
     logic(
         "hop limit off by one",
-        "task.hops.len() < self.duties.most_hops",
-        "task.hops.len() <= self.duties.most_hops",
+        "request.hops.len() < self.duties.most_hops",
+        "request.hops.len() <= self.duties.most_hops",
     ),
     logic("window doubled", "< hop.sent + *window", "< hop.sent + *window * 2"),
     logic(
@@ -60,21 +60,25 @@
         "(Effect::SingleUse, Some(_)) => false",
         "(Effect::SingleUse, Some(_)) => true",
     ),
-    logic("bounce for anything", "_ => task.first_that_may_have_run().is_none(),", "_ => true,"),
+    logic("bounce for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     logic(
         "a broken hop never ran",
         "[HopEnd::Overloaded, HopEnd::Unreachable, HopEnd::Void]",
         "[HopEnd::Overloaded, HopEnd::Unreachable, HopEnd::Broken]",
     ),
-    logic("key order ignored", "line.tasks.front() == Some(&id) && line.rest", "line.rest"),
+    logic("key order ignored", "line.requests.front() == Some(&id) && line.rest", "line.rest"),
     logic("key rest ignored", "by == id || until <= now", "by == id || until > Duration::ZERO"),
     logic(
         "key rest after breaks forgotten",
         "HopEnd::TimedOut | HopEnd::Broken | HopEnd::Withdrawn);\n        if let (Some(key)",
         "HopEnd::TimedOut | HopEnd::Withdrawn);\n        if let (Some(key)",
     ),
-    logic("hop budget off by one", "budget.spare + budget.per_task", "1.0 + budget.spare + budget.per_task"),
-    logic("further hops not counted", "self.further.extend((!task.hops.is_empty()).then_some(now));", ""),
+    logic(
+        "hop budget off by one",
+        "budget.spare + budget.per_request",
+        "1.0 + budget.spare + budget.per_request",
+    ),
+    logic("further hops not counted", "self.further.extend((!request.hops.is_empty()).then_some(now));", ""),
     logic("two in a cold engine's window", "sent + usual <= budget.max(usual)", "sent <= budget.max(usual)"),
     logic(
         "cold window halved",
@@ -89,17 +93,17 @@
     },
     logic(
         "cancelled again",
-        "self.duties.may_cancel && !self.tasks[id].hops[*hop].cancelled",
+        "self.duties.may_cancel && !self.requests[id].hops[*hop].cancelled",
         "self.duties.may_cancel",
     ),
     logic("cancels where it may not", "self.duties.may_cancel && !self", "!self"),
     logic("answers too late", "let soon = now + router.margin() * 3;", "let soon = now;"),
     logic(
         "nobody wakes it for what is out",
-        "if !self.tasks.is_empty() && (self.wake_due",
+        "if !self.requests.is_empty() && (self.wake_due",
         "if held && (self.wake_due",
     ),
-    logic("answered again", "self.tasks.entry(*id).and_modify(|task| task.over = true);", ""),
+    logic("answered again", "self.requests.entry(*id).and_modify(|request| request.over = true);", ""),
     Mutant {
         name: "sent while a hop is out",
         file: STATE,
@@ -112,11 +116,11 @@
         "engine.gone && !seen(**id)",
         "engine.gone && !seen(**id) && seen(**id)",
     ),
-    logic("a client that left is not noted", "if over { task.over = true }", "if over { let _ = id; }"),
+    logic("a client that left is not noted", "if over { request.over = true }", "if over { let _ = id; }"),
     logic(
         "the end of the process is not heeded",
-        "soon >= router.closing || task.held() && hopeless()",
-        "task.held() && hopeless()",
+        "soon >= router.closing || request.held() && hopeless()",
+        "request.held() && hopeless()",
     ),
     engines(
         "calls left in place at a drain",
@@ -161,10 +165,10 @@
     ),
     engines("a hop without a deadline", "        works.timers.set(call.until, Timer::Hop(hop));\n", ""),
     Mutant {
-        name: "an answered task goes on",
+        name: "an answered request goes on",
         file: FLOOR,
-        from: "            self.engines.cancel(*hop, &mut self.works);\n        }\n        Some(task)",
-        to: "            let _ = hop;\n        }\n        Some(task)",
+        from: "            self.engines.cancel(*hop, &mut self.works);\n        }\n        Some(request)",
+        to: "            let _ = hop;\n        }\n        Some(request)",
     },
     Mutant {
         name: "an open request is taken again",
@@ -203,10 +207,10 @@
         to: "",
     },
     Mutant {
-        name: "leaves with tasks open",
+        name: "leaves with requests open",
         file: FRONT,
-        from: "        tasks.is_empty() && clients",
-        to: "        let _ = tasks;\n        clients",
+        from: "        requests.is_empty() && clients",
+        to: "        let _ = requests;\n        clients",
     },
     Mutant {
         name: "silent clients are kept",
@@ -249,10 +253,10 @@
         to: "let _ = charged;",
     },
     Mutant {
-        name: "a task of a team that is gone is lost",
+        name: "a request of a team that is gone is lost",
         file: QUEUES,
-        from: "            self.enter(now, task, waiting);\n        }",
-        to: "            if to.get(waiting.team()).is_some() { self.enter(now, task, waiting) }\n        }",
+        from: "            self.enter(now, request, waiting);\n        }",
+        to: "            if to.get(waiting.team()).is_some() { self.enter(now, request, waiting) }\n        }",
     },
     Mutant {
         name: "turns are not charged",
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -27,9 +27,9 @@
 pub const PLACES: &[Place] = &[
     Place {
         name: "replayable",
-        says: "one replayable task, three engines, every end, the list changing once, a client that leaves",
+        says: "one replayable request, three engines, every end, the list changing once, a client that leaves",
         engines: THREE,
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         events: 1,
         listed: ALL,
         leaves: 1,
@@ -37,9 +37,9 @@
     },
     Place {
         name: "single-use",
-        says: "one single-use task, three engines, every end, the list changing twice, a client that leaves",
+        says: "one single-use request, three engines, every end, the list changing twice, a client that leaves",
         engines: THREE,
-        tasks: &[asks(4)],
+        requests: &[asks(4)],
         events: 2,
         listed: ALL,
         leaves: 1,
@@ -50,7 +50,7 @@
         name: "drain under a hop",
         says: "a drain told in the instant of a hop's end, and between a bounce elsewhere and the next hop",
         engines: THREE,
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         ends: FEW,
         events: 2,
         listed: &[Listed::Drains, Listed::Back],
@@ -58,9 +58,9 @@
     },
     Place {
         name: "referenced in a cell",
-        says: "one task referenced within its cell, three engines in two cells, a window shorter than the patience",
+        says: "one request referenced within its cell, three engines in two cells, a window shorter than the patience",
         engines: CELLS,
-        tasks: &[asks(1)],
+        requests: &[asks(1)],
         events: 1,
         listed: &[Listed::Drains, Listed::Anew],
         leaves: 1,
@@ -70,7 +70,7 @@
         name: "referenced in a location",
         says: "the same within a location",
         engines: CELLS,
-        tasks: &[asks(2)],
+        requests: &[asks(2)],
         events: 1,
         listed: &[Listed::Drains, Listed::Gone],
         ..Place::PLAIN
@@ -79,7 +79,7 @@
         name: "referenced everywhere",
         says: "the same with a reference that all engines know",
         engines: CELLS,
-        tasks: &[asks(3)],
+        requests: &[asks(3)],
         events: 1,
         listed: &[Listed::Drains, Listed::Gone],
         ..Place::PLAIN
@@ -88,7 +88,7 @@
         name: "restart under a hop",
         says: "an engine that restarts under a hop and is listed anew before the hop's end is known",
         engines: TWO,
-        tasks: &[asks(1)],
+        requests: &[asks(1)],
         ends: FEW,
         events: 2,
         listed: &[Listed::Gone, Listed::Anew],
@@ -96,7 +96,7 @@
     },
     Place {
         name: "placed",
-        says: "a task bound to one kind and one location, engines of every other",
+        says: "a request bound to one kind and one location, engines of every other",
         setup: setup!(|fleet, traffic, duties| {
             fleet.kinds.push(emberflow::Kind { cores: 8.0, memory_mb: 16000.0 });
             traffic[0].kinds = Some(vec![1]);
@@ -104,16 +104,16 @@
         }),
         engines: &[(1, 0), (0, 0), (1, 0)],
         kinds: &[1, 1, 0],
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         events: 1,
         listed: ALL,
         ..Place::PLAIN
     },
     Place {
         name: "notes",
-        says: "one replayable task, two engines, two notes of any kind to each hop",
+        says: "one replayable request, two engines, two notes of any kind to each hop",
         engines: TWO,
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         ends: FEW,
         notices: NOTES,
         notes: 2,
@@ -124,7 +124,7 @@
         name: "silent engine",
         says: "notes told and not: hops taken back from silence, a late first answer after that",
         engines: TWO,
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         ends: &[HopEnd::Succeeded, HopEnd::Broken],
         notices: &[Notice::Runs],
         notes: 3,
@@ -135,7 +135,7 @@
     Place {
         name: "late wake-ups",
         says: "a single engine, wake-ups up to 8 ms late, times right before, at and after the target",
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         late: ms(8),
         fine: true,
         leaves: 1,
@@ -145,7 +145,7 @@
         name: "no engine",
         says: "nothing to send to until the list tells of an engine, which may be lost again",
         engines: &[(0, 0)],
-        tasks: &[asks(4)],
+        requests: &[asks(4)],
         ends: FEW,
         events: 3,
         listed: ALL,
@@ -160,7 +160,7 @@
             fleet.list_is_asked = true;
         }),
         engines: TWO,
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         ends: FEW,
         events: 2,
         listed: &[Listed::Back, Listed::Anew],
@@ -171,7 +171,7 @@
         name: "closing",
         says: "the process ends while a referenced hop is out",
         engines: CELLS,
-        tasks: &[asks(1)],
+        requests: &[asks(1)],
         ends: FEW,
         closes: true,
         leaves: 1,
@@ -180,9 +180,9 @@
     },
     Place {
         name: "closing late",
-        says: "the process ends earlier than a single-use task would",
+        says: "the process ends earlier than a single-use request would",
         engines: TWO,
-        tasks: &[asks(4), asks(0)],
+        requests: &[asks(4), asks(0)],
         ends: &[HopEnd::Succeeded, HopEnd::Broken],
         closes: true,
         short: false,
@@ -190,34 +190,34 @@
     },
     Place {
         name: "one key",
-        says: "two replayable tasks of one key that rests, one engine",
+        says: "two replayable requests of one key that rests, one engine",
         setup: setup!(|fleet, traffic, duties| {
             traffic[0].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
         }),
         engines: &[(0, 0)],
-        tasks: &[keyed(0, 1), keyed(0, 1)],
+        requests: &[keyed(0, 1), keyed(0, 1)],
         ends: &[HopEnd::Succeeded, HopEnd::Overloaded, HopEnd::Broken],
         leaves: 1,
         ..Place::PLAIN
     },
     Place {
         name: "one key, single-use",
-        says: "two single-use tasks of one key that rests, no cancel, a client that leaves its hop out",
+        says: "two single-use requests of one key that rests, no cancel, a client that leaves its hop out",
         setup: setup!(|fleet, traffic, duties| {
             traffic[4].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
             duties.may_cancel = false;
         }),
         engines: &[(0, 0)],
-        tasks: &[keyed(4, 1), keyed(4, 1)],
+        requests: &[keyed(4, 1), keyed(4, 1)],
         ends: MAY_RUN,
         leaves: 1,
         ..Place::PLAIN
     },
     Place {
         name: "one key, two effects",
-        says: "a replayable task, whose further hops need no rest, and a single-use one of its key that does",
+        says: "a replayable request, whose further hops need no rest, and a single-use one of its key that does",
         setup: setup!(|fleet, traffic, duties| {
             traffic[0].keeps_order = true;
             traffic[4].keeps_order = true;
@@ -225,14 +225,14 @@
             duties.may_cancel = false;
         }),
         engines: &[(0, 0)],
-        tasks: &[keyed(0, 1), keyed(4, 1)],
+        requests: &[keyed(0, 1), keyed(4, 1)],
         ends: MAY_RUN,
         leaves: 1,
         ..Place::PLAIN
     },
     Place {
         name: "three of one key",
-        says: "a single-use task between two replayable ones of its key: one rest after another",
+        says: "a single-use request between two replayable ones of its key: one rest after another",
         setup: setup!(|fleet, traffic, duties| {
             traffic[0].keeps_order = true;
             traffic[4].keeps_order = true;
@@ -240,20 +240,20 @@
             duties.may_cancel = false;
         }),
         engines: &[(0, 0)],
-        tasks: &[keyed(0, 1), keyed(4, 1), keyed(0, 1)],
+        requests: &[keyed(0, 1), keyed(4, 1), keyed(0, 1)],
         ends: &[HopEnd::Succeeded, HopEnd::Broken],
         short: false,
         ..Place::PLAIN
     },
     Place {
         name: "hop budget",
-        says: "two replayable tasks, one engine, a hop budget with room for one of them",
+        says: "two replayable requests, one engine, a hop budget with room for one of them",
         setup: setup!(|fleet, traffic, duties| {
             let over = std::time::Duration::from_millis(400);
-            duties.hop_budget = Some(HopBudget { spare: 1.0, per_task: 0.0, over });
+            duties.hop_budget = Some(HopBudget { spare: 1.0, per_request: 0.0, over });
         }),
         engines: &[(0, 0)],
-        tasks: &[asks(0), asks(0)],
+        requests: &[asks(0), asks(0)],
         ends: &[HopEnd::Succeeded, HopEnd::Overloaded, HopEnd::Failed],
         alike: false,
         ..Place::PLAIN
@@ -263,10 +263,10 @@
         says: "the same at two engines, with notes that tell of a bad plan",
         setup: setup!(|fleet, traffic, duties| {
             let over = std::time::Duration::from_millis(400);
-            duties.hop_budget = Some(HopBudget { spare: 0.5, per_task: 0.5, over });
+            duties.hop_budget = Some(HopBudget { spare: 0.5, per_request: 0.5, over });
         }),
         engines: TWO,
-        tasks: &[asks(0), asks(0)],
+        requests: &[asks(0), asks(0)],
         ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
         notices: &[Notice::WaitsForLoad],
         notes: 1,
@@ -276,9 +276,9 @@
     },
     Place {
         name: "cold engine",
-        says: "an engine that starts anew while two tasks come, a window with room for one at first",
+        says: "an engine that starts anew while two requests come, a window with room for one at first",
         engines: &[(0, 0)],
-        tasks: &[Asks { cost: 210, ..asks(0) }, Asks { cost: 210, ..asks(0) }],
+        requests: &[Asks { cost: 210, ..asks(0) }, Asks { cost: 210, ..asks(0) }],
         ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
         events: 1,
         listed: &[Listed::Anew],
@@ -287,13 +287,13 @@
     },
     Place {
         name: "cold engine, small part",
-        says: "the same for one of forty routers, whose part is less than one task",
+        says: "the same for one of forty routers, whose part is less than one request",
         setup: setup!(|fleet, traffic, duties| {
             fleet.routers = 40;
             duties.warm_up = std::time::Duration::from_millis(2000);
         }),
         engines: &[(0, 0)],
-        tasks: &[asks(0), asks(0)],
+        requests: &[asks(0), asks(0)],
         ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
         events: 1,
         listed: &[Listed::Anew],
@@ -301,9 +301,9 @@
     },
     Place {
         name: "pressed engine",
-        says: "answers that report a full engine, large and small tasks",
+        says: "answers that report a full engine, large and small requests",
         engines: &[(0, 0)],
-        tasks: &[asks(0), Asks { memory: 12000.0, ..asks(0) }],
+        requests: &[asks(0), Asks { memory: 12000.0, ..asks(0) }],
         ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
         signals: Some(SIGNALS),
         short: false,
@@ -311,9 +311,9 @@
     },
     Place {
         name: "no estimates",
-        says: "a task of which nothing is told, and which may cost anything",
+        says: "a request of which nothing is told, and which may cost anything",
         engines: TWO,
-        tasks: &[Asks { cost: 0, memory: 0.0, ..asks(0) }],
+        requests: &[Asks { cost: 0, memory: 0.0, ..asks(0) }],
         leaves: 1,
         ..Place::PLAIN
     },
@@ -324,7 +324,7 @@
             duties.may_cancel = false;
         }),
         engines: TWO,
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         ends: FEW,
         notices: &[Notice::Done(0.1), Notice::WaitsForLoad],
         notes: 1,
@@ -333,9 +333,9 @@
     },
     Place {
         name: "two effects",
-        says: "a single-use and a replayable task at two engines, one drain",
+        says: "a single-use and a replayable request at two engines, one drain",
         engines: TWO,
-        tasks: &[asks(4), asks(0)],
+        requests: &[asks(4), asks(0)],
         ends: &[HopEnd::Succeeded, HopEnd::Broken],
         events: 1,
         listed: &[Listed::Drains],
@@ -344,18 +344,18 @@
     },
     Place {
         name: "two referenced",
-        says: "two tasks referenced within a cell at two engines of two cells",
+        says: "two requests referenced within a cell at two engines of two cells",
         engines: &[(0, 0), (1, 1)],
-        tasks: &[asks(1), asks(1)],
+        requests: &[asks(1), asks(1)],
         ends: &[HopEnd::Succeeded, HopEnd::Broken],
         short: false,
         ..Place::PLAIN
     },
     Place {
-        name: "three tasks",
-        says: "a replayable, a referenced and a single-use task at three engines in two cells",
+        name: "three requests",
+        says: "a replayable, a referenced and a single-use request at three engines in two cells",
         engines: CELLS,
-        tasks: &[asks(0), asks(1), asks(4)],
+        requests: &[asks(0), asks(1), asks(4)],
         ends: FEW,
         events: 1,
         listed: ALL,
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -32,20 +32,20 @@
     };
     match *step {
         Move::Arrive { draw } => {
-            let asks = &world.tasks[life.tasks.len()];
+            let asks = &world.requests[life.requests.len()];
             drawn(
                 draw,
                 format!(".accept_keyed({}, {}, {:?}, {:?})", asks.traffic, asks.cost, asks.memory, asks.key),
             )
         }
-        Move::End { task, end, draw } => {
-            let truth = &life.tasks[task];
+        Move::End { request, end, draw } => {
+            let truth = &life.requests[request];
             let (hop, engine) = (truth.hops.len() - 1, truth.hops[truth.hops.len() - 1].engine);
             let how = if truth.open() || end == HopEnd::Succeeded { "ended" } else { "ended_over" };
-            drawn(draw, format!(".{how}({task}, {hop}, {engine}, HopEnd::{end:?})"))
+            drawn(draw, format!(".{how}({request}, {hop}, {engine}, HopEnd::{end:?})"))
         }
-        Move::Note { task, notice, draw } => {
-            let hop = life.tasks[task].hops.len() - 1;
+        Move::Note { request, notice, draw } => {
+            let hop = life.requests[request].hops.len() - 1;
             let notice = match notice {
                 Notice::Runs => "Runs".to_owned(),
                 Notice::Done(part) => format!("Done({part:?})"),
@@ -53,7 +53,7 @@
                 Notice::WaitsForMemory => "WaitsForMemory".to_owned(),
                 Notice::WaitsForLoad => "WaitsForLoad".to_owned(),
             };
-            drawn(draw, format!(".notice({task}, {hop}, Notice::{notice})"))
+            drawn(draw, format!(".notice({request}, {hop}, Notice::{notice})"))
         }
         Move::List { engine, what, draw } => {
             let launched = life.sites[engine].launched.map(|at| at.as_millis());
@@ -67,7 +67,7 @@
         }
         Move::ListLost => Some(".list_lost()".to_owned()),
         Move::ListFailed => Some(".list_failed()".to_owned()),
-        Move::Leave { task, draw } => drawn(draw, format!(".left({task})")),
+        Move::Leave { request, draw } => drawn(draw, format!(".left({request})")),
         Move::Wake { draw } => drawn(draw, ".woken()".to_owned()),
         Move::Close => {
             let by = life.now + world.traffic[0].patience;
--- a/crates/explorer/src/turns.rs
+++ b/crates/explorer/src/turns.rs
@@ -1,4 +1,4 @@
-//! A world round the queues of teams: tasks that come, go at their turn, end as they may, are taken back or left,
+//! A world round the queues of teams: requests that come, go at their turn, end as they may, are taken back or left,
 //! while time passes and the charter changes. The queues inside are the router's own.
 
 use crate::search::Walk;
@@ -10,8 +10,8 @@
 pub struct Turns {
     pub name: &'static str,
     pub says: &'static str,
-    /// Tasks by team, urgency and work in milliseconds, in the order in which they come.
-    pub tasks: &'static [(usize, u8, u64)],
+    /// Requests by team, urgency and work in milliseconds, in the order in which they come.
+    pub requests: &'static [(usize, u8, u64)],
     /// Whether the second team has a budget.
     pub budget: bool,
     pub ends: &'static [Outcome],
@@ -29,9 +29,9 @@
 pub enum Step {
     Come,
     Go,
-    End { task: usize, outcome: Outcome },
-    TakeBack { task: usize },
-    Leave { task: usize },
+    End { request: usize, outcome: Outcome },
+    TakeBack { request: usize },
+    Leave { request: usize },
     Change,
     Pass,
 }
@@ -61,7 +61,7 @@
 
 /// What the queues do, and an end at which nothing can come any more.
 enum Act {
-    /// This task goes, or nothing does.
+    /// This request goes, or nothing does.
     Goes(Option<Ticket>),
     /// They hold so many, and so much charged by team, in seconds.
     Holds(usize, [f64; 2]),
@@ -70,20 +70,20 @@
 pub struct Law(pub &'static str, pub &'static str, fn(&Turns, &Hall, &Act) -> bool);
 
 pub const LAWS: [Law; 5] = [
-    Law("goes once", "what goes is a task that waits", goes_again),
+    Law("goes once", "what goes is a request that waits", goes_again),
     Law("somebody's turn", "where something waits, something goes", stands_still),
     Law("urgent first", "of one team the most urgent goes first, but for one turn in eight", less_urgent),
     Law("nobody starves", "a team that waits is passed by at most so often", starves),
     Law("nothing lost", "what has come and is not over is held, and charged while it is out", loses),
 ];
 
-/// The ground that may be gained, and one task each that is out: see the design note.
+/// The ground that may be gained, and one request each that is out: see the design note.
 const MOST_PASSED: u32 = 6;
 /// One turn of a team in so many goes to what is to be done first.
 const ONE_IN: u32 = 8;
 
 fn goes_again(_: &Turns, hall: &Hall, act: &Act) -> bool {
-    matches!(act, Act::Goes(Some(task)) if hall.stands[*task as usize] != Stands::Waits)
+    matches!(act, Act::Goes(Some(request)) if hall.stands[*request as usize] != Stands::Waits)
 }
 
 fn stands_still(_: &Turns, hall: &Hall, act: &Act) -> bool {
@@ -91,29 +91,29 @@
 }
 
 fn less_urgent(world: &Turns, hall: &Hall, act: &Act) -> bool {
-    let Act::Goes(Some(task)) = act else { return false };
-    let (team, urgency, _) = world.tasks[*task as usize];
+    let Act::Goes(Some(request)) = act else { return false };
+    let (team, urgency, _) = world.requests[*request as usize];
     let more = |at: usize| {
-        let (other, more, _) = world.tasks[at];
+        let (other, more, _) = world.requests[at];
         hall.stands[at] == Stands::Waits && other == team && more > urgency
     };
     let for_all = hall.turns[team] % ONE_IN == ONE_IN - 1;
-    hall.stands[*task as usize] == Stands::Waits
+    hall.stands[*request as usize] == Stands::Waits
         && !hall.changed
         && !for_all
-        && (0..world.tasks.len()).any(more)
+        && (0..world.requests.len()).any(more)
 }
 
 fn starves(world: &Turns, hall: &Hall, act: &Act) -> bool {
-    let Act::Goes(Some(task)) = act else { return false };
-    let other = 1 - world.tasks[*task as usize].0;
+    let Act::Goes(Some(request)) = act else { return false };
+    let other = 1 - world.requests[*request as usize].0;
     hall.passed_by[other] >= MOST_PASSED && !world.budget && hall.waits(world, other)
 }
 
 fn loses(world: &Turns, hall: &Hall, act: &Act) -> bool {
     let Act::Holds(count, charged) = act else { return false };
     let mut out = [0.0; 2];
-    for (stands, (team, _, work)) in hall.stands.iter().zip(world.tasks) {
+    for (stands, (team, _, work)) in hall.stands.iter().zip(world.requests) {
         let team = if hall.changed { 0 } else { *team };
         out[team] += if *stands == Stands::Out { *work as f64 / 1e3 } else { 0.0 };
     }
@@ -132,7 +132,7 @@
 impl Hall {
     fn waits(&self, world: &Turns, team: usize) -> bool {
         let waits = |(stands, asks): (&Stands, &(usize, u8, u64))| *stands == Stands::Waits && asks.0 == team;
-        self.stands.iter().zip(world.tasks).any(waits)
+        self.stands.iter().zip(world.requests).any(waits)
     }
 
     fn judge(&mut self, world: &Turns, act: &Act) {
@@ -144,8 +144,8 @@
         if witness::all_near(witness::TURNS, LAWS.len()) {
             return;
         }
-        let tasks = (0..self.stands.len()).map(|task| Act::Goes(Some(task as Ticket)));
-        for act in tasks.chain([Act::Goes(None), Act::Holds(usize::MAX, [0.0; 2])]) {
+        let requests = (0..self.stands.len()).map(|request| Act::Goes(Some(request as Ticket)));
+        for act in requests.chain([Act::Goes(None), Act::Holds(usize::MAX, [0.0; 2])]) {
             let breaks = LAWS.iter().map(|Law(_, _, breaks)| breaks(world, self, &act));
             witness::note(witness::TURNS, breaks);
         }
@@ -160,7 +160,7 @@
         Hall {
             now: Duration::ZERO,
             queues: Queues::new(charter(self.budget, 2), Duration::ZERO),
-            stands: vec![Stands::Ahead; self.tasks.len()],
+            stands: vec![Stands::Ahead; self.requests.len()],
             passed_by: [0; 2],
             turns: [0; 2],
             changed: false,
@@ -176,13 +176,13 @@
         }
         moves.extend(hall.stands.contains(&Stands::Ahead).then_some(Step::Come));
         moves.extend(hall.stands.contains(&Stands::Waits).then_some(Step::Go));
-        for (task, stands) in hall.stands.iter().enumerate() {
+        for (request, stands) in hall.stands.iter().enumerate() {
             match stands {
                 Stands::Out => {
-                    moves.extend(self.ends.iter().map(|outcome| Step::End { task, outcome: *outcome }));
-                    moves.extend((hall.backs < self.back).then_some(Step::TakeBack { task }));
+                    moves.extend(self.ends.iter().map(|outcome| Step::End { request, outcome: *outcome }));
+                    moves.extend((hall.backs < self.back).then_some(Step::TakeBack { request }));
                 }
-                Stands::Waits if self.leaves => moves.push(Step::Leave { task }),
+                Stands::Waits if self.leaves => moves.push(Step::Leave { request }),
                 _ => {}
             }
         }
@@ -197,9 +197,9 @@
         match *step {
             Step::Come => {
                 let at = next.stands.iter().position(|stands| *stands == Stands::Ahead).unwrap_or_default();
-                let (team, urgency, work) = self.tasks[at];
+                let (team, urgency, work) = self.requests[at];
                 let asking = Asking {
-                    task: at as Ticket,
+                    request: at as Ticket,
                     team: if next.changed { 0 } else { team },
                     urgency,
                     traffic: 0,
@@ -215,27 +215,27 @@
             Step::Go => {
                 let turn = next.queues.turns().next();
                 next.judge(self, &Act::Goes(turn));
-                if let Some(task) = turn {
-                    let team = self.tasks[task as usize].0;
-                    next.queues.let_go(now, task);
-                    next.stands[task as usize] = Stands::Out;
+                if let Some(request) = turn {
+                    let team = self.requests[request as usize].0;
+                    next.queues.let_go(now, request);
+                    next.stands[request as usize] = Stands::Out;
                     next.passed_by[team] = 0;
                     next.turns[team] += 1;
                     next.passed_by[1 - team] += u32::from(next.waits(self, 1 - team));
                 }
             }
-            Step::End { task, outcome } => {
-                next.queues.settle(now, task as Ticket, outcome);
-                next.stands[task] = Stands::Over;
+            Step::End { request, outcome } => {
+                next.queues.settle(now, request as Ticket, outcome);
+                next.stands[request] = Stands::Over;
             }
-            Step::TakeBack { task } => {
+            Step::TakeBack { request } => {
                 next.backs += 1;
-                next.queues.take_back(now, task as Ticket);
-                next.stands[task] = Stands::Waits;
+                next.queues.take_back(now, request as Ticket);
+                next.stands[request] = Stands::Waits;
             }
-            Step::Leave { task } => {
-                next.queues.leave(now, task as Ticket);
-                next.stands[task] = Stands::Over;
+            Step::Leave { request } => {
+                next.queues.leave(now, request as Ticket);
+                next.stands[request] = Stands::Over;
             }
             Step::Change => {
                 next.changed = true;
@@ -273,8 +273,8 @@
 pub const WORLDS: &[Turns] = &[
     Turns {
         name: "two teams",
-        says: "three tasks of two teams, one urgent, one with a budget, every end, taken back, left, a team gone",
-        tasks: &[(0, 0, 100), (1, 0, 100), (1, 2, 100)],
+        says: "three requests of two teams, one urgent, one with a budget, every end, taken back, left, a team gone",
+        requests: &[(0, 0, 100), (1, 0, 100), (1, 2, 100)],
         budget: true,
         ends: &[Outcome::Back, Outcome::Unknown, BILLED],
         back: 1,
@@ -285,8 +285,8 @@
     },
     Turns {
         name: "a team that floods",
-        says: "nine tasks of one team and two of another, any of which waits while the others go",
-        tasks: &[
+        says: "nine requests of one team and two of another, any of which waits while the others go",
+        requests: &[
             (0, 0, 100),
             (0, 0, 100),
             (0, 3, 100),
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -29,7 +29,7 @@
     };
 }
 
-/// A task that may come: its traffic type, key, told cost in milliseconds and memory in MB.
+/// A request that may come: its traffic type, key, told cost in milliseconds and memory in MB.
 #[derive(Clone, Copy)]
 pub struct Asks {
     pub traffic: usize,
@@ -56,7 +56,7 @@
     pub engines: &'static [(usize, u64)],
     pub kinds: &'static [usize],
     /// In the order in which they may come, each at any time.
-    pub tasks: &'static [Asks],
+    pub requests: &'static [Asks],
     /// What a hop may come to by itself.
     pub ends: &'static [HopEnd],
     pub notices: &'static [Notice],
@@ -93,14 +93,14 @@
 ];
 
 impl Place {
-    /// A world of one replayable task at one engine, where a hop may come to anything and nothing else happens.
+    /// A world of one replayable request at one engine, where a hop may come to anything and nothing else happens.
     pub const PLAIN: Place = Place {
         name: "plain",
-        says: "one replayable task at one engine",
+        says: "one replayable request at one engine",
         setup: setup!(|fleet, traffic, duties| {}),
         engines: &[(0, 0)],
         kinds: &[0],
-        tasks: &[asks(0)],
+        requests: &[asks(0)],
         ends: ENDS,
         notices: &[],
         notes: 0,
@@ -150,8 +150,8 @@
         self.kinds.get(engine).copied().unwrap_or(0)
     }
 
-    pub fn traffic_of(&self, task: TaskId) -> &TrafficType {
-        &self.traffic[self.tasks[task as usize].traffic]
+    pub fn traffic_of(&self, request: RequestId) -> &TrafficType {
+        &self.traffic[self.requests[request as usize].traffic]
     }
 
     /// Before which a final answer must be on its way.
@@ -159,17 +159,17 @@
         self.fleet.tick * 4
     }
 
-    pub fn window(&self, task: TaskId) -> Option<Duration> {
-        match &self.traffic_of(task).effect {
+    pub fn window(&self, request: RequestId) -> Option<Duration> {
+        match &self.traffic_of(request).effect {
             Effect::Referenced { window, .. } => Some(*window),
             _ => None,
         }
     }
 
     pub fn arrival(&self, number: usize) -> Arrival {
-        let asks = &self.tasks[number];
+        let asks = &self.requests[number];
         Arrival {
-            task: number as TaskId,
+            request: number as RequestId,
             traffic: asks.traffic,
             key: asks.key,
             cost: (asks.cost > 0).then(|| Duration::from_millis(asks.cost)),
--- a/crates/explorer/tests/random.rs
+++ b/crates/explorer/tests/random.rs
@@ -36,11 +36,11 @@
 
 const EIGHT: &[Asks] = &[asks(0), asks(1), asks(4), asks(0), asks(3), asks(2), asks(4), asks(0)];
 
-/// Far more than can be walked whole: eight tasks of every effect at five engines in three cells.
+/// Far more than can be walked whole: eight requests of every effect at five engines in three cells.
 static LARGE: Place = Place {
     name: "large",
     engines: &[(0, 0), (0, 0), (0, 1), (1, 2), (1, 2)],
-    tasks: EIGHT,
+    requests: EIGHT,
     events: 6,
     leaves: 2,
     listed: PLACES[0].listed,
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_hop_budget_with_room_for_one_of_two_tasks() {
+fn a_hop_budget_with_room_for_one_of_two_requests() {
     holds("hop budget");
 }
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_part_of_a_cold_engine_that_is_under_one_task() {
+fn a_part_of_a_cold_engine_that_is_under_one_request() {
     holds("cold engine, small part");
 }
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_key_whose_tasks_run_once_or_again_in_turn_with_a_rest_and_no_cancel() {
+fn a_key_whose_requests_run_once_or_again_in_turn_with_a_rest_and_no_cancel() {
     holds("one key, single-use");
     holds("one key, two effects");
 }
@@ -130,7 +130,7 @@
     follow(
         "two on a narrow connection",
         "
-        Call { task: 0 }
+        Call { request: 0 }
         Up { link: 0.0 }
         List { what: Drains }
         Flows { link: 0.0 }
@@ -143,7 +143,7 @@
     follow(
         "two on a narrow connection",
         "
-        Call { task: 0 }
+        Call { request: 0 }
         Up { link: 0.0 }
         Cancel { call: 0 }
         List { what: Drains }
--- a/crates/operator/src/roll.rs
+++ b/crates/operator/src/roll.rs
@@ -1,4 +1,4 @@
-//! The roll of teams: their names, shares and budgets, and how tasks tell them.
+//! The roll of teams: their names, shares and budgets, and how requests tell them.
 
 use emberflow_teams::{Allowance, Charter, Firm, Team};
 use serde::de::{DeserializeSeed, Error, SeqAccess, Visitor};
@@ -20,10 +20,10 @@
 #[serde(try_from = "Written")]
 pub struct Roll {
     pub charter: Charter,
-    /// By number, the first of them for tasks of no team on the roll.
+    /// By number, the first of them for requests of no team on the roll.
     pub names: Vec<String>,
     numbers: HashMap<String, usize>,
-    /// The fields of a task that tell its team and its urgency.
+    /// The fields of a request that tell its team and its urgency.
     pub team_field: String,
     pub urgency_field: String,
     /// The field by which a client asks to be told of its wait, and how often it is told.
@@ -166,7 +166,7 @@
     most_waiting: Option<Count>,
 }
 
-/// What stands for a task that names no team on the roll.
+/// What stands for a request that names no team on the roll.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WrittenRest {
@@ -246,7 +246,7 @@
     from.deserialize_seq(Rows(PhantomData))
 }
 
-/// Tasks of a team that wait, where nothing else is said.
+/// Requests of a team that wait, where nothing else is said.
 const WAITING: usize = 1000;
 
 fn team(firm: usize, share: Option<Share>, budget: Option<WrittenBudget>, waiting: Option<Count>) -> Team {
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -1,15 +1,15 @@
-//! Connections of clients: lines in, answers out, and the tasks open on each.
+//! Connections of clients: lines in, answers out, and the requests open on each.
 
 use crate::jsonrpc::{self, Withdrawal};
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
-use emberflow::TaskId;
+use emberflow::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::io::{Read, Result as Done, Write};
 use std::time::Duration;
 
-/// Open tasks that a connection carries.
+/// Open requests that a connection carries.
 pub const MOST_OPEN: usize = 32;
 /// A line that has begun, and the first one, must have come whole within this; a client that has said something
 /// and waits for nothing is kept for longer. Clients close what is idle after 4 s, and are owed a close, an
@@ -17,7 +17,7 @@
 const STALLED: Duration = Duration::from_secs(2);
 const IDLE: Duration = Duration::from_secs(5);
 /// What was on its way to a connection when it was closed: the protocol has it cross within this. A client that
-/// came, said something or was answered within it may have a task on its way.
+/// came, said something or was answered within it may have a request on its way.
 pub const CROSSING: Duration = Duration::from_millis(50);
 
 #[derive(Clone)]
@@ -33,7 +33,7 @@
     taken_back: VecDeque<(u64, Withdrawal)>,
     looked: u64,
     /// By the id on this connection.
-    pub open: BTreeMap<u64, TaskId>,
+    pub open: BTreeMap<u64, RequestId>,
     /// It has said something.
     heard: bool,
     /// When it last had something to say or was answered, or began to.
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Looks ahead through what has come from a client with tasks open or lines not heard, before its turn: whether
-    /// it has stopped waiting for some, or is gone. Guards against tasks that were sent on for nobody while that stood unread
+    /// Looks ahead through what has come from a client with requests open or lines not heard, before its turn: whether
+    /// it has stopped waiting for some, or is gone. Guards against requests that were sent on for nobody while that stood unread
     /// behind other lines, floods of others or its own unread answers.
     pub fn glance(&mut self, slot: Slot, (now, since): (Duration, Duration), from: &mut impl Read) -> Glance {
         let mut seen = Glance::default();
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -1,13 +1,13 @@
 //! The queue before the decisions, where an operator has told teams: what waits there is taken and owed an answer,
 //! and not yet accepted. Whose turn it is and what a wait will be is decided by `emberflow-teams`.
 
-use emberflow::{Arrival, Room, TaskId};
+use emberflow::{Arrival, RequestId, Room};
 use emberflow_operator::Roll;
 use emberflow_teams::{Asking, Outcome, Queues, Refusal, Wait};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What falls due for a task that waits: it is handed on whatever its turn, or told of its wait.
+/// What falls due for a request that waits: it is handed on whatever its turn, or told of its wait.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Call {
     HandOn,
@@ -35,17 +35,17 @@
 pub struct Door {
     pub roll: Roll,
     queues: Queues,
-    waiting: BTreeMap<TaskId, Waiting>,
-    due: BTreeSet<(Duration, Call, TaskId)>,
-    /// What the task's hop came to, until it is settled.
-    bills: BTreeMap<TaskId, Duration>,
+    waiting: BTreeMap<RequestId, Waiting>,
+    due: BTreeSet<(Duration, Call, RequestId)>,
+    /// What the request's hop came to, until it is settled.
+    bills: BTreeMap<RequestId, Duration>,
 }
 
-/// A task that knocks, beside what the decisions are told of it.
+/// A request that knocks, beside what the decisions are told of it.
 pub struct Knock {
     pub team: usize,
     pub urgency: u8,
-    /// What makes it the same task as another, and what its order goes by.
+    /// What makes it the same request as another, and what its order goes by.
     pub identity: u64,
     pub key: Option<u64>,
     pub work: Duration,
@@ -62,23 +62,23 @@
         Self { roll, queues, waiting, due, bills }
     }
 
-    /// Takes a task in, or tells after what time such a one would be taken.
+    /// Takes a request in, or tells after what time such a one would be taken.
     pub fn knock(&mut self, now: Duration, arrival: Arrival, knock: Knock) -> Result<(), Refusal> {
         let Knock { team, urgency, identity, key, work, target, margin, asks_to_be_told } = knock;
-        let (task, since) = (arrival.task, now.saturating_sub(arrival.waited));
+        let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
         let patience = arrival.patience.saturating_sub(arrival.waited);
         let (traffic, identity) = (arrival.traffic as u16, Some(identity));
-        let asking = Asking { task, team, urgency, traffic, work, target, patience, identity, key };
+        let asking = Asking { request, team, urgency, traffic, work, target, patience, identity, key };
         self.queues.arrive(now, asking)?;
         let by = now + patience.saturating_sub(margin);
         let told = (asks_to_be_told && self.roll.waits_field.is_some()).then_some(now);
-        self.due.insert((by, Call::HandOn, task));
-        self.due.extend(told.map(|at| (at, Call::Tell, task)));
-        self.waiting.insert(task, Waiting { arrival, since, by, told });
+        self.due.insert((by, Call::HandOn, request));
+        self.due.extend(told.map(|at| (at, Call::Tell, request)));
+        self.waiting.insert(request, Waiting { arrival, since, by, told });
         Ok(())
     }
 
-    /// The next task to be accepted: one whose time is nearly up, or one whose turn it is and that has room.
+    /// The next request to be accepted: one whose time is nearly up, or one whose turn it is and that has room.
     pub fn next<'a>(&mut self, now: Duration, room: impl FnOnce() -> Room<'a>) -> Option<Arrival> {
         if self.waiting.is_empty() {
             return None;
@@ -87,58 +87,58 @@
         let late =
             self.due.iter().take_while(|(at, ..)| *at <= now).find(|(_, call, _)| *call == Call::HandOn);
         // Guards the order of keys: those that came before it are handed on before it.
-        let late = late.map(|(.., task)| self.queues.first_of_key(*task));
+        let late = late.map(|(.., request)| self.queues.first_of_key(*request));
         let its_turn = || {
             let mut room = room();
-            self.queues.next(|task| {
-                let waiting = self.waiting.get(&task);
+            self.queues.next(|request| {
+                let waiting = self.waiting.get(&request);
                 waiting.is_some_and(|waiting| room.takes(&waiting.arrival(now)))
             })
         };
-        let task = late.or_else(its_turn)?;
-        self.hand(now, task)
+        let request = late.or_else(its_turn)?;
+        self.hand(now, request)
     }
 
-    /// Any task that waits, the oldest first.
+    /// Any request that waits, the oldest first.
     pub fn any(&mut self, now: Duration) -> Option<Arrival> {
         self.hand(now, *self.waiting.keys().next()?)
     }
 
-    fn hand(&mut self, now: Duration, task: TaskId) -> Option<Arrival> {
-        self.queues.let_go(now, task);
-        self.forget(task).map(|waiting| waiting.arrival(now))
+    fn hand(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
+        self.queues.let_go(now, request);
+        self.forget(request).map(|waiting| waiting.arrival(now))
     }
 
-    fn forget(&mut self, task: TaskId) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&task)?;
-        self.due.remove(&(waiting.by, Call::HandOn, task));
-        waiting.told.map(|at| self.due.remove(&(at, Call::Tell, task)));
+    fn forget(&mut self, request: RequestId) -> Option<Waiting> {
+        let waiting = self.waiting.remove(&request)?;
+        self.due.remove(&(waiting.by, Call::HandOn, request));
+        waiting.told.map(|at| self.due.remove(&(at, Call::Tell, request)));
         Some(waiting)
     }
 
-    /// What an answered task's hop came to.
-    pub fn billed(&mut self, task: TaskId, work: Duration) {
-        self.bills.insert(task, work);
+    /// What an answered request's hop came to.
+    pub fn billed(&mut self, request: RequestId, work: Duration) {
+        self.bills.insert(request, work);
     }
 
-    /// Whether a task waits here.
-    pub fn holds(&self, task: TaskId) -> bool {
-        self.waiting.contains_key(&task)
+    /// Whether a request waits here.
+    pub fn holds(&self, request: RequestId) -> bool {
+        self.waiting.contains_key(&request)
     }
 
-    /// A task has had its final answer, or is owed none any more.
-    pub fn closed(&mut self, now: Duration, task: TaskId, how: &str) {
-        let bill = self.bills.remove(&task);
-        if self.forget(task).is_some() {
-            self.queues.leave(now, task);
+    /// A request has had its final answer, or is owed none any more.
+    pub fn closed(&mut self, now: Duration, request: RequestId, how: &str) {
+        let bill = self.bills.remove(&request);
+        if self.forget(request).is_some() {
+            self.queues.leave(now, request);
             return;
         }
         let outcome = match (how, bill) {
-            ("tasks_succeeded", Some(work)) => Outcome::Billed(work),
-            ("tasks_succeeded" | "tasks_given_up", _) => Outcome::Unknown,
+            ("requests_succeeded", Some(work)) => Outcome::Billed(work),
+            ("requests_succeeded" | "requests_given_up", _) => Outcome::Unknown,
             _ => Outcome::Back,
         };
-        self.queues.settle(now, task, outcome);
+        self.queues.settle(now, request, outcome);
     }
 
     /// Another roll: what waits moves with its team, by name.
@@ -147,21 +147,21 @@
         self.roll = roll;
     }
 
-    /// Tasks that are to be told of their wait now, and those waits where anything can be said.
-    pub fn to_tell(&mut self, now: Duration) -> Vec<(TaskId, Wait)> {
+    /// Requests that are to be told of their wait now, and those waits where anything can be said.
+    pub fn to_tell(&mut self, now: Duration) -> Vec<(RequestId, Wait)> {
         let due = self.due.iter().take_while(|(at, ..)| *at <= now);
         let due: Vec<_> = due.filter(|(_, call, _)| *call == Call::Tell).copied().collect();
         let mut told = Vec::new();
-        for (at, call, task) in due {
-            self.due.remove(&(at, call, task));
+        for (at, call, request) in due {
+            self.due.remove(&(at, call, request));
             // A roll that was read anew may have it that nobody is told any more.
             let again = self.roll.waits_field.as_ref().map(|_| now + self.roll.told_every);
-            self.due.extend(again.map(|at| (at, Call::Tell, task)));
-            self.waiting.entry(task).and_modify(|waiting| waiting.told = again);
+            self.due.extend(again.map(|at| (at, Call::Tell, request)));
+            self.waiting.entry(request).and_modify(|waiting| waiting.told = again);
             if again.is_none() {
                 continue;
             }
-            told.extend(self.queues.wait(now, task).map(|wait| (task, wait)));
+            told.extend(self.queues.wait(now, request).map(|wait| (request, wait)));
         }
         told
     }
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -150,7 +150,7 @@
     }
 
     /// When what the sockets told last came at the earliest: it was not there the time before, and may have come
-    /// during the work that followed. A task's patience counts from then.
+    /// during the work that followed. A request's patience counts from then.
     fn since(&self) -> Duration {
         self.looked.saturating_sub(self.work)
     }
@@ -337,7 +337,7 @@
         self.front.floor.clients.table.len() >= self.front.floor.premises.most_clients()
     }
 
-    /// The client that has been idle for longest, as its socket shows as well. Guards against tasks that stood
+    /// The client that has been idle for longest, as its socket shows as well. Guards against requests that stood
     /// there unread: a connection was closed with what counts as taken.
     fn idlest(&mut self) -> Option<Slot> {
         loop {
@@ -534,7 +534,7 @@
     }
 
     /// The configuration anew: the bulletin's address and the operator's file take effect, all else takes a
-    /// restart. Open tasks, connections and what was learned stay. Guards against files that are written wrong
+    /// restart. Open requests, connections and what was learned stay. Guards against files that are written wrong
     /// under load, or are another router's: they change nothing. One may still be being written: it is looked at
     /// again for a while.
     fn reload(&mut self) {
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -7,7 +7,7 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{Bill, Ended, EngineId, HopEnd, Listing, Notice, Signals, TaskId};
+use emberflow::{Bill, Ended, EngineId, HopEnd, Listing, Notice, RequestId, Signals};
 use emberflow_startup::{from_ms, load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -58,7 +58,7 @@
 
 #[derive(Clone)]
 struct Hop {
-    task: TaskId,
+    request: RequestId,
     number: usize,
     engine: EngineId,
     link: Option<Slot>,
@@ -68,7 +68,7 @@
     until: Duration,
     /// Where its call begins in what was ever written to the connection.
     written: Option<u64>,
-    /// Connections that may still answer an earlier hop of the task.
+    /// Connections that may still answer an earlier hop of the request.
     owing: Vec<Slot>,
     /// It has left a connection that was lost before its call was written.
     moved: bool,
@@ -86,9 +86,9 @@
     signals: Option<Signals>,
 }
 
-/// A hop to be sent: the task's id, class, key and statement go on unchanged.
+/// A hop to be sent: the request's id, class, key and statement go on unchanged.
 pub struct Call<'a> {
-    pub task: TaskId,
+    pub request: RequestId,
     pub number: usize,
     pub id: &'a str,
     pub class: &'a str,
@@ -104,7 +104,7 @@
 pub enum News {
     /// A hop's end, its result, and the connection that may still bring an answer to it.
     Ended(Ended, Option<Vec<u8>>, Option<Slot>),
-    Noticed(TaskId, usize, Notice),
+    Noticed(RequestId, usize, Notice),
 }
 
 /// What the engines ask of whoever holds the sockets.
@@ -132,7 +132,7 @@
     comes_up: Duration,
     idle_close: Duration,
     most_links: usize,
-    /// Whether a task may be sent again while its engine may not have heard yet that it was taken back.
+    /// Whether a request may be sent again while its engine may not have heard yet that it was taken back.
     pub may_duplicate: bool,
 }
 
@@ -252,7 +252,7 @@
         whole
     }
 
-    /// Sends a hop, on a connection that owes no answer to an earlier hop: answers name the task alone.
+    /// Sends a hop, on a connection that owes no answer to an earlier hop: answers name the request alone.
     pub fn send(&mut self, engine: EngineId, call: Call, owing: &[Slot], works: &mut Works) -> Slot {
         let now = works.now();
         let fields = [
@@ -265,7 +265,7 @@
         let fields = fields.into_iter().flatten().collect::<Vec<_>>().join(",");
         let words = resp::array(&[b"GET", call.id.as_bytes(), fields.as_bytes(), call.statement]);
         let hop = self.hops.insert(Hop {
-            task: call.task,
+            request: call.request,
             number: call.number,
             engine,
             link: None,
@@ -405,7 +405,7 @@
             hop.written = Some(link.output.end());
             log::debug!(
                 "task {} hop {}: on connection {slot:?} to engine {}",
-                hop.task,
+                hop.request,
                 hop.number,
                 hop.engine
             );
@@ -515,7 +515,7 @@
         }
     }
 
-    /// What comes under a task's name behind what took its hop back shows that its engine has given that up, and
+    /// What comes under a request's name behind what took its hop back shows that its engine has given that up, and
     /// that no answer to it follows.
     fn has_heard(&mut self, slot: Slot, id: &str, works: &mut Works) {
         let Some(hop) = self.links.get(slot).and_then(|link| link.hops.get(id)).copied() else { return };
@@ -589,7 +589,7 @@
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
                 works.counters.count("notes");
-                self.news.push_back(News::Noticed(hop.task, hop.number, notice));
+                self.news.push_back(News::Noticed(hop.request, hop.number, notice));
                 Ok(())
             }
             "SHED" | "LATE" => {
@@ -664,7 +664,7 @@
         }
         let (bill, told) = hop.result.map_or((None, None), |result| (result.bill, result.signals));
         let ended = Ended {
-            task: hop.task,
+            request: hop.request,
             hop: hop.number,
             engine: hop.engine,
             end,
@@ -675,7 +675,7 @@
         };
         log::debug!(
             "task {} hop {} at engine {}: {end:?} after {:?}, bill {:?}, load {:?}",
-            ended.task,
+            ended.request,
             ended.hop,
             ended.engine,
             ended.took,
@@ -708,7 +708,7 @@
         self.abandon(hop, HopEnd::Withdrawn, HopEnd::Void, works);
     }
 
-    /// Takes a hop back, whose task may be sent again. Guards against two hops of a task at engines at once, where
+    /// Takes a hop back, whose request may be sent again. Guards against two hops of a request at engines at once, where
     /// the settings do not allow that: what gives one up and the next call go over different connections, and may
     /// come in either order. So its engine has to show first that it has heard, by answering what stands behind
     /// that on the same connection, or the connection is closed.
@@ -858,7 +858,7 @@
             let link = hop.link.and_then(|link| self.links.get(link));
             let begun = link.zip(hop.written).map(|(link, from)| link.output.passed() > from);
             let waits = link.map(|link| link.waiting.iter().position(|waits| *waits == slot));
-            (hop.task, hop.number, hop.link.and_then(|link| places.get(&link)), begun, waits).hash(into);
+            (hop.request, hop.number, hop.link.and_then(|link| places.get(&link)), begun, waits).hash(into);
             (since(hop.until), hop.moved, hop.kept_back, hop.call.is_empty()).hash(into);
             hop.dropped.map(|(_, at)| since(at)).hash(into);
             hop.owing.iter().filter_map(|link| places.get(link)).for_each(|at| at.hash(into));
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/floor.rs
@@ -1,4 +1,4 @@
-//! What the decisions act on: the open tasks, and the outlet that carries out what is decided for them.
+//! What the decisions act on: the open requests, and the outlet that carries out what is decided for them.
 
 use crate::clients::Clients;
 use crate::clock::whole_ms;
@@ -8,14 +8,14 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{EngineId, Outlet, TaskId};
+use emberflow::{EngineId, Outlet, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A task until it has been answered.
+/// A request until it has been answered.
 #[derive(Clone)]
-pub struct Task {
+pub struct Request {
     pub client: Slot,
     pub id: u64,
     pub req: String,
@@ -29,7 +29,7 @@
     pub owing: Vec<Slot>,
 }
 
-impl Task {
+impl Request {
     pub fn new(
         client: Slot,
         id: u64,
@@ -43,24 +43,24 @@
     }
 }
 
-/// The open tasks, by the numbers that the decisions know them by.
+/// The open requests, by the numbers that the decisions know them by.
 #[derive(Clone, Default)]
-pub struct Tasks {
-    table: Slots<Task>,
-    numbers: BTreeMap<TaskId, Slot>,
+pub struct Requests {
+    table: Slots<Request>,
+    numbers: BTreeMap<RequestId, Slot>,
     reqs: BTreeSet<String>,
     /// The number of the next.
-    pub next: TaskId,
+    pub next: RequestId,
     /// Of all their statements.
     bytes: usize,
 }
 
-impl Tasks {
-    pub fn get(&self, number: TaskId) -> Option<&Task> {
+impl Requests {
+    pub fn get(&self, number: RequestId) -> Option<&Request> {
         self.table.get(*self.numbers.get(&number)?)
     }
 
-    pub fn get_mut(&mut self, number: TaskId) -> Option<&mut Task> {
+    pub fn get_mut(&mut self, number: RequestId) -> Option<&mut Request> {
         self.table.get_mut(*self.numbers.get(&number)?)
     }
 
@@ -68,23 +68,23 @@
         self.table.is_empty()
     }
 
-    /// Whether a task of this name is open.
+    /// Whether a request of this name is open.
     pub fn holds(&self, req: &str) -> bool {
         self.reqs.contains(req)
     }
 
-    fn insert(&mut self, task: Task) {
-        self.reqs.insert(task.req.clone());
-        self.bytes += task.statement.len();
-        self.numbers.insert(self.next, self.table.insert(task));
+    fn insert(&mut self, request: Request) {
+        self.reqs.insert(request.req.clone());
+        self.bytes += request.statement.len();
+        self.numbers.insert(self.next, self.table.insert(request));
         self.next = self.next.wrapping_add(1);
     }
 
-    fn take(&mut self, number: TaskId) -> Option<Task> {
-        let task = self.numbers.remove(&number).and_then(|slot| self.table.take(slot))?;
-        self.bytes -= task.statement.len();
-        self.reqs.remove(&task.req);
-        Some(task)
+    fn take(&mut self, number: RequestId) -> Option<Request> {
+        let request = self.numbers.remove(&number).and_then(|slot| self.table.take(slot))?;
+        self.bytes -= request.statement.len();
+        self.reqs.remove(&request.req);
+        Some(request)
     }
 }
 
@@ -95,19 +95,19 @@
     pub works: Works,
     pub clients: Clients,
     pub engines: Engines,
-    pub tasks: Tasks,
+    pub requests: Requests,
     pub serving: bool,
-    /// Tasks that were closed, and how, where a queue before the decisions wants to know.
-    pub closed: Option<Vec<(TaskId, &'static str)>>,
+    /// Requests that were closed, and how, where a queue before the decisions wants to know.
+    pub closed: Option<Vec<(RequestId, &'static str)>>,
 }
 
 impl Outlet for Floor {
-    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration) {
-        let Some(row) = self.tasks.get_mut(task) else {
-            return self.works.counters.must(false, "a_hop_of_an_answered_task");
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        let Some(row) = self.requests.get_mut(request) else {
+            return self.works.counters.must(false, "a_hop_of_an_answered_request");
         };
         let call = Call {
-            task,
+            request,
             number: row.hops.len(),
             id: &row.req,
             class: &self.premises.traffic[row.class],
@@ -120,29 +120,29 @@
         let hop = self.engines.send(engine, call, &row.owing, &mut self.works);
         row.hops.push(hop);
     }
-    fn terms(&mut self, task: TaskId, grant_mb: f64, priority: u8) {
-        let Some(task) = self.tasks.get_mut(task) else { return };
-        if task.priority != priority {
-            for hop in &task.hops {
+    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        let Some(request) = self.requests.get_mut(request) else { return };
+        if request.priority != priority {
+            for hop in &request.hops {
                 self.engines.rank(*hop, priority, &mut self.works);
             }
         }
-        (task.grant_mb, task.priority) = (grant_mb, priority);
+        (request.grant_mb, request.priority) = (grant_mb, priority);
     }
-    fn cancel(&mut self, task: TaskId, hop: usize) {
-        if let Some(hop) = self.tasks.get(task).and_then(|task| task.hops.get(hop)).copied() {
+    fn cancel(&mut self, request: RequestId, hop: usize) {
+        if let Some(hop) = self.requests.get(request).and_then(|request| request.hops.get(hop)).copied() {
             self.engines.take_back(hop, &mut self.works);
         }
     }
-    fn bounce(&mut self, task: TaskId, retry_after: Option<Duration>) {
+    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let holdoff = retry_after.map(whole_ms).filter(|ms| *ms > 0);
         let line = |id| jsonrpc::error(Some(id), jsonrpc::BOUNCED, "bounced: a retry is harmless", holdoff);
-        let answered = self.answer(task, "tasks_bounced", line);
+        let answered = self.answer(request, "requests_bounced", line);
         self.works.counters.must(answered, "a_second_answer");
     }
-    fn give_up(&mut self, task: TaskId) {
+    fn give_up(&mut self, request: RequestId) {
         let line = |id| jsonrpc::error(Some(id), jsonrpc::GIVEN_UP, "given up: it may have run", None);
-        let answered = self.answer(task, "tasks_given_up", line);
+        let answered = self.answer(request, "requests_given_up", line);
         self.works.counters.must(answered, "a_second_answer");
     }
     /// Never asked for here.
@@ -164,21 +164,29 @@
         let Premises { streams, comes_up, idle_close, .. } = premises;
         let mut engines = Engines::new(streams, comes_up, idle_close, premises.most_links());
         engines.may_duplicate = premises.may_duplicate;
-        Self { clients, engines, works, tasks: Tasks::default(), serving: false, closed: None, premises }
+        Self {
+            clients,
+            engines,
+            works,
+            requests: Requests::default(),
+            serving: false,
+            closed: None,
+            premises,
+        }
     }
 
-    /// Takes a task in under the next number; tells whether the limits allow it.
-    pub fn open(&mut self, task: Task) -> bool {
-        let bytes = self.tasks.bytes + task.statement.len();
-        if self.tasks.table.len() >= self.premises.most_open || bytes > self.premises.most_held_bytes() {
-            self.works.counters.count("tasks_over_the_limit");
+    /// Takes a request in under the next number; tells whether the limits allow it.
+    pub fn open(&mut self, request: Request) -> bool {
+        let bytes = self.requests.bytes + request.statement.len();
+        if self.requests.table.len() >= self.premises.most_open || bytes > self.premises.most_held_bytes() {
+            self.works.counters.count("requests_over_the_limit");
             return false;
         }
-        self.works.counters.count("tasks_taken");
-        if let Some(client) = self.clients.table.get_mut(task.client) {
-            client.open.insert(task.id, self.tasks.next);
+        self.works.counters.count("requests_taken");
+        if let Some(client) = self.clients.table.get_mut(request.client) {
+            client.open.insert(request.id, self.requests.next);
         }
-        self.tasks.insert(task);
+        self.requests.insert(request);
         true
     }
 
@@ -187,10 +195,21 @@
         let now = self.works.now();
         self.engines.print(now, into);
         self.clients.print(now, into);
-        for (_, task) in self.tasks.table.iter() {
-            (self.clients.table.place(task.client), task.id, &task.req, task.class, task.priority).hash(into);
-            task.hops.iter().for_each(|hop| self.engines.hop_place(*hop).hash(into));
-            task.owing.iter().filter_map(|link| self.engines.link_place(*link)).for_each(|at| at.hash(into));
+        for (_, request) in self.requests.table.iter() {
+            (
+                self.clients.table.place(request.client),
+                request.id,
+                &request.req,
+                request.class,
+                request.priority,
+            )
+                .hash(into);
+            request.hops.iter().for_each(|hop| self.engines.hop_place(*hop).hash(into));
+            request
+                .owing
+                .iter()
+                .filter_map(|link| self.engines.link_place(*link))
+                .for_each(|at| at.hash(into));
         }
         // What else falls due is told by the connections and hops themselves.
         let due = self.works.timers.iter();
@@ -204,34 +223,34 @@
     pub fn tally(&self) -> String {
         let (engines, links, hops) = self.engines.held();
         format!(
-            "{} held_clients={} held_tasks={} held_engines={engines} held_links={links} held_hops={hops} \
+            "{} held_clients={} held_requests={} held_engines={engines} held_links={links} held_hops={hops} \
              held_timers={}",
             self.works.counters,
             self.clients.table.len(),
-            self.tasks.table.len(),
+            self.requests.table.len(),
             self.works.timers.len()
         )
     }
 
-    /// The one final answer of a task; tells whether it was still owed.
-    pub fn answer(&mut self, number: TaskId, how: &'static str, line: impl Fn(u64) -> Vec<u8>) -> bool {
-        let Some(task) = self.close(number, how) else { return false };
-        self.clients.say(task.client, &line(task.id));
+    /// The one final answer of a request; tells whether it was still owed.
+    pub fn answer(&mut self, number: RequestId, how: &'static str, line: impl Fn(u64) -> Vec<u8>) -> bool {
+        let Some(request) = self.close(number, how) else { return false };
+        self.clients.say(request.client, &line(request.id));
         true
     }
 
-    /// Ends a task for the network; what is still out for it is given up, since nobody waits for it.
-    pub fn close(&mut self, number: TaskId, how: &'static str) -> Option<Task> {
-        let task = self.tasks.take(number)?;
+    /// Ends a request for the network; what is still out for it is given up, since nobody waits for it.
+    pub fn close(&mut self, number: RequestId, how: &'static str) -> Option<Request> {
+        let request = self.requests.take(number)?;
         self.works.counters.count(how);
         log::debug!("task {number}: {how}");
         if let Some(closed) = &mut self.closed {
             closed.push((number, how));
         }
-        self.clients.answered(task.client, task.id, self.works.now());
-        for hop in &task.hops {
+        self.clients.answered(request.client, request.id, self.works.now());
+        for hop in &request.hops {
             self.engines.cancel(*hop, &mut self.works);
         }
-        Some(task)
+        Some(request)
     }
 }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -5,7 +5,7 @@
 use crate::clients::{Heard, MOST_OPEN};
 use crate::door::{Door, Knock};
 use crate::engines::News;
-use crate::floor::{Floor, Task};
+use crate::floor::{Floor, Request};
 use crate::jsonrpc::{self, Objection, Withdrawal};
 use crate::premises::Briefing;
 use crate::ring::Ring;
@@ -13,7 +13,7 @@
 use crate::statement;
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{Arrival, Ended, KeyId, Outlet, Print, Router, TaskId};
+use emberflow::{Arrival, Ended, KeyId, Outlet, Print, RequestId, Router};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
 use emberflow_startup::{Fields, from_ms};
@@ -25,7 +25,7 @@
 const MOST_FIGURE: f64 = 1e9;
 /// The longest that a client's wait is believed to be.
 const LONGEST: Duration = Duration::from_secs(3600);
-/// What a task and its answer may take on their way beside what is seen here: the protocol makes each time limit as
+/// What a request and its answer may take on their way beside what is seen here: the protocol makes each time limit as
 /// much longer on sockets. Guards against answers that leave in time and come too late.
 const BETWEEN: Duration = Duration::from_millis(50);
 /// After SIGTERM clients go on coming for so long. SIGKILL comes as long after the longest patience, of which
@@ -54,7 +54,7 @@
     /// Where the operator has told teams.
     door: Option<Door>,
     door_due: Option<Duration>,
-    /// By traffic type, the target and whether tasks of one key keep their order.
+    /// By traffic type, the target and whether requests of one key keep their order.
     habits: Vec<(Duration, bool)>,
     longest_retry_after: Option<Duration>,
 }
@@ -160,12 +160,12 @@
         while let Some(news) = self.floor.engines.news.pop_front() {
             let now = self.floor.works.now();
             match news {
-                News::Noticed(task, hop, notice) => {
-                    self.router.notice(now, task, hop, notice, &mut self.floor);
+                News::Noticed(request, hop, notice) => {
+                    self.router.notice(now, request, hop, notice, &mut self.floor);
                 }
                 News::Ended(ended, body, owing) => {
-                    if let Some((link, task)) = owing.zip(self.floor.tasks.get_mut(ended.task)) {
-                        task.owing.push(link);
+                    if let Some((link, request)) = owing.zip(self.floor.requests.get_mut(ended.request)) {
+                        request.owing.push(link);
                     }
                     self.ended(now, ended, body);
                 }
@@ -176,15 +176,15 @@
     fn ended(&mut self, now: Duration, mut ended: Ended, body: Option<Vec<u8>>) {
         if let Some((door, bill)) = self.door.as_mut().zip(ended.bill.as_ref())
             && body.is_some()
-            && self.floor.tasks.get(ended.task).is_some()
+            && self.floor.requests.get(ended.request).is_some()
         {
-            door.billed(ended.task, bill.cost);
+            door.billed(ended.request, bill.cost);
         }
         if let Some(body) = body {
             // Not owed where the client has withdrawn in between.
-            self.floor.answer(ended.task, "tasks_succeeded", |id| jsonrpc::result(id, &body));
+            self.floor.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
         }
-        ended.over = self.floor.tasks.get(ended.task).is_none();
+        ended.over = self.floor.requests.get(ended.request).is_none();
         self.router.hop_ended(now, ended, &mut self.floor);
     }
 
@@ -240,7 +240,7 @@
             "status" => self.status(slot, id),
             "withdraw" => {
                 let withdrawn = self.named(slot, &jsonrpc::withdrawal(id, Fields::of(&params)));
-                withdrawn.into_iter().for_each(|task| self.withdraw(task));
+                withdrawn.into_iter().for_each(|request| self.withdraw(request));
                 Ok(())
             }
             _ => self.take(slot, id, (&method, Fields::of(&params)), waited),
@@ -254,10 +254,13 @@
         Ok(())
     }
 
-    /// The open task that a client names by its `req` or by its id here.
-    fn named(&self, slot: Slot, (req, id): &Withdrawal) -> Option<TaskId> {
-        let named = |number: &TaskId| {
-            self.floor.tasks.get(*number).is_some_and(|task| task.req == *req || Some(task.id) == *id)
+    /// The open request that a client names by its `req` or by its id here.
+    fn named(&self, slot: Slot, (req, id): &Withdrawal) -> Option<RequestId> {
+        let named = |number: &RequestId| {
+            self.floor
+                .requests
+                .get(*number)
+                .is_some_and(|request| request.req == *req || Some(request.id) == *id)
         };
         self.floor.clients.table.get(slot)?.open.values().copied().find(named)
     }
@@ -280,20 +283,21 @@
         }
     }
 
-    /// Tasks are owed to nobody any more; clients have ended their side, and may be gone as well. What waits in
+    /// Requests are owed to nobody any more; clients have ended their side, and may be gone as well. What waits in
     /// any queue for one of these is bounced, and what is out has its end waited for.
-    fn clients_left(&mut self, mut withdrawn: Vec<TaskId>, ended: Vec<Slot>) {
+    fn clients_left(&mut self, mut withdrawn: Vec<RequestId>, ended: Vec<Slot>) {
         let now = self.floor.works.now();
-        withdrawn.retain(|task| self.floor.close(*task, "tasks_withdrawn").is_some());
+        withdrawn.retain(|request| self.floor.close(*request, "requests_withdrawn").is_some());
         let open = ended.iter().filter_map(|slot| self.floor.clients.table.get(*slot));
-        let mut left: Vec<TaskId> = open.flat_map(|client| client.open.values().copied()).collect();
-        for task in &left {
-            let hops = self.floor.tasks.get(*task).map(|task| task.hops.clone()).unwrap_or_default();
+        let mut left: Vec<RequestId> = open.flat_map(|client| client.open.values().copied()).collect();
+        for request in &left {
+            let hops =
+                self.floor.requests.get(*request).map(|request| request.hops.clone()).unwrap_or_default();
             hops.into_iter().for_each(|hop| self.floor.engines.keep_back(hop, &mut self.floor.works));
         }
-        let at_the_door = |task: &TaskId| self.door.as_ref().is_some_and(|door| door.holds(*task));
-        for task in left.extract_if(.., |task| at_the_door(task)) {
-            self.floor.bounce(task, None);
+        let at_the_door = |request: &RequestId| self.door.as_ref().is_some_and(|door| door.holds(*request));
+        for request in left.extract_if(.., |request| at_the_door(request)) {
+            self.floor.bounce(request, None);
         }
         self.router.clients_left(now, &withdrawn, &left, &mut self.floor);
         self.tell();
@@ -340,14 +344,14 @@
         if self.floor.clients.has_left(slot, now) {
             return Err((id, jsonrpc::BOUNCED, "its client has left".into()));
         }
-        // Guards against tasks sent on for nobody: its client had taken it back before its turn came.
+        // Guards against requests sent on for nobody: its client had taken it back before its turn came.
         if self.floor.clients.takes_back(slot, req, number) {
-            self.floor.works.counters.count("tasks_withdrawn");
+            self.floor.works.counters.count("requests_withdrawn");
             log::debug!("task {req} of client {slot:?}: withdrawn before it was heard");
             return Ok(());
         }
-        // Engines tell tasks apart by it alone, whoever asks.
-        if self.floor.tasks.holds(req) {
+        // Engines tell requests apart by it alone, whoever asks.
+        if self.floor.requests.holds(req) {
             return invalid(id, "`req` is open already");
         }
         let opkey = maybe_text("opkey")?;
@@ -371,7 +375,7 @@
         };
         let floor = &mut self.floor;
         let arrival = Arrival {
-            task: floor.tasks.next,
+            request: floor.requests.next,
             traffic: class,
             key: subject.map(key),
             cost,
@@ -384,7 +388,7 @@
         log::debug!(
             "task {} {req} of client {slot:?}: {method}, cost {cost:?}, memory {memory_mb:?} MB, group {:?}, \
              patience {patience} ms, resent {resent}, key {opkey:?}",
-            arrival.task,
+            arrival.request,
             arrival.group
         );
         let asks =
@@ -392,7 +396,7 @@
         let floor = &mut self.floor;
         let same = key(opkey.unwrap_or(req)) as u64;
         let (req, opkey) = (req.to_owned(), opkey.map(str::to_owned));
-        if !floor.open(Task::new(slot, number, req, class, opkey, statement)) {
+        if !floor.open(Request::new(slot, number, req, class, opkey, statement)) {
             return Err((id, jsonrpc::BOUNCED, "too many tasks are open".into()));
         }
         match asks {
@@ -409,7 +413,7 @@
         self.floor.closed = Some(Vec::new());
     }
 
-    /// A task waits for its team's turn, or is turned away with the time after which such a one would be taken.
+    /// A request waits for its team's turn, or is turned away with the time after which such a one would be taken.
     fn knock(
         &mut self,
         now: Duration,
@@ -428,31 +432,31 @@
             margin: self.router.margin() * 2,
             asks_to_be_told: told,
         };
-        let task = arrival.task;
+        let request = arrival.request;
         let Some(Err(refusal)) = self.door.as_mut().map(|door| door.knock(now, arrival, knock)) else {
             return;
         };
-        self.floor.works.counters.count("tasks_refused_at_the_door");
-        log::debug!("task {task}: {:?}, back in {:?}", refusal.reason, refusal.retry_after);
+        self.floor.works.counters.count("requests_refused_at_the_door");
+        log::debug!("task {request}: {:?}, back in {:?}", refusal.reason, refusal.retry_after);
         let retry_after = self.longest_retry_after.map(|longest| refusal.retry_after.min(longest));
-        self.floor.bounce(task, retry_after);
+        self.floor.bounce(request, retry_after);
     }
 
-    /// Settles what was closed, hands on the next task that has room, and tells clients of their waits; tells
+    /// Settles what was closed, hands on the next request that has room, and tells clients of their waits; tells
     /// whether one was handed on.
     fn attend(&mut self) -> bool {
         let Some(door) = &mut self.door else { return false };
         let now = self.floor.works.now();
-        for (task, how) in self.floor.closed.as_mut().map(std::mem::take).unwrap_or_default() {
-            door.closed(now, task, how);
+        for (request, how) in self.floor.closed.as_mut().map(std::mem::take).unwrap_or_default() {
+            door.closed(now, request, how);
         }
         if let Some(arrival) = door.next(now, || self.router.room(now)) {
             self.router.accept(now, arrival, &mut self.floor);
             return true;
         }
-        for (task, wait) in door.to_tell(now) {
-            if let Some(task) = self.floor.tasks.get(task) {
-                self.floor.clients.say(task.client, &jsonrpc::waiting(task.id, &wait));
+        for (request, wait) in door.to_tell(now) {
+            if let Some(request) = self.floor.requests.get(request) {
+                self.floor.clients.say(request.client, &jsonrpc::waiting(request.id, &wait));
             }
         }
         // What opens by time alone is looked for by the decisions' own step.
@@ -501,7 +505,7 @@
     }
 
     /// No answer is owed any more.
-    fn withdraw(&mut self, number: TaskId) {
+    fn withdraw(&mut self, number: RequestId) {
         self.clients_left(vec![number], Vec::new());
     }
 
@@ -531,7 +535,7 @@
     }
 
     /// Takes a client's connection out; tells what was open on it.
-    fn part(&mut self, slot: Slot, why: &str) -> Vec<TaskId> {
+    fn part(&mut self, slot: Slot, why: &str) -> Vec<RequestId> {
         let Some(client) = self.floor.clients.take(slot) else { return Vec::new() };
         log::debug!("client {slot:?} over with {}: {why}", client.held());
         self.floor.works.timers.clear(client.due, Timer::Client(slot));
@@ -594,12 +598,12 @@
 
     /// Whether nothing is owed, as far as clients were heard.
     pub fn is_done(&self) -> bool {
-        let Floor { tasks, clients, engines, .. } = &self.floor;
-        tasks.is_empty() && clients.all_said() && engines.all_written()
+        let Floor { requests, clients, engines, .. } = &self.floor;
+        requests.is_empty() && clients.all_said() && engines.all_written()
     }
 }
 
-/// What a task says of its team, its urgency and whether its client wants to be told of its wait.
+/// What a request says of its team, its urgency and whether its client wants to be told of its wait.
 fn team_and_urgency(roll: &Roll, fields: Fields) -> Result<(usize, u8, bool), String> {
     let (team, urgency) = (roll.team_field.as_str(), roll.urgency_field.as_str());
     let name = fields.maybe(team).map(|_| fields.text(team)).transpose()?.unwrap_or_default();
@@ -615,7 +619,7 @@
     Ok((roll.team(name), urgency, told))
 }
 
-/// The index of what a task's order goes by. Two names that came to one would only wait for each other.
+/// The index of what a request's order goes by. Two names that came to one would only wait for each other.
 fn key(subject: &str) -> KeyId {
     let mut hasher = DefaultHasher::new();
     subject.hash(&mut hasher);
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -28,7 +28,7 @@
     Reload,
     /// A connection that was closed to a client is read no longer.
     Part(Slot),
-    /// Something changes among the tasks that wait for their team's turn.
+    /// Something changes among the requests that wait for their team's turn.
     Door,
 }
 
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -59,8 +59,8 @@
     ("reloads", 50),
     ("planned ends", 30),
     ("lives left", 10),
-    ("tasks_withdrawn", 500),
-    ("tasks_refused_at_the_door", 200),
+    ("requests_withdrawn", 500),
+    ("requests_refused_at_the_door", 200),
     ("hops_overloaded", 200),
     ("hops_failed", 100),
     ("hops_timed_out", 200),
@@ -181,7 +181,7 @@
     up: bool,
     coming: Vec<u8>,
     inbox: Vec<u8>,
-    /// Tasks that this engine has been sent.
+    /// Requests that this engine has been sent.
     calls: Vec<String>,
 }
 
@@ -275,7 +275,7 @@
                 self.close();
             }
         }
-        let owes = !self.front.floor.tasks.is_empty();
+        let owes = !self.front.floor.requests.is_empty();
         self.witness.note("end", u64::from(self.front.left), &[u8::from(owes)]);
         let counters = self.front.floor.works.counters.to_string();
         for (name, count) in counters.split(' ').filter_map(|counter| counter.split_once('=')) {
@@ -338,18 +338,18 @@
         (!speaking.is_empty()).then(|| self.chance.pick(&speaking))
     }
 
-    /// One task, now and then many at once, and now and then one with something wrong in it.
+    /// One request, now and then many at once, and now and then one with something wrong in it.
     fn client_asks(&mut self) {
         let Some(client) = self.any_client() else { return self.admit() };
         let count = if self.chance.one_in(12) { 12 } else { 1 };
         for _ in 0..count {
-            let line = self.task(client);
+            let line = self.request(client);
             self.clients[client].coming.extend(line);
         }
         self.witness.count("tasks asked");
     }
 
-    fn task(&mut self, client: usize) -> Vec<u8> {
+    fn request(&mut self, client: usize) -> Vec<u8> {
         let class = self.chance.pick(&CLASSES);
         let req = format!("{:016x}", self.next_req);
         self.next_req += 1;
--- a/crates/router/tests/front.rs
+++ b/crates/router/tests/front.rs
@@ -52,7 +52,7 @@
     ) + "\n"
 }
 
-/// The rule counts from a task's last byte, however late the router is to read it.
+/// The rule counts from a request's last byte, however late the router is to read it.
 #[test]
 fn patience_counts_from_when_a_line_came() {
     let mut front = front();
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -38,7 +38,7 @@
     settings(5000, 60_000).replace("2000.0", "40000.0")
 }
 
-/// The tasks of so many calls to an engine, and of those that come within a while after; each is answered.
+/// The requests of so many calls to an engine, and of those that come within a while after; each is answered.
 fn calls(engine: &mut Engine, awaited: usize) -> Vec<u64> {
     let mut heard = Vec::new();
     let wait = |heard: &Vec<u64>| if heard.len() < awaited { PATIENT } else { Duration::from_millis(300) };
@@ -52,7 +52,7 @@
     heard
 }
 
-/// One task fills the engine, others are held; their clients leave, each in its way, in the instant in which the
+/// One request fills the engine, others are held; their clients leave, each in its way, in the instant in which the
 /// first one's answer makes room.
 #[test]
 fn what_is_held_is_sent_for_nobody_however_its_client_leaves() {
@@ -90,7 +90,7 @@
         {"jsonrpc":"2.0","id":7,"result":{"data":"YQliCWMK"}}
         ended with Some(0): tasks_bounced=3 tasks_succeeded=2 tasks_withdrawn=2
     "#]]
-    .assert_eq(&house.end(&["tasks_bounced", "tasks_succeeded", "tasks_withdrawn"]));
+    .assert_eq(&house.end(&["requests_bounced", "requests_succeeded", "requests_withdrawn"]));
 }
 
 /// A client reads nothing, so nothing more is heard of it: meanwhile it asks for something and takes that back, and
@@ -99,7 +99,7 @@
 fn what_is_taken_back_before_its_turn_is_sent_for_nobody() {
     let mut house = House::open_within((64, 4096), "taken-back", 1, &settings(5000, 60_000));
     let (mut client, mut engine) = (house.client(), house.engine(0));
-    // As many connections to the engine as the tasks at the end find free.
+    // As many connections to the engine as the requests at the end find free.
     for id in 2001..=2004 {
         client.ask(id, "lookup", 60_000);
     }
@@ -139,10 +139,10 @@
         ended with Some(0): tasks_withdrawn=1
     "#]]
     .assert_eq(&house.end(&[
-        "tasks_withdrawn",
-        "tasks_withdrawn_unheard",
-        "tasks_bounced",
-        "tasks_given_up",
+        "requests_withdrawn",
+        "requests_withdrawn_unheard",
+        "requests_bounced",
+        "requests_given_up",
     ]));
 }
 
@@ -251,7 +251,7 @@
         sent then: []
         ended with Some(0): tasks_bounced=1
     "#]]
-    .assert_eq(&house.end(&["tasks_bounced"]));
+    .assert_eq(&house.end(&["requests_bounced"]));
 }
 
 /// A restart may end the process as a request stands in a socket, and in a connection that waits to be accepted.
@@ -264,7 +264,7 @@
     engine.takes(&mut house);
     house.signal("-TERM");
     house.logs("counters");
-    // An open task keeps it until then; from now on it ends once nothing is open.
+    // An open request keeps it until then; from now on it ends once nothing is open.
     std::thread::sleep(Duration::from_millis(750));
     let mut new = house.meanwhile(|house| {
         engine.say(1, "HIT", "pages=1", ROWS);
@@ -288,7 +288,7 @@
         closed
         ended with Some(0): tasks_succeeded=3
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "tasks_given_up", "tasks_bounced"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_given_up", "requests_bounced"]));
 }
 
 /// A client whose line has no end is told so and closed, with more of it in the socket.
@@ -405,7 +405,7 @@
         sent then: []
         ended with Some(0): tasks_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "tasks_given_up"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_given_up"]));
 }
 
 /// A drain, the reset of the connection that a call was written to, and the end of the process in one turn.
@@ -434,13 +434,13 @@
         sent then: []
         ended with Some(0): hops_sent=1 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["hops_sent", "tasks_given_up"]));
+    .assert_eq(&house.end(&["hops_sent", "requests_given_up"]));
 }
 
 /// Seen where the settings allow no second copy: what took a hop back and the next call went over two connections,
 /// and came in the other order.
 #[test]
-fn a_task_is_sent_again_once_its_engine_has_heard_that_it_was_taken_back() {
+fn a_request_is_sent_again_once_its_engine_has_heard_that_it_was_taken_back() {
     let apart = settings(400, 60_000).replace("\"mostTries\":3", "\"mostTries\":3,\"mayDuplicate\":false");
     let mut house = House::open("heard", 1, &apart);
     let (mut client, mut engine) = (house.client(), house.engine(0));
@@ -526,14 +526,14 @@
         ended with Some(0): clients_closed_for_room=12 tasks_succeeded=2
     "#]]
     .assert_eq(&house.end(&[
-        "tasks_succeeded",
-        "tasks_withdrawn",
+        "requests_succeeded",
+        "requests_withdrawn",
         "accepts_failed",
         "clients_closed_for_room",
     ]));
 }
 
-/// One team's tasks wait at the door; the client of one shuts its side, and closes.
+/// One team's requests wait at the door; the client of one shuts its side, and closes.
 #[test]
 fn what_waits_at_the_teams_door_is_bounced_once_its_client_has_left() {
     const ORDERS: &str = "{teams: {list: [{name: 'audit', share: 1, \
@@ -563,10 +563,10 @@
         sent then: []
         ended with Some(0): tasks_bounced=2 tasks_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["tasks_bounced", "tasks_succeeded", "tasks_withdrawn"]));
+    .assert_eq(&house.end(&["requests_bounced", "requests_succeeded", "requests_withdrawn"]));
 }
 
-/// A task that is known to wait at the door is taken back in the instant in which it would be handed on.
+/// A request that is known to wait at the door is taken back in the instant in which it would be handed on.
 #[test]
 fn what_waits_at_the_teams_door_is_handed_on_for_nobody_once_it_is_taken_back() {
     const ORDERS: &str = "{teams: {list: [{name: 'audit', share: 1, \
@@ -590,5 +590,5 @@
         sent then: []
         ended with Some(0): tasks_succeeded=1 tasks_withdrawn=2
     "#]]
-    .assert_eq(&house.end(&["tasks_bounced", "tasks_succeeded", "tasks_withdrawn"]));
+    .assert_eq(&house.end(&["requests_bounced", "requests_succeeded", "requests_withdrawn"]));
 }
--- a/crates/router/tests/sockets/house.rs
+++ b/crates/router/tests/sockets/house.rs
@@ -245,7 +245,7 @@
         self.ask_about("", id, method, timeout);
     }
 
-    /// A task with further fields.
+    /// A request with further fields.
     pub fn ask_about(&mut self, more: &str, id: u64, method: &str, timeout: u64) {
         self.say(Self::line(more, id, method, timeout).trim_end());
     }
@@ -275,7 +275,7 @@
 pub struct Engine {
     pub listener: TcpListener,
     pub sockets: Vec<(Option<TcpStream>, Vec<u8>)>,
-    /// The connection that each task came on last.
+    /// The connection that each request came on last.
     pub came_on: BTreeMap<String, usize>,
     pub heard: VecDeque<String>,
 }
@@ -343,7 +343,7 @@
         }
     }
 
-    /// The task of the next call, which is noted.
+    /// The request of the next call, which is noted.
     pub fn takes(&mut self, house: &mut House) -> u64 {
         let call = self.call();
         let id = u64::from_str_radix(&call[4..20], 16).expect("its name");
@@ -351,7 +351,7 @@
         id
     }
 
-    /// The connection that a task came on last.
+    /// The connection that a request came on last.
     pub fn of(&self, id: u64) -> usize {
         self.came_on.get(&format!("{id:016x}")).copied().unwrap_or_default()
     }
@@ -372,7 +372,7 @@
         socket.write_all(bytes).expect("it reads");
     }
 
-    /// Ends the connection that a task came on.
+    /// Ends the connection that a request came on.
     pub fn cut(&mut self, id: u64) {
         let at = self.of(id);
         self.sockets[at].0 = None;
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[test]
-fn a_task_is_served_page_by_page_and_the_end_is_planned() {
+fn a_request_is_served_page_by_page_and_the_end_is_planned() {
     let mut house = House::open("serve", 1, &settings(5000, 8000));
     let mut client = house.client();
     client.say(r#"{"jsonrpc":"2.0","id":1,"method":"status"}"#);
@@ -26,7 +26,8 @@
     engine.say(2, "PART", "page=2", "g\th\ti\n");
     engine.say(2, "PART", "page=1", "d\te\tf\n");
     house.note(client.hear());
-    let counters = ["tasks_taken", "tasks_succeeded", "hops_sent", "notes", "engine_answers_for_nothing"];
+    let counters =
+        ["requests_taken", "requests_succeeded", "hops_sent", "notes", "engine_answers_for_nothing"];
     expect![[r#"
         {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
@@ -55,7 +56,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
         ended with Some(0): hops_failed=1 hops_overloaded=1 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["hops_overloaded", "hops_failed", "tasks_given_up"]));
+    .assert_eq(&house.end(&["hops_overloaded", "hops_failed", "requests_given_up"]));
 }
 
 #[test]
@@ -79,7 +80,7 @@
         ended with Some(0): engine_answers_for_nothing=1 hops_timed_out=1 tasks_bounced=1
     "#]].assert_eq(&house.end(&[
         "hops_timed_out",
-        "tasks_bounced",
+        "requests_bounced",
         "engine_answers_for_nothing",
     ]));
 }
@@ -282,7 +283,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":2,"jsonrpc":"2.0"}
         DROP 0000000000000001, DROP 0000000000000002
         ended with Some(0): hops_withdrawn=2 tasks_bounced=1 tasks_given_up=1
-    "#]].assert_eq(&house.end(&["tasks_bounced", "tasks_given_up", "hops_withdrawn"]));
+    "#]].assert_eq(&house.end(&["requests_bounced", "requests_given_up", "hops_withdrawn"]));
 }
 
 const TEAMS: &str = r#"{
@@ -322,11 +323,11 @@
         {"jsonrpc":"2.0","id":4,"result":{"data":"MQkyCTMK"}}
         ended with Some(0): tasks_bounced=1 tasks_refused_at_the_door=1 tasks_succeeded=6
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "tasks_bounced", "tasks_refused_at_the_door"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_bounced", "requests_refused_at_the_door"]));
 }
 
 #[test]
-fn tasks_that_wait_for_their_team_are_answered_in_time_withdrawn_and_told() {
+fn requests_that_wait_for_their_team_are_answered_in_time_withdrawn_and_told() {
     let mut house = House::open_ordered("wait", 1, &settings(5000, 60_000), TEAMS);
     let mut client = house.client();
     let mut engine = house.engine(0);
@@ -364,7 +365,7 @@
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":5,"jsonrpc":"2.0"}
         ended with Some(0): tasks_bounced=4 tasks_withdrawn=1 held_tasks=0
-    "#]].assert_eq(&house.end(&["tasks_bounced", "tasks_withdrawn", "held_tasks"]));
+    "#]].assert_eq(&house.end(&["requests_bounced", "requests_withdrawn", "held_requests"]));
 }
 
 #[test]
@@ -408,7 +409,7 @@
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":3,"jsonrpc":"2.0"}
         {"jsonrpc":"2.0","id":4,"result":{"data":"MQkyCTMK"}}
         ended with Some(0): reloads=2 reloads_refused=1 tasks_succeeded=3
-    "#]].assert_eq(&house.end(&["tasks_succeeded", "reloads", "reloads_refused"]));
+    "#]].assert_eq(&house.end(&["requests_succeeded", "reloads", "reloads_refused"]));
 }
 
 #[test]
@@ -478,7 +479,7 @@
         {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
         {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
         ended with Some(0): client_input_refused=17 tasks_taken=32
-    "#]].assert_eq(&house.end(&["client_input_refused", "tasks_taken"]));
+    "#]].assert_eq(&house.end(&["client_input_refused", "requests_taken"]));
 }
 
 #[test]
@@ -521,7 +522,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":150,"jsonrpc":"2.0"}
         ended with Some(0): engine_input_malformed=6 hops_broken=6 tasks_given_up=6
     "#]]
-    .assert_eq(&house.end(&["engine_input_malformed", "hops_broken", "tasks_given_up"]));
+    .assert_eq(&house.end(&["engine_input_malformed", "hops_broken", "requests_given_up"]));
 }
 
 #[test]
@@ -586,7 +587,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":4,"jsonrpc":"2.0"}
         ended with Some(0): engine_input_malformed=4 hops_broken=4 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["engine_input_malformed", "hops_broken", "tasks_given_up"]));
+    .assert_eq(&house.end(&["engine_input_malformed", "hops_broken", "requests_given_up"]));
 }
 
 #[test]
@@ -674,7 +675,7 @@
         closed
         ended with Some(0): hops_withdrawn=2 tasks_succeeded=1 tasks_withdrawn=2
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "tasks_withdrawn", "hops_withdrawn"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_withdrawn", "hops_withdrawn"]));
 }
 
 #[test]
@@ -700,7 +701,7 @@
 }
 
 #[test]
-fn tasks_of_one_subject_run_one_at_a_time_in_the_order_taken() {
+fn requests_of_one_subject_run_one_at_a_time_in_the_order_taken() {
     let ordered = settings(5000, 8000).replace(r#""name":"post""#, r#""keepOrder":true,"name":"post""#);
     let mut house = House::open("order", 1, &ordered);
     let mut client = house.client();
@@ -720,7 +721,7 @@
         GET 0000000000000002 queue=post,mem=120,prio=2 select 1
         ended with Some(0): tasks_given_up=2 tasks_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "tasks_given_up"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_given_up"]));
 }
 
 #[test]
@@ -807,11 +808,11 @@
     "#]]
     .assert_eq(&house.end(&[
         "clients_too_slow",
-        "tasks_taken",
-        "tasks_succeeded",
-        "tasks_withdrawn",
-        "tasks_bounced",
-        "tasks_given_up",
+        "requests_taken",
+        "requests_succeeded",
+        "requests_withdrawn",
+        "requests_bounced",
+        "requests_given_up",
         "hops_sent",
         "engine_input_malformed",
     ]));
@@ -938,7 +939,7 @@
 }
 
 #[test]
-fn nothing_is_held_of_engines_clients_and_tasks_that_have_gone() {
+fn nothing_is_held_of_engines_clients_and_requests_that_have_gone() {
     let mut house = House::open("churn", 1, &settings(5000, 8000));
     let mut bulletin = house.bulletin();
     let address = house.engines[0].local_addr().expect("an address");
@@ -962,8 +963,8 @@
             client.hear();
         }
     }
-    let counters = ["tasks_succeeded", "clients_admitted", "engines_forgotten"];
-    let held = ["held_clients", "held_tasks", "held_hops", "held_engines", "held_links", "held_timers"];
+    let counters = ["requests_succeeded", "clients_admitted", "engines_forgotten"];
+    let held = ["held_clients", "held_requests", "held_hops", "held_engines", "held_links", "held_timers"];
     let told = house.end(&[&counters[..], &held].concat());
     let (told, timers) = told.trim().rsplit_once("held_timers=").expect("the last");
     let few = timers.parse::<u64>().is_ok_and(|count| count < 20);
@@ -1000,7 +1001,7 @@
 }
 
 /// Seen on days with bad clients: a connection that had just come was closed to make room for those behind it, and
-/// the task that stood there unread was lost.
+/// the request that stood there unread was lost.
 #[test]
 fn a_connection_with_something_unread_makes_no_room_for_others() {
     let mut house = House::open_within((64, 24), "unread", 1, &settings(5000, 8000));
@@ -1026,7 +1027,7 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
         ended with Some(0): tasks_succeeded=2
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "tasks_withdrawn"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_withdrawn"]));
 }
 
 #[test]
@@ -1095,5 +1096,5 @@
         20 whole answers in turn
         ended with Some(0): tasks_succeeded=20
     "#]]
-    .assert_eq(&house.end(&["tasks_succeeded", "a_second_answer"]));
+    .assert_eq(&house.end(&["requests_succeeded", "a_second_answer"]));
 }
--- a/crates/router/tests/unit/engines.rs
+++ b/crates/router/tests/unit/engines.rs
@@ -21,7 +21,7 @@
         let row = Row { id: 7, address, ready: true, gone: false, location, kind, cell, up_since_ms: 0 };
         let engine = engines.listed(&row, &mut works).engine;
         let call = Call {
-            task: 0,
+            request: 0,
             number: 0,
             id: "9b1f03aa5c7e2d41",
             class: "report",
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -1,4 +1,4 @@
-//! A stand-in client: it sends tasks of several kinds at a rate, reads the answers, and comes again after a
+//! A stand-in client: it sends requests of several kinds at a rate, reads the answers, and comes again after a
 //! bounce when it was told to. What it sends is the same for a seed; when it is answered is not.
 
 use crate::engine::{Run, Runs};
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// One kind of work that a client sends: tasks a second, their median work in milliseconds and memory in MB.
+/// One kind of work that a client sends: requests a second, their median work in milliseconds and memory in MB.
 #[derive(Clone, Copy, Debug)]
 pub struct Habit {
     pub traffic: &'static str,
@@ -107,7 +107,7 @@
         let mut again: Vec<(Instant, Open)> = Vec::new();
         let mut next = 1;
         let overdue =
-            |task: &Open| task.sent.elapsed() > Duration::from_millis(task.habit.patience_ms) + LAST;
+            |request: &Open| request.sent.elapsed() > Duration::from_millis(request.habit.patience_ms) + LAST;
         while !(ahead.is_empty() && again.is_empty() && open.values().all(overdue)) {
             // What found no room in its time is not sent later.
             if begun.elapsed() >= lasts {
@@ -131,18 +131,19 @@
                 );
             }
             let due = again.iter().position(|(at, _)| *at <= Instant::now() && open.len() < MOST_OPEN);
-            if let Some((_, mut task)) = due.map(|at| again.swap_remove(at)) {
+            if let Some((_, mut request)) = due.map(|at| again.swap_remove(at)) {
                 // With what is left of its patience.
-                let left = task.habit.patience_ms.saturating_sub(task.sent.elapsed().as_millis() as u64);
+                let left =
+                    request.habit.patience_ms.saturating_sub(request.sent.elapsed().as_millis() as u64);
                 if left == 0 {
-                    fates.push(self.fate(&task, How::Bounced, None));
+                    fates.push(self.fate(&request, How::Bounced, None));
                     continue;
                 }
                 let id = next;
                 next += 1;
-                (task.line["id"], task.line["params"]["timeout"]) = (json!(id), json!(left));
-                writeln!(socket.get_mut(), "{}", task.line)?;
-                open.insert(id, task);
+                (request.line["id"], request.line["params"]["timeout"]) = (json!(id), json!(left));
+                writeln!(socket.get_mut(), "{}", request.line)?;
+                open.insert(id, request);
             }
             match socket.read_until(b'\n', &mut line) {
                 Ok(0) => break,
@@ -154,24 +155,26 @@
                         let (least, likely, most) = (figure("leastMs"), figure("likelyMs"), figure("mostMs"));
                         let told = (Instant::now(), Told { least, likely, most, had: 0.0 });
                         let id = answer["params"]["id"].as_u64().unwrap_or_default();
-                        open.entry(id).and_modify(|task| task.told = task.told.or(Some(told)));
+                        open.entry(id).and_modify(|request| request.told = request.told.or(Some(told)));
                         continue;
                     }
-                    let Some(task) = answer["id"].as_u64().and_then(|id| open.remove(&id)) else { continue };
-                    self.answered(&answer, task, runs, &mut again, &mut fates);
+                    let Some(request) = answer["id"].as_u64().and_then(|id| open.remove(&id)) else {
+                        continue;
+                    };
+                    self.answered(&answer, request, runs, &mut again, &mut fates);
                 }
                 _ => {}
             }
         }
-        let left = open.into_values().chain(again.into_iter().map(|(_, task)| task));
-        fates.extend(left.map(|task| self.fate(&task, How::Unanswered, None)));
+        let left = open.into_values().chain(again.into_iter().map(|(_, request)| request));
+        fates.extend(left.map(|request| self.fate(&request, How::Unanswered, None)));
         Ok(fates)
     }
 
     fn answered(
         &self,
         answer: &Value,
-        mut task: Open,
+        mut request: Open,
         runs: &Runs,
         again: &mut Vec<(Instant, Open)>,
         fates: &mut Vec<Fate>,
@@ -182,25 +185,25 @@
             Some(-32000) => How::GivenUp,
             Some(_) => How::Refused,
         };
-        if how == How::Bounced && task.tries < self.tries {
+        if how == How::Bounced && request.tries < self.tries {
             let holdoff = answer["error"]["data"]["holdoff"].as_u64().unwrap_or(100);
-            (task.tries, task.told) = (task.tries + 1, None);
-            again.push((Instant::now() + Duration::from_millis(holdoff), task));
+            (request.tries, request.told) = (request.tries + 1, None);
+            again.push((Instant::now() + Duration::from_millis(holdoff), request));
             return;
         }
-        let run = runs.of(&task.req);
-        fates.push(self.fate(&task, how, run));
+        let run = runs.of(&request.req);
+        fates.push(self.fate(&request, how, run));
     }
 
-    fn fate(&self, task: &Open, how: How, run: Option<Run>) -> Fate {
+    fn fate(&self, request: &Open, how: How, run: Option<Run>) -> Fate {
         let began = run.map(|(began, _)| began);
-        let wait = began.map(|began| began.saturating_duration_since(task.sent));
-        let told = task.told.zip(began).map(|((at, told), began)| {
+        let wait = began.map(|began| began.saturating_duration_since(request.sent));
+        let told = request.told.zip(began).map(|((at, told), began)| {
             let had = began.saturating_duration_since(at).as_secs_f64();
             Told { had, ..told }
         });
         let run = run.and_then(|(began, ended)| Some(ended?.saturating_duration_since(began)));
-        let (traffic, urgent) = (task.habit.traffic, task.habit.urgency > 0);
-        Fate { team: self.team, traffic, how, wait, run, urgent, began, work: task.work, told }
+        let (traffic, urgent) = (request.habit.traffic, request.habit.urgency > 0);
+        Fate { team: self.team, traffic, how, wait, run, urgent, began, work: request.work, told }
     }
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -23,10 +23,10 @@
     pub gone: bool,
 }
 
-/// When a task began to run, and ended.
+/// When a request began to run, and ended.
 pub type Run = (Instant, Option<Instant>);
 
-/// The last runs of tasks, by id, as the engines saw them.
+/// The last runs of requests, by id, as the engines saw them.
 #[derive(Clone, Default)]
 pub struct Runs(Arc<Mutex<BTreeMap<String, Run>>>);
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The last run of a task.
+    /// The last run of a request.
     pub fn of(&self, id: &str) -> Option<Run> {
         self.0.lock().expect("nobody panics with it").get(id).copied()
     }
@@ -96,7 +96,7 @@
     load: Load,
     runs: Runs,
     links: Vec<Option<Link>>,
-    /// The connection that a task came on.
+    /// The connection that a request came on.
     from: BTreeMap<String, usize>,
     begun: Instant,
     results: u32,
@@ -182,7 +182,7 @@
                 self.from.iter().filter(|(_, by)| **by == at).map(|(id, _)| id.clone()).collect();
             for id in lost {
                 self.from.remove(&id);
-                self.load.drop_task(&id);
+                self.load.drop_request(&id);
             }
         }
     }
@@ -206,7 +206,7 @@
                 }
             }
             "DROP" => {
-                self.load.drop_task(word(1));
+                self.load.drop_request(word(1));
                 self.from.remove(word(1));
             }
             "PING" if !silent => self.say(at, &[b"0", b"PONG", b"-", b""]),
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A task that runs: its work in seconds of one core, what is left of it, and its memory.
+/// A request that runs: its work in seconds of one core, what is left of it, and its memory.
 #[derive(Clone, Debug)]
 struct Running {
     work: f64,
@@ -23,7 +23,7 @@
     running: BTreeMap<String, Running>,
 }
 
-/// A task that has run to its end.
+/// A request that has run to its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Done {
     pub id: String,
@@ -36,9 +36,9 @@
         Self { cores, memory_mb, pace: 1.0, at: Duration::ZERO, running: BTreeMap::new() }
     }
 
-    /// Takes a task that needs so much work and memory and was granted some; tells whether there was room.
+    /// Takes a request that needs so much work and memory and was granted some; tells whether there was room.
     pub fn take(&mut self, now: Duration, id: &str, work: f64, need_mb: f64, granted_mb: f64) -> bool {
-        let granted: f64 = self.running.values().map(|task| task.granted_mb).sum();
+        let granted: f64 = self.running.values().map(|request| request.granted_mb).sum();
         if granted + granted_mb > self.memory_mb {
             return false;
         }
@@ -47,15 +47,15 @@
         true
     }
 
-    pub fn drop_task(&mut self, id: &str) {
+    pub fn drop_request(&mut self, id: &str) {
         self.running.remove(id);
     }
 
-    /// Cores that one task has, and how much slower it runs for want of memory: once more for each part of its
+    /// Cores that one request has, and how much slower it runs for want of memory: once more for each part of its
     /// need that was not granted.
-    fn speed(&self, task: &Running) -> f64 {
+    fn speed(&self, request: &Running) -> f64 {
         let share = (self.cores / self.running.len() as f64).min(1.0);
-        let missing = (1.0 - task.granted_mb / task.need_mb.max(1.0)).clamp(0.0, 1.0);
+        let missing = (1.0 - request.granted_mb / request.need_mb.max(1.0)).clamp(0.0, 1.0);
         self.pace * share / (1.0 + missing)
     }
 
@@ -64,19 +64,23 @@
         let mut done = Vec::new();
         while self.at < now {
             let span = now.saturating_sub(self.at).as_secs_f64();
-            let ends = |task: &Running| task.left / self.speed(task).max(1e-9);
+            let ends = |request: &Running| request.left / self.speed(request).max(1e-9);
             let first = self.running.values().map(ends).fold(span, f64::min);
-            let speeds: Vec<f64> = self.running.values().map(|task| self.speed(task)).collect();
-            for (task, speed) in self.running.values_mut().zip(speeds) {
-                task.left -= speed * first;
+            let speeds: Vec<f64> = self.running.values().map(|request| self.speed(request)).collect();
+            for (request, speed) in self.running.values_mut().zip(speeds) {
+                request.left -= speed * first;
             }
             // At least a nanosecond, so that it comes to an end.
             self.at = if first >= span { now } else { self.at + Duration::from_secs_f64(first.max(1e-9)) };
-            let over: Vec<String> =
-                self.running.iter().filter(|(_, task)| task.left <= 1e-9).map(|(id, _)| id.clone()).collect();
+            let over: Vec<String> = self
+                .running
+                .iter()
+                .filter(|(_, request)| request.left <= 1e-9)
+                .map(|(id, _)| id.clone())
+                .collect();
             for id in over {
-                let Some(task) = self.running.remove(&id) else { continue };
-                done.push(Done { id, work: task.work, need_mb: task.need_mb });
+                let Some(request) = self.running.remove(&id) else { continue };
+                done.push(Done { id, work: request.work, need_mb: request.need_mb });
             }
         }
         done
--- a/crates/standins/src/skewed.rs
+++ b/crates/standins/src/skewed.rs
@@ -13,7 +13,7 @@
 const ENGINES: u32 = 3;
 
 /// Three engines of four cores do some 12 seconds of work in one: a share is 3. The flood sends 30, the others a
-/// little more than theirs; a tenth of a team's tasks are urgent look-ups.
+/// little more than theirs; a tenth of a team's requests are urgent look-ups.
 fn clients(seed: u64) -> Vec<Client> {
     // The flood comes on four connections, since one carries only so many open requests.
     let sends = [("audit", 2.5); 4].into_iter().chain(TEAMS[1..].iter().map(|team| (*team, 1.2)));
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -168,7 +168,7 @@
         (Some(_), None) => Err(rules.field(name)?.fault("stands without `countedOverMs`")),
         (extra, _) => Ok(extra.unwrap_or(0.0)),
     };
-    let (spare, per_task) = (extra("spareAttempts")?, extra("extraPerRequest")?);
+    let (spare, per_request) = (extra("spareAttempts")?, extra("extraPerRequest")?);
     let longest = caps.optional("maxRetryAfterMs", Fields::time)?;
     Ok(Duties {
         most_hops: caps.count("mostTries")?,
@@ -179,7 +179,7 @@
         overload_factor: rules.positive("overloadFactor")?,
         fall: rules.positive_time("fallMs")?,
         key_rest: rules.optional("keyQuietMs", Fields::time)?,
-        hop_budget: over.map(|over| HopBudget { spare, per_task, over }),
+        hop_budget: over.map(|over| HopBudget { spare, per_request, over }),
         longest_retry_after: caps.flag("retryAfter")?.then_some(longest).flatten(),
     })
 }
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What one decision costs with many teams and very many tasks: a task that comes and one that goes, an estimate,
-//! and what each waiting task holds in memory.
+//! What one decision costs with many teams and very many requests: a request that comes and one that goes, an estimate,
+//! and what each waiting request holds in memory.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use emberflow_teams::{Allowance, Asking, Charter, Firm, Outcome, Queues, Team};
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 const TEAMS: usize = 1000;
-const TASKS: u32 = 100_000;
+const REQUESTS: u32 = 100_000;
 
-fn asking(task: u32) -> Asking {
+fn asking(request: u32) -> Asking {
     Asking {
-        task,
-        team: (task as usize * 7919) % TEAMS,
-        urgency: task.is_multiple_of(11).into(),
-        traffic: (task % 5) as u16,
-        work: Duration::from_millis(20 + u64::from(task) % 400),
+        request,
+        team: (request as usize * 7919) % TEAMS,
+        urgency: request.is_multiple_of(11).into(),
+        traffic: (request % 5) as u16,
+        work: Duration::from_millis(20 + u64::from(request) % 400),
         target: Duration::from_secs(2),
         patience: Duration::from_secs(3600),
-        identity: Some(task.into()),
+        identity: Some(request.into()),
         key: None,
     }
 }
@@ -37,8 +37,8 @@
     };
     let charter = Charter { firms: vec![Firm { share: 1.0 }; 20], teams: (0..TEAMS).map(team).collect() };
     let mut queues = Queues::new(charter, Duration::ZERO);
-    for task in 0..TASKS {
-        queues.arrive(Duration::from_micros(task.into()), asking(task)).expect("there is room");
+    for request in 0..REQUESTS {
+        queues.arrive(Duration::from_micros(request.into()), asking(request)).expect("there is room");
     }
     queues
 }
@@ -52,14 +52,14 @@
 fn decisions(criterion: &mut Criterion) {
     let before = resident_kb();
     let mut queues = filled();
-    println!("a waiting task holds {} bytes", (resident_kb() - before) * 1024 / u64::from(TASKS));
-    let (mut now, mut next) = (Duration::from_secs(1), TASKS);
+    println!("a waiting task holds {} bytes", (resident_kb() - before) * 1024 / u64::from(REQUESTS));
+    let (mut now, mut next) = (Duration::from_secs(1), REQUESTS);
     criterion.bench_function("three decisions: one comes, one goes, one ends", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
-            let task = queues.turns().next().expect("something waits");
-            queues.let_go(now, task);
-            queues.settle(now, task, Outcome::Billed(Duration::from_millis(50)));
+            let request = queues.turns().next().expect("something waits");
+            queues.let_go(now, request);
+            queues.settle(now, request, Outcome::Billed(Duration::from_millis(50)));
             queues.arrive(now, asking(next)).expect("there is room");
             next += 1;
         });
@@ -68,19 +68,19 @@
     criterion.bench_function("one goes", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
-            let task = queues.turns().next().expect("something waits");
-            queues.let_go(now, task);
-            out.push(task);
-            if queues.len() < TASKS as usize / 2 {
-                for task in out.drain(..) {
-                    queues.take_back(now, task);
+            let request = queues.turns().next().expect("something waits");
+            queues.let_go(now, request);
+            out.push(request);
+            if queues.len() < REQUESTS as usize / 2 {
+                for request in out.drain(..) {
+                    queues.take_back(now, request);
                 }
             }
         });
     });
     criterion.bench_function("an estimate", |bencher| {
-        let task = queues.turns().nth(500).expect("something waits");
-        bencher.iter(|| black_box(queues.wait(now, task)));
+        let request = queues.turns().nth(500).expect("something waits");
+        bencher.iter(|| black_box(queues.wait(now, request)));
     });
 }
 
--- a/crates/teams/examples/compare.rs
+++ b/crates/teams/examples/compare.rs
@@ -21,7 +21,7 @@
 
 impl Policy for Rounds {
     fn arrive(&mut self, _: Duration, asking: Asking) -> bool {
-        self.lines[asking.team].push_back((asking.task, asking.work.as_secs_f64()));
+        self.lines[asking.team].push_back((asking.request, asking.work.as_secs_f64()));
         true
     }
     fn next(&mut self, _: Duration) -> Option<Ticket> {
@@ -31,10 +31,10 @@
         loop {
             let at = self.at;
             match self.lines[at].front().copied() {
-                Some((task, work)) if work <= self.credit[at] => {
+                Some((request, work)) if work <= self.credit[at] => {
                     self.credit[at] -= work;
                     self.lines[at].pop_front();
-                    return Some(task);
+                    return Some(request);
                 }
                 Some(_) => {}
                 None => self.credit[at] = 0.0,
@@ -43,8 +43,8 @@
             self.credit[self.at] += self.quantum * self.shares[self.at];
         }
     }
-    fn left(&mut self, _: Duration, task: Ticket) {
-        self.lines.iter_mut().for_each(|line| line.retain(|(other, _)| *other != task));
+    fn left(&mut self, _: Duration, request: Ticket) {
+        self.lines.iter_mut().for_each(|line| line.retain(|(other, _)| *other != request));
     }
     fn ended(&mut self, _: Duration, _: Ticket, _: Duration) {}
 }
@@ -58,7 +58,7 @@
 
 impl Policy for Lottery {
     fn arrive(&mut self, _: Duration, asking: Asking) -> bool {
-        self.lines[asking.team].push_back(asking.task);
+        self.lines[asking.team].push_back(asking.request);
         true
     }
     fn next(&mut self, _: Duration) -> Option<Ticket> {
@@ -71,8 +71,8 @@
         });
         drawn.and_then(|at| self.lines[at].pop_front())
     }
-    fn left(&mut self, _: Duration, task: Ticket) {
-        self.lines.iter_mut().for_each(|line| line.retain(|other| *other != task));
+    fn left(&mut self, _: Duration, request: Ticket) {
+        self.lines.iter_mut().for_each(|line| line.retain(|other| *other != request));
     }
     fn ended(&mut self, _: Duration, _: Ticket, _: Duration) {}
 }
--- a/crates/teams/src/budget.rs
+++ b/crates/teams/src/budget.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowance: Allowance,
-    /// What is left, in seconds of work; below 0 after a task larger than all of it.
+    /// What is left, in seconds of work; below 0 after a request larger than all of it.
     left: f64,
     at: Duration,
 }
@@ -49,7 +49,7 @@
         self.left
     }
 
-    /// When it bears a task of so many seconds of work: now, or once enough has come; a task larger than the
+    /// When it bears a request of so many seconds of work: now, or once enough has come; a request larger than the
     /// burst, once that is full.
     pub fn bears_at(&self, work: f64) -> Duration {
         let missing = work.min(self.allowance.burst.as_secs_f64()) - self.left;
--- a/crates/teams/src/charter.rs
+++ b/crates/teams/src/charter.rs
@@ -22,7 +22,7 @@
     /// Against those of the firm's other teams.
     pub share: f64,
     pub allowance: Option<Allowance>,
-    /// Tasks of it that may wait.
+    /// Requests of it that may wait.
     pub most_waiting: usize,
 }
 
--- a/crates/teams/src/order.rs
+++ b/crates/teams/src/order.rs
@@ -1,10 +1,10 @@
 //! The order of turns: start-time fair queueing of firms, and of the teams within each, by the work that was let
-//! go for them against their shares. It knows nothing of tasks but their work.
+//! go for them against their shares. It knows nothing of requests but their work.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// Whether a budget bears the next task; one that does not stands behind all that do.
+/// Whether a budget bears the next request; one that does not stands behind all that do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Band {
     Within,
--- a/crates/teams/src/queues.rs
+++ b/crates/teams/src/queues.rs
@@ -10,24 +10,24 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A task's number, as its owner counts.
+/// A request's number, as its owner counts.
 pub type Ticket = u32;
 
 /// Urgency beyond this says no more.
 pub const MOST_URGENT: u8 = 3;
-/// Ground that a task may gain by urgency and age together, in tasks like it: what its team may be ahead by.
+/// Ground that a request may gain by urgency and age together, in requests like it: what its team may be ahead by.
 const MOST_GROUND: u32 = 4;
 /// One turn in so many of a team goes to what has waited longest for its target, however urgent the rest.
 const PASSED_BY: u32 = 8;
-/// Tasks that are tried before it is left at that.
+/// Requests that are tried before it is left at that.
 const TRIED: usize = 32;
-/// Tasks that are remembered after their end, so that a repeat is charged as the same one.
+/// Requests that are remembered after their end, so that a repeat is charged as the same one.
 const REMEMBERED: usize = 4096;
 
-/// A task that wants a turn.
+/// A request that wants a turn.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Asking {
-    pub task: Ticket,
+    pub request: Ticket,
     /// By the charter.
     pub team: usize,
     /// 0 for ordinary work.
@@ -39,9 +39,9 @@
     pub target: Duration,
     /// From its arrival; what can't be run within is turned away at once.
     pub patience: Duration,
-    /// The same for a task and its repeats.
+    /// The same for a request and its repeats.
     pub identity: Option<u64>,
-    /// Tasks of one key go in the order in which they came, whatever their teams.
+    /// Requests of one key go in the order in which they came, whatever their teams.
     pub key: Option<u64>,
 }
 
@@ -53,14 +53,14 @@
     Hopeless,
 }
 
-/// Turned away; such a task would be taken in `retry_after`.
+/// Turned away; such a request would be taken in `retry_after`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
     pub reason: Reason,
     pub retry_after: Duration,
 }
 
-/// What came of a task that was let go.
+/// What came of a request that was let go.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// It came to so much work.
@@ -75,7 +75,7 @@
 /// By arrival; the second tells apart what came at the same time.
 type Turn = (Duration, u64);
 
-/// What is kept of a task; there may be very many.
+/// What is kept of a request; there may be very many.
 #[derive(Clone, Debug)]
 struct Waiting {
     turn: Turn,
@@ -110,13 +110,13 @@
     due: Option<Duration>,
     /// Charged for what is out, in seconds.
     out: f64,
-    /// Tasks that are out.
+    /// Requests that are out.
     going: usize,
-    /// Tasks that were let go.
+    /// Requests that were let go.
     turns: u32,
     /// Among the teams of its firm.
     place: usize,
-    /// The ground of its next task, in seconds.
+    /// The ground of its next request, in seconds.
     gained: f64,
 }
 
@@ -139,7 +139,7 @@
     /// Seconds charged by identity, and identities by age.
     known: HashMap<u64, f64>,
     ages: VecDeque<u64>,
-    /// Keys of waiting tasks, and what waits of each key.
+    /// Keys of waiting requests, and what waits of each key.
     keyed: HashMap<Ticket, u64>,
     keys: HashMap<u64, BTreeMap<Turn, Ticket>>,
     due: BTreeSet<(Duration, usize)>,
@@ -190,7 +190,7 @@
 
     // ---- what comes ----
 
-    /// Takes a task in, or turns it away with the time after which such a one would be taken.
+    /// Takes a request in, or turns it away with the time after which such a one would be taken.
     pub fn arrive(&mut self, now: Duration, asking: Asking) -> Result<(), Refusal> {
         let asking = Asking { urgency: asking.urgency.min(MOST_URGENT), ..asking };
         self.pass(now);
@@ -204,35 +204,35 @@
             let retry_after = (wait_or_none + asking.work).saturating_sub(asking.patience);
             return Err(Refusal { reason: Reason::Hopeless, retry_after });
         }
-        let Asking { task, team, urgency, traffic, work, target, identity, key, .. } = asking;
+        let Asking { request, team, urgency, traffic, work, target, identity, key, .. } = asking;
         let turn = (now, self.turns);
         let (team, reckoned) = (team as u32, reckoned.map(|seconds| seconds as f32));
         self.turns += 1;
-        self.keyed.extend(key.map(|key| (task, key)));
-        self.enter(now, task, Waiting { turn, target, work, identity, reckoned, team, traffic, urgency });
+        self.keyed.extend(key.map(|key| (request, key)));
+        self.enter(now, request, Waiting { turn, target, work, identity, reckoned, team, traffic, urgency });
         Ok(())
     }
 
-    fn enter(&mut self, now: Duration, task: Ticket, waiting: Waiting) {
+    fn enter(&mut self, now: Duration, request: Ticket, waiting: Waiting) {
         let (team, work) = (waiting.team(), waiting.work);
         let line = &mut self.lines[team];
-        line.lanes.entry(waiting.lane()).or_default().insert(waiting.turn, task);
+        line.lanes.entry(waiting.lane()).or_default().insert(waiting.turn, request);
         line.count += 1;
         line.work[usize::from(waiting.urgency)] += work;
         let firm = self.charter.teams[team].firm;
         self.backlog[firm] += work;
         self.busy[firm].insert(team);
-        if let Some(key) = self.keyed.get(&task) {
-            self.keys.entry(*key).or_default().insert(waiting.turn, task);
+        if let Some(key) = self.keyed.get(&request) {
+            self.keys.entry(*key).or_default().insert(waiting.turn, request);
         }
-        self.waiting.insert(task, waiting);
+        self.waiting.insert(request, waiting);
         self.place(now, team);
     }
 
-    /// Takes a task out of its line, whose place is to be looked at then.
-    fn take(&mut self, task: Ticket) -> Option<Waiting> {
-        let waiting = self.waiting.swap_remove(&task)?;
-        if let Some(key) = self.keyed.get(&task)
+    /// Takes a request out of its line, whose place is to be looked at then.
+    fn take(&mut self, request: Ticket) -> Option<Waiting> {
+        let waiting = self.waiting.swap_remove(&request)?;
+        if let Some(key) = self.keyed.get(&request)
             && let Some(alike) = self.keys.get_mut(key)
         {
             alike.remove(&waiting.turn);
@@ -258,22 +258,22 @@
         Some(waiting)
     }
 
-    /// A waiting task's client has left.
-    pub fn leave(&mut self, now: Duration, task: Ticket) -> bool {
-        let taken = self.take(task);
-        self.keyed.remove(&task);
+    /// A waiting request's client has left.
+    pub fn leave(&mut self, now: Duration, request: Ticket) -> bool {
+        let taken = self.take(request);
+        self.keyed.remove(&request);
         taken.as_ref().map(Waiting::team).inspect(|team| self.place(now, *team)).is_some()
     }
 
-    /// A task goes on: its team's turn, charged as expected. A repeat is charged for what it adds.
-    pub fn let_go(&mut self, now: Duration, task: Ticket) -> bool {
+    /// A request goes on: its team's turn, charged as expected. A repeat is charged for what it adds.
+    pub fn let_go(&mut self, now: Duration, request: Ticket) -> bool {
         self.pass(now);
-        let Some(team) = self.waiting.get(&task).map(Waiting::team) else { return false };
+        let Some(team) = self.waiting.get(&request).map(Waiting::team) else { return false };
         let (firm, place) = (self.charter.teams[team].firm, self.lines[team].place);
         self.firms.turn(firm);
         self.teams[firm].turn(place);
         self.lines[team].turns = self.lines[team].turns.wrapping_add(1);
-        let Some(waiting) = self.take(task) else { return false };
+        let Some(waiting) = self.take(request) else { return false };
         let known = waiting.identity.and_then(|identity| self.known.get(&identity)).copied().unwrap_or(0.0);
         let charged = (waiting.work.as_secs_f64() - known).max(0.0);
         self.charge(now, team, charged);
@@ -285,7 +285,7 @@
             now - waiting.turn.0,
             waiting.reckoned.map(f64::from),
         );
-        self.out.insert(task, Out { waiting, charged });
+        self.out.insert(request, Out { waiting, charged });
         true
     }
 
@@ -301,9 +301,9 @@
     }
 
     /// What was let go has ended: its charge becomes what it came to.
-    pub fn settle(&mut self, now: Duration, task: Ticket, outcome: Outcome) {
-        let Some(Out { waiting, charged }) = self.out.swap_remove(&task) else { return };
-        self.keyed.remove(&task);
+    pub fn settle(&mut self, now: Duration, request: Ticket, outcome: Outcome) {
+        let Some(Out { waiting, charged }) = self.out.swap_remove(&request) else { return };
+        self.keyed.remove(&request);
         let team = waiting.team();
         self.put_down(team, charged);
         let came_to = match outcome {
@@ -326,17 +326,17 @@
         }
     }
 
-    /// A task that was let go and has not been sent waits again, as old as it is.
-    pub fn take_back(&mut self, now: Duration, task: Ticket) -> bool {
-        let Some(Out { waiting, charged }) = self.out.swap_remove(&task) else { return false };
+    /// A request that was let go and has not been sent waits again, as old as it is.
+    pub fn take_back(&mut self, now: Duration, request: Ticket) -> bool {
+        let Some(Out { waiting, charged }) = self.out.swap_remove(&request) else { return false };
         self.put_down(waiting.team(), charged);
         self.charge(now, waiting.team(), -charged);
         self.pace.correct(-waiting.work.as_secs_f64());
-        self.enter(now, task, waiting);
+        self.enter(now, request, waiting);
         true
     }
 
-    /// What was charged for a task is no longer out.
+    /// What was charged for a request is no longer out.
     fn put_down(&mut self, team: usize, charged: f64) {
         let line = &mut self.lines[team];
         line.out -= charged;
@@ -364,19 +364,19 @@
                 self.lines[to].budget = Some(budget);
             }
         }
-        for (task, Out { mut waiting, charged }) in old.out {
+        for (request, Out { mut waiting, charged }) in old.out {
             let to = team(waiting.team());
             waiting.team = to as u32;
             self.lines[to].out += charged;
             self.lines[to].going += 1;
-            self.out.insert(task, Out { waiting, charged });
+            self.out.insert(request, Out { waiting, charged });
         }
         // In the order of arrival, whatever the table's.
         let mut waiting: Vec<(Ticket, Waiting)> = old.waiting.into_iter().collect();
         waiting.sort_unstable_by_key(|(_, waiting)| waiting.turn);
-        for (task, mut waiting) in waiting {
+        for (request, mut waiting) in waiting {
             waiting.team = team(waiting.team()) as u32;
-            self.enter(now, task, waiting);
+            self.enter(now, request, waiting);
         }
     }
 
@@ -394,7 +394,7 @@
         }
     }
 
-    /// The ground that a task has gained, and when it gains more.
+    /// The ground that a request has gained, and when it gains more.
     fn ground(now: Duration, waiting: &Waiting) -> (u32, Option<Duration>) {
         let (since, urgency) = (now.saturating_sub(waiting.turn.0), u32::from(waiting.urgency));
         let target = waiting.target.max(Duration::from_nanos(1));
@@ -403,7 +403,7 @@
         (ground, (ground < MOST_GROUND).then(|| waiting.turn.0 + target * (aged + 1)))
     }
 
-    /// The first task of each of a team's lanes in the order in which they are to go: the most urgent, and of
+    /// The first request of each of a team's lanes in the order in which they are to go: the most urgent, and of
     /// those the one that is to be done first; but in every so many turns the one that is to be done first of
     /// all, so that nothing urgent keeps the rest waiting for ever.
     fn heads(&self, team: usize) -> Vec<Ticket> {
@@ -411,14 +411,14 @@
         let for_all = line.turns % PASSED_BY == PASSED_BY - 1;
         let heads = line.lanes.values().filter_map(|lane| lane.first_key_value());
         let mut heads: Vec<_> = heads
-            .map(|(turn, task)| {
-                let waiting = &self.waiting[task];
+            .map(|(turn, request)| {
+                let waiting = &self.waiting[request];
                 let urgency = if for_all { 0 } else { waiting.urgency };
-                (Reverse(urgency), waiting.turn.0 + waiting.target, *turn, *task)
+                (Reverse(urgency), waiting.turn.0 + waiting.target, *turn, *request)
             })
             .collect();
         heads.sort_unstable();
-        heads.into_iter().map(|(.., task)| task).collect()
+        heads.into_iter().map(|(.., request)| request).collect()
     }
 
     /// Puts a team where it now stands among those of its firm, and the firm among firms.
@@ -432,7 +432,8 @@
         match heads.first() {
             None => self.teams[firm].wants_nothing(place),
             Some(head) => {
-                let more = heads.iter().filter_map(|task| Self::ground(now, &self.waiting[task]).1).min();
+                let more =
+                    heads.iter().filter_map(|request| Self::ground(now, &self.waiting[request]).1).min();
                 let ground = Self::ground(now, &self.waiting[head]).0;
                 let work = self.waiting[head].work.as_secs_f64();
                 let budget = self.lines[team].budget.as_ref();
@@ -465,7 +466,7 @@
 
     // ---- what is told ----
 
-    /// The tasks whose turn is next, the first first: by firms, teams, and the lanes of each.
+    /// The requests whose turn is next, the first first: by firms, teams, and the lanes of each.
     pub fn turns(&self) -> impl Iterator<Item = Ticket> {
         let teams = self.firms.turns().flat_map(|firm| {
             let roll = &self.roll[firm];
@@ -474,16 +475,16 @@
         teams.flat_map(|team| self.heads(team))
     }
 
-    /// The task whose turn it is among those that `fit`. One of a key stands back for those of its key that came
+    /// The request whose turn it is among those that `fit`. One of a key stands back for those of its key that came
     /// before it, which then go at its turn.
     pub fn next(&self, mut fit: impl FnMut(Ticket) -> bool) -> Option<Ticket> {
-        self.turns().take(TRIED).map(|task| self.first_of_key(task)).find(|task| fit(*task))
+        self.turns().take(TRIED).map(|request| self.first_of_key(request)).find(|request| fit(*request))
     }
 
-    /// The first of a waiting task's key that waits, or itself: whatever makes a task go, that one goes first.
-    pub fn first_of_key(&self, task: Ticket) -> Ticket {
-        let alike = self.keyed.get(&task).and_then(|key| self.keys.get(key));
-        alike.and_then(|alike| alike.first_key_value()).map_or(task, |(_, first)| *first)
+    /// The first of a waiting request's key that waits, or itself: whatever makes a request go, that one goes first.
+    pub fn first_of_key(&self, request: Ticket) -> Ticket {
+        let alike = self.keyed.get(&request).and_then(|key| self.keys.get(key));
+        alike.and_then(|alike| alike.first_key_value()).map_or(request, |(_, first)| *first)
     }
 
     pub fn is_empty(&self) -> bool {
@@ -503,11 +504,11 @@
             let left = line.budget.as_ref().map(|budget| (budget.left_at(now) * 1e6).round() as i64);
             (left, line.turns % PASSED_BY, line.gained.to_bits()).hash(into);
             for (lane, turns) in &line.lanes {
-                let waits = turns.iter().map(|((since, _), task)| (now.saturating_sub(*since), task));
+                let waits = turns.iter().map(|((since, _), request)| (now.saturating_sub(*since), request));
                 (lane, waits.collect::<Vec<_>>()).hash(into);
             }
         }
-        let out = self.out.iter().map(|(task, out)| (*task, out.waiting.team, out.charged.to_bits()));
+        let out = self.out.iter().map(|(request, out)| (*request, out.waiting.team, out.charged.to_bits()));
         out.collect::<BTreeSet<_>>().hash(into);
         self.ages.iter().for_each(|known| (known, self.known[known].to_bits()).hash(into));
     }
@@ -522,9 +523,9 @@
         self.lines[team].budget.as_ref().map(Budget::left)
     }
 
-    /// How long a waiting task will wait yet; none while nothing is known of the pace.
-    pub fn wait(&self, now: Duration, task: Ticket) -> Option<Wait> {
-        let waiting = self.waiting.get(&task)?;
+    /// How long a waiting request will wait yet; none while nothing is known of the pace.
+    pub fn wait(&self, now: Duration, request: Ticket) -> Option<Wait> {
+        let waiting = self.waiting.get(&request)?;
         let (team, urgency) = (waiting.team(), waiting.urgency);
         let reckoned = self.reckon(now, team, urgency, Some(waiting.turn))?;
         let before = |(lane, turns): (&Lane, &BTreeMap<Turn, Ticket>)| match lane.0.0.cmp(&urgency) {
@@ -535,7 +536,7 @@
         Some(self.pace.told(reckoned, self.lines[team].lanes.iter().map(before).sum()))
     }
 
-    /// Seconds until the turn of a task that stands at `turn`, or comes now: its team's work before it, and what
+    /// Seconds until the turn of a request that stands at `turn`, or comes now: its team's work before it, and what
     /// the others will have had by then, at the pace of late.
     fn reckon(&self, now: Duration, team: usize, urgency: u8, turn: Option<Turn>) -> Option<f64> {
         let rate = self.pace.rate(now)?;
@@ -548,7 +549,7 @@
             Some(turn) => {
                 let lanes = line.lanes.iter().filter(|(lane, _)| lane.0.0 == urgency);
                 let before = lanes.flat_map(|(_, turns)| turns.range(..turn));
-                before.map(|(_, task)| self.waiting[task].work).sum()
+                before.map(|(_, request)| self.waiting[request].work).sum()
             }
         };
         let own = (more_urgent + alike).as_secs_f64();
--- a/crates/teams/src/waits.rs
+++ b/crates/teams/src/waits.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A wait as it is told: nine in ten should fall within `least` and `most`; `place` counts the tasks of the same
+/// A wait as it is told: nine in ten should fall within `least` and `most`; `place` counts the requests of the same
 /// team that stand before it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wait {
--- a/crates/teams/tests/day/mod.rs
+++ b/crates/teams/tests/day/mod.rs
@@ -1,4 +1,4 @@
-//! A day in virtual time: teams that send what they like, servers that run one task each, and a policy between.
+//! A day in virtual time: teams that send what they like, servers that run one request each, and a policy between.
 
 use emberflow_teams::*;
 use rand::rngs::StdRng;
@@ -11,7 +11,7 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// What a team sends: tasks a second, their median work in seconds, how many in a hundred are urgent ones of a
+/// What a team sends: requests a second, their median work in seconds, how many in a hundred are urgent ones of a
 /// tenth of that work.
 #[derive(Clone, Copy)]
 pub struct Habit {
@@ -26,7 +26,7 @@
     pub lasts: f64,
     pub target: f64,
     pub patience: f64,
-    /// The work that a task comes to against what was expected.
+    /// The work that a request comes to against what was expected.
     pub off: f64,
     pub seed: u64,
 }
@@ -35,8 +35,8 @@
 pub trait Policy {
     fn arrive(&mut self, now: Duration, asking: Asking) -> bool;
     fn next(&mut self, now: Duration) -> Option<Ticket>;
-    fn left(&mut self, now: Duration, task: Ticket);
-    fn ended(&mut self, now: Duration, task: Ticket, work: Duration);
+    fn left(&mut self, now: Duration, request: Ticket);
+    fn ended(&mut self, now: Duration, request: Ticket, work: Duration);
     fn told(&self, _: Duration, _: Ticket) -> Option<Wait> {
         None
     }
@@ -50,14 +50,14 @@
         let next = self.turns().next()?;
         self.let_go(now, next).then_some(next)
     }
-    fn left(&mut self, now: Duration, task: Ticket) {
-        self.leave(now, task);
+    fn left(&mut self, now: Duration, request: Ticket) {
+        self.leave(now, request);
     }
-    fn ended(&mut self, now: Duration, task: Ticket, work: Duration) {
-        self.settle(now, task, Outcome::Billed(work));
+    fn ended(&mut self, now: Duration, request: Ticket, work: Duration) {
+        self.settle(now, request, Outcome::Billed(work));
     }
-    fn told(&self, now: Duration, task: Ticket) -> Option<Wait> {
-        self.wait(now, task)
+    fn told(&self, now: Duration, request: Ticket) -> Option<Wait> {
+        self.wait(now, request)
     }
 }
 
@@ -67,14 +67,14 @@
 
 impl Policy for Fifo {
     fn arrive(&mut self, _: Duration, asking: Asking) -> bool {
-        self.0.push_back(asking.task);
+        self.0.push_back(asking.request);
         true
     }
     fn next(&mut self, _: Duration) -> Option<Ticket> {
         self.0.pop_front()
     }
-    fn left(&mut self, _: Duration, task: Ticket) {
-        self.0.retain(|other| *other != task);
+    fn left(&mut self, _: Duration, request: Ticket) {
+        self.0.retain(|other| *other != request);
     }
     fn ended(&mut self, _: Duration, _: Ticket, _: Duration) {}
 }
@@ -129,7 +129,7 @@
         }
     }
     sent.sort_by_key(|(at, team, ..)| (*at, *team));
-    let mut tasks: BTreeMap<Ticket, Asked> = BTreeMap::new();
+    let mut requests: BTreeMap<Ticket, Asked> = BTreeMap::new();
     let mut running: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
     let mut patience: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
     let teams = day.teams.len();
@@ -150,24 +150,24 @@
         ];
         let Some(now) = next.into_iter().flatten().min().filter(|now| *now < end) else { break };
         let window = (now.as_secs_f64() / WINDOW) as usize;
-        while let Some((at, task)) = running.first().copied().filter(|(at, _)| *at <= now) {
-            running.remove(&(at, task));
-            let asked = &tasks[&task];
+        while let Some((at, request)) = running.first().copied().filter(|(at, _)| *at <= now) {
+            running.remove(&(at, request));
+            let asked = &requests[&request];
             figures.served += 1;
             figures.in_time += usize::from(now - asked.arrived <= asked.asking.target);
-            policy.ended(now, task, secs(asked.work));
+            policy.ended(now, request, secs(asked.work));
         }
-        while let Some((at, task)) = patience.first().copied().filter(|(at, _)| *at <= now) {
-            patience.remove(&(at, task));
-            if !tasks[&task].sent {
-                policy.left(now, task);
+        while let Some((at, request)) = patience.first().copied().filter(|(at, _)| *at <= now) {
+            patience.remove(&(at, request));
+            if !requests[&request].sent {
+                policy.left(now, request);
                 figures.left += 1;
-                waiting[tasks[&task].asking.team] -= 1;
+                waiting[requests[&request].asking.team] -= 1;
             }
         }
-        while let Some(((at, team, work, is_urgent), task)) = ahead.next_if(|((at, ..), _)| *at <= now) {
+        while let Some(((at, team, work, is_urgent), request)) = ahead.next_if(|((at, ..), _)| *at <= now) {
             let asking = Asking {
-                task,
+                request,
                 team,
                 urgency: if is_urgent { 2 } else { 0 },
                 traffic: u16::from(is_urgent),
@@ -182,16 +182,16 @@
                 continue;
             }
             waiting[team] += 1;
-            let told = policy.told(at, task);
-            tasks.insert(task, Asked { asking, arrived: at, work, told, sent: false });
-            patience.insert((at + asking.patience, task));
+            let told = policy.told(at, request);
+            requests.insert(request, Asked { asking, arrived: at, work, told, sent: false });
+            patience.insert((at + asking.patience, request));
             if waiting[team] == 1 {
                 last_turn[team] = at;
             }
         }
         while running.len() < day.servers {
-            let Some(task) = policy.next(now) else { break };
-            let asked = tasks.get_mut(&task).expect("a task that came");
+            let Some(request) = policy.next(now) else { break };
+            let asked = requests.get_mut(&request).expect("a task that came");
             asked.sent = true;
             let (team, had) = (asked.asking.team, (now - asked.arrived).as_secs_f64());
             waiting[team] -= 1;
@@ -206,7 +206,7 @@
                 errors.push((had / told.likely.as_secs_f64() - 1.0).abs());
                 within += usize::from(told.least.as_secs_f64() <= had && had <= told.most.as_secs_f64());
             }
-            running.insert((now + secs(asked.work), task));
+            running.insert((now + secs(asked.work), request));
         }
         (0..teams).filter(|team| waiting[*team] == 0).for_each(|team| dry[window][team] = true);
     }
@@ -234,7 +234,7 @@
 /// little more than theirs.
 pub fn skewed(seed: u64) -> Day {
     let habit = |rate: f64| Habit { rate, work: 0.2, urgent: 10 };
-    // A share is two servers: some ten tasks a second at a fifth of a second each.
+    // A share is two servers: some ten requests a second at a fifth of a second each.
     let rates = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
     let teams = rates.into_iter().map(|rate| (1.0, habit(rate))).collect();
     Day { teams, servers: 16, lasts: 60.0, target: 4.0, patience: 20.0, off: 1.0, seed }
