--- a/crates/teams/tests/turns.rs
+++ b/crates/teams/tests/turns.rs
@@ -49,16 +49,16 @@
     }
 
     fn ask_for(&mut self, change: impl Fn(&mut Asking)) -> &mut Self {
-        let (task, team, urgency) = (self.next, 0, 0);
+        let (request, team, urgency) = (self.next, 0, 0);
         let (work, target, patience) = (ms(100), ms(1000), ms(60_000));
         let mut asking =
-            Asking { task, team, urgency, traffic: 0, work, target, patience, identity: None, key: None };
+            Asking { request, team, urgency, traffic: 0, work, target, patience, identity: None, key: None };
         change(&mut asking);
         self.next += 1;
         if let Err(Refusal { reason, retry_after }) = self.queues.arrive(ms(self.now), asking) {
             let _ = writeln!(
                 self.seen,
-                "{:<6}task {task} of team {} is turned away, {reason:?}, for {} ms",
+                "{:<6}task {request} of team {} is turned away, {reason:?}, for {} ms",
                 self.now,
                 asking.team,
                 retry_after.as_millis()
@@ -76,9 +76,9 @@
         for _ in 0..count {
             let next = self.queues.turns().next();
             match next {
-                Some(task) => {
-                    assert!(self.queues.let_go(ms(self.now), task), "it waits");
-                    let _ = writeln!(self.seen, "{:<6}task {task} goes", self.now);
+                Some(request) => {
+                    assert!(self.queues.let_go(ms(self.now), request), "it waits");
+                    let _ = writeln!(self.seen, "{:<6}task {request} goes", self.now);
                 }
                 None => drop(writeln!(self.seen, "{:<6}nothing waits", self.now)),
             }
@@ -86,8 +86,8 @@
         self
     }
 
-    fn settle(&mut self, task: Ticket, outcome: Outcome) -> &mut Self {
-        self.queues.settle(ms(self.now), task, outcome);
+    fn settle(&mut self, request: Ticket, outcome: Outcome) -> &mut Self {
+        self.queues.settle(ms(self.now), request, outcome);
         self
     }
 
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_task_larger_than_the_whole_budget_goes_when_that_is_full_and_is_paid_off() {
+fn a_request_larger_than_the_whole_budget_goes_when_that_is_full_and_is_paid_off() {
     let mut door = Door::of(firm(&[(1.0, allowance(100, 1000, 200)), (1.0, None)]));
     door.ask(0, 500).ask(0, 100).ask(1, 100).turns(1).left(0).turns(1);
     let due = door.queues.due().map(|at| at.as_millis());
@@ -268,7 +268,7 @@
     door.settle(0, Outcome::Back).settle(1, Outcome::Billed(ms(250))).settle(2, Outcome::Back).left(0);
     let charged = door.queues.charged(0);
     door.note(format!("{charged:?} charged"));
-    // A team whose tasks are all cancelled while they wait leaves nothing in anybody's way.
+    // A team whose requests are all cancelled while they wait leaves nothing in anybody's way.
     door.ask(0, 100).ask(0, 100).ask(1, 100);
     let gone = [door.queues.leave(ms(0), 3), door.queues.leave(ms(0), 4), door.queues.leave(ms(0), 4)];
     door.note(format!("left {gone:?}")).turns(2);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_repeat_is_charged_as_the_same_task() {
+fn a_repeat_is_charged_as_the_same_request() {
     let mut door = Door::of(firm(&[(1.0, allowance(100, 1000, 400))]));
     let known = |asking: &mut Asking| asking.identity = Some(77);
     door.ask_for(known).turns(1).settle(0, Outcome::Unknown).left(0);
@@ -302,18 +302,18 @@
     .assert_eq(&door.seen());
 }
 
-/// One task of 100 ms in every 100 ms, so that waits can be reckoned.
+/// One request of 100 ms in every 100 ms, so that waits can be reckoned.
 fn paced(door: &mut Door, count: u64) {
     for at in 1..=count {
         door.at(at * 100).ask(0, 100);
-        let task = door.next - 1;
-        assert!(door.queues.let_go(ms(door.now), task), "it waits");
-        door.settle(task, Outcome::Billed(ms(100)));
+        let request = door.next - 1;
+        assert!(door.queues.let_go(ms(door.now), request), "it waits");
+        door.settle(request, Outcome::Billed(ms(100)));
     }
 }
 
 #[test]
-fn a_full_queue_and_a_hopeless_task_are_told_when_to_retry_after() {
+fn a_full_queue_and_a_hopeless_request_are_told_when_to_retry_after() {
     let mut door = Door::of(firm(&[(1.0, None)]));
     paced(&mut door, 20);
     for _ in 0..6 {
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn tasks_of_one_key_go_as_they_came_whatever_makes_them_go() {
+fn requests_of_one_key_go_as_they_came_whatever_makes_them_go() {
     let mut door = Door::of(firm(&[(1.0, None), (1.0, None)]));
     let keyed = |team, urgency| {
         move |asking: &mut Asking| {
@@ -466,7 +466,7 @@
         let day = day::Day { off, ..skewed(seed) };
         let told = live(&day, &mut Queues::new(day_charter(&day), Duration::ZERO));
         let plain = live(&day, &mut day::Fifo::default());
-        // Where tasks come to ten times what was expected, turns are evened out only once they have ended.
+        // Where requests come to ten times what was expected, turns are evened out only once they have ended.
         let most = if off == 1.0 { 0.1 } else { 0.2 };
         assert!(told.worst_share_error < most && told.jain > 0.98, "{told:?}");
         assert!(told.urgent_p99 < plain.urgent_p99 / 5.0, "{told:?}");
@@ -515,7 +515,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Each task is where it was put, whatever comes; at rest nothing is charged, and everybody had a turn.
+    /// Each request is where it was put, whatever comes; at rest nothing is charged, and everybody had a turn.
     #[test]
     fn nothing_is_lost_and_nothing_stays_charged(inputs in inputs()) {
         let wide = firm(&[(1.0, None), (2.0, allowance(100, 1000, 300)), (0.5, allowance(10, 1000, 10))]);
@@ -530,33 +530,33 @@
                     let (work, target, patience) = (ms(work), ms(300), ms(10_000));
                     let (team, identity) = (team % teams, Some(u64::from(urgency)));
                     let asking =
-                        Asking { task: next, team, urgency, traffic: 0, work, target, patience, identity, key: None };
+                        Asking { request: next, team, urgency, traffic: 0, work, target, patience, identity, key: None };
                     waits.extend(queues.arrive(ms(now), asking).is_ok().then_some(next));
                     next += 1;
                 }
                 Input::Turn => {
                     let turn = queues.turns().next();
                     prop_assert_eq!(turn.is_none(), waits.is_empty());
-                    if let Some(task) = turn {
-                        prop_assert!(queues.let_go(ms(now), task));
-                        waits.retain(|other| *other != task);
-                        out.push(task);
+                    if let Some(request) = turn {
+                        prop_assert!(queues.let_go(ms(now), request));
+                        waits.retain(|other| *other != request);
+                        out.push(request);
                     }
                 }
                 Input::Leave(at) => {
-                    if let Some(task) = pick(&mut waits, at) {
-                        prop_assert!(queues.leave(ms(now), task));
+                    if let Some(request) = pick(&mut waits, at) {
+                        prop_assert!(queues.leave(ms(now), request));
                     }
                 }
                 Input::Settle(at, outcome) => {
-                    if let Some(task) = pick(&mut out, at) {
-                        queues.settle(ms(now), task, outcome);
+                    if let Some(request) = pick(&mut out, at) {
+                        queues.settle(ms(now), request, outcome);
                     }
                 }
                 Input::TakeBack(at) => {
-                    if let Some(task) = pick(&mut out, at) {
-                        prop_assert!(queues.take_back(ms(now), task));
-                        waits.push(task);
+                    if let Some(request) = pick(&mut out, at) {
+                        prop_assert!(queues.take_back(ms(now), request));
+                        waits.push(request);
                     }
                 }
                 Input::Pass(time) => {
@@ -577,11 +577,11 @@
         }
         loop {
             let turn = queues.turns().next();
-            let Some(task) = turn else { break };
-            prop_assert!(queues.let_go(ms(now), task));
-            out.push(task);
+            let Some(request) = turn else { break };
+            prop_assert!(queues.let_go(ms(now), request));
+            out.push(request);
         }
-        out.into_iter().for_each(|task| queues.settle(ms(now), task, Outcome::Back));
+        out.into_iter().for_each(|request| queues.settle(ms(now), request, Outcome::Back));
         prop_assert!((0..teams).all(|team| queues.charged(team) == 0.0));
         prop_assert!(queues.is_empty());
     }
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,7 +1,7 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Arrival, Bill, Ended, EngineId, HopEnd, KeyId, Listing, Notice, Outlet, Router, Signals, TaskId,
+    Arrival, Bill, Ended, EngineId, HopEnd, KeyId, Listing, Notice, Outlet, RequestId, Router, Signals,
 };
 use emberflow_startup::{
     Fault, Fields, duties, fleet, from_ms, load, marks_retries, reported, to_ms, traffic,
@@ -21,7 +21,7 @@
 
 #[derive(Default)]
 struct Names {
-    tasks: Index,
+    requests: Index,
     engines: Index,
     keys: Index,
 }
@@ -55,30 +55,32 @@
         writeln!(self.reply, "{action}").expect("writing to memory");
     }
 
-    fn task(&self, task: TaskId) -> &str {
-        &self.names.tasks.names[task as usize]
+    fn request(&self, request: RequestId) -> &str {
+        &self.names.requests.names[request as usize]
     }
 }
 
 impl Outlet for Writer<'_> {
-    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration) {
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let engine = &self.names.engines.names[engine];
         let until = to_ms(until.max(self.now));
-        self.write(json!({"op": "PASS_ON", "ref": self.task(task), "engine": engine, "abandonAtMs": until}));
+        self.write(
+            json!({"op": "PASS_ON", "ref": self.request(request), "engine": engine, "abandonAtMs": until}),
+        );
     }
-    fn terms(&mut self, task: TaskId, grant_mb: f64, priority: u8) {
-        let task = self.task(task);
-        self.write(json!({"op": "PROVIDE", "ref": task, "memoryGrant": grant_mb, "importance": priority}));
+    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        let request = self.request(request);
+        self.write(json!({"op": "PROVIDE", "ref": request, "memoryGrant": grant_mb, "importance": priority}));
     }
-    fn cancel(&mut self, task: TaskId, hop: usize) {
-        self.write(json!({"op": "ABORT_ATTEMPT", "ref": self.task(task), "hop": hop}));
+    fn cancel(&mut self, request: RequestId, hop: usize) {
+        self.write(json!({"op": "ABORT_ATTEMPT", "ref": self.request(request), "hop": hop}));
     }
-    fn bounce(&mut self, task: TaskId, retry_after: Option<Duration>) {
+    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0.0, to_ms);
-        self.write(json!({"op": "TURN_AWAY", "ref": self.task(task), "retryAfterMs": after}));
+        self.write(json!({"op": "TURN_AWAY", "ref": self.request(request), "retryAfterMs": after}));
     }
-    fn give_up(&mut self, task: TaskId) {
-        self.write(json!({"op": "ABORT", "ref": self.task(task)}));
+    fn give_up(&mut self, request: RequestId) {
+        self.write(json!({"op": "ABORT", "ref": self.request(request)}));
     }
     fn probe(&mut self, engine: EngineId) {
         self.write(json!({"op": "TOUCH", "engine": self.names.engines.names[engine]}));
@@ -113,7 +115,7 @@
         let Self { who, router, reported, marks_retries, names } = self;
         let known = |name| {
             let name: &str = line.text(name)?;
-            Ok::<_, Fault>(names.tasks.numbers.get(name).map(|t| *t as TaskId))
+            Ok::<_, Fault>(names.requests.numbers.get(name).map(|t| *t as RequestId))
         };
         match op {
             "ANNOUNCE" => {
@@ -130,7 +132,7 @@
             }
             "ACCEPT" => {
                 let arrival = Arrival {
-                    task: names.tasks.number(line.text("ref")?) as TaskId,
+                    request: names.requests.number(line.text("ref")?) as RequestId,
                     traffic: line.index("qos")?,
                     key: match line.maybe("table") {
                         Some(_) => Some(names.keys.number(line.text("table")?) as KeyId),
@@ -151,9 +153,9 @@
                     cost: Duration::from_millis(used / 4096),
                     memory_mb: (used % 4096 * 4) as f64,
                 };
-                let task = known("ref")?;
+                let request = known("ref")?;
                 let ended = Ended {
-                    task: task.unwrap_or(TaskId::MAX),
+                    request: request.unwrap_or(RequestId::MAX),
                     hop: line.index("hop")?,
                     engine: names.engines.number(line.text("engine")?),
                     end: hop_end(line.text("result")?)?,
@@ -162,12 +164,12 @@
                     signals: signals(reported, line),
                     over: line.flag("noMore")?,
                 };
-                if task.is_some() {
+                if request.is_some() {
                     router.hop_ended(now, ended, &mut Writer { who: *who, now, names, reply });
                 }
             }
             "NOTICE" => {
-                let (task, hop, value) = (known("ref")?, line.index("hop")?, line.number("value")?);
+                let (request, hop, value) = (known("ref")?, line.index("hop")?, line.number("value")?);
                 let notice = match (line.whole("sort")?, value) {
                     (1, done) => Notice::Done(done),
                     (2, missing_mb) => Notice::Spills(missing_mb),
@@ -175,13 +177,13 @@
                     (3, 2.0) => Notice::WaitsForLoad,
                     (sort, value) => return Err(format!("`sort` {sort} with `value` {value} is unknown")),
                 };
-                if let Some(task) = task {
-                    router.notice(now, task, hop, notice, &mut Writer { who: *who, now, names, reply });
+                if let Some(request) = request {
+                    router.notice(now, request, hop, notice, &mut Writer { who: *who, now, names, reply });
                 }
             }
             "CANCELLED_BY_CLIENT" => {
-                if let Some(task) = known("ref")? {
-                    router.clients_left(now, &[task], &[], &mut Writer { who: *who, now, names, reply });
+                if let Some(request) = known("ref")? {
+                    router.clients_left(now, &[request], &[], &mut Writer { who: *who, now, names, reply });
                 }
             }
             "BELL" => router.wake(now, &mut Writer { who: *who, now, names, reply }),
--- a/crates/wirehost/tests/digest.rs
+++ b/crates/wirehost/tests/digest.rs
@@ -1,5 +1,5 @@
 //! Guards a change of words that is to change no behaviour: seeded days of valid input to the adapter, and one digest
-//! over all bytes that it writes. What the input tells goes by what was written before, so that hops end and tasks
+//! over all bytes that it writes. What the input tells goes by what was written before, so that hops end and requests
 //! are sent again.
 
 use expect_test::expect;
@@ -80,7 +80,7 @@
 /// A hop that is out.
 struct Hop {
     who: u64,
-    task: String,
+    request: String,
     number: u64,
     engine: String,
     sent_ms: f64,
@@ -98,15 +98,15 @@
     /// Lines of the batch that is being told.
     batch: String,
     hops: Vec<Hop>,
-    /// By instance and task, its hops so far.
+    /// By instance and request, its hops so far.
     sent: BTreeMap<(u64, String), u64>,
-    /// Tasks that are owed an answer.
+    /// Requests that are owed an answer.
     open: Vec<(u64, String)>,
     /// When instances are to be woken, and engines that they asked about.
     bells: Vec<(f64, u64)>,
     probes: Vec<(u64, String)>,
     asked_for_the_list: Vec<u64>,
-    tasks: u64,
+    requests: u64,
     tables: u64,
 }
 
@@ -157,7 +157,7 @@
             bells: Vec::new(),
             probes: Vec::new(),
             asked_for_the_list: Vec::new(),
-            tasks: 0,
+            requests: 0,
             tables: 0,
         }
     }
@@ -226,24 +226,25 @@
     fn take_in(&mut self, action: &Value) {
         let who = action["who"].as_u64().expect("an instance");
         let text = |name: &str| action[name].as_str().unwrap_or_default().to_owned();
-        let task = text("ref");
+        let request = text("ref");
         match action["op"].as_str().unwrap_or_default() {
             "PASS_ON" => {
-                let sent = self.sent.entry((who, task.clone())).or_default();
+                let sent = self.sent.entry((who, request.clone())).or_default();
                 let (number, abandon_ms) = (*sent, action["abandonAtMs"].as_f64().expect("a time"));
                 *sent += 1;
                 if number > 0 {
                     *self.witness.written.entry("sent again".into()).or_default() += 1;
                 }
                 let (engine, sent_ms) = (text("engine"), self.now_ms);
-                self.hops.push(Hop { who, task, number, engine, sent_ms, abandon_ms, cancelled: false });
+                self.hops.push(Hop { who, request, number, engine, sent_ms, abandon_ms, cancelled: false });
             }
             "ABORT_ATTEMPT" => {
                 let number = action["hop"].as_u64();
-                let its = |hop: &&mut Hop| hop.who == who && hop.task == task && Some(hop.number) == number;
+                let its =
+                    |hop: &&mut Hop| hop.who == who && hop.request == request && Some(hop.number) == number;
                 self.hops.iter_mut().filter(its).for_each(|hop| hop.cancelled = true);
             }
-            "TURN_AWAY" | "ABORT" => self.open.retain(|open| *open != (who, task.clone())),
+            "TURN_AWAY" | "ABORT" => self.open.retain(|open| *open != (who, request.clone())),
             "TOUCH" => self.probes.push((who, text("engine"))),
             "AFTER" => {
                 let at = self.now_ms + action["offsetMs"].as_f64().expect("a time");
@@ -295,9 +296,9 @@
 
     fn accept(&mut self) {
         let who = self.chance.below(INSTANCES);
-        let task = format!("t/{}", self.tasks);
-        self.tasks += 1;
-        let mut line = json!({"op": "ACCEPT", "who": who, "ref": task, "qos": self.chance.below(4),
+        let request = format!("t/{}", self.requests);
+        self.requests += 1;
+        let mut line = json!({"op": "ACCEPT", "who": who, "ref": request, "qos": self.chance.below(4),
             "graceMs": self.chance.pick(&[60.0, 240.0, 400.0, 1200.0]), "repeat": self.chance.one_in(4)});
         if !self.chance.one_in(4) {
             line["estimateMs"] = json!(self.chance.pick(&[2.0, 12.0, 40.0, 200.0]));
@@ -308,7 +309,7 @@
             line["tableGroup"] = json!(self.chance.below(3));
         }
         self.tell(line);
-        self.open.push((who, task));
+        self.open.push((who, request));
     }
 
     fn end_any(&mut self) {
@@ -327,10 +328,10 @@
     }
 
     fn end(&mut self, at: usize, result: &str) {
-        let Hop { who, task, number, engine, sent_ms, .. } = self.hops.remove(at);
-        let open = (who, task.clone());
+        let Hop { who, request, number, engine, sent_ms, .. } = self.hops.remove(at);
+        let open = (who, request.clone());
         let over = !self.open.contains(&open);
-        let mut line = json!({"op": "ENDED", "who": who, "ref": task, "hop": number, "engine": engine,
+        let mut line = json!({"op": "ENDED", "who": who, "ref": request, "hop": number, "engine": engine,
             "result": result, "delaySeenMs": self.now_ms - sent_ms, "noMore": over});
         if result == "success" {
             self.open.retain(|other| *other != open);
@@ -354,9 +355,9 @@
         }
         let at = self.chance.below(self.hops.len() as u64) as usize;
         let (sort, value) = self.chance.pick(&[(1, 0.25), (1, 0.75), (2, 120.0), (3, 1.0), (3, 2.0)]);
-        let Hop { who, task, number, .. } = &self.hops[at];
+        let Hop { who, request, number, .. } = &self.hops[at];
         let line =
-            json!({"op": "NOTICE", "who": who, "ref": task, "hop": number, "sort": sort, "value": value});
+            json!({"op": "NOTICE", "who": who, "ref": request, "hop": number, "sort": sort, "value": value});
         self.tell(line);
     }
 
@@ -365,8 +366,8 @@
             return;
         }
         let at = self.chance.below(self.open.len() as u64) as usize;
-        let (who, task) = self.open.remove(at);
-        self.tell(json!({"op": "CANCELLED_BY_CLIENT", "who": who, "ref": task}));
+        let (who, request) = self.open.remove(at);
+        self.tell(json!({"op": "CANCELLED_BY_CLIENT", "who": who, "ref": request}));
     }
 
     /// The whole list, a change of some engines, or word that it can't be had.
--- a/crates/wirehost/tests/input.rs
+++ b/crates/wirehost/tests/input.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_task_is_sent_and_the_end_of_input_is_clean() {
+fn a_request_is_sent_and_the_end_of_input_is_clean() {
     let accept =
         r#"{"op":"ACCEPT","who":3,"ref":"t/a","estimateMs":12.0,"qos":0,"graceMs":240.0,"needMb":384}"#;
     expect![[r#"
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! A caller builds one [`Router`] from the [`Fleet`], the [`TrafficType`]s and the [`Duties`] it was started
 //! with, and reports everything that happens by a method call that takes the time and an [`Outlet`]. The
-//! router answers through that outlet before the call returns, and keeps the tasks and engines itself.
+//! router answers through that outlet before the call returns, and keeps the requests and engines itself.
 //!
-//! Times are spans since the caller's start. Tasks, engines and keys are small indices that the caller gives
-//! out: task indices rise in the order of arrival and are never used again.
+//! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller gives
+//! out: request indices rise in the order of arrival and are never used again.
 
 mod logic;
 mod print;
@@ -16,22 +16,22 @@
 pub use print::{Kept, Print};
 use std::time::Duration;
 
-pub type TaskId = u32;
+pub type RequestId = u32;
 pub type EngineId = usize;
 pub type KeyId = u32;
 
 /// What the router says; every call takes effect at the time of the input being answered.
 pub trait Outlet {
-    /// Sends the task's next hop; it is abandoned at `until`.
-    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration);
-    /// Names the grant of the task's next hop and the priority of all its hops.
-    fn terms(&mut self, task: TaskId, grant_mb: f64, priority: u8);
+    /// Sends the request's next hop; it is abandoned at `until`.
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
+    /// Names the grant of the request's next hop and the priority of all its hops.
+    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8);
     /// Stops waiting for one hop.
-    fn cancel(&mut self, task: TaskId, hop: usize);
+    fn cancel(&mut self, request: RequestId, hop: usize);
     /// Final answer: not done, a retry is harmless.
-    fn bounce(&mut self, task: TaskId, retry_after: Option<Duration>);
+    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>);
     /// Final answer: not done, nothing promised.
-    fn give_up(&mut self, task: TaskId);
+    fn give_up(&mut self, request: RequestId);
     /// Asks an engine for its load, where that is allowed.
     fn probe(&mut self, engine: EngineId);
     /// Asks for a [`Router::wake`] after `wait`.
@@ -85,7 +85,7 @@
     SingleUse,
 }
 
-/// The engines that drop each other's repeats of a referenced task.
+/// The engines that drop each other's repeats of a referenced request.
 #[derive(PartialEq)]
 pub enum Scope {
     All,
@@ -109,7 +109,7 @@
 
 pub struct HopBudget {
     pub spare: f64,
-    pub per_task: f64,
+    pub per_request: f64,
     pub over: Duration,
 }
 
@@ -125,10 +125,10 @@
     pub launched: Option<Duration>,
 }
 
-/// A task as it arrives; what is not told is absent.
+/// A request as it arrives; what is not told is absent.
 #[derive(Clone)]
 pub struct Arrival {
-    pub task: TaskId,
+    pub request: RequestId,
     pub traffic: usize,
     pub key: Option<KeyId>,
     pub cost: Option<Duration>,
@@ -153,10 +153,10 @@
     Void,
 }
 
-/// The outcome of a hop; `over` where the task ended with it or before.
+/// The outcome of a hop; `over` where the request ended with it or before.
 #[derive(Clone)]
 pub struct Ended {
-    pub task: TaskId,
+    pub request: RequestId,
     pub hop: usize,
     pub engine: EngineId,
     pub end: HopEnd,
@@ -170,7 +170,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Signals {
     pub busy: Option<f64>,
-    /// Tasks that it holds, and of these those that wait for memory.
+    /// Requests that it holds, and of these those that wait for memory.
     pub in_flight: Option<f64>,
     pub waiting: Option<f64>,
     pub memory: Option<f64>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -3,7 +3,7 @@
 //! run in their order until none fires.
 
 use crate::recent::{Recent, add, mean, quantile, seconds, span};
-use crate::state::{Engine, Gateway, Hop, Learned, Line, Out, Seen, Sight, Task, Tier};
+use crate::state::{Engine, Gateway, Hop, Learned, Line, Out, Request, Seen, Sight, Tier};
 use crate::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -12,14 +12,14 @@
 
 /// Part of an engine's memory, within this router's share, that the target starts at (the design's 0.5).
 const TARGET_PART: f64 = 0.5;
-/// F and F3: the parts of the target that small and medium tasks may fill together.
+/// F and F3: the parts of the target that small and medium requests may fill together.
 const SMALL_PART: f64 = 0.3;
 const MEDIUM_PART: f64 = 0.6;
 /// The first threshold, as a part of the memory that goes with one core.
 const UNBLOCKED_PART: f64 = 1.0 / 64.0;
 /// Difference in free room, as a part of the engine, that counts as a tie.
 const NEAR: f64 = 1.0 / 8.0;
-/// Threads a core that small and medium tasks hold under pressure.
+/// Threads a core that small and medium requests hold under pressure.
 const SMALL_THREADS: f64 = 4.0;
 const MEDIUM_THREADS: f64 = 1.0;
 /// Margin of a grant over the corrected estimate; the engine's own choice adds as much to the told one.
@@ -28,7 +28,7 @@
 const GRANT_UNTOLD: f64 = 1.5;
 /// Part of the billed needs of a type that such a grant covers.
 const GRANT_COVERS: f64 = 0.9;
-/// Time-outs of held tasks, by tier, as parts of the way to the target time.
+/// Time-outs of held requests, by tier, as parts of the way to the target time.
 const HOLD: [f64; 4] = [0.25, 0.25, 0.5, 0.75];
 /// Latency over the fleet's best from which an engine is under pressure.
 const PRESSED: f64 = 2.0;
@@ -43,13 +43,13 @@
 const SAMPLES: usize = 32;
 const OUTCOMES: usize = 8;
 
-impl Task {
-    /// What decides the tier; a task with no told cost has none.
+impl Request {
+    /// What decides the tier; a request with no told cost has none.
     fn tier_memory(&self) -> Option<f64> {
         self.told_cost.map(|_| self.memory)
     }
 
-    /// The hop from which a referenced task's window counts and whose engine sets its group.
+    /// The hop from which a referenced request's window counts and whose engine sets its group.
     fn first_that_may_have_run(&self) -> Option<&Hop> {
         let never_ran = [HopEnd::Overloaded, HopEnd::Unreachable, HopEnd::Void].map(Some);
         self.hops.iter().find(|hop| !never_ran.contains(&hop.end))
@@ -71,7 +71,7 @@
 }
 
 impl Learned {
-    /// A task's work and memory as corrected by what others came to.
+    /// A request's work and memory as corrected by what others came to.
     fn expected(&self, arrival: &Arrival) -> (f64, f64) {
         let ratio = |ratios: &Recent| ratios.median().unwrap_or(1.0);
         let cost = arrival.cost.map(|told| seconds(told) * ratio(&self.cost_ratios));
@@ -86,7 +86,7 @@
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) traffic: Arc<[TrafficType]>,
     pub(crate) duties: Arc<Duties>,
-    pub(crate) tasks: BTreeMap<TaskId, Task>,
+    pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) engines: BTreeMap<EngineId, Engine>,
     pub(crate) lines: BTreeMap<KeyId, Line>,
     pub(crate) learned: Vec<Learned>,
@@ -109,13 +109,13 @@
 }
 
 impl Room<'_> {
-    /// Whether a task would be sent at once; those after it, in tiers without room for it, would not.
+    /// Whether a request would be sent at once; those after it, in tiers without room for it, would not.
     pub fn takes(&mut self, arrival: &Arrival) -> bool {
-        let task = self.router.believed(self.now, arrival);
-        let line = task.key.and_then(|key| self.router.lines.get(&key));
-        let waits =
-            line.is_some_and(|line| !line.tasks.is_empty() || line.rest.is_some_and(|(_, at)| at > self.now));
-        !waits && self.router.choose(self.now, &task, &self.sight, &mut self.blocked).is_some()
+        let request = self.router.believed(self.now, arrival);
+        let line = request.key.and_then(|key| self.router.lines.get(&key));
+        let waits = line
+            .is_some_and(|line| !line.requests.is_empty() || line.rest.is_some_and(|(_, at)| at > self.now));
+        !waits && self.router.choose(self.now, &request, &self.sight, &mut self.blocked).is_some()
     }
 }
 
@@ -129,7 +129,7 @@
             fleet: fleet.into(),
             traffic: traffic.into(),
             duties: duties.into(),
-            tasks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             engines: BTreeMap::new(),
             lines: BTreeMap::new(),
             shares: Recent::keeping(SAMPLES * OUTCOMES),
@@ -150,20 +150,20 @@
         if arrival.later_try != Some(true) {
             learned.patiences.push(now, seconds(arrival.patience));
         }
-        let task = self.believed(now, &arrival);
+        let request = self.believed(now, &arrival);
         let learned = &mut self.learned[arrival.traffic];
         let cost = learned.expected(&arrival).0;
         arrival.cost.inspect(|_| learned.costs.push(now, cost));
-        if let Some(key) = task.key {
-            self.lines.entry(key).or_default().tasks.push_back(arrival.task);
+        if let Some(key) = request.key {
+            self.lines.entry(key).or_default().requests.push_back(arrival.request);
         }
-        self.tasks.insert(arrival.task, task);
+        self.requests.insert(arrival.request, request);
         self.accepted.push_back(now);
         self.settle(now, out);
     }
 
-    /// A task as it is believed to be.
-    fn believed(&self, now: Duration, arrival: &Arrival) -> Task {
+    /// A request as it is believed to be.
+    fn believed(&self, now: Duration, arrival: &Arrival) -> Request {
         let (traffic, learned) = (&self.traffic[arrival.traffic], &self.learned[arrival.traffic]);
         let usual = span(learned.patiences.median().unwrap_or(0.0));
         let spent = usual.saturating_sub(arrival.patience) * u32::from(arrival.later_try != Some(false));
@@ -172,7 +172,7 @@
         let ideal = cost / traffic.threads.max(1.0);
         let arrived = now.saturating_sub(arrival.waited);
         let target = arrived + traffic.target + span(traffic.target_stretch * ideal);
-        Task {
+        Request {
             traffic: arrival.traffic,
             key,
             told_cost: arrival.cost.map(seconds),
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The work that a task is expected to be, as one core's time.
+    /// The work that a request is expected to be, as one core's time.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
         span(self.learned[arrival.traffic].expected(arrival).0)
     }
@@ -200,16 +200,16 @@
     }
 
     pub fn hop_ended(&mut self, now: Duration, hop: Ended, out: &mut impl Outlet) {
-        let Ended { task: id, hop, engine, end, took, bill, signals, over } = hop;
+        let Ended { request: id, hop, engine, end, took, bill, signals, over } = hop;
         self.report(now, engine, signals, id);
-        let Some(task) = self.tasks.get_mut(&id) else { return self.settle(now, out) };
-        task.over |= over;
-        let (traffic, told_cost, told_memory) = (task.traffic, task.told_cost, task.told_memory);
-        let Some(ended) = task.hops.get_mut(hop) else { return self.settle(now, out) };
+        let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
+        request.over |= over;
+        let (traffic, told_cost, told_memory) = (request.traffic, request.told_cost, request.told_memory);
+        let Some(ended) = request.hops.get_mut(hop) else { return self.settle(now, out) };
         ended.end = Some(end);
         let Hop { sent, engine, grant, missing, .. } = *ended;
         let may_still_run = matches!(end, HopEnd::TimedOut | HopEnd::Broken | HopEnd::Withdrawn);
-        if let (Some(key), Some(rest), true) = (task.key, self.duties.key_rest, may_still_run) {
+        if let (Some(key), Some(rest), true) = (request.key, self.duties.key_rest, may_still_run) {
             self.lines.entry(key).or_default().rest = Some((id, now + rest));
         }
         let learned = &mut self.learned[traffic];
@@ -223,8 +223,8 @@
         {
             learned.memory_ratios.push(now, if missing > 0.0 { (grant + missing) / told } else { 1.0 });
         }
-        // Of untold cost, a task is what it came to, not what such tasks come to.
-        let mut ideal = task.ideal;
+        // Of untold cost, a request is what it came to, not what such requests come to.
+        let mut ideal = request.ideal;
         if told_cost.is_none() && end == HopEnd::Succeeded {
             // Unbilled, its share of the cores is what it ran on: else a crowd would look like its own work.
             let threads = self.traffic[traffic].threads;
@@ -235,7 +235,7 @@
             ideal = cost / threads.max(1.0);
         }
         let engine = self.engines.get_mut(&engine).expect("an engine that a hop went to");
-        engine.out.retain(|out| (out.task, out.hop) != (id, hop));
+        engine.out.retain(|out| (out.request, out.hop) != (id, hop));
         if matches!(end, HopEnd::Succeeded | HopEnd::Failed | HopEnd::Overloaded) {
             engine.heard = now;
         }
@@ -266,13 +266,20 @@
 
     /// An engine's answer to a probe, or that none came.
     pub fn probed(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, out: &mut impl Outlet) {
-        self.report(now, id, signals, TaskId::MAX);
+        self.report(now, id, signals, RequestId::MAX);
         self.settle(now, out);
     }
 
-    pub fn notice(&mut self, now: Duration, id: TaskId, hop: usize, notice: Notice, out: &mut impl Outlet) {
-        if let Some(task) = self.tasks.get_mut(&id)
-            && let Some(hop_out) = task.hops.get_mut(hop)
+    pub fn notice(
+        &mut self,
+        now: Duration,
+        id: RequestId,
+        hop: usize,
+        notice: Notice,
+        out: &mut impl Outlet,
+    ) {
+        if let Some(request) = self.requests.get_mut(&id)
+            && let Some(hop_out) = request.hops.get_mut(hop)
             && let Some(engine) = self.engines.get_mut(&hop_out.engine)
         {
             (engine.heard, hop_out.heard) = (now, now);
@@ -283,23 +290,30 @@
                     hop_out.finish = Some(now + span(left));
                 }
                 Notice::Spills(missing_mb) => hop_out.missing = hop_out.missing.max(missing_mb),
-                Notice::WaitsForLoad => engine.held.extend(task.group.map(|group| (group, now))),
+                Notice::WaitsForLoad => engine.held.extend(request.group.map(|group| (group, now))),
                 _ => {}
             }
-            let cut = self.fleet.cuts_grants && task.told_memory.is_some();
+            let cut = self.fleet.cuts_grants && request.told_memory.is_some();
             let short = cut && matches!(notice, Notice::Spills(_)) || notice == Notice::WaitsForMemory;
             engine.refused = short.then_some(now).or(engine.refused);
         }
         self.settle(now, out);
     }
 
-    /// Clients have stopped waiting for some tasks, which are over. Those of others have ended their side and
+    /// Clients have stopped waiting for some requests, which are over. Those of others have ended their side and
     /// may be gone: what they asked for is not sent on any more, and what is out has its end waited for.
-    pub fn clients_left(&mut self, now: Duration, over: &[TaskId], ended: &[TaskId], out: &mut impl Outlet) {
+    pub fn clients_left(
+        &mut self,
+        now: Duration,
+        over: &[RequestId],
+        ended: &[RequestId],
+        out: &mut impl Outlet,
+    ) {
         for (ids, over) in [(over, true), (ended, false)] {
             for id in ids {
-                let mark = |task: &mut Task| if over { task.over = true } else { task.left = true };
-                self.tasks.entry(*id).and_modify(mark);
+                let mark =
+                    |request: &mut Request| if over { request.over = true } else { request.left = true };
+                self.requests.entry(*id).and_modify(mark);
             }
         }
         self.settle(now, out);
@@ -324,9 +338,10 @@
     /// The process ends at `by`: nobody waits longer than that.
     pub fn closing(&mut self, now: Duration, by: Duration, out: &mut impl Outlet) {
         self.closing = by;
-        let cut =
-            |task: &mut Task| (task.patience, task.target) = (task.patience.min(by), task.target.min(by));
-        self.tasks.values_mut().for_each(cut);
+        let cut = |request: &mut Request| {
+            (request.patience, request.target) = (request.patience.min(by), request.target.min(by))
+        };
+        self.requests.values_mut().for_each(cut);
         out.wake_after(by.saturating_sub(now + self.margin() * 3));
         self.settle(now, out);
     }
@@ -342,19 +357,20 @@
 
     /// Takes a report in. What this router's other hops hold, over what the fleet does with as much granted
     /// everywhere, samples the share: at one engine alone, those with an own hop would count too often.
-    fn report(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, ended: TaskId) {
+    fn report(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, ended: RequestId) {
         let Some((mut signals, engine)) = signals.zip(self.engines.get_mut(&id)) else { return };
-        // Where cores are not told, the tasks in flight tell how many threads stand for them.
+        // Where cores are not told, the requests in flight tell how many threads stand for them.
         signals.in_flight = signals.in_flight.filter(|_| signals.busy.is_none());
-        let out = self.tasks.values().filter(|task| task.out());
-        let threads = mean(out.map(|task| self.traffic[task.traffic].threads)).unwrap_or(1.0);
-        let crowd = signals.in_flight.map(|tasks| tasks * threads / self.fleet.kinds[engine.kind].cores);
+        let out = self.requests.values().filter(|request| request.out());
+        let threads = mean(out.map(|request| self.traffic[request.traffic].threads)).unwrap_or(1.0);
+        let crowd =
+            signals.in_flight.map(|requests| requests * threads / self.fleet.kinds[engine.kind].cores);
         signals.busy = signals.busy.or(crowd);
         engine.report = Some((now, signals));
-        // Reports that are asked for when tasks are held would make the share look large.
+        // Reports that are asked for when requests are held would make the share look large.
         if let Some(memory) = signals.memory.filter(|m| *m > 0.0 && !self.fleet.probes_tell) {
-            let out = self.tasks.iter().filter(|(id, task)| **id != ended && task.out());
-            let own: f64 = out.map(|(_, task)| task.hops[task.hops.len() - 1].grant).sum();
+            let out = self.requests.iter().filter(|(id, request)| **id != ended && request.out());
+            let own: f64 = out.map(|(_, request)| request.hops[request.hops.len() - 1].grant).sum();
             let ready = self.engines.values().filter(|engine| engine.ready);
             let all: f64 = ready.map(|engine| self.fleet.kinds[engine.kind].memory_mb).sum();
             self.shares.push(now, (own / (memory * all.max(1.0))).min(1.0));
@@ -371,11 +387,12 @@
         self.fleet.tick * 4
     }
 
-    fn grant(&self, task: &Task, kind: usize) -> f64 {
+    fn grant(&self, request: &Request, kind: usize) -> f64 {
         let most = self.fleet.largest_share * self.fleet.kinds[kind].memory_mb;
-        let billed = || quantile(self.learned[task.traffic].memories.values(), GRANT_COVERS).unwrap_or(0.0);
-        let untold = || billed().max(task.memory * GRANT_UNTOLD);
-        task.told_memory.map_or_else(untold, |told| task.memory.max(told) * GRANT).min(most)
+        let billed =
+            || quantile(self.learned[request.traffic].memories.values(), GRANT_COVERS).unwrap_or(0.0);
+        let untold = || billed().max(request.memory * GRANT_UNTOLD);
+        request.told_memory.map_or_else(untold, |told| request.memory.max(told) * GRANT).min(most)
     }
 
     /// This router's part of the fleet's traffic: its part of the memory that engines report granted, else an
@@ -388,7 +405,7 @@
     /// Whether notes of a hop have stopped: it is over and its answer lost, or it stands at a silent engine.
     fn lost(&self, now: Duration, out: &Out) -> bool {
         let from = self.fleet.note_every.map(|every| now.saturating_sub(every * 4));
-        from.is_some_and(|from| self.tasks[&out.task].hops[out.hop].heard < from)
+        from.is_some_and(|from| self.requests[&out.request].hops[out.hop].heard < from)
     }
 
     /// MB and threads that this router has out at an engine, of hops sent since `from`.
@@ -397,8 +414,8 @@
         hops.map(|out| (out.grant, out.threads)).fold((0.0, 0.0), add)
     }
 
-    fn tasks_out(&self, engine: &Engine) -> impl Iterator<Item = &Task> {
-        engine.out.iter().map(|out| &self.tasks[&out.task])
+    fn requests_out(&self, engine: &Engine) -> impl Iterator<Item = &Request> {
+        engine.out.iter().map(|out| &self.requests[&out.request])
     }
 
     /// Where nothing waits to be sent, only the engines that hold something matter.
@@ -444,7 +461,7 @@
         let count = |tier| engines().flat_map(|(_, e)| &e.out).filter(|out| out.tier == tier).count() as f64;
         let own = engines().map(|(id, _)| self.own(now, *id, Duration::ZERO)).fold((0.0, 0.0), add);
         let pressed = || engines().filter(|(id, _)| seen[id].pressed == Some(true));
-        // What stands at a jammed engine takes no more than its part, or one task, from the others.
+        // What stands at a jammed engine takes no more than its part, or one request, from the others.
         let one = self.traffic.iter().map(|t| t.threads).fold(1.0, f64::max).max(cores * share);
         let held = |tier| pressed().map(|(_, engine)| self.threads_out(engine, tier).min(one)).sum();
         // The few that were asked tell nothing of the others.
@@ -482,10 +499,10 @@
     /// No sign from an engine that has hops out, for this many times as long as one should be due in.
     fn silence(&self, engine: &Engine, now: Duration, runs: &[f64]) -> f64 {
         let Some(oldest) = engine.out.first().map(|out| out.sent) else { return 0.0 };
-        let run = |task: &Task| task.ideal * runs[task.traffic] * 3.0;
+        let run = |request: &Request| request.ideal * runs[request.traffic] * 3.0;
         let due = match self.fleet.note_every {
             Some(every) => seconds(every) * 2.0,
-            None => self.tasks_out(engine).map(run).fold(f64::INFINITY, f64::min),
+            None => self.requests_out(engine).map(run).fold(f64::INFINITY, f64::min),
         };
         seconds(now.saturating_sub(engine.heard.max(oldest))) / due.max(seconds(self.beat()))
     }
@@ -498,12 +515,12 @@
         bad().sum::<f64>() >= 2.0 && mean(bad()).is_some_and(|part| part >= 0.3)
     }
 
-    /// What a task's traffic type may be sent to, by placement and by the group that drops its repeats.
-    fn allowed(&self, task: &Task, engine: &Engine) -> bool {
-        let traffic = &self.traffic[task.traffic];
+    /// What a request's traffic type may be sent to, by placement and by the group that drops its repeats.
+    fn allowed(&self, request: &Request, engine: &Engine) -> bool {
+        let traffic = &self.traffic[request.traffic];
         let placed = traffic.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
             && traffic.locations.as_ref().is_none_or(|places| places.contains(&engine.location));
-        let same_group = match (&traffic.effect, task.first_that_may_have_run()) {
+        let same_group = match (&traffic.effect, request.first_that_may_have_run()) {
             (Effect::Referenced { scope, .. }, Some(hop)) => {
                 let first = &self.engines[&hop.engine];
                 match scope {
@@ -518,26 +535,26 @@
     }
 
     /// Whether neither placement nor an earlier hop keeps it from engines that others may be sent to.
-    fn may_go_anywhere(&self, task: &Task) -> bool {
-        let traffic = &self.traffic[task.traffic];
+    fn may_go_anywhere(&self, request: &Request) -> bool {
+        let traffic = &self.traffic[request.traffic];
         let bound = matches!(&traffic.effect, Effect::Referenced { scope, .. } if *scope != Scope::All);
-        traffic.locations.is_none() && (!bound || task.first_that_may_have_run().is_none())
+        traffic.locations.is_none() && (!bound || request.first_that_may_have_run().is_none())
     }
 
     /// Whether effects allow another hop: never while one is out.
-    fn may_run_again(&self, task: &Task, now: Duration) -> bool {
-        let harmless = match (&self.traffic[task.traffic].effect, task.first_that_may_have_run()) {
+    fn may_run_again(&self, request: &Request, now: Duration) -> bool {
+        let harmless = match (&self.traffic[request.traffic].effect, request.first_that_may_have_run()) {
             (Effect::Replayable, _) | (_, None) => true,
             (Effect::SingleUse, Some(_)) => false,
             (Effect::Referenced { window, .. }, Some(hop)) => now + self.margin() < hop.sent + *window,
         };
-        harmless && task.hops.len() < self.duties.most_hops
+        harmless && request.hops.len() < self.duties.most_hops
     }
 
-    fn may_bounce(&self, task: &Task) -> bool {
-        match &self.traffic[task.traffic].effect {
+    fn may_bounce(&self, request: &Request) -> bool {
+        match &self.traffic[request.traffic].effect {
             Effect::Replayable | Effect::Referenced { scope: Scope::All, .. } => true,
-            _ => task.first_that_may_have_run().is_none(),
+            _ => request.first_that_may_have_run().is_none(),
         }
     }
 
@@ -546,21 +563,21 @@
         let Some(budget) = &self.duties.hop_budget else { return f64::INFINITY };
         let taken = self.accepted.iter().filter(|at| **at + budget.over > now).count() as f64;
         let made = self.further.iter().filter(|at| **at + budget.over >= now).count() as f64;
-        budget.spare + budget.per_task * taken - made
+        budget.spare + budget.per_request * taken - made
     }
 
-    /// Whether it is this task's turn among those of its key.
-    fn has_turn(&self, id: TaskId, task: &Task, now: Duration) -> bool {
-        let Some(line) = task.key.and_then(|key| self.lines.get(&key)) else { return true };
-        line.tasks.front() == Some(&id) && line.rest.is_none_or(|(by, until)| by == id || until <= now)
+    /// Whether it is this request's turn among those of its key.
+    fn has_turn(&self, id: RequestId, request: &Request, now: Duration) -> bool {
+        let Some(line) = request.key.and_then(|key| self.lines.get(&key)) else { return true };
+        line.requests.front() == Some(&id) && line.rest.is_none_or(|(by, until)| by == id || until <= now)
     }
 
     /// Guards cold engines: this router's part of what a starting engine takes in any window, by the usual
-    /// work of the traffic type. With many routers that is under one task: then one in a longer window,
+    /// work of the traffic type. With many routers that is under one request: then one in a longer window,
     /// from a point in it that chance sets, so that the parts still add up, to half of the whole at most.
-    fn fits_cold(&self, id: EngineId, engine: &Engine, task: &Task, now: Duration, share: f64) -> bool {
+    fn fits_cold(&self, id: EngineId, engine: &Engine, request: &Request, now: Duration, share: f64) -> bool {
         let Some(budget) = self.cold_part(engine, now, share) else { return true };
-        let usual = self.cold_usual(task.traffic);
+        let usual = self.cold_usual(request.traffic);
         let times = if usual > budget { 2.0 * usual / budget } else { 1.0 };
         let window = self.duties.fall.mul_f64(times.min(1e6));
         let sent: f64 = engine.sent.since(now.saturating_sub(window)).sum();
@@ -603,13 +620,13 @@
         }
     }
 
-    /// Part of memory, and its sum with that of cores, in use at an engine once it has the task: as told,
+    /// Part of memory, and its sum with that of cores, in use at an engine once it has the request: as told,
     /// with own hops not shown yet; a report fades into the mean of all. With no reports at all, own hops
     /// there and other routers' ones, as many as the share tells, spread evenly.
-    fn load(&self, id: EngineId, task: &Task, now: Duration, share: f64, kind: &Gateway) -> (f64, f64) {
+    fn load(&self, id: EngineId, request: &Request, now: Duration, share: f64, kind: &Gateway) -> (f64, f64) {
         let engine = &self.engines[&id];
         let Kind { cores, memory_mb } = self.fleet.kinds[engine.kind];
-        let (grant, threads) = (self.grant(task, engine.kind), self.traffic[task.traffic].threads);
+        let (grant, threads) = (self.grant(request, engine.kind), self.traffic[request.traffic].threads);
         let parts = |(own, own_threads)| ((own + grant) / memory_mb, (own_threads + threads) / cores);
         let others = (1.0 / share - 1.0) / kind.engines;
         let own = || self.own(now, id, Duration::ZERO);
@@ -635,7 +652,7 @@
             None => guess,
         };
         let memory = fade(signals.memory, unseen, guess.0, there.0);
-        // A probe tells late, and others ask too: half as far as the guess, it lets tasks go as well.
+        // A probe tells late, and others ask too: half as far as the guess, it lets requests go as well.
         let in_use = if self.fleet.probes_tell { guess.0.min(memory / TARGET_PART) } else { memory };
         (in_use, memory + fade(signals.busy, unseen_busy, guess.1, there.1))
     }
@@ -645,13 +662,13 @@
         self.traffic[traffic].revenue / self.learned[traffic].costs.mean().unwrap_or(f64::INFINITY)
     }
 
-    fn earns_little_late(&self, task: &Task, now: Duration) -> bool {
+    fn earns_little_late(&self, request: &Request, now: Duration) -> bool {
         let usual = || mean((0..self.traffic.len()).map(|traffic| self.density(traffic))).unwrap_or(0.0);
-        let traffic = &self.traffic[task.traffic];
+        let traffic = &self.traffic[request.traffic];
         // What an earlier note promised and has not come does not count.
-        let due = task.hops.last().and_then(|hop| hop.finish).filter(|at| *at > now);
-        let left = || due.map_or(self.usual_cost(task.traffic), |at| seconds(at - now) * traffic.threads);
-        now > task.target && traffic.late_share * traffic.revenue < usual() / 4.0 * left()
+        let due = request.hops.last().and_then(|hop| hop.finish).filter(|at| *at > now);
+        let left = || due.map_or(self.usual_cost(request.traffic), |at| seconds(at - now) * traffic.threads);
+        now > request.target && traffic.late_share * traffic.revenue < usual() / 4.0 * left()
     }
 
     fn usual_cost(&self, traffic: usize) -> f64 {
@@ -669,10 +686,10 @@
         }
     }
 
-    /// Whether a hop may be taken back to send the task again: allowed and in time; callers keep the budget.
-    fn may_move(&self, task: &Task, now: Duration) -> bool {
-        let time = seconds(task.patience.saturating_sub(now)) > 2.0 * task.ideal;
-        !task.over && !task.left && time && self.may_run_again(task, now)
+    /// Whether a hop may be taken back to send the request again: allowed and in time; callers keep the budget.
+    fn may_move(&self, request: &Request, now: Duration) -> bool {
+        let time = seconds(request.patience.saturating_sub(now)) > 2.0 * request.ideal;
+        !request.over && !request.left && time && self.may_run_again(request, now)
     }
 
     pub(crate) fn chance(&self, engine: EngineId, draw: u64) -> u64 {
@@ -681,41 +698,46 @@
         hasher.finish()
     }
 
-    /// Answers the open tasks that `hopeless` names.
-    fn refuse(&mut self, hopeless: impl Fn(&Self, TaskId, &Task) -> bool, out: &mut impl Outlet) -> bool {
+    /// Answers the open requests that `hopeless` names.
+    fn refuse(
+        &mut self,
+        hopeless: impl Fn(&Self, RequestId, &Request) -> bool,
+        out: &mut impl Outlet,
+    ) -> bool {
         let retry_after = self.duties.longest_retry_after.map(|longest| self.beat().min(longest));
-        let open = self.tasks.iter().filter(|(id, task)| !task.over && hopeless(self, **id, task));
-        let open: Vec<TaskId> = open.map(|(id, _)| *id).collect();
+        let open =
+            self.requests.iter().filter(|(id, request)| !request.over && hopeless(self, **id, request));
+        let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
         for id in &open {
-            match self.may_bounce(&self.tasks[id]) {
+            match self.may_bounce(&self.requests[id]) {
                 true => out.bounce(*id, retry_after),
                 false => out.give_up(*id),
             }
-            self.tasks.entry(*id).and_modify(|task| task.over = true);
+            self.requests.entry(*id).and_modify(|request| request.over = true);
         }
         !open.is_empty()
     }
 
-    fn take_back(&mut self, mut hops: Vec<(TaskId, usize)>, out: &mut impl Outlet) -> bool {
-        hops.retain(|(id, hop)| self.duties.may_cancel && !self.tasks[id].hops[*hop].cancelled);
+    fn take_back(&mut self, mut hops: Vec<(RequestId, usize)>, out: &mut impl Outlet) -> bool {
+        hops.retain(|(id, hop)| self.duties.may_cancel && !self.requests[id].hops[*hop].cancelled);
         for (id, hop) in &hops {
-            self.tasks.get_mut(id).expect("a task out").hops[*hop].cancelled = true;
+            self.requests.get_mut(id).expect("a task out").hops[*hop].cancelled = true;
             out.cancel(*id, *hop);
         }
         !hops.is_empty()
     }
 
-    fn send(&mut self, now: Duration, id: TaskId, to: EngineId, tier: Tier, out: &mut impl Outlet) {
-        let task = &self.tasks[&id];
-        let grant = self.grant(task, self.engines[&to].kind);
-        let usual = self.usual_cost(task.traffic);
-        out.terms(id, grant.round(), self.priority(task.traffic));
-        out.send(id, to, task.patience.saturating_sub(self.margin()));
-        self.further.extend((!task.hops.is_empty()).then_some(now));
-        let (group, threads) = (task.group, self.traffic[task.traffic].threads);
-        let hops = &mut self.tasks.get_mut(&id).expect("a held task").hops;
+    fn send(&mut self, now: Duration, id: RequestId, to: EngineId, tier: Tier, out: &mut impl Outlet) {
+        let request = &self.requests[&id];
+        let grant = self.grant(request, self.engines[&to].kind);
+        let usual = self.usual_cost(request.traffic);
+        out.terms(id, grant.round(), self.priority(request.traffic));
+        out.send(id, to, request.patience.saturating_sub(self.margin()));
+        self.further.extend((!request.hops.is_empty()).then_some(now));
+        let (group, threads) = (request.group, self.traffic[request.traffic].threads);
+        let hops = &mut self.requests.get_mut(&id).expect("a held task").hops;
         let engine = self.engines.get_mut(&to).expect("a listed engine");
-        engine.out.push(Out { task: id, hop: hops.len(), sent: now, tier, grant, threads });
+        engine.out.push(Out { request: id, hop: hops.len(), sent: now, tier, grant, threads });
         hops.push(Hop::sent(now, to, grant));
         engine.sent.push(now, usual);
         engine.reads(group, OUTCOMES);
@@ -735,24 +757,25 @@
             Self::refuse_what_waits_in_vain,
             Self::stay_awake,
         ];
-        let mut sight = self.sight(now, self.tasks.values().any(Task::held));
+        let mut sight = self.sight(now, self.requests.values().any(Request::held));
         while rules.iter().any(|rule| rule(self, now, &mut sight, out)) {}
     }
 
     fn forget_what_is_over(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
-        let over = |task: &Task| task.over && task.hops.iter().all(|hop| hop.end.is_some());
-        let gone: BTreeSet<TaskId> = self.tasks.extract_if(.., |_, t| over(t)).map(|(id, _)| id).collect();
+        let over = |request: &Request| request.over && request.hops.iter().all(|hop| hop.end.is_some());
+        let gone: BTreeSet<RequestId> =
+            self.requests.extract_if(.., |_, t| over(t)).map(|(id, _)| id).collect();
         if !gone.is_empty() {
-            self.lines.values_mut().for_each(|line| line.tasks.retain(|id| !gone.contains(id)));
+            self.lines.values_mut().for_each(|line| line.requests.retain(|id| !gone.contains(id)));
             let resting = |line: &Line| line.rest.is_some_and(|(_, until)| until > now);
-            self.lines.retain(|_, line| !line.tasks.is_empty() || resting(line));
+            self.lines.retain(|_, line| !line.requests.is_empty() || resting(line));
         }
         let window = self.duties.hop_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
         for times in [&mut self.accepted, &mut self.further] {
             while times.pop_front_if(|at| *at + window < now).is_some() {}
         }
-        // Guards against fleets that are replaced all day: an engine ends with the last task it has seen.
-        let seen = |id| self.tasks.values().any(|task| task.hops.iter().any(|hop| hop.engine == id));
+        // Guards against fleets that are replaced all day: an engine ends with the last request it has seen.
+        let seen = |id| self.requests.values().any(|request| request.hops.iter().any(|hop| hop.engine == id));
         let left = self.engines.iter().find(|(id, engine)| engine.gone && !seen(**id)).map(|(id, _)| *id);
         left.inspect(|id| out.forget(*id));
         sight.engines.retain(|id, _| Some(*id) != left);
@@ -762,11 +785,12 @@
     /// One final answer before patience ends, or the process, and at once where no further hop is allowed, or
     /// is for nobody any more.
     fn answer_in_time(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
-        let hopeless = |router: &Self, _: TaskId, task: &Task| {
+        let hopeless = |router: &Self, _: RequestId, request: &Request| {
             let soon = now + router.margin() * 3;
-            let again = || router.may_run_again(task, now) && !router.earns_little_late(task, now);
-            let hopeless = || task.left || soon >= task.patience || !task.hops.is_empty() && !again();
-            soon >= router.closing || task.held() && hopeless()
+            let again = || router.may_run_again(request, now) && !router.earns_little_late(request, now);
+            let hopeless =
+                || request.left || soon >= request.patience || !request.hops.is_empty() && !again();
+            soon >= router.closing || request.held() && hopeless()
         };
         self.refuse(hopeless, out)
     }
@@ -777,8 +801,8 @@
         for (id, seen) in &sight.engines {
             let silent = seen.silence >= 1.5;
             let lost = |o: &&Out| silent || self.lost(now, o);
-            let hops = self.engines[id].out.iter().filter(lost).map(|o| (o.task, o.hop));
-            let hops = hops.filter(|(task, _)| self.may_move(&self.tasks[task], now));
+            let hops = self.engines[id].out.iter().filter(lost).map(|o| (o.request, o.hop));
+            let hops = hops.filter(|(request, _)| self.may_move(&self.requests[request], now));
             let hops = hops.take(self.hops_left(now) as usize).collect();
             if self.take_back(hops, out) {
                 // It would look free once its hops are taken back.
@@ -791,47 +815,52 @@
     }
 
     /// Guards against hops that take many times their expected run while the estimate gives no cause: only a
-    /// task's first hop, since a second one as slow shows a costly task.
+    /// request's first hop, since a second one as slow shows a costly request.
     fn cancel_bad_plans(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
         let slack = seconds(self.beat());
-        let bad = |task: &Task| {
-            let (hop, run) = (&task.hops[0], sight.runs[task.traffic] * task.ideal);
+        let bad = |request: &Request| {
+            let (hop, run) = (&request.hops[0], sight.runs[request.traffic] * request.ideal);
             let left = hop.finish.map(|finish| seconds(finish.saturating_sub(now)));
             let unseen = self.fleet.note_every.is_none();
             hop.stands
                 || left.is_some_and(|left| left > BAD_PLAN * run + seconds(self.fleet.tick))
                 || unseen && seconds(now - hop.sent) > BAD_PLAN_UNSEEN * run + slack
         };
-        let first = self.tasks.iter().filter(|(_, task)| task.hops.len() == 1 && task.out());
-        let hops = first.filter(|(_, task)| bad(task) && self.may_move(task, now)).map(|(id, _)| (*id, 0));
+        let first = self.requests.iter().filter(|(_, request)| request.hops.len() == 1 && request.out());
+        let hops =
+            first.filter(|(_, request)| bad(request) && self.may_move(request, now)).map(|(id, _)| (*id, 0));
         self.take_back(hops.take(self.hops_left(now) as usize).collect(), out)
     }
 
     /// Under pressure, hops past their target whose type earns little when late make room for those in time.
     fn drop_what_is_late(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
         let pressed = |hop: &Hop| sight.engines[&hop.engine].pressed == Some(true);
-        let late = |task: &Task| task.hops.last().is_some_and(pressed) && self.earns_little_late(task, now);
-        let hops = self.tasks.iter().filter(|(_, task)| !task.over && task.out() && late(task));
-        self.take_back(hops.map(|(id, task)| (*id, task.hops.len() - 1)).collect(), out)
+        let late = |request: &Request| {
+            request.hops.last().is_some_and(pressed) && self.earns_little_late(request, now)
+        };
+        let hops =
+            self.requests.iter().filter(|(_, request)| !request.over && request.out() && late(request));
+        self.take_back(hops.map(|(id, request)| (*id, request.hops.len() - 1)).collect(), out)
     }
 
-    /// The engine with most free room, if any has some, for a task that is to go now, and its tier there;
+    /// The engine with most free room, if any has some, for a request that is to go now, and its tier there;
     /// later ones of a tier stand behind the first that has none.
     fn choose(
         &self,
         now: Duration,
-        task: &Task,
+        request: &Request,
         sight: &Sight,
         blocked: &mut BTreeSet<(usize, Tier)>,
     ) -> Option<(EngineId, Tier)> {
         let (gateways, lately) = (&sight.gateways, now.saturating_sub(self.beat() * 2));
-        let (threads, memory) = (self.traffic[task.traffic].threads, task.tier_memory());
+        let (threads, memory) = (self.traffic[request.traffic].threads, request.tier_memory());
         let mut tiers = gateways.iter().map(|gateway| gateway.tier(memory)).enumerate();
         if tiers.all(|slot| blocked.contains(&slot)) {
             return None;
         }
-        let open = |id, e: &Engine| self.allowed(task, e) && self.fits_cold(id, e, task, now, sight.share);
-        let tried = |id: EngineId| task.hops.iter().any(|hop| hop.engine == id);
+        let open =
+            |id, e: &Engine| self.allowed(request, e) && self.fits_cold(id, e, request, now, sight.share);
+        let tried = |id: EngineId| request.hops.iter().any(|hop| hop.engine == id);
         let healthy = |e: EngineId| !sight.engines[&e].sick;
         let pause = self.beat().div_f64(2.0 * sight.share).max(self.beat());
         let trickled = |e: &Engine| e.out.is_empty() && e.sent.last().is_none_or(|(at, _)| at + pause <= now);
@@ -849,12 +878,12 @@
                 continue;
             }
             let gateway = &gateways[engine.kind];
-            let (memory_in_use, crowd) = self.load(to, task, now, sight.share, gateway);
+            let (memory_in_use, crowd) = self.load(to, request, now, sight.share, gateway);
             let most = if engine.report.is_none() || self.fleet.probes_tell { gateway.untold } else { 1.0 };
             // A shortage noted since the last report, as for most engines when routers are many.
             let told = engine.report.map_or(Duration::ZERO, |(at, _)| at).max(lately);
             let short = engine.refused.is_some_and(|at| at > told);
-            // Tasks in flight tell of more than all cores; where cores are told themselves, pressure does.
+            // Requests in flight tell of more than all cores; where cores are told themselves, pressure does.
             let crowded = gateway.counted && crowd - memory_in_use > PRESSED * FULL;
             let fits =
                 memory_in_use <= most && !short && !crowded || gateway.threads == 0.0 || tier <= Tier::Small;
@@ -865,16 +894,17 @@
             }
         }
         // Whoever had the choice of all engines keeps later ones of the tier behind it.
-        if self.may_go_anywhere(task) {
+        if self.may_go_anywhere(request) {
             full.retain(|slot| !free.iter().any(|(_, to, tier)| (self.engines[to].kind, *tier) == *slot));
             blocked.extend(full);
         }
         // Guards against standing still behind loads: an own one, or one that a hop lately stood behind.
         let held = |to: EngineId| {
             let engine = &self.engines[&to];
-            let mut loads = self.tasks_out(engine).filter(|t| self.traffic[t.traffic].holds_group);
-            let noted = task.group.and_then(|g| engine.held.get(&g)).is_some_and(|at| *at >= lately);
-            self.traffic[task.traffic].waits_for_loads && (noted || loads.any(|t| t.group == task.group))
+            let mut loads = self.requests_out(engine).filter(|t| self.traffic[t.traffic].holds_group);
+            let noted = request.group.and_then(|g| engine.held.get(&g)).is_some_and(|at| *at >= lately);
+            self.traffic[request.traffic].waits_for_loads
+                && (noted || loads.any(|t| t.group == request.group))
         };
         for avoided in [&tried as &dyn Fn(EngineId) -> bool, &held] {
             let elsewhere = free.iter().any(|f| !avoided(f.1));
@@ -885,27 +915,29 @@
         // Near ties only: to where the group was read, to the home location.
         let liking = |to: EngineId| {
             let engine = &self.engines[&to];
-            let warm = task.group.is_some_and(|group| engine.groups.contains(&group));
+            let warm = request.group.is_some_and(|group| engine.groups.contains(&group));
             (warm, engine.location == self.fleet.home)
         };
         let liked = free.iter().max_by_key(|(_, to, _)| (liking(*to), self.chance(*to, self.draws)));
         liked.map(|(_, to, tier)| (*to, *tier))
     }
 
-    /// The ordinary path: held tasks leave earliest first per tier.
+    /// The ordinary path: held requests leave earliest first per tier.
     fn release(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
-        let held = self.tasks.iter().filter(|(_, task)| task.held()).map(|(id, _)| *id).collect::<Vec<_>>();
+        let held =
+            self.requests.iter().filter(|(_, request)| request.held()).map(|(id, _)| *id).collect::<Vec<_>>();
         let mut blocked: BTreeSet<(usize, Tier)> = BTreeSet::new();
         let mut fired = false;
         for id in held {
-            let task = &self.tasks[&id];
-            let again = task.hops.is_empty() || self.may_run_again(task, now) && self.hops_left(now) >= 1.0;
-            if !again || !self.has_turn(id, task, now) {
+            let request = &self.requests[&id];
+            let again =
+                request.hops.is_empty() || self.may_run_again(request, now) && self.hops_left(now) >= 1.0;
+            if !again || !self.has_turn(id, request, now) {
                 continue;
             }
-            let Some((to, tier)) = self.choose(now, task, sight, &mut blocked) else { continue };
-            let (kind, threads) = (self.engines[&to].kind, self.traffic[task.traffic].threads);
-            let (gateway, grant) = (&mut sight.gateways[kind], self.grant(task, kind));
+            let Some((to, tier)) = self.choose(now, request, sight, &mut blocked) else { continue };
+            let (kind, threads) = (self.engines[&to].kind, self.traffic[request.traffic].threads);
+            let (gateway, grant) = (&mut sight.gateways[kind], self.grant(request, kind));
             (gateway.memory, gateway.threads) = (gateway.memory + grant, gateway.threads + threads);
             gateway.held[tier as usize] += threads * f64::from(sight.engines[&to].pressed == Some(true));
             self.send(now, id, to, tier, out);
@@ -920,7 +952,8 @@
     /// Where only probes tell: two engines of which nothing is known are asked, once in half a beat.
     fn ask_what_is_free(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
         let lately = now.saturating_sub(self.beat() / 2);
-        let held = self.tasks.iter().any(|(id, task)| task.held() && self.has_turn(*id, task, now));
+        let held =
+            self.requests.iter().any(|(id, request)| request.held() && self.has_turn(*id, request, now));
         if !held || !self.fleet.probes_tell || !self.duties.may_probe || self.asked > lately {
             return false;
         }
@@ -945,31 +978,31 @@
         // four times (so far off may the part be) what this router's part of all cores does until its target.
         let cores = self.engines.values().filter(|e| !e.gone).map(|e| self.fleet.kinds[e.kind].cores);
         let (most, mut before) = (4.0 * sight.share * cores.sum::<f64>(), 0.0);
-        let behind = |(at, (id, task)): (usize, (&TaskId, &Task))| {
-            let work = before + task.ideal * self.traffic[task.traffic].threads;
-            let fits = at < SAMPLES || work <= most * seconds(task.target.saturating_sub(task.arrived));
+        let behind = |(at, (id, request)): (usize, (&RequestId, &Request))| {
+            let work = before + request.ideal * self.traffic[request.traffic].threads;
+            let fits = at < SAMPLES || work <= most * seconds(request.target.saturating_sub(request.arrived));
             before = if fits { work } else { before };
-            (!fits && task.hops.is_empty()).then_some(*id)
+            (!fits && request.hops.is_empty()).then_some(*id)
         };
-        let held = self.tasks.iter().filter(|(_, task)| task.held()).enumerate();
-        let crowd: BTreeSet<TaskId> = held.filter_map(behind).collect();
-        let in_vain = |router: &Self, id: TaskId, task: &Task| {
-            let (run, memory) = (task.ideal * sight.runs[task.traffic], task.tier_memory());
+        let held = self.requests.iter().filter(|(_, request)| request.held()).enumerate();
+        let crowd: BTreeSet<RequestId> = held.filter_map(behind).collect();
+        let in_vain = |router: &Self, id: RequestId, request: &Request| {
+            let (run, memory) = (request.ideal * sight.runs[request.traffic], request.tier_memory());
             // What is learned from those sent judges no type of which none came back lately.
-            let back = || router.learned[task.traffic].stretches.since(from).next().is_some();
-            let run = span(if task.told_cost.is_some() || back() { run } else { 0.0 });
-            if !router.has_turn(id, task, now) {
-                let earns_late = router.traffic[task.traffic].late_share > 0.0;
-                return now + run > if earns_late { task.patience } else { task.target };
+            let back = || router.learned[request.traffic].stretches.since(from).next().is_some();
+            let run = span(if request.told_cost.is_some() || back() { run } else { 0.0 });
+            if !router.has_turn(id, request, now) {
+                let earns_late = router.traffic[request.traffic].late_share > 0.0;
+                return now + run > if earns_late { request.patience } else { request.target };
             }
             let tiers = sight.gateways.iter().map(|gateway| gateway.tier(memory));
             let hold = HOLD[tiers.min().unwrap_or(Tier::Largest) as usize];
-            let alone = task.told_cost.is_some() || task.key.is_some();
-            let way = task.target.saturating_sub(task.arrived);
-            let time_out = task.arrived + if alone { way } else { way.min(shortest) }.mul_f64(hold);
-            now + run > task.target || now > time_out || crowd.contains(&id)
+            let alone = request.told_cost.is_some() || request.key.is_some();
+            let way = request.target.saturating_sub(request.arrived);
+            let time_out = request.arrived + if alone { way } else { way.min(shortest) }.mul_f64(hold);
+            now + run > request.target || now > time_out || crowd.contains(&id)
         };
-        self.refuse(|router, id, task| task.held() && in_vain(router, id, task), out)
+        self.refuse(|router, id, request| request.held() && in_vain(router, id, request), out)
     }
 
     fn stay_awake(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
@@ -978,9 +1011,9 @@
             out.watch();
         }
         // What waits to be sent is looked at more often than what is out.
-        let held = self.tasks.values().any(Task::held);
+        let held = self.requests.values().any(Request::held);
         let wait = if held { Duration::ZERO } else { self.beat() / 8 }.max(self.fleet.tick * 8);
-        if !self.tasks.is_empty() && (self.wake_due <= now || self.wake_due > now + wait) {
+        if !self.requests.is_empty() && (self.wake_due <= now || self.wake_due > now + wait) {
             self.wake_due = now + wait;
             out.wake_after(wait);
         }
--- a/src/print.rs
+++ b/src/print.rs
@@ -3,7 +3,7 @@
 //! engines are told apart by what stands there and not by their numbers.
 
 use crate::recent::Recent;
-use crate::state::{Engine, Hop, Task};
+use crate::state::{Engine, Hop, Request};
 use crate::*;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,7 +11,7 @@
 /// How much a router keeps of what comes and goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kept {
-    pub tasks: usize,
+    pub requests: usize,
     pub engines: usize,
     pub keys: usize,
 }
@@ -19,7 +19,7 @@
 /// What the caller knows beside the router's own state.
 pub struct Print<'a> {
     pub now: Duration,
-    /// Whether tasks may still arrive: else what was learned of their types can be of no more use.
+    /// Whether requests may still arrive: else what was learned of their types can be of no more use.
     pub more: bool,
     /// Whether engines may change places with their like.
     pub alike: bool,
@@ -31,7 +31,7 @@
 
 impl Router {
     pub fn kept(&self) -> Kept {
-        Kept { tasks: self.tasks.len(), engines: self.engines.len(), keys: self.lines.len() }
+        Kept { requests: self.requests.len(), engines: self.engines.len(), keys: self.lines.len() }
     }
 
     /// Sets where chance goes on from: with it left open, a caller sets each draw.
@@ -43,9 +43,9 @@
     /// chance and, if engines may change places, their numbers.
     pub fn print(&self, with: &Print, into: &mut impl Hasher) {
         let now = with.now;
-        let places: BTreeMap<TaskId, usize> = self.tasks.keys().copied().zip(0..).collect();
+        let places: BTreeMap<RequestId, usize> = self.requests.keys().copied().zip(0..).collect();
         // Where nothing is open and nothing will come, only what is left to be let go counts.
-        if self.tasks.is_empty() && !with.more {
+        if self.requests.is_empty() && !with.more {
             (self.engines.len(), self.lines.len(), self.closing == Duration::MAX).hash(into);
             return since(now, self.wake_due.max(now)).hash(into);
         }
@@ -55,9 +55,9 @@
             engines.sort_unstable();
         }
         engines.hash(into);
-        self.tasks.values().for_each(|task| self.task(task, with, into));
+        self.requests.values().for_each(|request| self.request(request, with, into));
         for line in self.lines.values() {
-            line.tasks.iter().map(|id| places.get(id).copied()).for_each(|place| place.hash(into));
+            line.requests.iter().map(|id| places.get(id).copied()).for_each(|place| place.hash(into));
             line.rest
                 .filter(|(_, until)| *until > now)
                 .map(|(id, at)| (places.get(&id), since(now, at)))
@@ -85,19 +85,24 @@
         }
     }
 
-    fn task(&self, task: &Task, with: &Print, into: &mut impl Hasher) {
+    fn request(&self, request: &Request, with: &Print, into: &mut impl Hasher) {
         let now = with.now;
-        (task.traffic, task.group, task.over, task.left && !task.over, task.key).hash(into);
-        [task.ideal, task.memory, task.told_cost.unwrap_or(-1.0), task.told_memory.unwrap_or(-1.0)]
-            .iter()
-            .for_each(|figure| figure.to_bits().hash(into));
-        [task.arrived, task.target, task.patience].iter().for_each(|at| since(now, *at).hash(into));
+        (request.traffic, request.group, request.over, request.left && !request.over, request.key).hash(into);
+        [
+            request.ideal,
+            request.memory,
+            request.told_cost.unwrap_or(-1.0),
+            request.told_memory.unwrap_or(-1.0),
+        ]
+        .iter()
+        .for_each(|figure| figure.to_bits().hash(into));
+        [request.arrived, request.target, request.patience].iter().for_each(|at| since(now, *at).hash(into));
         // Of a hop that is over only whether it may have run counts, and of the first of these when it left.
         let ran =
             |hop: &&Hop| !matches!(hop.end, Some(HopEnd::Overloaded | HopEnd::Unreachable | HopEnd::Void));
-        let windowed = matches!(self.traffic[task.traffic].effect, Effect::Referenced { .. });
-        task.hops.iter().find(ran).filter(|_| windowed).map(|hop| since(now, hop.sent)).hash(into);
-        for hop in &task.hops {
+        let windowed = matches!(self.traffic[request.traffic].effect, Effect::Referenced { .. });
+        request.hops.iter().find(ran).filter(|_| windowed).map(|hop| since(now, hop.sent)).hash(into);
+        for hop in &request.hops {
             (hop.end.is_none(), ran(&hop)).hash(into);
             if hop.end.is_none() {
                 (hop.stands, hop.cancelled, since(now, hop.sent), since(now, hop.heard)).hash(into);
@@ -109,14 +114,20 @@
         }
     }
 
-    fn engine(&self, id: EngineId, engine: &Engine, places: &BTreeMap<TaskId, usize>, with: &Print) -> u64 {
+    fn engine(
+        &self,
+        id: EngineId,
+        engine: &Engine,
+        places: &BTreeMap<RequestId, usize>,
+        with: &Print,
+    ) -> u64 {
         let mut digest = Digest::new();
         let (into, now, beat) = (&mut digest, with.now, self.beat());
         (engine.location, engine.kind, engine.cell, engine.ready, engine.gone).hash(into);
         engine.launched.map(|at| since(now, at)).hash(into);
         let cold = engine.cold_since.filter(|at| *at + self.duties.warm_up > now);
         cold.map(|at| since(now, at)).hash(into);
-        // Where this router's part is under one task, chance sets its window, by number and time.
+        // Where this router's part is under one request, chance sets its window, by number and time.
         let share = self.share();
         if let Some(part) = self.cold_part(engine, now, share) {
             let dear = (0..self.traffic.len()).any(|traffic| self.cold_usual(traffic) > part);
@@ -126,12 +137,12 @@
             samples(&engine.sent, now, from, into);
         }
         for out in &engine.out {
-            (places.get(&out.task), out.hop, since(now, out.sent), out.tier as u8).hash(into);
+            (places.get(&out.request), out.hop, since(now, out.sent), out.tier as u8).hash(into);
             (out.grant.to_bits(), out.threads.to_bits()).hash(into);
         }
-        // Which hops of which tasks were here, over or not.
-        for (place, task) in self.tasks.values().enumerate() {
-            let here = task.hops.iter().enumerate().filter(|(_, hop)| hop.engine == id);
+        // Which hops of which requests were here, over or not.
+        for (place, request) in self.requests.values().enumerate() {
+            let here = request.hops.iter().enumerate().filter(|(_, hop)| hop.engine == id);
             here.for_each(|(hop, _)| (place, hop).hash(into));
         }
         let oldest = engine.out.first().map(|out| out.sent);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the module remembers of tasks, engines and keys; it decides nothing.
+//! What the module remembers of requests, engines and keys; it decides nothing.
 
 use crate::recent::Recent;
 use crate::*;
@@ -13,12 +13,12 @@
 }
 
 #[derive(Clone)]
-pub struct Task {
+pub struct Request {
     pub traffic: usize,
     pub key: Option<KeyId>,
     pub told_cost: Option<f64>,
     pub told_memory: Option<f64>,
-    /// Seconds that it runs for on an idle engine, and MB, as corrected by what such tasks were billed.
+    /// Seconds that it runs for on an idle engine, and MB, as corrected by what such requests were billed.
     pub ideal: f64,
     pub memory: f64,
     pub group: Option<u64>,
@@ -48,7 +48,7 @@
 /// A hop that is out at an engine, with what rooms and tiers are counted by.
 #[derive(Clone)]
 pub struct Out {
-    pub task: TaskId,
+    pub request: RequestId,
     pub hop: usize,
     pub sent: Duration,
     pub tier: Tier,
@@ -90,15 +90,15 @@
     pub patiences: Recent,
 }
 
-/// Tasks of one key in the order taken, and the rest owed after a hop that may still run.
+/// Requests of one key in the order taken, and the rest owed after a hop that may still run.
 #[derive(Clone, Default)]
 pub struct Line {
-    pub tasks: VecDeque<TaskId>,
-    pub rest: Option<(TaskId, Duration)>,
+    pub requests: VecDeque<RequestId>,
+    pub rest: Option<(RequestId, Duration)>,
 }
 
 /// What one round of the rules sees: run over that on an idle engine, by traffic type; this router's
-/// share; the engines; the thresholds, kept up as tasks leave.
+/// share; the engines; the thresholds, kept up as requests leave.
 pub struct Sight {
     pub runs: Vec<f64>,
     pub share: f64,
@@ -126,7 +126,7 @@
     pub medium: f64,
     /// Mean parts of memory and cores that its engines reported in use.
     pub told: (Option<f64>, Option<f64>),
-    /// Whether its engines tell how many tasks they hold.
+    /// Whether its engines tell how many requests they hold.
     pub counted: bool,
     pub memory: f64,
     pub threads: f64,
@@ -198,7 +198,7 @@
     }
 }
 
-impl Task {
+impl Request {
     pub fn out(&self) -> bool {
         self.hops.last().is_some_and(|hop| hop.end.is_none())
     }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -122,9 +122,9 @@
 
 /// What the router asked of its caller in one call, to be acted on after it.
 enum Asked {
-    Hop { task: TaskId, engine: EngineId, until: Duration },
-    Cancel { task: TaskId, hop: usize },
-    Answered(TaskId),
+    Hop { request: RequestId, engine: EngineId, until: Duration },
+    Cancel { request: RequestId, hop: usize },
+    Answered(RequestId),
     Probe(EngineId),
     Wake(Duration),
     Forget(EngineId),
@@ -151,24 +151,24 @@
 }
 
 impl Outlet for Log {
-    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration) {
-        self.add(SEND, &[task.into(), engine as u64, nanos(until)]);
-        self.asked.push(Asked::Hop { task, engine, until });
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        self.add(SEND, &[request.into(), engine as u64, nanos(until)]);
+        self.asked.push(Asked::Hop { request, engine, until });
     }
-    fn terms(&mut self, task: TaskId, grant_mb: f64, priority: u8) {
-        self.add(TERMS, &[task.into(), grant_mb.to_bits(), priority.into()]);
+    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        self.add(TERMS, &[request.into(), grant_mb.to_bits(), priority.into()]);
     }
-    fn cancel(&mut self, task: TaskId, hop: usize) {
-        self.add(CANCEL, &[task.into(), hop as u64]);
-        self.asked.push(Asked::Cancel { task, hop });
+    fn cancel(&mut self, request: RequestId, hop: usize) {
+        self.add(CANCEL, &[request.into(), hop as u64]);
+        self.asked.push(Asked::Cancel { request, hop });
     }
-    fn bounce(&mut self, task: TaskId, retry_after: Option<Duration>) {
-        self.add(BOUNCE, &[task.into(), retry_after.map_or(u64::MAX, nanos)]);
-        self.asked.push(Asked::Answered(task));
+    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
+        self.add(BOUNCE, &[request.into(), retry_after.map_or(u64::MAX, nanos)]);
+        self.asked.push(Asked::Answered(request));
     }
-    fn give_up(&mut self, task: TaskId) {
-        self.add(GIVE_UP, &[task.into()]);
-        self.asked.push(Asked::Answered(task));
+    fn give_up(&mut self, request: RequestId) {
+        self.add(GIVE_UP, &[request.into()]);
+        self.asked.push(Asked::Answered(request));
     }
     fn probe(&mut self, engine: EngineId) {
         self.add(PROBE, &[engine as u64]);
@@ -198,7 +198,7 @@
     tells_later_tries: bool,
     faults: u64,
     longest_gap: u64,
-    tasks: usize,
+    requests: usize,
     closes: bool,
     note_every: Option<Duration>,
 }
@@ -218,7 +218,7 @@
     fails: bool,
 }
 
-/// A task that is not over, or of which a hop is out.
+/// A request that is not over, or of which a hop is out.
 struct Asking {
     arrival: Arrival,
     hops: usize,
@@ -235,8 +235,8 @@
 enum Event {
     Arrival,
     Wake,
-    HopEnd(TaskId, usize, HopEnd),
-    Note(TaskId, usize),
+    HopEnd(RequestId, usize, HopEnd),
+    Note(RequestId, usize),
     Probed(EngineId),
     Engines,
     ClientsLeave,
@@ -256,10 +256,10 @@
     now: Duration,
     events: BTreeMap<(Duration, u64), Event>,
     planned: u64,
-    arrived: TaskId,
+    arrived: RequestId,
     machines: BTreeMap<EngineId, Machine>,
-    asking: BTreeMap<TaskId, Asking>,
-    running: BTreeMap<(TaskId, usize), Running>,
+    asking: BTreeMap<RequestId, Asking>,
+    running: BTreeMap<(RequestId, usize), Running>,
 }
 
 fn effect(random: &mut Random) -> Effect {
@@ -323,7 +323,7 @@
         key_rest: random.maybe(50, |random| random.time(20, 300)),
         hop_budget: random.maybe(50, |random| HopBudget {
             spare: random.one_of(&[0.0, 1.0, 4.0]),
-            per_task: random.one_of(&[0.0, 0.1, 0.5]),
+            per_request: random.one_of(&[0.0, 0.1, 0.5]),
             over: random.time(200, 2000),
         }),
         longest_retry_after: random.maybe(70, |random| random.time(20, 500)),
@@ -341,7 +341,7 @@
         tells_later_tries: random.percent(50),
         faults: random.one_of(&[0, 3, 10, 30]),
         longest_gap: random.one_of(&[3, 8, 20, 60]),
-        tasks: random.one_of(&[20, 30, 50, 70]),
+        requests: random.one_of(&[20, 30, 50, 70]),
         closes: random.percent(25),
         note_every: fleet.note_every,
     }
@@ -411,8 +411,8 @@
             self.happen(event);
             self.act();
         }
-        let Kept { tasks, engines, keys } = self.router.kept();
-        self.log.add(KEPT, &[tasks as u64, engines as u64, keys as u64]);
+        let Kept { requests, engines, keys } = self.router.kept();
+        self.log.add(KEPT, &[requests as u64, engines as u64, keys as u64]);
         self.log
     }
 
@@ -422,9 +422,9 @@
         self.events.insert((at.max(self.now), self.planned), event);
     }
 
-    /// Whether tasks are still to come or to be answered.
+    /// Whether requests are still to come or to be answered.
     fn goes_on(&self) -> bool {
-        (self.arrived as usize) < self.habits.tasks || !self.running.is_empty()
+        (self.arrived as usize) < self.habits.requests || !self.running.is_empty()
     }
 
     fn plan_again(&mut self, first_ms: u64, last_ms: u64, event: Event) {
@@ -437,10 +437,10 @@
     fn happen(&mut self, event: Event) {
         self.log.add(INPUT, &[nanos(self.now)]);
         match event {
-            Event::Arrival => self.task_arrives(),
+            Event::Arrival => self.request_arrives(),
             Event::Wake => self.router.wake(self.now, &mut self.log),
-            Event::HopEnd(task, hop, end) => self.hop_ends(task, hop, end),
-            Event::Note(task, hop) => self.note_comes(task, hop),
+            Event::HopEnd(request, hop, end) => self.hop_ends(request, hop, end),
+            Event::Note(request, hop) => self.note_comes(request, hop),
             Event::Probed(engine) => self.probe_ends(engine),
             Event::Engines => {
                 self.engines_change();
@@ -469,9 +469,9 @@
     fn act(&mut self) {
         for asked in std::mem::take(&mut self.log.asked) {
             match asked {
-                Asked::Hop { task, engine, until } => self.hop_starts(task, engine, until),
-                Asked::Cancel { task, hop } => self.hop_is_cancelled(task, hop),
-                Asked::Answered(task) => self.task_is_answered(task),
+                Asked::Hop { request, engine, until } => self.hop_starts(request, engine, until),
+                Asked::Cancel { request, hop } => self.hop_is_cancelled(request, hop),
+                Asked::Answered(request) => self.request_is_answered(request),
                 Asked::Probe(engine) => {
                     let wait = self.random.time(1, 60);
                     self.plan(wait, Event::Probed(engine));
@@ -493,7 +493,7 @@
         let memory = random.one_of(&[5.0, 40.0, 300.0, 1200.0, 4000.0]) * random.between(0.5, 1.5);
         let cost = random.one_of(&[10, 40, 150, 600]) * random.among(5, 15) / 10;
         Arrival {
-            task: self.arrived,
+            request: self.arrived,
             traffic,
             key: random.maybe(60, |random| random.below(4) as KeyId),
             cost: told.then_some(ms(cost)),
@@ -505,25 +505,25 @@
         }
     }
 
-    fn task_arrives(&mut self) {
+    fn request_arrives(&mut self) {
         // Some come at once, as after a pause.
         let crowd = if self.random.percent(4) { self.random.among(5, 45) } else { 1 };
         for _ in 0..crowd {
             let arrival = self.arrival();
             self.arrived += 1;
             let asking = Asking { arrival: arrival.clone(), hops: 0, answered: false };
-            self.asking.insert(arrival.task, asking);
+            self.asking.insert(arrival.request, asking);
             self.router.accept(self.now, arrival, &mut self.log);
             self.act();
         }
-        if (self.arrived as usize) < self.habits.tasks {
+        if (self.arrived as usize) < self.habits.requests {
             let wait = self.random.time(0, self.habits.longest_gap);
             self.plan(wait, Event::Arrival);
         }
     }
 
-    fn hop_starts(&mut self, task: TaskId, engine: EngineId, until: Duration) {
-        let asking = self.asking.get_mut(&task).expect("a task that arrived");
+    fn hop_starts(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        let asking = self.asking.get_mut(&request).expect("a task that arrived");
         let hop = asking.hops;
         asking.hops += 1;
         let (machine, random) = (&self.machines[&engine], &mut self.random);
@@ -553,21 +553,21 @@
             _ => (run, HopEnd::Succeeded),
         };
         let silent = machine.silent;
-        self.running.insert((task, hop), Running { engine, sent: self.now, until, run });
-        self.plan(wait, Event::HopEnd(task, hop, end));
+        self.running.insert((request, hop), Running { engine, sent: self.now, until, run });
+        self.plan(wait, Event::HopEnd(request, hop, end));
         if let Some(every) = self.habits.note_every.filter(|_| !silent) {
-            self.plan(every, Event::Note(task, hop));
+            self.plan(every, Event::Note(request, hop));
         }
     }
 
-    fn hop_is_cancelled(&mut self, task: TaskId, hop: usize) {
+    fn hop_is_cancelled(&mut self, request: RequestId, hop: usize) {
         let ends = [HopEnd::Withdrawn, HopEnd::Withdrawn, HopEnd::Withdrawn, HopEnd::Void, HopEnd::Broken];
         let (wait, end) = (self.random.time(0, 10), self.random.one_of(&ends));
-        self.plan(wait, Event::HopEnd(task, hop, end));
+        self.plan(wait, Event::HopEnd(request, hop, end));
     }
 
-    fn task_is_answered(&mut self, task: TaskId) {
-        self.asking.get_mut(&task).expect("a task that arrived").answered = true;
+    fn request_is_answered(&mut self, request: RequestId) {
+        self.asking.get_mut(&request).expect("a task that arrived").answered = true;
     }
 
     /// What the engine says of its load, as far as engines do in this life.
@@ -584,15 +584,15 @@
         })
     }
 
-    fn hop_ends(&mut self, task: TaskId, hop: usize, end: HopEnd) {
-        let Some(running) = self.running.remove(&(task, hop)) else { return };
+    fn hop_ends(&mut self, request: RequestId, hop: usize, end: HopEnd) {
+        let Some(running) = self.running.remove(&(request, hop)) else { return };
         let tells = !matches!(end, HopEnd::TimedOut | HopEnd::Unreachable | HopEnd::Broken);
         let signals = if tells && self.random.percent(self.habits.signals) {
             self.signals(running.engine)
         } else {
             None
         };
-        let asking = self.asking.get_mut(&task).expect("a task that arrived");
+        let asking = self.asking.get_mut(&request).expect("a task that arrived");
         let took = self.now - running.sent;
         let told = asking.arrival.memory_mb.unwrap_or(100.0);
         let random = &mut self.random;
@@ -603,12 +603,12 @@
         });
         asking.answered |= end == HopEnd::Succeeded;
         let over = asking.answered;
-        let ended = Ended { task, hop, engine: running.engine, end, took, bill, signals, over };
+        let ended = Ended { request, hop, engine: running.engine, end, took, bill, signals, over };
         self.router.hop_ended(self.now, ended, &mut self.log);
     }
 
-    fn note_comes(&mut self, task: TaskId, hop: usize) {
-        let Some(Running { engine, sent, until, run }) = self.running.get(&(task, hop)) else { return };
+    fn note_comes(&mut self, request: RequestId, hop: usize) {
+        let Some(Running { engine, sent, until, run }) = self.running.get(&(request, hop)) else { return };
         let (since, random) = (self.now - *sent, &mut self.random);
         if self.machines[engine].silent || *until <= self.now {
             return;
@@ -621,11 +621,11 @@
             4 => Notice::Done(0.0),
             _ => Notice::Done(done.min(1.0)),
         };
-        self.router.notice(self.now, task, hop, notice, &mut self.log);
+        self.router.notice(self.now, request, hop, notice, &mut self.log);
         if let Some(every) = self.habits.note_every
             && self.random.percent(93)
         {
-            self.plan(every, Event::Note(task, hop));
+            self.plan(every, Event::Note(request, hop));
         }
     }
 
@@ -676,10 +676,11 @@
     }
 
     fn clients_leave(&mut self) {
-        let waiting = self.asking.iter().filter(|(_, asking)| !asking.answered).map(|(task, _)| *task);
-        let leaving: BTreeSet<TaskId> = waiting.filter(|_| self.random.percent(8)).collect();
-        let (over, ended): (Vec<TaskId>, Vec<TaskId>) = leaving.iter().partition(|task| *task % 2 == 0);
-        over.iter().for_each(|task| self.task_is_answered(*task));
+        let waiting = self.asking.iter().filter(|(_, asking)| !asking.answered).map(|(request, _)| *request);
+        let leaving: BTreeSet<RequestId> = waiting.filter(|_| self.random.percent(8)).collect();
+        let (over, ended): (Vec<RequestId>, Vec<RequestId>) =
+            leaving.iter().partition(|request| *request % 2 == 0);
+        over.iter().for_each(|request| self.request_is_answered(*request));
         self.router.clients_left(self.now, &over, &ended, &mut self.log);
     }
 
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -18,21 +18,21 @@
 }
 
 impl Outlet for Lines {
-    fn send(&mut self, task: TaskId, engine: EngineId, until: Duration) {
-        self.add(format_args!("task {task} to engine {engine} until {}", until.as_millis()));
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        self.add(format_args!("request {request} to engine {engine} until {}", until.as_millis()));
     }
-    fn terms(&mut self, task: TaskId, grant_mb: f64, priority: u8) {
-        self.add(format_args!("task {task} gets {grant_mb} MB, priority {priority}"));
+    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        self.add(format_args!("request {request} gets {grant_mb} MB, priority {priority}"));
     }
-    fn cancel(&mut self, task: TaskId, hop: usize) {
-        self.add(format_args!("cancel task {task} hop {hop}"));
+    fn cancel(&mut self, request: RequestId, hop: usize) {
+        self.add(format_args!("cancel request {request} hop {hop}"));
     }
-    fn bounce(&mut self, task: TaskId, retry_after: Option<Duration>) {
+    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0, |after| after.as_millis());
-        self.add(format_args!("bounce task {task}, back after {after}"));
+        self.add(format_args!("bounce request {request}, back after {after}"));
     }
-    fn give_up(&mut self, task: TaskId) {
-        self.add(format_args!("give up task {task}"));
+    fn give_up(&mut self, request: RequestId) {
+        self.add(format_args!("give up request {request}"));
     }
     fn probe(&mut self, engine: EngineId) {
         self.add(format_args!("probe engine {engine}"));
@@ -132,7 +132,7 @@
 pub struct Trace {
     router: Router,
     lines: Lines,
-    tasks: TaskId,
+    requests: RequestId,
     patience: Vec<Duration>,
     /// Location and cell of each engine.
     places: Vec<(usize, u64)>,
@@ -165,7 +165,7 @@
     fn round(fleet: Fleet, traffic: Vec<TrafficType>, duties: Duties, places: Vec<(usize, u64)>) -> Self {
         let patience = traffic.iter().map(|traffic| traffic.patience).collect();
         let (router, lines) = (Router::new(fleet, traffic, duties), Lines::default());
-        Self { router, lines, tasks: 0, patience, places }
+        Self { router, lines, requests: 0, patience, places }
     }
 
     fn row(&self, engine: EngineId, ready: bool, gone: bool, launched: Option<u64>) -> Listing {
@@ -196,9 +196,18 @@
         self
     }
 
-    /// The end of a hop of a task that is over.
-    pub fn ended_over(&mut self, task: TaskId, hop: usize, engine: EngineId, end: HopEnd) -> &mut Self {
-        self.hop_ended(Ended { task, hop, engine, end, took: ms(1), bill: None, signals: None, over: true })
+    /// The end of a hop of a request that is over.
+    pub fn ended_over(&mut self, request: RequestId, hop: usize, engine: EngineId, end: HopEnd) -> &mut Self {
+        self.hop_ended(Ended {
+            request,
+            hop,
+            engine,
+            end,
+            took: ms(1),
+            bill: None,
+            signals: None,
+            over: true,
+        })
     }
 
     fn hop_ended(&mut self, ended: Ended) -> &mut Self {
@@ -220,13 +229,13 @@
         self.accept_keyed(traffic, cost, memory_mb, None)
     }
 
-    /// A task whose client says whether it tried before.
+    /// A request whose client says whether it tried before.
     pub fn accept_marked(&mut self, patience: u64, later_try: Option<bool>) -> &mut Self {
         let arrival = Arrival { patience: ms(patience), later_try, ..arrival(0, 100, 300.0) };
         self.arrive(arrival)
     }
 
-    /// A small task on a table group.
+    /// A small request on a table group.
     pub fn accept_in(&mut self, traffic: usize, group: u64) -> &mut Self {
         self.arrive(Arrival { group: Some(group), ..arrival(traffic, 100, 300.0) })
     }
@@ -237,48 +246,57 @@
 
     fn arrive(&mut self, arrival: Arrival) -> &mut Self {
         let patience = arrival.patience.min(self.patience[arrival.traffic]);
-        let arrival = Arrival { task: self.tasks, patience, ..arrival };
-        self.tasks += 1;
+        let arrival = Arrival { request: self.requests, patience, ..arrival };
+        self.requests += 1;
         self.router.accept(ms(self.lines.1), arrival, &mut self.lines);
         self
     }
 
-    pub fn ended(&mut self, task: TaskId, hop: usize, engine: EngineId, end: HopEnd) -> &mut Self {
-        self.reported(task, hop, engine, end, None)
+    pub fn ended(&mut self, request: RequestId, hop: usize, engine: EngineId, end: HopEnd) -> &mut Self {
+        self.reported(request, hop, engine, end, None)
     }
 
     pub fn reported(
         &mut self,
-        task: TaskId,
+        request: RequestId,
         hop: usize,
         engine: EngineId,
         end: HopEnd,
         signals: Option<Signals>,
     ) -> &mut Self {
         let over = end == HopEnd::Succeeded;
-        self.hop_ended(Ended { task, hop, engine, end, took: ms(1), bill: None, signals, over })
+        self.hop_ended(Ended { request, hop, engine, end, took: ms(1), bill: None, signals, over })
     }
 
     /// Its first hop has succeeded after so many ms.
     pub fn answered(
         &mut self,
-        task: TaskId,
+        request: RequestId,
         engine: EngineId,
         took: u64,
         told: Option<Signals>,
     ) -> &mut Self {
         let (hop, end, took) = (0, HopEnd::Succeeded, ms(took));
-        self.hop_ended(Ended { task, hop, engine, end, took, bill: None, signals: told, over: true })
+        self.hop_ended(Ended { request, hop, engine, end, took, bill: None, signals: told, over: true })
     }
 
     /// A success with its bill; what is told of load is left out.
-    pub fn billed(&mut self, task: TaskId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
+    pub fn billed(&mut self, request: RequestId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
         let (end, bill) = (HopEnd::Succeeded, Some(Bill { cost: ms(cost), memory_mb }));
-        self.hop_ended(Ended { task, hop: 0, engine, end, took: ms(cost), bill, signals: None, over: true })
-    }
-
-    pub fn notice(&mut self, task: TaskId, hop: usize, notice: Notice) -> &mut Self {
-        self.router.notice(ms(self.lines.1), task, hop, notice, &mut self.lines);
+        self.hop_ended(Ended {
+            request,
+            hop: 0,
+            engine,
+            end,
+            took: ms(cost),
+            bill,
+            signals: None,
+            over: true,
+        })
+    }
+
+    pub fn notice(&mut self, request: RequestId, hop: usize, notice: Notice) -> &mut Self {
+        self.router.notice(ms(self.lines.1), request, hop, notice, &mut self.lines);
         self
     }
 
@@ -287,14 +305,14 @@
         self
     }
 
-    pub fn left(&mut self, task: TaskId) -> &mut Self {
-        self.router.clients_left(ms(self.lines.1), &[task], &[], &mut self.lines);
+    pub fn left(&mut self, request: RequestId) -> &mut Self {
+        self.router.clients_left(ms(self.lines.1), &[request], &[], &mut self.lines);
         self
     }
 
     /// Their clients have ended their side.
-    pub fn shut(&mut self, tasks: &[TaskId]) -> &mut Self {
-        self.router.clients_left(ms(self.lines.1), &[], tasks, &mut self.lines);
+    pub fn shut(&mut self, requests: &[RequestId]) -> &mut Self {
+        self.router.clients_left(ms(self.lines.1), &[], requests, &mut self.lines);
         self
     }
 
@@ -344,7 +362,7 @@
 
 fn arrival(traffic: usize, cost: u64, memory_mb: f64) -> Arrival {
     Arrival {
-        task: 0,
+        request: 0,
         traffic,
         key: None,
         cost: (cost > 0).then(|| ms(cost)),
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_task_without_estimates_takes_the_medium_tier() {
+fn a_request_without_estimates_takes_the_medium_tier() {
     let mut trace = Trace::new(1, |_, _, _| ());
     trace.accept(1, 0, 0.0).accept(1, 0, 0.0).at(5).ended(0, 0, 0, HopEnd::Overloaded);
     expect![[r#"
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn medium_tasks_wait_until_their_memory_is_there_and_small_ones_do_not() {
+fn medium_requests_wait_until_their_memory_is_there_and_small_ones_do_not() {
     let mut trace = Trace::new(1, |_, _, _| ());
     let full = Signals { busy: Some(0.3), memory: Some(0.9), ..Signals::default() };
     let free = Signals { memory: Some(0.2), ..full };
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_referenced_task_stays_in_its_cell_and_window() {
+fn a_referenced_request_stays_in_its_cell_and_window() {
     let cell = Effect::Referenced { scope: Scope::Cell, window: ms(700) };
     let mut trace = Trace::new(4, |_, traffic, _| traffic[0].effect = cell);
     trace.list((1..4).map(|engine| Listing { location: 0, ..listing(engine, true, None) }).collect());
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn tasks_of_a_key_run_in_turn_and_rest_after_a_hop_that_may_still_run() {
+fn requests_of_a_key_run_in_turn_and_rest_after_a_hop_that_may_still_run() {
     let mut trace = Trace::new(3, |_, traffic, duties| {
         traffic[2].keeps_order = true;
         duties.key_rest = Some(ms(300));
@@ -195,7 +195,7 @@
 
 #[test]
 fn further_hops_stay_within_the_budget() {
-    let budget = HopBudget { spare: 1.0, per_task: 0.1, over: ms(5000) };
+    let budget = HopBudget { spare: 1.0, per_request: 0.1, over: ms(5000) };
     let mut trace = Trace::new(4, |_, _, duties| duties.hop_budget = Some(budget));
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).decided();
     trace.at(50).ended(0, 0, 0, HopEnd::Overloaded).ended(1, 0, 1, HopEnd::Overloaded).wait(600);
@@ -255,9 +255,9 @@
 #[test]
 fn lasting_slowness_still_counts_as_pressure() {
     let mut trace = Trace::new(1, |_, _, _| ());
-    for task in 0..40 {
-        trace.at(400 * u64::from(task)).accept(0, 100, 300.0).at(400 * u64::from(task) + 390);
-        trace.ended(task, 0, 0, HopEnd::Succeeded);
+    for request in 0..40 {
+        trace.at(400 * u64::from(request)).accept(0, 100, 300.0).at(400 * u64::from(request) + 390);
+        trace.ended(request, 0, 0, HopEnd::Succeeded);
     }
     trace.decided();
     for _ in 0..3 {
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_late_task_that_earns_little_is_answered_at_once() {
+fn a_late_request_that_earns_little_is_answered_at_once() {
     let mut trace = Trace::new(2, |_, _, _| ());
     let full = Signals { waiting: Some(2.0), ..Signals::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).at(1190);
@@ -379,8 +379,8 @@
     let mut trace = Trace::new(4, |fleet, _, _| fleet.routers = 100);
     let busy = Signals { busy: Some(1.0), memory: Some(0.5), ..Signals::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).at(100);
-    for task in 0..4 {
-        trace.reported(task, 0, task as EngineId, HopEnd::Succeeded, Some(busy));
+    for request in 0..4 {
+        trace.reported(request, 0, request as EngineId, HopEnd::Succeeded, Some(busy));
     }
     trace.decided();
     trace.accept(1, 300, 300.0).accept(1, 300, 300.0).accept(1, 300, 300.0);
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_cold_engine_of_many_routers_gets_one_task_from_a_chance_point() {
+fn a_cold_engine_of_many_routers_gets_one_request_from_a_chance_point() {
     let mut trace = Trace::new(0, |fleet, _, _| fleet.routers = 20);
     trace.at(5000).list(vec![listing(0, true, Some(5000))]);
     for at in [5000, 5400, 5800, 6200, 6600] {
@@ -409,9 +409,9 @@
 #[test]
 fn what_goes_on_failing_is_believed_for_longer() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.routers = 100);
-    for (task, at) in [(0, 0), (1, 9000)] {
-        trace.at(at).accept(0, 100, 300.0).ended(task, 0, 0, HopEnd::Unreachable);
-        trace.ended(task, 1, 1, HopEnd::Succeeded);
+    for (request, at) in [(0, 0), (1, 9000)] {
+        trace.at(at).accept(0, 100, 300.0).ended(request, 0, 0, HopEnd::Unreachable);
+        trace.ended(request, 1, 1, HopEnd::Succeeded);
     }
     trace.decided();
     trace.at(18_000).accept(0, 100, 300.0).ended(2, 0, 1, HopEnd::Succeeded).at(26_000).accept(0, 100, 300.0);
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn a_shortage_since_the_last_report_keeps_medium_tasks_away() {
+fn a_shortage_since_the_last_report_keeps_medium_requests_away() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.cuts_grants = true);
     let free = Signals { memory: Some(0.2), ..Signals::default() };
     trace.accept(1, 900, 900.0).accept(1, 900, 900.0).at(100).notice(0, 0, Notice::Spills(100.0));
@@ -443,7 +443,7 @@
 }
 
 #[test]
-fn before_the_process_ends_each_task_gets_the_answer_that_its_effect_allows() {
+fn before_the_process_ends_each_request_gets_the_answer_that_its_effect_allows() {
     let mut trace = Trace::new(1, |_, _, _| {});
     trace.accept(0, 100, 300.0).accept(1, 900, 300.0).accept(2, 900, 300.0);
     trace.at(200).closing(3700).ended(0, 0, 0, HopEnd::Succeeded).at(600).accept(0, 100, 300.0).wait(3700);
@@ -484,8 +484,8 @@
     });
     trace.decided();
     trace.at(100);
-    (0..6).for_each(|task| {
-        trace.ended(task, 0, 0, HopEnd::Broken);
+    (0..6).for_each(|request| {
+        trace.ended(request, 0, 0, HopEnd::Broken);
     });
     expect![[r#"
         100   task 0 gets 125 MB, priority 1
@@ -512,8 +512,8 @@
     });
     trace.decided();
     trace.at(100);
-    (0..6).for_each(|task| {
-        trace.ended(task, 0, 0, HopEnd::Broken);
+    (0..6).for_each(|request| {
+        trace.ended(request, 0, 0, HopEnd::Broken);
     });
     (0..6).for_each(|_| {
         trace.accept(0, 1000, 100.0);
@@ -530,7 +530,7 @@
 }
 
 #[test]
-fn a_task_that_waits_for_loads_avoids_where_one_of_its_group_stood() {
+fn a_request_that_waits_for_loads_avoids_where_one_of_its_group_stood() {
     let mut trace = Trace::new(2, |_, traffic, _| traffic[0].waits_for_loads = true);
     trace.accept_in(0, 7).notice(0, 0, Notice::WaitsForLoad).at(10);
     (0..3).for_each(|_| {
@@ -556,7 +556,7 @@
 }
 
 #[test]
-fn an_engine_that_has_gone_is_forgotten_with_the_last_task_that_it_has_seen() {
+fn an_engine_that_has_gone_is_forgotten_with_the_last_request_that_it_has_seen() {
     let mut trace = Trace::new(2, |_, _, _| {});
     trace.accept(0, 100, 100.0).accept(0, 100, 100.0).at(10);
     let gone = |engine| Listing { gone: true, ..listing(engine, false, None) };
@@ -597,10 +597,10 @@
     .assert_eq(&trace.decided());
 }
 
-/// Found by the explorer: where this router's part of a cold engine was under one task, two could follow each
+/// Found by the explorer: where this router's part of a cold engine was under one request, two could follow each
 /// other, as the limit was their sum and rounding decided.
 #[test]
-fn a_part_under_one_task_lets_one_go_in_its_longer_window() {
+fn a_part_under_one_request_lets_one_go_in_its_longer_window() {
     let mut trace = Trace::small(&[(0, 0)], |fleet, _, duties| {
         fleet.routers = 40;
         duties.warm_up = ms(2000);
@@ -616,13 +616,13 @@
     .assert_eq(&trace.decided());
 }
 
-/// A report of so many tasks in flight, and of nothing else.
+/// A report of so many requests in flight, and of nothing else.
 fn counted(in_flight: f64) -> Option<Signals> {
     Some(Signals { in_flight: Some(in_flight), ..Signals::default() })
 }
 
 #[test]
-fn the_first_tasks_of_untold_cost_make_none_after_them_look_hopeless() {
+fn the_first_requests_of_untold_cost_make_none_after_them_look_hopeless() {
     let mut trace = Trace::new(1, |_, _, _| ());
     trace.accept(0, 0, 0.0).accept(0, 0, 0.0).at(100).answered(0, 0, 100, None).accept(0, 0, 0.0);
     expect![[r#"
@@ -649,7 +649,7 @@
 }
 
 #[test]
-fn medium_tasks_wait_at_two_threads_a_core_where_tasks_in_flight_are_told() {
+fn medium_requests_wait_at_two_threads_a_core_where_requests_in_flight_are_told() {
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(0, 0, 0.0).at(50).answered(0, 0, 50, counted(15.5)).accept(0, 0, 0.0);
     trace.at(60).answered(1, 1, 50, counted(15.0)).decided();
@@ -677,7 +677,7 @@
 }
 
 #[test]
-fn a_spill_keeps_no_task_away_where_memory_is_untold() {
+fn a_spill_keeps_no_request_away_where_memory_is_untold() {
     let mut trace = Trace::new(1, |fleet, _, _| fleet.cuts_grants = true);
     trace.accept(0, 0, 0.0).at(20).notice(0, 0, Notice::Spills(100.0)).at(30).accept(0, 0, 0.0);
     expect![[r#"
@@ -690,7 +690,7 @@
 }
 
 #[test]
-fn a_task_sent_before_goes_back_where_alone_is_room() {
+fn a_request_sent_before_goes_back_where_alone_is_room() {
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(0, 0, 0.0).at(50).answered(0, 0, 50, counted(1.0)).accept(0, 0, 0.0);
     trace.at(60).answered(1, 1, 10, counted(30.0)).accept(0, 0, 0.0).accept(0, 0, 0.0);
@@ -711,7 +711,7 @@
 }
 
 #[test]
-fn a_billed_task_that_was_costly_does_not_make_its_engine_look_slow() {
+fn a_billed_request_that_was_costly_does_not_make_its_engine_look_slow() {
     let mut trace = Trace::new(1, |_, _, _| {});
     trace.accept(0, 0, 0.0).at(50).billed(0, 0, 50, 100.0);
     trace.at(5000).accept(0, 0, 0.0).at(7000).billed(1, 0, 2000, 100.0);
@@ -756,7 +756,7 @@
 }
 
 #[test]
-fn a_held_task_asks_where_load_is_told_only_to_those_who_ask() {
+fn a_held_request_asks_where_load_is_told_only_to_those_who_ask() {
     let mut trace = Trace::new(4, |fleet, _, duties| {
         (fleet.routers, fleet.probes_tell, duties.may_probe) = (40, true, true);
     });
@@ -775,7 +775,7 @@
 }
 
 #[test]
-fn a_task_behind_others_of_its_key_waits_for_its_turn_past_the_time_out_of_its_tier() {
+fn a_request_behind_others_of_its_key_waits_for_its_turn_past_the_time_out_of_its_tier() {
     let mut trace =
         Trace::new(1, |_, traffic, _| (traffic[2].keeps_order, traffic[2].late_share) = (true, 0.5));
     trace.accept_keyed(2, 0, 0.0, Some(1)).accept_keyed(2, 0, 0.0, Some(1)).at(3500).woken();
@@ -844,7 +844,7 @@
 }
 
 #[test]
-fn tasks_in_flight_show_pressure_at_two_threads_a_core_and_not_at_one() {
+fn requests_in_flight_show_pressure_at_two_threads_a_core_and_not_at_one() {
     let mut trace = Trace::new(1, |fleet, _, _| fleet.routers = 4);
     trace.accept(0, 0, 0.0).at(50).answered(0, 0, 50, counted(8.5)).accept(0, 0, 0.0).decided();
     trace.accept(0, 0, 0.0).accept(0, 0, 0.0).at(100).answered(1, 0, 50, counted(15.5)).accept(0, 0, 0.0);
