--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -209,7 +209,7 @@
     Law("no call for nobody", "nothing is sent for a request that was answered or withdrawn", for_nobody),
     Law("no call for one that left", "nothing is sent once its client has ended its side", for_one_that_left),
     Law("own fault", "what a client does closes no other client's connection", closes_another),
-    Law("an empty house", "at rest there is no client, request, hop, connection or deadline", keeps),
+    Law("an empty house", "at rest there is no client, request, attempt, connection or deadline", keeps),
 ];
 
 fn second_line(home: &Home, act: &Act) -> bool {
@@ -254,8 +254,8 @@
 
 fn keeps(home: &Home, act: &Act) -> bool {
     let floor = &home.front.floor;
-    let (_, links, hops) = floor.engines.held();
-    let kept = links + hops + floor.works.timers.len() + floor.clients.table.len() + home.far.len();
+    let (_, links, attempts) = floor.engines.held();
+    let kept = links + attempts + floor.works.timers.len() + floor.clients.table.len() + home.far.len();
     matches!(act, Act::Rests) && !home.front.left && (kept > 0 || !floor.requests.is_empty())
 }
 
--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -22,7 +22,7 @@
     Law { name: "one answer", says: "no request gets a second final answer", breaks: second_answer },
     Law { name: "in time", says: "a request is answered before its patience ends", breaks: late_answer },
     Law { name: "nothing after", says: "nothing is sent for a request after its answer", breaks: sent_after },
-    Law { name: "one hop out", says: "a request has at most one hop out", breaks: two_hops_out },
+    Law { name: "one attempt out", says: "a request has at most one attempt out", breaks: two_attempts_out },
     Law {
         name: "single-use",
         says: "a single-use request that may have run is not sent again",
@@ -53,11 +53,19 @@
         says: "requests of one key run one at a time, in their order",
         breaks: out_of_turn,
     },
-    Law { name: "key rest", says: "a key rests after a hop that may still run", breaks: key_disturbed },
-    Law { name: "placement", says: "every hop goes where its traffic type is placed", breaks: misplaced },
-    Law { name: "hop limit", says: "a request has no more hops than allowed", breaks: too_many_hops },
-    Law { name: "hop budget", says: "further hops stay within their budget", breaks: over_budget },
-    Law { name: "cancel", says: "only a hop that is out is cancelled, and once", breaks: cancels_nothing },
+    Law { name: "key rest", says: "a key rests after an attempt that may still run", breaks: key_disturbed },
+    Law { name: "placement", says: "every attempt goes where its traffic type is placed", breaks: misplaced },
+    Law {
+        name: "attempt limit",
+        says: "a request has no more attempts than allowed",
+        breaks: too_many_attempts,
+    },
+    Law { name: "attempt budget", says: "further attempts stay within their budget", breaks: over_budget },
+    Law {
+        name: "cancel",
+        says: "only an attempt that is out is cancelled, and once",
+        breaks: cancels_nothing,
+    },
     Law { name: "grant", says: "a grant stays within what an engine allows", breaks: grant_too_large },
     Law { name: "wakes", says: "no open request without a wake-up due", breaks: stands_still },
     Law { name: "comes to rest", says: "a life that has ended leaves nothing behind", breaks: leaves_behind },
@@ -89,13 +97,13 @@
     matches!(act, Act::Send { request: number, .. } if !request(life, number).open())
 }
 
-fn two_hops_out(_: &World, life: &Life, act: &Act) -> bool {
+fn two_attempts_out(_: &World, life: &Life, act: &Act) -> bool {
     let Act::Send { request: number, .. } = act else { return false };
     let request = request(life, number);
     request.open() && request.out().is_some()
 }
 
-/// The ended hops of an open request that is to be sent.
+/// The ended attempts of an open request that is to be sent.
 fn sent_again<'a>(life: &'a Life, act: &Act) -> Option<&'a Truth> {
     let Act::Send { request: number, .. } = act else { return None };
     Some(request(life, number)).filter(|request| request.open() && request.out().is_none())
@@ -185,13 +193,13 @@
     kind || traffic.locations.as_ref().is_some_and(|places| !places.contains(&world.engines[*engine].0))
 }
 
-fn too_many_hops(world: &World, life: &Life, act: &Act) -> bool {
-    sent_again(life, act).is_some_and(|request| request.hops.len() >= world.duties.most_hops)
+fn too_many_attempts(world: &World, life: &Life, act: &Act) -> bool {
+    sent_again(life, act).is_some_and(|request| request.attempts.len() >= world.duties.most_attempts)
 }
 
 fn over_budget(world: &World, life: &Life, act: &Act) -> bool {
-    let Some(budget) = &world.duties.hop_budget else { return false };
-    let further = sent_again(life, act).is_some_and(|request| !request.hops.is_empty());
+    let Some(budget) = &world.duties.attempt_budget else { return false };
+    let further = sent_again(life, act).is_some_and(|request| !request.attempts.is_empty());
     let lately = |at: Duration| at + budget.over > life.now;
     let made = life.further.iter().filter(|at| lately(**at)).count() as f64;
     let taken = life.requests.iter().filter(|request| lately(request.arrived)).count() as f64;
@@ -199,9 +207,9 @@
 }
 
 fn cancels_nothing(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Cancel { request: number, hop } = act else { return false };
-    let hop = request(life, number).hops.get(*hop);
-    !world.duties.may_cancel || hop.is_none_or(|hop| hop.end.is_some() || hop.cancelled)
+    let Act::Cancel { request: number, attempt } = act else { return false };
+    let attempt = request(life, number).attempts.get(*attempt);
+    !world.duties.may_cancel || attempt.is_none_or(|attempt| attempt.end.is_some() || attempt.cancelled)
 }
 
 fn grant_too_large(world: &World, _: &Life, act: &Act) -> bool {
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -21,7 +21,7 @@
 pub enum Act {
     Send { request: RequestId, engine: EngineId, until: Duration },
     Terms { request: RequestId, grant_mb: f64 },
-    Cancel { request: RequestId, hop: usize },
+    Cancel { request: RequestId, attempt: usize },
     Bounce { request: RequestId },
     GiveUp { request: RequestId },
     Wake { wait: Duration },
@@ -51,8 +51,8 @@
     fn terms(&mut self, request: RequestId, grant_mb: f64, _: u8) {
         self.note(Act::Terms { request, grant_mb });
     }
-    fn cancel(&mut self, request: RequestId, hop: usize) {
-        self.note(Act::Cancel { request, hop });
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.note(Act::Cancel { request, attempt });
     }
     fn bounce(&mut self, request: RequestId, _: Option<Duration>) {
         self.note(Act::Bounce { request });
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Move {
     Arrive { draw: u64 },
-    End { request: usize, end: HopEnd, draw: u64 },
+    End { request: usize, end: AttemptEnd, draw: u64 },
     Note { request: usize, notice: Notice, draw: u64 },
     List { engine: EngineId, what: Listed, draw: u64 },
     ListLost,
@@ -90,11 +90,11 @@
 }
 
 #[derive(Clone)]
-pub struct HopTruth {
+pub struct AttemptTruth {
     pub engine: EngineId,
     pub sent: Duration,
     pub until: Duration,
-    pub end: Option<HopEnd>,
+    pub end: Option<AttemptEnd>,
     pub cancelled: bool,
     pub noted: u8,
 }
@@ -112,7 +112,7 @@
     pub arrived: Duration,
     pub patience: Duration,
     pub answer: Option<Answer>,
-    pub hops: Vec<HopTruth>,
+    pub attempts: Vec<AttemptTruth>,
     pub grant: Option<f64>,
 }
 
@@ -138,9 +138,9 @@
     pub sites: Vec<Site>,
     /// When the module asked to be woken.
     pub wakes: Vec<Duration>,
-    /// Further hops, by when they were sent.
+    /// Further attempts, by when they were sent.
     pub further: Vec<Duration>,
-    /// Until when a key rests, by whose hop may still run.
+    /// Until when a key rests, by whose attempt may still run.
     pub rests: Vec<(KeyId, RequestId, Duration)>,
     pub listed: u8,
     pub left: u8,
@@ -168,23 +168,23 @@
     }
 }
 
-impl HopTruth {
+impl AttemptTruth {
     pub fn may_have_run(&self) -> bool {
-        !matches!(self.end, Some(HopEnd::Overloaded | HopEnd::Unreachable | HopEnd::Void))
+        !matches!(self.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
     }
 }
 
 impl Truth {
-    pub fn out(&self) -> Option<&HopTruth> {
-        self.hops.last().filter(|hop| hop.end.is_none())
+    pub fn out(&self) -> Option<&AttemptTruth> {
+        self.attempts.last().filter(|attempt| attempt.end.is_none())
     }
 
     pub fn open(&self) -> bool {
         self.answer.is_none()
     }
 
-    pub fn first_that_may_have_run(&self) -> Option<&HopTruth> {
-        self.hops.iter().find(|hop| hop.may_have_run())
+    pub fn first_that_may_have_run(&self) -> Option<&AttemptTruth> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 }
 
@@ -246,9 +246,9 @@
         for request in &self.requests {
             (request.answer.is_some(), request.out().is_some()).hash(&mut digest);
             if request.open() || request.out().is_some() {
-                let noted = request.hops.last().map(|hop| (hop.noted, hop.cancelled));
-                let until = request.out().map(|hop| hop.until.saturating_sub(self.now));
-                (noted, until, request.hops.len()).hash(&mut digest);
+                let noted = request.attempts.last().map(|attempt| (attempt.noted, attempt.cancelled));
+                let until = request.out().map(|attempt| attempt.until.saturating_sub(self.now));
+                (noted, until, request.attempts.len()).hash(&mut digest);
                 (request.patience.saturating_sub(self.now), self.now - request.arrived).hash(&mut digest);
             }
         }
@@ -259,7 +259,7 @@
         for (key, request, until) in &self.rests {
             (key, request, until.saturating_sub(self.now)).hash(&mut digest);
         }
-        if world.duties.hop_budget.is_some() {
+        if world.duties.attempt_budget.is_some() {
             self.further.iter().for_each(|at| (self.now - *at).hash(&mut digest));
         }
         (self.requests.len(), self.listed, self.left, self.watched).hash(&mut digest);
@@ -282,21 +282,21 @@
         }
         let mut owed = false;
         for (request, truth) in self.requests.iter().enumerate() {
-            let Some(hop) = truth.out() else { continue };
-            let given_up = hop.cancelled || !truth.open();
-            let ends: &[HopEnd] = match () {
-                () if !truth.open() => &[HopEnd::Withdrawn, HopEnd::Void],
+            let Some(attempt) = truth.out() else { continue };
+            let given_up = attempt.cancelled || !truth.open();
+            let ends: &[AttemptEnd] = match () {
+                () if !truth.open() => &[AttemptEnd::Withdrawn, AttemptEnd::Void],
                 // What was on its way comes nevertheless.
-                () if hop.cancelled => &[HopEnd::Withdrawn, HopEnd::Void, HopEnd::Succeeded],
-                () if hop.until <= self.now => &[HopEnd::TimedOut, HopEnd::Unreachable],
+                () if attempt.cancelled => &[AttemptEnd::Withdrawn, AttemptEnd::Void, AttemptEnd::Succeeded],
+                () if attempt.until <= self.now => &[AttemptEnd::TimedOut, AttemptEnd::Unreachable],
                 () => world.ends,
             };
-            owed |= given_up || hop.until <= self.now;
+            owed |= given_up || attempt.until <= self.now;
             for end in ends {
-                let again = *end != HopEnd::Succeeded && truth.open() || held;
+                let again = *end != AttemptEnd::Succeeded && truth.open() || held;
                 moves.extend(draws(again).map(|draw| Move::End { request, end: *end, draw }));
             }
-            if !given_up && hop.noted < world.notes {
+            if !given_up && attempt.noted < world.notes {
                 let notes = world.notices.iter().copied();
                 moves
                     .extend(notes.flat_map(|notice| {
@@ -351,12 +351,12 @@
         for (at, request) in self.requests.iter().enumerate().filter(|(_, request)| request.open()) {
             let number = at as RequestId;
             times.push(request.patience);
-            times.extend(request.out().map(|hop| hop.until));
+            times.extend(request.out().map(|attempt| attempt.until));
             if world.fine {
                 times.extend(around(request.arrived + world.traffic_of(number).target));
             }
-            if let (Some(window), Some(hop)) = (world.window(number), request.first_that_may_have_run()) {
-                times.extend(before(hop.sent + window - world.margin()));
+            if let (Some(window), Some(attempt)) = (world.window(number), request.first_that_may_have_run()) {
+                times.extend(before(attempt.sent + window - world.margin()));
             }
         }
         if self.requests.iter().any(Truth::open) {
@@ -410,9 +410,9 @@
             }
             Move::End { request, end, .. } => life.end(world, request, end, &mut acts),
             Move::Note { request, notice, .. } => {
-                let hop = life.requests[request].hops.len() - 1;
-                life.requests[request].hops[hop].noted += 1;
-                life.router.notice(now, request as RequestId, hop, notice, &mut acts);
+                let attempt = life.requests[request].attempts.len() - 1;
+                life.requests[request].attempts[attempt].noted += 1;
+                life.router.notice(now, request as RequestId, attempt, notice, &mut acts);
             }
             Move::List { engine, what, .. } => {
                 life.listed += 1;
@@ -466,28 +466,28 @@
         life
     }
 
-    /// A hop's end, as its caller tells it: a result goes to the client first, where one still waits.
-    fn end(&mut self, world: &World, request: usize, end: HopEnd, acts: &mut Acts) {
+    /// An attempt's end, as its caller tells it: a result goes to the client first, where one still waits.
+    fn end(&mut self, world: &World, request: usize, end: AttemptEnd, acts: &mut Acts) {
         let (now, number) = (self.now, request as RequestId);
-        let hop = self.requests[request].hops.len() - 1;
-        if end == HopEnd::Succeeded && self.requests[request].open() {
+        let attempt = self.requests[request].attempts.len() - 1;
+        if end == AttemptEnd::Succeeded && self.requests[request].open() {
             self.judge(world, Act::Serve { request: number });
             self.requests[request].answer = Some(Answer::Served);
         }
         let over = !self.requests[request].open();
-        let truth = &mut self.requests[request].hops[hop];
+        let truth = &mut self.requests[request].attempts[attempt];
         truth.end = Some(end);
         let (engine, took) = (truth.engine, now - truth.sent);
-        if let (Some(key), Some(rest), HopEnd::TimedOut | HopEnd::Broken | HopEnd::Withdrawn) =
+        if let (Some(key), Some(rest), AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn) =
             (world.requests[request].key, world.duties.key_rest, end)
         {
-            // All that are still owed: one after another's hop does not end that of an earlier.
+            // All that are still owed: one after another's attempt does not end that of an earlier.
             self.rests.retain(|(.., until)| *until > now);
             self.rests.push((key, number, now + rest));
         }
         let ended =
-            Ended { request: number, hop, engine, end, took, bill: None, signals: world.signals, over };
-        self.router.hop_ended(now, ended, acts);
+            Ended { request: number, attempt, engine, end, took, bill: None, signals: world.signals, over };
+        self.router.attempt_ended(now, ended, acts);
     }
 
     fn judge(&mut self, world: &World, act: Act) {
@@ -506,14 +506,23 @@
                 Act::Send { request, engine, until } => {
                     let (sent, usual) = (self.now, world.requests[request as usize].cost as f64 / 1e3);
                     let truth = &mut self.requests[request as usize];
-                    if !truth.hops.is_empty() {
+                    if !truth.attempts.is_empty() {
                         self.further.push(sent);
                     }
-                    truth.hops.push(HopTruth { engine, sent, until, end: None, cancelled: false, noted: 0 });
+                    truth.attempts.push(AttemptTruth {
+                        engine,
+                        sent,
+                        until,
+                        end: None,
+                        cancelled: false,
+                        noted: 0,
+                    });
                     self.sites[engine].sent.push((sent, usual));
                 }
                 Act::Terms { request, grant_mb } => self.requests[request as usize].grant = Some(grant_mb),
-                Act::Cancel { request, hop } => self.requests[request as usize].hops[hop].cancelled = true,
+                Act::Cancel { request, attempt } => {
+                    self.requests[request as usize].attempts[attempt].cancelled = true
+                }
                 Act::Bounce { request } => self.requests[request as usize].answer = Some(Answer::Bounced),
                 Act::GiveUp { request } => self.requests[request as usize].answer = Some(Answer::GivenUp),
                 Act::Wake { wait } => {
@@ -541,7 +550,8 @@
             acts.extend([Act::Bounce { request }, Act::GiveUp { request }, Act::Serve { request }]);
             acts.push(Act::Terms { request, grant_mb: f64::from(u32::MAX) });
             acts.extend(
-                (0..self.requests[request as usize].hops.len()).map(|hop| Act::Cancel { request, hop }),
+                (0..self.requests[request as usize].attempts.len())
+                    .map(|attempt| Act::Cancel { request, attempt }),
             );
             acts.extend((0..self.sites.len()).map(|engine| Act::Send {
                 request,
--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -1,10 +1,10 @@
-//! A world round the machine of connections and hops: engines that answer, shed, spoil, split, repeat, fall
+//! A world round the machine of connections and attempts: engines that answer, shed, spoil, split, repeat, fall
 //! silent, reset or are replaced at their address, while calls are sent, dropped and overdue. The machine inside
 //! is the router's own; the sockets are two byte strings.
 
 use crate::search::Walk;
 use crate::witness;
-use emberflow::{EngineId, HopEnd, RequestId};
+use emberflow::{AttemptEnd, EngineId, RequestId};
 use emberflow_router::bulletin::Row;
 use emberflow_router::engines::{Ask, Call, Engines, News};
 use emberflow_router::resp;
@@ -24,9 +24,9 @@
 pub struct Links {
     pub name: &'static str,
     pub says: &'static str,
-    /// How many requests, and hops of each.
+    /// How many requests, and attempts of each.
     pub requests: usize,
-    pub hops: usize,
+    pub attempts: usize,
     /// What an engine may say, and how often in all it may do what it should not.
     pub words: &'static [Word],
     pub faults: u8,
@@ -109,14 +109,14 @@
     }
 }
 
-/// A hop as the world knows it.
+/// An attempt as the world knows it.
 #[derive(Clone)]
-struct Hop {
+struct Attempt {
     request: usize,
     number: usize,
     slot: Slot,
     until: Duration,
-    end: Option<HopEnd>,
+    end: Option<AttemptEnd>,
     /// How often it came to an engine whole.
     came: u8,
     /// Whether an engine said its word on it, and how many pages that has.
@@ -132,8 +132,8 @@
     engine: EngineId,
     ready: bool,
     far: BTreeMap<Slot, Far>,
-    hops: Vec<Hop>,
-    /// Connections that may still answer a hop that was given up, by its request.
+    attempts: Vec<Attempt>,
+    /// Connections that may still answer an attempt that was given up, by its request.
     owing: Vec<(usize, Slot)>,
     faults: u8,
     listed: bool,
@@ -142,16 +142,16 @@
 
 /// What the machine does, as those see it who stand round it, and an end at which nothing can come any more.
 enum Act<'a> {
-    /// A hop ends; `by` is the one that an engine's word was about.
+    /// An attempt ends; `by` is the one that an engine's word was about.
     Ends {
-        hop: usize,
-        end: HopEnd,
+        attempt: usize,
+        end: AttemptEnd,
         body: Option<&'a [u8]>,
         by: Option<usize>,
     },
     /// A call has come whole to an engine.
     Comes {
-        hop: usize,
+        attempt: usize,
     },
     /// A call begins to leave.
     Leaves,
@@ -162,61 +162,65 @@
     Rests,
 }
 
-/// The laws of connections and hops: names, words, and what breaks them.
+/// The laws of connections and attempts: names, words, and what breaks them.
 pub struct Law(pub &'static str, pub &'static str, fn(&Scene, &Act) -> bool);
 
 pub const LAWS: [Law; 7] = [
-    Law("one end", "every hop ends in its time, and once", ends_twice),
+    Law("one end", "every attempt ends in its time, and once", ends_twice),
     Law(
         "honest end",
         "an end that says it never ran is of a call that never came whole to an engine",
         ends_falsely,
     ),
     Law("comes once", "a call comes whole to an engine at most once", comes_again),
-    Law("whole result", "a result is exactly one engine's whole answer to that hop", spoils),
-    Law("own answer", "a well-formed answer ends no other hop than its own", ends_another),
+    Law("whole result", "a result is exactly one engine's whole answer to that attempt", spoils),
+    Law("own answer", "a well-formed answer ends no other attempt than its own", ends_another),
     Law(
         "no call after a drain",
         "no call begins to leave for an engine after its drain was told",
         |scene, act| matches!(act, Act::Leaves) && !scene.ready,
     ),
-    Law("nothing kept", "at rest there is no hop, connection or deadline", keeps),
+    Law("nothing kept", "at rest there is no attempt, connection or deadline", keeps),
 ];
 
 fn ends_twice(scene: &Scene, act: &Act) -> bool {
     match act {
-        Act::Ends { hop, .. } => scene.hops[*hop].end.is_some(),
-        Act::Rests => scene.hops.iter().any(|hop| hop.end.is_none()),
-        Act::Passes { to } => scene.hops.iter().any(|hop| hop.end.is_none() && hop.until < *to),
+        Act::Ends { attempt, .. } => scene.attempts[*attempt].end.is_some(),
+        Act::Rests => scene.attempts.iter().any(|attempt| attempt.end.is_none()),
+        Act::Passes { to } => {
+            scene.attempts.iter().any(|attempt| attempt.end.is_none() && attempt.until < *to)
+        }
         _ => false,
     }
 }
 
 fn ends_falsely(scene: &Scene, act: &Act) -> bool {
-    let Act::Ends { hop, end: HopEnd::Void | HopEnd::Unreachable, .. } = act else { return false };
-    scene.hops[*hop].came > 0
+    let Act::Ends { attempt, end: AttemptEnd::Void | AttemptEnd::Unreachable, .. } = act else {
+        return false;
+    };
+    scene.attempts[*attempt].came > 0
 }
 
 fn comes_again(scene: &Scene, act: &Act) -> bool {
-    matches!(act, Act::Comes { hop } if scene.hops[*hop].came > 0)
+    matches!(act, Act::Comes { attempt } if scene.attempts[*attempt].came > 0)
 }
 
 fn spoils(scene: &Scene, act: &Act) -> bool {
-    let Act::Ends { hop, end, body, .. } = act else { return false };
-    let hop = &scene.hops[*hop];
-    let pages = hop.hit.unwrap_or(0);
-    let whole: String = (0..pages).map(|at| page(hop.request, hop.number, at)).collect();
+    let Act::Ends { attempt, end, body, .. } = act else { return false };
+    let attempt = &scene.attempts[*attempt];
+    let pages = attempt.hit.unwrap_or(0);
+    let whole: String = (0..pages).map(|at| page(attempt.request, attempt.number, at)).collect();
     let right = pages > 0 && *body == Some(whole.as_bytes());
-    (*end == HopEnd::Succeeded) != body.is_some() || body.is_some() && !right
+    (*end == AttemptEnd::Succeeded) != body.is_some() || body.is_some() && !right
 }
 
 fn ends_another(_: &Scene, act: &Act) -> bool {
-    matches!(act, Act::Ends { hop, by: Some(by), .. } if hop != by)
+    matches!(act, Act::Ends { attempt, by: Some(by), .. } if attempt != by)
 }
 
 fn keeps(scene: &Scene, act: &Act) -> bool {
-    let (_, links, hops) = scene.engines.held();
-    matches!(act, Act::Rests) && links + hops + scene.works.timers.len() + scene.far.len() > 0
+    let (_, links, attempts) = scene.engines.held();
+    matches!(act, Act::Rests) && links + attempts + scene.works.timers.len() + scene.far.len() > 0
 }
 
 pub(crate) struct Socket<'a>(pub &'a mut Far);
@@ -281,9 +285,21 @@
         let mut works = Works { now, ..Works::default() };
         let mut engines = Engines::new(world.streams, COMES_UP, IDLE, world.most_links);
         let engine = engines.listed(&row(7, true, false, 0), &mut works).engine;
-        let (far, hops, broken) = (BTreeMap::new(), Vec::new(), None);
+        let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
-        Self { now, works, engines, engine, ready: true, far, hops, owing, faults: 0, listed: false, broken }
+        Self {
+            now,
+            works,
+            engines,
+            engine,
+            ready: true,
+            far,
+            attempts,
+            owing,
+            faults: 0,
+            listed: false,
+            broken,
+        }
     }
 
     /// Holds an act against the laws, before what it does is noted.
@@ -297,12 +313,16 @@
         if witness::all_near(witness::LINKS, LAWS.len()) {
             return;
         }
-        let (fault, wrong) = (HopEnd::Failed, Some(&b"wrong"[..]));
+        let (fault, wrong) = (AttemptEnd::Failed, Some(&b"wrong"[..]));
         let mut acts = vec![Act::Leaves, Act::Rests];
-        for hop in 0..self.hops.len() {
-            let ends = |end, body, by| Act::Ends { hop, end, body, by };
-            acts.extend([ends(fault, None, None), ends(HopEnd::Void, None, None), Act::Comes { hop }]);
-            acts.push(ends(HopEnd::Succeeded, wrong, None));
+        for attempt in 0..self.attempts.len() {
+            let ends = |end, body, by| Act::Ends { attempt, end, body, by };
+            acts.extend([
+                ends(fault, None, None),
+                ends(AttemptEnd::Void, None, None),
+                Act::Comes { attempt },
+            ]);
+            acts.push(ends(AttemptEnd::Succeeded, wrong, None));
             let answered = self.far.values().flat_map(|far| &far.got);
             acts.extend(answered.map(|by| ends(fault, None, Some(*by))));
         }
@@ -312,8 +332,8 @@
     }
 
     fn call(&mut self, request: usize) {
-        let number = self.hops.iter().filter(|hop| hop.request == request).count();
-        let (name, statement) = (id(request), format!("request {request} hop {number}"));
+        let number = self.attempts.iter().filter(|attempt| attempt.request == request).count();
+        let (name, statement) = (id(request), format!("request {request} attempt {number}"));
         let call = Call {
             request: request as RequestId,
             number,
@@ -327,17 +347,27 @@
         };
         let owing: Vec<Slot> =
             self.owing.iter().filter(|(by, _)| *by == request).map(|(_, link)| *link).collect();
-        // The hop must be known before its news is.
+        // The attempt must be known before its news is.
         let slot = self.engines.send(self.engine, call, &owing, &mut self.works);
         let until = self.now + PATIENCE;
-        self.hops.push(Hop { request, number, slot, until, end: None, came: 0, hit: None, noted: false });
+        self.attempts.push(Attempt {
+            request,
+            number,
+            slot,
+            until,
+            end: None,
+            came: 0,
+            hit: None,
+            noted: false,
+        });
     }
 
     fn says(&mut self, link: Slot, call: usize, word: Word) {
         let Some(far) = self.far.get_mut(&link) else { return };
         far.spoilt |= word == Word::Noise;
-        let name = self.hops.get(call).map_or_else(String::new, |hop| id(hop.request));
-        let (request, number) = self.hops.get(call).map_or((0, 0), |hop| (hop.request, hop.number));
+        let name = self.attempts.get(call).map_or_else(String::new, |attempt| id(attempt.request));
+        let (request, number) =
+            self.attempts.get(call).map_or((0, 0), |attempt| (attempt.request, attempt.number));
         let say = |words: &[&str]| resp::array(&words.iter().map(|word| word.as_bytes()).collect::<Vec<_>>());
         let whole = say(&[&name, "HIT", "pages=1", &page(request, number, 0)]);
         let bytes = match word {
@@ -362,12 +392,12 @@
                 say(&["0", "PONG", "-", ""])
             }
         };
-        if let Some(hop) = self.hops.get_mut(call) {
+        if let Some(attempt) = self.attempts.get_mut(call) {
             match word {
-                Word::Hit | Word::Half => hop.hit = Some(1),
-                Word::HitOfTwo => hop.hit = Some(2),
-                Word::Shed | Word::Fault => hop.hit = Some(0),
-                Word::Note => hop.noted = true,
+                Word::Hit | Word::Half => attempt.hit = Some(1),
+                Word::HitOfTwo => attempt.hit = Some(2),
+                Word::Shed | Word::Fault => attempt.hit = Some(0),
+                Word::Note => attempt.noted = true,
                 _ => {}
             }
         }
@@ -396,7 +426,7 @@
                 quiet = false;
                 if let News::Ended(ended, body, owing) = news {
                     self.owing.extend(owing.map(|link| (ended.request as usize, link)));
-                    self.ended(ended.request as usize, ended.hop, ended.end, body, only);
+                    self.ended(ended.request as usize, ended.attempt, ended.end, body, only);
                 }
             }
             if quiet {
@@ -409,17 +439,18 @@
         &mut self,
         request: usize,
         number: usize,
-        end: HopEnd,
+        end: AttemptEnd,
         body: Option<Vec<u8>>,
         by: Option<usize>,
     ) {
-        let Some(hop) = self.hops.iter().position(|hop| (hop.request, hop.number) == (request, number))
+        let Some(attempt) =
+            self.attempts.iter().position(|attempt| (attempt.request, attempt.number) == (request, number))
         else {
             self.broken = self.broken.or(Some("one end"));
             return;
         };
-        self.judge(&Act::Ends { hop, end, body: body.as_deref(), by });
-        self.hops[hop].end = Some(end);
+        self.judge(&Act::Ends { attempt, end, body: body.as_deref(), by });
+        self.attempts[attempt].end = Some(end);
     }
 
     /// Lets a connection's bytes go as far as its far end takes them, which reads the calls that came whole.
@@ -432,10 +463,9 @@
         while let Ok(Some((parts, length))) = resp::parse(&far.inbox[taken..]) {
             let part =
                 |at: usize| String::from_utf8_lossy(parts.get(at).copied().unwrap_or_default()).into_owned();
-            let at = self
-                .hops
-                .iter()
-                .position(|hop| part(3) == format!("request {} hop {}", hop.request, hop.number));
+            let at = self.attempts.iter().position(|attempt| {
+                part(3) == format!("request {} attempt {}", attempt.request, attempt.number)
+            });
             match (part(0).as_str(), at) {
                 ("GET", Some(at)) => {
                     far.got.push(at);
@@ -443,7 +473,8 @@
                 }
                 ("PING", _) => far.pings += 1,
                 ("PAGE", _) => {
-                    let mut asks = far.got.iter().copied().filter(|at| id(self.hops[*at].request) == part(1));
+                    let mut asks =
+                        far.got.iter().copied().filter(|at| id(self.attempts[*at].request) == part(1));
                     far.asked.extend(asks.next_back());
                 }
                 _ => {}
@@ -454,9 +485,9 @@
         if new_call {
             self.judge(&Act::Leaves);
         }
-        for hop in came {
-            self.judge(&Act::Comes { hop });
-            self.hops[hop].came += 1;
+        for attempt in came {
+            self.judge(&Act::Comes { attempt });
+            self.attempts[attempt].came += 1;
         }
     }
 }
@@ -474,9 +505,10 @@
             return;
         }
         for request in 0..self.requests {
-            let hops = || scene.hops.iter().filter(|hop| hop.request == request);
-            let done = hops().any(|hop| hop.end.is_none() || hop.end == Some(HopEnd::Succeeded));
-            if scene.ready && !done && hops().count() < self.hops {
+            let attempts = || scene.attempts.iter().filter(|attempt| attempt.request == request);
+            let done =
+                attempts().any(|attempt| attempt.end.is_none() || attempt.end == Some(AttemptEnd::Succeeded));
+            if scene.ready && !done && attempts().count() < self.attempts {
                 moves.push(Step::Call { request });
             }
         }
@@ -492,18 +524,18 @@
             let may = |word: Word| self.words.contains(&word);
             let fault = scene.faults < self.faults;
             for call in far.got.iter().copied() {
-                let hop = &scene.hops[call];
+                let attempt = &scene.attempts[call];
                 let mut say = |word: Word, can: bool| {
                     moves.extend((can && may(word)).then_some(Step::Says { link, call, word }));
                 };
                 let free = far.rest.is_empty();
                 for word in [Word::Hit, Word::HitOfTwo, Word::Shed, Word::Fault] {
-                    say(word, hop.hit.is_none() && free);
+                    say(word, attempt.hit.is_none() && free);
                 }
-                say(Word::Half, hop.hit.is_none() && free && fault);
-                say(Word::Note, hop.hit.is_none() && free && !hop.noted);
+                say(Word::Half, attempt.hit.is_none() && free && fault);
+                say(Word::Note, attempt.hit.is_none() && free && !attempt.noted);
                 say(Word::Part, far.asked.contains(&call) && free);
-                say(Word::Again, hop.hit.is_some_and(|pages| pages > 0) && free && fault);
+                say(Word::Again, attempt.hit.is_some_and(|pages| pages > 0) && free && fault);
             }
             let mut say = |word: Word, can: bool| {
                 moves.extend((can && may(word)).then_some(Step::Says { link, call: usize::MAX, word }));
@@ -520,7 +552,7 @@
             }
         }
         if self.cancels {
-            let out = scene.hops.iter().enumerate().filter(|(_, hop)| hop.end.is_none());
+            let out = scene.attempts.iter().enumerate().filter(|(_, attempt)| attempt.end.is_none());
             moves.extend(out.map(|(call, _)| Step::Cancel { call }));
         }
         if !scene.listed {
@@ -543,7 +575,7 @@
             Step::Refuse { link } => next.engines.refused(link, false, "refused", &mut next.works),
             Step::Says { link, call, word } => {
                 next.faults += u8::from(matches!(word, Word::Half | Word::Again | Word::Stray | Word::Noise));
-                // What ends by a well-formed answer is its own hop; what noise ends is all on the connection.
+                // What ends by a well-formed answer is its own attempt; what noise ends is all on the connection.
                 only = (word != Word::Noise && word != Word::Rest).then_some(call);
                 next.says(link, call, word);
             }
@@ -555,7 +587,7 @@
                 next.far.entry(link).and_modify(|far| far.room = None);
                 next.flush(link);
             }
-            Step::Cancel { call } => next.engines.cancel(next.hops[call].slot, &mut next.works),
+            Step::Cancel { call } => next.engines.cancel(next.attempts[call].slot, &mut next.works),
             Step::List { what } => {
                 next.listed = true;
                 let anew = (next.now + Duration::from_millis(1)).as_millis() as u64;
@@ -582,7 +614,7 @@
                 while let Some(due) = next.works.timers.pop(next.now) {
                     let (engines, works) = (&mut next.engines, &mut next.works);
                     match due {
-                        Timer::Hop(slot) => engines.overdue(slot, works),
+                        Timer::Attempt(slot) => engines.overdue(slot, works),
                         Timer::Link(slot) => engines.link_overdue(slot, next.now, works),
                         Timer::Whole(slot) => engines.not_whole(slot, works),
                         Timer::Idle(slot) => engines.link_idle(slot, works),
@@ -603,11 +635,19 @@
             (far.up, far.room, &far.inbox, &far.got, &far.asked, far.pings, &far.rest, far.spoilt)
                 .hash(&mut into);
         }
-        for hop in &scene.hops {
-            let at = scene.engines.link_of(hop.slot).and_then(|link| places.get(&link));
-            let left = hop.until.saturating_sub(scene.now);
-            let left = hop.end.is_none().then_some(left);
-            (hop.request, left, hop.end.map(|end| end as u8), hop.came, hop.hit, hop.noted, at)
+        for attempt in &scene.attempts {
+            let at = scene.engines.link_of(attempt.slot).and_then(|link| places.get(&link));
+            let left = attempt.until.saturating_sub(scene.now);
+            let left = attempt.end.is_none().then_some(left);
+            (
+                attempt.request,
+                left,
+                attempt.end.map(|end| end as u8),
+                attempt.came,
+                attempt.hit,
+                attempt.noted,
+                at,
+            )
                 .hash(&mut into);
         }
         for (request, link) in &scene.owing {
@@ -630,9 +670,9 @@
 pub const WORLDS: &[Links] = &[
     Links {
         name: "a connection's answers",
-        says: "one request of two hops, every word, calls taken back, the engine draining, starting anew, gone or replaced",
+        says: "one request of two attempts, every word, calls taken back, the engine draining, starting anew, gone or replaced",
         requests: 1,
-        hops: 2,
+        attempts: 2,
         words: ANSWERS,
         faults: 0,
         listed: &[Told::Drains, Told::Anew, Told::Gone, Told::Replaced],
@@ -644,9 +684,9 @@
     },
     Links {
         name: "a connection's faults",
-        says: "one request of two hops, answers split, repeated, strayed or spoilt, resets, twice in all",
+        says: "one request of two attempts, answers split, repeated, strayed or spoilt, resets, twice in all",
         requests: 1,
-        hops: 2,
+        attempts: 2,
         words: &[
             Word::Hit,
             Word::HitOfTwo,
@@ -670,7 +710,7 @@
         name: "a shared connection",
         says: "two requests on one connection, one of which is dropped, one fault",
         requests: 2,
-        hops: 1,
+        attempts: 1,
         words: &[Word::Hit, Word::HitOfTwo, Word::Part, Word::Pong, Word::Again, Word::Stray, Word::Noise],
         faults: 1,
         listed: &[],
@@ -682,9 +722,9 @@
     },
     Links {
         name: "a narrow connection",
-        says: "one request of two hops on sockets that take ten bytes at first, a drain or a new start, one reset",
+        says: "one request of two attempts on sockets that take ten bytes at first, a drain or a new start, one reset",
         requests: 1,
-        hops: 2,
+        attempts: 2,
         words: &[Word::Hit, Word::Pong],
         faults: 1,
         listed: &[Told::Drains, Told::Anew],
@@ -698,7 +738,7 @@
         name: "two on a narrow connection",
         says: "two requests on one connection that takes nothing at first, a drain",
         requests: 2,
-        hops: 1,
+        attempts: 1,
         words: &[Word::Hit, Word::Pong],
         faults: 0,
         listed: &[Told::Drains],
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -38,11 +38,11 @@
 
 pub const MUTANTS: &[Mutant] = &[
     logic(
-        "hop limit off by one",
-        "request.hops.len() < self.duties.most_hops",
-        "request.hops.len() <= self.duties.most_hops",
+        "attempt limit off by one",
+        "request.attempts.len() < self.duties.most_attempts",
+        "request.attempts.len() <= self.duties.most_attempts",
     ),
-    logic("window doubled", "< hop.sent + *window", "< hop.sent + *window * 2"),
+    logic("window doubled", "< attempt.sent + *window", "< attempt.sent + *window * 2"),
     logic(
         "cell ignored",
         "Scope::Cell => first.cell == engine.cell",
@@ -62,23 +62,27 @@
     ),
     logic("bounce for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     logic(
-        "a broken hop never ran",
-        "[HopEnd::Overloaded, HopEnd::Unreachable, HopEnd::Void]",
-        "[HopEnd::Overloaded, HopEnd::Unreachable, HopEnd::Broken]",
+        "a broken attempt never ran",
+        "[AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Void]",
+        "[AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Broken]",
     ),
     logic("key order ignored", "line.requests.front() == Some(&id) && line.rest", "line.rest"),
     logic("key rest ignored", "by == id || until <= now", "by == id || until > Duration::ZERO"),
     logic(
         "key rest after breaks forgotten",
-        "HopEnd::TimedOut | HopEnd::Broken | HopEnd::Withdrawn);\n        if let (Some(key)",
-        "HopEnd::TimedOut | HopEnd::Withdrawn);\n        if let (Some(key)",
+        "AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn);\n        if let (Some(key)",
+        "AttemptEnd::TimedOut | AttemptEnd::Withdrawn);\n        if let (Some(key)",
     ),
     logic(
-        "hop budget off by one",
+        "attempt budget off by one",
         "budget.spare + budget.per_request",
         "1.0 + budget.spare + budget.per_request",
     ),
-    logic("further hops not counted", "self.further.extend((!request.hops.is_empty()).then_some(now));", ""),
+    logic(
+        "further attempts not counted",
+        "self.further.extend((!request.attempts.is_empty()).then_some(now));",
+        "",
+    ),
     logic("two in a cold engine's window", "sent + usual <= budget.max(usual)", "sent <= budget.max(usual)"),
     logic(
         "cold window halved",
@@ -93,7 +97,7 @@
     },
     logic(
         "cancelled again",
-        "self.duties.may_cancel && !self.requests[id].hops[*hop].cancelled",
+        "self.duties.may_cancel && !self.requests[id].attempts[*attempt].cancelled",
         "self.duties.may_cancel",
     ),
     logic("cancels where it may not", "self.duties.may_cancel && !self", "!self"),
@@ -105,7 +109,7 @@
     ),
     logic("answered again", "self.requests.entry(*id).and_modify(|request| request.over = true);", ""),
     Mutant {
-        name: "sent while a hop is out",
+        name: "sent while an attempt is out",
         file: STATE,
         from: "!self.over && !self.out()",
         to: "!self.over",
@@ -132,7 +136,11 @@
         "let mut unsent = link.waiting.clone();",
         "let mut unsent = Vec::new();",
     ),
-    engines("a second hop where an answer is owed", "let apart = !owing.contains(slot) && ", "let apart = "),
+    engines(
+        "a second attempt where an answer is owed",
+        "let apart = !owing.contains(slot) && ",
+        "let apart = ",
+    ),
     engines(
         "a call that began to leave is sent anew",
         "row.written.is_some_and(|from| link.output.passed() > from)",
@@ -140,8 +148,8 @@
     ),
     engines(
         "given up unwritten though it left",
-        "if hop.written.is_none() {",
-        "if hop.id.is_empty() || hop.written.is_some() {",
+        "if attempt.written.is_none() {",
+        "if attempt.id.is_empty() || attempt.written.is_some() {",
     ),
     engines(
         "idle connections are kept",
@@ -155,20 +163,24 @@
     ),
     engines(
         "a second answer begins a result anew",
-        "\"HIT\" if hop.result.is_some() => {",
-        "\"HIT\" if hop.result.is_some() && hop.number > 9 => {",
+        "\"HIT\" if attempt.result.is_some() => {",
+        "\"HIT\" if attempt.result.is_some() && attempt.number > 9 => {",
     ),
     engines(
         "an answer ends whatever is there",
-        "match self.links.get(slot).and_then(|link| link.hops.get(&id)).copied() {",
-        "match self.links.get(slot).and_then(|link| link.hops.get(&id).or(link.hops.values().next())).copied() {",
+        "match self.links.get(slot).and_then(|link| link.attempts.get(&id)).copied() {",
+        "match self.links.get(slot).and_then(|link| link.attempts.get(&id).or(link.attempts.values().next())).copied() {",
+    ),
+    engines(
+        "an attempt without a deadline",
+        "        works.timers.set(call.until, Timer::Attempt(attempt));\n",
+        "",
     ),
-    engines("a hop without a deadline", "        works.timers.set(call.until, Timer::Hop(hop));\n", ""),
     Mutant {
         name: "an answered request goes on",
         file: FLOOR,
-        from: "            self.engines.cancel(*hop, &mut self.works);\n        }\n        Some(request)",
-        to: "            let _ = hop;\n        }\n        Some(request)",
+        from: "            self.engines.cancel(*attempt, &mut self.works);\n        }\n        Some(request)",
+        to: "            let _ = attempt;\n        }\n        Some(request)",
     },
     Mutant {
         name: "an open request is taken again",
@@ -197,8 +209,8 @@
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
         file: FRONT,
-        from: "            hops.into_iter().for_each(|hop| self.floor.engines.keep_back(hop, &mut self.floor.works));\n",
-        to: "            drop(hops);\n",
+        from: "            attempts.into_iter().for_each(|attempt| self.floor.engines.keep_back(attempt, &mut self.floor.works));\n",
+        to: "            drop(attempts);\n",
     },
     Mutant {
         name: "the module hears of no end",
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -2,7 +2,7 @@
 
 use crate::setup;
 use crate::world::{Asks, Listed, Place, asks, keyed};
-use emberflow::{HopBudget, HopEnd, Notice, Signals};
+use emberflow::{AttemptBudget, AttemptEnd, Notice, Signals};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -11,10 +11,16 @@
 
 const ALL: &[Listed] = &[Listed::Drains, Listed::Gone, Listed::Back, Listed::Anew];
 /// Ends that differ in what they prove: done, failed, never ran, lost.
-const FEW: &[HopEnd] = &[HopEnd::Succeeded, HopEnd::Failed, HopEnd::Overloaded, HopEnd::Broken];
+const FEW: &[AttemptEnd] =
+    &[AttemptEnd::Succeeded, AttemptEnd::Failed, AttemptEnd::Overloaded, AttemptEnd::Broken];
 /// Ends after which it may still run, and such as prove that it does not.
-const MAY_RUN: &[HopEnd] =
-    &[HopEnd::Succeeded, HopEnd::Failed, HopEnd::Overloaded, HopEnd::TimedOut, HopEnd::Broken];
+const MAY_RUN: &[AttemptEnd] = &[
+    AttemptEnd::Succeeded,
+    AttemptEnd::Failed,
+    AttemptEnd::Overloaded,
+    AttemptEnd::TimedOut,
+    AttemptEnd::Broken,
+];
 const NOTES: &[Notice] =
     &[Notice::Runs, Notice::Done(0.1), Notice::Spills(200.0), Notice::WaitsForMemory, Notice::WaitsForLoad];
 const THREE: &[(usize, u64)] = &[(0, 0), (0, 0), (0, 0)];
@@ -47,8 +53,8 @@
         ..Place::PLAIN
     },
     Place {
-        name: "drain under a hop",
-        says: "a drain told in the instant of a hop's end, and between a bounce elsewhere and the next hop",
+        name: "drain under an attempt",
+        says: "a drain told in the instant of an attempt's end, and between a bounce elsewhere and the next attempt",
         engines: THREE,
         requests: &[asks(0)],
         ends: FEW,
@@ -85,8 +91,8 @@
         ..Place::PLAIN
     },
     Place {
-        name: "restart under a hop",
-        says: "an engine that restarts under a hop and is listed anew before the hop's end is known",
+        name: "restart under an attempt",
+        says: "an engine that restarts under an attempt and is listed anew before the attempt's end is known",
         engines: TWO,
         requests: &[asks(1)],
         ends: FEW,
@@ -111,7 +117,7 @@
     },
     Place {
         name: "notes",
-        says: "one replayable request, two engines, two notes of any kind to each hop",
+        says: "one replayable request, two engines, two notes of any kind to each attempt",
         engines: TWO,
         requests: &[asks(0)],
         ends: FEW,
@@ -122,10 +128,10 @@
     },
     Place {
         name: "silent engine",
-        says: "notes told and not: hops taken back from silence, a late first answer after that",
+        says: "notes told and not: attempts taken back from silence, a late first answer after that",
         engines: TWO,
         requests: &[asks(0)],
-        ends: &[HopEnd::Succeeded, HopEnd::Broken],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
         notices: &[Notice::Runs],
         notes: 3,
         fine: true,
@@ -169,7 +175,7 @@
     },
     Place {
         name: "closing",
-        says: "the process ends while a referenced hop is out",
+        says: "the process ends while a referenced attempt is out",
         engines: CELLS,
         requests: &[asks(1)],
         ends: FEW,
@@ -183,7 +189,7 @@
         says: "the process ends earlier than a single-use request would",
         engines: TWO,
         requests: &[asks(4), asks(0)],
-        ends: &[HopEnd::Succeeded, HopEnd::Broken],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
         closes: true,
         short: false,
         ..Place::PLAIN
@@ -197,13 +203,13 @@
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(0, 1)],
-        ends: &[HopEnd::Succeeded, HopEnd::Overloaded, HopEnd::Broken],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded, AttemptEnd::Broken],
         leaves: 1,
         ..Place::PLAIN
     },
     Place {
         name: "one key, single-use",
-        says: "two single-use requests of one key that rests, no cancel, a client that leaves its hop out",
+        says: "two single-use requests of one key that rests, no cancel, a client that leaves its attempt out",
         setup: setup!(|fleet, traffic, duties| {
             traffic[4].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
@@ -217,7 +223,7 @@
     },
     Place {
         name: "one key, two effects",
-        says: "a replayable request, whose further hops need no rest, and a single-use one of its key that does",
+        says: "a replayable request, whose further attempts need no rest, and a single-use one of its key that does",
         setup: setup!(|fleet, traffic, duties| {
             traffic[0].keeps_order = true;
             traffic[4].keeps_order = true;
@@ -241,33 +247,33 @@
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(4, 1), keyed(0, 1)],
-        ends: &[HopEnd::Succeeded, HopEnd::Broken],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
         short: false,
         ..Place::PLAIN
     },
     Place {
-        name: "hop budget",
-        says: "two replayable requests, one engine, a hop budget with room for one of them",
+        name: "attempt budget",
+        says: "two replayable requests, one engine, an attempt budget with room for one of them",
         setup: setup!(|fleet, traffic, duties| {
             let over = std::time::Duration::from_millis(400);
-            duties.hop_budget = Some(HopBudget { spare: 1.0, per_request: 0.0, over });
+            duties.attempt_budget = Some(AttemptBudget { spare: 1.0, per_request: 0.0, over });
         }),
         engines: &[(0, 0)],
         requests: &[asks(0), asks(0)],
-        ends: &[HopEnd::Succeeded, HopEnd::Overloaded, HopEnd::Failed],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded, AttemptEnd::Failed],
         alike: false,
         ..Place::PLAIN
     },
     Place {
-        name: "hop budget at two",
+        name: "attempt budget at two",
         says: "the same at two engines, with notes that tell of a bad plan",
         setup: setup!(|fleet, traffic, duties| {
             let over = std::time::Duration::from_millis(400);
-            duties.hop_budget = Some(HopBudget { spare: 0.5, per_request: 0.5, over });
+            duties.attempt_budget = Some(AttemptBudget { spare: 0.5, per_request: 0.5, over });
         }),
         engines: TWO,
         requests: &[asks(0), asks(0)],
-        ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
         notices: &[Notice::WaitsForLoad],
         notes: 1,
         alike: false,
@@ -279,7 +285,7 @@
         says: "an engine that starts anew while two requests come, a window with room for one at first",
         engines: &[(0, 0)],
         requests: &[Asks { cost: 210, ..asks(0) }, Asks { cost: 210, ..asks(0) }],
-        ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
         events: 1,
         listed: &[Listed::Anew],
         short: false,
@@ -294,7 +300,7 @@
         }),
         engines: &[(0, 0)],
         requests: &[asks(0), asks(0)],
-        ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
         events: 1,
         listed: &[Listed::Anew],
         ..Place::PLAIN
@@ -304,7 +310,7 @@
         says: "answers that report a full engine, large and small requests",
         engines: &[(0, 0)],
         requests: &[asks(0), Asks { memory: 12000.0, ..asks(0) }],
-        ends: &[HopEnd::Succeeded, HopEnd::Overloaded],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
         signals: Some(SIGNALS),
         short: false,
         ..Place::PLAIN
@@ -319,7 +325,7 @@
     },
     Place {
         name: "may not cancel",
-        says: "hops that may not be taken back, with every reason to",
+        says: "attempts that may not be taken back, with every reason to",
         setup: setup!(|fleet, traffic, duties| {
             duties.may_cancel = false;
         }),
@@ -336,7 +342,7 @@
         says: "a single-use and a replayable request at two engines, one drain",
         engines: TWO,
         requests: &[asks(4), asks(0)],
-        ends: &[HopEnd::Succeeded, HopEnd::Broken],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
         events: 1,
         listed: &[Listed::Drains],
         short: false,
@@ -347,7 +353,7 @@
         says: "two requests referenced within a cell at two engines of two cells",
         engines: &[(0, 0), (1, 1)],
         requests: &[asks(1), asks(1)],
-        ends: &[HopEnd::Succeeded, HopEnd::Broken],
+        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
         short: false,
         ..Place::PLAIN
     },
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -2,7 +2,7 @@
 
 use crate::life::{Life, Move};
 use crate::world::{Listed, World};
-use emberflow::{HopEnd, Notice};
+use emberflow::{AttemptEnd, Notice};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
@@ -40,12 +40,13 @@
         }
         Move::End { request, end, draw } => {
             let truth = &life.requests[request];
-            let (hop, engine) = (truth.hops.len() - 1, truth.hops[truth.hops.len() - 1].engine);
-            let how = if truth.open() || end == HopEnd::Succeeded { "ended" } else { "ended_over" };
-            drawn(draw, format!(".{how}({request}, {hop}, {engine}, HopEnd::{end:?})"))
+            let (attempt, engine) =
+                (truth.attempts.len() - 1, truth.attempts[truth.attempts.len() - 1].engine);
+            let how = if truth.open() || end == AttemptEnd::Succeeded { "ended" } else { "ended_over" };
+            drawn(draw, format!(".{how}({request}, {attempt}, {engine}, AttemptEnd::{end:?})"))
         }
         Move::Note { request, notice, draw } => {
-            let hop = life.requests[request].hops.len() - 1;
+            let attempt = life.requests[request].attempts.len() - 1;
             let notice = match notice {
                 Notice::Runs => "Runs".to_owned(),
                 Notice::Done(part) => format!("Done({part:?})"),
@@ -53,7 +54,7 @@
                 Notice::WaitsForMemory => "WaitsForMemory".to_owned(),
                 Notice::WaitsForLoad => "WaitsForLoad".to_owned(),
             };
-            drawn(draw, format!(".notice({request}, {hop}, Notice::{notice})"))
+            drawn(draw, format!(".notice({request}, {attempt}, Notice::{notice})"))
         }
         Move::List { engine, what, draw } => {
             let launched = life.sites[engine].launched.map(|at| at.as_millis());
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -57,10 +57,10 @@
     pub kinds: &'static [usize],
     /// In the order in which they may come, each at any time.
     pub requests: &'static [Asks],
-    /// What a hop may come to by itself.
-    pub ends: &'static [HopEnd],
+    /// What an attempt may come to by itself.
+    pub ends: &'static [AttemptEnd],
     pub notices: &'static [Notice],
-    /// Notes of one hop, events of the list, clients that leave: at most so many.
+    /// Notes of one attempt, events of the list, clients that leave: at most so many.
     pub notes: u8,
     pub events: u8,
     pub leaves: u8,
@@ -82,18 +82,18 @@
     pub short: bool,
 }
 
-pub const ENDS: &[HopEnd] = &[
-    HopEnd::Succeeded,
-    HopEnd::Failed,
-    HopEnd::Overloaded,
-    HopEnd::TimedOut,
-    HopEnd::Unreachable,
-    HopEnd::Broken,
-    HopEnd::Void,
+pub const ENDS: &[AttemptEnd] = &[
+    AttemptEnd::Succeeded,
+    AttemptEnd::Failed,
+    AttemptEnd::Overloaded,
+    AttemptEnd::TimedOut,
+    AttemptEnd::Unreachable,
+    AttemptEnd::Broken,
+    AttemptEnd::Void,
 ];
 
 impl Place {
-    /// A world of one replayable request at one engine, where a hop may come to anything and nothing else happens.
+    /// A world of one replayable request at one engine, where an attempt may come to anything and nothing else happens.
     pub const PLAIN: Place = Place {
         name: "plain",
         says: "one replayable request at one engine",
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn a_drain_told_in_the_instant_of_a_hops_end_or_before_the_next_hop() {
-    holds("drain under a hop");
+fn a_drain_told_in_the_instant_of_an_attempts_end_or_before_the_next_attempt() {
+    holds("drain under an attempt");
 }
 
 #[test]
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn a_late_first_answer_after_its_hop_was_taken_back() {
+fn a_late_first_answer_after_its_attempt_was_taken_back() {
     holds("silent engine");
 }
 
 #[test]
-fn the_process_ends_while_a_referenced_hop_is_out() {
+fn the_process_ends_while_a_referenced_attempt_is_out() {
     holds("closing");
 }
 
 #[test]
-fn a_hop_budget_with_room_for_one_of_two_requests() {
-    holds("hop budget");
+fn a_attempt_budget_with_room_for_one_of_two_requests() {
+    holds("attempt budget");
 }
 
 #[test]
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn an_engine_that_restarts_under_a_hop_before_its_end_is_known() {
-    holds("restart under a hop");
+fn an_engine_that_restarts_under_an_attempt_before_its_end_is_known() {
+    holds("restart under an attempt");
 }
 
 #[test]
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -37,7 +37,7 @@
     queues: Queues,
     waiting: BTreeMap<RequestId, Waiting>,
     due: BTreeSet<(Duration, Call, RequestId)>,
-    /// What the request's hop came to, until it is settled.
+    /// What the request's attempt came to, until it is settled.
     bills: BTreeMap<RequestId, Duration>,
 }
 
@@ -116,7 +116,7 @@
         Some(waiting)
     }
 
-    /// What an answered request's hop came to.
+    /// What an answered request's attempt came to.
     pub fn billed(&mut self, request: RequestId, work: Duration) {
         self.bills.insert(request, work);
     }
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -194,8 +194,8 @@
             match due {
                 // Guards against a router that is late itself: what came meanwhile counts.
                 Timer::Client(slot) => self.hear(slot, self.since()),
-                Timer::Hop(hop) => {
-                    if let Some(link) = self.front.floor.engines.link_of(hop) {
+                Timer::Attempt(attempt) => {
+                    if let Some(link) = self.front.floor.engines.link_of(attempt) {
                         self.link_ready(link);
                     }
                 }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -1,4 +1,4 @@
-//! The engines' side: connections, hops, the pages of a result. It chooses no engine and answers no client.
+//! The engines' side: connections, attempts, the pages of a result. It chooses no engine and answers no client.
 
 use crate::bulletin::Row;
 use crate::clock::whole_ms;
@@ -7,7 +7,7 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{Bill, Ended, EngineId, HopEnd, Listing, Notice, RequestId, Signals};
+use emberflow::{AttemptEnd, Bill, Ended, EngineId, Listing, Notice, RequestId, Signals};
 use emberflow_startup::{from_ms, load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -38,12 +38,12 @@
 struct Link {
     engine: EngineId,
     up: bool,
-    /// It takes no further hops.
+    /// It takes no further attempts.
     retired: bool,
     input: Ring,
     output: Ring,
-    hops: BTreeMap<String, Slot>,
-    /// Hops that wait until it has come up or has shown that it works.
+    attempts: BTreeMap<String, Slot>,
+    /// Attempts that wait until it has come up or has shown that it works.
     waiting: Vec<Slot>,
     opened: Duration,
     heard: Duration,
@@ -57,7 +57,7 @@
 }
 
 #[derive(Clone)]
-struct Hop {
+struct Attempt {
     request: RequestId,
     number: usize,
     engine: EngineId,
@@ -68,14 +68,14 @@
     until: Duration,
     /// Where its call begins in what was ever written to the connection.
     written: Option<u64>,
-    /// Connections that may still answer an earlier hop of the request.
+    /// Connections that may still answer an earlier attempt of the request.
     owing: Vec<Slot>,
     /// It has left a connection that was lost before its call was written.
     moved: bool,
     /// Its client may be gone: it is written to no other connection.
     kept_back: bool,
     /// It was taken back at its engine, which has not shown yet that it has heard of that: its end, and since when.
-    dropped: Option<(HopEnd, Duration)>,
+    dropped: Option<(AttemptEnd, Duration)>,
     result: Option<Pages>,
 }
 
@@ -86,7 +86,7 @@
     signals: Option<Signals>,
 }
 
-/// A hop to be sent: the request's id, class, key and statement go on unchanged.
+/// An attempt to be sent: the request's id, class, key and statement go on unchanged.
 pub struct Call<'a> {
     pub request: RequestId,
     pub number: usize,
@@ -102,7 +102,7 @@
 /// What the decisions are to be told next.
 #[derive(Clone)]
 pub enum News {
-    /// A hop's end, its result, and the connection that may still bring an answer to it.
+    /// An attempt's end, its result, and the connection that may still bring an answer to it.
     Ended(Ended, Option<Vec<u8>>, Option<Slot>),
     Noticed(RequestId, usize, Notice),
 }
@@ -114,8 +114,8 @@
     Close(Slot),
 }
 
-/// The machine of all connections and hops: bytes, rows of the list and times in; bytes to write, connections
-/// to dial and to close, and news of hops out. It holds no socket and no clock.
+/// The machine of all connections and attempts: bytes, rows of the list and times in; bytes to write, connections
+/// to dial and to close, and news of attempts out. It holds no socket and no clock.
 #[derive(Clone)]
 pub struct Engines {
     book: BTreeMap<EngineId, Engine>,
@@ -123,7 +123,7 @@
     /// The number of the next.
     next: EngineId,
     links: Slots<Link>,
-    hops: Slots<Hop>,
+    attempts: Slots<Attempt>,
     pub news: VecDeque<News>,
     pub asks: VecDeque<Ask>,
     /// Connections with something new to be written.
@@ -144,7 +144,7 @@
             numbers: BTreeMap::new(),
             next: 0,
             links: Slots::default(),
-            hops: Slots::default(),
+            attempts: Slots::default(),
             news: VecDeque::new(),
             asks: VecDeque::new(),
             unsent: Vec::new(),
@@ -222,27 +222,27 @@
         for slot in self.links_of(engine) {
             let Some(link) = self.links.get(slot) else { continue };
             let mut unsent = link.waiting.clone();
-            let carried: Vec<Slot> = link.hops.values().copied().collect();
-            unsent.extend(carried.into_iter().filter(|hop| self.take_out(*hop)));
-            for hop in unsent {
-                self.end(hop, HopEnd::Void, None, works);
+            let carried: Vec<Slot> = link.attempts.values().copied().collect();
+            unsent.extend(carried.into_iter().filter(|attempt| self.take_out(*attempt)));
+            for attempt in unsent {
+                self.end(attempt, AttemptEnd::Void, None, works);
             }
         }
     }
 
-    /// A hop whose client may be gone: what was not written is never written, and what was goes nowhere else.
-    pub fn keep_back(&mut self, hop: Slot, works: &mut Works) {
-        self.take_out(hop);
-        let Some(row) = self.hops.get_mut(hop) else { return };
+    /// An attempt whose client may be gone: what was not written is never written, and what was goes nowhere else.
+    pub fn keep_back(&mut self, attempt: Slot, works: &mut Works) {
+        self.take_out(attempt);
+        let Some(row) = self.attempts.get_mut(attempt) else { return };
         row.kept_back = true;
         if row.written.is_none() {
-            self.end(hop, HopEnd::Void, None, works);
+            self.end(attempt, AttemptEnd::Void, None, works);
         }
     }
 
     /// Takes a call out again that stands in front of what its connection has to say, if nothing of it has left.
-    fn take_out(&mut self, hop: Slot) -> bool {
-        let Some(row) = self.hops.get_mut(hop) else { return false };
+    fn take_out(&mut self, attempt: Slot) -> bool {
+        let Some(row) = self.attempts.get_mut(attempt) else { return false };
         let Some(link) = row.link.and_then(|link| self.links.get_mut(link)) else { return false };
         let whole = row.written == Some(link.output.passed()) && !row.call.is_empty();
         if whole {
@@ -252,7 +252,7 @@
         whole
     }
 
-    /// Sends a hop, on a connection that owes no answer to an earlier hop: answers name the request alone.
+    /// Sends an attempt, on a connection that owes no answer to an earlier attempt: answers name the request alone.
     pub fn send(&mut self, engine: EngineId, call: Call, owing: &[Slot], works: &mut Works) -> Slot {
         let now = works.now();
         let fields = [
@@ -264,7 +264,7 @@
         ];
         let fields = fields.into_iter().flatten().collect::<Vec<_>>().join(",");
         let words = resp::array(&[b"GET", call.id.as_bytes(), fields.as_bytes(), call.statement]);
-        let hop = self.hops.insert(Hop {
+        let attempt = self.attempts.insert(Attempt {
             request: call.request,
             number: call.number,
             engine,
@@ -280,42 +280,42 @@
             dropped: None,
             result: None,
         });
-        works.timers.set(call.until, Timer::Hop(hop));
-        works.counters.count("hops_sent");
-        self.place(hop, works);
-        hop
+        works.timers.set(call.until, Timer::Attempt(attempt));
+        works.counters.count("attempts_sent");
+        self.place(attempt, works);
+        attempt
     }
 
-    /// Puts a hop on a connection; none is made to an engine that is not to be sent to any more.
+    /// Puts an attempt on a connection; none is made to an engine that is not to be sent to any more.
     fn place(&mut self, slot: Slot, works: &mut Works) {
-        let Some(hop) = self.hops.get_mut(slot) else { return };
-        hop.written = None;
-        let (engine, id, owing) = (hop.engine, hop.id.clone(), hop.owing.clone());
-        if hop.kept_back || !self.book.get(&engine).is_some_and(|known| known.ready) {
-            return self.end(slot, HopEnd::Void, None, works);
+        let Some(attempt) = self.attempts.get_mut(slot) else { return };
+        attempt.written = None;
+        let (engine, id, owing) = (attempt.engine, attempt.id.clone(), attempt.owing.clone());
+        if attempt.kept_back || !self.book.get(&engine).is_some_and(|known| known.ready) {
+            return self.end(slot, AttemptEnd::Void, None, works);
         }
         match self.link_for(engine, &id, &owing, works) {
             Some(link) => self.put(slot, link, works),
-            None => self.end(slot, HopEnd::Unreachable, None, works),
+            None => self.end(slot, AttemptEnd::Unreachable, None, works),
         }
     }
 
-    /// A connection with room for another hop: one that carries none, else a new one as far as this engine's
+    /// A connection with room for another attempt: one that carries none, else a new one as far as this engine's
     /// part of them goes, else the one that carries least. Guards against spoilt answers and resets, which
     /// take all that a connection carries with them.
     fn link_for(&mut self, engine: EngineId, id: &str, owing: &[Slot], works: &mut Works) -> Option<Slot> {
         let Engine { links, address, .. } = self.book.get(&engine)?;
         let rows = links.iter().filter_map(|slot| Some((*slot, self.links.get(*slot)?)));
         let open = rows.filter(|(slot, link)| {
-            let apart = !owing.contains(slot) && !link.hops.contains_key(id);
-            apart && !link.retired && link.hops.len() < self.streams
+            let apart = !owing.contains(slot) && !link.attempts.contains_key(id);
+            apart && !link.retired && link.attempts.len() < self.streams
         });
         // The one heard last among equals: the others run idle, and it need not show that it works.
-        let least = open.min_by_key(|(_, link)| (link.hops.len(), !link.up, Reverse(link.heard)));
+        let least = open.min_by_key(|(_, link)| (link.attempts.len(), !link.up, Reverse(link.heard)));
         let part = self.most_links / self.book.len();
         let full = self.links.len() >= self.most_links;
         if let Some((slot, link)) = least
-            && (link.hops.is_empty() || full || links.len() >= part)
+            && (link.attempts.is_empty() || full || links.len() >= part)
         {
             return Some(slot);
         }
@@ -333,7 +333,7 @@
             retired: false,
             input: Ring::default(),
             output: Ring::default(),
-            hops: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             waiting: Vec::new(),
             opened: now,
             heard: now,
@@ -348,14 +348,16 @@
         Some(slot)
     }
 
-    fn put(&mut self, hop: Slot, slot: Slot, works: &mut Works) {
-        let (Some(row), Some(link)) = (self.hops.get_mut(hop), self.links.get_mut(slot)) else { return };
+    fn put(&mut self, attempt: Slot, slot: Slot, works: &mut Works) {
+        let (Some(row), Some(link)) = (self.attempts.get_mut(attempt), self.links.get_mut(slot)) else {
+            return;
+        };
         row.link = Some(slot);
-        link.hops.insert(row.id.clone(), hop);
+        link.attempts.insert(row.id.clone(), attempt);
         if let Some(at) = link.idle.take() {
             works.timers.clear(at, Timer::Idle(slot));
         }
-        link.waiting.push(hop);
+        link.waiting.push(attempt);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
         if link.up && !link.asked && works.now() > link.heard + self.comes_up {
             self.check(slot, works);
@@ -401,15 +403,15 @@
         if !link.up || link.asked || !link.output.is_empty() || link.waiting.is_empty() {
             return false;
         }
-        if let Some(hop) = self.hops.get_mut(link.waiting.remove(0)) {
-            hop.written = Some(link.output.end());
+        if let Some(attempt) = self.attempts.get_mut(link.waiting.remove(0)) {
+            attempt.written = Some(link.output.end());
             log::debug!(
                 "task {} hop {}: on connection {slot:?} to engine {}",
-                hop.request,
-                hop.number,
-                hop.engine
+                attempt.request,
+                attempt.number,
+                attempt.engine
             );
-            link.output.push(&hop.call);
+            link.output.push(&attempt.call);
         }
         true
     }
@@ -445,9 +447,11 @@
                 return Ok(());
             }
             // A call that has left is not kept: it goes on to no other connection.
-            for hop in link.hops.values() {
-                if let Some(hop) = self.hops.get_mut(*hop).filter(|hop| hop.written.is_some()) {
-                    hop.call = Vec::new();
+            for attempt in link.attempts.values() {
+                if let Some(attempt) =
+                    self.attempts.get_mut(*attempt).filter(|attempt| attempt.written.is_some())
+                {
+                    attempt.call = Vec::new();
                 }
             }
             if !self.next_call(slot) {
@@ -508,19 +512,21 @@
                 self.has_heard(slot, &id, works);
                 continue;
             }
-            match self.links.get(slot).and_then(|link| link.hops.get(&id)).copied() {
-                Some(hop) => self.answer(hop, &word, &fields, body, works)?,
+            match self.links.get(slot).and_then(|link| link.attempts.get(&id)).copied() {
+                Some(attempt) => self.answer(attempt, &word, &fields, body, works)?,
                 None => works.counters.count("engine_answers_for_nothing"),
             }
         }
     }
 
-    /// What comes under a request's name behind what took its hop back shows that its engine has given that up, and
+    /// What comes under a request's name behind what took its attempt back shows that its engine has given that up, and
     /// that no answer to it follows.
     fn has_heard(&mut self, slot: Slot, id: &str, works: &mut Works) {
-        let Some(hop) = self.links.get(slot).and_then(|link| link.hops.get(id)).copied() else { return };
-        if let Some((end, _)) = self.hops.get(hop).and_then(|row| row.dropped) {
-            self.end(hop, end, None, works);
+        let Some(attempt) = self.links.get(slot).and_then(|link| link.attempts.get(id)).copied() else {
+            return;
+        };
+        if let Some((end, _)) = self.attempts.get(attempt).and_then(|row| row.dropped) {
+            self.end(attempt, end, None, works);
         }
     }
 
@@ -532,13 +538,13 @@
         body: Vec<u8>,
         works: &mut Works,
     ) -> Result<(), String> {
-        let Some(hop) = self.hops.get_mut(slot) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
         let text = |name: &str| resp::field(fields, name, (',', '='));
         let figure =
             |name: &str| text(name).map(|value| number(name, value).map(|value| value.max(0.0))).transpose();
         let signals = text("use").map(signals).transpose()?;
         // What ended before its engine heard of that is as good as any, if it needs no further pages.
-        let taken_back = hop.dropped.is_some();
+        let taken_back = attempt.dropped.is_some();
         if taken_back
             && (word == "INFO" || word == "HIT" && figure("pages")?.is_some_and(|pages| pages > 1.0))
         {
@@ -546,7 +552,7 @@
         }
         match word {
             // Guards against answers told twice or unasked: they cost nothing else on the connection.
-            "HIT" if hop.result.is_some() => {
+            "HIT" if attempt.result.is_some() => {
                 works.counters.count("engine_answers_repeated");
                 Ok(())
             }
@@ -559,16 +565,16 @@
                 let bill = bill.map(|(ms, memory_mb)| Bill { cost: from_ms(ms), memory_mb });
                 let mut got = vec![None; pages as usize];
                 got[0] = Some(body);
-                hop.result = Some(Pages { got, bill, signals });
+                attempt.result = Some(Pages { got, bill, signals });
                 let asks = (1..pages as usize)
-                    .map(|page| resp::array(&[b"PAGE", hop.id.as_bytes(), page.to_string().as_bytes()]));
+                    .map(|page| resp::array(&[b"PAGE", attempt.id.as_bytes(), page.to_string().as_bytes()]));
                 let asks = asks.collect::<Vec<_>>().concat();
                 self.write(slot, &asks, works);
                 self.complete(slot, works)
             }
             "PART" => {
                 let page = figure("page")?.ok_or("a page without its number")? as usize;
-                let got = hop.result.as_mut().and_then(|result| result.got.get_mut(page));
+                let got = attempt.result.as_mut().and_then(|result| result.got.get_mut(page));
                 match got.filter(|got| got.is_none()) {
                     Some(got) => *got = Some(body),
                     None => {
@@ -589,30 +595,30 @@
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
                 works.counters.count("notes");
-                self.news.push_back(News::Noticed(hop.request, hop.number, notice));
+                self.news.push_back(News::Noticed(attempt.request, attempt.number, notice));
                 Ok(())
             }
             "SHED" | "LATE" => {
-                self.end(slot, HopEnd::Overloaded, signals, works);
+                self.end(slot, AttemptEnd::Overloaded, signals, works);
                 Ok(())
             }
             "FAULT" => {
-                self.end(slot, HopEnd::Failed, signals, works);
+                self.end(slot, AttemptEnd::Failed, signals, works);
                 Ok(())
             }
             _ => Err(format!("the word {word} out of turn")),
         }
     }
 
-    /// Ends a hop whose pages are all there. Until then the next is due soon: guards against pages that never
+    /// Ends an attempt whose pages are all there. Until then the next is due soon: guards against pages that never
     /// come.
     fn complete(&mut self, slot: Slot, works: &mut Works) -> Result<(), String> {
-        let Some(hop) = self.hops.get_mut(slot) else { return Ok(()) };
-        let Some(result) = hop.result.as_mut() else { return Ok(()) };
+        let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
+        let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if result.got.iter().any(Option::is_none) {
-            works.timers.clear(hop.until, Timer::Hop(slot));
-            hop.until = hop.until.min(works.now() + self.comes_up * 2);
-            works.timers.set(hop.until, Timer::Hop(slot));
+            works.timers.clear(attempt.until, Timer::Attempt(slot));
+            attempt.until = attempt.until.min(works.now() + self.comes_up * 2);
+            works.timers.set(attempt.until, Timer::Attempt(slot));
             return Ok(());
         }
         let pages: Vec<Vec<u8>> = std::mem::take(&mut result.got).into_iter().flatten().collect();
@@ -624,134 +630,135 @@
         if body.len() > MOST_BYTES {
             return Err(format!("a result of {} bytes", body.len()));
         }
-        self.finish(slot, HopEnd::Succeeded, Some(body), None, works);
+        self.finish(slot, AttemptEnd::Succeeded, Some(body), None, works);
         Ok(())
     }
 
-    fn end(&mut self, slot: Slot, end: HopEnd, signals: Option<Signals>, works: &mut Works) {
+    fn end(&mut self, slot: Slot, end: AttemptEnd, signals: Option<Signals>, works: &mut Works) {
         self.finish(slot, end, None, signals, works);
     }
 
     fn finish(
         &mut self,
         slot: Slot,
-        end: HopEnd,
+        end: AttemptEnd,
         body: Option<Vec<u8>>,
         signals: Option<Signals>,
         works: &mut Works,
     ) {
-        let Some(hop) = self.hops.take(slot) else { return };
+        let Some(attempt) = self.attempts.take(slot) else { return };
         let now = works.now();
-        works.timers.clear(hop.until, Timer::Hop(slot));
+        works.timers.clear(attempt.until, Timer::Attempt(slot));
         works.counters.count(match end {
-            HopEnd::Succeeded => "hops_succeeded",
-            HopEnd::Failed => "hops_failed",
-            HopEnd::Overloaded => "hops_overloaded",
-            HopEnd::TimedOut => "hops_timed_out",
-            HopEnd::Unreachable => "hops_unreachable",
-            HopEnd::Broken => "hops_broken",
-            HopEnd::Withdrawn => "hops_withdrawn",
-            HopEnd::Void => "hops_void",
+            AttemptEnd::Succeeded => "attempts_succeeded",
+            AttemptEnd::Failed => "attempts_failed",
+            AttemptEnd::Overloaded => "attempts_overloaded",
+            AttemptEnd::TimedOut => "attempts_timed_out",
+            AttemptEnd::Unreachable => "attempts_unreachable",
+            AttemptEnd::Broken => "attempts_broken",
+            AttemptEnd::Withdrawn => "attempts_withdrawn",
+            AttemptEnd::Void => "attempts_void",
         });
-        if let Some((at, link)) = hop.link.and_then(|at| Some((at, self.links.get_mut(at)?))) {
-            link.hops.remove(&hop.id);
+        if let Some((at, link)) = attempt.link.and_then(|at| Some((at, self.links.get_mut(at)?))) {
+            link.attempts.remove(&attempt.id);
             link.waiting.retain(|waits| *waits != slot);
-            if link.hops.is_empty() {
+            if link.attempts.is_empty() {
                 let idle = now + self.idle_close.mul_f64(RETIRED);
                 link.idle = Some(idle);
                 works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
             }
         }
-        let (bill, told) = hop.result.map_or((None, None), |result| (result.bill, result.signals));
+        let (bill, told) = attempt.result.map_or((None, None), |result| (result.bill, result.signals));
         let ended = Ended {
-            request: hop.request,
-            hop: hop.number,
-            engine: hop.engine,
+            request: attempt.request,
+            attempt: attempt.number,
+            engine: attempt.engine,
             end,
-            took: now.saturating_sub(hop.sent),
-            bill: bill.filter(|_| end == HopEnd::Succeeded),
+            took: now.saturating_sub(attempt.sent),
+            bill: bill.filter(|_| end == AttemptEnd::Succeeded),
             signals: signals.or(told),
             over: false,
         };
         log::debug!(
             "task {} hop {} at engine {}: {end:?} after {:?}, bill {:?}, load {:?}",
             ended.request,
-            ended.hop,
+            ended.attempt,
             ended.engine,
             ended.took,
             ended.bill,
             ended.signals
         );
-        let given_up = matches!(end, HopEnd::Withdrawn | HopEnd::TimedOut) && hop.dropped.is_none();
-        self.news.push_back(News::Ended(ended, body, hop.link.filter(|_| given_up)));
+        let given_up =
+            matches!(end, AttemptEnd::Withdrawn | AttemptEnd::TimedOut) && attempt.dropped.is_none();
+        self.news.push_back(News::Ended(ended, body, attempt.link.filter(|_| given_up)));
     }
 
-    fn write(&mut self, hop: Slot, bytes: &[u8], works: &mut Works) {
-        let Some(slot) = self.hops.get(hop).and_then(|hop| hop.link) else { return };
+    fn write(&mut self, attempt: Slot, bytes: &[u8], works: &mut Works) {
+        let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.link) else { return };
         if let Some(link) = self.links.get_mut(slot) {
             link.output.push(bytes);
             self.go_on(slot, works);
         }
     }
 
-    /// A new priority of a hop that is out, behind its call.
-    pub fn rank(&mut self, hop: Slot, priority: u8, works: &mut Works) {
-        let Some(row) = self.hops.get_mut(hop).filter(|row| row.dropped.is_none()) else { return };
+    /// A new priority of an attempt that is out, behind its call.
+    pub fn rank(&mut self, attempt: Slot, priority: u8, works: &mut Works) {
+        let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
         let bytes = resp::array(&[b"RANK", row.id.as_bytes(), priority.to_string().as_bytes()]);
         match row.written {
-            Some(_) => self.write(hop, &bytes, works),
+            Some(_) => self.write(attempt, &bytes, works),
             None => row.call.extend(bytes),
         }
     }
 
-    pub fn cancel(&mut self, hop: Slot, works: &mut Works) {
-        self.abandon(hop, HopEnd::Withdrawn, HopEnd::Void, works);
+    pub fn cancel(&mut self, attempt: Slot, works: &mut Works) {
+        self.abandon(attempt, AttemptEnd::Withdrawn, AttemptEnd::Void, works);
     }
 
-    /// Takes a hop back, whose request may be sent again. Guards against two hops of a request at engines at once, where
+    /// Takes an attempt back, whose request may be sent again. Guards against two attempts of a request at engines at once, where
     /// the settings do not allow that: what gives one up and the next call go over different connections, and may
     /// come in either order. So its engine has to show first that it has heard, by answering what stands behind
     /// that on the same connection, or the connection is closed.
-    pub fn take_back(&mut self, hop: Slot, works: &mut Works) {
-        self.take_out(hop);
-        let Some(row) = self.hops.get_mut(hop).filter(|row| row.dropped.is_none()) else { return };
+    pub fn take_back(&mut self, attempt: Slot, works: &mut Works) {
+        self.take_out(attempt);
+        let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
         let Some(link) =
             row.link.filter(|_| row.written.is_some() && row.result.is_none() && !self.may_duplicate)
         else {
-            return self.cancel(hop, works);
+            return self.cancel(attempt, works);
         };
-        row.dropped = Some((HopEnd::Withdrawn, works.now()));
+        row.dropped = Some((AttemptEnd::Withdrawn, works.now()));
         let id = row.id.clone().into_bytes();
         let bytes = [resp::array(&[b"DROP", &id]), resp::array(&[b"PING", &id])].concat();
-        works.counters.count("hops_taken_back");
-        self.write(hop, &bytes, works);
+        works.counters.count("attempts_taken_back");
+        self.write(attempt, &bytes, works);
         self.look_at(link, works.now() + self.comes_up, works);
     }
 
-    /// The connection that a hop is on.
-    pub fn link_of(&self, hop: Slot) -> Option<Slot> {
-        self.hops.get(hop)?.link
+    /// The connection that an attempt is on.
+    pub fn link_of(&self, attempt: Slot) -> Option<Slot> {
+        self.attempts.get(attempt)?.link
     }
 
-    /// A hop's time is over; whoever holds the sockets has read what came for it before.
-    pub fn overdue(&mut self, hop: Slot, works: &mut Works) {
-        if self.hops.get(hop).is_some_and(|hop| hop.until <= works.now()) {
-            self.abandon(hop, HopEnd::TimedOut, HopEnd::Unreachable, works);
+    /// An attempt's time is over; whoever holds the sockets has read what came for it before.
+    pub fn overdue(&mut self, attempt: Slot, works: &mut Works) {
+        if self.attempts.get(attempt).is_some_and(|attempt| attempt.until <= works.now()) {
+            self.abandon(attempt, AttemptEnd::TimedOut, AttemptEnd::Unreachable, works);
         }
     }
 
-    /// Gives a hop up, at the engine too; what was never written never ran.
-    fn abandon(&mut self, slot: Slot, end: HopEnd, unwritten: HopEnd, works: &mut Works) {
-        if self.hops.get(slot).is_some_and(|hop| hop.dropped.is_some()) {
+    /// Gives an attempt up, at the engine too; what was never written never ran.
+    fn abandon(&mut self, slot: Slot, end: AttemptEnd, unwritten: AttemptEnd, works: &mut Works) {
+        if self.attempts.get(slot).is_some_and(|attempt| attempt.dropped.is_some()) {
             return self.end(slot, end, None, works);
         }
         self.take_out(slot);
-        let Some(hop) = self.hops.get(slot) else { return };
-        if hop.written.is_none() {
+        let Some(attempt) = self.attempts.get(slot) else { return };
+        if attempt.written.is_none() {
             return self.end(slot, unwritten, None, works);
         }
-        let word: &[u8] = if hop.result.is_some() { b"CLOSE" } else { b"DROP" };
-        let bytes = resp::array(&[word, hop.id.as_bytes()]);
+        let word: &[u8] = if attempt.result.is_some() { b"CLOSE" } else { b"DROP" };
+        let bytes = resp::array(&[word, attempt.id.as_bytes()]);
         self.write(slot, &bytes, works);
         self.end(slot, end, None, works);
     }
@@ -763,9 +770,9 @@
         };
         link.due = None;
         let next = link.heard + self.comes_up * 2;
-        let hops = || link.hops.values().filter_map(|hop| self.hops.get(*hop)?.dropped);
-        let unheard = hops().any(|(_, since)| since + self.comes_up <= now);
-        let waits = hops().map(|(_, since)| since + self.comes_up).min();
+        let attempts = || link.attempts.values().filter_map(|attempt| self.attempts.get(*attempt)?.dropped);
+        let unheard = attempts().any(|(_, since)| since + self.comes_up <= now);
+        let waits = attempts().map(|(_, since)| since + self.comes_up).min();
         let next = waits.map_or(next, |at| at.min(next));
         if !link.up {
             works.counters.count("links_not_up_in_time");
@@ -774,8 +781,8 @@
             // Nothing that it carries can be answered any more.
             works.counters.count("links_silent");
             self.lose(slot, "silent", true, works);
-        } else if link.hops.is_empty() {
-            // Looked at again with its next hop.
+        } else if link.attempts.is_empty() {
+            // Looked at again with its next attempt.
         } else if next <= now {
             self.check(slot, works);
             self.go_on(slot, works);
@@ -785,7 +792,7 @@
     }
 
     pub fn link_idle(&mut self, slot: Slot, works: &mut Works) {
-        if let Some(link) = self.links.get(slot).filter(|link| link.hops.is_empty())
+        if let Some(link) = self.links.get(slot).filter(|link| link.attempts.is_empty())
             && (link.retired || link.idle.is_some_and(|at| at <= works.now()))
         {
             self.lose(slot, "idle", true, works);
@@ -798,36 +805,40 @@
     pub fn lose(&mut self, slot: Slot, why: &str, there: bool, works: &mut Works) {
         let Some(link) = self.links.take(slot) else { return };
         self.asks.push_back(Ask::Close(slot));
-        log::debug!("engine {}: connection {slot:?} over with {} hops: {why}", link.engine, link.hops.len());
+        log::debug!(
+            "engine {}: connection {slot:?} over with {} hops: {why}",
+            link.engine,
+            link.attempts.len()
+        );
         self.book.entry(link.engine).and_modify(|known| known.links.retain(|other| *other != slot));
         link.due.inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
         link.whole_by.inspect(|at| works.timers.clear(*at, Timer::Whole(slot)));
         link.idle.inspect(|at| works.timers.clear(*at, Timer::Idle(slot)));
-        if there && !link.hops.is_empty() {
+        if there && !link.attempts.is_empty() {
             works.counters.count("links_lost");
         }
-        for hop in link.hops.into_values() {
-            let Some(row) = self.hops.get_mut(hop) else { continue };
+        for attempt in link.attempts.into_values() {
+            let Some(row) = self.attempts.get_mut(attempt) else { continue };
             row.link = None;
             if let Some((end, _)) = row.dropped {
-                self.end(hop, end, None, works);
+                self.end(attempt, end, None, works);
             } else if row.written.is_some_and(|from| link.output.passed() > from) {
-                self.end(hop, HopEnd::Broken, None, works);
+                self.end(attempt, AttemptEnd::Broken, None, works);
             } else if !there || std::mem::replace(&mut row.moved, true) {
-                self.end(hop, HopEnd::Unreachable, None, works);
+                self.end(attempt, AttemptEnd::Unreachable, None, works);
             } else {
-                self.place(hop, works);
+                self.place(attempt, works);
             }
         }
     }
 
-    /// How many engines, connections and hops are known.
+    /// How many engines, connections and attempts are known.
     pub fn held(&self) -> (usize, usize, usize) {
-        (self.book.len(), self.links.len(), self.hops.len())
+        (self.book.len(), self.links.len(), self.attempts.len())
     }
 
-    pub fn hop_place(&self, hop: Slot) -> Option<usize> {
-        self.hops.place(hop)
+    pub fn attempt_place(&self, attempt: Slot) -> Option<usize> {
+        self.attempts.place(attempt)
     }
 
     pub fn link_place(&self, link: Slot) -> Option<usize> {
@@ -850,19 +861,21 @@
                 unread.len().hash(into);
             }
             unread.hash(into);
-            (link.engine, link.up, link.retired, link.asked, link.hops.len(), link.waiting.len()).hash(into);
+            (link.engine, link.up, link.retired, link.asked, link.attempts.len(), link.waiting.len())
+                .hash(into);
             let times = [Some(link.opened), Some(link.heard), link.due, link.whole_by, link.idle];
             times.map(|at| at.map(since)).hash(into);
         }
-        for (slot, hop) in self.hops.iter() {
-            let link = hop.link.and_then(|link| self.links.get(link));
-            let begun = link.zip(hop.written).map(|(link, from)| link.output.passed() > from);
+        for (slot, attempt) in self.attempts.iter() {
+            let link = attempt.link.and_then(|link| self.links.get(link));
+            let begun = link.zip(attempt.written).map(|(link, from)| link.output.passed() > from);
             let waits = link.map(|link| link.waiting.iter().position(|waits| *waits == slot));
-            (hop.request, hop.number, hop.link.and_then(|link| places.get(&link)), begun, waits).hash(into);
-            (since(hop.until), hop.moved, hop.kept_back, hop.call.is_empty()).hash(into);
-            hop.dropped.map(|(_, at)| since(at)).hash(into);
-            hop.owing.iter().filter_map(|link| places.get(link)).for_each(|at| at.hash(into));
-            hop.result.as_ref().map(|result| &result.got).hash(into);
+            (attempt.request, attempt.number, attempt.link.and_then(|link| places.get(&link)), begun, waits)
+                .hash(into);
+            (since(attempt.until), attempt.moved, attempt.kept_back, attempt.call.is_empty()).hash(into);
+            attempt.dropped.map(|(_, at)| since(at)).hash(into);
+            attempt.owing.iter().filter_map(|link| places.get(link)).for_each(|at| at.hash(into));
+            attempt.result.as_ref().map(|result| &result.got).hash(into);
         }
     }
 
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/floor.rs
@@ -24,8 +24,8 @@
     pub statement: Vec<u8>,
     pub grant_mb: f64,
     pub priority: u8,
-    pub hops: Vec<Slot>,
-    /// Connections that may still bring an answer to a hop that was given up.
+    pub attempts: Vec<Slot>,
+    /// Connections that may still bring an answer to an attempt that was given up.
     pub owing: Vec<Slot>,
 }
 
@@ -38,8 +38,8 @@
         opkey: Option<String>,
         statement: Vec<u8>,
     ) -> Self {
-        let (grant_mb, priority, hops, owing) = (0.0, 1, Vec::new(), Vec::new());
-        Self { client, id, req, class, opkey, statement, grant_mb, priority, hops, owing }
+        let (grant_mb, priority, attempts, owing) = (0.0, 1, Vec::new(), Vec::new());
+        Self { client, id, req, class, opkey, statement, grant_mb, priority, attempts, owing }
     }
 }
 
@@ -104,11 +104,11 @@
 impl Outlet for Floor {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let Some(row) = self.requests.get_mut(request) else {
-            return self.works.counters.must(false, "a_hop_of_an_answered_request");
+            return self.works.counters.must(false, "a_attempt_of_an_answered_request");
         };
         let call = Call {
             request,
-            number: row.hops.len(),
+            number: row.attempts.len(),
             id: &row.req,
             class: &self.premises.traffic[row.class],
             opkey: row.opkey.as_deref(),
@@ -117,21 +117,23 @@
             priority: row.priority,
             until,
         };
-        let hop = self.engines.send(engine, call, &row.owing, &mut self.works);
-        row.hops.push(hop);
+        let attempt = self.engines.send(engine, call, &row.owing, &mut self.works);
+        row.attempts.push(attempt);
     }
     fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
-            for hop in &request.hops {
-                self.engines.rank(*hop, priority, &mut self.works);
+            for attempt in &request.attempts {
+                self.engines.rank(*attempt, priority, &mut self.works);
             }
         }
         (request.grant_mb, request.priority) = (grant_mb, priority);
     }
-    fn cancel(&mut self, request: RequestId, hop: usize) {
-        if let Some(hop) = self.requests.get(request).and_then(|request| request.hops.get(hop)).copied() {
-            self.engines.take_back(hop, &mut self.works);
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        if let Some(attempt) =
+            self.requests.get(request).and_then(|request| request.attempts.get(attempt)).copied()
+        {
+            self.engines.take_back(attempt, &mut self.works);
         }
     }
     fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
@@ -204,14 +206,14 @@
                 request.priority,
             )
                 .hash(into);
-            request.hops.iter().for_each(|hop| self.engines.hop_place(*hop).hash(into));
+            request.attempts.iter().for_each(|attempt| self.engines.attempt_place(*attempt).hash(into));
             request
                 .owing
                 .iter()
                 .filter_map(|link| self.engines.link_place(*link))
                 .for_each(|at| at.hash(into));
         }
-        // What else falls due is told by the connections and hops themselves.
+        // What else falls due is told by the connections and attempts themselves.
         let due = self.works.timers.iter();
         let due =
             due.filter(|(_, due)| matches!(due, Timer::Wake | Timer::Bulletin | Timer::Admit | Timer::Leave));
@@ -221,9 +223,9 @@
 
     /// All counters, and how much is held of what comes and goes.
     pub fn tally(&self) -> String {
-        let (engines, links, hops) = self.engines.held();
+        let (engines, links, attempts) = self.engines.held();
         format!(
-            "{} held_clients={} held_requests={} held_engines={engines} held_links={links} held_hops={hops} \
+            "{} held_clients={} held_requests={} held_engines={engines} held_links={links} held_attempts={attempts} \
              held_timers={}",
             self.works.counters,
             self.clients.table.len(),
@@ -248,8 +250,8 @@
             closed.push((number, how));
         }
         self.clients.answered(request.client, request.id, self.works.now());
-        for hop in &request.hops {
-            self.engines.cancel(*hop, &mut self.works);
+        for attempt in &request.attempts {
+            self.engines.cancel(*attempt, &mut self.works);
         }
         Some(request)
     }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -124,7 +124,7 @@
         let Floor { engines, works, .. } = &mut self.floor;
         match due {
             Timer::Wake => self.router.wake(now, &mut self.floor),
-            Timer::Hop(slot) => engines.overdue(slot, works),
+            Timer::Attempt(slot) => engines.overdue(slot, works),
             Timer::Link(slot) => engines.link_overdue(slot, now, works),
             Timer::Whole(slot) => engines.not_whole(slot, works),
             Timer::Idle(slot) => engines.link_idle(slot, works),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Tells the decisions what came of their hops, until nothing is new, and hands on what they have room for.
+    /// Tells the decisions what came of their attempts, until nothing is new, and hands on what they have room for.
     pub fn tell(&mut self) {
         self.tell_news();
         while self.attend() {
@@ -160,8 +160,8 @@
         while let Some(news) = self.floor.engines.news.pop_front() {
             let now = self.floor.works.now();
             match news {
-                News::Noticed(request, hop, notice) => {
-                    self.router.notice(now, request, hop, notice, &mut self.floor);
+                News::Noticed(request, attempt, notice) => {
+                    self.router.notice(now, request, attempt, notice, &mut self.floor);
                 }
                 News::Ended(ended, body, owing) => {
                     if let Some((link, request)) = owing.zip(self.floor.requests.get_mut(ended.request)) {
@@ -185,7 +185,7 @@
             self.floor.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
         }
         ended.over = self.floor.requests.get(ended.request).is_none();
-        self.router.hop_ended(now, ended, &mut self.floor);
+        self.router.attempt_ended(now, ended, &mut self.floor);
     }
 
     // ---- clients ----
@@ -291,9 +291,11 @@
         let open = ended.iter().filter_map(|slot| self.floor.clients.table.get(*slot));
         let mut left: Vec<RequestId> = open.flat_map(|client| client.open.values().copied()).collect();
         for request in &left {
-            let hops =
-                self.floor.requests.get(*request).map(|request| request.hops.clone()).unwrap_or_default();
-            hops.into_iter().for_each(|hop| self.floor.engines.keep_back(hop, &mut self.floor.works));
+            let attempts =
+                self.floor.requests.get(*request).map(|request| request.attempts.clone()).unwrap_or_default();
+            attempts
+                .into_iter()
+                .for_each(|attempt| self.floor.engines.keep_back(attempt, &mut self.floor.works));
         }
         let at_the_door = |request: &RequestId| self.door.as_ref().is_some_and(|door| door.holds(*request));
         for request in left.extract_if(.., |request| at_the_door(request)) {
--- a/crates/router/src/premises.rs
+++ b/crates/router/src/premises.rs
@@ -70,7 +70,7 @@
     pub streams: usize,
     pub comes_up: Duration,
     pub idle_close: Duration,
-    /// Whether two hops of a request may be out at once, which is not so only where the settings say it.
+    /// Whether two attempts of a request may be out at once, which is not so only where the settings say it.
     pub may_duplicate: bool,
     /// What tells these settings from others.
     pub settings: u64,
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -8,8 +8,8 @@
 pub enum Timer {
     /// The decisions asked to be woken.
     Wake,
-    /// A hop is abandoned.
-    Hop(Slot),
+    /// An attempt is abandoned.
+    Attempt(Slot),
     /// A connection to an engine must have come up, or have shown that it works.
     Link(Slot),
     /// An answer that has begun must have come whole.
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -61,13 +61,13 @@
     ("lives left", 10),
     ("requests_withdrawn", 500),
     ("requests_refused_at_the_door", 200),
-    ("hops_overloaded", 200),
-    ("hops_failed", 100),
-    ("hops_timed_out", 200),
-    ("hops_unreachable", 200),
-    ("hops_broken", 200),
-    ("hops_void", 200),
-    ("hops_taken_back", 200),
+    ("attempts_overloaded", 200),
+    ("attempts_failed", 100),
+    ("attempts_timed_out", 200),
+    ("attempts_unreachable", 200),
+    ("attempts_broken", 200),
+    ("attempts_void", 200),
+    ("attempts_taken_back", 200),
     ("links_silent", 100),
     ("engine_input_malformed", 50),
     ("engine_input_cut_short", 50),
@@ -685,8 +685,8 @@
     fn falls_due(&mut self, due: Timer) {
         match due {
             Timer::Client(slot) => self.hear(slot, &[], After::Silence),
-            Timer::Hop(hop) => {
-                if let Some(link) = self.front.floor.engines.link_of(hop) {
+            Timer::Attempt(attempt) => {
+                if let Some(link) = self.front.floor.engines.link_of(attempt) {
                     self.flush_link(link);
                 }
             }
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -168,10 +168,14 @@
         });
         let answer = left.map_or("gone".into(), |mut client| client.hear());
         let refused = answer.contains("-32011");
-        format!("{name}: sent {:?}, refused {refused}; {}", calls(&mut engine, 0), house.end(&["hops_void"]))
-            .lines()
-            .filter(|line| !line.starts_with("GET") && !line.starts_with("bulletin"))
-            .collect::<String>()
+        format!(
+            "{name}: sent {:?}, refused {refused}; {}",
+            calls(&mut engine, 0),
+            house.end(&["attempts_void"])
+        )
+        .lines()
+        .filter(|line| !line.starts_with("GET") && !line.starts_with("bulletin"))
+        .collect::<String>()
     };
     // A whole list with no engine.
     let whole = |number: u64| [&9u32.to_be_bytes()[..], &number.to_be_bytes(), &[1]].concat();
@@ -226,7 +230,7 @@
         sent then: []
         ended with Some(0): hops_void=1 links_dialled=1
     "#]]
-    .assert_eq(&house.end(&["hops_void", "links_dialled"]));
+    .assert_eq(&house.end(&["attempts_void", "links_dialled"]));
 }
 
 /// A drain is told in the instant in which an answer makes room at that engine.
@@ -350,7 +354,7 @@
         bulletin after 3
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         ended with Some(0): bulletin_dialled=2 reloads=1
-    "#]].assert_eq(&house.end(&["bulletin_dialled", "hops_sent", "reloads"]));
+    "#]].assert_eq(&house.end(&["bulletin_dialled", "attempts_sent", "reloads"]));
 }
 
 /// A file may still be being written at SIGHUP; one of another router is not ours; other settings take a restart.
@@ -434,10 +438,10 @@
         sent then: []
         ended with Some(0): hops_sent=1 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["hops_sent", "requests_given_up"]));
+    .assert_eq(&house.end(&["attempts_sent", "requests_given_up"]));
 }
 
-/// Seen where the settings allow no second copy: what took a hop back and the next call went over two connections,
+/// Seen where the settings allow no second copy: what took an attempt back and the next call went over two connections,
 /// and came in the other order.
 #[test]
 fn a_request_is_sent_again_once_its_engine_has_heard_that_it_was_taken_back() {
@@ -478,7 +482,7 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
         ended with Some(0): hops_taken_back=2 hops_withdrawn=2 links_silent=1
     "#]]
-    .assert_eq(&house.end(&["hops_taken_back", "hops_withdrawn", "links_silent"]));
+    .assert_eq(&house.end(&["attempts_taken_back", "attempts_withdrawn", "links_silent"]));
 }
 
 /// Idle clients take all the room there is while discovery is down, and it returns in the same instant: the list is
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -27,7 +27,7 @@
     engine.say(2, "PART", "page=1", "d\te\tf\n");
     house.note(client.hear());
     let counters =
-        ["requests_taken", "requests_succeeded", "hops_sent", "notes", "engine_answers_for_nothing"];
+        ["requests_taken", "requests_succeeded", "attempts_sent", "notes", "engine_answers_for_nothing"];
     expect![[r#"
         {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
@@ -56,11 +56,11 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
         ended with Some(0): hops_failed=1 hops_overloaded=1 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["hops_overloaded", "hops_failed", "requests_given_up"]));
+    .assert_eq(&house.end(&["attempts_overloaded", "attempts_failed", "requests_given_up"]));
 }
 
 #[test]
-fn an_overdue_hop_is_dropped_and_its_late_answer_is_nobodys() {
+fn an_overdue_attempt_is_dropped_and_its_late_answer_is_nobodys() {
     let mut house = House::open("overdue", 1, &settings(5000, 8000));
     let mut client = house.client();
     client.ask(1, "lookup", 1500);
@@ -79,14 +79,14 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"aW4gdGltZQkJCg=="}}
         ended with Some(0): engine_answers_for_nothing=1 hops_timed_out=1 tasks_bounced=1
     "#]].assert_eq(&house.end(&[
-        "hops_timed_out",
+        "attempts_timed_out",
         "requests_bounced",
         "engine_answers_for_nothing",
     ]));
 }
 
 #[test]
-fn a_later_hop_avoids_the_connection_that_may_still_answer_an_earlier_one() {
+fn a_later_attempt_avoids_the_connection_that_may_still_answer_an_earlier_one() {
     let mut house = House::open("owing", 1, &settings(5000, 8000));
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
@@ -94,7 +94,7 @@
     house.note(engine.hear());
     engine.say(1, "SHED", "-", "");
     house.note(engine.hear());
-    // A first hop that stands is moved; there is no other engine.
+    // A first attempt that stands is moved; there is no other engine.
     client.ask(2, "lookup", 8000);
     house.note(engine.hear());
     let first = engine.of(2);
@@ -113,7 +113,7 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"ZnJvbSB0aGUgc2Vjb25kIGhvcAkJCg=="}}
         ended with Some(0): engine_answers_for_nothing=1 hops_withdrawn=2 links_dialled=3
     "#]]
-    .assert_eq(&house.end(&["hops_withdrawn", "engine_answers_for_nothing", "links_dialled"]));
+    .assert_eq(&house.end(&["attempts_withdrawn", "engine_answers_for_nothing", "links_dialled"]));
 }
 
 #[test]
@@ -130,7 +130,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
         ended with Some(0): hops_broken=1
     "#]]
-    .assert_eq(&house.end(&["hops_broken", "hops_unreachable"]));
+    .assert_eq(&house.end(&["attempts_broken", "attempts_unreachable"]));
     let mut house = House::open("refused", 0, &settings(5000, 8000));
     let mut client = house.client();
     client.ask(1, "post", 8000);
@@ -138,7 +138,7 @@
     expect![[r#"
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         ended with Some(0): hops_unreachable=3
-    "#]].assert_eq(&house.end(&["hops_broken", "hops_unreachable"]));
+    "#]].assert_eq(&house.end(&["attempts_broken", "attempts_unreachable"]));
 }
 
 #[test]
@@ -164,7 +164,7 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"eQkJCg=="}}
         ended with Some(0): links_dialled=2 links_silent=1
     "#]]
-    .assert_eq(&house.end(&["links_silent", "hops_unreachable", "links_dialled"]));
+    .assert_eq(&house.end(&["links_silent", "attempts_unreachable", "links_dialled"]));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     bulletin.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
     house.note(client.hear());
     engine.say(0, "PONG", "-", "");
-    let counters = house.end(&["hops_void", "links_silent"]);
+    let counters = house.end(&["attempts_void", "links_silent"]);
     expect![[r#"
         bulletin after 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
@@ -283,7 +283,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":2,"jsonrpc":"2.0"}
         DROP 0000000000000001, DROP 0000000000000002
         ended with Some(0): hops_withdrawn=2 tasks_bounced=1 tasks_given_up=1
-    "#]].assert_eq(&house.end(&["requests_bounced", "requests_given_up", "hops_withdrawn"]));
+    "#]].assert_eq(&house.end(&["requests_bounced", "requests_given_up", "attempts_withdrawn"]));
 }
 
 const TEAMS: &str = r#"{
@@ -522,7 +522,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":150,"jsonrpc":"2.0"}
         ended with Some(0): engine_input_malformed=6 hops_broken=6 tasks_given_up=6
     "#]]
-    .assert_eq(&house.end(&["engine_input_malformed", "hops_broken", "requests_given_up"]));
+    .assert_eq(&house.end(&["engine_input_malformed", "attempts_broken", "requests_given_up"]));
 }
 
 #[test]
@@ -587,7 +587,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":4,"jsonrpc":"2.0"}
         ended with Some(0): engine_input_malformed=4 hops_broken=4 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["engine_input_malformed", "hops_broken", "requests_given_up"]));
+    .assert_eq(&house.end(&["engine_input_malformed", "attempts_broken", "requests_given_up"]));
 }
 
 #[test]
@@ -618,7 +618,7 @@
         {"jsonrpc":"2.0","id":3,"result":{"data":"ZwloCWkK"}}
         ended with Some(0): engine_input_cut_short=1 hops_broken=2 hops_timed_out=1
     "#]]
-    .assert_eq(&house.end(&["engine_input_cut_short", "hops_timed_out", "hops_broken"]));
+    .assert_eq(&house.end(&["engine_input_cut_short", "attempts_timed_out", "attempts_broken"]));
 }
 
 #[test]
@@ -643,7 +643,7 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"eQkJCg=="}}
         ended with Some(0): hops_succeeded=2 links_lost=1
     "#]]
-    .assert_eq(&house.end(&["links_lost", "hops_unreachable", "hops_succeeded"]));
+    .assert_eq(&house.end(&["links_lost", "attempts_unreachable", "attempts_succeeded"]));
 }
 
 #[test]
@@ -675,7 +675,7 @@
         closed
         ended with Some(0): hops_withdrawn=2 tasks_succeeded=1 tasks_withdrawn=2
     "#]]
-    .assert_eq(&house.end(&["requests_succeeded", "requests_withdrawn", "hops_withdrawn"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_withdrawn", "attempts_withdrawn"]));
 }
 
 #[test]
@@ -697,7 +697,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":2,"jsonrpc":"2.0"}
         ended with Some(0): hops_broken=1 hops_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["hops_succeeded", "hops_broken"]));
+    .assert_eq(&house.end(&["attempts_succeeded", "attempts_broken"]));
 }
 
 #[test]
@@ -747,7 +747,7 @@
         {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
         ended with Some(0): hops_broken=1 hops_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["hops_broken", "hops_succeeded"]));
+    .assert_eq(&house.end(&["attempts_broken", "attempts_succeeded"]));
 }
 
 #[test]
@@ -813,7 +813,7 @@
         "requests_withdrawn",
         "requests_bounced",
         "requests_given_up",
-        "hops_sent",
+        "attempts_sent",
         "engine_input_malformed",
     ]));
 }
@@ -964,7 +964,8 @@
         }
     }
     let counters = ["requests_succeeded", "clients_admitted", "engines_forgotten"];
-    let held = ["held_clients", "held_requests", "held_hops", "held_engines", "held_links", "held_timers"];
+    let held =
+        ["held_clients", "held_requests", "held_attempts", "held_engines", "held_links", "held_timers"];
     let told = house.end(&[&counters[..], &held].concat());
     let (told, timers) = told.trim().rsplit_once("held_timers=").expect("the last");
     let few = timers.parse::<u64>().is_ok_and(|count| count < 20);
--- a/crates/router/tests/unit/engines.rs
+++ b/crates/router/tests/unit/engines.rs
@@ -1,14 +1,14 @@
-//! Hops and their connections to engines, without sockets.
+//! Attempts and their connections to engines, without sockets.
 
 use super::*;
 use expect_test::expect;
 use std::io::Cursor;
 
-/// An engine that listens, and a hop that has gone out to it.
+/// An engine that listens, and an attempt that has gone out to it.
 struct Stand {
     works: Works,
     engines: Engines,
-    hop: Slot,
+    attempt: Slot,
     link: Slot,
     seen: Vec<u8>,
 }
@@ -31,9 +31,9 @@
             priority: 1,
             until,
         };
-        let hop = engines.send(engine, call, &[], &mut works);
-        let link = engines.link_of(hop).expect("a connection");
-        Self { works, engines, hop, link, seen: Vec::new() }
+        let attempt = engines.send(engine, call, &[], &mut works);
+        let link = engines.link_of(attempt).expect("a connection");
+        Self { works, engines, attempt, link, seen: Vec::new() }
     }
 
     fn up(&mut self) {
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn a_new_priority_of_a_hop_that_is_out_goes_to_its_engine() {
+fn a_new_priority_of_an_attempt_that_is_out_goes_to_its_engine() {
     let long = Duration::from_secs(20);
     let mut stand = Stand::new(long, long);
-    stand.engines.rank(stand.hop, 3, &mut stand.works);
+    stand.engines.rank(stand.attempt, 3, &mut stand.works);
     stand.up();
-    stand.engines.rank(stand.hop, 2, &mut stand.works);
+    stand.engines.rank(stand.attempt, 2, &mut stand.works);
     stand.engines.drain(stand.link, &mut stand.seen).expect("it writes");
     let text = String::from_utf8(stand.seen).expect("text");
     let words: Vec<&str> = text.lines().skip(10).take(13).collect();
@@ -122,13 +122,13 @@
     let kept = look(&mut stand, soon * 3);
     stand.works.now = soon * 10;
     stand.hears(&[b"9b1f03aa5c7e2d41", b"HIT", b"pages=1", b"a\tb\tc\n"]);
-    stand.engines.overdue(stand.hop, &mut stand.works);
+    stand.engines.overdue(stand.attempt, &mut stand.works);
     let told = match stand.engines.news.pop_front() {
         Some(News::Ended(ended, body, _)) => {
             format!("{:?}, {:?} bytes", ended.end, body.map(|b| b.len()))
         }
         _ => "nothing".into(),
     };
-    expect!["asked true, kept true, Succeeded, Some(6) bytes; hops_sent=1 hops_succeeded=1 links_checked=1 links_dialled=1"]
+    expect!["asked true, kept true, Succeeded, Some(6) bytes; attempts_sent=1 attempts_succeeded=1 links_checked=1 links_dialled=1"]
         .assert_eq(&format!("asked {asked}, kept {kept}, {told}; {}", stand.works.counters));
 }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fields::{Fault, Fields, from_ms, to_ms};
 
-use emberflow::{Duties, Effect, Fleet, HopBudget, Kind, Scope, Signals, TrafficType};
+use emberflow::{AttemptBudget, Duties, Effect, Fleet, Kind, Scope, Signals, TrafficType};
 
 /// Values of a load report that nothing reads, by the settings' names and the pages'.
 const UNREAD: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
@@ -171,7 +171,7 @@
     let (spare, per_request) = (extra("spareAttempts")?, extra("extraPerRequest")?);
     let longest = caps.optional("maxRetryAfterMs", Fields::time)?;
     Ok(Duties {
-        most_hops: caps.count("mostTries")?,
+        most_attempts: caps.count("mostTries")?,
         may_cancel: caps.flag("cancel")?,
         may_probe: caps.optional("probes", Fields::flag)?.unwrap_or(false),
         start_capacity: rules.share("startCapacity")?,
@@ -179,7 +179,7 @@
         overload_factor: rules.positive("overloadFactor")?,
         fall: rules.positive_time("fallMs")?,
         key_rest: rules.optional("keyQuietMs", Fields::time)?,
-        hop_budget: over.map(|over| HopBudget { spare, per_request, over }),
+        attempt_budget: over.map(|over| AttemptBudget { spare, per_request, over }),
         longest_retry_after: caps.flag("retryAfter")?.then_some(longest).flatten(),
     })
 }
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,7 +1,7 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Arrival, Bill, Ended, EngineId, HopEnd, KeyId, Listing, Notice, Outlet, RequestId, Router, Signals,
+    Arrival, AttemptEnd, Bill, Ended, EngineId, KeyId, Listing, Notice, Outlet, RequestId, Router, Signals,
 };
 use emberflow_startup::{
     Fault, Fields, duties, fleet, from_ms, load, marks_retries, reported, to_ms, traffic,
@@ -72,8 +72,8 @@
         let request = self.request(request);
         self.write(json!({"op": "PROVIDE", "ref": request, "memoryGrant": grant_mb, "importance": priority}));
     }
-    fn cancel(&mut self, request: RequestId, hop: usize) {
-        self.write(json!({"op": "ABORT_ATTEMPT", "ref": self.request(request), "hop": hop}));
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.write(json!({"op": "ABORT_ATTEMPT", "ref": self.request(request), "hop": attempt}));
     }
     fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0.0, to_ms);
@@ -156,20 +156,20 @@
                 let request = known("ref")?;
                 let ended = Ended {
                     request: request.unwrap_or(RequestId::MAX),
-                    hop: line.index("hop")?,
+                    attempt: line.index("hop")?,
                     engine: names.engines.number(line.text("engine")?),
-                    end: hop_end(line.text("result")?)?,
+                    end: attempt_end(line.text("result")?)?,
                     took: line.time("delaySeenMs")?,
                     bill: (used > 0).then(|| bill(used)),
                     signals: signals(reported, line),
                     over: line.flag("noMore")?,
                 };
                 if request.is_some() {
-                    router.hop_ended(now, ended, &mut Writer { who: *who, now, names, reply });
+                    router.attempt_ended(now, ended, &mut Writer { who: *who, now, names, reply });
                 }
             }
             "NOTICE" => {
-                let (request, hop, value) = (known("ref")?, line.index("hop")?, line.number("value")?);
+                let (request, attempt, value) = (known("ref")?, line.index("hop")?, line.number("value")?);
                 let notice = match (line.whole("sort")?, value) {
                     (1, done) => Notice::Done(done),
                     (2, missing_mb) => Notice::Spills(missing_mb),
@@ -178,7 +178,13 @@
                     (sort, value) => return Err(format!("`sort` {sort} with `value` {value} is unknown")),
                 };
                 if let Some(request) = request {
-                    router.notice(now, request, hop, notice, &mut Writer { who: *who, now, names, reply });
+                    router.notice(
+                        now,
+                        request,
+                        attempt,
+                        notice,
+                        &mut Writer { who: *who, now, names, reply },
+                    );
                 }
             }
             "CANCELLED_BY_CLIENT" => {
@@ -212,16 +218,16 @@
     })
 }
 
-fn hop_end(result: &str) -> Result<HopEnd, Fault> {
+fn attempt_end(result: &str) -> Result<AttemptEnd, Fault> {
     Ok(match result {
-        "success" => HopEnd::Succeeded,
-        "failure" => HopEnd::Failed,
-        "overloaded" => HopEnd::Overloaded,
-        "timed_out" => HopEnd::TimedOut,
-        "unreachable" => HopEnd::Unreachable,
-        "broken" => HopEnd::Broken,
-        "withdrawn" => HopEnd::Withdrawn,
-        "void" => HopEnd::Void,
+        "success" => AttemptEnd::Succeeded,
+        "failure" => AttemptEnd::Failed,
+        "overloaded" => AttemptEnd::Overloaded,
+        "timed_out" => AttemptEnd::TimedOut,
+        "unreachable" => AttemptEnd::Unreachable,
+        "broken" => AttemptEnd::Broken,
+        "withdrawn" => AttemptEnd::Withdrawn,
+        "void" => AttemptEnd::Void,
         other => return Err(format!("unknown `result` {other}")),
     })
 }
--- a/crates/wirehost/tests/digest.rs
+++ b/crates/wirehost/tests/digest.rs
@@ -1,5 +1,5 @@
 //! Guards a change of words that is to change no behaviour: seeded days of valid input to the adapter, and one digest
-//! over all bytes that it writes. What the input tells goes by what was written before, so that hops end and requests
+//! over all bytes that it writes. What the input tells goes by what was written before, so that attempts end and requests
 //! are sent again.
 
 use expect_test::expect;
@@ -77,8 +77,8 @@
     written: BTreeMap<String, u64>,
 }
 
-/// A hop that is out.
-struct Hop {
+/// An attempt that is out.
+struct Attempt {
     who: u64,
     request: String,
     number: u64,
@@ -97,8 +97,8 @@
     now_ms: f64,
     /// Lines of the batch that is being told.
     batch: String,
-    hops: Vec<Hop>,
-    /// By instance and request, its hops so far.
+    attempts: Vec<Attempt>,
+    /// By instance and request, its attempts so far.
     sent: BTreeMap<(u64, String), u64>,
     /// Requests that are owed an answer.
     open: Vec<(u64, String)>,
@@ -151,7 +151,7 @@
             output,
             now_ms: 10.0,
             batch: String::new(),
-            hops: Vec::new(),
+            attempts: Vec::new(),
             sent: BTreeMap::new(),
             open: Vec::new(),
             bells: Vec::new(),
@@ -190,7 +190,7 @@
     /// An instance ends with all that it had out, and another takes its place.
     fn start_anew(&mut self, who: u64, seed: u64) {
         self.tell(json!({"op": "KILLED", "who": who}));
-        self.hops.retain(|hop| hop.who != who);
+        self.attempts.retain(|attempt| attempt.who != who);
         self.sent.retain(|(of, _), _| *of != who);
         self.open.retain(|(of, _)| *of != who);
         self.bells.retain(|(_, of)| *of != who);
@@ -236,13 +236,22 @@
                     *self.witness.written.entry("sent again".into()).or_default() += 1;
                 }
                 let (engine, sent_ms) = (text("engine"), self.now_ms);
-                self.hops.push(Hop { who, request, number, engine, sent_ms, abandon_ms, cancelled: false });
+                self.attempts.push(Attempt {
+                    who,
+                    request,
+                    number,
+                    engine,
+                    sent_ms,
+                    abandon_ms,
+                    cancelled: false,
+                });
             }
             "ABORT_ATTEMPT" => {
                 let number = action["hop"].as_u64();
-                let its =
-                    |hop: &&mut Hop| hop.who == who && hop.request == request && Some(hop.number) == number;
-                self.hops.iter_mut().filter(its).for_each(|hop| hop.cancelled = true);
+                let its = |attempt: &&mut Attempt| {
+                    attempt.who == who && attempt.request == request && Some(attempt.number) == number
+                };
+                self.attempts.iter_mut().filter(its).for_each(|attempt| attempt.cancelled = true);
             }
             "TURN_AWAY" | "ABORT" => self.open.retain(|open| *open != (who, request.clone())),
             "TOUCH" => self.probes.push((who, text("engine"))),
@@ -263,7 +272,7 @@
         let due: Vec<u64> = self.bells.extract_if(.., |(at, _)| *at <= now_ms).map(|(_, who)| who).collect();
         due.into_iter().for_each(|who| self.tell(json!({"op": "BELL", "who": who, "keyBack": 0})));
         // What is out for too long is over.
-        while let Some(at) = self.hops.iter().position(|hop| hop.abandon_ms <= now_ms) {
+        while let Some(at) = self.attempts.iter().position(|attempt| attempt.abandon_ms <= now_ms) {
             self.end(at, "timed_out");
         }
     }
@@ -313,22 +322,22 @@
     }
 
     fn end_any(&mut self) {
-        if self.hops.is_empty() {
+        if self.attempts.is_empty() {
             return;
         }
-        let at = self.chance.below(self.hops.len() as u64) as usize;
+        let at = self.chance.below(self.attempts.len() as u64) as usize;
         let common = ["success"; 9];
         let rare = ["failure", "overloaded", "overloaded", "unreachable", "broken", "void"];
         let result = self.chance.pick(&[&common[..], &rare].concat());
-        if self.hops[at].engine == SILENT && !self.hops[at].cancelled {
+        if self.attempts[at].engine == SILENT && !self.attempts[at].cancelled {
             return;
         }
-        let result = if self.hops[at].cancelled && !self.chance.one_in(4) { "withdrawn" } else { result };
+        let result = if self.attempts[at].cancelled && !self.chance.one_in(4) { "withdrawn" } else { result };
         self.end(at, result);
     }
 
     fn end(&mut self, at: usize, result: &str) {
-        let Hop { who, request, number, engine, sent_ms, .. } = self.hops.remove(at);
+        let Attempt { who, request, number, engine, sent_ms, .. } = self.attempts.remove(at);
         let open = (who, request.clone());
         let over = !self.open.contains(&open);
         let mut line = json!({"op": "ENDED", "who": who, "ref": request, "hop": number, "engine": engine,
@@ -350,12 +359,12 @@
     }
 
     fn notice(&mut self) {
-        if self.hops.is_empty() {
+        if self.attempts.is_empty() {
             return;
         }
-        let at = self.chance.below(self.hops.len() as u64) as usize;
+        let at = self.chance.below(self.attempts.len() as u64) as usize;
         let (sort, value) = self.chance.pick(&[(1, 0.25), (1, 0.75), (2, 120.0), (3, 1.0), (3, 2.0)]);
-        let Hop { who, request, number, .. } = &self.hops[at];
+        let Attempt { who, request, number, .. } = &self.attempts[at];
         let line =
             json!({"op": "NOTICE", "who": who, "ref": request, "hop": number, "sort": sort, "value": value});
         self.tell(line);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,12 +22,12 @@
 
 /// What the router says; every call takes effect at the time of the input being answered.
 pub trait Outlet {
-    /// Sends the request's next hop; it is abandoned at `until`.
+    /// Sends the request's next attempt; it is abandoned at `until`.
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
-    /// Names the grant of the request's next hop and the priority of all its hops.
+    /// Names the grant of the request's next attempt and the priority of all its attempts.
     fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8);
-    /// Stops waiting for one hop.
-    fn cancel(&mut self, request: RequestId, hop: usize);
+    /// Stops waiting for one attempt.
+    fn cancel(&mut self, request: RequestId, attempt: usize);
     /// Final answer: not done, a retry is harmless.
     fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>);
     /// Final answer: not done, nothing promised.
@@ -50,7 +50,7 @@
     pub kinds: Vec<Kind>,
     pub largest_share: f64,
     pub heeds_priorities: bool,
-    /// Whether a hop gets what is left where memory is short.
+    /// Whether an attempt gets what is left where memory is short.
     pub cuts_grants: bool,
     pub note_every: Option<Duration>,
     /// Whether engines tell their load only when they are probed.
@@ -95,7 +95,7 @@
 
 /// What the seven rules ask for; an absent figure leaves its rule idle.
 pub struct Duties {
-    pub most_hops: usize,
+    pub most_attempts: usize,
     pub may_cancel: bool,
     pub may_probe: bool,
     pub start_capacity: f64,
@@ -103,11 +103,11 @@
     pub overload_factor: f64,
     pub fall: Duration,
     pub key_rest: Option<Duration>,
-    pub hop_budget: Option<HopBudget>,
+    pub attempt_budget: Option<AttemptBudget>,
     pub longest_retry_after: Option<Duration>,
 }
 
-pub struct HopBudget {
+pub struct AttemptBudget {
     pub spare: f64,
     pub per_request: f64,
     pub over: Duration,
@@ -142,7 +142,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HopEnd {
+pub enum AttemptEnd {
     Succeeded,
     Failed,
     Overloaded,
@@ -153,13 +153,13 @@
     Void,
 }
 
-/// The outcome of a hop; `over` where the request ended with it or before.
+/// The outcome of an attempt; `over` where the request ended with it or before.
 #[derive(Clone)]
 pub struct Ended {
     pub request: RequestId,
-    pub hop: usize,
+    pub attempt: usize,
     pub engine: EngineId,
-    pub end: HopEnd,
+    pub end: AttemptEnd,
     pub took: Duration,
     pub bill: Option<Bill>,
     pub signals: Option<Signals>,
@@ -177,7 +177,7 @@
     pub disks: Option<f64>,
 }
 
-/// What a finished hop is billed.
+/// What a finished attempt is billed.
 #[derive(Clone, Copy, Debug)]
 pub struct Bill {
     pub cost: Duration,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -3,7 +3,7 @@
 //! run in their order until none fires.
 
 use crate::recent::{Recent, add, mean, quantile, seconds, span};
-use crate::state::{Engine, Gateway, Hop, Learned, Line, Out, Request, Seen, Sight, Tier};
+use crate::state::{Attempt, Engine, Gateway, Learned, Line, Out, Request, Seen, Sight, Tier};
 use crate::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,7 +36,7 @@
 const FULL: f64 = 0.95;
 /// Cores that are busy at the capacity which a warm-up is measured by.
 const CAPACITY: f64 = 0.85;
-/// Remaining time over a fresh run's from which a hop has a bad plan; the same without notes of progress.
+/// Remaining time over a fresh run's from which an attempt has a bad plan; the same without notes of progress.
 const BAD_PLAN: f64 = 3.0;
 const BAD_PLAN_UNSEEN: f64 = 8.0;
 /// Samples kept of each measurement, and of an engine's last outcomes.
@@ -49,10 +49,10 @@
         self.told_cost.map(|_| self.memory)
     }
 
-    /// The hop from which a referenced request's window counts and whose engine sets its group.
-    fn first_that_may_have_run(&self) -> Option<&Hop> {
-        let never_ran = [HopEnd::Overloaded, HopEnd::Unreachable, HopEnd::Void].map(Some);
-        self.hops.iter().find(|hop| !never_ran.contains(&hop.end))
+    /// The attempt from which a referenced request's window counts and whose engine sets its group.
+    fn first_that_may_have_run(&self) -> Option<&Attempt> {
+        let never_ran = [AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Void].map(Some);
+        self.attempts.iter().find(|attempt| !never_ran.contains(&attempt.end))
     }
 }
 
@@ -185,7 +185,7 @@
             patience: (arrived + arrival.patience).min(self.closing),
             over: false,
             left: false,
-            hops: Vec::new(),
+            attempts: Vec::new(),
         }
     }
 
@@ -199,16 +199,16 @@
         Room { router: self, now, sight: self.sight(now, true), blocked: BTreeSet::new() }
     }
 
-    pub fn hop_ended(&mut self, now: Duration, hop: Ended, out: &mut impl Outlet) {
-        let Ended { request: id, hop, engine, end, took, bill, signals, over } = hop;
+    pub fn attempt_ended(&mut self, now: Duration, attempt: Ended, out: &mut impl Outlet) {
+        let Ended { request: id, attempt, engine, end, took, bill, signals, over } = attempt;
         self.report(now, engine, signals, id);
         let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
         request.over |= over;
         let (traffic, told_cost, told_memory) = (request.traffic, request.told_cost, request.told_memory);
-        let Some(ended) = request.hops.get_mut(hop) else { return self.settle(now, out) };
+        let Some(ended) = request.attempts.get_mut(attempt) else { return self.settle(now, out) };
         ended.end = Some(end);
-        let Hop { sent, engine, grant, missing, .. } = *ended;
-        let may_still_run = matches!(end, HopEnd::TimedOut | HopEnd::Broken | HopEnd::Withdrawn);
+        let Attempt { sent, engine, grant, missing, .. } = *ended;
+        let may_still_run = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn);
         if let (Some(key), Some(rest), true) = (request.key, self.duties.key_rest, may_still_run) {
             self.lines.entry(key).or_default().rest = Some((id, now + rest));
         }
@@ -219,13 +219,14 @@
             told_cost.inspect(|told| learned.cost_ratios.push(now, seconds(bill.cost) / told));
         }
         // Unbilled, a spill tells the most that was needed, unless a cut grant may be its cause.
-        if let (None, HopEnd::Succeeded, Some(told), false) = (bill, end, told_memory, self.fleet.cuts_grants)
+        if let (None, AttemptEnd::Succeeded, Some(told), false) =
+            (bill, end, told_memory, self.fleet.cuts_grants)
         {
             learned.memory_ratios.push(now, if missing > 0.0 { (grant + missing) / told } else { 1.0 });
         }
         // Of untold cost, a request is what it came to, not what such requests come to.
         let mut ideal = request.ideal;
-        if told_cost.is_none() && end == HopEnd::Succeeded {
+        if told_cost.is_none() && end == AttemptEnd::Succeeded {
             // Unbilled, its share of the cores is what it ran on: else a crowd would look like its own work.
             let threads = self.traffic[traffic].threads;
             let crowd = signals.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
@@ -235,30 +236,30 @@
             ideal = cost / threads.max(1.0);
         }
         let engine = self.engines.get_mut(&engine).expect("an engine that a hop went to");
-        engine.out.retain(|out| (out.request, out.hop) != (id, hop));
-        if matches!(end, HopEnd::Succeeded | HopEnd::Failed | HopEnd::Overloaded) {
+        engine.out.retain(|out| (out.request, out.attempt) != (id, attempt));
+        if matches!(end, AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Overloaded) {
             engine.heard = now;
         }
         let again = engine.bad.last().is_some_and(|(at, bad)| bad > 0.0 && at + self.fleet.tick >= now);
         match end {
-            HopEnd::Succeeded => {
+            AttemptEnd::Succeeded => {
                 let stretch = seconds(now - sent) / (ideal + seconds(self.fleet.tick));
                 learned.stretches.push(now, stretch);
                 // Over an idle engine's run, not the best of late: in lasting overload that drifts up.
                 engine.stretches.push(now, stretch);
                 engine.bad.push(now, 0.0);
             }
-            HopEnd::Overloaded => engine.refused = Some(now),
-            HopEnd::Failed | HopEnd::TimedOut => engine.bad.push(now, 1.0),
-            // Guards against lost machines and halls, whose connects fail or whose hops all break at once:
+            AttemptEnd::Overloaded => engine.refused = Some(now),
+            AttemptEnd::Failed | AttemptEnd::TimedOut => engine.bad.push(now, 1.0),
+            // Guards against lost machines and halls, whose connects fail or whose attempts all break at once:
             // two marks, and cold, as the list tells late. Any other break is one: a cut may mean nothing.
-            HopEnd::Unreachable | HopEnd::Broken
-                if end != HopEnd::Broken || again && engine.out.is_empty() =>
+            AttemptEnd::Unreachable | AttemptEnd::Broken
+                if end != AttemptEnd::Broken || again && engine.out.is_empty() =>
             {
                 (0..2).for_each(|_| engine.bad.push(now, 1.0));
                 engine.cold_since = Some(now);
             }
-            HopEnd::Broken if !again => engine.bad.push(now, 1.0),
+            AttemptEnd::Broken if !again => engine.bad.push(now, 1.0),
             _ => {}
         }
         self.settle(now, out);
@@ -274,22 +275,22 @@
         &mut self,
         now: Duration,
         id: RequestId,
-        hop: usize,
+        attempt: usize,
         notice: Notice,
         out: &mut impl Outlet,
     ) {
         if let Some(request) = self.requests.get_mut(&id)
-            && let Some(hop_out) = request.hops.get_mut(hop)
-            && let Some(engine) = self.engines.get_mut(&hop_out.engine)
+            && let Some(attempt_out) = request.attempts.get_mut(attempt)
+            && let Some(engine) = self.engines.get_mut(&attempt_out.engine)
         {
-            (engine.heard, hop_out.heard) = (now, now);
-            hop_out.stands |= matches!(notice, Notice::WaitsForMemory | Notice::WaitsForLoad);
+            (engine.heard, attempt_out.heard) = (now, now);
+            attempt_out.stands |= matches!(notice, Notice::WaitsForMemory | Notice::WaitsForLoad);
             match notice {
                 Notice::Done(done) if done > 0.0 => {
-                    let left = seconds(now - hop_out.sent) * (1.0 - done).max(0.0) / done;
-                    hop_out.finish = Some(now + span(left));
+                    let left = seconds(now - attempt_out.sent) * (1.0 - done).max(0.0) / done;
+                    attempt_out.finish = Some(now + span(left));
                 }
-                Notice::Spills(missing_mb) => hop_out.missing = hop_out.missing.max(missing_mb),
+                Notice::Spills(missing_mb) => attempt_out.missing = attempt_out.missing.max(missing_mb),
                 Notice::WaitsForLoad => engine.held.extend(request.group.map(|group| (group, now))),
                 _ => {}
             }
@@ -355,8 +356,8 @@
         self.settle(now, out);
     }
 
-    /// Takes a report in. What this router's other hops hold, over what the fleet does with as much granted
-    /// everywhere, samples the share: at one engine alone, those with an own hop would count too often.
+    /// Takes a report in. What this router's other attempts hold, over what the fleet does with as much granted
+    /// everywhere, samples the share: at one engine alone, those with an own attempt would count too often.
     fn report(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, ended: RequestId) {
         let Some((mut signals, engine)) = signals.zip(self.engines.get_mut(&id)) else { return };
         // Where cores are not told, the requests in flight tell how many threads stand for them.
@@ -370,7 +371,7 @@
         // Reports that are asked for when requests are held would make the share look large.
         if let Some(memory) = signals.memory.filter(|m| *m > 0.0 && !self.fleet.probes_tell) {
             let out = self.requests.iter().filter(|(id, request)| **id != ended && request.out());
-            let own: f64 = out.map(|(_, request)| request.hops[request.hops.len() - 1].grant).sum();
+            let own: f64 = out.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant).sum();
             let ready = self.engines.values().filter(|engine| engine.ready);
             let all: f64 = ready.map(|engine| self.fleet.kinds[engine.kind].memory_mb).sum();
             self.shares.push(now, (own / (memory * all.max(1.0))).min(1.0));
@@ -402,16 +403,16 @@
         self.shares.mean().map_or(equal, |seen| seen.clamp(equal / 4.0, 1.0))
     }
 
-    /// Whether notes of a hop have stopped: it is over and its answer lost, or it stands at a silent engine.
+    /// Whether notes of an attempt have stopped: it is over and its answer lost, or it stands at a silent engine.
     fn lost(&self, now: Duration, out: &Out) -> bool {
         let from = self.fleet.note_every.map(|every| now.saturating_sub(every * 4));
-        from.is_some_and(|from| self.requests[&out.request].hops[out.hop].heard < from)
+        from.is_some_and(|from| self.requests[&out.request].attempts[out.attempt].heard < from)
     }
 
-    /// MB and threads that this router has out at an engine, of hops sent since `from`.
+    /// MB and threads that this router has out at an engine, of attempts sent since `from`.
     fn own(&self, now: Duration, id: EngineId, from: Duration) -> (f64, f64) {
-        let hops = self.engines[&id].out.iter().filter(|out| out.sent >= from && !self.lost(now, out));
-        hops.map(|out| (out.grant, out.threads)).fold((0.0, 0.0), add)
+        let attempts = self.engines[&id].out.iter().filter(|out| out.sent >= from && !self.lost(now, out));
+        attempts.map(|out| (out.grant, out.threads)).fold((0.0, 0.0), add)
     }
 
     fn requests_out(&self, engine: &Engine) -> impl Iterator<Item = &Request> {
@@ -496,7 +497,7 @@
         if refused { Some(true) } else { [reported, slow].into_iter().flatten().reduce(|a, b| a || b) }
     }
 
-    /// No sign from an engine that has hops out, for this many times as long as one should be due in.
+    /// No sign from an engine that has attempts out, for this many times as long as one should be due in.
     fn silence(&self, engine: &Engine, now: Duration, runs: &[f64]) -> f64 {
         let Some(oldest) = engine.out.first().map(|out| out.sent) else { return 0.0 };
         let run = |request: &Request| request.ideal * runs[request.traffic] * 3.0;
@@ -521,8 +522,8 @@
         let placed = traffic.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
             && traffic.locations.as_ref().is_none_or(|places| places.contains(&engine.location));
         let same_group = match (&traffic.effect, request.first_that_may_have_run()) {
-            (Effect::Referenced { scope, .. }, Some(hop)) => {
-                let first = &self.engines[&hop.engine];
+            (Effect::Referenced { scope, .. }, Some(attempt)) => {
+                let first = &self.engines[&attempt.engine];
                 match scope {
                     Scope::All => true,
                     Scope::Location => first.location == engine.location,
@@ -534,21 +535,23 @@
         engine.ready && placed && same_group
     }
 
-    /// Whether neither placement nor an earlier hop keeps it from engines that others may be sent to.
+    /// Whether neither placement nor an earlier attempt keeps it from engines that others may be sent to.
     fn may_go_anywhere(&self, request: &Request) -> bool {
         let traffic = &self.traffic[request.traffic];
         let bound = matches!(&traffic.effect, Effect::Referenced { scope, .. } if *scope != Scope::All);
         traffic.locations.is_none() && (!bound || request.first_that_may_have_run().is_none())
     }
 
-    /// Whether effects allow another hop: never while one is out.
+    /// Whether effects allow another attempt: never while one is out.
     fn may_run_again(&self, request: &Request, now: Duration) -> bool {
         let harmless = match (&self.traffic[request.traffic].effect, request.first_that_may_have_run()) {
             (Effect::Replayable, _) | (_, None) => true,
             (Effect::SingleUse, Some(_)) => false,
-            (Effect::Referenced { window, .. }, Some(hop)) => now + self.margin() < hop.sent + *window,
+            (Effect::Referenced { window, .. }, Some(attempt)) => {
+                now + self.margin() < attempt.sent + *window
+            }
         };
-        harmless && request.hops.len() < self.duties.most_hops
+        harmless && request.attempts.len() < self.duties.most_attempts
     }
 
     fn may_bounce(&self, request: &Request) -> bool {
@@ -558,9 +561,9 @@
         }
     }
 
-    /// Further hops that the budget still holds.
-    fn hops_left(&self, now: Duration) -> f64 {
-        let Some(budget) = &self.duties.hop_budget else { return f64::INFINITY };
+    /// Further attempts that the budget still holds.
+    fn attempts_left(&self, now: Duration) -> f64 {
+        let Some(budget) = &self.duties.attempt_budget else { return f64::INFINITY };
         let taken = self.accepted.iter().filter(|at| **at + budget.over > now).count() as f64;
         let made = self.further.iter().filter(|at| **at + budget.over >= now).count() as f64;
         budget.spare + budget.per_request * taken - made
@@ -621,7 +624,7 @@
     }
 
     /// Part of memory, and its sum with that of cores, in use at an engine once it has the request: as told,
-    /// with own hops not shown yet; a report fades into the mean of all. With no reports at all, own hops
+    /// with own attempts not shown yet; a report fades into the mean of all. With no reports at all, own attempts
     /// there and other routers' ones, as many as the share tells, spread evenly.
     fn load(&self, id: EngineId, request: &Request, now: Duration, share: f64, kind: &Gateway) -> (f64, f64) {
         let engine = &self.engines[&id];
@@ -636,7 +639,7 @@
         let guess = (guess(kind.told.0, fresh.0, alone.0), guess(kind.told.1, fresh.1, alone.1));
         let tells = |s: &Signals| s.memory.is_some() || kind.counted;
         let Some((at, signals)) = engine.report.as_ref().filter(|(_, s)| tells(s)) else {
-            // Nothing tells them apart but own hops: others like what this router likes, or the mean of those
+            // Nothing tells them apart but own attempts: others like what this router likes, or the mean of those
             // that tell. Free cores tell little of an engine's memory, and draw all routers there at once.
             let (own, new) = (own(), parts((0.0, 0.0)));
             let alike = (own.0 / memory_mb + own.1 / cores) / share;
@@ -645,7 +648,7 @@
         };
         let (unseen, unseen_busy) = parts(self.own(now, id, at.saturating_sub(self.beat())));
         let age = seconds(now - *at) / seconds(self.beat() * 4);
-        // Guards against engines that have gone quiet under a crowd: whatever was told, own hops are there.
+        // Guards against engines that have gone quiet under a crowd: whatever was told, own attempts are there.
         let there = parts(own());
         let fade = |told: Option<f64>, unseen: f64, guess: f64, there: f64| match told {
             Some(told) => ((told + unseen + guess * age) / (1.0 + age)).max(there),
@@ -666,7 +669,7 @@
         let usual = || mean((0..self.traffic.len()).map(|traffic| self.density(traffic))).unwrap_or(0.0);
         let traffic = &self.traffic[request.traffic];
         // What an earlier note promised and has not come does not count.
-        let due = request.hops.last().and_then(|hop| hop.finish).filter(|at| *at > now);
+        let due = request.attempts.last().and_then(|attempt| attempt.finish).filter(|at| *at > now);
         let left = || due.map_or(self.usual_cost(request.traffic), |at| seconds(at - now) * traffic.threads);
         now > request.target && traffic.late_share * traffic.revenue < usual() / 4.0 * left()
     }
@@ -686,7 +689,7 @@
         }
     }
 
-    /// Whether a hop may be taken back to send the request again: allowed and in time; callers keep the budget.
+    /// Whether an attempt may be taken back to send the request again: allowed and in time; callers keep the budget.
     fn may_move(&self, request: &Request, now: Duration) -> bool {
         let time = seconds(request.patience.saturating_sub(now)) > 2.0 * request.ideal;
         !request.over && !request.left && time && self.may_run_again(request, now)
@@ -718,13 +721,15 @@
         !open.is_empty()
     }
 
-    fn take_back(&mut self, mut hops: Vec<(RequestId, usize)>, out: &mut impl Outlet) -> bool {
-        hops.retain(|(id, hop)| self.duties.may_cancel && !self.requests[id].hops[*hop].cancelled);
-        for (id, hop) in &hops {
-            self.requests.get_mut(id).expect("a task out").hops[*hop].cancelled = true;
-            out.cancel(*id, *hop);
+    fn take_back(&mut self, mut attempts: Vec<(RequestId, usize)>, out: &mut impl Outlet) -> bool {
+        attempts.retain(|(id, attempt)| {
+            self.duties.may_cancel && !self.requests[id].attempts[*attempt].cancelled
+        });
+        for (id, attempt) in &attempts {
+            self.requests.get_mut(id).expect("a task out").attempts[*attempt].cancelled = true;
+            out.cancel(*id, *attempt);
         }
-        !hops.is_empty()
+        !attempts.is_empty()
     }
 
     fn send(&mut self, now: Duration, id: RequestId, to: EngineId, tier: Tier, out: &mut impl Outlet) {
@@ -733,12 +738,12 @@
         let usual = self.usual_cost(request.traffic);
         out.terms(id, grant.round(), self.priority(request.traffic));
         out.send(id, to, request.patience.saturating_sub(self.margin()));
-        self.further.extend((!request.hops.is_empty()).then_some(now));
+        self.further.extend((!request.attempts.is_empty()).then_some(now));
         let (group, threads) = (request.group, self.traffic[request.traffic].threads);
-        let hops = &mut self.requests.get_mut(&id).expect("a held task").hops;
+        let attempts = &mut self.requests.get_mut(&id).expect("a held task").attempts;
         let engine = self.engines.get_mut(&to).expect("a listed engine");
-        engine.out.push(Out { request: id, hop: hops.len(), sent: now, tier, grant, threads });
-        hops.push(Hop::sent(now, to, grant));
+        engine.out.push(Out { request: id, attempt: attempts.len(), sent: now, tier, grant, threads });
+        attempts.push(Attempt::sent(now, to, grant));
         engine.sent.push(now, usual);
         engine.reads(group, OUTCOMES);
     }
@@ -762,7 +767,8 @@
     }
 
     fn forget_what_is_over(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
-        let over = |request: &Request| request.over && request.hops.iter().all(|hop| hop.end.is_some());
+        let over =
+            |request: &Request| request.over && request.attempts.iter().all(|attempt| attempt.end.is_some());
         let gone: BTreeSet<RequestId> =
             self.requests.extract_if(.., |_, t| over(t)).map(|(id, _)| id).collect();
         if !gone.is_empty() {
@@ -770,26 +776,28 @@
             let resting = |line: &Line| line.rest.is_some_and(|(_, until)| until > now);
             self.lines.retain(|_, line| !line.requests.is_empty() || resting(line));
         }
-        let window = self.duties.hop_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
+        let window = self.duties.attempt_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
         for times in [&mut self.accepted, &mut self.further] {
             while times.pop_front_if(|at| *at + window < now).is_some() {}
         }
         // Guards against fleets that are replaced all day: an engine ends with the last request it has seen.
-        let seen = |id| self.requests.values().any(|request| request.hops.iter().any(|hop| hop.engine == id));
+        let seen = |id| {
+            self.requests.values().any(|request| request.attempts.iter().any(|attempt| attempt.engine == id))
+        };
         let left = self.engines.iter().find(|(id, engine)| engine.gone && !seen(**id)).map(|(id, _)| *id);
         left.inspect(|id| out.forget(*id));
         sight.engines.retain(|id, _| Some(*id) != left);
         left.and_then(|id| self.engines.remove(&id)).is_some() || !gone.is_empty()
     }
 
-    /// One final answer before patience ends, or the process, and at once where no further hop is allowed, or
+    /// One final answer before patience ends, or the process, and at once where no further attempt is allowed, or
     /// is for nobody any more.
     fn answer_in_time(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
         let hopeless = |router: &Self, _: RequestId, request: &Request| {
             let soon = now + router.margin() * 3;
             let again = || router.may_run_again(request, now) && !router.earns_little_late(request, now);
             let hopeless =
-                || request.left || soon >= request.patience || !request.hops.is_empty() && !again();
+                || request.left || soon >= request.patience || !request.attempts.is_empty() && !again();
             soon >= router.closing || request.held() && hopeless()
         };
         self.refuse(hopeless, out)
@@ -801,11 +809,11 @@
         for (id, seen) in &sight.engines {
             let silent = seen.silence >= 1.5;
             let lost = |o: &&Out| silent || self.lost(now, o);
-            let hops = self.engines[id].out.iter().filter(lost).map(|o| (o.request, o.hop));
-            let hops = hops.filter(|(request, _)| self.may_move(&self.requests[request], now));
-            let hops = hops.take(self.hops_left(now) as usize).collect();
-            if self.take_back(hops, out) {
-                // It would look free once its hops are taken back.
+            let attempts = self.engines[id].out.iter().filter(lost).map(|o| (o.request, o.attempt));
+            let attempts = attempts.filter(|(request, _)| self.may_move(&self.requests[request], now));
+            let attempts = attempts.take(self.attempts_left(now) as usize).collect();
+            if self.take_back(attempts, out) {
+                // It would look free once its attempts are taken back.
                 let engine = self.engines.get_mut(id).expect("a seen engine");
                 (0..2).filter(|_| silent).for_each(|_| engine.bad.push(now, 1.0));
                 fired = true;
@@ -814,33 +822,33 @@
         fired
     }
 
-    /// Guards against hops that take many times their expected run while the estimate gives no cause: only a
-    /// request's first hop, since a second one as slow shows a costly request.
+    /// Guards against attempts that take many times their expected run while the estimate gives no cause: only a
+    /// request's first attempt, since a second one as slow shows a costly request.
     fn cancel_bad_plans(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
         let slack = seconds(self.beat());
         let bad = |request: &Request| {
-            let (hop, run) = (&request.hops[0], sight.runs[request.traffic] * request.ideal);
-            let left = hop.finish.map(|finish| seconds(finish.saturating_sub(now)));
+            let (attempt, run) = (&request.attempts[0], sight.runs[request.traffic] * request.ideal);
+            let left = attempt.finish.map(|finish| seconds(finish.saturating_sub(now)));
             let unseen = self.fleet.note_every.is_none();
-            hop.stands
+            attempt.stands
                 || left.is_some_and(|left| left > BAD_PLAN * run + seconds(self.fleet.tick))
-                || unseen && seconds(now - hop.sent) > BAD_PLAN_UNSEEN * run + slack
+                || unseen && seconds(now - attempt.sent) > BAD_PLAN_UNSEEN * run + slack
         };
-        let first = self.requests.iter().filter(|(_, request)| request.hops.len() == 1 && request.out());
-        let hops =
+        let first = self.requests.iter().filter(|(_, request)| request.attempts.len() == 1 && request.out());
+        let attempts =
             first.filter(|(_, request)| bad(request) && self.may_move(request, now)).map(|(id, _)| (*id, 0));
-        self.take_back(hops.take(self.hops_left(now) as usize).collect(), out)
+        self.take_back(attempts.take(self.attempts_left(now) as usize).collect(), out)
     }
 
-    /// Under pressure, hops past their target whose type earns little when late make room for those in time.
+    /// Under pressure, attempts past their target whose type earns little when late make room for those in time.
     fn drop_what_is_late(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
-        let pressed = |hop: &Hop| sight.engines[&hop.engine].pressed == Some(true);
+        let pressed = |attempt: &Attempt| sight.engines[&attempt.engine].pressed == Some(true);
         let late = |request: &Request| {
-            request.hops.last().is_some_and(pressed) && self.earns_little_late(request, now)
+            request.attempts.last().is_some_and(pressed) && self.earns_little_late(request, now)
         };
-        let hops =
+        let attempts =
             self.requests.iter().filter(|(_, request)| !request.over && request.out() && late(request));
-        self.take_back(hops.map(|(id, request)| (*id, request.hops.len() - 1)).collect(), out)
+        self.take_back(attempts.map(|(id, request)| (*id, request.attempts.len() - 1)).collect(), out)
     }
 
     /// The engine with most free room, if any has some, for a request that is to go now, and its tier there;
@@ -860,7 +868,7 @@
         }
         let open =
             |id, e: &Engine| self.allowed(request, e) && self.fits_cold(id, e, request, now, sight.share);
-        let tried = |id: EngineId| request.hops.iter().any(|hop| hop.engine == id);
+        let tried = |id: EngineId| request.attempts.iter().any(|attempt| attempt.engine == id);
         let healthy = |e: EngineId| !sight.engines[&e].sick;
         let pause = self.beat().div_f64(2.0 * sight.share).max(self.beat());
         let trickled = |e: &Engine| e.out.is_empty() && e.sent.last().is_none_or(|(at, _)| at + pause <= now);
@@ -898,7 +906,7 @@
             full.retain(|slot| !free.iter().any(|(_, to, tier)| (self.engines[to].kind, *tier) == *slot));
             blocked.extend(full);
         }
-        // Guards against standing still behind loads: an own one, or one that a hop lately stood behind.
+        // Guards against standing still behind loads: an own one, or one that an attempt lately stood behind.
         let held = |to: EngineId| {
             let engine = &self.engines[&to];
             let mut loads = self.requests_out(engine).filter(|t| self.traffic[t.traffic].holds_group);
@@ -930,8 +938,8 @@
         let mut fired = false;
         for id in held {
             let request = &self.requests[&id];
-            let again =
-                request.hops.is_empty() || self.may_run_again(request, now) && self.hops_left(now) >= 1.0;
+            let again = request.attempts.is_empty()
+                || self.may_run_again(request, now) && self.attempts_left(now) >= 1.0;
             if !again || !self.has_turn(id, request, now) {
                 continue;
             }
@@ -982,7 +990,7 @@
             let work = before + request.ideal * self.traffic[request.traffic].threads;
             let fits = at < SAMPLES || work <= most * seconds(request.target.saturating_sub(request.arrived));
             before = if fits { work } else { before };
-            (!fits && request.hops.is_empty()).then_some(*id)
+            (!fits && request.attempts.is_empty()).then_some(*id)
         };
         let held = self.requests.iter().filter(|(_, request)| request.held()).enumerate();
         let crowd: BTreeSet<RequestId> = held.filter_map(behind).collect();
--- a/src/print.rs
+++ b/src/print.rs
@@ -3,7 +3,7 @@
 //! engines are told apart by what stands there and not by their numbers.
 
 use crate::recent::Recent;
-use crate::state::{Engine, Hop, Request};
+use crate::state::{Attempt, Engine, Request};
 use crate::*;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -68,7 +68,7 @@
         self.watched.hash(into);
         let asked = self.asked.max(now.saturating_sub(self.beat()));
         self.fleet.probes_tell.then(|| since(now, asked)).hash(into);
-        if self.duties.hop_budget.is_some() {
+        if self.duties.attempt_budget.is_some() {
             self.accepted.iter().chain(&self.further).for_each(|at| since(now, *at).hash(into));
             self.further.len().hash(into);
         }
@@ -97,19 +97,28 @@
         .iter()
         .for_each(|figure| figure.to_bits().hash(into));
         [request.arrived, request.target, request.patience].iter().for_each(|at| since(now, *at).hash(into));
-        // Of a hop that is over only whether it may have run counts, and of the first of these when it left.
-        let ran =
-            |hop: &&Hop| !matches!(hop.end, Some(HopEnd::Overloaded | HopEnd::Unreachable | HopEnd::Void));
+        // Of an attempt that is over only whether it may have run counts, and of the first of these when it left.
+        let ran = |attempt: &&Attempt| {
+            !matches!(attempt.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
+        };
         let windowed = matches!(self.traffic[request.traffic].effect, Effect::Referenced { .. });
-        request.hops.iter().find(ran).filter(|_| windowed).map(|hop| since(now, hop.sent)).hash(into);
-        for hop in &request.hops {
-            (hop.end.is_none(), ran(&hop)).hash(into);
-            if hop.end.is_none() {
-                (hop.stands, hop.cancelled, since(now, hop.sent), since(now, hop.heard)).hash(into);
-                (hop.finish.map(|at| since(now, at)), hop.grant.to_bits(), hop.missing.to_bits()).hash(into);
+        request
+            .attempts
+            .iter()
+            .find(ran)
+            .filter(|_| windowed)
+            .map(|attempt| since(now, attempt.sent))
+            .hash(into);
+        for attempt in &request.attempts {
+            (attempt.end.is_none(), ran(&attempt)).hash(into);
+            if attempt.end.is_none() {
+                (attempt.stands, attempt.cancelled, since(now, attempt.sent), since(now, attempt.heard))
+                    .hash(into);
+                (attempt.finish.map(|at| since(now, at)), attempt.grant.to_bits(), attempt.missing.to_bits())
+                    .hash(into);
             }
             if !with.alike {
-                hop.engine.hash(into);
+                attempt.engine.hash(into);
             }
         }
     }
@@ -137,13 +146,13 @@
             samples(&engine.sent, now, from, into);
         }
         for out in &engine.out {
-            (places.get(&out.request), out.hop, since(now, out.sent), out.tier as u8).hash(into);
+            (places.get(&out.request), out.attempt, since(now, out.sent), out.tier as u8).hash(into);
             (out.grant.to_bits(), out.threads.to_bits()).hash(into);
         }
-        // Which hops of which requests were here, over or not.
+        // Which attempts of which requests were here, over or not.
         for (place, request) in self.requests.values().enumerate() {
-            let here = request.hops.iter().enumerate().filter(|(_, hop)| hop.engine == id);
-            here.for_each(|(hop, _)| (place, hop).hash(into));
+            let here = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.engine == id);
+            here.for_each(|(attempt, _)| (place, attempt).hash(into));
         }
         let oldest = engine.out.first().map(|out| out.sent);
         oldest.map(|at| since(now, engine.heard.max(at))).hash(into);
--- a/src/state.rs
+++ b/src/state.rs
@@ -28,28 +28,28 @@
     pub over: bool,
     /// Its client has nothing more to say, and may be gone.
     pub left: bool,
-    pub hops: Vec<Hop>,
+    pub attempts: Vec<Attempt>,
 }
 
 #[derive(Clone)]
-pub struct Hop {
+pub struct Attempt {
     pub engine: EngineId,
     pub sent: Duration,
     /// When it was sent or last noted.
     pub heard: Duration,
     pub grant: f64,
-    pub end: Option<HopEnd>,
+    pub end: Option<AttemptEnd>,
     pub cancelled: bool,
     pub stands: bool,
     pub missing: f64,
     pub finish: Option<Duration>,
 }
 
-/// A hop that is out at an engine, with what rooms and tiers are counted by.
+/// An attempt that is out at an engine, with what rooms and tiers are counted by.
 #[derive(Clone)]
 pub struct Out {
     pub request: RequestId,
-    pub hop: usize,
+    pub attempt: usize,
     pub sent: Duration,
     pub tier: Tier,
     pub grant: f64,
@@ -76,7 +76,7 @@
     pub refused: Option<Duration>,
     pub report: Option<(Duration, Signals)>,
     pub groups: VecDeque<u64>,
-    /// Groups that a load held there, and when a hop last told of it.
+    /// Groups that a load held there, and when an attempt last told of it.
     pub held: BTreeMap<u64, Duration>,
 }
 
@@ -90,7 +90,7 @@
     pub patiences: Recent,
 }
 
-/// Requests of one key in the order taken, and the rest owed after a hop that may still run.
+/// Requests of one key in the order taken, and the rest owed after an attempt that may still run.
 #[derive(Clone, Default)]
 pub struct Line {
     pub requests: VecDeque<RequestId>,
@@ -181,7 +181,7 @@
     }
 }
 
-impl Hop {
+impl Attempt {
     pub fn sent(now: Duration, engine: EngineId, grant: f64) -> Self {
         let (end, finish) = (None, None);
         Self {
@@ -200,7 +200,7 @@
 
 impl Request {
     pub fn out(&self) -> bool {
-        self.hops.last().is_some_and(|hop| hop.end.is_none())
+        self.attempts.last().is_some_and(|attempt| attempt.end.is_none())
     }
 
     pub fn held(&self) -> bool {
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -122,8 +122,8 @@
 
 /// What the router asked of its caller in one call, to be acted on after it.
 enum Asked {
-    Hop { request: RequestId, engine: EngineId, until: Duration },
-    Cancel { request: RequestId, hop: usize },
+    Attempt { request: RequestId, engine: EngineId, until: Duration },
+    Cancel { request: RequestId, attempt: usize },
     Answered(RequestId),
     Probe(EngineId),
     Wake(Duration),
@@ -153,14 +153,14 @@
 impl Outlet for Log {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.add(SEND, &[request.into(), engine as u64, nanos(until)]);
-        self.asked.push(Asked::Hop { request, engine, until });
+        self.asked.push(Asked::Attempt { request, engine, until });
     }
     fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.add(TERMS, &[request.into(), grant_mb.to_bits(), priority.into()]);
     }
-    fn cancel(&mut self, request: RequestId, hop: usize) {
-        self.add(CANCEL, &[request.into(), hop as u64]);
-        self.asked.push(Asked::Cancel { request, hop });
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.add(CANCEL, &[request.into(), attempt as u64]);
+        self.asked.push(Asked::Cancel { request, attempt });
     }
     fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
         self.add(BOUNCE, &[request.into(), retry_after.map_or(u64::MAX, nanos)]);
@@ -218,10 +218,10 @@
     fails: bool,
 }
 
-/// A request that is not over, or of which a hop is out.
+/// A request that is not over, or of which an attempt is out.
 struct Asking {
     arrival: Arrival,
-    hops: usize,
+    attempts: usize,
     answered: bool,
 }
 
@@ -235,7 +235,7 @@
 enum Event {
     Arrival,
     Wake,
-    HopEnd(RequestId, usize, HopEnd),
+    AttemptEnd(RequestId, usize, AttemptEnd),
     Note(RequestId, usize),
     Probed(EngineId),
     Engines,
@@ -313,7 +313,7 @@
 
 fn duties(random: &mut Random) -> Duties {
     Duties {
-        most_hops: random.one_of(&[1, 2, 3, 3, 5]),
+        most_attempts: random.one_of(&[1, 2, 3, 3, 5]),
         may_cancel: random.percent(80),
         may_probe: random.percent(80),
         start_capacity: random.one_of(&[0.1, 0.3, 1.0]),
@@ -321,7 +321,7 @@
         overload_factor: random.one_of(&[0.5, 1.0, 2.0]),
         fall: random.time(50, 500),
         key_rest: random.maybe(50, |random| random.time(20, 300)),
-        hop_budget: random.maybe(50, |random| HopBudget {
+        attempt_budget: random.maybe(50, |random| AttemptBudget {
             spare: random.one_of(&[0.0, 1.0, 4.0]),
             per_request: random.one_of(&[0.0, 0.1, 0.5]),
             over: random.time(200, 2000),
@@ -439,8 +439,8 @@
         match event {
             Event::Arrival => self.request_arrives(),
             Event::Wake => self.router.wake(self.now, &mut self.log),
-            Event::HopEnd(request, hop, end) => self.hop_ends(request, hop, end),
-            Event::Note(request, hop) => self.note_comes(request, hop),
+            Event::AttemptEnd(request, attempt, end) => self.attempt_ends(request, attempt, end),
+            Event::Note(request, attempt) => self.note_comes(request, attempt),
             Event::Probed(engine) => self.probe_ends(engine),
             Event::Engines => {
                 self.engines_change();
@@ -469,8 +469,8 @@
     fn act(&mut self) {
         for asked in std::mem::take(&mut self.log.asked) {
             match asked {
-                Asked::Hop { request, engine, until } => self.hop_starts(request, engine, until),
-                Asked::Cancel { request, hop } => self.hop_is_cancelled(request, hop),
+                Asked::Attempt { request, engine, until } => self.attempt_starts(request, engine, until),
+                Asked::Cancel { request, attempt } => self.attempt_is_cancelled(request, attempt),
                 Asked::Answered(request) => self.request_is_answered(request),
                 Asked::Probe(engine) => {
                     let wait = self.random.time(1, 60);
@@ -511,7 +511,7 @@
         for _ in 0..crowd {
             let arrival = self.arrival();
             self.arrived += 1;
-            let asking = Asking { arrival: arrival.clone(), hops: 0, answered: false };
+            let asking = Asking { arrival: arrival.clone(), attempts: 0, answered: false };
             self.asking.insert(arrival.request, asking);
             self.router.accept(self.now, arrival, &mut self.log);
             self.act();
@@ -522,10 +522,10 @@
         }
     }
 
-    fn hop_starts(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+    fn attempt_starts(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let asking = self.asking.get_mut(&request).expect("a task that arrived");
-        let hop = asking.hops;
-        asking.hops += 1;
+        let attempt = asking.attempts;
+        asking.attempts += 1;
         let (machine, random) = (&self.machines[&engine], &mut self.random);
         let (_, threads) = self.traffic[asking.arrival.traffic];
         let cost = asking.arrival.cost.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
@@ -534,36 +534,42 @@
         let left = until.saturating_sub(self.now);
         let faulty = random.percent(self.habits.faults);
         let (wait, end) = match () {
-            _ if machine.silent => (left, HopEnd::TimedOut),
-            _ if machine.gone => (random.time(1, 30).min(left), HopEnd::Unreachable),
-            _ if machine.fails => (random.time(1, 10).min(left), HopEnd::Failed),
+            _ if machine.silent => (left, AttemptEnd::TimedOut),
+            _ if machine.gone => (random.time(1, 30).min(left), AttemptEnd::Unreachable),
+            _ if machine.fails => (random.time(1, 10).min(left), AttemptEnd::Failed),
             _ if faulty => {
                 let ends = [
-                    HopEnd::Failed,
-                    HopEnd::Overloaded,
-                    HopEnd::Overloaded,
-                    HopEnd::TimedOut,
-                    HopEnd::Unreachable,
-                    HopEnd::Broken,
-                    HopEnd::Void,
+                    AttemptEnd::Failed,
+                    AttemptEnd::Overloaded,
+                    AttemptEnd::Overloaded,
+                    AttemptEnd::TimedOut,
+                    AttemptEnd::Unreachable,
+                    AttemptEnd::Broken,
+                    AttemptEnd::Void,
                 ];
                 (run.mul_f64(random.part()).min(left), random.one_of(&ends))
             }
-            _ if run >= left => (left, HopEnd::TimedOut),
-            _ => (run, HopEnd::Succeeded),
+            _ if run >= left => (left, AttemptEnd::TimedOut),
+            _ => (run, AttemptEnd::Succeeded),
         };
         let silent = machine.silent;
-        self.running.insert((request, hop), Running { engine, sent: self.now, until, run });
-        self.plan(wait, Event::HopEnd(request, hop, end));
+        self.running.insert((request, attempt), Running { engine, sent: self.now, until, run });
+        self.plan(wait, Event::AttemptEnd(request, attempt, end));
         if let Some(every) = self.habits.note_every.filter(|_| !silent) {
-            self.plan(every, Event::Note(request, hop));
+            self.plan(every, Event::Note(request, attempt));
         }
     }
 
-    fn hop_is_cancelled(&mut self, request: RequestId, hop: usize) {
-        let ends = [HopEnd::Withdrawn, HopEnd::Withdrawn, HopEnd::Withdrawn, HopEnd::Void, HopEnd::Broken];
+    fn attempt_is_cancelled(&mut self, request: RequestId, attempt: usize) {
+        let ends = [
+            AttemptEnd::Withdrawn,
+            AttemptEnd::Withdrawn,
+            AttemptEnd::Withdrawn,
+            AttemptEnd::Void,
+            AttemptEnd::Broken,
+        ];
         let (wait, end) = (self.random.time(0, 10), self.random.one_of(&ends));
-        self.plan(wait, Event::HopEnd(request, hop, end));
+        self.plan(wait, Event::AttemptEnd(request, attempt, end));
     }
 
     fn request_is_answered(&mut self, request: RequestId) {
@@ -584,9 +590,9 @@
         })
     }
 
-    fn hop_ends(&mut self, request: RequestId, hop: usize, end: HopEnd) {
-        let Some(running) = self.running.remove(&(request, hop)) else { return };
-        let tells = !matches!(end, HopEnd::TimedOut | HopEnd::Unreachable | HopEnd::Broken);
+    fn attempt_ends(&mut self, request: RequestId, attempt: usize, end: AttemptEnd) {
+        let Some(running) = self.running.remove(&(request, attempt)) else { return };
+        let tells = !matches!(end, AttemptEnd::TimedOut | AttemptEnd::Unreachable | AttemptEnd::Broken);
         let signals = if tells && self.random.percent(self.habits.signals) {
             self.signals(running.engine)
         } else {
@@ -596,19 +602,21 @@
         let took = self.now - running.sent;
         let told = asking.arrival.memory_mb.unwrap_or(100.0);
         let random = &mut self.random;
-        let billed = end == HopEnd::Succeeded && random.percent(self.habits.bills);
+        let billed = end == AttemptEnd::Succeeded && random.percent(self.habits.bills);
         let bill = billed.then(|| Bill {
             cost: took.mul_f64(random.between(0.5, 1.0)),
             memory_mb: told * random.between(0.4, 2.0),
         });
-        asking.answered |= end == HopEnd::Succeeded;
+        asking.answered |= end == AttemptEnd::Succeeded;
         let over = asking.answered;
-        let ended = Ended { request, hop, engine: running.engine, end, took, bill, signals, over };
-        self.router.hop_ended(self.now, ended, &mut self.log);
+        let ended = Ended { request, attempt, engine: running.engine, end, took, bill, signals, over };
+        self.router.attempt_ended(self.now, ended, &mut self.log);
     }
 
-    fn note_comes(&mut self, request: RequestId, hop: usize) {
-        let Some(Running { engine, sent, until, run }) = self.running.get(&(request, hop)) else { return };
+    fn note_comes(&mut self, request: RequestId, attempt: usize) {
+        let Some(Running { engine, sent, until, run }) = self.running.get(&(request, attempt)) else {
+            return;
+        };
         let (since, random) = (self.now - *sent, &mut self.random);
         if self.machines[engine].silent || *until <= self.now {
             return;
@@ -621,11 +629,11 @@
             4 => Notice::Done(0.0),
             _ => Notice::Done(done.min(1.0)),
         };
-        self.router.notice(self.now, request, hop, notice, &mut self.log);
+        self.router.notice(self.now, request, attempt, notice, &mut self.log);
         if let Some(every) = self.habits.note_every
             && self.random.percent(93)
         {
-            self.plan(every, Event::Note(request, hop));
+            self.plan(every, Event::Note(request, attempt));
         }
     }
 
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -24,8 +24,8 @@
     fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.add(format_args!("request {request} gets {grant_mb} MB, priority {priority}"));
     }
-    fn cancel(&mut self, request: RequestId, hop: usize) {
-        self.add(format_args!("cancel request {request} hop {hop}"));
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.add(format_args!("cancel request {request} attempt {attempt}"));
     }
     fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0, |after| after.as_millis());
@@ -85,7 +85,7 @@
         tick: ms(5),
     };
     let duties = Duties {
-        most_hops: 3,
+        most_attempts: 3,
         may_cancel: true,
         may_probe: false,
         start_capacity: 0.3,
@@ -93,7 +93,7 @@
         overload_factor: 2.0,
         fall: ms(1000),
         key_rest: None,
-        hop_budget: None,
+        attempt_budget: None,
         longest_retry_after: Some(ms(400)),
     };
     (fleet, traffic(), duties)
@@ -196,11 +196,17 @@
         self
     }
 
-    /// The end of a hop of a request that is over.
-    pub fn ended_over(&mut self, request: RequestId, hop: usize, engine: EngineId, end: HopEnd) -> &mut Self {
-        self.hop_ended(Ended {
+    /// The end of an attempt of a request that is over.
+    pub fn ended_over(
+        &mut self,
+        request: RequestId,
+        attempt: usize,
+        engine: EngineId,
+        end: AttemptEnd,
+    ) -> &mut Self {
+        self.attempt_ended(Ended {
             request,
-            hop,
+            attempt,
             engine,
             end,
             took: ms(1),
@@ -210,8 +216,8 @@
         })
     }
 
-    fn hop_ended(&mut self, ended: Ended) -> &mut Self {
-        self.router.hop_ended(ms(self.lines.1), ended, &mut self.lines);
+    fn attempt_ended(&mut self, ended: Ended) -> &mut Self {
+        self.router.attempt_ended(ms(self.lines.1), ended, &mut self.lines);
         self
     }
 
@@ -252,23 +258,29 @@
         self
     }
 
-    pub fn ended(&mut self, request: RequestId, hop: usize, engine: EngineId, end: HopEnd) -> &mut Self {
-        self.reported(request, hop, engine, end, None)
+    pub fn ended(
+        &mut self,
+        request: RequestId,
+        attempt: usize,
+        engine: EngineId,
+        end: AttemptEnd,
+    ) -> &mut Self {
+        self.reported(request, attempt, engine, end, None)
     }
 
     pub fn reported(
         &mut self,
         request: RequestId,
-        hop: usize,
+        attempt: usize,
         engine: EngineId,
-        end: HopEnd,
+        end: AttemptEnd,
         signals: Option<Signals>,
     ) -> &mut Self {
-        let over = end == HopEnd::Succeeded;
-        self.hop_ended(Ended { request, hop, engine, end, took: ms(1), bill: None, signals, over })
+        let over = end == AttemptEnd::Succeeded;
+        self.attempt_ended(Ended { request, attempt, engine, end, took: ms(1), bill: None, signals, over })
     }
 
-    /// Its first hop has succeeded after so many ms.
+    /// Its first attempt has succeeded after so many ms.
     pub fn answered(
         &mut self,
         request: RequestId,
@@ -276,16 +288,25 @@
         took: u64,
         told: Option<Signals>,
     ) -> &mut Self {
-        let (hop, end, took) = (0, HopEnd::Succeeded, ms(took));
-        self.hop_ended(Ended { request, hop, engine, end, took, bill: None, signals: told, over: true })
+        let (attempt, end, took) = (0, AttemptEnd::Succeeded, ms(took));
+        self.attempt_ended(Ended {
+            request,
+            attempt,
+            engine,
+            end,
+            took,
+            bill: None,
+            signals: told,
+            over: true,
+        })
     }
 
     /// A success with its bill; what is told of load is left out.
     pub fn billed(&mut self, request: RequestId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
-        let (end, bill) = (HopEnd::Succeeded, Some(Bill { cost: ms(cost), memory_mb }));
-        self.hop_ended(Ended {
+        let (end, bill) = (AttemptEnd::Succeeded, Some(Bill { cost: ms(cost), memory_mb }));
+        self.attempt_ended(Ended {
             request,
-            hop: 0,
+            attempt: 0,
             engine,
             end,
             took: ms(cost),
@@ -295,8 +316,8 @@
         })
     }
 
-    pub fn notice(&mut self, request: RequestId, hop: usize, notice: Notice) -> &mut Self {
-        self.router.notice(ms(self.lines.1), request, hop, notice, &mut self.lines);
+    pub fn notice(&mut self, request: RequestId, attempt: usize, notice: Notice) -> &mut Self {
+        self.router.notice(ms(self.lines.1), request, attempt, notice, &mut self.lines);
         self
     }
 
