--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -34,9 +34,9 @@
         breaks: repeat_unknown,
     },
     Law {
-        name: "honest bounce",
-        says: "a bounce comes only where a retry is harmless",
-        breaks: harmful_bounce,
+        name: "honest reject",
+        says: "a rejection comes only where a retry is harmless",
+        breaks: harmful_reject,
     },
     Law {
         name: "drains",
@@ -77,9 +77,9 @@
 
 fn second_answer(_: &World, life: &Life, act: &Act) -> bool {
     match act {
-        Act::Bounce { request: number }
-        | Act::GiveUp { request: number }
-        | Act::Serve { request: number } => request(life, number).answer.is_some(),
+        Act::Reject { request: number } | Act::Fail { request: number } | Act::Serve { request: number } => {
+            request(life, number).answer.is_some()
+        }
         _ => false,
     }
 }
@@ -128,8 +128,8 @@
     !known || life.now >= first.sent + *window
 }
 
-fn harmful_bounce(world: &World, life: &Life, act: &Act) -> bool {
-    let Act::Bounce { request: number } = act else { return false };
+fn harmful_reject(world: &World, life: &Life, act: &Act) -> bool {
+    let Act::Reject { request: number } = act else { return false };
     let request = request(life, number);
     let known = match &world.traffic_of(*number).effect {
         Effect::Replayable => true,
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -22,8 +22,8 @@
     Send { request: RequestId, engine: EngineId, until: Duration },
     Terms { request: RequestId, grant_mb: f64 },
     Cancel { request: RequestId, attempt: usize },
-    Bounce { request: RequestId },
-    GiveUp { request: RequestId },
+    Reject { request: RequestId },
+    Fail { request: RequestId },
     Wake { wait: Duration },
     Watch,
     Probe { engine: EngineId },
@@ -54,11 +54,11 @@
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         self.note(Act::Cancel { request, attempt });
     }
-    fn bounce(&mut self, request: RequestId, _: Option<Duration>) {
-        self.note(Act::Bounce { request });
+    fn reject(&mut self, request: RequestId, _: Option<Duration>) {
+        self.note(Act::Reject { request });
     }
-    fn give_up(&mut self, request: RequestId) {
-        self.note(Act::GiveUp { request });
+    fn fail(&mut self, request: RequestId) {
+        self.note(Act::Fail { request });
     }
     fn probe(&mut self, engine: EngineId) {
         self.note(Act::Probe { engine });
@@ -102,8 +102,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     Served,
-    Bounced,
-    GivenUp,
+    Rejected,
+    Failed,
     Left,
 }
 
@@ -523,8 +523,8 @@
                 Act::Cancel { request, attempt } => {
                     self.requests[request as usize].attempts[attempt].cancelled = true
                 }
-                Act::Bounce { request } => self.requests[request as usize].answer = Some(Answer::Bounced),
-                Act::GiveUp { request } => self.requests[request as usize].answer = Some(Answer::GivenUp),
+                Act::Reject { request } => self.requests[request as usize].answer = Some(Answer::Rejected),
+                Act::Fail { request } => self.requests[request as usize].answer = Some(Answer::Failed),
                 Act::Wake { wait } => {
                     self.wakes.push(self.now + wait);
                     self.wakes.sort_unstable();
@@ -547,7 +547,7 @@
         let numbers = || (0..self.requests.len()).map(|request| request as RequestId);
         let until = |request: RequestId| self.requests[request as usize].patience - world.margin();
         for request in numbers() {
-            acts.extend([Act::Bounce { request }, Act::GiveUp { request }, Act::Serve { request }]);
+            acts.extend([Act::Reject { request }, Act::Fail { request }, Act::Serve { request }]);
             acts.push(Act::Terms { request, grant_mb: f64::from(u32::MAX) });
             acts.extend(
                 (0..self.requests[request as usize].attempts.len())
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -60,7 +60,7 @@
         "(Effect::SingleUse, Some(_)) => false",
         "(Effect::SingleUse, Some(_)) => true",
     ),
-    logic("bounce for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
+    logic("reject for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     logic(
         "a broken attempt never ran",
         "[AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Void]",
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -54,7 +54,7 @@
     },
     Place {
         name: "drain under an attempt",
-        says: "a drain told in the instant of an attempt's end, and between a bounce elsewhere and the next attempt",
+        says: "a drain told in the instant of an attempt's end, and between a rejection elsewhere and the next attempt",
         engines: THREE,
         requests: &[asks(0)],
         ends: FEW,
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -135,7 +135,7 @@
         }
         let outcome = match (how, bill) {
             ("requests_succeeded", Some(work)) => Outcome::Billed(work),
-            ("requests_succeeded" | "requests_given_up", _) => Outcome::Unknown,
+            ("requests_succeeded" | "requests_failed", _) => Outcome::Unknown,
             _ => Outcome::Back,
         };
         self.queues.settle(now, request, outcome);
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/floor.rs
@@ -136,15 +136,15 @@
             self.engines.take_back(attempt, &mut self.works);
         }
     }
-    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let holdoff = retry_after.map(whole_ms).filter(|ms| *ms > 0);
-        let line = |id| jsonrpc::error(Some(id), jsonrpc::BOUNCED, "bounced: a retry is harmless", holdoff);
-        let answered = self.answer(request, "requests_bounced", line);
+        let line = |id| jsonrpc::error(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", holdoff);
+        let answered = self.answer(request, "requests_rejected", line);
         self.works.counters.must(answered, "a_second_answer");
     }
-    fn give_up(&mut self, request: RequestId) {
-        let line = |id| jsonrpc::error(Some(id), jsonrpc::GIVEN_UP, "given up: it may have run", None);
-        let answered = self.answer(request, "requests_given_up", line);
+    fn fail(&mut self, request: RequestId) {
+        let line = |id| jsonrpc::error(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
+        let answered = self.answer(request, "requests_failed", line);
         self.works.counters.must(answered, "a_second_answer");
     }
     /// Never asked for here.
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -284,7 +284,7 @@
     }
 
     /// Requests are owed to nobody any more; clients have ended their side, and may be gone as well. What waits in
-    /// any queue for one of these is bounced, and what is out has its end waited for.
+    /// any queue for one of these is rejected, and what is out has its end waited for.
     fn clients_left(&mut self, mut withdrawn: Vec<RequestId>, ended: Vec<Slot>) {
         let now = self.floor.works.now();
         withdrawn.retain(|request| self.floor.close(*request, "requests_withdrawn").is_some());
@@ -299,7 +299,7 @@
         }
         let at_the_door = |request: &RequestId| self.door.as_ref().is_some_and(|door| door.holds(*request));
         for request in left.extract_if(.., |request| at_the_door(request)) {
-            self.floor.bounce(request, None);
+            self.floor.reject(request, None);
         }
         self.router.clients_left(now, &withdrawn, &left, &mut self.floor);
         self.tell();
@@ -344,7 +344,7 @@
         }
         // Its client ended its side before this line's turn came: nobody may wait for it any more.
         if self.floor.clients.has_left(slot, now) {
-            return Err((id, jsonrpc::BOUNCED, "its client has left".into()));
+            return Err((id, jsonrpc::REJECTED, "its client has left".into()));
         }
         // Guards against requests sent on for nobody: its client had taken it back before its turn came.
         if self.floor.clients.takes_back(slot, req, number) {
@@ -399,7 +399,7 @@
         let same = key(opkey.unwrap_or(req)) as u64;
         let (req, opkey) = (req.to_owned(), opkey.map(str::to_owned));
         if !floor.open(Request::new(slot, number, req, class, opkey, statement)) {
-            return Err((id, jsonrpc::BOUNCED, "too many tasks are open".into()));
+            return Err((id, jsonrpc::REJECTED, "too many tasks are open".into()));
         }
         match asks {
             Some((team, urgency, told)) => self.knock(now, arrival, (team, urgency, same, told)),
@@ -441,7 +441,7 @@
         self.floor.works.counters.count("requests_refused_at_the_door");
         log::debug!("task {request}: {:?}, back in {:?}", refusal.reason, refusal.retry_after);
         let retry_after = self.longest_retry_after.map(|longest| refusal.retry_after.min(longest));
-        self.floor.bounce(request, retry_after);
+        self.floor.reject(request, retry_after);
     }
 
     /// Settles what was closed, hands on the next request that has room, and tells clients of their waits; tells
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -12,8 +12,8 @@
 pub const INVALID: i64 = -32600;
 pub const NO_METHOD: i64 = -32601;
 pub const BAD_PARAMS: i64 = -32602;
-pub const BOUNCED: i64 = -32011;
-pub const GIVEN_UP: i64 = -32000;
+pub const REJECTED: i64 = -32011;
+pub const FAILED: i64 = -32000;
 
 /// The first whole line of `bytes` and its length with the end; `None` until that has come.
 pub fn line(bytes: &[u8], seen: usize) -> Option<(&[u8], usize)> {
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -90,7 +90,7 @@
         {"jsonrpc":"2.0","id":7,"result":{"data":"YQliCWMK"}}
         ended with Some(0): tasks_bounced=3 tasks_succeeded=2 tasks_withdrawn=2
     "#]]
-    .assert_eq(&house.end(&["requests_bounced", "requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&house.end(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
 }
 
 /// A client reads nothing, so nothing more is heard of it: meanwhile it asks for something and takes that back, and
@@ -141,8 +141,8 @@
     .assert_eq(&house.end(&[
         "requests_withdrawn",
         "requests_withdrawn_unheard",
-        "requests_bounced",
-        "requests_given_up",
+        "requests_rejected",
+        "requests_failed",
     ]));
 }
 
@@ -255,7 +255,7 @@
         sent then: []
         ended with Some(0): tasks_bounced=1
     "#]]
-    .assert_eq(&house.end(&["requests_bounced"]));
+    .assert_eq(&house.end(&["requests_rejected"]));
 }
 
 /// A restart may end the process as a request stands in a socket, and in a connection that waits to be accepted.
@@ -292,7 +292,7 @@
         closed
         ended with Some(0): tasks_succeeded=3
     "#]]
-    .assert_eq(&house.end(&["requests_succeeded", "requests_given_up", "requests_bounced"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_failed", "requests_rejected"]));
 }
 
 /// A client whose line has no end is told so and closed, with more of it in the socket.
@@ -409,7 +409,7 @@
         sent then: []
         ended with Some(0): tasks_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["requests_succeeded", "requests_given_up"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_failed"]));
 }
 
 /// A drain, the reset of the connection that a call was written to, and the end of the process in one turn.
@@ -438,7 +438,7 @@
         sent then: []
         ended with Some(0): hops_sent=1 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["attempts_sent", "requests_given_up"]));
+    .assert_eq(&house.end(&["attempts_sent", "requests_failed"]));
 }
 
 /// Seen where the settings allow no second copy: what took an attempt back and the next call went over two connections,
@@ -539,7 +539,7 @@
 
 /// One team's requests wait at the door; the client of one shuts its side, and closes.
 #[test]
-fn what_waits_at_the_teams_door_is_bounced_once_its_client_has_left() {
+fn what_waits_at_the_teams_door_is_rejected_once_its_client_has_left() {
     const ORDERS: &str = "{teams: {list: [{name: 'audit', share: 1, \
                           budget: {work_s: 1, per_s: 60, burst_s: 1}}]}}";
     let mut house = House::open_ordered("door-left", 1, &leisure(), ORDERS);
@@ -567,7 +567,7 @@
         sent then: []
         ended with Some(0): tasks_bounced=2 tasks_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["requests_bounced", "requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&house.end(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
 }
 
 /// A request that is known to wait at the door is taken back in the instant in which it would be handed on.
@@ -594,5 +594,5 @@
         sent then: []
         ended with Some(0): tasks_succeeded=1 tasks_withdrawn=2
     "#]]
-    .assert_eq(&house.end(&["requests_bounced", "requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&house.end(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
 }
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn full_engines_are_left_for_others_and_the_last_refusal_bounces() {
+fn full_engines_are_left_for_others_and_the_last_refusal_rejects() {
     let mut house = House::open("full", 2, &settings(5000, 8000));
     let mut client = house.client();
     client.ask(1, "post", 8000);
@@ -56,7 +56,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
         ended with Some(0): hops_failed=1 hops_overloaded=1 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["attempts_overloaded", "attempts_failed", "requests_given_up"]));
+    .assert_eq(&house.end(&["attempts_overloaded", "attempts_failed", "requests_failed"]));
 }
 
 #[test]
@@ -80,7 +80,7 @@
         ended with Some(0): engine_answers_for_nothing=1 hops_timed_out=1 tasks_bounced=1
     "#]].assert_eq(&house.end(&[
         "attempts_timed_out",
-        "requests_bounced",
+        "requests_rejected",
         "engine_answers_for_nothing",
     ]));
 }
@@ -283,7 +283,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":2,"jsonrpc":"2.0"}
         DROP 0000000000000001, DROP 0000000000000002
         ended with Some(0): hops_withdrawn=2 tasks_bounced=1 tasks_given_up=1
-    "#]].assert_eq(&house.end(&["requests_bounced", "requests_given_up", "attempts_withdrawn"]));
+    "#]].assert_eq(&house.end(&["requests_rejected", "requests_failed", "attempts_withdrawn"]));
 }
 
 const TEAMS: &str = r#"{
@@ -323,7 +323,7 @@
         {"jsonrpc":"2.0","id":4,"result":{"data":"MQkyCTMK"}}
         ended with Some(0): tasks_bounced=1 tasks_refused_at_the_door=1 tasks_succeeded=6
     "#]]
-    .assert_eq(&house.end(&["requests_succeeded", "requests_bounced", "requests_refused_at_the_door"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_rejected", "requests_refused_at_the_door"]));
 }
 
 #[test]
@@ -365,7 +365,7 @@
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":5,"jsonrpc":"2.0"}
         ended with Some(0): tasks_bounced=4 tasks_withdrawn=1 held_tasks=0
-    "#]].assert_eq(&house.end(&["requests_bounced", "requests_withdrawn", "held_requests"]));
+    "#]].assert_eq(&house.end(&["requests_rejected", "requests_withdrawn", "held_requests"]));
 }
 
 #[test]
@@ -522,7 +522,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":150,"jsonrpc":"2.0"}
         ended with Some(0): engine_input_malformed=6 hops_broken=6 tasks_given_up=6
     "#]]
-    .assert_eq(&house.end(&["engine_input_malformed", "attempts_broken", "requests_given_up"]));
+    .assert_eq(&house.end(&["engine_input_malformed", "attempts_broken", "requests_failed"]));
 }
 
 #[test]
@@ -587,7 +587,7 @@
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":4,"jsonrpc":"2.0"}
         ended with Some(0): engine_input_malformed=4 hops_broken=4 tasks_given_up=1
     "#]]
-    .assert_eq(&house.end(&["engine_input_malformed", "attempts_broken", "requests_given_up"]));
+    .assert_eq(&house.end(&["engine_input_malformed", "attempts_broken", "requests_failed"]));
 }
 
 #[test]
@@ -721,7 +721,7 @@
         GET 0000000000000002 queue=post,mem=120,prio=2 select 1
         ended with Some(0): tasks_given_up=2 tasks_succeeded=1
     "#]]
-    .assert_eq(&house.end(&["requests_succeeded", "requests_given_up"]));
+    .assert_eq(&house.end(&["requests_succeeded", "requests_failed"]));
 }
 
 #[test]
@@ -811,8 +811,8 @@
         "requests_taken",
         "requests_succeeded",
         "requests_withdrawn",
-        "requests_bounced",
-        "requests_given_up",
+        "requests_rejected",
+        "requests_failed",
         "attempts_sent",
         "engine_input_malformed",
     ]));
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -1,5 +1,5 @@
 //! A stand-in client: it sends requests of several kinds at a rate, reads the answers, and comes again after a
-//! bounce when it was told to. What it sends is the same for a seed; when it is answered is not.
+//! reject when it was told to. What it sends is the same for a seed; when it is answered is not.
 
 use crate::engine::{Run, Runs};
 use base64::Engine as _;
@@ -30,7 +30,7 @@
     pub asks: Option<&'static str>,
     pub habits: Vec<Habit>,
     pub seed: u64,
-    /// How often it comes again after a bounce.
+    /// How often it comes again after a rejection.
     pub tries: u32,
 }
 
@@ -61,8 +61,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum How {
     Succeeded,
-    Bounced,
-    GivenUp,
+    Rejected,
+    Failed,
     Refused,
     Unanswered,
 }
@@ -136,7 +136,7 @@
                 let left =
                     request.habit.patience_ms.saturating_sub(request.sent.elapsed().as_millis() as u64);
                 if left == 0 {
-                    fates.push(self.fate(&request, How::Bounced, None));
+                    fates.push(self.fate(&request, How::Rejected, None));
                     continue;
                 }
                 let id = next;
@@ -181,11 +181,11 @@
     ) {
         let how = match answer["error"]["code"].as_i64() {
             None => How::Succeeded,
-            Some(-32011) => How::Bounced,
-            Some(-32000) => How::GivenUp,
+            Some(-32011) => How::Rejected,
+            Some(-32000) => How::Failed,
             Some(_) => How::Refused,
         };
-        if how == How::Bounced && request.tries < self.tries {
+        if how == How::Rejected && request.tries < self.tries {
             let holdoff = answer["error"]["data"]["holdoff"].as_u64().unwrap_or(100);
             (request.tries, request.told) = (request.tries + 1, None);
             again.push((Instant::now() + Duration::from_millis(holdoff), request));
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/tryout.rs
@@ -186,8 +186,8 @@
             "{team:8} {traffic:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>7} {wait:>8} {longest:>8} {run:>8} {slowest:>8}\n",
             fates.len(),
             count(How::Succeeded),
-            count(How::Bounced),
-            count(How::GivenUp),
+            count(How::Rejected),
+            count(How::Failed),
             count(How::Refused),
             count(How::Unanswered),
         );
--- a/crates/teams/src/queues.rs
+++ b/crates/teams/src/queues.rs
@@ -67,7 +67,7 @@
     Billed(Duration),
     /// It may have run, and nobody knows how long.
     Unknown,
-    /// It never ran, was cancelled or bounced: nothing is charged.
+    /// It never ran, was cancelled or rejected: nothing is charged.
     Back,
 }
 
--- a/crates/teams/tests/turns.rs
+++ b/crates/teams/tests/turns.rs
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn what_is_cancelled_bounced_or_never_ran_is_given_back() {
+fn what_is_cancelled_rejected_or_never_ran_is_given_back() {
     let mut door = Door::of(firm(&[(1.0, allowance(100, 1000, 400)), (1.0, None)]));
     door.ask(0, 100).ask(0, 100).ask(0, 100).turns(3).left(0);
     door.settle(0, Outcome::Back).settle(1, Outcome::Billed(ms(250))).settle(2, Outcome::Back).left(0);
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -75,11 +75,11 @@
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         self.write(json!({"op": "ABORT_ATTEMPT", "ref": self.request(request), "hop": attempt}));
     }
-    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0.0, to_ms);
         self.write(json!({"op": "TURN_AWAY", "ref": self.request(request), "retryAfterMs": after}));
     }
-    fn give_up(&mut self, request: RequestId) {
+    fn fail(&mut self, request: RequestId) {
         self.write(json!({"op": "ABORT", "ref": self.request(request)}));
     }
     fn probe(&mut self, engine: EngineId) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,9 +29,9 @@
     /// Stops waiting for one attempt.
     fn cancel(&mut self, request: RequestId, attempt: usize);
     /// Final answer: not done, a retry is harmless.
-    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>);
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>);
     /// Final answer: not done, nothing promised.
-    fn give_up(&mut self, request: RequestId);
+    fn fail(&mut self, request: RequestId);
     /// Asks an engine for its load, where that is allowed.
     fn probe(&mut self, engine: EngineId);
     /// Asks for a [`Router::wake`] after `wait`.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -554,7 +554,7 @@
         harmless && request.attempts.len() < self.duties.most_attempts
     }
 
-    fn may_bounce(&self, request: &Request) -> bool {
+    fn may_reject(&self, request: &Request) -> bool {
         match &self.traffic[request.traffic].effect {
             Effect::Replayable | Effect::Referenced { scope: Scope::All, .. } => true,
             _ => request.first_that_may_have_run().is_none(),
@@ -712,9 +712,9 @@
             self.requests.iter().filter(|(id, request)| !request.over && hopeless(self, **id, request));
         let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
         for id in &open {
-            match self.may_bounce(&self.requests[id]) {
-                true => out.bounce(*id, retry_after),
-                false => out.give_up(*id),
+            match self.may_reject(&self.requests[id]) {
+                true => out.reject(*id, retry_after),
+                false => out.fail(*id),
             }
             self.requests.entry(*id).and_modify(|request| request.over = true);
         }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -17,7 +17,7 @@
 const SEND: usize = 0;
 const TERMS: usize = 1;
 const CANCEL: usize = 2;
-const BOUNCE: usize = 3;
+const REJECT: usize = 3;
 const GIVE_UP: usize = 4;
 const PROBE: usize = 5;
 const WAKE_AFTER: usize = 6;
@@ -33,7 +33,7 @@
     (SEND, 40_000),
     (TERMS, 40_000),
     (CANCEL, 5_000),
-    (BOUNCE, 20_000),
+    (REJECT, 20_000),
     (GIVE_UP, 2_000),
     (PROBE, 1_000),
     (WAKE_AFTER, 40_000),
@@ -162,11 +162,11 @@
         self.add(CANCEL, &[request.into(), attempt as u64]);
         self.asked.push(Asked::Cancel { request, attempt });
     }
-    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
-        self.add(BOUNCE, &[request.into(), retry_after.map_or(u64::MAX, nanos)]);
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
+        self.add(REJECT, &[request.into(), retry_after.map_or(u64::MAX, nanos)]);
         self.asked.push(Asked::Answered(request));
     }
-    fn give_up(&mut self, request: RequestId) {
+    fn fail(&mut self, request: RequestId) {
         self.add(GIVE_UP, &[request.into()]);
         self.asked.push(Asked::Answered(request));
     }
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -27,11 +27,11 @@
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         self.add(format_args!("cancel request {request} attempt {attempt}"));
     }
-    fn bounce(&mut self, request: RequestId, retry_after: Option<Duration>) {
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0, |after| after.as_millis());
-        self.add(format_args!("bounce request {request}, back after {after}"));
+        self.add(format_args!("reject request {request}, back after {after}"));
     }
-    fn give_up(&mut self, request: RequestId) {
+    fn fail(&mut self, request: RequestId) {
         self.add(format_args!("give up request {request}"));
     }
     fn probe(&mut self, engine: EngineId) {
