--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -16,7 +16,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-const PATIENCE_MS: u64 = 320;
+const DEADLINE_MS: u64 = 320;
 /// Bytes that a slow client reads at first: less than any answer.
 const FEW: usize = 10;
 
@@ -347,7 +347,7 @@
         self.seats[client].said |= 1 << line;
         let mut text = match world.lines[client][line] {
             Line::Request { id, class, req: number } => format!(
-                r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{}","timeout":{PATIENCE_MS},"ms":20,"memory":300,"data":""}}}}"#,
+                r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{}","timeout":{DEADLINE_MS},"ms":20,"memory":300,"data":""}}}}"#,
                 req(number)
             ),
             Line::Withdraw { req: number } => {
@@ -373,7 +373,7 @@
     fn asks(&mut self, world: &House, client: usize, line: usize) {
         match world.lines[client][line] {
             Line::Request { id, class, req: number } => {
-                let (once, by) = (class == "post", self.now + Duration::from_millis(PATIENCE_MS));
+                let (once, by) = (class == "post", self.now + Duration::from_millis(DEADLINE_MS));
                 let (answers, withdrawn) = (0, false);
                 self.asked.push(Asked { client, id, req: number, once, by, answers, withdrawn });
             }
--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -20,7 +20,7 @@
 
 pub const LAWS: [Law; 18] = [
     Law { name: "one answer", says: "no request gets a second final answer", breaks: second_answer },
-    Law { name: "in time", says: "a request is answered before its patience ends", breaks: late_answer },
+    Law { name: "in time", says: "a request is answered before its deadline ends", breaks: late_answer },
     Law { name: "nothing after", says: "nothing is sent for a request after its answer", breaks: sent_after },
     Law { name: "one attempt out", says: "a request has at most one attempt out", breaks: two_attempts_out },
     Law {
@@ -87,7 +87,7 @@
 fn late_answer(_: &World, life: &Life, act: &Act) -> bool {
     let Act::Pass { to } = act else { return false };
     let late = |request: &Truth| {
-        request.open() && (request.patience <= *to || life.closing.is_some_and(|by| by <= *to))
+        request.open() && (request.deadline <= *to || life.closing.is_some_and(|by| by <= *to))
     };
     // What nothing would wake the module for is another law's matter.
     !life.wakes.is_empty() && life.requests.iter().any(late)
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Default)]
 pub struct Truth {
     pub arrived: Duration,
-    pub patience: Duration,
+    pub deadline: Duration,
     pub answer: Option<Answer>,
     pub attempts: Vec<AttemptTruth>,
     pub grant: Option<f64>,
@@ -249,7 +249,7 @@
                 let noted = request.attempts.last().map(|attempt| (attempt.noted, attempt.cancelled));
                 let until = request.out().map(|attempt| attempt.until.saturating_sub(self.now));
                 (noted, until, request.attempts.len()).hash(&mut digest);
-                (request.patience.saturating_sub(self.now), self.now - request.arrived).hash(&mut digest);
+                (request.deadline.saturating_sub(self.now), self.now - request.arrived).hash(&mut digest);
             }
         }
         for wake in &self.wakes {
@@ -350,7 +350,7 @@
             (|at: Duration| [at - INSTANT, at, at + INSTANT], |at: Duration| [at - INSTANT, at]);
         for (at, request) in self.requests.iter().enumerate().filter(|(_, request)| request.open()) {
             let number = at as RequestId;
-            times.push(request.patience);
+            times.push(request.deadline);
             times.extend(request.out().map(|attempt| attempt.until));
             if world.fine {
                 times.extend(around(request.arrived + world.traffic_of(number).target));
@@ -403,7 +403,7 @@
                 let arrival = world.arrival(number);
                 life.requests.push(Truth {
                     arrived: now,
-                    patience: now + arrival.patience,
+                    deadline: now + arrival.deadline,
                     ..Truth::default()
                 });
                 life.router.accept(now, arrival, &mut acts);
@@ -449,7 +449,7 @@
                 life.router.wake(now, &mut acts);
             }
             Move::Close => {
-                let by = now + world.traffic[0].patience;
+                let by = now + world.traffic[0].deadline;
                 life.closing = Some(by);
                 life.router.closing(now, by, &mut acts);
             }
@@ -545,7 +545,7 @@
         }
         let mut acts = vec![Act::Pass { to: self.now + Duration::from_secs(3600) }, Act::Rest];
         let numbers = || (0..self.requests.len()).map(|request| request as RequestId);
-        let until = |request: RequestId| self.requests[request as usize].patience - world.margin();
+        let until = |request: RequestId| self.requests[request as usize].deadline - world.margin();
         for request in numbers() {
             acts.extend([Act::Reject { request }, Act::Fail { request }, Act::Serve { request }]);
             acts.push(Act::Terms { request, grant_mb: f64::from(u32::MAX) });
--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -19,7 +19,7 @@
 const COMES_UP: Duration = Duration::from_millis(100);
 const IDLE: Duration = Duration::from_millis(1000);
 /// A call is abandoned after so long.
-const PATIENCE: Duration = Duration::from_millis(350);
+const DEADLINE: Duration = Duration::from_millis(350);
 
 pub struct Links {
     pub name: &'static str,
@@ -343,13 +343,13 @@
             statement: statement.as_bytes(),
             grant_mb: 0.0,
             priority: 1,
-            until: self.now + PATIENCE,
+            until: self.now + DEADLINE,
         };
         let owing: Vec<Slot> =
             self.owing.iter().filter(|(by, _)| *by == request).map(|(_, link)| *link).collect();
         // The attempt must be known before its news is.
         let slot = self.engines.send(self.engine, call, &owing, &mut self.works);
-        let until = self.now + PATIENCE;
+        let until = self.now + DEADLINE;
         self.attempts.push(Attempt {
             request,
             number,
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -64,7 +64,7 @@
     },
     Place {
         name: "referenced in a cell",
-        says: "one request referenced within its cell, three engines in two cells, a window shorter than the patience",
+        says: "one request referenced within its cell, three engines in two cells, a window shorter than the deadline",
         engines: CELLS,
         requests: &[asks(1)],
         events: 1,
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -71,7 +71,7 @@
         Move::Leave { request, draw } => drawn(draw, format!(".left({request})")),
         Move::Wake { draw } => drawn(draw, ".woken()".to_owned()),
         Move::Close => {
-            let by = life.now + world.traffic[0].patience;
+            let by = life.now + world.traffic[0].deadline;
             Some(format!(".closing({})", by.as_millis()))
         }
         Move::Pass => None,
--- a/crates/explorer/src/turns.rs
+++ b/crates/explorer/src/turns.rs
@@ -205,7 +205,7 @@
                     traffic: 0,
                     work: Duration::from_millis(work),
                     target: Duration::from_millis(300),
-                    patience: Duration::from_secs(3600),
+                    deadline: Duration::from_secs(3600),
                     identity: None,
                     key: None,
                 };
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -174,7 +174,7 @@
             key: asks.key,
             cost: (asks.cost > 0).then(|| Duration::from_millis(asks.cost)),
             memory_mb: (asks.memory > 0.0).then_some(asks.memory),
-            patience: self.traffic[asks.traffic].patience,
+            deadline: self.traffic[asks.traffic].deadline,
             waited: Duration::ZERO,
             later_try: None,
             group: None,
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_patience_that_ends_at_the_tick_of_a_wake_up() {
+fn a_deadline_that_ends_at_the_tick_of_a_wake_up() {
     holds("no estimates");
 }
 
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -50,7 +50,7 @@
     pub key: Option<u64>,
     pub work: Duration,
     pub target: Duration,
-    /// It is handed on that long before its patience ends.
+    /// It is handed on that long before its deadline ends.
     pub margin: Duration,
     pub asks_to_be_told: bool,
 }
@@ -66,11 +66,11 @@
     pub fn knock(&mut self, now: Duration, arrival: Arrival, knock: Knock) -> Result<(), Refusal> {
         let Knock { team, urgency, identity, key, work, target, margin, asks_to_be_told } = knock;
         let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
-        let patience = arrival.patience.saturating_sub(arrival.waited);
+        let deadline = arrival.deadline.saturating_sub(arrival.waited);
         let (traffic, identity) = (arrival.traffic as u16, Some(identity));
-        let asking = Asking { request, team, urgency, traffic, work, target, patience, identity, key };
+        let asking = Asking { request, team, urgency, traffic, work, target, deadline, identity, key };
         self.queues.arrive(now, asking)?;
-        let by = now + patience.saturating_sub(margin);
+        let by = now + deadline.saturating_sub(margin);
         let told = (asks_to_be_told && self.roll.waits_field.is_some()).then_some(now);
         self.due.insert((by, Call::HandOn, request));
         self.due.extend(told.map(|at| (at, Call::Tell, request)));
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -150,7 +150,7 @@
     }
 
     /// When what the sockets told last came at the earliest: it was not there the time before, and may have come
-    /// during the work that followed. A request's patience counts from then.
+    /// during the work that followed. A request's deadline counts from then.
     fn since(&self) -> Duration {
         self.looked.saturating_sub(self.work)
     }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -28,7 +28,7 @@
 /// What a request and its answer may take on their way beside what is seen here: the protocol makes each time limit as
 /// much longer on sockets. Guards against answers that leave in time and come too late.
 const BETWEEN: Duration = Duration::from_millis(50);
-/// After SIGTERM clients go on coming for so long. SIGKILL comes as long after the longest patience, of which
+/// After SIGTERM clients go on coming for so long. SIGKILL comes as long after the longest deadline, of which
 /// no more than the second figure counts.
 const STRAGGLERS: Duration = Duration::from_millis(700);
 const LONGEST_COUNTED: Duration = Duration::from_secs(3);
@@ -49,7 +49,7 @@
     /// Whether clients may have said what was not heard yet, as whoever holds the sockets knows.
     pub unheard: bool,
     pub left: bool,
-    /// The longest patience of any traffic type.
+    /// The longest deadline of any traffic type.
     longest: Duration,
     /// Where the operator has told teams.
     door: Option<Door>,
@@ -65,7 +65,7 @@
         let Briefing { premises, fleet, traffic, duties, last, events, orders, unread: _ } = briefing;
         let (habits, now) = (traffic.iter().map(|t| (t.target, t.keeps_order)).collect(), works.now());
         let longest_retry_after = duties.longest_retry_after;
-        let longest = traffic.iter().map(|traffic| traffic.patience).max().unwrap_or_default();
+        let longest = traffic.iter().map(|traffic| traffic.deadline).max().unwrap_or_default();
         let mut front = Self {
             router: Router::new(fleet, traffic, duties),
             bulletin: Bulletin::after(last, premises.kinds.len(), premises.locations.len()),
@@ -361,7 +361,7 @@
             return Err(wrong("`opkey` holds more than letters and digits".into()));
         }
         let subject = maybe_text("subject")?;
-        let patience = positive("timeout")?.ok_or_else(|| wrong("`timeout` is not above 0".into()))?;
+        let deadline = positive("timeout")?.ok_or_else(|| wrong("`timeout` is not above 0".into()))?;
         let (cost, memory_mb) = (positive("ms")?.map(from_ms).filter(|c| !c.is_zero()), positive("memory")?);
         let body = jsonrpc::body(fields.text("data").map_err(wrong)?);
         let statement = body.ok_or_else(|| wrong("`data` is not base64".into()))?;
@@ -382,14 +382,14 @@
             key: subject.map(key),
             cost,
             memory_mb,
-            patience: from_ms(patience).min(LONGEST).saturating_sub(BETWEEN),
+            deadline: from_ms(deadline).min(LONGEST).saturating_sub(BETWEEN),
             waited,
             later_try: floor.premises.marks_retries.then_some(resent),
             group,
         };
         log::debug!(
             "task {} {req} of client {slot:?}: {method}, cost {cost:?}, memory {memory_mb:?} MB, group {:?}, \
-             patience {patience} ms, resent {resent}, key {opkey:?}",
+             patience {deadline} ms, resent {resent}, key {opkey:?}",
             arrival.request,
             arrival.group
         );
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -359,8 +359,8 @@
         asking.asked.push((id, req.clone()));
         let statement =
             self.chance.pick(&["c2VsZWN0IDE=", "c2VsZWN0IGEgZnJvbSB0MQ==", "Y29weSB0MiBmcm9tIHg="]);
-        let patience = self.chance.pick(&[90, 320, 320, 640, 1600]);
-        let mut params = json!({"req": req, "timeout": patience, "data": statement});
+        let deadline = self.chance.pick(&[90, 320, 320, 640, 1600]);
+        let mut params = json!({"req": req, "timeout": deadline, "data": statement});
         if self.chance.one_in(2) {
             params["ms"] = json!(self.chance.pick(&[1, 10, 20, 60, 200]));
             params["memory"] = json!(self.chance.pick(&[20, 300, 900, 3000]));
--- a/crates/router/tests/front.rs
+++ b/crates/router/tests/front.rs
@@ -46,15 +46,15 @@
     if said.is_empty() { "no answer yet\n".into() } else { String::from_utf8(said).expect("text") }
 }
 
-fn ask(id: u64, patience: u64) -> String {
+fn ask(id: u64, deadline: u64) -> String {
     format!(
-        r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{"req":"{id:016x}","timeout":{patience},"data":"c2VsZWN0IDE="}}}}"#
+        r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{"req":"{id:016x}","timeout":{deadline},"data":"c2VsZWN0IDE="}}}}"#
     ) + "\n"
 }
 
 /// The rule counts from a request's last byte, however late the router is to read it.
 #[test]
-fn patience_counts_from_when_a_line_came() {
+fn deadline_counts_from_when_a_line_came() {
     let mut front = front();
     let slot = front.admit();
     let told = [(1, 0), (2, 300), (3, 900)].map(|(id, ago)| says(&mut front, slot, &ask(id, 1000), ago));
@@ -71,7 +71,7 @@
 fn an_answer_leaves_sooner_by_what_its_way_may_take() {
     let mut front = front();
     let slot = front.admit();
-    let told = [(1, 100), (2, 200)].map(|(id, patience)| says(&mut front, slot, &ask(id, patience), 0));
+    let told = [(1, 100), (2, 200)].map(|(id, deadline)| says(&mut front, slot, &ask(id, deadline), 0));
     expect![[r#"
         {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         no answer yet
--- a/crates/router/tests/sockets/house.rs
+++ b/crates/router/tests/sockets/house.rs
@@ -64,8 +64,8 @@
 "myZone":0,"report":{"how":"none"},"rules":{"fallMs":1000,"overloadFactor":2.5,"startCapacity":0.3,
 "warmUpMs":9000},"tickMs":5,"zones":["hall-a"]}}"#;
 
-pub fn settings(comes_up: u64, patience: u64) -> String {
-    SETTINGS.replace("COMES_UP", &comes_up.to_string()).replace("PATIENCE", &patience.to_string())
+pub fn settings(comes_up: u64, deadline: u64) -> String {
+    SETTINGS.replace("COMES_UP", &comes_up.to_string()).replace("PATIENCE", &deadline.to_string())
 }
 
 pub fn program() -> Command {
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -21,7 +21,7 @@
     pub work_ms: f64,
     pub need_mb: f64,
     pub urgency: u8,
-    pub patience_ms: u64,
+    pub deadline_ms: u64,
 }
 
 pub struct Client {
@@ -79,7 +79,7 @@
 
 /// A connection carries only so many open requests.
 const MOST_OPEN: usize = 32;
-/// An answer is waited for so long after the patience has ended.
+/// An answer is waited for so long after the deadline has ended.
 const LAST: Duration = Duration::from_secs(1);
 
 impl Client {
@@ -107,7 +107,7 @@
         let mut again: Vec<(Instant, Open)> = Vec::new();
         let mut next = 1;
         let overdue =
-            |request: &Open| request.sent.elapsed() > Duration::from_millis(request.habit.patience_ms) + LAST;
+            |request: &Open| request.sent.elapsed() > Duration::from_millis(request.habit.deadline_ms) + LAST;
         while !(ahead.is_empty() && again.is_empty() && open.values().all(overdue)) {
             // What found no room in its time is not sent later.
             if begun.elapsed() >= lasts {
@@ -119,7 +119,7 @@
                 next += 1;
                 let statement = STANDARD.encode(format!("select work_ms={work:.1} need_mb={need:.1}"));
                 let mut line = json!({"jsonrpc": "2.0", "id": id, "method": habit.traffic, "params": {
-                    "team": self.team, "urgency": habit.urgency, "req": req, "timeout": habit.patience_ms,
+                    "team": self.team, "urgency": habit.urgency, "req": req, "timeout": habit.deadline_ms,
                     "ms": work, "memory": need, "data": statement}});
                 if let Some(field) = self.asks {
                     line["params"][field] = json!(true);
@@ -132,9 +132,9 @@
             }
             let due = again.iter().position(|(at, _)| *at <= Instant::now() && open.len() < MOST_OPEN);
             if let Some((_, mut request)) = due.map(|at| again.swap_remove(at)) {
-                // With what is left of its patience.
+                // With what is left of its deadline.
                 let left =
-                    request.habit.patience_ms.saturating_sub(request.sent.elapsed().as_millis() as u64);
+                    request.habit.deadline_ms.saturating_sub(request.sent.elapsed().as_millis() as u64);
                 if left == 0 {
                     fates.push(self.fate(&request, How::Rejected, None));
                     continue;
--- a/crates/standins/src/skewed.rs
+++ b/crates/standins/src/skewed.rs
@@ -24,7 +24,7 @@
             work_ms,
             need_mb,
             urgency,
-            patience_ms: 12_000,
+            deadline_ms: 12_000,
         };
         let habits = vec![habit("report", 8.0, 300.0, 300.0, 0), habit("lookup", 1.0, 20.0, 40.0, 2)];
         Client { team, asks: Some("tell_wait"), habits, seed: seed.wrapping_add(at as u64), tries: 0 }
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -135,7 +135,7 @@
         Ok(TrafficType {
             target: row.positive_time("onTimeMs")?,
             target_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
-            patience: row.positive_time("deadlineMs")?,
+            deadline: row.positive_time("deadlineMs")?,
             revenue: row.not_negative("gain")?,
             late_share: row.share("lateShare")?,
             effect: match one_of(row, "repeat", &["repeatable", "once", "by_key"])? {
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -17,7 +17,7 @@
         traffic: (request % 5) as u16,
         work: Duration::from_millis(20 + u64::from(request) % 400),
         target: Duration::from_secs(2),
-        patience: Duration::from_secs(3600),
+        deadline: Duration::from_secs(3600),
         identity: Some(request.into()),
         key: None,
     }
--- a/crates/teams/src/queues.rs
+++ b/crates/teams/src/queues.rs
@@ -38,7 +38,7 @@
     /// It gains ground once for each target time that it has waited.
     pub target: Duration,
     /// From its arrival; what can't be run within is turned away at once.
-    pub patience: Duration,
+    pub deadline: Duration,
     /// The same for a request and its repeats.
     pub identity: Option<u64>,
     /// Requests of one key go in the order in which they came, whatever their teams.
@@ -49,7 +49,7 @@
 pub enum Reason {
     /// The team has as many waiting as it may.
     Full,
-    /// Its patience would end first.
+    /// Its deadline would end first.
     Hopeless,
 }
 
@@ -200,8 +200,8 @@
         if self.lines[asking.team].count >= self.charter.teams[asking.team].most_waiting {
             return Err(Refusal { reason: Reason::Full, retry_after: wait_or_none });
         }
-        if wait_or_none + asking.work > asking.patience && !wait_or_none.is_zero() {
-            let retry_after = (wait_or_none + asking.work).saturating_sub(asking.patience);
+        if wait_or_none + asking.work > asking.deadline && !wait_or_none.is_zero() {
+            let retry_after = (wait_or_none + asking.work).saturating_sub(asking.deadline);
             return Err(Refusal { reason: Reason::Hopeless, retry_after });
         }
         let Asking { request, team, urgency, traffic, work, target, identity, key, .. } = asking;
--- a/crates/teams/tests/day/mod.rs
+++ b/crates/teams/tests/day/mod.rs
@@ -25,7 +25,7 @@
     pub servers: usize,
     pub lasts: f64,
     pub target: f64,
-    pub patience: f64,
+    pub deadline: f64,
     /// The work that a request comes to against what was expected.
     pub off: f64,
     pub seed: u64,
@@ -131,7 +131,7 @@
     sent.sort_by_key(|(at, team, ..)| (*at, *team));
     let mut requests: BTreeMap<Ticket, Asked> = BTreeMap::new();
     let mut running: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
-    let mut patience: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
+    let mut deadline: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
     let teams = day.teams.len();
     let windows = (day.lasts / WINDOW).ceil() as usize;
     let mut service = vec![vec![0.0; teams]; windows];
@@ -146,7 +146,7 @@
         let next = [
             ahead.peek().map(|((at, ..), _)| *at),
             running.first().map(|(at, _)| *at),
-            patience.first().map(|(at, _)| *at),
+            deadline.first().map(|(at, _)| *at),
         ];
         let Some(now) = next.into_iter().flatten().min().filter(|now| *now < end) else { break };
         let window = (now.as_secs_f64() / WINDOW) as usize;
@@ -157,8 +157,8 @@
             figures.in_time += usize::from(now - asked.arrived <= asked.asking.target);
             policy.ended(now, request, secs(asked.work));
         }
-        while let Some((at, request)) = patience.first().copied().filter(|(at, _)| *at <= now) {
-            patience.remove(&(at, request));
+        while let Some((at, request)) = deadline.first().copied().filter(|(at, _)| *at <= now) {
+            deadline.remove(&(at, request));
             if !requests[&request].sent {
                 policy.left(now, request);
                 figures.left += 1;
@@ -173,7 +173,7 @@
                 traffic: u16::from(is_urgent),
                 work: secs(work / day.off),
                 target: secs(day.target),
-                patience: secs(day.patience),
+                deadline: secs(day.deadline),
                 identity: None,
                 key: None,
             };
@@ -184,7 +184,7 @@
             waiting[team] += 1;
             let told = policy.told(at, request);
             requests.insert(request, Asked { asking, arrived: at, work, told, sent: false });
-            patience.insert((at + asking.patience, request));
+            deadline.insert((at + asking.deadline, request));
             if waiting[team] == 1 {
                 last_turn[team] = at;
             }
@@ -237,7 +237,7 @@
     // A share is two servers: some ten requests a second at a fifth of a second each.
     let rates = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
     let teams = rates.into_iter().map(|rate| (1.0, habit(rate))).collect();
-    Day { teams, servers: 16, lasts: 60.0, target: 4.0, patience: 20.0, off: 1.0, seed }
+    Day { teams, servers: 16, lasts: 60.0, target: 4.0, deadline: 20.0, off: 1.0, seed }
 }
 
 pub fn charter(day: &Day) -> Charter {
--- a/crates/teams/tests/turns.rs
+++ b/crates/teams/tests/turns.rs
@@ -50,9 +50,9 @@
 
     fn ask_for(&mut self, change: impl Fn(&mut Asking)) -> &mut Self {
         let (request, team, urgency) = (self.next, 0, 0);
-        let (work, target, patience) = (ms(100), ms(1000), ms(60_000));
+        let (work, target, deadline) = (ms(100), ms(1000), ms(60_000));
         let mut asking =
-            Asking { request, team, urgency, traffic: 0, work, target, patience, identity: None, key: None };
+            Asking { request, team, urgency, traffic: 0, work, target, deadline, identity: None, key: None };
         change(&mut asking);
         self.next += 1;
         if let Err(Refusal { reason, retry_after }) = self.queues.arrive(ms(self.now), asking) {
@@ -322,7 +322,7 @@
     let wait = door.queues.wait(ms(door.now), 24);
     door.note(format!("{wait:?}"));
     door.queues.leave(ms(door.now), 24);
-    door.ask_for(|asking| asking.patience = ms(300)).ask_for(|asking| asking.patience = ms(600));
+    door.ask_for(|asking| asking.deadline = ms(300)).ask_for(|asking| asking.deadline = ms(600));
     expect![[r#"
         2000  task 25 of team 0 is turned away, Full, for 500 ms
         2000  Some(Wait { least: 212ms, likely: 400ms, most: 776ms, place: 4 })
@@ -408,7 +408,7 @@
         }
     };
     door.ask_for(keyed(1, 0)).ask_for(keyed(0, 3)).ask(0, 100).ask_for(keyed(0, 3));
-    // The third of the key is called for, as its patience ends: the first goes, then the second, then itself.
+    // The third of the key is called for, as its deadline ends: the first goes, then the second, then itself.
     for _ in 0..3 {
         let first = door.queues.first_of_key(3);
         door.queues.let_go(ms(0), first);
@@ -527,10 +527,10 @@
         for input in inputs {
             match input {
                 Input::Ask(team, urgency, work) => {
-                    let (work, target, patience) = (ms(work), ms(300), ms(10_000));
+                    let (work, target, deadline) = (ms(work), ms(300), ms(10_000));
                     let (team, identity) = (team % teams, Some(u64::from(urgency)));
                     let asking =
-                        Asking { request: next, team, urgency, traffic: 0, work, target, patience, identity, key: None };
+                        Asking { request: next, team, urgency, traffic: 0, work, target, deadline, identity, key: None };
                     waits.extend(queues.arrive(ms(now), asking).is_ok().then_some(next));
                     next += 1;
                 }
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -140,7 +140,7 @@
                     },
                     cost: line.maybe_time("estimateMs").filter(|cost| !cost.is_zero()),
                     memory_mb: line.maybe_number("needMb").filter(|need| *need > 0.0),
-                    patience: from_ms(line.number("graceMs")?),
+                    deadline: from_ms(line.number("graceMs")?),
                     waited: Duration::ZERO,
                     later_try: marks_retries.then(|| line.maybe_flag("repeat")),
                     group: line.maybe_number("tableGroup").map(|g| g as u64),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,7 +67,7 @@
 pub struct TrafficType {
     pub target: Duration,
     pub target_stretch: f64,
-    pub patience: Duration,
+    pub deadline: Duration,
     pub revenue: f64,
     pub late_share: f64,
     pub effect: Effect,
@@ -134,7 +134,7 @@
     pub cost: Option<Duration>,
     pub memory_mb: Option<f64>,
     /// From when it came, which may be a while before it is accepted.
-    pub patience: Duration,
+    pub deadline: Duration,
     pub waited: Duration,
     /// Whether the client tried before, where clients tell.
     pub later_try: Option<bool>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -145,10 +145,10 @@
 
     pub fn accept(&mut self, now: Duration, arrival: Arrival, out: &mut impl Outlet) {
         let learned = &mut self.learned[arrival.traffic];
-        // A client's later try has less patience than usual: so much of the way to the target is gone. Where
-        // clients mark such tries, a first one with less patience than others is not taken for one.
+        // A client's later try has less deadline than usual: so much of the way to the target is gone. Where
+        // clients mark such tries, a first one with less deadline than others is not taken for one.
         if arrival.later_try != Some(true) {
-            learned.patiences.push(now, seconds(arrival.patience));
+            learned.deadlines.push(now, seconds(arrival.deadline));
         }
         let request = self.believed(now, &arrival);
         let learned = &mut self.learned[arrival.traffic];
@@ -165,8 +165,8 @@
     /// A request as it is believed to be.
     fn believed(&self, now: Duration, arrival: &Arrival) -> Request {
         let (traffic, learned) = (&self.traffic[arrival.traffic], &self.learned[arrival.traffic]);
-        let usual = span(learned.patiences.median().unwrap_or(0.0));
-        let spent = usual.saturating_sub(arrival.patience) * u32::from(arrival.later_try != Some(false));
+        let usual = span(learned.deadlines.median().unwrap_or(0.0));
+        let spent = usual.saturating_sub(arrival.deadline) * u32::from(arrival.later_try != Some(false));
         let key = arrival.key.filter(|_| traffic.keeps_order);
         let (cost, memory) = learned.expected(arrival);
         let ideal = cost / traffic.threads.max(1.0);
@@ -181,8 +181,8 @@
             memory,
             group: arrival.group,
             arrived,
-            target: target.saturating_sub(spent).min(arrived + arrival.patience).min(self.closing),
-            patience: (arrived + arrival.patience).min(self.closing),
+            target: target.saturating_sub(spent).min(arrived + arrival.deadline).min(self.closing),
+            deadline: (arrived + arrival.deadline).min(self.closing),
             over: false,
             left: false,
             attempts: Vec::new(),
@@ -340,7 +340,7 @@
     pub fn closing(&mut self, now: Duration, by: Duration, out: &mut impl Outlet) {
         self.closing = by;
         let cut = |request: &mut Request| {
-            (request.patience, request.target) = (request.patience.min(by), request.target.min(by))
+            (request.deadline, request.target) = (request.deadline.min(by), request.target.min(by))
         };
         self.requests.values_mut().for_each(cut);
         out.wake_after(by.saturating_sub(now + self.margin() * 3));
@@ -691,7 +691,7 @@
 
     /// Whether an attempt may be taken back to send the request again: allowed and in time; callers keep the budget.
     fn may_move(&self, request: &Request, now: Duration) -> bool {
-        let time = seconds(request.patience.saturating_sub(now)) > 2.0 * request.ideal;
+        let time = seconds(request.deadline.saturating_sub(now)) > 2.0 * request.ideal;
         !request.over && !request.left && time && self.may_run_again(request, now)
     }
 
@@ -737,7 +737,7 @@
         let grant = self.grant(request, self.engines[&to].kind);
         let usual = self.usual_cost(request.traffic);
         out.terms(id, grant.round(), self.priority(request.traffic));
-        out.send(id, to, request.patience.saturating_sub(self.margin()));
+        out.send(id, to, request.deadline.saturating_sub(self.margin()));
         self.further.extend((!request.attempts.is_empty()).then_some(now));
         let (group, threads) = (request.group, self.traffic[request.traffic].threads);
         let attempts = &mut self.requests.get_mut(&id).expect("a held task").attempts;
@@ -790,14 +790,14 @@
         left.and_then(|id| self.engines.remove(&id)).is_some() || !gone.is_empty()
     }
 
-    /// One final answer before patience ends, or the process, and at once where no further attempt is allowed, or
+    /// One final answer before deadline ends, or the process, and at once where no further attempt is allowed, or
     /// is for nobody any more.
     fn answer_in_time(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
         let hopeless = |router: &Self, _: RequestId, request: &Request| {
             let soon = now + router.margin() * 3;
             let again = || router.may_run_again(request, now) && !router.earns_little_late(request, now);
             let hopeless =
-                || request.left || soon >= request.patience || !request.attempts.is_empty() && !again();
+                || request.left || soon >= request.deadline || !request.attempts.is_empty() && !again();
             soon >= router.closing || request.held() && hopeless()
         };
         self.refuse(hopeless, out)
@@ -1001,7 +1001,7 @@
             let run = span(if request.told_cost.is_some() || back() { run } else { 0.0 });
             if !router.has_turn(id, request, now) {
                 let earns_late = router.traffic[request.traffic].late_share > 0.0;
-                return now + run > if earns_late { request.patience } else { request.target };
+                return now + run > if earns_late { request.deadline } else { request.target };
             }
             let tiers = sight.gateways.iter().map(|gateway| gateway.tier(memory));
             let hold = HOLD[tiers.min().unwrap_or(Tier::Largest) as usize];
--- a/src/print.rs
+++ b/src/print.rs
@@ -79,7 +79,7 @@
             // Only their values count, in the order in which they will be let go.
             lasting.iter().for_each(|recent| values(recent, into));
             if with.more {
-                values(&learned.patiences, into);
+                values(&learned.deadlines, into);
             }
             samples(&learned.stretches, now, lately, into);
         }
@@ -96,7 +96,7 @@
         ]
         .iter()
         .for_each(|figure| figure.to_bits().hash(into));
-        [request.arrived, request.target, request.patience].iter().for_each(|at| since(now, *at).hash(into));
+        [request.arrived, request.target, request.deadline].iter().for_each(|at| since(now, *at).hash(into));
         // Of an attempt that is over only whether it may have run counts, and of the first of these when it left.
         let ran = |attempt: &&Attempt| {
             !matches!(attempt.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
--- a/src/state.rs
+++ b/src/state.rs
@@ -24,7 +24,7 @@
     pub group: Option<u64>,
     pub arrived: Duration,
     pub target: Duration,
-    pub patience: Duration,
+    pub deadline: Duration,
     pub over: bool,
     /// Its client has nothing more to say, and may be gone.
     pub left: bool,
@@ -87,7 +87,7 @@
     pub cost_ratios: Recent,
     pub memory_ratios: Recent,
     pub stretches: Recent,
-    pub patiences: Recent,
+    pub deadlines: Recent,
 }
 
 /// Requests of one key in the order taken, and the rest owed after an attempt that may still run.
@@ -143,7 +143,7 @@
             cost_ratios: recent(),
             memory_ratios: recent(),
             stretches: recent(),
-            patiences: recent(),
+            deadlines: recent(),
         }
     }
 }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -251,7 +251,7 @@
     log: Log,
     habits: Habits,
     kinds: usize,
-    /// Patience and threads of each type.
+    /// Deadline and threads of each type.
     traffic: Vec<(Duration, f64)>,
     now: Duration,
     events: BTreeMap<(Duration, u64), Event>,
@@ -278,7 +278,7 @@
     TrafficType {
         target,
         target_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
-        patience: target * random.among(1, 8) as u32,
+        deadline: target * random.among(1, 8) as u32,
         revenue: random.between(0.5, 8.0),
         late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
         effect: effect(random),
@@ -379,7 +379,7 @@
         let machines = (0..=random.below(6)).map(|engine| (engine, machine(&mut random, kinds, None)));
         Self {
             machines: machines.collect(),
-            traffic: traffic.iter().map(|traffic| (traffic.patience, traffic.threads)).collect(),
+            traffic: traffic.iter().map(|traffic| (traffic.deadline, traffic.threads)).collect(),
             router: Router::new(fleet, traffic, duties),
             random,
             log,
@@ -487,7 +487,7 @@
     fn arrival(&mut self) -> Arrival {
         let random = &mut self.random;
         let traffic = random.below(self.traffic.len());
-        let (patience, _) = self.traffic[traffic];
+        let (deadline, _) = self.traffic[traffic];
         let is_later = random.percent(15);
         let told = random.percent(self.habits.estimates);
         let memory = random.one_of(&[5.0, 40.0, 300.0, 1200.0, 4000.0]) * random.between(0.5, 1.5);
@@ -498,7 +498,7 @@
             key: random.maybe(60, |random| random.below(4) as KeyId),
             cost: told.then_some(ms(cost)),
             memory_mb: (told && !random.percent(10)).then_some(memory),
-            patience: if is_later { patience.mul_f64(random.between(0.3, 0.9)) } else { patience },
+            deadline: if is_later { deadline.mul_f64(random.between(0.3, 0.9)) } else { deadline },
             waited: if random.percent(30) { random.time(1, 60) } else { ms(0) },
             later_try: self.habits.tells_later_tries.then_some(is_later),
             group: random.maybe(50, |random| random.below(4) as u64),
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -53,7 +53,7 @@
     let short = |effect, revenue, target, threads| TrafficType {
         target: ms(target),
         target_stretch: 2.0,
-        patience: ms(target * 8),
+        deadline: ms(target * 8),
         revenue,
         late_share: 0.0,
         effect,
@@ -114,7 +114,7 @@
     let plain = traffic.swap_remove(0);
     let short = |effect| TrafficType {
         target: ms(160),
-        patience: ms(320),
+        deadline: ms(320),
         effect,
         kinds: None,
         locations: None,
@@ -133,7 +133,7 @@
     router: Router,
     lines: Lines,
     requests: RequestId,
-    patience: Vec<Duration>,
+    deadline: Vec<Duration>,
     /// Location and cell of each engine.
     places: Vec<(usize, u64)>,
 }
@@ -163,9 +163,9 @@
     }
 
     fn round(fleet: Fleet, traffic: Vec<TrafficType>, duties: Duties, places: Vec<(usize, u64)>) -> Self {
-        let patience = traffic.iter().map(|traffic| traffic.patience).collect();
+        let deadline = traffic.iter().map(|traffic| traffic.deadline).collect();
         let (router, lines) = (Router::new(fleet, traffic, duties), Lines::default());
-        Self { router, lines, requests: 0, patience, places }
+        Self { router, lines, requests: 0, deadline, places }
     }
 
     fn row(&self, engine: EngineId, ready: bool, gone: bool, launched: Option<u64>) -> Listing {
@@ -236,8 +236,8 @@
     }
 
     /// A request whose client says whether it tried before.
-    pub fn accept_marked(&mut self, patience: u64, later_try: Option<bool>) -> &mut Self {
-        let arrival = Arrival { patience: ms(patience), later_try, ..arrival(0, 100, 300.0) };
+    pub fn accept_marked(&mut self, deadline: u64, later_try: Option<bool>) -> &mut Self {
+        let arrival = Arrival { deadline: ms(deadline), later_try, ..arrival(0, 100, 300.0) };
         self.arrive(arrival)
     }
 
@@ -251,8 +251,8 @@
     }
 
     fn arrive(&mut self, arrival: Arrival) -> &mut Self {
-        let patience = arrival.patience.min(self.patience[arrival.traffic]);
-        let arrival = Arrival { request: self.requests, patience, ..arrival };
+        let deadline = arrival.deadline.min(self.deadline[arrival.traffic]);
+        let arrival = Arrival { request: self.requests, deadline, ..arrival };
         self.requests += 1;
         self.router.accept(ms(self.lines.1), arrival, &mut self.lines);
         self
@@ -388,7 +388,7 @@
         key: None,
         cost: (cost > 0).then(|| ms(cost)),
         memory_mb: (memory_mb > 0.0).then_some(memory_mb),
-        patience: ms(24000),
+        deadline: ms(24000),
         waited: Duration::ZERO,
         later_try: None,
         group: None,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_answer_comes_before_patience_ends_with_no_engine_or_estimate() {
+fn an_answer_comes_before_deadline_ends_with_no_engine_or_estimate() {
     let mut trace = Trace::new(0, |_, _, _| ());
     trace.accept(0, 0, 0.0).accept(2, 1, 1e12).at(7000).wait(8000).ended(0, 0, 0, AttemptEnd::TimedOut);
     trace.notice(7, 3, Notice::Done(0.0)).left(9);
