--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -353,7 +353,7 @@
             times.push(request.deadline);
             times.extend(request.out().map(|attempt| attempt.until));
             if world.fine {
-                times.extend(around(request.arrived + world.traffic_of(number).target));
+                times.extend(around(request.arrived + world.traffic_of(number).latency_objective));
             }
             if let (Some(window), Some(attempt)) = (world.window(number), request.first_that_may_have_run()) {
                 times.extend(before(attempt.sent + window - world.margin()));
--- a/crates/explorer/src/turns.rs
+++ b/crates/explorer/src/turns.rs
@@ -204,7 +204,7 @@
                     urgency,
                     traffic: 0,
                     work: Duration::from_millis(work),
-                    target: Duration::from_millis(300),
+                    latency_objective: Duration::from_millis(300),
                     deadline: Duration::from_secs(3600),
                     identity: None,
                     key: None,
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -72,7 +72,7 @@
     pub signals: Option<Signals>,
     /// How late a wake-up may come.
     pub late: Duration,
-    /// Whether time also stops right before, at and after each target.
+    /// Whether time also stops right before, at and after each latency_objective.
     pub fine: bool,
     /// Whether engines may change places with their like.
     pub alike: bool,
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -49,7 +49,7 @@
     pub identity: u64,
     pub key: Option<u64>,
     pub work: Duration,
-    pub target: Duration,
+    pub latency_objective: Duration,
     /// It is handed on that long before its deadline ends.
     pub margin: Duration,
     pub asks_to_be_told: bool,
@@ -64,11 +64,12 @@
 
     /// Takes a request in, or tells after what time such a one would be taken.
     pub fn knock(&mut self, now: Duration, arrival: Arrival, knock: Knock) -> Result<(), Refusal> {
-        let Knock { team, urgency, identity, key, work, target, margin, asks_to_be_told } = knock;
+        let Knock { team, urgency, identity, key, work, latency_objective, margin, asks_to_be_told } = knock;
         let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
         let deadline = arrival.deadline.saturating_sub(arrival.waited);
         let (traffic, identity) = (arrival.traffic as u16, Some(identity));
-        let asking = Asking { request, team, urgency, traffic, work, target, deadline, identity, key };
+        let asking =
+            Asking { request, team, urgency, traffic, work, latency_objective, deadline, identity, key };
         self.queues.arrive(now, asking)?;
         let by = now + deadline.saturating_sub(margin);
         let told = (asks_to_be_told && self.roll.waits_field.is_some()).then_some(now);
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -63,7 +63,8 @@
     /// Begins with the events that the configuration tells.
     pub fn new(briefing: Briefing, works: Works) -> Self {
         let Briefing { premises, fleet, traffic, duties, last, events, orders, unread: _ } = briefing;
-        let (habits, now) = (traffic.iter().map(|t| (t.target, t.keeps_order)).collect(), works.now());
+        let (habits, now) =
+            (traffic.iter().map(|t| (t.latency_objective, t.keeps_order)).collect(), works.now());
         let longest_retry_after = duties.longest_retry_after;
         let longest = traffic.iter().map(|traffic| traffic.deadline).max().unwrap_or_default();
         let mut front = Self {
@@ -422,14 +423,14 @@
         arrival: Arrival,
         (team, urgency, identity, told): (usize, u8, u64, bool),
     ) {
-        let (target, ordered) = self.habits[arrival.traffic];
+        let (latency_objective, ordered) = self.habits[arrival.traffic];
         let knock = Knock {
             team,
             urgency,
             identity,
             key: arrival.key.filter(|_| ordered).map(|key| key as u64),
             work: self.router.expected_work(&arrival),
-            target,
+            latency_objective,
             // The decisions answer in time what they are given in time.
             margin: self.router.margin() * 2,
             asks_to_be_told: told,
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/tryout.rs
@@ -28,7 +28,7 @@
 }
 
 fn settings(listen: SocketAddr, bulletin: SocketAddr) -> Value {
-    let kind = |name: &str, target: u64, deadline: u64, repeat: &str| json!({"name": name, "onTimeMs": target, "deadlineMs": deadline, "gain": 1, "lateShare": 0.1, "repeat": repeat});
+    let kind = |name: &str, latency_objective: u64, deadline: u64, repeat: &str| json!({"name": name, "onTimeMs": latency_objective, "deadlineMs": deadline, "gain": 1, "lateShare": 0.1, "repeat": repeat});
     json!({"name": "tryout", "listen": listen.to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "bulletin": bulletin.to_string(),
         "known": {"no": 0, "items": []},
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -133,8 +133,8 @@
         (listed("parallelism")?, listed("writesTables")?, listed("blockedByLoads")?);
     let read = |(at, row): (usize, Fields)| {
         Ok(TrafficType {
-            target: row.positive_time("onTimeMs")?,
-            target_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
+            latency_objective: row.positive_time("onTimeMs")?,
+            objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
             deadline: row.positive_time("deadlineMs")?,
             revenue: row.not_negative("gain")?,
             late_share: row.share("lateShare")?,
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -16,7 +16,7 @@
         urgency: request.is_multiple_of(11).into(),
         traffic: (request % 5) as u16,
         work: Duration::from_millis(20 + u64::from(request) % 400),
-        target: Duration::from_secs(2),
+        latency_objective: Duration::from_secs(2),
         deadline: Duration::from_secs(3600),
         identity: Some(request.into()),
         key: None,
--- a/crates/teams/src/queues.rs
+++ b/crates/teams/src/queues.rs
@@ -17,7 +17,7 @@
 pub const MOST_URGENT: u8 = 3;
 /// Ground that a request may gain by urgency and age together, in requests like it: what its team may be ahead by.
 const MOST_GROUND: u32 = 4;
-/// One turn in so many of a team goes to what has waited longest for its target, however urgent the rest.
+/// One turn in so many of a team goes to what has waited longest for its latency_objective, however urgent the rest.
 const PASSED_BY: u32 = 8;
 /// Requests that are tried before it is left at that.
 const TRIED: usize = 32;
@@ -36,7 +36,7 @@
     /// Expected, as one core's time.
     pub work: Duration,
     /// It gains ground once for each target time that it has waited.
-    pub target: Duration,
+    pub latency_objective: Duration,
     /// From its arrival; what can't be run within is turned away at once.
     pub deadline: Duration,
     /// The same for a request and its repeats.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     turn: Turn,
-    target: Duration,
+    latency_objective: Duration,
     work: Duration,
     identity: Option<u64>,
     /// The wait in seconds that was reckoned when it came.
@@ -204,12 +204,16 @@
             let retry_after = (wait_or_none + asking.work).saturating_sub(asking.deadline);
             return Err(Refusal { reason: Reason::Hopeless, retry_after });
         }
-        let Asking { request, team, urgency, traffic, work, target, identity, key, .. } = asking;
+        let Asking { request, team, urgency, traffic, work, latency_objective, identity, key, .. } = asking;
         let turn = (now, self.turns);
         let (team, reckoned) = (team as u32, reckoned.map(|seconds| seconds as f32));
         self.turns += 1;
         self.keyed.extend(key.map(|key| (request, key)));
-        self.enter(now, request, Waiting { turn, target, work, identity, reckoned, team, traffic, urgency });
+        self.enter(
+            now,
+            request,
+            Waiting { turn, latency_objective, work, identity, reckoned, team, traffic, urgency },
+        );
         Ok(())
     }
 
@@ -397,10 +401,10 @@
     /// The ground that a request has gained, and when it gains more.
     fn ground(now: Duration, waiting: &Waiting) -> (u32, Option<Duration>) {
         let (since, urgency) = (now.saturating_sub(waiting.turn.0), u32::from(waiting.urgency));
-        let target = waiting.target.max(Duration::from_nanos(1));
-        let aged = (since.as_nanos() / target.as_nanos()).min(MOST_GROUND.into()) as u32;
+        let latency_objective = waiting.latency_objective.max(Duration::from_nanos(1));
+        let aged = (since.as_nanos() / latency_objective.as_nanos()).min(MOST_GROUND.into()) as u32;
         let ground = (urgency + aged).min(MOST_GROUND);
-        (ground, (ground < MOST_GROUND).then(|| waiting.turn.0 + target * (aged + 1)))
+        (ground, (ground < MOST_GROUND).then(|| waiting.turn.0 + latency_objective * (aged + 1)))
     }
 
     /// The first request of each of a team's lanes in the order in which they are to go: the most urgent, and of
@@ -414,7 +418,7 @@
             .map(|(turn, request)| {
                 let waiting = &self.waiting[request];
                 let urgency = if for_all { 0 } else { waiting.urgency };
-                (Reverse(urgency), waiting.turn.0 + waiting.target, *turn, *request)
+                (Reverse(urgency), waiting.turn.0 + waiting.latency_objective, *turn, *request)
             })
             .collect();
         heads.sort_unstable();
--- a/crates/teams/tests/day/mod.rs
+++ b/crates/teams/tests/day/mod.rs
@@ -24,7 +24,7 @@
     pub teams: Vec<(f64, Habit)>,
     pub servers: usize,
     pub lasts: f64,
-    pub target: f64,
+    pub latency_objective: f64,
     pub deadline: f64,
     /// The work that a request comes to against what was expected.
     pub off: f64,
@@ -154,7 +154,7 @@
             running.remove(&(at, request));
             let asked = &requests[&request];
             figures.served += 1;
-            figures.in_time += usize::from(now - asked.arrived <= asked.asking.target);
+            figures.in_time += usize::from(now - asked.arrived <= asked.asking.latency_objective);
             policy.ended(now, request, secs(asked.work));
         }
         while let Some((at, request)) = deadline.first().copied().filter(|(at, _)| *at <= now) {
@@ -172,7 +172,7 @@
                 urgency: if is_urgent { 2 } else { 0 },
                 traffic: u16::from(is_urgent),
                 work: secs(work / day.off),
-                target: secs(day.target),
+                latency_objective: secs(day.latency_objective),
                 deadline: secs(day.deadline),
                 identity: None,
                 key: None,
@@ -237,7 +237,7 @@
     // A share is two servers: some ten requests a second at a fifth of a second each.
     let rates = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
     let teams = rates.into_iter().map(|rate| (1.0, habit(rate))).collect();
-    Day { teams, servers: 16, lasts: 60.0, target: 4.0, deadline: 20.0, off: 1.0, seed }
+    Day { teams, servers: 16, lasts: 60.0, latency_objective: 4.0, deadline: 20.0, off: 1.0, seed }
 }
 
 pub fn charter(day: &Day) -> Charter {
--- a/crates/teams/tests/turns.rs
+++ b/crates/teams/tests/turns.rs
@@ -50,9 +50,18 @@
 
     fn ask_for(&mut self, change: impl Fn(&mut Asking)) -> &mut Self {
         let (request, team, urgency) = (self.next, 0, 0);
-        let (work, target, deadline) = (ms(100), ms(1000), ms(60_000));
-        let mut asking =
-            Asking { request, team, urgency, traffic: 0, work, target, deadline, identity: None, key: None };
+        let (work, latency_objective, deadline) = (ms(100), ms(1000), ms(60_000));
+        let mut asking = Asking {
+            request,
+            team,
+            urgency,
+            traffic: 0,
+            work,
+            latency_objective,
+            deadline,
+            identity: None,
+            key: None,
+        };
         change(&mut asking);
         self.next += 1;
         if let Err(Refusal { reason, retry_after }) = self.queues.arrive(ms(self.now), asking) {
@@ -527,10 +536,10 @@
         for input in inputs {
             match input {
                 Input::Ask(team, urgency, work) => {
-                    let (work, target, deadline) = (ms(work), ms(300), ms(10_000));
+                    let (work, latency_objective, deadline) = (ms(work), ms(300), ms(10_000));
                     let (team, identity) = (team % teams, Some(u64::from(urgency)));
                     let asking =
-                        Asking { request: next, team, urgency, traffic: 0, work, target, deadline, identity, key: None };
+                        Asking { request: next, team, urgency, traffic: 0, work, latency_objective, deadline, identity, key: None };
                     waits.extend(queues.arrive(ms(now), asking).is_ok().then_some(next));
                     next += 1;
                 }
--- a/crates/wirehost/tests/digest.rs
+++ b/crates/wirehost/tests/digest.rs
@@ -111,8 +111,8 @@
 }
 
 fn settings(chance: &mut Chance, seed: u64) -> Value {
-    let class = |repeat: &str, target: f64| {
-        json!({"deadlineMs": target * 4.0, "gain": 1, "lateShare": 0.1, "onTimeMs": target, "repeat": repeat,
+    let class = |repeat: &str, latency_objective: f64| {
+        json!({"deadlineMs": latency_objective * 4.0, "gain": 1, "lateShare": 0.1, "onTimeMs": latency_objective, "repeat": repeat,
             "keyScope": "cell", "windowMs": 300.0, "keepOrder": repeat == "by_key" && seed.is_multiple_of(2)})
     };
     let caps = json!({"cancel": !seed.is_multiple_of(5), "maxRetryAfterMs": 100.0, "mostTries": 1 + chance.below(3),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -65,8 +65,8 @@
 }
 
 pub struct TrafficType {
-    pub target: Duration,
-    pub target_stretch: f64,
+    pub latency_objective: Duration,
+    pub objective_stretch: f64,
     pub deadline: Duration,
     pub revenue: f64,
     pub late_share: f64,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// Part of an engine's memory, within this router's share, that the target starts at (the design's 0.5).
-const TARGET_PART: f64 = 0.5;
+const MEMORY_TARGET_PART: f64 = 0.5;
 /// F and F3: the parts of the target that small and medium requests may fill together.
 const SMALL_PART: f64 = 0.3;
 const MEDIUM_PART: f64 = 0.6;
@@ -59,7 +59,7 @@
 impl Gateway {
     /// The design's categories: parts of the target over the mean count per engine, the new one included.
     fn tier(&self, memory: Option<f64>) -> Tier {
-        let threshold = |part: f64, count: f64| self.target * part * self.engines / (count + 1.0);
+        let threshold = |part: f64, count: f64| self.memory_target * part * self.engines / (count + 1.0);
         match memory {
             None => Tier::Medium,
             Some(memory) if memory < self.unblocked => Tier::Unblocked,
@@ -171,7 +171,7 @@
         let (cost, memory) = learned.expected(arrival);
         let ideal = cost / traffic.threads.max(1.0);
         let arrived = now.saturating_sub(arrival.waited);
-        let target = arrived + traffic.target + span(traffic.target_stretch * ideal);
+        let latency_objective = arrived + traffic.latency_objective + span(traffic.objective_stretch * ideal);
         Request {
             traffic: arrival.traffic,
             key,
@@ -181,7 +181,10 @@
             memory,
             group: arrival.group,
             arrived,
-            target: target.saturating_sub(spent).min(arrived + arrival.deadline).min(self.closing),
+            latency_objective: latency_objective
+                .saturating_sub(spent)
+                .min(arrived + arrival.deadline)
+                .min(self.closing),
             deadline: (arrived + arrival.deadline).min(self.closing),
             over: false,
             left: false,
@@ -340,7 +343,8 @@
     pub fn closing(&mut self, now: Duration, by: Duration, out: &mut impl Outlet) {
         self.closing = by;
         let cut = |request: &mut Request| {
-            (request.deadline, request.target) = (request.deadline.min(by), request.target.min(by))
+            (request.deadline, request.latency_objective) =
+                (request.deadline.min(by), request.latency_objective.min(by))
         };
         self.requests.values_mut().for_each(cut);
         out.wake_after(by.saturating_sub(now + self.margin() * 3));
@@ -380,7 +384,7 @@
 
     /// The shortest target time: the module's measure for what is soon and what is long.
     pub(crate) fn beat(&self) -> Duration {
-        self.traffic.iter().map(|t| t.target).min().unwrap_or(self.fleet.tick)
+        self.traffic.iter().map(|t| t.latency_objective).min().unwrap_or(self.fleet.tick)
     }
 
     /// Before which a final answer must be on its way.
@@ -477,8 +481,8 @@
             pool: pressed().map(|(id, _)| seen[id].ease * cores).sum(),
             held: [Tier::Unblocked, Tier::Small, Tier::Medium, Tier::Largest].map(held),
             unblocked: memory_mb / cores * UNBLOCKED_PART,
-            target: memory_mb * share * TARGET_PART * swing,
-            untold: (1.0 + TARGET_PART) / 2.0 * swing.min(1.0),
+            memory_target: memory_mb * share * MEMORY_TARGET_PART * swing,
+            untold: (1.0 + MEMORY_TARGET_PART) / 2.0 * swing.min(1.0),
             engines: engines().count().max(1) as f64,
             small: count(Tier::Small),
             medium: count(Tier::Medium),
@@ -656,7 +660,7 @@
         };
         let memory = fade(signals.memory, unseen, guess.0, there.0);
         // A probe tells late, and others ask too: half as far as the guess, it lets requests go as well.
-        let in_use = if self.fleet.probes_tell { guess.0.min(memory / TARGET_PART) } else { memory };
+        let in_use = if self.fleet.probes_tell { guess.0.min(memory / MEMORY_TARGET_PART) } else { memory };
         (in_use, memory + fade(signals.busy, unseen_busy, guess.1, there.1))
     }
 
@@ -671,7 +675,7 @@
         // What an earlier note promised and has not come does not count.
         let due = request.attempts.last().and_then(|attempt| attempt.finish).filter(|at| *at > now);
         let left = || due.map_or(self.usual_cost(request.traffic), |at| seconds(at - now) * traffic.threads);
-        now > request.target && traffic.late_share * traffic.revenue < usual() / 4.0 * left()
+        now > request.latency_objective && traffic.late_share * traffic.revenue < usual() / 4.0 * left()
     }
 
     fn usual_cost(&self, traffic: usize) -> f64 {
@@ -979,16 +983,17 @@
         let from = now.saturating_sub(self.beat() * 4);
         // Those of untold cost stand in one line, which has one time-out: else patient ones keep others out.
         let way =
-            |(at, t): (usize, &TrafficType)| t.target_stretch * self.usual_cost(at) / t.threads.max(1.0);
-        let ways = self.traffic.iter().enumerate().map(|t| t.1.target + span(way(t)));
+            |(at, t): (usize, &TrafficType)| t.objective_stretch * self.usual_cost(at) / t.threads.max(1.0);
+        let ways = self.traffic.iter().enumerate().map(|t| t.1.latency_objective + span(way(t)));
         let shortest = ways.min().unwrap_or(Duration::MAX);
         // Guards against crowds that no fleet could serve, which each input would go through: more work than
-        // four times (so far off may the part be) what this router's part of all cores does until its target.
+        // four times (so far off may the part be) what this router's part of all cores does until its latency_objective.
         let cores = self.engines.values().filter(|e| !e.gone).map(|e| self.fleet.kinds[e.kind].cores);
         let (most, mut before) = (4.0 * sight.share * cores.sum::<f64>(), 0.0);
         let behind = |(at, (id, request)): (usize, (&RequestId, &Request))| {
             let work = before + request.ideal * self.traffic[request.traffic].threads;
-            let fits = at < SAMPLES || work <= most * seconds(request.target.saturating_sub(request.arrived));
+            let fits = at < SAMPLES
+                || work <= most * seconds(request.latency_objective.saturating_sub(request.arrived));
             before = if fits { work } else { before };
             (!fits && request.attempts.is_empty()).then_some(*id)
         };
@@ -1001,14 +1006,14 @@
             let run = span(if request.told_cost.is_some() || back() { run } else { 0.0 });
             if !router.has_turn(id, request, now) {
                 let earns_late = router.traffic[request.traffic].late_share > 0.0;
-                return now + run > if earns_late { request.deadline } else { request.target };
+                return now + run > if earns_late { request.deadline } else { request.latency_objective };
             }
             let tiers = sight.gateways.iter().map(|gateway| gateway.tier(memory));
             let hold = HOLD[tiers.min().unwrap_or(Tier::Largest) as usize];
             let alone = request.told_cost.is_some() || request.key.is_some();
-            let way = request.target.saturating_sub(request.arrived);
+            let way = request.latency_objective.saturating_sub(request.arrived);
             let time_out = request.arrived + if alone { way } else { way.min(shortest) }.mul_f64(hold);
-            now + run > request.target || now > time_out || crowd.contains(&id)
+            now + run > request.latency_objective || now > time_out || crowd.contains(&id)
         };
         self.refuse(|router, id, request| request.held() && in_vain(router, id, request), out)
     }
--- a/src/print.rs
+++ b/src/print.rs
@@ -96,7 +96,9 @@
         ]
         .iter()
         .for_each(|figure| figure.to_bits().hash(into));
-        [request.arrived, request.target, request.deadline].iter().for_each(|at| since(now, *at).hash(into));
+        [request.arrived, request.latency_objective, request.deadline]
+            .iter()
+            .for_each(|at| since(now, *at).hash(into));
         // Of an attempt that is over only whether it may have run counts, and of the first of these when it left.
         let ran = |attempt: &&Attempt| {
             !matches!(attempt.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
--- a/src/state.rs
+++ b/src/state.rs
@@ -23,7 +23,7 @@
     pub memory: f64,
     pub group: Option<u64>,
     pub arrived: Duration,
-    pub target: Duration,
+    pub latency_objective: Duration,
     pub deadline: Duration,
     pub over: bool,
     /// Its client has nothing more to say, and may be gone.
@@ -118,7 +118,7 @@
 /// of each tier at engines under pressure beside the cores that count there.
 pub struct Gateway {
     pub unblocked: f64,
-    pub target: f64,
+    pub memory_target: f64,
     /// Part of an engine's memory that may fill where nothing tells how full it is.
     pub untold: f64,
     pub engines: f64,
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -274,11 +274,11 @@
 }
 
 fn traffic_type(random: &mut Random, kinds: usize) -> TrafficType {
-    let target = random.time(100, 800);
+    let latency_objective = random.time(100, 800);
     TrafficType {
-        target,
-        target_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
-        deadline: target * random.among(1, 8) as u32,
+        latency_objective,
+        objective_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
+        deadline: latency_objective * random.among(1, 8) as u32,
         revenue: random.between(0.5, 8.0),
         late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
         effect: effect(random),
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -50,10 +50,10 @@
 
 /// Traffic types 0 to 2: short replayable, long replayable on three threads, single-use holding its group.
 pub fn traffic() -> Vec<TrafficType> {
-    let short = |effect, revenue, target, threads| TrafficType {
-        target: ms(target),
-        target_stretch: 2.0,
-        deadline: ms(target * 8),
+    let short = |effect, revenue, latency_objective, threads| TrafficType {
+        latency_objective: ms(latency_objective),
+        objective_stretch: 2.0,
+        deadline: ms(latency_objective * 8),
         revenue,
         late_share: 0.0,
         effect,
@@ -113,7 +113,7 @@
     ];
     let plain = traffic.swap_remove(0);
     let short = |effect| TrafficType {
-        target: ms(160),
+        latency_objective: ms(160),
         deadline: ms(320),
         effect,
         kinds: None,
