--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -54,7 +54,11 @@
         breaks: out_of_turn,
     },
     Law { name: "key rest", says: "a key rests after an attempt that may still run", breaks: key_disturbed },
-    Law { name: "placement", says: "every attempt goes where its traffic type is placed", breaks: misplaced },
+    Law {
+        name: "placement",
+        says: "every attempt goes where its request class is placed",
+        breaks: misplaced,
+    },
     Law {
         name: "attempt limit",
         says: "a request has no more attempts than allowed",
@@ -112,13 +116,13 @@
 fn runs_twice(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Send { request: number, .. } = act else { return false };
     let ran = sent_again(life, act).is_some_and(|request| request.first_that_may_have_run().is_some());
-    ran && matches!(world.traffic_of(*number).effect, Effect::SingleUse)
+    ran && matches!(world.class_of(*number).effect, Effect::SingleUse)
 }
 
 fn repeat_unknown(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Send { request: number, engine, .. } = act else { return false };
     let Some(first) = sent_again(life, act).and_then(Truth::first_that_may_have_run) else { return false };
-    let Effect::Referenced { scope, window } = &world.traffic_of(*number).effect else { return false };
+    let Effect::Referenced { scope, window } = &world.class_of(*number).effect else { return false };
     let (was, is) = (world.engines[first.engine], world.engines[*engine]);
     let known = match scope {
         Scope::All => true,
@@ -131,7 +135,7 @@
 fn harmful_reject(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Reject { request: number } = act else { return false };
     let request = request(life, number);
-    let known = match &world.traffic_of(*number).effect {
+    let known = match &world.class_of(*number).effect {
         Effect::Replayable => true,
         Effect::Referenced { scope, .. } => *scope == Scope::All,
         Effect::SingleUse => false,
@@ -167,7 +171,7 @@
 fn out_of_turn(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Send { request: number, .. } = act else { return false };
     let at = *number as usize;
-    let Some(key) = world.requests[at].key.filter(|_| world.traffic_of(*number).keeps_order) else {
+    let Some(key) = world.requests[at].key.filter(|_| world.class_of(*number).keeps_order) else {
         return false;
     };
     let before = life.requests[..at].iter().zip(world.requests);
@@ -188,9 +192,9 @@
 
 fn misplaced(world: &World, _: &Life, act: &Act) -> bool {
     let Act::Send { request: number, engine, .. } = act else { return false };
-    let traffic = world.traffic_of(*number);
-    let kind = traffic.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&world.kind(*engine)));
-    kind || traffic.locations.as_ref().is_some_and(|places| !places.contains(&world.engines[*engine].0))
+    let class = world.class_of(*number);
+    let kind = class.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&world.kind(*engine)));
+    kind || class.locations.as_ref().is_some_and(|places| !places.contains(&world.engines[*engine].0))
 }
 
 fn too_many_attempts(world: &World, life: &Life, act: &Act) -> bool {
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -190,11 +190,11 @@
 
 impl Life {
     pub fn new(world: &World) -> Self {
-        let (fleet, traffic, duties) = world.place.told();
+        let (fleet, classes, duties) = world.place.told();
         let now = Duration::from_secs(20);
         let mut life = Self {
             now,
-            router: Router::new(fleet, traffic, duties),
+            router: Router::new(fleet, classes, duties),
             requests: Vec::new(),
             sites: Vec::new(),
             wakes: Vec::new(),
@@ -353,7 +353,7 @@
             times.push(request.deadline);
             times.extend(request.out().map(|attempt| attempt.until));
             if world.fine {
-                times.extend(around(request.arrived + world.traffic_of(number).latency_objective));
+                times.extend(around(request.arrived + world.class_of(number).latency_objective));
             }
             if let (Some(window), Some(attempt)) = (world.window(number), request.first_that_may_have_run()) {
                 times.extend(before(attempt.sent + window - world.margin()));
@@ -449,7 +449,7 @@
                 life.router.wake(now, &mut acts);
             }
             Move::Close => {
-                let by = now + world.traffic[0].deadline;
+                let by = now + world.classes[0].deadline;
                 life.closing = Some(by);
                 life.router.closing(now, by, &mut acts);
             }
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -103,10 +103,10 @@
     Place {
         name: "placed",
         says: "a request bound to one kind and one location, engines of every other",
-        setup: setup!(|fleet, traffic, duties| {
+        setup: setup!(|fleet, classes, duties| {
             fleet.kinds.push(emberflow::Kind { cores: 8.0, memory_mb: 16000.0 });
-            traffic[0].kinds = Some(vec![1]);
-            traffic[0].locations = Some(vec![1]);
+            classes[0].kinds = Some(vec![1]);
+            classes[0].locations = Some(vec![1]);
         }),
         engines: &[(1, 0), (0, 0), (1, 0)],
         kinds: &[1, 1, 0],
@@ -162,7 +162,7 @@
     Place {
         name: "list asked",
         says: "a list that is asked for, breaks off and comes back empty",
-        setup: setup!(|fleet, traffic, duties| {
+        setup: setup!(|fleet, classes, duties| {
             fleet.list_is_asked = true;
         }),
         engines: TWO,
@@ -197,8 +197,8 @@
     Place {
         name: "one key",
         says: "two replayable requests of one key that rests, one engine",
-        setup: setup!(|fleet, traffic, duties| {
-            traffic[0].keeps_order = true;
+        setup: setup!(|fleet, classes, duties| {
+            classes[0].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
         }),
         engines: &[(0, 0)],
@@ -210,8 +210,8 @@
     Place {
         name: "one key, single-use",
         says: "two single-use requests of one key that rests, no cancel, a client that leaves its attempt out",
-        setup: setup!(|fleet, traffic, duties| {
-            traffic[4].keeps_order = true;
+        setup: setup!(|fleet, classes, duties| {
+            classes[4].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
             duties.may_cancel = false;
         }),
@@ -224,9 +224,9 @@
     Place {
         name: "one key, two effects",
         says: "a replayable request, whose further attempts need no rest, and a single-use one of its key that does",
-        setup: setup!(|fleet, traffic, duties| {
-            traffic[0].keeps_order = true;
-            traffic[4].keeps_order = true;
+        setup: setup!(|fleet, classes, duties| {
+            classes[0].keeps_order = true;
+            classes[4].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
             duties.may_cancel = false;
         }),
@@ -239,9 +239,9 @@
     Place {
         name: "three of one key",
         says: "a single-use request between two replayable ones of its key: one rest after another",
-        setup: setup!(|fleet, traffic, duties| {
-            traffic[0].keeps_order = true;
-            traffic[4].keeps_order = true;
+        setup: setup!(|fleet, classes, duties| {
+            classes[0].keeps_order = true;
+            classes[4].keeps_order = true;
             duties.key_rest = Some(std::time::Duration::from_millis(60));
             duties.may_cancel = false;
         }),
@@ -254,7 +254,7 @@
     Place {
         name: "attempt budget",
         says: "two replayable requests, one engine, an attempt budget with room for one of them",
-        setup: setup!(|fleet, traffic, duties| {
+        setup: setup!(|fleet, classes, duties| {
             let over = std::time::Duration::from_millis(400);
             duties.attempt_budget = Some(AttemptBudget { spare: 1.0, per_request: 0.0, over });
         }),
@@ -267,7 +267,7 @@
     Place {
         name: "attempt budget at two",
         says: "the same at two engines, with notes that tell of a bad plan",
-        setup: setup!(|fleet, traffic, duties| {
+        setup: setup!(|fleet, classes, duties| {
             let over = std::time::Duration::from_millis(400);
             duties.attempt_budget = Some(AttemptBudget { spare: 0.5, per_request: 0.5, over });
         }),
@@ -294,7 +294,7 @@
     Place {
         name: "cold engine, small part",
         says: "the same for one of forty routers, whose part is less than one request",
-        setup: setup!(|fleet, traffic, duties| {
+        setup: setup!(|fleet, classes, duties| {
             fleet.routers = 40;
             duties.warm_up = std::time::Duration::from_millis(2000);
         }),
@@ -326,7 +326,7 @@
     Place {
         name: "may not cancel",
         says: "attempts that may not be taken back, with every reason to",
-        setup: setup!(|fleet, traffic, duties| {
+        setup: setup!(|fleet, classes, duties| {
             duties.may_cancel = false;
         }),
         engines: TWO,
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -12,7 +12,7 @@
     let _ = writeln!(text, "#[test]\nfn {name}() {{");
     let setup = match world.setup.text {
         "{}" => "|_, _, _| ()".to_owned(),
-        body => format!("|fleet, traffic, duties| {body}"),
+        body => format!("|fleet, classes, duties| {body}"),
     };
     let _ = writeln!(text, "    let mut trace = Trace::small(&{:?}, {setup});", world.engines);
     let mut at = None;
@@ -35,7 +35,7 @@
             let asks = &world.requests[life.requests.len()];
             drawn(
                 draw,
-                format!(".accept_keyed({}, {}, {:?}, {:?})", asks.traffic, asks.cost, asks.memory, asks.key),
+                format!(".accept_keyed({}, {}, {:?}, {:?})", asks.class, asks.cost, asks.memory, asks.key),
             )
         }
         Move::End { request, end, draw } => {
@@ -71,7 +71,7 @@
         Move::Leave { request, draw } => drawn(draw, format!(".left({request})")),
         Move::Wake { draw } => drawn(draw, ".woken()".to_owned()),
         Move::Close => {
-            let by = life.now + world.traffic[0].deadline;
+            let by = life.now + world.classes[0].deadline;
             Some(format!(".closing({})", by.as_millis()))
         }
         Move::Pass => None,
--- a/crates/explorer/src/turns.rs
+++ b/crates/explorer/src/turns.rs
@@ -202,7 +202,7 @@
                     request: at as Ticket,
                     team: if next.changed { 0 } else { team },
                     urgency,
-                    traffic: 0,
+                    class: 0,
                     work: Duration::from_millis(work),
                     latency_objective: Duration::from_millis(300),
                     deadline: Duration::from_secs(3600),
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -10,29 +10,29 @@
 /// What is told at start, as a change to the base that the traces of the repository start from, and its text.
 pub struct Setup {
     pub text: &'static str,
-    pub change: fn(&mut Fleet, &mut Vec<TrafficType>, &mut Duties),
+    pub change: fn(&mut Fleet, &mut Vec<RequestClass>, &mut Duties),
 }
 
 /// Writes the change once, for the module and for a reader.
 #[macro_export]
 macro_rules! setup {
-    (|$fleet:ident, $traffic:ident, $duties:ident| $body:block) => {
+    (|$fleet:ident, $classes:ident, $duties:ident| $body:block) => {
         $crate::world::Setup {
             text: stringify!($body),
             change: |$fleet: &mut emberflow::Fleet,
-                     $traffic: &mut Vec<emberflow::TrafficType>,
+                     $classes: &mut Vec<emberflow::RequestClass>,
                      $duties: &mut emberflow::Duties| {
-                let _ = (&mut *$fleet, &mut *$traffic, &mut *$duties);
+                let _ = (&mut *$fleet, &mut *$classes, &mut *$duties);
                 $body
             },
         }
     };
 }
 
-/// A request that may come: its traffic type, key, told cost in milliseconds and memory in MB.
+/// A request that may come: its request class, key, told cost in milliseconds and memory in MB.
 #[derive(Clone, Copy)]
 pub struct Asks {
-    pub traffic: usize,
+    pub class: usize,
     pub key: Option<KeyId>,
     pub cost: u64,
     pub memory: f64,
@@ -97,7 +97,7 @@
     pub const PLAIN: Place = Place {
         name: "plain",
         says: "one replayable request at one engine",
-        setup: setup!(|fleet, traffic, duties| {}),
+        setup: setup!(|fleet, classes, duties| {}),
         engines: &[(0, 0)],
         kinds: &[0],
         requests: &[asks(0)],
@@ -117,10 +117,10 @@
         short: true,
     };
 
-    pub fn told(&self) -> (Fleet, Vec<TrafficType>, Duties) {
-        let (mut fleet, mut traffic, mut duties) = trace::small();
-        (self.setup.change)(&mut fleet, &mut traffic, &mut duties);
-        (fleet, traffic, duties)
+    pub fn told(&self) -> (Fleet, Vec<RequestClass>, Duties) {
+        let (mut fleet, mut classes, mut duties) = trace::small();
+        (self.setup.change)(&mut fleet, &mut classes, &mut duties);
+        (fleet, classes, duties)
     }
 }
 
@@ -128,7 +128,7 @@
 pub struct World {
     pub place: &'static Place,
     pub fleet: Fleet,
-    pub traffic: Vec<TrafficType>,
+    pub classes: Vec<RequestClass>,
     pub duties: Duties,
 }
 
@@ -142,16 +142,16 @@
 
 impl World {
     pub fn of(place: &'static Place) -> Self {
-        let (fleet, traffic, duties) = place.told();
-        Self { place, fleet, traffic, duties }
+        let (fleet, classes, duties) = place.told();
+        Self { place, fleet, classes, duties }
     }
 
     pub fn kind(&self, engine: EngineId) -> usize {
         self.kinds.get(engine).copied().unwrap_or(0)
     }
 
-    pub fn traffic_of(&self, request: RequestId) -> &TrafficType {
-        &self.traffic[self.requests[request as usize].traffic]
+    pub fn class_of(&self, request: RequestId) -> &RequestClass {
+        &self.classes[self.requests[request as usize].class]
     }
 
     /// Before which a final answer must be on its way.
@@ -160,7 +160,7 @@
     }
 
     pub fn window(&self, request: RequestId) -> Option<Duration> {
-        match &self.traffic_of(request).effect {
+        match &self.class_of(request).effect {
             Effect::Referenced { window, .. } => Some(*window),
             _ => None,
         }
@@ -170,11 +170,11 @@
         let asks = &self.requests[number];
         Arrival {
             request: number as RequestId,
-            traffic: asks.traffic,
+            class: asks.class,
             key: asks.key,
             cost: (asks.cost > 0).then(|| Duration::from_millis(asks.cost)),
             memory_mb: (asks.memory > 0.0).then_some(asks.memory),
-            deadline: self.traffic[asks.traffic].deadline,
+            deadline: self.classes[asks.class].deadline,
             waited: Duration::ZERO,
             later_try: None,
             group: None,
@@ -182,12 +182,12 @@
     }
 }
 
-pub const fn asks(traffic: usize) -> Asks {
-    Asks { traffic, key: None, cost: 20, memory: 300.0 }
+pub const fn asks(class: usize) -> Asks {
+    Asks { class, key: None, cost: 20, memory: 300.0 }
 }
 
-pub const fn keyed(traffic: usize, key: KeyId) -> Asks {
-    Asks { key: Some(key), ..asks(traffic) }
+pub const fn keyed(class: usize, key: KeyId) -> Asks {
+    Asks { key: Some(key), ..asks(class) }
 }
 
 impl Walk for World {
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -82,7 +82,7 @@
 }
 
 fn check(path: &OsStr, operator: Option<&OsStr>) -> Result<(), String> {
-    let Briefing { premises, fleet, traffic, events, last, unread, orders, .. } =
+    let Briefing { premises, fleet, classes, events, last, unread, orders, .. } =
         briefing(path, operator, None)?;
     let engines = events.iter().flat_map(|(_, rows)| rows).map(|row| row.id);
     let engines = engines.collect::<std::collections::BTreeSet<_>>().len();
@@ -93,7 +93,7 @@
         fleet.routers,
         fleet.kinds.len()
     );
-    println!("{} traffic types: {}", traffic.len(), premises.traffic.join(", "));
+    println!("{} class types: {}", classes.len(), premises.classes.join(", "));
     unread.iter().for_each(|unread| println!("{unread}, so it goes unread"));
     if let Some(roll) = orders.teams {
         let part = |(at, name): (usize, &String)| format!("{name} {:.1} %", roll.charter.part(at) * 100.0);
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -67,9 +67,9 @@
         let Knock { team, urgency, identity, key, work, latency_objective, margin, asks_to_be_told } = knock;
         let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
         let deadline = arrival.deadline.saturating_sub(arrival.waited);
-        let (traffic, identity) = (arrival.traffic as u16, Some(identity));
+        let (class, identity) = (arrival.class as u16, Some(identity));
         let asking =
-            Asking { request, team, urgency, traffic, work, latency_objective, deadline, identity, key };
+            Asking { request, team, urgency, class, work, latency_objective, deadline, identity, key };
         self.queues.arrive(now, asking)?;
         let by = now + deadline.saturating_sub(margin);
         let told = (asks_to_be_told && self.roll.waits_field.is_some()).then_some(now);
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/floor.rs
@@ -110,7 +110,7 @@
             request,
             number: row.attempts.len(),
             id: &row.req,
-            class: &self.premises.traffic[row.class],
+            class: &self.premises.classes[row.class],
             opkey: row.opkey.as_deref(),
             statement: &row.statement,
             grant_mb: row.grant_mb,
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -49,12 +49,12 @@
     /// Whether clients may have said what was not heard yet, as whoever holds the sockets knows.
     pub unheard: bool,
     pub left: bool,
-    /// The longest deadline of any traffic type.
+    /// The longest deadline of any request class.
     longest: Duration,
     /// Where the operator has told teams.
     door: Option<Door>,
     door_due: Option<Duration>,
-    /// By traffic type, the target and whether requests of one key keep their order.
+    /// By request class, the target and whether requests of one key keep their order.
     habits: Vec<(Duration, bool)>,
     longest_retry_after: Option<Duration>,
 }
@@ -62,13 +62,13 @@
 impl Front {
     /// Begins with the events that the configuration tells.
     pub fn new(briefing: Briefing, works: Works) -> Self {
-        let Briefing { premises, fleet, traffic, duties, last, events, orders, unread: _ } = briefing;
+        let Briefing { premises, fleet, classes, duties, last, events, orders, unread: _ } = briefing;
         let (habits, now) =
-            (traffic.iter().map(|t| (t.latency_objective, t.keeps_order)).collect(), works.now());
+            (classes.iter().map(|t| (t.latency_objective, t.keeps_order)).collect(), works.now());
         let longest_retry_after = duties.longest_retry_after;
-        let longest = traffic.iter().map(|traffic| traffic.deadline).max().unwrap_or_default();
+        let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let mut front = Self {
-            router: Router::new(fleet, traffic, duties),
+            router: Router::new(fleet, classes, duties),
             bulletin: Bulletin::after(last, premises.kinds.len(), premises.locations.len()),
             closed: Vec::new(),
             leaving: None,
@@ -314,7 +314,7 @@
         waited: Duration,
     ) -> Result<(), Objection> {
         let now = self.floor.works.now();
-        let class = self.floor.premises.traffic.iter().position(|name| name == method);
+        let class = self.floor.premises.classes.iter().position(|name| name == method);
         let class = class.ok_or_else(|| (id, jsonrpc::NO_METHOD, format!("no method `{method}`")))?;
         let invalid = |id: Option<u64>, what: &str| Err((id, jsonrpc::INVALID, what.to_owned()));
         let Some(number) = id else { return invalid(None, "a task without an id") };
@@ -379,7 +379,7 @@
         let floor = &mut self.floor;
         let arrival = Arrival {
             request: floor.requests.next,
-            traffic: class,
+            class,
             key: subject.map(key),
             cost,
             memory_mb,
@@ -423,7 +423,7 @@
         arrival: Arrival,
         (team, urgency, identity, told): (usize, u8, u64, bool),
     ) {
-        let (latency_objective, ordered) = self.habits[arrival.traffic];
+        let (latency_objective, ordered) = self.habits[arrival.class];
         let knock = Knock {
             team,
             urgency,
--- a/crates/router/src/premises.rs
+++ b/crates/router/src/premises.rs
@@ -1,9 +1,9 @@
 //! Where a router stands: what its configuration tells at start.
 
 use crate::bulletin::{Event, known};
-use emberflow::{Duties, Fleet, TrafficType};
+use emberflow::{Duties, Fleet, RequestClass};
 use emberflow_operator::Orders;
-use emberflow_startup::{Fault, Fields, duties, fleet, marks_retries, traffic, unknown_reports};
+use emberflow_startup::{Fault, Fields, duties, fleet, marks_retries, request_classes, unknown_reports};
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 pub struct Briefing {
     pub premises: Premises,
     pub fleet: Fleet,
-    pub traffic: Vec<TrafficType>,
+    pub classes: Vec<RequestClass>,
     pub duties: Duties,
     /// The last event of the bulletin, and all so far.
     pub last: u64,
@@ -29,10 +29,10 @@
         let premises = Premises::read(file, listen)?;
         let settings = Fields::of(file).part("settings")?;
         let (last, events) = known(Fields::of(file), &premises.locations, &premises.kinds)?;
-        let (fleet, traffic) = (fleet(premises.seed, settings)?, traffic(settings)?);
+        let (fleet, classes) = (fleet(premises.seed, settings)?, request_classes(settings)?);
         Ok(Self {
             fleet,
-            traffic,
+            classes,
             // On sockets a probe tells only that a connection works.
             duties: Duties { may_probe: false, ..duties(settings)? },
             unread: unknown_reports(settings)?,
@@ -63,7 +63,7 @@
     /// By their places in the settings.
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
-    pub traffic: Vec<String>,
+    pub classes: Vec<String>,
     pub marks_retries: bool,
     pub most_open: usize,
     /// Of a connection to an engine: what it carries, how soon it must come up, when the engine closes it.
@@ -94,7 +94,7 @@
             memory: limits.index("memory_mb")?.saturating_mul(1 << 20),
             locations: told_apart(settings.rows("zones")?.map(Ok))?,
             kinds: told_apart(settings.rows("kinds")?.map(Ok))?,
-            traffic: told_apart(settings.rows("categories")?.map(|row| row.field("name")))?,
+            classes: told_apart(settings.rows("categories")?.map(|row| row.field("name")))?,
             marks_retries: marks_retries(settings)?,
             most_open: caps
                 .optional("maxOpen", Fields::not_negative)?
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -16,7 +16,7 @@
 /// One kind of work that a client sends: requests a second, their median work in milliseconds and memory in MB.
 #[derive(Clone, Copy, Debug)]
 pub struct Habit {
-    pub traffic: &'static str,
+    pub class: &'static str,
     pub rate: f64,
     pub work_ms: f64,
     pub need_mb: f64,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Fate {
     pub team: &'static str,
-    pub traffic: &'static str,
+    pub class: &'static str,
     pub how: How,
     pub wait: Option<Duration>,
     pub run: Option<Duration>,
@@ -118,7 +118,7 @@
                 let (id, req) = (next, format!("{:016x}", chance.random::<u64>()));
                 next += 1;
                 let statement = STANDARD.encode(format!("select work_ms={work:.1} need_mb={need:.1}"));
-                let mut line = json!({"jsonrpc": "2.0", "id": id, "method": habit.traffic, "params": {
+                let mut line = json!({"jsonrpc": "2.0", "id": id, "method": habit.class, "params": {
                     "team": self.team, "urgency": habit.urgency, "req": req, "timeout": habit.deadline_ms,
                     "ms": work, "memory": need, "data": statement}});
                 if let Some(field) = self.asks {
@@ -203,7 +203,7 @@
             Told { had, ..told }
         });
         let run = run.and_then(|(began, ended)| Some(ended?.saturating_duration_since(began)));
-        let (traffic, urgent) = (request.habit.traffic, request.habit.urgency > 0);
-        Fate { team: self.team, traffic, how, wait, run, urgent, began, work: request.work, told }
+        let (class, urgent) = (request.habit.class, request.habit.urgency > 0);
+        Fate { team: self.team, class, how, wait, run, urgent, began, work: request.work, told }
     }
 }
--- a/crates/standins/src/skewed.rs
+++ b/crates/standins/src/skewed.rs
@@ -18,8 +18,8 @@
     // The flood comes on four connections, since one carries only so many open requests.
     let sends = [("audit", 2.5); 4].into_iter().chain(TEAMS[1..].iter().map(|team| (*team, 1.2)));
     let client = |(at, (team, times)): (usize, (&'static str, f64))| {
-        let habit = |traffic, rate: f64, work_ms, need_mb, urgency| Habit {
-            traffic,
+        let habit = |class, rate: f64, work_ms, need_mb, urgency| Habit {
+            class,
             rate: rate * times,
             work_ms,
             need_mb,
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/tryout.rs
@@ -44,15 +44,8 @@
             "rules": {"fallMs": 1000, "overloadFactor": 2.5, "startCapacity": 0.33, "warmUpMs": 3000}}})
 }
 
-fn habit(
-    traffic: &'static str,
-    rate: f64,
-    work_ms: f64,
-    need_mb: f64,
-    urgency: u8,
-    deadline_ms: u64,
-) -> Habit {
-    Habit { traffic, rate, work_ms, need_mb, urgency, deadline_ms }
+fn habit(class: &'static str, rate: f64, work_ms: f64, need_mb: f64, urgency: u8, deadline_ms: u64) -> Habit {
+    Habit { class, rate, work_ms, need_mb, urgency, deadline_ms }
 }
 
 /// Three teams that look up, report and post.
@@ -152,16 +145,16 @@
     }
 }
 
-/// The table by team and traffic type: how many came to what, and quantiles of wait and run in milliseconds.
+/// The table by team and request class: how many came to what, and quantiles of wait and run in milliseconds.
 pub fn table(fates: &[Fate]) -> String {
     let mut rows: BTreeMap<(&str, &str), Vec<&Fate>> = BTreeMap::new();
     for fate in fates {
-        rows.entry((fate.team, fate.traffic)).or_default().push(fate);
+        rows.entry((fate.team, fate.class)).or_default().push(fate);
     }
     let mut text = format!(
         "{:8} {:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>7} {:>8} {:>8} {:>8} {:>8}\n",
         "team",
-        "traffic",
+        "class",
         "asked",
         "succeeded",
         "bounced",
@@ -173,7 +166,7 @@
         "run p50",
         "run p99"
     );
-    for ((team, traffic), fates) in rows {
+    for ((team, class), fates) in rows {
         let count = |how| fates.iter().filter(|fate| fate.how == how).count();
         let quantiles = |of: fn(&Fate) -> Option<Duration>| {
             let mut all = Histogram::<u64>::new(3).expect("three digits");
@@ -183,7 +176,7 @@
         };
         let ([wait, longest], [run, slowest]) = (quantiles(|fate| fate.wait), quantiles(|fate| fate.run));
         text += &format!(
-            "{team:8} {traffic:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>7} {wait:>8} {longest:>8} {run:>8} {slowest:>8}\n",
+            "{team:8} {class:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>7} {wait:>8} {longest:>8} {run:>8} {slowest:>8}\n",
             fates.len(),
             count(How::Succeeded),
             count(How::Rejected),
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fields::{Fault, Fields, from_ms, to_ms};
 
-use emberflow::{AttemptBudget, Duties, Effect, Fleet, Kind, Scope, Signals, TrafficType};
+use emberflow::{AttemptBudget, Duties, Effect, Fleet, Kind, RequestClass, Scope, Signals};
 
 /// Values of a load report that nothing reads, by the settings' names and the pages'.
 const UNREAD: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
@@ -115,7 +115,7 @@
     }
 }
 
-pub fn traffic(params: Fields) -> Result<Vec<TrafficType>, Fault> {
+pub fn request_classes(params: Fields) -> Result<Vec<RequestClass>, Fault> {
     let domain = params.part("domain")?;
     let (kinds, zones) =
         (domain.list("kindCores")?.len(), params.optional("zones", Fields::list)?.map(<[_]>::len));
@@ -132,7 +132,7 @@
     let (threads, writes, blocked) =
         (listed("parallelism")?, listed("writesTables")?, listed("blockedByLoads")?);
     let read = |(at, row): (usize, Fields)| {
-        Ok(TrafficType {
+        Ok(RequestClass {
             latency_objective: row.positive_time("onTimeMs")?,
             objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
             deadline: row.positive_time("deadlineMs")?,
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that contradict each other, name what is not known, or lack what a rule needs.
 
-use emberflow_startup::{Fields, duties, fleet, marks_retries, reported, traffic, unknown_reports};
+use emberflow_startup::{Fields, duties, fleet, marks_retries, reported, request_classes, unknown_reports};
 use expect_test::expect;
 use serde_json::{Value, json};
 
@@ -47,7 +47,7 @@
 fn read(file: &Value) -> Result<(), String> {
     let settings = Fields::of(file).part("settings")?;
     fleet(1, settings)?;
-    traffic(settings)?;
+    request_classes(settings)?;
     duties(settings)?;
     marks_retries(settings)?;
     reported(settings)?;
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -14,7 +14,7 @@
         request,
         team: (request as usize * 7919) % TEAMS,
         urgency: request.is_multiple_of(11).into(),
-        traffic: (request % 5) as u16,
+        class: (request % 5) as u16,
         work: Duration::from_millis(20 + u64::from(request) % 400),
         latency_objective: Duration::from_secs(2),
         deadline: Duration::from_secs(3600),
--- a/crates/teams/src/queues.rs
+++ b/crates/teams/src/queues.rs
@@ -32,7 +32,7 @@
     pub team: usize,
     /// 0 for ordinary work.
     pub urgency: u8,
-    pub traffic: u16,
+    pub class: u16,
     /// Expected, as one core's time.
     pub work: Duration,
     /// It gains ground once for each target time that it has waited.
@@ -85,7 +85,7 @@
     /// The wait in seconds that was reckoned when it came.
     reckoned: Option<f32>,
     team: u32,
-    traffic: u16,
+    class: u16,
     urgency: u8,
 }
 
@@ -95,7 +95,7 @@
     }
 
     fn lane(&self) -> Lane {
-        (Reverse(self.urgency), self.traffic)
+        (Reverse(self.urgency), self.class)
     }
 }
 
@@ -204,7 +204,7 @@
             let retry_after = (wait_or_none + asking.work).saturating_sub(asking.deadline);
             return Err(Refusal { reason: Reason::Hopeless, retry_after });
         }
-        let Asking { request, team, urgency, traffic, work, latency_objective, identity, key, .. } = asking;
+        let Asking { request, team, urgency, class, work, latency_objective, identity, key, .. } = asking;
         let turn = (now, self.turns);
         let (team, reckoned) = (team as u32, reckoned.map(|seconds| seconds as f32));
         self.turns += 1;
@@ -212,7 +212,7 @@
         self.enter(
             now,
             request,
-            Waiting { turn, latency_objective, work, identity, reckoned, team, traffic, urgency },
+            Waiting { turn, latency_objective, work, identity, reckoned, team, class, urgency },
         );
         Ok(())
     }
--- a/crates/teams/tests/day/mod.rs
+++ b/crates/teams/tests/day/mod.rs
@@ -170,7 +170,7 @@
                 request,
                 team,
                 urgency: if is_urgent { 2 } else { 0 },
-                traffic: u16::from(is_urgent),
+                class: u16::from(is_urgent),
                 work: secs(work / day.off),
                 latency_objective: secs(day.latency_objective),
                 deadline: secs(day.deadline),
--- a/crates/teams/tests/turns.rs
+++ b/crates/teams/tests/turns.rs
@@ -55,7 +55,7 @@
             request,
             team,
             urgency,
-            traffic: 0,
+            class: 0,
             work,
             latency_objective,
             deadline,
@@ -539,7 +539,7 @@
                     let (work, latency_objective, deadline) = (ms(work), ms(300), ms(10_000));
                     let (team, identity) = (team % teams, Some(u64::from(urgency)));
                     let asking =
-                        Asking { request: next, team, urgency, traffic: 0, work, latency_objective, deadline, identity, key: None };
+                        Asking { request: next, team, urgency, class: 0, work, latency_objective, deadline, identity, key: None };
                     waits.extend(queues.arrive(ms(now), asking).is_ok().then_some(next));
                     next += 1;
                 }
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -4,7 +4,7 @@
     Arrival, AttemptEnd, Bill, Ended, EngineId, KeyId, Listing, Notice, Outlet, RequestId, Router, Signals,
 };
 use emberflow_startup::{
-    Fault, Fields, duties, fleet, from_ms, load, marks_retries, reported, to_ms, traffic,
+    Fault, Fields, duties, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
 };
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -99,7 +99,8 @@
     pub fn new(who: u64, line: Fields) -> Result<Self, Fault> {
         let params = line.part("params")?;
         let reported = reported(params)?;
-        let router = Router::new(fleet(line.whole("rngSeed")?, params)?, traffic(params)?, duties(params)?);
+        let router =
+            Router::new(fleet(line.whole("rngSeed")?, params)?, request_classes(params)?, duties(params)?);
         let marks_retries = marks_retries(params)?;
         Ok(Self { who, router, reported, marks_retries, names: Names::default() })
     }
@@ -133,7 +134,7 @@
             "ACCEPT" => {
                 let arrival = Arrival {
                     request: names.requests.number(line.text("ref")?) as RequestId,
-                    traffic: line.index("qos")?,
+                    class: line.index("qos")?,
                     key: match line.maybe("table") {
                         Some(_) => Some(names.keys.number(line.text("table")?) as KeyId),
                         None => None,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! emberflow: the front for query engines with limited memory, as a library without I/O, clock or JSON.
 //!
-//! A caller builds one [`Router`] from the [`Fleet`], the [`TrafficType`]s and the [`Duties`] it was started
+//! A caller builds one [`Router`] from the [`Fleet`], the [`RequestClass`]s and the [`Duties`] it was started
 //! with, and reports everything that happens by a method call that takes the time and an [`Outlet`]. The
 //! router answers through that outlet before the call returns, and keeps the requests and engines itself.
 //!
@@ -64,7 +64,7 @@
     pub memory_mb: f64,
 }
 
-pub struct TrafficType {
+pub struct RequestClass {
     pub latency_objective: Duration,
     pub objective_stretch: f64,
     pub deadline: Duration,
@@ -129,7 +129,7 @@
 #[derive(Clone)]
 pub struct Arrival {
     pub request: RequestId,
-    pub traffic: usize,
+    pub class: usize,
     pub key: Option<KeyId>,
     pub cost: Option<Duration>,
     pub memory_mb: Option<f64>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -84,7 +84,7 @@
 #[derive(Clone)]
 pub struct Router {
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) traffic: Arc<[TrafficType]>,
+    pub(crate) classes: Arc<[RequestClass]>,
     pub(crate) duties: Arc<Duties>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) engines: BTreeMap<EngineId, Engine>,
@@ -123,11 +123,11 @@
 type Rule<O> = fn(&mut Router, Duration, &mut Sight, &mut O) -> bool;
 
 impl Router {
-    pub fn new(fleet: Fleet, traffic: Vec<TrafficType>, duties: Duties) -> Self {
+    pub fn new(fleet: Fleet, classes: Vec<RequestClass>, duties: Duties) -> Self {
         Self {
-            learned: traffic.iter().map(|_| Learned::keeping(SAMPLES)).collect(),
+            learned: classes.iter().map(|_| Learned::keeping(SAMPLES)).collect(),
             fleet: fleet.into(),
-            traffic: traffic.into(),
+            classes: classes.into(),
             duties: duties.into(),
             requests: BTreeMap::new(),
             engines: BTreeMap::new(),
@@ -144,14 +144,14 @@
     }
 
     pub fn accept(&mut self, now: Duration, arrival: Arrival, out: &mut impl Outlet) {
-        let learned = &mut self.learned[arrival.traffic];
+        let learned = &mut self.learned[arrival.class];
         // A client's later try has less deadline than usual: so much of the way to the target is gone. Where
         // clients mark such tries, a first one with less deadline than others is not taken for one.
         if arrival.later_try != Some(true) {
             learned.deadlines.push(now, seconds(arrival.deadline));
         }
         let request = self.believed(now, &arrival);
-        let learned = &mut self.learned[arrival.traffic];
+        let learned = &mut self.learned[arrival.class];
         let cost = learned.expected(&arrival).0;
         arrival.cost.inspect(|_| learned.costs.push(now, cost));
         if let Some(key) = request.key {
@@ -164,16 +164,16 @@
 
     /// A request as it is believed to be.
     fn believed(&self, now: Duration, arrival: &Arrival) -> Request {
-        let (traffic, learned) = (&self.traffic[arrival.traffic], &self.learned[arrival.traffic]);
+        let (class, learned) = (&self.classes[arrival.class], &self.learned[arrival.class]);
         let usual = span(learned.deadlines.median().unwrap_or(0.0));
         let spent = usual.saturating_sub(arrival.deadline) * u32::from(arrival.later_try != Some(false));
-        let key = arrival.key.filter(|_| traffic.keeps_order);
+        let key = arrival.key.filter(|_| class.keeps_order);
         let (cost, memory) = learned.expected(arrival);
-        let ideal = cost / traffic.threads.max(1.0);
+        let ideal = cost / class.threads.max(1.0);
         let arrived = now.saturating_sub(arrival.waited);
-        let latency_objective = arrived + traffic.latency_objective + span(traffic.objective_stretch * ideal);
+        let latency_objective = arrived + class.latency_objective + span(class.objective_stretch * ideal);
         Request {
-            traffic: arrival.traffic,
+            class: arrival.class,
             key,
             told_cost: arrival.cost.map(seconds),
             told_memory: arrival.memory_mb,
@@ -194,7 +194,7 @@
 
     /// The work that a request is expected to be, as one core's time.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
-        span(self.learned[arrival.traffic].expected(arrival).0)
+        span(self.learned[arrival.class].expected(arrival).0)
     }
 
     /// What may be sent at once, for a queue before this: what can't be waits where its order counts.
@@ -207,7 +207,7 @@
         self.report(now, engine, signals, id);
         let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
         request.over |= over;
-        let (traffic, told_cost, told_memory) = (request.traffic, request.told_cost, request.told_memory);
+        let (class, told_cost, told_memory) = (request.class, request.told_cost, request.told_memory);
         let Some(ended) = request.attempts.get_mut(attempt) else { return self.settle(now, out) };
         ended.end = Some(end);
         let Attempt { sent, engine, grant, missing, .. } = *ended;
@@ -215,7 +215,7 @@
         if let (Some(key), Some(rest), true) = (request.key, self.duties.key_rest, may_still_run) {
             self.lines.entry(key).or_default().rest = Some((id, now + rest));
         }
-        let learned = &mut self.learned[traffic];
+        let learned = &mut self.learned[class];
         if let Some(bill) = bill {
             learned.memories.push(now, bill.memory_mb);
             told_memory.inspect(|told| learned.memory_ratios.push(now, bill.memory_mb / told));
@@ -231,7 +231,7 @@
         let mut ideal = request.ideal;
         if told_cost.is_none() && end == AttemptEnd::Succeeded {
             // Unbilled, its share of the cores is what it ran on: else a crowd would look like its own work.
-            let threads = self.traffic[traffic].threads;
+            let threads = self.classes[class].threads;
             let crowd = signals.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
             let alone = seconds(took) * threads / crowd.unwrap_or(1.0).max(1.0);
             let cost = bill.map_or(alone, |bill| seconds(bill.cost));
@@ -367,7 +367,7 @@
         // Where cores are not told, the requests in flight tell how many threads stand for them.
         signals.in_flight = signals.in_flight.filter(|_| signals.busy.is_none());
         let out = self.requests.values().filter(|request| request.out());
-        let threads = mean(out.map(|request| self.traffic[request.traffic].threads)).unwrap_or(1.0);
+        let threads = mean(out.map(|request| self.classes[request.class].threads)).unwrap_or(1.0);
         let crowd =
             signals.in_flight.map(|requests| requests * threads / self.fleet.kinds[engine.kind].cores);
         signals.busy = signals.busy.or(crowd);
@@ -384,7 +384,7 @@
 
     /// The shortest target time: the module's measure for what is soon and what is long.
     pub(crate) fn beat(&self) -> Duration {
-        self.traffic.iter().map(|t| t.latency_objective).min().unwrap_or(self.fleet.tick)
+        self.classes.iter().map(|t| t.latency_objective).min().unwrap_or(self.fleet.tick)
     }
 
     /// Before which a final answer must be on its way.
@@ -394,13 +394,12 @@
 
     fn grant(&self, request: &Request, kind: usize) -> f64 {
         let most = self.fleet.largest_share * self.fleet.kinds[kind].memory_mb;
-        let billed =
-            || quantile(self.learned[request.traffic].memories.values(), GRANT_COVERS).unwrap_or(0.0);
+        let billed = || quantile(self.learned[request.class].memories.values(), GRANT_COVERS).unwrap_or(0.0);
         let untold = || billed().max(request.memory * GRANT_UNTOLD);
         request.told_memory.map_or_else(untold, |told| request.memory.max(told) * GRANT).min(most)
     }
 
-    /// This router's part of the fleet's traffic: its part of the memory that engines report granted, else an
+    /// This router's part of the fleet's class: its part of the memory that engines report granted, else an
     /// equal one.
     pub(crate) fn share(&self) -> f64 {
         let equal = 1.0 / self.fleet.routers.max(1) as f64;
@@ -467,7 +466,7 @@
         let own = engines().map(|(id, _)| self.own(now, *id, Duration::ZERO)).fold((0.0, 0.0), add);
         let pressed = || engines().filter(|(id, _)| seen[id].pressed == Some(true));
         // What stands at a jammed engine takes no more than its part, or one request, from the others.
-        let one = self.traffic.iter().map(|t| t.threads).fold(1.0, f64::max).max(cores * share);
+        let one = self.classes.iter().map(|t| t.threads).fold(1.0, f64::max).max(cores * share);
         let held = |tier| pressed().map(|(_, engine)| self.threads_out(engine, tier).min(one)).sum();
         // The few that were asked tell nothing of the others.
         let reports = || engines().filter(|_| !self.fleet.probes_tell).filter_map(|(_, e)| e.report.as_ref());
@@ -504,7 +503,7 @@
     /// No sign from an engine that has attempts out, for this many times as long as one should be due in.
     fn silence(&self, engine: &Engine, now: Duration, runs: &[f64]) -> f64 {
         let Some(oldest) = engine.out.first().map(|out| out.sent) else { return 0.0 };
-        let run = |request: &Request| request.ideal * runs[request.traffic] * 3.0;
+        let run = |request: &Request| request.ideal * runs[request.class] * 3.0;
         let due = match self.fleet.note_every {
             Some(every) => seconds(every) * 2.0,
             None => self.requests_out(engine).map(run).fold(f64::INFINITY, f64::min),
@@ -520,12 +519,12 @@
         bad().sum::<f64>() >= 2.0 && mean(bad()).is_some_and(|part| part >= 0.3)
     }
 
-    /// What a request's traffic type may be sent to, by placement and by the group that drops its repeats.
+    /// What a request's request class may be sent to, by placement and by the group that drops its repeats.
     fn allowed(&self, request: &Request, engine: &Engine) -> bool {
-        let traffic = &self.traffic[request.traffic];
-        let placed = traffic.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
-            && traffic.locations.as_ref().is_none_or(|places| places.contains(&engine.location));
-        let same_group = match (&traffic.effect, request.first_that_may_have_run()) {
+        let class = &self.classes[request.class];
+        let placed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
+            && class.locations.as_ref().is_none_or(|places| places.contains(&engine.location));
+        let same_group = match (&class.effect, request.first_that_may_have_run()) {
             (Effect::Referenced { scope, .. }, Some(attempt)) => {
                 let first = &self.engines[&attempt.engine];
                 match scope {
@@ -541,14 +540,14 @@
 
     /// Whether neither placement nor an earlier attempt keeps it from engines that others may be sent to.
     fn may_go_anywhere(&self, request: &Request) -> bool {
-        let traffic = &self.traffic[request.traffic];
-        let bound = matches!(&traffic.effect, Effect::Referenced { scope, .. } if *scope != Scope::All);
-        traffic.locations.is_none() && (!bound || request.first_that_may_have_run().is_none())
+        let class = &self.classes[request.class];
+        let bound = matches!(&class.effect, Effect::Referenced { scope, .. } if *scope != Scope::All);
+        class.locations.is_none() && (!bound || request.first_that_may_have_run().is_none())
     }
 
     /// Whether effects allow another attempt: never while one is out.
     fn may_run_again(&self, request: &Request, now: Duration) -> bool {
-        let harmless = match (&self.traffic[request.traffic].effect, request.first_that_may_have_run()) {
+        let harmless = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
             (Effect::Replayable, _) | (_, None) => true,
             (Effect::SingleUse, Some(_)) => false,
             (Effect::Referenced { window, .. }, Some(attempt)) => {
@@ -559,7 +558,7 @@
     }
 
     fn may_reject(&self, request: &Request) -> bool {
-        match &self.traffic[request.traffic].effect {
+        match &self.classes[request.class].effect {
             Effect::Replayable | Effect::Referenced { scope: Scope::All, .. } => true,
             _ => request.first_that_may_have_run().is_none(),
         }
@@ -580,11 +579,11 @@
     }
 
     /// Guards cold engines: this router's part of what a starting engine takes in any window, by the usual
-    /// work of the traffic type. With many routers that is under one request: then one in a longer window,
+    /// work of the request class. With many routers that is under one request: then one in a longer window,
     /// from a point in it that chance sets, so that the parts still add up, to half of the whole at most.
     fn fits_cold(&self, id: EngineId, engine: &Engine, request: &Request, now: Duration, share: f64) -> bool {
         let Some(budget) = self.cold_part(engine, now, share) else { return true };
-        let usual = self.cold_usual(request.traffic);
+        let usual = self.cold_usual(request.class);
         let times = if usual > budget { 2.0 * usual / budget } else { 1.0 };
         let window = self.duties.fall.mul_f64(times.min(1e6));
         let sent: f64 = engine.sent.since(now.saturating_sub(window)).sum();
@@ -601,8 +600,8 @@
         Some(self.duties.overload_factor * capacity * seconds(self.duties.fall) * share)
     }
 
-    pub(crate) fn cold_usual(&self, traffic: usize) -> f64 {
-        self.usual_cost(traffic).max(seconds(self.fleet.tick))
+    pub(crate) fn cold_usual(&self, class: usize) -> f64 {
+        self.usual_cost(class).max(seconds(self.fleet.tick))
     }
 
     fn threads_out(&self, engine: &Engine, tier: Tier) -> f64 {
@@ -633,7 +632,7 @@
     fn load(&self, id: EngineId, request: &Request, now: Duration, share: f64, kind: &Gateway) -> (f64, f64) {
         let engine = &self.engines[&id];
         let Kind { cores, memory_mb } = self.fleet.kinds[engine.kind];
-        let (grant, threads) = (self.grant(request, engine.kind), self.traffic[request.traffic].threads);
+        let (grant, threads) = (self.grant(request, engine.kind), self.classes[request.class].threads);
         let parts = |(own, own_threads)| ((own + grant) / memory_mb, (own_threads + threads) / cores);
         let others = (1.0 / share - 1.0) / kind.engines;
         let own = || self.own(now, id, Duration::ZERO);
@@ -665,30 +664,30 @@
     }
 
     /// Revenue for a second of the usual work.
-    fn density(&self, traffic: usize) -> f64 {
-        self.traffic[traffic].revenue / self.learned[traffic].costs.mean().unwrap_or(f64::INFINITY)
+    fn density(&self, class: usize) -> f64 {
+        self.classes[class].revenue / self.learned[class].costs.mean().unwrap_or(f64::INFINITY)
     }
 
     fn earns_little_late(&self, request: &Request, now: Duration) -> bool {
-        let usual = || mean((0..self.traffic.len()).map(|traffic| self.density(traffic))).unwrap_or(0.0);
-        let traffic = &self.traffic[request.traffic];
+        let usual = || mean((0..self.classes.len()).map(|class| self.density(class))).unwrap_or(0.0);
+        let class = &self.classes[request.class];
         // What an earlier note promised and has not come does not count.
         let due = request.attempts.last().and_then(|attempt| attempt.finish).filter(|at| *at > now);
-        let left = || due.map_or(self.usual_cost(request.traffic), |at| seconds(at - now) * traffic.threads);
-        now > request.latency_objective && traffic.late_share * traffic.revenue < usual() / 4.0 * left()
+        let left = || due.map_or(self.usual_cost(request.class), |at| seconds(at - now) * class.threads);
+        now > request.latency_objective && class.late_share * class.revenue < usual() / 4.0 * left()
     }
 
-    fn usual_cost(&self, traffic: usize) -> f64 {
-        self.learned[traffic].costs.mean().unwrap_or(0.0)
+    fn usual_cost(&self, class: usize) -> f64 {
+        self.learned[class].costs.mean().unwrap_or(0.0)
     }
 
     /// Where priorities are heeded: what others may stand still behind first, then by revenue for the work.
-    fn priority(&self, traffic: usize) -> u8 {
-        let most = (0..self.traffic.len()).map(|traffic| self.density(traffic)).fold(0.0, f64::max);
-        match &self.traffic[traffic] {
+    fn priority(&self, class: usize) -> u8 {
+        let most = (0..self.classes.len()).map(|class| self.density(class)).fold(0.0, f64::max);
+        match &self.classes[class] {
             _ if !self.fleet.heeds_priorities => 1,
-            TrafficType { holds_group: true, .. } => 3,
-            _ if self.density(traffic) >= most / 2.0 => 2,
+            RequestClass { holds_group: true, .. } => 3,
+            _ if self.density(class) >= most / 2.0 => 2,
             _ => 1,
         }
     }
@@ -739,11 +738,11 @@
     fn send(&mut self, now: Duration, id: RequestId, to: EngineId, tier: Tier, out: &mut impl Outlet) {
         let request = &self.requests[&id];
         let grant = self.grant(request, self.engines[&to].kind);
-        let usual = self.usual_cost(request.traffic);
-        out.terms(id, grant.round(), self.priority(request.traffic));
+        let usual = self.usual_cost(request.class);
+        out.terms(id, grant.round(), self.priority(request.class));
         out.send(id, to, request.deadline.saturating_sub(self.margin()));
         self.further.extend((!request.attempts.is_empty()).then_some(now));
-        let (group, threads) = (request.group, self.traffic[request.traffic].threads);
+        let (group, threads) = (request.group, self.classes[request.class].threads);
         let attempts = &mut self.requests.get_mut(&id).expect("a held task").attempts;
         let engine = self.engines.get_mut(&to).expect("a listed engine");
         engine.out.push(Out { request: id, attempt: attempts.len(), sent: now, tier, grant, threads });
@@ -831,7 +830,7 @@
     fn cancel_bad_plans(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
         let slack = seconds(self.beat());
         let bad = |request: &Request| {
-            let (attempt, run) = (&request.attempts[0], sight.runs[request.traffic] * request.ideal);
+            let (attempt, run) = (&request.attempts[0], sight.runs[request.class] * request.ideal);
             let left = attempt.finish.map(|finish| seconds(finish.saturating_sub(now)));
             let unseen = self.fleet.note_every.is_none();
             attempt.stands
@@ -865,7 +864,7 @@
         blocked: &mut BTreeSet<(usize, Tier)>,
     ) -> Option<(EngineId, Tier)> {
         let (gateways, lately) = (&sight.gateways, now.saturating_sub(self.beat() * 2));
-        let (threads, memory) = (self.traffic[request.traffic].threads, request.tier_memory());
+        let (threads, memory) = (self.classes[request.class].threads, request.tier_memory());
         let mut tiers = gateways.iter().map(|gateway| gateway.tier(memory)).enumerate();
         if tiers.all(|slot| blocked.contains(&slot)) {
             return None;
@@ -913,10 +912,9 @@
         // Guards against standing still behind loads: an own one, or one that an attempt lately stood behind.
         let held = |to: EngineId| {
             let engine = &self.engines[&to];
-            let mut loads = self.requests_out(engine).filter(|t| self.traffic[t.traffic].holds_group);
+            let mut loads = self.requests_out(engine).filter(|t| self.classes[t.class].holds_group);
             let noted = request.group.and_then(|g| engine.held.get(&g)).is_some_and(|at| *at >= lately);
-            self.traffic[request.traffic].waits_for_loads
-                && (noted || loads.any(|t| t.group == request.group))
+            self.classes[request.class].waits_for_loads && (noted || loads.any(|t| t.group == request.group))
         };
         for avoided in [&tried as &dyn Fn(EngineId) -> bool, &held] {
             let elsewhere = free.iter().any(|f| !avoided(f.1));
@@ -948,7 +946,7 @@
                 continue;
             }
             let Some((to, tier)) = self.choose(now, request, sight, &mut blocked) else { continue };
-            let (kind, threads) = (self.engines[&to].kind, self.traffic[request.traffic].threads);
+            let (kind, threads) = (self.engines[&to].kind, self.classes[request.class].threads);
             let (gateway, grant) = (&mut sight.gateways[kind], self.grant(request, kind));
             (gateway.memory, gateway.threads) = (gateway.memory + grant, gateway.threads + threads);
             gateway.held[tier as usize] += threads * f64::from(sight.engines[&to].pressed == Some(true));
@@ -983,15 +981,15 @@
         let from = now.saturating_sub(self.beat() * 4);
         // Those of untold cost stand in one line, which has one time-out: else patient ones keep others out.
         let way =
-            |(at, t): (usize, &TrafficType)| t.objective_stretch * self.usual_cost(at) / t.threads.max(1.0);
-        let ways = self.traffic.iter().enumerate().map(|t| t.1.latency_objective + span(way(t)));
+            |(at, t): (usize, &RequestClass)| t.objective_stretch * self.usual_cost(at) / t.threads.max(1.0);
+        let ways = self.classes.iter().enumerate().map(|t| t.1.latency_objective + span(way(t)));
         let shortest = ways.min().unwrap_or(Duration::MAX);
         // Guards against crowds that no fleet could serve, which each input would go through: more work than
         // four times (so far off may the part be) what this router's part of all cores does until its latency_objective.
         let cores = self.engines.values().filter(|e| !e.gone).map(|e| self.fleet.kinds[e.kind].cores);
         let (most, mut before) = (4.0 * sight.share * cores.sum::<f64>(), 0.0);
         let behind = |(at, (id, request)): (usize, (&RequestId, &Request))| {
-            let work = before + request.ideal * self.traffic[request.traffic].threads;
+            let work = before + request.ideal * self.classes[request.class].threads;
             let fits = at < SAMPLES
                 || work <= most * seconds(request.latency_objective.saturating_sub(request.arrived));
             before = if fits { work } else { before };
@@ -1000,12 +998,12 @@
         let held = self.requests.iter().filter(|(_, request)| request.held()).enumerate();
         let crowd: BTreeSet<RequestId> = held.filter_map(behind).collect();
         let in_vain = |router: &Self, id: RequestId, request: &Request| {
-            let (run, memory) = (request.ideal * sight.runs[request.traffic], request.tier_memory());
+            let (run, memory) = (request.ideal * sight.runs[request.class], request.tier_memory());
             // What is learned from those sent judges no type of which none came back lately.
-            let back = || router.learned[request.traffic].stretches.since(from).next().is_some();
+            let back = || router.learned[request.class].stretches.since(from).next().is_some();
             let run = span(if request.told_cost.is_some() || back() { run } else { 0.0 });
             if !router.has_turn(id, request, now) {
-                let earns_late = router.traffic[request.traffic].late_share > 0.0;
+                let earns_late = router.classes[request.class].late_share > 0.0;
                 return now + run > if earns_late { request.deadline } else { request.latency_objective };
             }
             let tiers = sight.gateways.iter().map(|gateway| gateway.tier(memory));
--- a/src/print.rs
+++ b/src/print.rs
@@ -87,7 +87,7 @@
 
     fn request(&self, request: &Request, with: &Print, into: &mut impl Hasher) {
         let now = with.now;
-        (request.traffic, request.group, request.over, request.left && !request.over, request.key).hash(into);
+        (request.class, request.group, request.over, request.left && !request.over, request.key).hash(into);
         [
             request.ideal,
             request.memory,
@@ -103,7 +103,7 @@
         let ran = |attempt: &&Attempt| {
             !matches!(attempt.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
         };
-        let windowed = matches!(self.traffic[request.traffic].effect, Effect::Referenced { .. });
+        let windowed = matches!(self.classes[request.class].effect, Effect::Referenced { .. });
         request
             .attempts
             .iter()
@@ -141,7 +141,7 @@
         // Where this router's part is under one request, chance sets its window, by number and time.
         let share = self.share();
         if let Some(part) = self.cold_part(engine, now, share) {
-            let dear = (0..self.traffic.len()).any(|traffic| self.cold_usual(traffic) > part);
+            let dear = (0..self.classes.len()).any(|class| self.cold_usual(class) > part);
             dear.then(|| (since(now, engine.listed), self.chance(id, engine.listed.as_micros() as u64)))
                 .hash(into);
             let from = if dear { Duration::ZERO } else { now.saturating_sub(self.duties.fall) };
--- a/src/state.rs
+++ b/src/state.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone)]
 pub struct Request {
-    pub traffic: usize,
+    pub class: usize,
     pub key: Option<KeyId>,
     pub told_cost: Option<f64>,
     pub told_memory: Option<f64>,
@@ -97,7 +97,7 @@
     pub rest: Option<(RequestId, Duration)>,
 }
 
-/// What one round of the rules sees: run over that on an idle engine, by traffic type; this router's
+/// What one round of the rules sees: run over that on an idle engine, by request class; this router's
 /// share; the engines; the thresholds, kept up as requests leave.
 pub struct Sight {
     pub runs: Vec<f64>,
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -252,7 +252,7 @@
     habits: Habits,
     kinds: usize,
     /// Deadline and threads of each type.
-    traffic: Vec<(Duration, f64)>,
+    classes: Vec<(Duration, f64)>,
     now: Duration,
     events: BTreeMap<(Duration, u64), Event>,
     planned: u64,
@@ -273,9 +273,9 @@
     }
 }
 
-fn traffic_type(random: &mut Random, kinds: usize) -> TrafficType {
+fn traffic_type(random: &mut Random, kinds: usize) -> RequestClass {
     let latency_objective = random.time(100, 800);
-    TrafficType {
+    RequestClass {
         latency_objective,
         objective_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
         deadline: latency_objective * random.among(1, 8) as u32,
@@ -373,14 +373,14 @@
         let (fleet, duties) = (fleet(&mut random), duties(&mut random));
         let habits = habits(&mut random, &fleet);
         let kinds = fleet.kinds.len();
-        let traffic: Vec<TrafficType> =
+        let classes: Vec<RequestClass> =
             (0..=random.below(4)).map(|_| traffic_type(&mut random, kinds)).collect();
         let now = random.time(2_000, 20_000);
         let machines = (0..=random.below(6)).map(|engine| (engine, machine(&mut random, kinds, None)));
         Self {
             machines: machines.collect(),
-            traffic: traffic.iter().map(|traffic| (traffic.deadline, traffic.threads)).collect(),
-            router: Router::new(fleet, traffic, duties),
+            classes: classes.iter().map(|class| (class.deadline, class.threads)).collect(),
+            router: Router::new(fleet, classes, duties),
             random,
             log,
             habits,
@@ -486,15 +486,15 @@
 
     fn arrival(&mut self) -> Arrival {
         let random = &mut self.random;
-        let traffic = random.below(self.traffic.len());
-        let (deadline, _) = self.traffic[traffic];
+        let class = random.below(self.classes.len());
+        let (deadline, _) = self.classes[class];
         let is_later = random.percent(15);
         let told = random.percent(self.habits.estimates);
         let memory = random.one_of(&[5.0, 40.0, 300.0, 1200.0, 4000.0]) * random.between(0.5, 1.5);
         let cost = random.one_of(&[10, 40, 150, 600]) * random.among(5, 15) / 10;
         Arrival {
             request: self.arrived,
-            traffic,
+            class,
             key: random.maybe(60, |random| random.below(4) as KeyId),
             cost: told.then_some(ms(cost)),
             memory_mb: (told && !random.percent(10)).then_some(memory),
@@ -527,7 +527,7 @@
         let attempt = asking.attempts;
         asking.attempts += 1;
         let (machine, random) = (&self.machines[&engine], &mut self.random);
-        let (_, threads) = self.traffic[asking.arrival.traffic];
+        let (_, threads) = self.classes[asking.arrival.class];
         let cost = asking.arrival.cost.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
         let misjudged = random.one_of(&[0.7, 1.0, 1.0, 1.2, 2.0, 10.0]);
         let run = cost.mul_f64(misjudged * machine.slowness * random.between(0.9, 1.6)) + ms(1);
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -48,9 +48,9 @@
     }
 }
 
-/// Traffic types 0 to 2: short replayable, long replayable on three threads, single-use holding its group.
-pub fn traffic() -> Vec<TrafficType> {
-    let short = |effect, revenue, latency_objective, threads| TrafficType {
+/// Request classes 0 to 2: short replayable, long replayable on three threads, single-use holding its group.
+pub fn classes() -> Vec<RequestClass> {
+    let short = |effect, revenue, latency_objective, threads| RequestClass {
         latency_objective: ms(latency_objective),
         objective_stretch: 2.0,
         deadline: ms(latency_objective * 8),
@@ -70,7 +70,7 @@
 }
 
 /// What the traces start from: engines of one kind with 8 cores and 16,000 MB, one router.
-pub fn base() -> (Fleet, Vec<TrafficType>, Duties) {
+pub fn base() -> (Fleet, Vec<RequestClass>, Duties) {
     let fleet = Fleet {
         seed: 1,
         routers: 1,
@@ -96,13 +96,13 @@
         attempt_budget: None,
         longest_retry_after: Some(ms(400)),
     };
-    (fleet, traffic(), duties)
+    (fleet, classes(), duties)
 }
 
-/// The same with short times, so that a whole life takes few steps. Traffic types: 0 replayable, 1 to 3
+/// The same with short times, so that a whole life takes few steps. Request classes: 0 replayable, 1 to 3
 /// referenced within a cell, a location and everywhere, 4 single-use.
-pub fn small() -> (Fleet, Vec<TrafficType>, Duties) {
-    let (mut fleet, mut traffic, mut duties) = base();
+pub fn small() -> (Fleet, Vec<RequestClass>, Duties) {
+    let (mut fleet, mut classes, mut duties) = base();
     let window = ms(120);
     let effects = [
         Effect::Replayable,
@@ -111,8 +111,8 @@
         Effect::Referenced { scope: Scope::All, window },
         Effect::SingleUse,
     ];
-    let plain = traffic.swap_remove(0);
-    let short = |effect| TrafficType {
+    let plain = classes.swap_remove(0);
+    let short = |effect| RequestClass {
         latency_objective: ms(160),
         deadline: ms(320),
         effect,
@@ -120,10 +120,10 @@
         locations: None,
         ..plain
     };
-    traffic = effects.into_iter().map(short).collect();
+    classes = effects.into_iter().map(short).collect();
     (fleet.note_every, fleet.tick) = (Some(ms(80)), ms(8));
     (duties.warm_up, duties.fall) = (ms(400), ms(100));
-    (fleet, traffic, duties)
+    (fleet, classes, duties)
 }
 
 /// When a small trace starts: later than any span that is looked back over.
@@ -141,10 +141,10 @@
 #[allow(dead_code)]
 impl Trace {
     /// One router of one, on engines of one kind with 8 cores and 16,000 MB, unless `change` says otherwise.
-    pub fn new(engines: usize, change: impl FnOnce(&mut Fleet, &mut Vec<TrafficType>, &mut Duties)) -> Self {
-        let (mut fleet, mut traffic, mut duties) = base();
-        change(&mut fleet, &mut traffic, &mut duties);
-        let mut trace = Self::round(fleet, traffic, duties, Vec::new());
+    pub fn new(engines: usize, change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut Duties)) -> Self {
+        let (mut fleet, mut classes, mut duties) = base();
+        change(&mut fleet, &mut classes, &mut duties);
+        let mut trace = Self::round(fleet, classes, duties, Vec::new());
         trace.list((0..engines).map(|engine| listing(engine, true, None)).collect());
         trace
     }
@@ -152,19 +152,19 @@
     /// A trace in short times at engines in these locations and cells.
     pub fn small(
         places: &[(usize, u64)],
-        change: impl FnOnce(&mut Fleet, &mut Vec<TrafficType>, &mut Duties),
+        change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut Duties),
     ) -> Self {
-        let (mut fleet, mut traffic, mut duties) = small();
-        change(&mut fleet, &mut traffic, &mut duties);
-        let mut trace = Self::round(fleet, traffic, duties, places.to_vec());
+        let (mut fleet, mut classes, mut duties) = small();
+        change(&mut fleet, &mut classes, &mut duties);
+        let mut trace = Self::round(fleet, classes, duties, places.to_vec());
         let rows = (0..places.len()).map(|engine| trace.row(engine, true, false, None)).collect();
         trace.at(START).list(rows);
         trace
     }
 
-    fn round(fleet: Fleet, traffic: Vec<TrafficType>, duties: Duties, places: Vec<(usize, u64)>) -> Self {
-        let deadline = traffic.iter().map(|traffic| traffic.deadline).collect();
-        let (router, lines) = (Router::new(fleet, traffic, duties), Lines::default());
+    fn round(fleet: Fleet, classes: Vec<RequestClass>, duties: Duties, places: Vec<(usize, u64)>) -> Self {
+        let deadline = classes.iter().map(|class| class.deadline).collect();
+        let (router, lines) = (Router::new(fleet, classes, duties), Lines::default());
         Self { router, lines, requests: 0, deadline, places }
     }
 
@@ -231,8 +231,8 @@
         self
     }
 
-    pub fn accept(&mut self, traffic: usize, cost: u64, memory_mb: f64) -> &mut Self {
-        self.accept_keyed(traffic, cost, memory_mb, None)
+    pub fn accept(&mut self, class: usize, cost: u64, memory_mb: f64) -> &mut Self {
+        self.accept_keyed(class, cost, memory_mb, None)
     }
 
     /// A request whose client says whether it tried before.
@@ -242,16 +242,16 @@
     }
 
     /// A small request on a table group.
-    pub fn accept_in(&mut self, traffic: usize, group: u64) -> &mut Self {
-        self.arrive(Arrival { group: Some(group), ..arrival(traffic, 100, 300.0) })
+    pub fn accept_in(&mut self, class: usize, group: u64) -> &mut Self {
+        self.arrive(Arrival { group: Some(group), ..arrival(class, 100, 300.0) })
     }
 
-    pub fn accept_keyed(&mut self, traffic: usize, cost: u64, memory: f64, key: Option<KeyId>) -> &mut Self {
-        self.arrive(Arrival { key, ..arrival(traffic, cost, memory) })
+    pub fn accept_keyed(&mut self, class: usize, cost: u64, memory: f64, key: Option<KeyId>) -> &mut Self {
+        self.arrive(Arrival { key, ..arrival(class, cost, memory) })
     }
 
     fn arrive(&mut self, arrival: Arrival) -> &mut Self {
-        let deadline = arrival.deadline.min(self.deadline[arrival.traffic]);
+        let deadline = arrival.deadline.min(self.deadline[arrival.class]);
         let arrival = Arrival { request: self.requests, deadline, ..arrival };
         self.requests += 1;
         self.router.accept(ms(self.lines.1), arrival, &mut self.lines);
@@ -381,10 +381,10 @@
     }
 }
 
-fn arrival(traffic: usize, cost: u64, memory_mb: f64) -> Arrival {
+fn arrival(class: usize, cost: u64, memory_mb: f64) -> Arrival {
     Arrival {
         request: 0,
-        traffic,
+        class,
         key: None,
         cost: (cost > 0).then(|| ms(cost)),
         memory_mb: (memory_mb > 0.0).then_some(memory_mb),
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -113,7 +113,7 @@
 #[test]
 fn a_referenced_request_stays_in_its_cell_and_window() {
     let cell = Effect::Referenced { scope: Scope::Cell, window: ms(700) };
-    let mut trace = Trace::new(4, |_, traffic, _| traffic[0].effect = cell);
+    let mut trace = Trace::new(4, |_, classes, _| classes[0].effect = cell);
     trace.list((1..4).map(|engine| Listing { location: 0, ..listing(engine, true, None) }).collect());
     trace.accept(0, 100, 300.0).at(50).ended(0, 0, 0, AttemptEnd::Broken).at(690).ended(
         0,
@@ -134,9 +134,9 @@
 
 #[test]
 fn nothing_goes_to_a_drained_engine_or_off_its_placement() {
-    let mut trace = Trace::new(2, |fleet, traffic, _| {
+    let mut trace = Trace::new(2, |fleet, classes, _| {
         fleet.kinds.push(Kind { cores: 8.0, memory_mb: 16000.0 });
-        traffic[1].kinds = Some(vec![1]);
+        classes[1].kinds = Some(vec![1]);
     });
     trace.list(vec![Listing { kind: 1, ..listing(5, true, None) }]).accept(1, 300, 300.0);
     trace.list(vec![Listing { kind: 1, ..listing(5, false, None) }, listing(0, false, None)]);
@@ -182,8 +182,8 @@
 
 #[test]
 fn requests_of_a_key_run_in_turn_and_rest_after_an_attempt_that_may_still_run() {
-    let mut trace = Trace::new(3, |_, traffic, duties| {
-        traffic[2].keeps_order = true;
+    let mut trace = Trace::new(3, |_, classes, duties| {
+        classes[2].keeps_order = true;
         duties.key_rest = Some(ms(300));
     });
     trace.accept_keyed(2, 100, 300.0, Some(4)).accept_keyed(2, 100, 300.0, Some(4));
@@ -552,7 +552,7 @@
 
 #[test]
 fn a_request_that_waits_for_loads_avoids_where_one_of_its_group_stood() {
-    let mut trace = Trace::new(2, |_, traffic, _| traffic[0].waits_for_loads = true);
+    let mut trace = Trace::new(2, |_, classes, _| classes[0].waits_for_loads = true);
     trace.accept_in(0, 7).notice(0, 0, Notice::WaitsForLoad).at(10);
     (0..3).for_each(|_| {
         trace.accept_in(0, 7);
@@ -798,7 +798,7 @@
 #[test]
 fn a_request_behind_others_of_its_key_waits_for_its_turn_past_the_time_out_of_its_tier() {
     let mut trace =
-        Trace::new(1, |_, traffic, _| (traffic[2].keeps_order, traffic[2].late_share) = (true, 0.5));
+        Trace::new(1, |_, classes, _| (classes[2].keeps_order, classes[2].late_share) = (true, 0.5));
     trace.accept_keyed(2, 0, 0.0, Some(1)).accept_keyed(2, 0, 0.0, Some(1)).at(3500).woken();
     trace.at(3600).billed(0, 0, 3600, 100.0);
     expect![[r#"
