--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -44,7 +44,7 @@
     }
 }
 
-impl Outlet for Acts {
+impl Actions for Acts {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.note(Act::Send { request, engine, until });
     }
@@ -132,7 +132,7 @@
 #[derive(Clone)]
 pub struct Life {
     pub now: Duration,
-    pub router: Router,
+    pub scheduler: Scheduler,
     /// In the order of arrival; those still to come are not here.
     pub requests: Vec<Truth>,
     pub sites: Vec<Site>,
@@ -194,7 +194,7 @@
         let now = Duration::from_secs(20);
         let mut life = Self {
             now,
-            router: Router::new(fleet, classes, duties),
+            scheduler: Scheduler::new(fleet, classes, duties),
             requests: Vec::new(),
             sites: Vec::new(),
             wakes: Vec::new(),
@@ -212,7 +212,7 @@
         life.sites = vec![site; world.engines.len()];
         let rows = (0..world.engines.len()).map(|at| life.row(world, at)).collect();
         let mut acts = Acts::default();
-        life.router.engines_changed(now, false, rows, &mut acts);
+        life.scheduler.engines_changed(now, false, rows, &mut acts);
         life.carry_out(world, acts);
         life.sign(world);
         life
@@ -239,7 +239,7 @@
             digest.finish()
         };
         let with = Print { now: self.now, more, alike: world.alike, beside: &beside };
-        self.router.print(&with, &mut digest);
+        self.scheduler.print(&with, &mut digest);
         for site in self.sites.iter().filter(|site| site.forgotten) {
             (site.ready, site.gone).hash(&mut digest);
         }
@@ -377,11 +377,11 @@
         if self.requests.iter().any(|request| request.open() || request.out().is_some()) {
             return false;
         }
-        let mut router = self.router.clone();
+        let mut scheduler = self.scheduler.clone();
         let mut acts = Acts::default();
-        router.engines_changed(self.now, true, Vec::new(), &mut acts);
+        scheduler.engines_changed(self.now, true, Vec::new(), &mut acts);
         let quiet = acts.0.iter().all(|act| matches!(act, Act::Forget { .. }));
-        quiet && (router.kept().requests, router.kept().engines) == (0, 0)
+        quiet && (scheduler.kept().requests, scheduler.kept().engines) == (0, 0)
     }
 
     pub fn step(&self, world: &World, step: &Move) -> Self {
@@ -395,7 +395,7 @@
         | Move::Leave { draw, .. }
         | Move::Wake { draw } = step
         {
-            life.router.draw_from(*draw);
+            life.scheduler.draw_from(*draw);
         }
         match *step {
             Move::Arrive { .. } => {
@@ -406,13 +406,13 @@
                     deadline: now + arrival.deadline,
                     ..Truth::default()
                 });
-                life.router.accept(now, arrival, &mut acts);
+                life.scheduler.accept(now, arrival, &mut acts);
             }
             Move::End { request, end, .. } => life.end(world, request, end, &mut acts),
             Move::Note { request, notice, .. } => {
                 let attempt = life.requests[request].attempts.len() - 1;
                 life.requests[request].attempts[attempt].noted += 1;
-                life.router.notice(now, request as RequestId, attempt, notice, &mut acts);
+                life.scheduler.notice(now, request as RequestId, attempt, notice, &mut acts);
             }
             Move::List { engine, what, .. } => {
                 life.listed += 1;
@@ -427,31 +427,31 @@
                     }
                 }
                 let rows = vec![life.row(world, engine)];
-                life.router.engines_changed(now, false, rows, &mut acts);
+                life.scheduler.engines_changed(now, false, rows, &mut acts);
             }
             Move::ListLost => {
                 life.listed += 1;
                 life.sites.iter_mut().for_each(|site| (site.ready, site.gone) = (false, true));
-                life.router.engines_changed(now, true, Vec::new(), &mut acts);
+                life.scheduler.engines_changed(now, true, Vec::new(), &mut acts);
             }
             Move::ListFailed => {
                 life.listed += 1;
                 life.watched = false;
-                life.router.list_failed(now, &mut acts);
+                life.scheduler.list_failed(now, &mut acts);
             }
             Move::Leave { request, .. } => {
                 life.left += 1;
                 life.requests[request].answer = Some(Answer::Left);
-                life.router.clients_left(now, &[request as RequestId], &[], &mut acts);
+                life.scheduler.clients_left(now, &[request as RequestId], &[], &mut acts);
             }
             Move::Wake { .. } => {
                 life.wakes.retain(|at| *at > now);
-                life.router.wake(now, &mut acts);
+                life.scheduler.wake(now, &mut acts);
             }
             Move::Close => {
                 let by = now + world.classes[0].deadline;
                 life.closing = Some(by);
-                life.router.closing(now, by, &mut acts);
+                life.scheduler.closing(now, by, &mut acts);
             }
             Move::Pass => {
                 let to = life.next_instant(world).unwrap_or(now);
@@ -487,7 +487,7 @@
         }
         let ended =
             Ended { request: number, attempt, engine, end, took, bill: None, signals: world.signals, over };
-        self.router.attempt_ended(now, ended, acts);
+        self.scheduler.attempt_ended(now, ended, acts);
     }
 
     fn judge(&mut self, world: &World, act: Act) {
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/floor.rs
@@ -8,7 +8,7 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{EngineId, Outlet, RequestId};
+use emberflow::{Actions, EngineId, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -101,7 +101,7 @@
     pub closed: Option<Vec<(RequestId, &'static str)>>,
 }
 
-impl Outlet for Floor {
+impl Actions for Floor {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let Some(row) = self.requests.get_mut(request) else {
             return self.works.counters.must(false, "a_attempt_of_an_answered_request");
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -13,7 +13,7 @@
 use crate::statement;
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{Arrival, Ended, KeyId, Outlet, Print, RequestId, Router};
+use emberflow::{Actions, Arrival, Ended, KeyId, Print, RequestId, Scheduler};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
 use emberflow_startup::{Fields, from_ms};
@@ -39,7 +39,7 @@
 
 #[derive(Clone)]
 pub struct Front {
-    router: Router,
+    scheduler: Scheduler,
     pub floor: Floor,
     pub bulletin: Bulletin,
     /// Clients that are gone, whose connections are to be closed, and what was last said to them.
@@ -68,7 +68,7 @@
         let longest_retry_after = duties.longest_retry_after;
         let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let mut front = Self {
-            router: Router::new(fleet, classes, duties),
+            scheduler: Scheduler::new(fleet, classes, duties),
             bulletin: Bulletin::after(last, premises.kinds.len(), premises.locations.len()),
             closed: Vec::new(),
             leaving: None,
@@ -110,7 +110,7 @@
     pub fn print(&self, into: &mut impl Hasher) {
         let now = self.floor.works.now();
         let since = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        self.router.print(&Print { now, more: true, alike: false, beside: &|_| 0 }, into);
+        self.scheduler.print(&Print { now, more: true, alike: false, beside: &|_| 0 }, into);
         self.floor.print(into);
         (self.leaving.map(since), self.left).hash(into);
     }
@@ -124,7 +124,7 @@
         let now = self.floor.works.now();
         let Floor { engines, works, .. } = &mut self.floor;
         match due {
-            Timer::Wake => self.router.wake(now, &mut self.floor),
+            Timer::Wake => self.scheduler.wake(now, &mut self.floor),
             Timer::Attempt(slot) => engines.overdue(slot, works),
             Timer::Link(slot) => engines.link_overdue(slot, now, works),
             Timer::Whole(slot) => engines.not_whole(slot, works),
@@ -162,7 +162,7 @@
             let now = self.floor.works.now();
             match news {
                 News::Noticed(request, attempt, notice) => {
-                    self.router.notice(now, request, attempt, notice, &mut self.floor);
+                    self.scheduler.notice(now, request, attempt, notice, &mut self.floor);
                 }
                 News::Ended(ended, body, owing) => {
                     if let Some((link, request)) = owing.zip(self.floor.requests.get_mut(ended.request)) {
@@ -186,7 +186,7 @@
             self.floor.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
         }
         ended.over = self.floor.requests.get(ended.request).is_none();
-        self.router.attempt_ended(now, ended, &mut self.floor);
+        self.scheduler.attempt_ended(now, ended, &mut self.floor);
     }
 
     // ---- clients ----
@@ -302,7 +302,7 @@
         for request in left.extract_if(.., |request| at_the_door(request)) {
             self.floor.reject(request, None);
         }
-        self.router.clients_left(now, &withdrawn, &left, &mut self.floor);
+        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.floor);
         self.tell();
     }
 
@@ -404,7 +404,7 @@
         }
         match asks {
             Some((team, urgency, told)) => self.knock(now, arrival, (team, urgency, same, told)),
-            None => self.router.accept(now, arrival, floor),
+            None => self.scheduler.accept(now, arrival, floor),
         }
         Ok(())
     }
@@ -429,10 +429,10 @@
             urgency,
             identity,
             key: arrival.key.filter(|_| ordered).map(|key| key as u64),
-            work: self.router.expected_work(&arrival),
+            work: self.scheduler.expected_work(&arrival),
             latency_objective,
             // The decisions answer in time what they are given in time.
-            margin: self.router.margin() * 2,
+            margin: self.scheduler.margin() * 2,
             asks_to_be_told: told,
         };
         let request = arrival.request;
@@ -453,8 +453,8 @@
         for (request, how) in self.floor.closed.as_mut().map(std::mem::take).unwrap_or_default() {
             door.closed(now, request, how);
         }
-        if let Some(arrival) = door.next(now, || self.router.room(now)) {
-            self.router.accept(now, arrival, &mut self.floor);
+        if let Some(arrival) = door.next(now, || self.scheduler.room(now)) {
+            self.scheduler.accept(now, arrival, &mut self.floor);
             return true;
         }
         for (request, wait) in door.to_tell(now) {
@@ -463,7 +463,7 @@
             }
         }
         // What opens by time alone is looked for by the decisions' own step.
-        let due = door.due().map(|due| due.min(now + self.router.margin()));
+        let due = door.due().map(|due| due.min(now + self.scheduler.margin()));
         if due != self.door_due {
             let timers = &mut self.floor.works.timers;
             if let Some(old) = std::mem::replace(&mut self.door_due, due) {
@@ -477,7 +477,7 @@
     /// Hands on all that waits, whatever its turn.
     fn empty_the_door(&mut self, now: Duration) {
         while let Some(arrival) = self.door.as_mut().and_then(|door| door.any(now)) {
-            self.router.accept(now, arrival, &mut self.floor);
+            self.scheduler.accept(now, arrival, &mut self.floor);
         }
     }
 
@@ -557,7 +557,7 @@
         self.floor.serving |= listings.iter().any(|row| row.ready);
         self.floor.works.counters.count("list_events");
         let now = self.floor.works.now();
-        self.router.engines_changed(now, whole, listings, &mut self.floor);
+        self.scheduler.engines_changed(now, whole, listings, &mut self.floor);
         self.tell();
     }
 
@@ -587,7 +587,7 @@
         self.leaving = Some(by);
         works.timers.set(now + STRAGGLERS, Timer::Leave);
         self.empty_the_door(now);
-        self.router.closing(now, by, &mut self.floor);
+        self.scheduler.closing(now, by, &mut self.floor);
         self.tell();
     }
 
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,7 +1,8 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Arrival, AttemptEnd, Bill, Ended, EngineId, KeyId, Listing, Notice, Outlet, RequestId, Router, Signals,
+    Actions, Arrival, AttemptEnd, Bill, Ended, EngineId, KeyId, Listing, Notice, RequestId, Scheduler,
+    Signals,
 };
 use emberflow_startup::{
     Fault, Fields, duties, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
@@ -13,7 +14,7 @@
 
 pub struct Instance {
     who: u64,
-    router: Router,
+    scheduler: Scheduler,
     reported: Vec<String>,
     marks_retries: bool,
     names: Names,
@@ -60,7 +61,7 @@
     }
 }
 
-impl Outlet for Writer<'_> {
+impl Actions for Writer<'_> {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let engine = &self.names.engines.names[engine];
         let until = to_ms(until.max(self.now));
@@ -99,10 +100,10 @@
     pub fn new(who: u64, line: Fields) -> Result<Self, Fault> {
         let params = line.part("params")?;
         let reported = reported(params)?;
-        let router =
-            Router::new(fleet(line.whole("rngSeed")?, params)?, request_classes(params)?, duties(params)?);
+        let scheduler =
+            Scheduler::new(fleet(line.whole("rngSeed")?, params)?, request_classes(params)?, duties(params)?);
         let marks_retries = marks_retries(params)?;
-        Ok(Self { who, router, reported, marks_retries, names: Names::default() })
+        Ok(Self { who, scheduler, reported, marks_retries, names: Names::default() })
     }
 
     pub fn event(
@@ -113,7 +114,7 @@
         tables: &HashMap<u64, Vec<Value>>,
         reply: &mut Vec<u8>,
     ) -> Result<(), Fault> {
-        let Self { who, router, reported, marks_retries, names } = self;
+        let Self { who, scheduler, reported, marks_retries, names } = self;
         let known = |name| {
             let name: &str = line.text(name)?;
             Ok::<_, Fault>(names.requests.numbers.get(name).map(|t| *t as RequestId))
@@ -122,14 +123,14 @@
             "ANNOUNCE" => {
                 let mode = line.text("mode")?;
                 if mode == "broken" {
-                    router.list_failed(now, &mut Writer { who: *who, now, names, reply });
+                    scheduler.list_failed(now, &mut Writer { who: *who, now, names, reply });
                     return Ok(());
                 }
                 let rows = tables.get(&line.whole("ref")?).ok_or("`ref` names no table")?;
                 let listings = rows.iter().map(|row| listing(Fields::of(row), &mut names.engines));
                 let listings = listings.collect::<Result<Vec<_>, Fault>>()?;
                 let out = &mut Writer { who: *who, now, names, reply };
-                router.engines_changed(now, mode != "patch", listings, out);
+                scheduler.engines_changed(now, mode != "patch", listings, out);
             }
             "ACCEPT" => {
                 let arrival = Arrival {
@@ -146,7 +147,7 @@
                     later_try: marks_retries.then(|| line.maybe_flag("repeat")),
                     group: line.maybe_number("tableGroup").map(|g| g as u64),
                 };
-                router.accept(now, arrival, &mut Writer { who: *who, now, names, reply });
+                scheduler.accept(now, arrival, &mut Writer { who: *who, now, names, reply });
             }
             "ENDED" => {
                 let used = line.maybe_number("usedUp").unwrap_or(0.0) as u64;
@@ -166,7 +167,7 @@
                     over: line.flag("noMore")?,
                 };
                 if request.is_some() {
-                    router.attempt_ended(now, ended, &mut Writer { who: *who, now, names, reply });
+                    scheduler.attempt_ended(now, ended, &mut Writer { who: *who, now, names, reply });
                 }
             }
             "NOTICE" => {
@@ -179,7 +180,7 @@
                     (sort, value) => return Err(format!("`sort` {sort} with `value` {value} is unknown")),
                 };
                 if let Some(request) = request {
-                    router.notice(
+                    scheduler.notice(
                         now,
                         request,
                         attempt,
@@ -190,15 +191,20 @@
             }
             "CANCELLED_BY_CLIENT" => {
                 if let Some(request) = known("ref")? {
-                    router.clients_left(now, &[request], &[], &mut Writer { who: *who, now, names, reply });
+                    scheduler.clients_left(
+                        now,
+                        &[request],
+                        &[],
+                        &mut Writer { who: *who, now, names, reply },
+                    );
                 }
             }
-            "BELL" => router.wake(now, &mut Writer { who: *who, now, names, reply }),
+            "BELL" => scheduler.wake(now, &mut Writer { who: *who, now, names, reply }),
             "PROBE_DONE" => {
                 let engine = names.engines.number(line.text("engine")?);
                 let signals = signals(reported, line);
                 let out = &mut Writer { who: *who, now, names, reply };
-                router.probed(now, engine, signals, out);
+                scheduler.probed(now, engine, signals, out);
             }
             "INBOX" | "STARTED" => {}
             _ => return Err(format!("unknown `op` {op}")),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! emberflow: the front for query engines with limited memory, as a library without I/O, clock or JSON.
 //!
-//! A caller builds one [`Router`] from the [`Fleet`], the [`RequestClass`]s and the [`Duties`] it was started
-//! with, and reports everything that happens by a method call that takes the time and an [`Outlet`]. The
+//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]s and the [`Duties`] it was started
+//! with, and reports everything that happens by a method call that takes the time and an [`Actions`]. The
 //! router answers through that outlet before the call returns, and keeps the requests and engines itself.
 //!
 //! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller gives
@@ -12,7 +12,7 @@
 mod recent;
 mod state;
 
-pub use logic::{Room, Router};
+pub use logic::{Room, Scheduler};
 pub use print::{Kept, Print};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 pub type KeyId = u32;
 
 /// What the router says; every call takes effect at the time of the input being answered.
-pub trait Outlet {
+pub trait Actions {
     /// Sends the request's next attempt; it is abandoned at `until`.
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
     /// Names the grant of the request's next attempt and the priority of all its attempts.
@@ -34,7 +34,7 @@
     fn fail(&mut self, request: RequestId);
     /// Asks an engine for its load, where that is allowed.
     fn probe(&mut self, engine: EngineId);
-    /// Asks for a [`Router::wake`] after `wait`.
+    /// Asks for a [`Scheduler::wake`] after `wait`.
     fn wake_after(&mut self, wait: Duration);
     /// Asks for the changes of the engine list from now on.
     fn watch(&mut self);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,5 +1,5 @@
-//! The decisions. Callers reach them through the methods of [`Router`], one for each kind of input; `lib.rs`
-//! has what goes in and the `Outlet` that answers come out of. After each input the rules listed in `settle`
+//! The decisions. Callers reach them through the methods of [`Scheduler`], one for each kind of input; `lib.rs`
+//! has what goes in and the `Actions` that answers come out of. After each input the rules listed in `settle`
 //! run in their order until none fires.
 
 use crate::recent::{Recent, add, mean, quantile, seconds, span};
@@ -82,7 +82,7 @@
 }
 
 #[derive(Clone)]
-pub struct Router {
+pub struct Scheduler {
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) classes: Arc<[RequestClass]>,
     pub(crate) duties: Arc<Duties>,
@@ -102,7 +102,7 @@
 
 /// What may be sent at once, tier by tier.
 pub struct Room<'a> {
-    router: &'a Router,
+    scheduler: &'a Scheduler,
     now: Duration,
     sight: Sight,
     blocked: BTreeSet<(usize, Tier)>,
@@ -111,18 +111,18 @@
 impl Room<'_> {
     /// Whether a request would be sent at once; those after it, in tiers without room for it, would not.
     pub fn takes(&mut self, arrival: &Arrival) -> bool {
-        let request = self.router.believed(self.now, arrival);
-        let line = request.key.and_then(|key| self.router.lines.get(&key));
+        let request = self.scheduler.believed(self.now, arrival);
+        let line = request.key.and_then(|key| self.scheduler.lines.get(&key));
         let waits = line
             .is_some_and(|line| !line.requests.is_empty() || line.rest.is_some_and(|(_, at)| at > self.now));
-        !waits && self.router.choose(self.now, &request, &self.sight, &mut self.blocked).is_some()
+        !waits && self.scheduler.choose(self.now, &request, &self.sight, &mut self.blocked).is_some()
     }
 }
 
 /// One rule: a condition and an effect; tells whether it fired.
-type Rule<O> = fn(&mut Router, Duration, &mut Sight, &mut O) -> bool;
+type Rule<O> = fn(&mut Scheduler, Duration, &mut Sight, &mut O) -> bool;
 
-impl Router {
+impl Scheduler {
     pub fn new(fleet: Fleet, classes: Vec<RequestClass>, duties: Duties) -> Self {
         Self {
             learned: classes.iter().map(|_| Learned::keeping(SAMPLES)).collect(),
@@ -143,7 +143,7 @@
         }
     }
 
-    pub fn accept(&mut self, now: Duration, arrival: Arrival, out: &mut impl Outlet) {
+    pub fn accept(&mut self, now: Duration, arrival: Arrival, out: &mut impl Actions) {
         let learned = &mut self.learned[arrival.class];
         // A client's later try has less deadline than usual: so much of the way to the target is gone. Where
         // clients mark such tries, a first one with less deadline than others is not taken for one.
@@ -199,10 +199,10 @@
 
     /// What may be sent at once, for a queue before this: what can't be waits where its order counts.
     pub fn room(&self, now: Duration) -> Room<'_> {
-        Room { router: self, now, sight: self.sight(now, true), blocked: BTreeSet::new() }
+        Room { scheduler: self, now, sight: self.sight(now, true), blocked: BTreeSet::new() }
     }
 
-    pub fn attempt_ended(&mut self, now: Duration, attempt: Ended, out: &mut impl Outlet) {
+    pub fn attempt_ended(&mut self, now: Duration, attempt: Ended, out: &mut impl Actions) {
         let Ended { request: id, attempt, engine, end, took, bill, signals, over } = attempt;
         self.report(now, engine, signals, id);
         let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
@@ -269,7 +269,7 @@
     }
 
     /// An engine's answer to a probe, or that none came.
-    pub fn probed(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, out: &mut impl Outlet) {
+    pub fn probed(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, out: &mut impl Actions) {
         self.report(now, id, signals, RequestId::MAX);
         self.settle(now, out);
     }
@@ -280,7 +280,7 @@
         id: RequestId,
         attempt: usize,
         notice: Notice,
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) {
         if let Some(request) = self.requests.get_mut(&id)
             && let Some(attempt_out) = request.attempts.get_mut(attempt)
@@ -311,7 +311,7 @@
         now: Duration,
         over: &[RequestId],
         ended: &[RequestId],
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) {
         for (ids, over) in [(over, true), (ended, false)] {
             for id in ids {
@@ -323,7 +323,13 @@
         self.settle(now, out);
     }
 
-    pub fn engines_changed(&mut self, now: Duration, whole: bool, rows: Vec<Listing>, out: &mut impl Outlet) {
+    pub fn engines_changed(
+        &mut self,
+        now: Duration,
+        whole: bool,
+        rows: Vec<Listing>,
+        out: &mut impl Actions,
+    ) {
         if whole {
             self.engines.values_mut().for_each(|engine| (engine.ready, engine.gone) = (false, true));
         }
@@ -340,7 +346,7 @@
     }
 
     /// The process ends at `by`: nobody waits longer than that.
-    pub fn closing(&mut self, now: Duration, by: Duration, out: &mut impl Outlet) {
+    pub fn closing(&mut self, now: Duration, by: Duration, out: &mut impl Actions) {
         self.closing = by;
         let cut = |request: &mut Request| {
             (request.deadline, request.latency_objective) =
@@ -351,12 +357,12 @@
         self.settle(now, out);
     }
 
-    pub fn list_failed(&mut self, now: Duration, out: &mut impl Outlet) {
+    pub fn list_failed(&mut self, now: Duration, out: &mut impl Actions) {
         self.watched = false;
         self.settle(now, out);
     }
 
-    pub fn wake(&mut self, now: Duration, out: &mut impl Outlet) {
+    pub fn wake(&mut self, now: Duration, out: &mut impl Actions) {
         self.settle(now, out);
     }
 
@@ -708,7 +714,7 @@
     fn refuse(
         &mut self,
         hopeless: impl Fn(&Self, RequestId, &Request) -> bool,
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) -> bool {
         let retry_after = self.duties.longest_retry_after.map(|longest| self.beat().min(longest));
         let open =
@@ -724,7 +730,7 @@
         !open.is_empty()
     }
 
-    fn take_back(&mut self, mut attempts: Vec<(RequestId, usize)>, out: &mut impl Outlet) -> bool {
+    fn take_back(&mut self, mut attempts: Vec<(RequestId, usize)>, out: &mut impl Actions) -> bool {
         attempts.retain(|(id, attempt)| {
             self.duties.may_cancel && !self.requests[id].attempts[*attempt].cancelled
         });
@@ -735,7 +741,7 @@
         !attempts.is_empty()
     }
 
-    fn send(&mut self, now: Duration, id: RequestId, to: EngineId, tier: Tier, out: &mut impl Outlet) {
+    fn send(&mut self, now: Duration, id: RequestId, to: EngineId, tier: Tier, out: &mut impl Actions) {
         let request = &self.requests[&id];
         let grant = self.grant(request, self.engines[&to].kind);
         let usual = self.usual_cost(request.class);
@@ -753,7 +759,7 @@
 
     // ---- rules ----
 
-    fn settle<O: Outlet>(&mut self, now: Duration, out: &mut O) {
+    fn settle<O: Actions>(&mut self, now: Duration, out: &mut O) {
         let rules: [Rule<O>; 9] = [
             Self::forget_what_is_over,
             Self::answer_in_time,
@@ -769,7 +775,7 @@
         while rules.iter().any(|rule| rule(self, now, &mut sight, out)) {}
     }
 
-    fn forget_what_is_over(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn forget_what_is_over(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
         let over =
             |request: &Request| request.over && request.attempts.iter().all(|attempt| attempt.end.is_some());
         let gone: BTreeSet<RequestId> =
@@ -795,19 +801,20 @@
 
     /// One final answer before deadline ends, or the process, and at once where no further attempt is allowed, or
     /// is for nobody any more.
-    fn answer_in_time(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
-        let hopeless = |router: &Self, _: RequestId, request: &Request| {
-            let soon = now + router.margin() * 3;
-            let again = || router.may_run_again(request, now) && !router.earns_little_late(request, now);
+    fn answer_in_time(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
+        let hopeless = |scheduler: &Self, _: RequestId, request: &Request| {
+            let soon = now + scheduler.margin() * 3;
+            let again =
+                || scheduler.may_run_again(request, now) && !scheduler.earns_little_late(request, now);
             let hopeless =
                 || request.left || soon >= request.deadline || !request.attempts.is_empty() && !again();
-            soon >= router.closing || request.held() && hopeless()
+            soon >= scheduler.closing || request.held() && hopeless()
         };
         self.refuse(hopeless, out)
     }
 
     /// Guards against engines, and single answers, of which nothing comes: takes back what may be repeated.
-    fn cancel_on_silent_engines(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn cancel_on_silent_engines(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
         let mut fired = false;
         for (id, seen) in &sight.engines {
             let silent = seen.silence >= 1.5;
@@ -827,7 +834,7 @@
 
     /// Guards against attempts that take many times their expected run while the estimate gives no cause: only a
     /// request's first attempt, since a second one as slow shows a costly request.
-    fn cancel_bad_plans(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn cancel_bad_plans(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
         let slack = seconds(self.beat());
         let bad = |request: &Request| {
             let (attempt, run) = (&request.attempts[0], sight.runs[request.class] * request.ideal);
@@ -844,7 +851,7 @@
     }
 
     /// Under pressure, attempts past their target whose type earns little when late make room for those in time.
-    fn drop_what_is_late(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn drop_what_is_late(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
         let pressed = |attempt: &Attempt| sight.engines[&attempt.engine].pressed == Some(true);
         let late = |request: &Request| {
             request.attempts.last().is_some_and(pressed) && self.earns_little_late(request, now)
@@ -933,7 +940,7 @@
     }
 
     /// The ordinary path: held requests leave earliest first per tier.
-    fn release(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn release(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
         let held =
             self.requests.iter().filter(|(_, request)| request.held()).map(|(id, _)| *id).collect::<Vec<_>>();
         let mut blocked: BTreeSet<(usize, Tier)> = BTreeSet::new();
@@ -960,7 +967,7 @@
     }
 
     /// Where only probes tell: two engines of which nothing is known are asked, once in half a beat.
-    fn ask_what_is_free(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn ask_what_is_free(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
         let lately = now.saturating_sub(self.beat() / 2);
         let held =
             self.requests.iter().any(|(id, request)| request.held() && self.has_turn(*id, request, now));
@@ -977,7 +984,12 @@
     }
 
     /// Refuses when the time left cannot cover a run, or after a time-out that grows by tier.
-    fn refuse_what_waits_in_vain(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn refuse_what_waits_in_vain(
+        &mut self,
+        now: Duration,
+        sight: &mut Sight,
+        out: &mut impl Actions,
+    ) -> bool {
         let from = now.saturating_sub(self.beat() * 4);
         // Those of untold cost stand in one line, which has one time-out: else patient ones keep others out.
         let way =
@@ -997,13 +1009,13 @@
         };
         let held = self.requests.iter().filter(|(_, request)| request.held()).enumerate();
         let crowd: BTreeSet<RequestId> = held.filter_map(behind).collect();
-        let in_vain = |router: &Self, id: RequestId, request: &Request| {
+        let in_vain = |scheduler: &Self, id: RequestId, request: &Request| {
             let (run, memory) = (request.ideal * sight.runs[request.class], request.tier_memory());
             // What is learned from those sent judges no type of which none came back lately.
-            let back = || router.learned[request.class].stretches.since(from).next().is_some();
+            let back = || scheduler.learned[request.class].stretches.since(from).next().is_some();
             let run = span(if request.told_cost.is_some() || back() { run } else { 0.0 });
-            if !router.has_turn(id, request, now) {
-                let earns_late = router.classes[request.class].late_share > 0.0;
+            if !scheduler.has_turn(id, request, now) {
+                let earns_late = scheduler.classes[request.class].late_share > 0.0;
                 return now + run > if earns_late { request.deadline } else { request.latency_objective };
             }
             let tiers = sight.gateways.iter().map(|gateway| gateway.tier(memory));
@@ -1013,10 +1025,10 @@
             let time_out = request.arrived + if alone { way } else { way.min(shortest) }.mul_f64(hold);
             now + run > request.latency_objective || now > time_out || crowd.contains(&id)
         };
-        self.refuse(|router, id, request| request.held() && in_vain(router, id, request), out)
+        self.refuse(|scheduler, id, request| request.held() && in_vain(scheduler, id, request), out)
     }
 
-    fn stay_awake(&mut self, now: Duration, _: &mut Sight, out: &mut impl Outlet) -> bool {
+    fn stay_awake(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
         if self.fleet.list_is_asked && !self.watched {
             self.watched = true;
             out.watch();
--- a/src/print.rs
+++ b/src/print.rs
@@ -29,7 +29,7 @@
 
 type Digest = DefaultHasher;
 
-impl Router {
+impl Scheduler {
     pub fn kept(&self) -> Kept {
         Kept { requests: self.requests.len(), engines: self.engines.len(), keys: self.lines.len() }
     }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -150,7 +150,7 @@
     time.as_nanos() as u64
 }
 
-impl Outlet for Log {
+impl Actions for Log {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.add(SEND, &[request.into(), engine as u64, nanos(until)]);
         self.asked.push(Asked::Attempt { request, engine, until });
@@ -247,7 +247,7 @@
 
 struct Life {
     random: Random,
-    router: Router,
+    scheduler: Scheduler,
     log: Log,
     habits: Habits,
     kinds: usize,
@@ -380,7 +380,7 @@
         Self {
             machines: machines.collect(),
             classes: classes.iter().map(|class| (class.deadline, class.threads)).collect(),
-            router: Router::new(fleet, classes, duties),
+            scheduler: Scheduler::new(fleet, classes, duties),
             random,
             log,
             habits,
@@ -411,7 +411,7 @@
             self.happen(event);
             self.act();
         }
-        let Kept { requests, engines, keys } = self.router.kept();
+        let Kept { requests, engines, keys } = self.scheduler.kept();
         self.log.add(KEPT, &[requests as u64, engines as u64, keys as u64]);
         self.log
     }
@@ -438,7 +438,7 @@
         self.log.add(INPUT, &[nanos(self.now)]);
         match event {
             Event::Arrival => self.request_arrives(),
-            Event::Wake => self.router.wake(self.now, &mut self.log),
+            Event::Wake => self.scheduler.wake(self.now, &mut self.log),
             Event::AttemptEnd(request, attempt, end) => self.attempt_ends(request, attempt, end),
             Event::Note(request, attempt) => self.note_comes(request, attempt),
             Event::Probed(engine) => self.probe_ends(engine),
@@ -451,12 +451,12 @@
                 self.plan_again(20, 400, Event::ClientsLeave);
             }
             Event::ListFails => {
-                self.router.list_failed(self.now, &mut self.log);
+                self.scheduler.list_failed(self.now, &mut self.log);
                 self.plan_again(200, 1500, Event::ListFails);
             }
             Event::Closing => {
                 let by = self.now + self.random.time(20, 800);
-                self.router.closing(self.now, by, &mut self.log);
+                self.scheduler.closing(self.now, by, &mut self.log);
             }
             Event::Look => {
                 self.look_for_room();
@@ -513,7 +513,7 @@
             self.arrived += 1;
             let asking = Asking { arrival: arrival.clone(), attempts: 0, answered: false };
             self.asking.insert(arrival.request, asking);
-            self.router.accept(self.now, arrival, &mut self.log);
+            self.scheduler.accept(self.now, arrival, &mut self.log);
             self.act();
         }
         if (self.arrived as usize) < self.habits.requests {
@@ -610,7 +610,7 @@
         asking.answered |= end == AttemptEnd::Succeeded;
         let over = asking.answered;
         let ended = Ended { request, attempt, engine: running.engine, end, took, bill, signals, over };
-        self.router.attempt_ended(self.now, ended, &mut self.log);
+        self.scheduler.attempt_ended(self.now, ended, &mut self.log);
     }
 
     fn note_comes(&mut self, request: RequestId, attempt: usize) {
@@ -629,7 +629,7 @@
             4 => Notice::Done(0.0),
             _ => Notice::Done(done.min(1.0)),
         };
-        self.router.notice(self.now, request, attempt, notice, &mut self.log);
+        self.scheduler.notice(self.now, request, attempt, notice, &mut self.log);
         if let Some(every) = self.habits.note_every
             && self.random.percent(93)
         {
@@ -640,12 +640,12 @@
     fn probe_ends(&mut self, engine: EngineId) {
         let answers = self.machines.get(&engine).is_some_and(|machine| !machine.silent && !machine.gone);
         let signals = if answers && !self.random.percent(10) { self.signals(engine) } else { None };
-        self.router.probed(self.now, engine, signals, &mut self.log);
+        self.scheduler.probed(self.now, engine, signals, &mut self.log);
     }
 
     fn list_engines(&mut self, whole: bool) {
         let rows = self.machines.iter().map(|(engine, machine)| listing(*engine, machine)).collect();
-        self.router.engines_changed(self.now, whole, rows, &mut self.log);
+        self.scheduler.engines_changed(self.now, whole, rows, &mut self.log);
         self.act();
     }
 
@@ -675,12 +675,12 @@
             8 => {
                 let rows = self.machines.iter().filter(|_| !random.percent(20));
                 let rows = rows.map(|(engine, machine)| listing(*engine, machine)).collect();
-                return self.router.engines_changed(now, true, rows, &mut self.log);
+                return self.scheduler.engines_changed(now, true, rows, &mut self.log);
             }
             _ => machine.ready = true,
         }
         let row = listing(engine, machine);
-        self.router.engines_changed(now, false, vec![row], &mut self.log);
+        self.scheduler.engines_changed(now, false, vec![row], &mut self.log);
     }
 
     fn clients_leave(&mut self) {
@@ -689,16 +689,16 @@
         let (over, ended): (Vec<RequestId>, Vec<RequestId>) =
             leaving.iter().partition(|request| *request % 2 == 0);
         over.iter().for_each(|request| self.request_is_answered(*request));
-        self.router.clients_left(self.now, &over, &ended, &mut self.log);
+        self.scheduler.clients_left(self.now, &over, &ended, &mut self.log);
     }
 
     fn look_for_room(&mut self) {
         let arrivals: Vec<Arrival> = (0..3).map(|_| self.arrival()).collect();
-        let mut room = self.router.room(self.now);
+        let mut room = self.scheduler.room(self.now);
         for arrival in &arrivals {
             self.log.add(ROOM, &[u64::from(room.takes(arrival))]);
         }
-        let work = self.router.expected_work(&arrivals[0]);
-        self.log.add(EXPECTED_WORK, &[nanos(work), nanos(self.router.margin())]);
+        let work = self.scheduler.expected_work(&arrivals[0]);
+        self.log.add(EXPECTED_WORK, &[nanos(work), nanos(self.scheduler.margin())]);
     }
 }
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -17,7 +17,7 @@
     }
 }
 
-impl Outlet for Lines {
+impl Actions for Lines {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.add(format_args!("request {request} to engine {engine} until {}", until.as_millis()));
     }
@@ -130,7 +130,7 @@
 pub const START: u64 = 20_000;
 
 pub struct Trace {
-    router: Router,
+    scheduler: Scheduler,
     lines: Lines,
     requests: RequestId,
     deadline: Vec<Duration>,
@@ -164,8 +164,8 @@
 
     fn round(fleet: Fleet, classes: Vec<RequestClass>, duties: Duties, places: Vec<(usize, u64)>) -> Self {
         let deadline = classes.iter().map(|class| class.deadline).collect();
-        let (router, lines) = (Router::new(fleet, classes, duties), Lines::default());
-        Self { router, lines, requests: 0, deadline, places }
+        let (scheduler, lines) = (Scheduler::new(fleet, classes, duties), Lines::default());
+        Self { scheduler, lines, requests: 0, deadline, places }
     }
 
     fn row(&self, engine: EngineId, ready: bool, gone: bool, launched: Option<u64>) -> Listing {
@@ -181,18 +181,18 @@
 
     /// A whole list that names nobody.
     pub fn list_lost(&mut self) -> &mut Self {
-        self.router.engines_changed(ms(self.lines.1), true, Vec::new(), &mut self.lines);
+        self.scheduler.engines_changed(ms(self.lines.1), true, Vec::new(), &mut self.lines);
         self
     }
 
     /// Where chance goes on from.
     pub fn draw(&mut self, draws: u64) -> &mut Self {
-        self.router.draw_from(draws);
+        self.scheduler.draw_from(draws);
         self
     }
 
     pub fn woken(&mut self) -> &mut Self {
-        self.router.wake(ms(self.lines.1), &mut self.lines);
+        self.scheduler.wake(ms(self.lines.1), &mut self.lines);
         self
     }
 
@@ -217,7 +217,7 @@
     }
 
     fn attempt_ended(&mut self, ended: Ended) -> &mut Self {
-        self.router.attempt_ended(ms(self.lines.1), ended, &mut self.lines);
+        self.scheduler.attempt_ended(ms(self.lines.1), ended, &mut self.lines);
         self
     }
 
@@ -227,7 +227,7 @@
     }
 
     pub fn list(&mut self, rows: Vec<Listing>) -> &mut Self {
-        self.router.engines_changed(ms(self.lines.1), false, rows, &mut self.lines);
+        self.scheduler.engines_changed(ms(self.lines.1), false, rows, &mut self.lines);
         self
     }
 
@@ -254,7 +254,7 @@
         let deadline = arrival.deadline.min(self.deadline[arrival.class]);
         let arrival = Arrival { request: self.requests, deadline, ..arrival };
         self.requests += 1;
-        self.router.accept(ms(self.lines.1), arrival, &mut self.lines);
+        self.scheduler.accept(ms(self.lines.1), arrival, &mut self.lines);
         self
     }
 
@@ -317,40 +317,40 @@
     }
 
     pub fn notice(&mut self, request: RequestId, attempt: usize, notice: Notice) -> &mut Self {
-        self.router.notice(ms(self.lines.1), request, attempt, notice, &mut self.lines);
+        self.scheduler.notice(ms(self.lines.1), request, attempt, notice, &mut self.lines);
         self
     }
 
     pub fn probed(&mut self, engine: EngineId, signals: Option<Signals>) -> &mut Self {
-        self.router.probed(ms(self.lines.1), engine, signals, &mut self.lines);
+        self.scheduler.probed(ms(self.lines.1), engine, signals, &mut self.lines);
         self
     }
 
     pub fn left(&mut self, request: RequestId) -> &mut Self {
-        self.router.clients_left(ms(self.lines.1), &[request], &[], &mut self.lines);
+        self.scheduler.clients_left(ms(self.lines.1), &[request], &[], &mut self.lines);
         self
     }
 
     /// Their clients have ended their side.
     pub fn shut(&mut self, requests: &[RequestId]) -> &mut Self {
-        self.router.clients_left(ms(self.lines.1), &[], requests, &mut self.lines);
+        self.scheduler.clients_left(ms(self.lines.1), &[], requests, &mut self.lines);
         self
     }
 
     pub fn closing(&mut self, by: u64) -> &mut Self {
-        self.router.closing(ms(self.lines.1), ms(by), &mut self.lines);
+        self.scheduler.closing(ms(self.lines.1), ms(by), &mut self.lines);
         self
     }
 
     /// Wakes the router when it last asked for it.
     pub fn wake(&mut self) -> &mut Self {
         self.lines.1 += self.lines.2.as_millis() as u64;
-        self.router.wake(ms(self.lines.1), &mut self.lines);
+        self.scheduler.wake(ms(self.lines.1), &mut self.lines);
         self
     }
 
     pub fn list_failed(&mut self) -> &mut Self {
-        self.router.list_failed(ms(self.lines.1), &mut self.lines);
+        self.scheduler.list_failed(ms(self.lines.1), &mut self.lines);
         self
     }
 
@@ -358,7 +358,7 @@
     pub fn wait(&mut self, until: u64) -> &mut Self {
         while self.lines.1 + 40 <= until {
             self.lines.1 += 40;
-            self.router.wake(ms(self.lines.1), &mut self.lines);
+            self.scheduler.wake(ms(self.lines.1), &mut self.lines);
         }
         self
     }
