--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -154,16 +154,17 @@
     let Act::Send { request: number, engine, .. } = act else { return false };
     let site = &life.sites[*engine];
     let Some(launched) = site.launched else { return false };
-    let World { fleet, duties, .. } = world;
-    let warmth = (life.now - launched).as_secs_f64() / duties.warm_up.as_secs_f64();
+    let World { fleet, attempt_limits, .. } = world;
+    let warmth = (life.now - launched).as_secs_f64() / attempt_limits.warm_up.as_secs_f64();
     if warmth >= 1.0 {
         return false;
     }
     let capacity = fleet.kinds[world.kind(*engine)].cores
-        * (duties.start_capacity + (1.0 - duties.start_capacity) * warmth);
-    let part = duties.overload_factor * capacity * duties.fall.as_secs_f64() / fleet.routers as f64;
+        * (attempt_limits.start_capacity + (1.0 - attempt_limits.start_capacity) * warmth);
+    let part = attempt_limits.overload_factor * capacity * attempt_limits.overload_window.as_secs_f64()
+        / fleet.routers as f64;
     let usual = world.requests[*number as usize].cost as f64 / 1e3;
-    let over = duties.fall.mul_f64((usual / part).max(1.0));
+    let over = attempt_limits.overload_window.mul_f64((usual / part).max(1.0));
     let sent = site.sent.iter().filter(|(at, _)| *at + over > life.now).map(|(_, work)| work);
     sent.sum::<f64>() + usual > part.max(usual) * (1.0 + 1e-9)
 }
@@ -198,11 +199,11 @@
 }
 
 fn too_many_attempts(world: &World, life: &Life, act: &Act) -> bool {
-    sent_again(life, act).is_some_and(|request| request.attempts.len() >= world.duties.most_attempts)
+    sent_again(life, act).is_some_and(|request| request.attempts.len() >= world.attempt_limits.max_attempts)
 }
 
 fn over_budget(world: &World, life: &Life, act: &Act) -> bool {
-    let Some(budget) = &world.duties.attempt_budget else { return false };
+    let Some(budget) = &world.attempt_limits.retry_budget else { return false };
     let further = sent_again(life, act).is_some_and(|request| !request.attempts.is_empty());
     let lately = |at: Duration| at + budget.over > life.now;
     let made = life.further.iter().filter(|at| lately(**at)).count() as f64;
@@ -213,7 +214,8 @@
 fn cancels_nothing(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Cancel { request: number, attempt } = act else { return false };
     let attempt = request(life, number).attempts.get(*attempt);
-    !world.duties.may_cancel || attempt.is_none_or(|attempt| attempt.end.is_some() || attempt.cancelled)
+    !world.attempt_limits.may_cancel
+        || attempt.is_none_or(|attempt| attempt.end.is_some() || attempt.cancelled)
 }
 
 fn grant_too_large(world: &World, _: &Life, act: &Act) -> bool {
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -190,11 +190,11 @@
 
 impl Life {
     pub fn new(world: &World) -> Self {
-        let (fleet, classes, duties) = world.place.told();
+        let (fleet, classes, attempt_limits) = world.place.told();
         let now = Duration::from_secs(20);
         let mut life = Self {
             now,
-            scheduler: Scheduler::new(fleet, classes, duties),
+            scheduler: Scheduler::new(fleet, classes, attempt_limits),
             requests: Vec::new(),
             sites: Vec::new(),
             wakes: Vec::new(),
@@ -231,7 +231,7 @@
             let site = &self.sites[engine];
             let mut digest = DefaultHasher::new();
             (site.forgotten, site.gone).hash(&mut digest);
-            let cold = site.launched.filter(|at| *at + world.duties.warm_up > self.now);
+            let cold = site.launched.filter(|at| *at + world.attempt_limits.warm_up > self.now);
             cold.map(|_| {
                 site.sent.iter().map(|(at, work)| (self.now - *at, work.to_bits())).collect::<Vec<_>>()
             })
@@ -259,7 +259,7 @@
         for (key, request, until) in &self.rests {
             (key, request, until.saturating_sub(self.now)).hash(&mut digest);
         }
-        if world.duties.attempt_budget.is_some() {
+        if world.attempt_limits.retry_budget.is_some() {
             self.further.iter().for_each(|at| (self.now - *at).hash(&mut digest));
         }
         (self.requests.len(), self.listed, self.left, self.watched).hash(&mut digest);
@@ -366,8 +366,10 @@
         // Where a cold engine's window ends, another request may find room.
         if self.requests.len() < world.requests.len() {
             let cold = self.sites.iter().filter(|site| site.launched.is_some());
-            times
-                .extend(cold.flat_map(|site| &site.sent).flat_map(|(at, _)| before(*at + world.duties.fall)));
+            times.extend(
+                cold.flat_map(|site| &site.sent)
+                    .flat_map(|(at, _)| before(*at + world.attempt_limits.overload_window)),
+            );
         }
         times.into_iter().filter(|at| *at > self.now).min()
     }
@@ -479,7 +481,7 @@
         truth.end = Some(end);
         let (engine, took) = (truth.engine, now - truth.sent);
         if let (Some(key), Some(rest), AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn) =
-            (world.requests[request].key, world.duties.key_rest, end)
+            (world.requests[request].key, world.attempt_limits.key_cooldown, end)
         {
             // All that are still owed: one after another's attempt does not end that of an earlier.
             self.rests.retain(|(.., until)| *until > now);
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -39,8 +39,8 @@
 pub const MUTANTS: &[Mutant] = &[
     logic(
         "attempt limit off by one",
-        "request.attempts.len() < self.duties.most_attempts",
-        "request.attempts.len() <= self.duties.most_attempts",
+        "request.attempts.len() < self.attempt_limits.max_attempts",
+        "request.attempts.len() <= self.attempt_limits.max_attempts",
     ),
     logic("window doubled", "< attempt.sent + *window", "< attempt.sent + *window * 2"),
     logic(
@@ -86,8 +86,8 @@
     logic("two in a cold engine's window", "sent + usual <= budget.max(usual)", "sent <= budget.max(usual)"),
     logic(
         "cold window halved",
-        "let window = self.duties.fall.mul_f64(times.min(1e6));",
-        "let window = self.duties.fall.mul_f64(times.min(1e6) / 2.0);",
+        "let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6));",
+        "let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6) / 2.0);",
     ),
     Mutant {
         name: "a start is not cold",
@@ -97,10 +97,10 @@
     },
     logic(
         "cancelled again",
-        "self.duties.may_cancel && !self.requests[id].attempts[*attempt].cancelled",
-        "self.duties.may_cancel",
+        "self.attempt_limits.may_cancel && !self.requests[id].attempts[*attempt].cancelled",
+        "self.attempt_limits.may_cancel",
     ),
-    logic("cancels where it may not", "self.duties.may_cancel && !self", "!self"),
+    logic("cancels where it may not", "self.attempt_limits.may_cancel && !self", "!self"),
     logic("answers too late", "let soon = now + router.margin() * 3;", "let soon = now;"),
     logic(
         "nobody wakes it for what is out",
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -2,7 +2,7 @@
 
 use crate::setup;
 use crate::world::{Asks, Listed, Place, asks, keyed};
-use emberflow::{AttemptBudget, AttemptEnd, Notice, Signals};
+use emberflow::{AttemptEnd, Notice, RetryBudget, Signals};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -103,7 +103,7 @@
     Place {
         name: "placed",
         says: "a request bound to one kind and one location, engines of every other",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             fleet.kinds.push(emberflow::Kind { cores: 8.0, memory_mb: 16000.0 });
             classes[0].kinds = Some(vec![1]);
             classes[0].locations = Some(vec![1]);
@@ -162,7 +162,7 @@
     Place {
         name: "list asked",
         says: "a list that is asked for, breaks off and comes back empty",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             fleet.list_is_asked = true;
         }),
         engines: TWO,
@@ -197,9 +197,9 @@
     Place {
         name: "one key",
         says: "two replayable requests of one key that rests, one engine",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
-            duties.key_rest = Some(std::time::Duration::from_millis(60));
+            attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(0, 1)],
@@ -210,10 +210,10 @@
     Place {
         name: "one key, single-use",
         says: "two single-use requests of one key that rests, no cancel, a client that leaves its attempt out",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             classes[4].keeps_order = true;
-            duties.key_rest = Some(std::time::Duration::from_millis(60));
-            duties.may_cancel = false;
+            attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
+            attempt_limits.may_cancel = false;
         }),
         engines: &[(0, 0)],
         requests: &[keyed(4, 1), keyed(4, 1)],
@@ -224,11 +224,11 @@
     Place {
         name: "one key, two effects",
         says: "a replayable request, whose further attempts need no rest, and a single-use one of its key that does",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
-            duties.key_rest = Some(std::time::Duration::from_millis(60));
-            duties.may_cancel = false;
+            attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
+            attempt_limits.may_cancel = false;
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(4, 1)],
@@ -239,11 +239,11 @@
     Place {
         name: "three of one key",
         says: "a single-use request between two replayable ones of its key: one rest after another",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
-            duties.key_rest = Some(std::time::Duration::from_millis(60));
-            duties.may_cancel = false;
+            attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
+            attempt_limits.may_cancel = false;
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(4, 1), keyed(0, 1)],
@@ -254,9 +254,9 @@
     Place {
         name: "attempt budget",
         says: "two replayable requests, one engine, an attempt budget with room for one of them",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             let over = std::time::Duration::from_millis(400);
-            duties.attempt_budget = Some(AttemptBudget { spare: 1.0, per_request: 0.0, over });
+            attempt_limits.retry_budget = Some(RetryBudget { spare: 1.0, per_request: 0.0, over });
         }),
         engines: &[(0, 0)],
         requests: &[asks(0), asks(0)],
@@ -267,9 +267,9 @@
     Place {
         name: "attempt budget at two",
         says: "the same at two engines, with notes that tell of a bad plan",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             let over = std::time::Duration::from_millis(400);
-            duties.attempt_budget = Some(AttemptBudget { spare: 0.5, per_request: 0.5, over });
+            attempt_limits.retry_budget = Some(RetryBudget { spare: 0.5, per_request: 0.5, over });
         }),
         engines: TWO,
         requests: &[asks(0), asks(0)],
@@ -294,9 +294,9 @@
     Place {
         name: "cold engine, small part",
         says: "the same for one of forty routers, whose part is less than one request",
-        setup: setup!(|fleet, classes, duties| {
+        setup: setup!(|fleet, classes, attempt_limits| {
             fleet.routers = 40;
-            duties.warm_up = std::time::Duration::from_millis(2000);
+            attempt_limits.warm_up = std::time::Duration::from_millis(2000);
         }),
         engines: &[(0, 0)],
         requests: &[asks(0), asks(0)],
@@ -326,8 +326,8 @@
     Place {
         name: "may not cancel",
         says: "attempts that may not be taken back, with every reason to",
-        setup: setup!(|fleet, classes, duties| {
-            duties.may_cancel = false;
+        setup: setup!(|fleet, classes, attempt_limits| {
+            attempt_limits.may_cancel = false;
         }),
         engines: TWO,
         requests: &[asks(0)],
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -12,7 +12,7 @@
     let _ = writeln!(text, "#[test]\nfn {name}() {{");
     let setup = match world.setup.text {
         "{}" => "|_, _, _| ()".to_owned(),
-        body => format!("|fleet, classes, duties| {body}"),
+        body => format!("|fleet, classes, attempt_limits| {body}"),
     };
     let _ = writeln!(text, "    let mut trace = Trace::small(&{:?}, {setup});", world.engines);
     let mut at = None;
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -10,19 +10,19 @@
 /// What is told at start, as a change to the base that the traces of the repository start from, and its text.
 pub struct Setup {
     pub text: &'static str,
-    pub change: fn(&mut Fleet, &mut Vec<RequestClass>, &mut Duties),
+    pub change: fn(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
 }
 
 /// Writes the change once, for the module and for a reader.
 #[macro_export]
 macro_rules! setup {
-    (|$fleet:ident, $classes:ident, $duties:ident| $body:block) => {
+    (|$fleet:ident, $classes:ident, $attempt_limits:ident| $body:block) => {
         $crate::world::Setup {
             text: stringify!($body),
             change: |$fleet: &mut emberflow::Fleet,
                      $classes: &mut Vec<emberflow::RequestClass>,
-                     $duties: &mut emberflow::Duties| {
-                let _ = (&mut *$fleet, &mut *$classes, &mut *$duties);
+                     $attempt_limits: &mut emberflow::AttemptLimits| {
+                let _ = (&mut *$fleet, &mut *$classes, &mut *$attempt_limits);
                 $body
             },
         }
@@ -97,7 +97,7 @@
     pub const PLAIN: Place = Place {
         name: "plain",
         says: "one replayable request at one engine",
-        setup: setup!(|fleet, classes, duties| {}),
+        setup: setup!(|fleet, classes, attempt_limits| {}),
         engines: &[(0, 0)],
         kinds: &[0],
         requests: &[asks(0)],
@@ -117,10 +117,10 @@
         short: true,
     };
 
-    pub fn told(&self) -> (Fleet, Vec<RequestClass>, Duties) {
-        let (mut fleet, mut classes, mut duties) = trace::small();
-        (self.setup.change)(&mut fleet, &mut classes, &mut duties);
-        (fleet, classes, duties)
+    pub fn told(&self) -> (Fleet, Vec<RequestClass>, AttemptLimits) {
+        let (mut fleet, mut classes, mut attempt_limits) = trace::small();
+        (self.setup.change)(&mut fleet, &mut classes, &mut attempt_limits);
+        (fleet, classes, attempt_limits)
     }
 }
 
@@ -129,7 +129,7 @@
     pub place: &'static Place,
     pub fleet: Fleet,
     pub classes: Vec<RequestClass>,
-    pub duties: Duties,
+    pub attempt_limits: AttemptLimits,
 }
 
 impl Deref for World {
@@ -142,8 +142,8 @@
 
 impl World {
     pub fn of(place: &'static Place) -> Self {
-        let (fleet, classes, duties) = place.told();
-        Self { place, fleet, classes, duties }
+        let (fleet, classes, attempt_limits) = place.told();
+        Self { place, fleet, classes, attempt_limits }
     }
 
     pub fn kind(&self, engine: EngineId) -> usize {
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -92,7 +92,7 @@
             Ok(PostAction::Continue)
         };
         let door = ear.insert_source(source, admits).map_err(|e| fault("listening", &e))?;
-        let clock = Clock::starting(briefing.duties.warm_up);
+        let clock = Clock::starting(briefing.attempt_limits.warm_up);
         let works = Works { now: clock.now(), zero: clock.zero(), ..Works::default() };
         let mut edge = Self {
             front: Front::new(briefing, works),
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -56,19 +56,19 @@
     door_due: Option<Duration>,
     /// By request class, the target and whether requests of one key keep their order.
     habits: Vec<(Duration, bool)>,
-    longest_retry_after: Option<Duration>,
+    max_retry_after: Option<Duration>,
 }
 
 impl Front {
     /// Begins with the events that the configuration tells.
     pub fn new(briefing: Briefing, works: Works) -> Self {
-        let Briefing { premises, fleet, classes, duties, last, events, orders, unread: _ } = briefing;
+        let Briefing { premises, fleet, classes, attempt_limits, last, events, orders, unread: _ } = briefing;
         let (habits, now) =
             (classes.iter().map(|t| (t.latency_objective, t.keeps_order)).collect(), works.now());
-        let longest_retry_after = duties.longest_retry_after;
+        let max_retry_after = attempt_limits.max_retry_after;
         let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let mut front = Self {
-            scheduler: Scheduler::new(fleet, classes, duties),
+            scheduler: Scheduler::new(fleet, classes, attempt_limits),
             bulletin: Bulletin::after(last, premises.kinds.len(), premises.locations.len()),
             closed: Vec::new(),
             leaving: None,
@@ -78,7 +78,7 @@
             door: None,
             door_due: None,
             habits,
-            longest_retry_after,
+            max_retry_after,
             floor: Floor::within(premises, works),
         };
         if let Some(roll) = orders.teams {
@@ -441,7 +441,7 @@
         };
         self.floor.works.counters.count("requests_refused_at_the_door");
         log::debug!("task {request}: {:?}, back in {:?}", refusal.reason, refusal.retry_after);
-        let retry_after = self.longest_retry_after.map(|longest| refusal.retry_after.min(longest));
+        let retry_after = self.max_retry_after.map(|longest| refusal.retry_after.min(longest));
         self.floor.reject(request, retry_after);
     }
 
--- a/crates/router/src/premises.rs
+++ b/crates/router/src/premises.rs
@@ -1,9 +1,11 @@
 //! Where a router stands: what its configuration tells at start.
 
 use crate::bulletin::{Event, known};
-use emberflow::{Duties, Fleet, RequestClass};
+use emberflow::{AttemptLimits, Fleet, RequestClass};
 use emberflow_operator::Orders;
-use emberflow_startup::{Fault, Fields, duties, fleet, marks_retries, request_classes, unknown_reports};
+use emberflow_startup::{
+    Fault, Fields, attempt_limits, fleet, marks_retries, request_classes, unknown_reports,
+};
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -14,7 +16,7 @@
     pub premises: Premises,
     pub fleet: Fleet,
     pub classes: Vec<RequestClass>,
-    pub duties: Duties,
+    pub attempt_limits: AttemptLimits,
     /// The last event of the bulletin, and all so far.
     pub last: u64,
     pub events: Vec<Event>,
@@ -34,7 +36,7 @@
             fleet,
             classes,
             // On sockets a probe tells only that a connection works.
-            duties: Duties { may_probe: false, ..duties(settings)? },
+            attempt_limits: AttemptLimits { may_probe: false, ..attempt_limits(settings)? },
             unread: unknown_reports(settings)?,
             last,
             events,
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fields::{Fault, Fields, from_ms, to_ms};
 
-use emberflow::{AttemptBudget, Duties, Effect, Fleet, Kind, RequestClass, Scope, Signals};
+use emberflow::{AttemptLimits, Effect, Fleet, Kind, RequestClass, RetryBudget, Scope, Signals};
 
 /// Values of a load report that nothing reads, by the settings' names and the pages'.
 const UNREAD: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
@@ -161,7 +161,7 @@
     rows.enumerate().map(read).collect()
 }
 
-pub fn duties(params: Fields) -> Result<Duties, Fault> {
+pub fn attempt_limits(params: Fields) -> Result<AttemptLimits, Fault> {
     let (caps, rules) = (params.part("caps")?, params.part("rules")?);
     let over = rules.optional("countedOverMs", Fields::positive_time)?;
     let extra = |name: &str| match (rules.optional(name, Fields::not_negative)?, over) {
@@ -170,16 +170,16 @@
     };
     let (spare, per_request) = (extra("spareAttempts")?, extra("extraPerRequest")?);
     let longest = caps.optional("maxRetryAfterMs", Fields::time)?;
-    Ok(Duties {
-        most_attempts: caps.count("mostTries")?,
+    Ok(AttemptLimits {
+        max_attempts: caps.count("mostTries")?,
         may_cancel: caps.flag("cancel")?,
         may_probe: caps.optional("probes", Fields::flag)?.unwrap_or(false),
         start_capacity: rules.share("startCapacity")?,
         warm_up: rules.positive_time("warmUpMs")?,
         overload_factor: rules.positive("overloadFactor")?,
-        fall: rules.positive_time("fallMs")?,
-        key_rest: rules.optional("keyQuietMs", Fields::time)?,
-        attempt_budget: over.map(|over| AttemptBudget { spare, per_request, over }),
-        longest_retry_after: caps.flag("retryAfter")?.then_some(longest).flatten(),
+        overload_window: rules.positive_time("fallMs")?,
+        key_cooldown: rules.optional("keyQuietMs", Fields::time)?,
+        retry_budget: over.map(|over| RetryBudget { spare, per_request, over }),
+        max_retry_after: caps.flag("retryAfter")?.then_some(longest).flatten(),
     })
 }
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -1,6 +1,8 @@
 //! Settings that contradict each other, name what is not known, or lack what a rule needs.
 
-use emberflow_startup::{Fields, duties, fleet, marks_retries, reported, request_classes, unknown_reports};
+use emberflow_startup::{
+    Fields, attempt_limits, fleet, marks_retries, reported, request_classes, unknown_reports,
+};
 use expect_test::expect;
 use serde_json::{Value, json};
 
@@ -48,7 +50,7 @@
     let settings = Fields::of(file).part("settings")?;
     fleet(1, settings)?;
     request_classes(settings)?;
-    duties(settings)?;
+    attempt_limits(settings)?;
     marks_retries(settings)?;
     reported(settings)?;
     Ok(())
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -5,7 +5,7 @@
     Signals,
 };
 use emberflow_startup::{
-    Fault, Fields, duties, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
+    Fault, Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
 };
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -100,8 +100,11 @@
     pub fn new(who: u64, line: Fields) -> Result<Self, Fault> {
         let params = line.part("params")?;
         let reported = reported(params)?;
-        let scheduler =
-            Scheduler::new(fleet(line.whole("rngSeed")?, params)?, request_classes(params)?, duties(params)?);
+        let scheduler = Scheduler::new(
+            fleet(line.whole("rngSeed")?, params)?,
+            request_classes(params)?,
+            attempt_limits(params)?,
+        );
         let marks_retries = marks_retries(params)?;
         Ok(Self { who, scheduler, reported, marks_retries, names: Names::default() })
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! emberflow: the front for query engines with limited memory, as a library without I/O, clock or JSON.
 //!
-//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]s and the [`Duties`] it was started
+//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]s and the [`AttemptLimits`] it was started
 //! with, and reports everything that happens by a method call that takes the time and an [`Actions`]. The
 //! router answers through that outlet before the call returns, and keeps the requests and engines itself.
 //!
@@ -94,20 +94,20 @@
 }
 
 /// What the seven rules ask for; an absent figure leaves its rule idle.
-pub struct Duties {
-    pub most_attempts: usize,
+pub struct AttemptLimits {
+    pub max_attempts: usize,
     pub may_cancel: bool,
     pub may_probe: bool,
     pub start_capacity: f64,
     pub warm_up: Duration,
     pub overload_factor: f64,
-    pub fall: Duration,
-    pub key_rest: Option<Duration>,
-    pub attempt_budget: Option<AttemptBudget>,
-    pub longest_retry_after: Option<Duration>,
+    pub overload_window: Duration,
+    pub key_cooldown: Option<Duration>,
+    pub retry_budget: Option<RetryBudget>,
+    pub max_retry_after: Option<Duration>,
 }
 
-pub struct AttemptBudget {
+pub struct RetryBudget {
     pub spare: f64,
     pub per_request: f64,
     pub over: Duration,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -85,7 +85,7 @@
 pub struct Scheduler {
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) classes: Arc<[RequestClass]>,
-    pub(crate) duties: Arc<Duties>,
+    pub(crate) attempt_limits: Arc<AttemptLimits>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) engines: BTreeMap<EngineId, Engine>,
     pub(crate) lines: BTreeMap<KeyId, Line>,
@@ -123,12 +123,12 @@
 type Rule<O> = fn(&mut Scheduler, Duration, &mut Sight, &mut O) -> bool;
 
 impl Scheduler {
-    pub fn new(fleet: Fleet, classes: Vec<RequestClass>, duties: Duties) -> Self {
+    pub fn new(fleet: Fleet, classes: Vec<RequestClass>, attempt_limits: AttemptLimits) -> Self {
         Self {
             learned: classes.iter().map(|_| Learned::keeping(SAMPLES)).collect(),
             fleet: fleet.into(),
             classes: classes.into(),
-            duties: duties.into(),
+            attempt_limits: attempt_limits.into(),
             requests: BTreeMap::new(),
             engines: BTreeMap::new(),
             lines: BTreeMap::new(),
@@ -212,7 +212,8 @@
         ended.end = Some(end);
         let Attempt { sent, engine, grant, missing, .. } = *ended;
         let may_still_run = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn);
-        if let (Some(key), Some(rest), true) = (request.key, self.duties.key_rest, may_still_run) {
+        if let (Some(key), Some(rest), true) = (request.key, self.attempt_limits.key_cooldown, may_still_run)
+        {
             self.lines.entry(key).or_default().rest = Some((id, now + rest));
         }
         let learned = &mut self.learned[class];
@@ -560,7 +561,7 @@
                 now + self.margin() < attempt.sent + *window
             }
         };
-        harmless && request.attempts.len() < self.duties.most_attempts
+        harmless && request.attempts.len() < self.attempt_limits.max_attempts
     }
 
     fn may_reject(&self, request: &Request) -> bool {
@@ -572,7 +573,7 @@
 
     /// Further attempts that the budget still holds.
     fn attempts_left(&self, now: Duration) -> f64 {
-        let Some(budget) = &self.duties.attempt_budget else { return f64::INFINITY };
+        let Some(budget) = &self.attempt_limits.retry_budget else { return f64::INFINITY };
         let taken = self.accepted.iter().filter(|at| **at + budget.over > now).count() as f64;
         let made = self.further.iter().filter(|at| **at + budget.over >= now).count() as f64;
         budget.spare + budget.per_request * taken - made
@@ -591,7 +592,7 @@
         let Some(budget) = self.cold_part(engine, now, share) else { return true };
         let usual = self.cold_usual(request.class);
         let times = if usual > budget { 2.0 * usual / budget } else { 1.0 };
-        let window = self.duties.fall.mul_f64(times.min(1e6));
+        let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6));
         let sent: f64 = engine.sent.since(now.saturating_sub(window)).sum();
         let part = self.chance(id, engine.listed.as_micros() as u64) as f64 / u64::MAX as f64;
         sent + usual <= budget.max(usual) && (times == 1.0 || now >= engine.listed + window.mul_f64(part))
@@ -599,11 +600,18 @@
 
     /// Usual work in seconds that this router may send an engine in any window; `None` once it is warm.
     pub(crate) fn cold_part(&self, engine: &Engine, now: Duration, share: f64) -> Option<f64> {
-        let age = engine.cold_since.map(|at| seconds(now.saturating_sub(at)) / seconds(self.duties.warm_up));
+        let age = engine
+            .cold_since
+            .map(|at| seconds(now.saturating_sub(at)) / seconds(self.attempt_limits.warm_up));
         let warmth = age.filter(|age| *age < 1.0)?;
-        let start = self.duties.start_capacity;
+        let start = self.attempt_limits.start_capacity;
         let capacity = self.fleet.kinds[engine.kind].cores * CAPACITY * (start + (1.0 - start) * warmth);
-        Some(self.duties.overload_factor * capacity * seconds(self.duties.fall) * share)
+        Some(
+            self.attempt_limits.overload_factor
+                * capacity
+                * seconds(self.attempt_limits.overload_window)
+                * share,
+        )
     }
 
     pub(crate) fn cold_usual(&self, class: usize) -> f64 {
@@ -716,7 +724,7 @@
         hopeless: impl Fn(&Self, RequestId, &Request) -> bool,
         out: &mut impl Actions,
     ) -> bool {
-        let retry_after = self.duties.longest_retry_after.map(|longest| self.beat().min(longest));
+        let retry_after = self.attempt_limits.max_retry_after.map(|longest| self.beat().min(longest));
         let open =
             self.requests.iter().filter(|(id, request)| !request.over && hopeless(self, **id, request));
         let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
@@ -732,7 +740,7 @@
 
     fn take_back(&mut self, mut attempts: Vec<(RequestId, usize)>, out: &mut impl Actions) -> bool {
         attempts.retain(|(id, attempt)| {
-            self.duties.may_cancel && !self.requests[id].attempts[*attempt].cancelled
+            self.attempt_limits.may_cancel && !self.requests[id].attempts[*attempt].cancelled
         });
         for (id, attempt) in &attempts {
             self.requests.get_mut(id).expect("a task out").attempts[*attempt].cancelled = true;
@@ -785,7 +793,7 @@
             let resting = |line: &Line| line.rest.is_some_and(|(_, until)| until > now);
             self.lines.retain(|_, line| !line.requests.is_empty() || resting(line));
         }
-        let window = self.duties.attempt_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
+        let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
         for times in [&mut self.accepted, &mut self.further] {
             while times.pop_front_if(|at| *at + window < now).is_some() {}
         }
@@ -971,7 +979,7 @@
         let lately = now.saturating_sub(self.beat() / 2);
         let held =
             self.requests.iter().any(|(id, request)| request.held() && self.has_turn(*id, request, now));
-        if !held || !self.fleet.probes_tell || !self.duties.may_probe || self.asked > lately {
+        if !held || !self.fleet.probes_tell || !self.attempt_limits.may_probe || self.asked > lately {
             return false;
         }
         let mut asked: Vec<EngineId> = self.engines.keys().copied().collect();
--- a/src/print.rs
+++ b/src/print.rs
@@ -68,7 +68,7 @@
         self.watched.hash(into);
         let asked = self.asked.max(now.saturating_sub(self.beat()));
         self.fleet.probes_tell.then(|| since(now, asked)).hash(into);
-        if self.duties.attempt_budget.is_some() {
+        if self.attempt_limits.retry_budget.is_some() {
             self.accepted.iter().chain(&self.further).for_each(|at| since(now, *at).hash(into));
             self.further.len().hash(into);
         }
@@ -136,7 +136,7 @@
         let (into, now, beat) = (&mut digest, with.now, self.beat());
         (engine.location, engine.kind, engine.cell, engine.ready, engine.gone).hash(into);
         engine.launched.map(|at| since(now, at)).hash(into);
-        let cold = engine.cold_since.filter(|at| *at + self.duties.warm_up > now);
+        let cold = engine.cold_since.filter(|at| *at + self.attempt_limits.warm_up > now);
         cold.map(|at| since(now, at)).hash(into);
         // Where this router's part is under one request, chance sets its window, by number and time.
         let share = self.share();
@@ -144,7 +144,8 @@
             let dear = (0..self.classes.len()).any(|class| self.cold_usual(class) > part);
             dear.then(|| (since(now, engine.listed), self.chance(id, engine.listed.as_micros() as u64)))
                 .hash(into);
-            let from = if dear { Duration::ZERO } else { now.saturating_sub(self.duties.fall) };
+            let from =
+                if dear { Duration::ZERO } else { now.saturating_sub(self.attempt_limits.overload_window) };
             samples(&engine.sent, now, from, into);
         }
         for out in &engine.out {
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -311,22 +311,22 @@
     }
 }
 
-fn duties(random: &mut Random) -> Duties {
-    Duties {
-        most_attempts: random.one_of(&[1, 2, 3, 3, 5]),
+fn attempt_limits(random: &mut Random) -> AttemptLimits {
+    AttemptLimits {
+        max_attempts: random.one_of(&[1, 2, 3, 3, 5]),
         may_cancel: random.percent(80),
         may_probe: random.percent(80),
         start_capacity: random.one_of(&[0.1, 0.3, 1.0]),
         warm_up: random.time(100, 3000),
         overload_factor: random.one_of(&[0.5, 1.0, 2.0]),
-        fall: random.time(50, 500),
-        key_rest: random.maybe(50, |random| random.time(20, 300)),
-        attempt_budget: random.maybe(50, |random| AttemptBudget {
+        overload_window: random.time(50, 500),
+        key_cooldown: random.maybe(50, |random| random.time(20, 300)),
+        retry_budget: random.maybe(50, |random| RetryBudget {
             spare: random.one_of(&[0.0, 1.0, 4.0]),
             per_request: random.one_of(&[0.0, 0.1, 0.5]),
             over: random.time(200, 2000),
         }),
-        longest_retry_after: random.maybe(70, |random| random.time(20, 500)),
+        max_retry_after: random.maybe(70, |random| random.time(20, 500)),
     }
 }
 
@@ -370,7 +370,7 @@
 impl Life {
     fn new(seed: u64, log: Log) -> Self {
         let mut random = Random { state: seed, coarse: seed.is_multiple_of(2) };
-        let (fleet, duties) = (fleet(&mut random), duties(&mut random));
+        let (fleet, attempt_limits) = (fleet(&mut random), attempt_limits(&mut random));
         let habits = habits(&mut random, &fleet);
         let kinds = fleet.kinds.len();
         let classes: Vec<RequestClass> =
@@ -380,7 +380,7 @@
         Self {
             machines: machines.collect(),
             classes: classes.iter().map(|class| (class.deadline, class.threads)).collect(),
-            scheduler: Scheduler::new(fleet, classes, duties),
+            scheduler: Scheduler::new(fleet, classes, attempt_limits),
             random,
             log,
             habits,
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -70,7 +70,7 @@
 }
 
 /// What the traces start from: engines of one kind with 8 cores and 16,000 MB, one router.
-pub fn base() -> (Fleet, Vec<RequestClass>, Duties) {
+pub fn base() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let fleet = Fleet {
         seed: 1,
         routers: 1,
@@ -84,25 +84,25 @@
         list_is_asked: false,
         tick: ms(5),
     };
-    let duties = Duties {
-        most_attempts: 3,
+    let attempt_limits = AttemptLimits {
+        max_attempts: 3,
         may_cancel: true,
         may_probe: false,
         start_capacity: 0.3,
         warm_up: ms(10_000),
         overload_factor: 2.0,
-        fall: ms(1000),
-        key_rest: None,
-        attempt_budget: None,
-        longest_retry_after: Some(ms(400)),
+        overload_window: ms(1000),
+        key_cooldown: None,
+        retry_budget: None,
+        max_retry_after: Some(ms(400)),
     };
-    (fleet, classes(), duties)
+    (fleet, classes(), attempt_limits)
 }
 
 /// The same with short times, so that a whole life takes few steps. Request classes: 0 replayable, 1 to 3
 /// referenced within a cell, a location and everywhere, 4 single-use.
-pub fn small() -> (Fleet, Vec<RequestClass>, Duties) {
-    let (mut fleet, mut classes, mut duties) = base();
+pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
+    let (mut fleet, mut classes, mut attempt_limits) = base();
     let window = ms(120);
     let effects = [
         Effect::Replayable,
@@ -122,8 +122,8 @@
     };
     classes = effects.into_iter().map(short).collect();
     (fleet.note_every, fleet.tick) = (Some(ms(80)), ms(8));
-    (duties.warm_up, duties.fall) = (ms(400), ms(100));
-    (fleet, classes, duties)
+    (attempt_limits.warm_up, attempt_limits.overload_window) = (ms(400), ms(100));
+    (fleet, classes, attempt_limits)
 }
 
 /// When a small trace starts: later than any span that is looked back over.
@@ -141,10 +141,13 @@
 #[allow(dead_code)]
 impl Trace {
     /// One router of one, on engines of one kind with 8 cores and 16,000 MB, unless `change` says otherwise.
-    pub fn new(engines: usize, change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut Duties)) -> Self {
-        let (mut fleet, mut classes, mut duties) = base();
-        change(&mut fleet, &mut classes, &mut duties);
-        let mut trace = Self::round(fleet, classes, duties, Vec::new());
+    pub fn new(
+        engines: usize,
+        change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
+    ) -> Self {
+        let (mut fleet, mut classes, mut attempt_limits) = base();
+        change(&mut fleet, &mut classes, &mut attempt_limits);
+        let mut trace = Self::round(fleet, classes, attempt_limits, Vec::new());
         trace.list((0..engines).map(|engine| listing(engine, true, None)).collect());
         trace
     }
@@ -152,19 +155,24 @@
     /// A trace in short times at engines in these locations and cells.
     pub fn small(
         places: &[(usize, u64)],
-        change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut Duties),
+        change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
     ) -> Self {
-        let (mut fleet, mut classes, mut duties) = small();
-        change(&mut fleet, &mut classes, &mut duties);
-        let mut trace = Self::round(fleet, classes, duties, places.to_vec());
+        let (mut fleet, mut classes, mut attempt_limits) = small();
+        change(&mut fleet, &mut classes, &mut attempt_limits);
+        let mut trace = Self::round(fleet, classes, attempt_limits, places.to_vec());
         let rows = (0..places.len()).map(|engine| trace.row(engine, true, false, None)).collect();
         trace.at(START).list(rows);
         trace
     }
 
-    fn round(fleet: Fleet, classes: Vec<RequestClass>, duties: Duties, places: Vec<(usize, u64)>) -> Self {
+    fn round(
+        fleet: Fleet,
+        classes: Vec<RequestClass>,
+        attempt_limits: AttemptLimits,
+        places: Vec<(usize, u64)>,
+    ) -> Self {
         let deadline = classes.iter().map(|class| class.deadline).collect();
-        let (scheduler, lines) = (Scheduler::new(fleet, classes, duties), Lines::default());
+        let (scheduler, lines) = (Scheduler::new(fleet, classes, attempt_limits), Lines::default());
         Self { scheduler, lines, requests: 0, deadline, places }
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Short traces of decisions, one for each duty and failure met; kept ones are renewed with UPDATE_EXPECT=1
+//! Short traces of decisions, one for each limit and failure met; kept ones are renewed with UPDATE_EXPECT=1
 //! and read before they are committed.
 
 mod trace;
@@ -182,9 +182,9 @@
 
 #[test]
 fn requests_of_a_key_run_in_turn_and_rest_after_an_attempt_that_may_still_run() {
-    let mut trace = Trace::new(3, |_, classes, duties| {
+    let mut trace = Trace::new(3, |_, classes, attempt_limits| {
         classes[2].keeps_order = true;
-        duties.key_rest = Some(ms(300));
+        attempt_limits.key_cooldown = Some(ms(300));
     });
     trace.accept_keyed(2, 100, 300.0, Some(4)).accept_keyed(2, 100, 300.0, Some(4));
     trace.accept_keyed(2, 100, 300.0, Some(5)).accept(2, 100, 300.0);
@@ -205,8 +205,8 @@
 
 #[test]
 fn further_attempts_stay_within_the_budget() {
-    let budget = AttemptBudget { spare: 1.0, per_request: 0.1, over: ms(5000) };
-    let mut trace = Trace::new(4, |_, _, duties| duties.attempt_budget = Some(budget));
+    let budget = RetryBudget { spare: 1.0, per_request: 0.1, over: ms(5000) };
+    let mut trace = Trace::new(4, |_, _, attempt_limits| attempt_limits.retry_budget = Some(budget));
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).decided();
     trace.at(50).ended(0, 0, 0, AttemptEnd::Overloaded).ended(1, 0, 1, AttemptEnd::Overloaded).wait(600);
     expect![[r#"
@@ -622,9 +622,9 @@
 /// other, as the limit was their sum and rounding decided.
 #[test]
 fn a_part_under_one_request_lets_one_go_in_its_longer_window() {
-    let mut trace = Trace::small(&[(0, 0)], |fleet, _, duties| {
+    let mut trace = Trace::small(&[(0, 0)], |fleet, _, attempt_limits| {
         fleet.routers = 40;
-        duties.warm_up = ms(2000);
+        attempt_limits.warm_up = ms(2000);
     });
     trace.at(20000).tell(0, true, false, Some(20000)).accept_keyed(0, 20, 300.0, None);
     trace.at(20064).woken().at(20128).accept_keyed(0, 20, 300.0, None).woken();
@@ -752,7 +752,7 @@
 
 #[test]
 fn a_attempt_whose_notes_have_stopped_takes_no_room() {
-    let mut trace = Trace::new(1, |_, _, duties| duties.may_cancel = false);
+    let mut trace = Trace::new(1, |_, _, attempt_limits| attempt_limits.may_cancel = false);
     trace.accept(1, 0, 7000.0).at(1900).accept(1, 0, 7000.0).wait(2500);
     expect![[r#"
         0     task 0 gets 8000 MB, priority 1
@@ -778,8 +778,8 @@
 
 #[test]
 fn a_held_request_asks_where_load_is_told_only_to_those_who_ask() {
-    let mut trace = Trace::new(4, |fleet, _, duties| {
-        (fleet.routers, fleet.probes_tell, duties.may_probe) = (40, true, true);
+    let mut trace = Trace::new(4, |fleet, _, attempt_limits| {
+        (fleet.routers, fleet.probes_tell, attempt_limits.may_probe) = (40, true, true);
     });
     let told = |memory| Some(Signals { busy: Some(0.3), memory: Some(memory), ..Signals::default() });
     trace.accept(1, 0, 2000.0).at(100).accept(1, 0, 2000.0).at(105).woken().at(110);
