--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -212,16 +212,16 @@
         life.sites = vec![site; world.engines.len()];
         let rows = (0..world.engines.len()).map(|at| life.row(world, at)).collect();
         let mut acts = Acts::default();
-        life.scheduler.engines_changed(now, false, rows, &mut acts);
+        life.scheduler.endpoints_changed(now, false, rows, &mut acts);
         life.carry_out(world, acts);
         life.sign(world);
         life
     }
 
-    fn row(&self, world: &World, engine: EngineId) -> Listing {
+    fn row(&self, world: &World, engine: EngineId) -> Endpoint {
         let (location, cell) = world.engines[engine];
         let Site { ready, gone, launched, .. } = self.sites[engine];
-        Listing { engine, location, kind: world.kind(engine), cell, ready, gone, launched }
+        Endpoint { engine, location, kind: world.kind(engine), cell, ready, gone, launched }
     }
 
     fn sign(&mut self, world: &World) {
@@ -381,7 +381,7 @@
         }
         let mut scheduler = self.scheduler.clone();
         let mut acts = Acts::default();
-        scheduler.engines_changed(self.now, true, Vec::new(), &mut acts);
+        scheduler.endpoints_changed(self.now, true, Vec::new(), &mut acts);
         let quiet = acts.0.iter().all(|act| matches!(act, Act::Forget { .. }));
         quiet && (scheduler.kept().requests, scheduler.kept().engines) == (0, 0)
     }
@@ -429,17 +429,17 @@
                     }
                 }
                 let rows = vec![life.row(world, engine)];
-                life.scheduler.engines_changed(now, false, rows, &mut acts);
+                life.scheduler.endpoints_changed(now, false, rows, &mut acts);
             }
             Move::ListLost => {
                 life.listed += 1;
                 life.sites.iter_mut().for_each(|site| (site.ready, site.gone) = (false, true));
-                life.scheduler.engines_changed(now, true, Vec::new(), &mut acts);
+                life.scheduler.endpoints_changed(now, true, Vec::new(), &mut acts);
             }
             Move::ListFailed => {
                 life.listed += 1;
                 life.watched = false;
-                life.scheduler.list_failed(now, &mut acts);
+                life.scheduler.endpoint_list_failed(now, &mut acts);
             }
             Move::Leave { request, .. } => {
                 life.left += 1;
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -163,7 +163,7 @@
         name: "list asked",
         says: "a list that is asked for, breaks off and comes back empty",
         setup: setup!(|fleet, classes, attempt_limits| {
-            fleet.list_is_asked = true;
+            fleet.polls_endpoint_list = true;
         }),
         engines: TWO,
         requests: &[asks(0)],
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -67,7 +67,7 @@
             drawn(draw, format!(".tell({engine}, {ready}, {gone}, {launched:?})"))
         }
         Move::ListLost => Some(".list_lost()".to_owned()),
-        Move::ListFailed => Some(".list_failed()".to_owned()),
+        Move::ListFailed => Some(".endpoint_list_failed()".to_owned()),
         Move::Leave { request, draw } => drawn(draw, format!(".left({request})")),
         Move::Wake { draw } => drawn(draw, ".woken()".to_owned()),
         Move::Close => {
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -7,7 +7,7 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{AttemptEnd, Bill, Ended, EngineId, Listing, Notice, RequestId, Signals};
+use emberflow::{AttemptEnd, Bill, Ended, Endpoint, EngineId, Notice, RequestId, Signals};
 use emberflow_startup::{from_ms, load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -157,7 +157,7 @@
     }
 
     /// Takes one line of the list in. A process that ended takes its connections with it, told or not.
-    pub fn listed(&mut self, row: &Row, works: &mut Works) -> Listing {
+    pub fn listed(&mut self, row: &Row, works: &mut Works) -> Endpoint {
         let launched = (row.up_since_ms > 0).then(|| works.at_unix_ms(row.up_since_ms));
         let engine = *self.numbers.entry(row.id).or_insert(self.next);
         if engine == self.next {
@@ -180,7 +180,7 @@
                 self.lose(slot, "its engine has started anew", false, works);
             }
         }
-        Listing {
+        Endpoint {
             engine,
             location: row.location,
             kind: row.kind,
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -553,11 +553,11 @@
         if whole {
             engines.only(rows, works);
         }
-        let listings: Vec<_> = rows.iter().map(|row| engines.listed(row, works)).collect();
-        self.floor.serving |= listings.iter().any(|row| row.ready);
+        let endpoints: Vec<_> = rows.iter().map(|row| engines.listed(row, works)).collect();
+        self.floor.serving |= endpoints.iter().any(|row| row.ready);
         self.floor.works.counters.count("list_events");
         let now = self.floor.works.now();
-        self.scheduler.engines_changed(now, whole, listings, &mut self.floor);
+        self.scheduler.endpoints_changed(now, whole, endpoints, &mut self.floor);
         self.tell();
     }
 
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -83,7 +83,7 @@
         heeds_priorities: domain.flag("lanesCount")?,
         note_every: domain.optional("tellsEveryMs", Fields::time)?.filter(|every| !every.is_zero()),
         probes_tell: how(params.part("report")?)? == "probe",
-        list_is_asked: one_of(params, "discovery", &["push", "ask"])? == "ask",
+        polls_endpoint_list: one_of(params, "discovery", &["push", "ask"])? == "ask",
         tick: params.positive_time("tickMs")?,
     })
 }
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,7 +1,7 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Actions, Arrival, AttemptEnd, Bill, Ended, EngineId, KeyId, Listing, Notice, RequestId, Scheduler,
+    Actions, Arrival, AttemptEnd, Bill, Ended, Endpoint, EngineId, KeyId, Notice, RequestId, Scheduler,
     Signals,
 };
 use emberflow_startup::{
@@ -126,14 +126,14 @@
             "ANNOUNCE" => {
                 let mode = line.text("mode")?;
                 if mode == "broken" {
-                    scheduler.list_failed(now, &mut Writer { who: *who, now, names, reply });
+                    scheduler.endpoint_list_failed(now, &mut Writer { who: *who, now, names, reply });
                     return Ok(());
                 }
                 let rows = tables.get(&line.whole("ref")?).ok_or("`ref` names no table")?;
-                let listings = rows.iter().map(|row| listing(Fields::of(row), &mut names.engines));
-                let listings = listings.collect::<Result<Vec<_>, Fault>>()?;
+                let endpoints = rows.iter().map(|row| endpoint(Fields::of(row), &mut names.engines));
+                let endpoints = endpoints.collect::<Result<Vec<_>, Fault>>()?;
                 let out = &mut Writer { who: *who, now, names, reply };
-                scheduler.engines_changed(now, mode != "patch", listings, out);
+                scheduler.endpoints_changed(now, mode != "patch", endpoints, out);
             }
             "ACCEPT" => {
                 let arrival = Arrival {
@@ -216,8 +216,8 @@
     }
 }
 
-fn listing(row: Fields, engines: &mut Index) -> Result<Listing, Fault> {
-    Ok(Listing {
+fn endpoint(row: Fields, engines: &mut Index) -> Result<Endpoint, Fault> {
+    Ok(Endpoint {
         engine: engines.number(row.text("engine")?),
         location: row.index("site")?,
         kind: row.index("flavor")?,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -55,7 +55,7 @@
     pub note_every: Option<Duration>,
     /// Whether engines tell their load only when they are probed.
     pub probes_tell: bool,
-    pub list_is_asked: bool,
+    pub polls_endpoint_list: bool,
     pub tick: Duration,
 }
 
@@ -114,7 +114,7 @@
 }
 
 /// One line of the engine list.
-pub struct Listing {
+pub struct Endpoint {
     pub engine: EngineId,
     pub location: usize,
     pub kind: usize,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -324,11 +324,11 @@
         self.settle(now, out);
     }
 
-    pub fn engines_changed(
+    pub fn endpoints_changed(
         &mut self,
         now: Duration,
         whole: bool,
-        rows: Vec<Listing>,
+        rows: Vec<Endpoint>,
         out: &mut impl Actions,
     ) {
         if whole {
@@ -358,7 +358,7 @@
         self.settle(now, out);
     }
 
-    pub fn list_failed(&mut self, now: Duration, out: &mut impl Actions) {
+    pub fn endpoint_list_failed(&mut self, now: Duration, out: &mut impl Actions) {
         self.watched = false;
         self.settle(now, out);
     }
@@ -1037,7 +1037,7 @@
     }
 
     fn stay_awake(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
-        if self.fleet.list_is_asked && !self.watched {
+        if self.fleet.polls_endpoint_list && !self.watched {
             self.watched = true;
             out.watch();
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -149,7 +149,7 @@
 }
 
 impl Engine {
-    pub fn listed(row: &Listing, now: Duration, samples: usize, outcomes: usize) -> Self {
+    pub fn listed(row: &Endpoint, now: Duration, samples: usize, outcomes: usize) -> Self {
         Self {
             location: row.location,
             kind: row.kind,
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -306,7 +306,7 @@
         cuts_grants: random.percent(40),
         note_every: random.maybe(60, |random| random.time(20, 120)),
         probes_tell: random.percent(35),
-        list_is_asked: random.percent(50),
+        polls_endpoint_list: random.percent(50),
         tick: random.time(2, 8),
     }
 }
@@ -362,9 +362,9 @@
     }
 }
 
-fn listing(engine: EngineId, machine: &Machine) -> Listing {
+fn endpoint(engine: EngineId, machine: &Machine) -> Endpoint {
     let Machine { location, kind, cell, ready, gone, launched, .. } = *machine;
-    Listing { engine, location, kind, cell, ready, gone, launched }
+    Endpoint { engine, location, kind, cell, ready, gone, launched }
 }
 
 impl Life {
@@ -451,7 +451,7 @@
                 self.plan_again(20, 400, Event::ClientsLeave);
             }
             Event::ListFails => {
-                self.scheduler.list_failed(self.now, &mut self.log);
+                self.scheduler.endpoint_list_failed(self.now, &mut self.log);
                 self.plan_again(200, 1500, Event::ListFails);
             }
             Event::Closing => {
@@ -644,8 +644,8 @@
     }
 
     fn list_engines(&mut self, whole: bool) {
-        let rows = self.machines.iter().map(|(engine, machine)| listing(*engine, machine)).collect();
-        self.scheduler.engines_changed(self.now, whole, rows, &mut self.log);
+        let rows = self.machines.iter().map(|(engine, machine)| endpoint(*engine, machine)).collect();
+        self.scheduler.endpoints_changed(self.now, whole, rows, &mut self.log);
         self.act();
     }
 
@@ -674,13 +674,13 @@
             7 => machine.slowness = random.one_of(&[1.0, 2.0, 6.0, 20.0]),
             8 => {
                 let rows = self.machines.iter().filter(|_| !random.percent(20));
-                let rows = rows.map(|(engine, machine)| listing(*engine, machine)).collect();
-                return self.scheduler.engines_changed(now, true, rows, &mut self.log);
+                let rows = rows.map(|(engine, machine)| endpoint(*engine, machine)).collect();
+                return self.scheduler.endpoints_changed(now, true, rows, &mut self.log);
             }
             _ => machine.ready = true,
         }
-        let row = listing(engine, machine);
-        self.scheduler.engines_changed(now, false, vec![row], &mut self.log);
+        let row = endpoint(engine, machine);
+        self.scheduler.endpoints_changed(now, false, vec![row], &mut self.log);
     }
 
     fn clients_leave(&mut self) {
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -81,7 +81,7 @@
         cuts_grants: false,
         note_every: Some(ms(500)),
         probes_tell: false,
-        list_is_asked: false,
+        polls_endpoint_list: false,
         tick: ms(5),
     };
     let attempt_limits = AttemptLimits {
@@ -148,7 +148,7 @@
         let (mut fleet, mut classes, mut attempt_limits) = base();
         change(&mut fleet, &mut classes, &mut attempt_limits);
         let mut trace = Self::round(fleet, classes, attempt_limits, Vec::new());
-        trace.list((0..engines).map(|engine| listing(engine, true, None)).collect());
+        trace.list((0..engines).map(|engine| endpoint(engine, true, None)).collect());
         trace
     }
 
@@ -176,9 +176,9 @@
         Self { scheduler, lines, requests: 0, deadline, places }
     }
 
-    fn row(&self, engine: EngineId, ready: bool, gone: bool, launched: Option<u64>) -> Listing {
+    fn row(&self, engine: EngineId, ready: bool, gone: bool, launched: Option<u64>) -> Endpoint {
         let (location, cell) = self.places[engine];
-        Listing { location, cell, gone, ..listing(engine, ready, launched) }
+        Endpoint { location, cell, gone, ..endpoint(engine, ready, launched) }
     }
 
     /// The list's word on one engine of a small trace.
@@ -189,7 +189,7 @@
 
     /// A whole list that names nobody.
     pub fn list_lost(&mut self) -> &mut Self {
-        self.scheduler.engines_changed(ms(self.lines.1), true, Vec::new(), &mut self.lines);
+        self.scheduler.endpoints_changed(ms(self.lines.1), true, Vec::new(), &mut self.lines);
         self
     }
 
@@ -234,8 +234,8 @@
         self
     }
 
-    pub fn list(&mut self, rows: Vec<Listing>) -> &mut Self {
-        self.scheduler.engines_changed(ms(self.lines.1), false, rows, &mut self.lines);
+    pub fn list(&mut self, rows: Vec<Endpoint>) -> &mut Self {
+        self.scheduler.endpoints_changed(ms(self.lines.1), false, rows, &mut self.lines);
         self
     }
 
@@ -357,8 +357,8 @@
         self
     }
 
-    pub fn list_failed(&mut self) -> &mut Self {
-        self.scheduler.list_failed(ms(self.lines.1), &mut self.lines);
+    pub fn endpoint_list_failed(&mut self) -> &mut Self {
+        self.scheduler.endpoint_list_failed(ms(self.lines.1), &mut self.lines);
         self
     }
 
@@ -377,8 +377,8 @@
     }
 }
 
-pub fn listing(engine: EngineId, ready: bool, launched: Option<u64>) -> Listing {
-    Listing {
+pub fn endpoint(engine: EngineId, ready: bool, launched: Option<u64>) -> Endpoint {
+    Endpoint {
         engine,
         location: engine % 2,
         kind: 0,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -5,7 +5,7 @@
 
 use emberflow::*;
 use expect_test::expect;
-use trace::{Trace, listing, ms};
+use trace::{Trace, endpoint, ms};
 
 #[test]
 fn ordinary_path_names_grants_and_spreads_by_room() {
@@ -114,7 +114,7 @@
 fn a_referenced_request_stays_in_its_cell_and_window() {
     let cell = Effect::Referenced { scope: Scope::Cell, window: ms(700) };
     let mut trace = Trace::new(4, |_, classes, _| classes[0].effect = cell);
-    trace.list((1..4).map(|engine| Listing { location: 0, ..listing(engine, true, None) }).collect());
+    trace.list((1..4).map(|engine| Endpoint { location: 0, ..endpoint(engine, true, None) }).collect());
     trace.accept(0, 100, 300.0).at(50).ended(0, 0, 0, AttemptEnd::Broken).at(690).ended(
         0,
         1,
@@ -138,8 +138,8 @@
         fleet.kinds.push(Kind { cores: 8.0, memory_mb: 16000.0 });
         classes[1].kinds = Some(vec![1]);
     });
-    trace.list(vec![Listing { kind: 1, ..listing(5, true, None) }]).accept(1, 300, 300.0);
-    trace.list(vec![Listing { kind: 1, ..listing(5, false, None) }, listing(0, false, None)]);
+    trace.list(vec![Endpoint { kind: 1, ..endpoint(5, true, None) }]).accept(1, 300, 300.0);
+    trace.list(vec![Endpoint { kind: 1, ..endpoint(5, false, None) }, endpoint(0, false, None)]);
     trace
         .at(10)
         .ended(0, 0, 5, AttemptEnd::Unreachable)
@@ -160,7 +160,7 @@
 #[test]
 fn a_cold_engine_gets_no_more_than_its_part() {
     let mut trace = Trace::new(0, |_, _, _| ());
-    trace.at(5000).list(vec![listing(0, true, Some(5000))]);
+    trace.at(5000).list(vec![endpoint(0, true, Some(5000))]);
     for _ in 0..6 {
         trace.accept(0, 900, 300.0);
     }
@@ -375,8 +375,8 @@
 
 #[test]
 fn an_unreachable_list_is_asked_for_again() {
-    let mut trace = Trace::new(1, |fleet, _, _| fleet.list_is_asked = true);
-    trace.at(900).list_failed().wait(1000);
+    let mut trace = Trace::new(1, |fleet, _, _| fleet.polls_endpoint_list = true);
+    trace.at(900).endpoint_list_failed().wait(1000);
     expect![[r#"
         0     watch the list
         900   watch the list
@@ -404,7 +404,7 @@
 #[test]
 fn a_cold_engine_of_many_routers_gets_one_request_from_a_chance_point() {
     let mut trace = Trace::new(0, |fleet, _, _| fleet.routers = 20);
-    trace.at(5000).list(vec![listing(0, true, Some(5000))]);
+    trace.at(5000).list(vec![endpoint(0, true, Some(5000))]);
     for at in [5000, 5400, 5800, 6200, 6600] {
         trace.at(at).accept(0, 400, 300.0).wait(at + 360);
     }
@@ -580,8 +580,8 @@
 fn an_engine_that_has_gone_is_forgotten_with_the_last_request_that_it_has_seen() {
     let mut trace = Trace::new(2, |_, _, _| {});
     trace.accept(0, 100, 100.0).accept(0, 100, 100.0).at(10);
-    let gone = |engine| Listing { gone: true, ..listing(engine, false, None) };
-    trace.list(vec![gone(0), gone(1), listing(2, true, None)]);
+    let gone = |engine| Endpoint { gone: true, ..endpoint(engine, false, None) };
+    trace.list(vec![gone(0), gone(1), endpoint(2, true, None)]);
     trace.at(20).ended(0, 0, 0, AttemptEnd::Succeeded).at(30).ended(1, 0, 1, AttemptEnd::Broken);
     trace.at(40).ended(1, 1, 2, AttemptEnd::Succeeded);
     expect![[r#"
