--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -205,7 +205,11 @@
         late_line,
     ),
     Law("an engine's own result", "a result is what an engine answered to that request", foreign_result),
-    Law("runs once", "a single-use request comes to an engine again only if it was shed before", runs_again),
+    Law(
+        "runs once",
+        "a non-idempotent request comes to an engine again only if it was shed before",
+        runs_again,
+    ),
     Law("no call for nobody", "nothing is sent for a request that was answered or withdrawn", for_nobody),
     Law("no call for one that left", "nothing is sent once its client has ended its side", for_one_that_left),
     Law("own fault", "what a client does closes no other client's connection", closes_another),
@@ -683,7 +687,7 @@
     },
     House {
         name: "an open request again",
-        says: "a client that sends an open single-use request again under another id",
+        says: "a client that sends an open non-idempotent request again under another id",
         engines: 1,
         lines: &[&[POST, Line::Request { id: 2, class: "post", req: 1 }]],
         leaves: false,
@@ -725,7 +729,7 @@
     },
     House {
         name: "a planned restart",
-        says: "a single-use request, a reset, a drain and the end of the process",
+        says: "a non-idempotent request, a reset, a drain and the end of the process",
         engines: 1,
         lines: &[&[POST]],
         leaves: false,
@@ -739,7 +743,7 @@
     },
     House {
         name: "a restart under two",
-        says: "a single-use and a replayable request when the process ends",
+        says: "a non-idempotent and a idempotent request when the process ends",
         engines: 1,
         lines: &[&[POST, Line::Request { id: 2, class: "lookup", req: 2 }]],
         leaves: false,
@@ -753,7 +757,7 @@
     },
     House {
         name: "two engines",
-        says: "one replayable request between two engines, a drain, resets, a client that withdraws",
+        says: "one idempotent request between two engines, a drain, resets, a client that withdraws",
         engines: 2,
         lines: &[&[LOOKUP, Line::Withdraw { req: 1 }]],
         leaves: false,
@@ -795,7 +799,7 @@
     },
     House {
         name: "a restart under a booking",
-        says: "a referenced request whose connection may break when the process ends",
+        says: "a keyed request whose connection may break when the process ends",
         engines: 2,
         lines: &[&[Line::Request { id: 1, class: "book", req: 1 }]],
         leaves: false,
--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -24,13 +24,13 @@
     Law { name: "nothing after", says: "nothing is sent for a request after its answer", breaks: sent_after },
     Law { name: "one attempt out", says: "a request has at most one attempt out", breaks: two_attempts_out },
     Law {
-        name: "single-use",
-        says: "a single-use request that may have run is not sent again",
+        name: "non-idempotent",
+        says: "a non-idempotent request that may have run is not sent again",
         breaks: runs_twice,
     },
     Law {
-        name: "referenced",
-        says: "a referenced request that may have run is sent again only within its scope and window",
+        name: "keyed",
+        says: "a keyed request that may have run is sent again only within its scope and window",
         breaks: repeat_unknown,
     },
     Law {
@@ -116,13 +116,13 @@
 fn runs_twice(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Send { request: number, .. } = act else { return false };
     let ran = sent_again(life, act).is_some_and(|request| request.first_that_may_have_run().is_some());
-    ran && matches!(world.class_of(*number).effect, Effect::SingleUse)
+    ran && matches!(world.class_of(*number).effect, Effect::NonIdempotent)
 }
 
 fn repeat_unknown(world: &World, life: &Life, act: &Act) -> bool {
     let Act::Send { request: number, engine, .. } = act else { return false };
     let Some(first) = sent_again(life, act).and_then(Truth::first_that_may_have_run) else { return false };
-    let Effect::Referenced { scope, window } = &world.class_of(*number).effect else { return false };
+    let Effect::IdempotentWithKey { scope, window } = &world.class_of(*number).effect else { return false };
     let (was, is) = (world.engines[first.engine], world.engines[*engine]);
     let known = match scope {
         Scope::All => true,
@@ -136,9 +136,9 @@
     let Act::Reject { request: number } = act else { return false };
     let request = request(life, number);
     let known = match &world.class_of(*number).effect {
-        Effect::Replayable => true,
-        Effect::Referenced { scope, .. } => *scope == Scope::All,
-        Effect::SingleUse => false,
+        Effect::Idempotent => true,
+        Effect::IdempotentWithKey { scope, .. } => *scope == Scope::All,
+        Effect::NonIdempotent => false,
     };
     request.open() && !known && request.first_that_may_have_run().is_some()
 }
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -56,9 +56,9 @@
     logic("drained engine allowed", "engine.ready && placed && same_group", "placed && same_group"),
     logic("placement ignored", "engine.ready && placed && same_group", "engine.ready && same_group"),
     logic(
-        "single-use sent again",
-        "(Effect::SingleUse, Some(_)) => false",
-        "(Effect::SingleUse, Some(_)) => true",
+        "non-idempotent sent again",
+        "(Effect::NonIdempotent, Some(_)) => false",
+        "(Effect::NonIdempotent, Some(_)) => true",
     ),
     logic("reject for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     logic(
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -32,8 +32,8 @@
 
 pub const PLACES: &[Place] = &[
     Place {
-        name: "replayable",
-        says: "one replayable request, three engines, every end, the list changing once, a client that leaves",
+        name: "idempotent",
+        says: "one idempotent request, three engines, every end, the list changing once, a client that leaves",
         engines: THREE,
         requests: &[asks(0)],
         events: 1,
@@ -42,8 +42,8 @@
         ..Place::PLAIN
     },
     Place {
-        name: "single-use",
-        says: "one single-use request, three engines, every end, the list changing twice, a client that leaves",
+        name: "non-idempotent",
+        says: "one non-idempotent request, three engines, every end, the list changing twice, a client that leaves",
         engines: THREE,
         requests: &[asks(4)],
         events: 2,
@@ -63,8 +63,8 @@
         ..Place::PLAIN
     },
     Place {
-        name: "referenced in a cell",
-        says: "one request referenced within its cell, three engines in two cells, a window shorter than the deadline",
+        name: "keyed in a cell",
+        says: "one request keyed within its cell, three engines in two cells, a window shorter than the deadline",
         engines: CELLS,
         requests: &[asks(1)],
         events: 1,
@@ -73,7 +73,7 @@
         ..Place::PLAIN
     },
     Place {
-        name: "referenced in a location",
+        name: "keyed in a location",
         says: "the same within a location",
         engines: CELLS,
         requests: &[asks(2)],
@@ -82,7 +82,7 @@
         ..Place::PLAIN
     },
     Place {
-        name: "referenced everywhere",
+        name: "keyed everywhere",
         says: "the same with a reference that all engines know",
         engines: CELLS,
         requests: &[asks(3)],
@@ -117,7 +117,7 @@
     },
     Place {
         name: "notes",
-        says: "one replayable request, two engines, two notes of any kind to each attempt",
+        says: "one idempotent request, two engines, two notes of any kind to each attempt",
         engines: TWO,
         requests: &[asks(0)],
         ends: FEW,
@@ -175,7 +175,7 @@
     },
     Place {
         name: "closing",
-        says: "the process ends while a referenced attempt is out",
+        says: "the process ends while a keyed attempt is out",
         engines: CELLS,
         requests: &[asks(1)],
         ends: FEW,
@@ -186,7 +186,7 @@
     },
     Place {
         name: "closing late",
-        says: "the process ends earlier than a single-use request would",
+        says: "the process ends earlier than a non-idempotent request would",
         engines: TWO,
         requests: &[asks(4), asks(0)],
         ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
@@ -196,7 +196,7 @@
     },
     Place {
         name: "one key",
-        says: "two replayable requests of one key that rests, one engine",
+        says: "two idempotent requests of one key that rests, one engine",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
@@ -208,8 +208,8 @@
         ..Place::PLAIN
     },
     Place {
-        name: "one key, single-use",
-        says: "two single-use requests of one key that rests, no cancel, a client that leaves its attempt out",
+        name: "one key, non-idempotent",
+        says: "two non-idempotent requests of one key that rests, no cancel, a client that leaves its attempt out",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[4].keeps_order = true;
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
@@ -223,7 +223,7 @@
     },
     Place {
         name: "one key, two effects",
-        says: "a replayable request, whose further attempts need no rest, and a single-use one of its key that does",
+        says: "a idempotent request, whose further attempts need no rest, and a non-idempotent one of its key that does",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
@@ -238,7 +238,7 @@
     },
     Place {
         name: "three of one key",
-        says: "a single-use request between two replayable ones of its key: one rest after another",
+        says: "a non-idempotent request between two idempotent ones of its key: one rest after another",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
@@ -253,7 +253,7 @@
     },
     Place {
         name: "attempt budget",
-        says: "two replayable requests, one engine, an attempt budget with room for one of them",
+        says: "two idempotent requests, one engine, an attempt budget with room for one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
             let over = std::time::Duration::from_millis(400);
             attempt_limits.retry_budget = Some(RetryBudget { spare: 1.0, per_request: 0.0, over });
@@ -339,7 +339,7 @@
     },
     Place {
         name: "two effects",
-        says: "a single-use and a replayable request at two engines, one drain",
+        says: "a non-idempotent and a idempotent request at two engines, one drain",
         engines: TWO,
         requests: &[asks(4), asks(0)],
         ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
@@ -349,8 +349,8 @@
         ..Place::PLAIN
     },
     Place {
-        name: "two referenced",
-        says: "two requests referenced within a cell at two engines of two cells",
+        name: "two keyed",
+        says: "two requests keyed within a cell at two engines of two cells",
         engines: &[(0, 0), (1, 1)],
         requests: &[asks(1), asks(1)],
         ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
@@ -359,7 +359,7 @@
     },
     Place {
         name: "three requests",
-        says: "a replayable, a referenced and a single-use request at three engines in two cells",
+        says: "a idempotent, a keyed and a non-idempotent request at three engines in two cells",
         engines: CELLS,
         requests: &[asks(0), asks(1), asks(4)],
         ends: FEW,
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -93,10 +93,10 @@
 ];
 
 impl Place {
-    /// A world of one replayable request at one engine, where an attempt may come to anything and nothing else happens.
+    /// A world of one idempotent request at one engine, where an attempt may come to anything and nothing else happens.
     pub const PLAIN: Place = Place {
         name: "plain",
-        says: "one replayable request at one engine",
+        says: "one idempotent request at one engine",
         setup: setup!(|fleet, classes, attempt_limits| {}),
         engines: &[(0, 0)],
         kinds: &[0],
@@ -161,7 +161,7 @@
 
     pub fn window(&self, request: RequestId) -> Option<Duration> {
         match &self.class_of(request).effect {
-            Effect::Referenced { window, .. } => Some(*window),
+            Effect::IdempotentWithKey { window, .. } => Some(*window),
             _ => None,
         }
     }
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_key_whose_requests_run_once_or_again_in_turn_with_a_rest_and_no_cancel() {
-    holds("one key, single-use");
+    holds("one key, non-idempotent");
     holds("one key, two effects");
 }
 
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -388,7 +388,7 @@
 }
 
 /// What the engine answered as the client's time came, found at once with the deadline past, counts as too late
-/// for the client only: a single-use request is neither sent again nor answered twice.
+/// for the client only: a non-idempotent request is neither sent again nor answered twice.
 #[test]
 fn an_answer_and_the_end_of_deadline_in_one_late_turn_give_one_answer() {
     let mut house = House::open("late", 1, &settings(5000, 8000));
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -139,9 +139,9 @@
             revenue: row.not_negative("gain")?,
             late_share: row.share("lateShare")?,
             effect: match one_of(row, "repeat", &["repeatable", "once", "by_key"])? {
-                "repeatable" => Effect::Replayable,
-                "once" => Effect::SingleUse,
-                _ => Effect::Referenced {
+                "repeatable" => Effect::Idempotent,
+                "once" => Effect::NonIdempotent,
+                _ => Effect::IdempotentWithKey {
                     scope: match one_of(row, "keyScope", &["all", "zone", "cell"])? {
                         "all" => Scope::All,
                         "zone" => Scope::Location,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -80,12 +80,12 @@
 }
 
 pub enum Effect {
-    Replayable,
-    Referenced { scope: Scope, window: Duration },
-    SingleUse,
+    Idempotent,
+    IdempotentWithKey { scope: Scope, window: Duration },
+    NonIdempotent,
 }
 
-/// The engines that drop each other's repeats of a referenced request.
+/// The engines that drop each other's repeats of a keyed request.
 #[derive(PartialEq)]
 pub enum Scope {
     All,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -49,7 +49,7 @@
         self.told_cost.map(|_| self.memory)
     }
 
-    /// The attempt from which a referenced request's window counts and whose engine sets its group.
+    /// The attempt from which a keyed request's window counts and whose engine sets its group.
     fn first_that_may_have_run(&self) -> Option<&Attempt> {
         let never_ran = [AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Void].map(Some);
         self.attempts.iter().find(|attempt| !never_ran.contains(&attempt.end))
@@ -532,7 +532,7 @@
         let placed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
             && class.locations.as_ref().is_none_or(|places| places.contains(&engine.location));
         let same_group = match (&class.effect, request.first_that_may_have_run()) {
-            (Effect::Referenced { scope, .. }, Some(attempt)) => {
+            (Effect::IdempotentWithKey { scope, .. }, Some(attempt)) => {
                 let first = &self.engines[&attempt.engine];
                 match scope {
                     Scope::All => true,
@@ -548,16 +548,16 @@
     /// Whether neither placement nor an earlier attempt keeps it from engines that others may be sent to.
     fn may_go_anywhere(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
-        let bound = matches!(&class.effect, Effect::Referenced { scope, .. } if *scope != Scope::All);
+        let bound = matches!(&class.effect, Effect::IdempotentWithKey { scope, .. } if *scope != Scope::All);
         class.locations.is_none() && (!bound || request.first_that_may_have_run().is_none())
     }
 
     /// Whether effects allow another attempt: never while one is out.
     fn may_run_again(&self, request: &Request, now: Duration) -> bool {
         let harmless = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
-            (Effect::Replayable, _) | (_, None) => true,
-            (Effect::SingleUse, Some(_)) => false,
-            (Effect::Referenced { window, .. }, Some(attempt)) => {
+            (Effect::Idempotent, _) | (_, None) => true,
+            (Effect::NonIdempotent, Some(_)) => false,
+            (Effect::IdempotentWithKey { window, .. }, Some(attempt)) => {
                 now + self.margin() < attempt.sent + *window
             }
         };
@@ -566,7 +566,7 @@
 
     fn may_reject(&self, request: &Request) -> bool {
         match &self.classes[request.class].effect {
-            Effect::Replayable | Effect::Referenced { scope: Scope::All, .. } => true,
+            Effect::Idempotent | Effect::IdempotentWithKey { scope: Scope::All, .. } => true,
             _ => request.first_that_may_have_run().is_none(),
         }
     }
--- a/src/print.rs
+++ b/src/print.rs
@@ -103,7 +103,7 @@
         let ran = |attempt: &&Attempt| {
             !matches!(attempt.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
         };
-        let windowed = matches!(self.classes[request.class].effect, Effect::Referenced { .. });
+        let windowed = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
         request
             .attempts
             .iter()
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -265,11 +265,11 @@
 fn effect(random: &mut Random) -> Effect {
     let window = random.time(100, 800);
     match random.below(6) {
-        0 | 1 => Effect::Replayable,
-        2 => Effect::Referenced { scope: Scope::All, window },
-        3 => Effect::Referenced { scope: Scope::Location, window },
-        4 => Effect::Referenced { scope: Scope::Cell, window },
-        _ => Effect::SingleUse,
+        0 | 1 => Effect::Idempotent,
+        2 => Effect::IdempotentWithKey { scope: Scope::All, window },
+        3 => Effect::IdempotentWithKey { scope: Scope::Location, window },
+        4 => Effect::IdempotentWithKey { scope: Scope::Cell, window },
+        _ => Effect::NonIdempotent,
     }
 }
 
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Request classes 0 to 2: short replayable, long replayable on three threads, single-use holding its group.
+/// Request classes 0 to 2: short idempotent, long idempotent on three threads, non-idempotent holding its group.
 pub fn classes() -> Vec<RequestClass> {
     let short = |effect, revenue, latency_objective, threads| RequestClass {
         latency_objective: ms(latency_objective),
@@ -64,9 +64,9 @@
         holds_group: false,
         waits_for_loads: false,
     };
-    let mut load = short(Effect::SingleUse, 5.0, 3000, 2.0);
+    let mut load = short(Effect::NonIdempotent, 5.0, 3000, 2.0);
     load.holds_group = true;
-    vec![short(Effect::Replayable, 1.0, 1000, 1.0), short(Effect::Replayable, 6.0, 2000, 3.0), load]
+    vec![short(Effect::Idempotent, 1.0, 1000, 1.0), short(Effect::Idempotent, 6.0, 2000, 3.0), load]
 }
 
 /// What the traces start from: engines of one kind with 8 cores and 16,000 MB, one router.
@@ -99,17 +99,17 @@
     (fleet, classes(), attempt_limits)
 }
 
-/// The same with short times, so that a whole life takes few steps. Request classes: 0 replayable, 1 to 3
-/// referenced within a cell, a location and everywhere, 4 single-use.
+/// The same with short times, so that a whole life takes few steps. Request classes: 0 idempotent, 1 to 3
+/// keyed within a cell, a location and everywhere, 4 non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
     let window = ms(120);
     let effects = [
-        Effect::Replayable,
-        Effect::Referenced { scope: Scope::Cell, window },
-        Effect::Referenced { scope: Scope::Location, window },
-        Effect::Referenced { scope: Scope::All, window },
-        Effect::SingleUse,
+        Effect::Idempotent,
+        Effect::IdempotentWithKey { scope: Scope::Cell, window },
+        Effect::IdempotentWithKey { scope: Scope::Location, window },
+        Effect::IdempotentWithKey { scope: Scope::All, window },
+        Effect::NonIdempotent,
     ];
     let plain = classes.swap_remove(0);
     let short = |effect| RequestClass {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_referenced_request_stays_in_its_cell_and_window() {
-    let cell = Effect::Referenced { scope: Scope::Cell, window: ms(700) };
+    let cell = Effect::IdempotentWithKey { scope: Scope::Cell, window: ms(700) };
     let mut trace = Trace::new(4, |_, classes, _| classes[0].effect = cell);
     trace.list((1..4).map(|engine| Endpoint { location: 0, ..endpoint(engine, true, None) }).collect());
     trace.accept(0, 100, 300.0).at(50).ended(0, 0, 0, AttemptEnd::Broken).at(690).ended(
