--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Move {
     Arrive { draw: u64 },
-    End { request: usize, end: AttemptEnd, draw: u64 },
+    End { request: usize, end: AttemptOutcome, draw: u64 },
     Note { request: usize, notice: Notice, draw: u64 },
     List { engine: EngineId, what: Listed, draw: u64 },
     ListLost,
@@ -94,7 +94,7 @@
     pub engine: EngineId,
     pub sent: Duration,
     pub until: Duration,
-    pub end: Option<AttemptEnd>,
+    pub end: Option<AttemptOutcome>,
     pub cancelled: bool,
     pub noted: u8,
 }
@@ -170,7 +170,10 @@
 
 impl AttemptTruth {
     pub fn may_have_run(&self) -> bool {
-        !matches!(self.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
+        !matches!(
+            self.end,
+            Some(AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::Void)
+        )
     }
 }
 
@@ -284,16 +287,18 @@
         for (request, truth) in self.requests.iter().enumerate() {
             let Some(attempt) = truth.out() else { continue };
             let given_up = attempt.cancelled || !truth.open();
-            let ends: &[AttemptEnd] = match () {
-                () if !truth.open() => &[AttemptEnd::Withdrawn, AttemptEnd::Void],
+            let ends: &[AttemptOutcome] = match () {
+                () if !truth.open() => &[AttemptOutcome::Withdrawn, AttemptOutcome::Void],
                 // What was on its way comes nevertheless.
-                () if attempt.cancelled => &[AttemptEnd::Withdrawn, AttemptEnd::Void, AttemptEnd::Succeeded],
-                () if attempt.until <= self.now => &[AttemptEnd::TimedOut, AttemptEnd::Unreachable],
+                () if attempt.cancelled => {
+                    &[AttemptOutcome::Withdrawn, AttemptOutcome::Void, AttemptOutcome::Succeeded]
+                }
+                () if attempt.until <= self.now => &[AttemptOutcome::TimedOut, AttemptOutcome::Unreachable],
                 () => world.ends,
             };
             owed |= given_up || attempt.until <= self.now;
             for end in ends {
-                let again = *end != AttemptEnd::Succeeded && truth.open() || held;
+                let again = *end != AttemptOutcome::Succeeded && truth.open() || held;
                 moves.extend(draws(again).map(|draw| Move::End { request, end: *end, draw }));
             }
             if !given_up && attempt.noted < world.notes {
@@ -469,10 +474,10 @@
     }
 
     /// An attempt's end, as its caller tells it: a result goes to the client first, where one still waits.
-    fn end(&mut self, world: &World, request: usize, end: AttemptEnd, acts: &mut Acts) {
+    fn end(&mut self, world: &World, request: usize, end: AttemptOutcome, acts: &mut Acts) {
         let (now, number) = (self.now, request as RequestId);
         let attempt = self.requests[request].attempts.len() - 1;
-        if end == AttemptEnd::Succeeded && self.requests[request].open() {
+        if end == AttemptOutcome::Succeeded && self.requests[request].open() {
             self.judge(world, Act::Serve { request: number });
             self.requests[request].answer = Some(Answer::Served);
         }
@@ -480,15 +485,26 @@
         let truth = &mut self.requests[request].attempts[attempt];
         truth.end = Some(end);
         let (engine, took) = (truth.engine, now - truth.sent);
-        if let (Some(key), Some(rest), AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn) =
-            (world.requests[request].key, world.attempt_limits.key_cooldown, end)
+        if let (
+            Some(key),
+            Some(rest),
+            AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Withdrawn,
+        ) = (world.requests[request].key, world.attempt_limits.key_cooldown, end)
         {
             // All that are still owed: one after another's attempt does not end that of an earlier.
             self.rests.retain(|(.., until)| *until > now);
             self.rests.push((key, number, now + rest));
         }
-        let ended =
-            Ended { request: number, attempt, engine, end, took, bill: None, signals: world.signals, over };
+        let ended = AttemptEnded {
+            request: number,
+            attempt,
+            engine,
+            end,
+            took,
+            usage: None,
+            signals: world.signals,
+            over,
+        };
         self.scheduler.attempt_ended(now, ended, acts);
     }
 
--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -4,7 +4,7 @@
 
 use crate::search::Walk;
 use crate::witness;
-use emberflow::{AttemptEnd, EngineId, RequestId};
+use emberflow::{AttemptOutcome, EngineId, RequestId};
 use emberflow_router::bulletin::Row;
 use emberflow_router::engines::{Ask, Call, Engines, News};
 use emberflow_router::resp;
@@ -116,7 +116,7 @@
     number: usize,
     slot: Slot,
     until: Duration,
-    end: Option<AttemptEnd>,
+    end: Option<AttemptOutcome>,
     /// How often it came to an engine whole.
     came: u8,
     /// Whether an engine said its word on it, and how many pages that has.
@@ -145,7 +145,7 @@
     /// An attempt ends; `by` is the one that an engine's word was about.
     Ends {
         attempt: usize,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         body: Option<&'a [u8]>,
         by: Option<usize>,
     },
@@ -195,7 +195,7 @@
 }
 
 fn ends_falsely(scene: &Scene, act: &Act) -> bool {
-    let Act::Ends { attempt, end: AttemptEnd::Void | AttemptEnd::Unreachable, .. } = act else {
+    let Act::Ends { attempt, end: AttemptOutcome::Void | AttemptOutcome::Unreachable, .. } = act else {
         return false;
     };
     scene.attempts[*attempt].came > 0
@@ -211,7 +211,7 @@
     let pages = attempt.hit.unwrap_or(0);
     let whole: String = (0..pages).map(|at| page(attempt.request, attempt.number, at)).collect();
     let right = pages > 0 && *body == Some(whole.as_bytes());
-    (*end == AttemptEnd::Succeeded) != body.is_some() || body.is_some() && !right
+    (*end == AttemptOutcome::Succeeded) != body.is_some() || body.is_some() && !right
 }
 
 fn ends_another(_: &Scene, act: &Act) -> bool {
@@ -313,16 +313,16 @@
         if witness::all_near(witness::LINKS, LAWS.len()) {
             return;
         }
-        let (fault, wrong) = (AttemptEnd::Failed, Some(&b"wrong"[..]));
+        let (fault, wrong) = (AttemptOutcome::Failed, Some(&b"wrong"[..]));
         let mut acts = vec![Act::Leaves, Act::Rests];
         for attempt in 0..self.attempts.len() {
             let ends = |end, body, by| Act::Ends { attempt, end, body, by };
             acts.extend([
                 ends(fault, None, None),
-                ends(AttemptEnd::Void, None, None),
+                ends(AttemptOutcome::Void, None, None),
                 Act::Comes { attempt },
             ]);
-            acts.push(ends(AttemptEnd::Succeeded, wrong, None));
+            acts.push(ends(AttemptOutcome::Succeeded, wrong, None));
             let answered = self.far.values().flat_map(|far| &far.got);
             acts.extend(answered.map(|by| ends(fault, None, Some(*by))));
         }
@@ -439,7 +439,7 @@
         &mut self,
         request: usize,
         number: usize,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         body: Option<Vec<u8>>,
         by: Option<usize>,
     ) {
@@ -506,8 +506,8 @@
         }
         for request in 0..self.requests {
             let attempts = || scene.attempts.iter().filter(|attempt| attempt.request == request);
-            let done =
-                attempts().any(|attempt| attempt.end.is_none() || attempt.end == Some(AttemptEnd::Succeeded));
+            let done = attempts()
+                .any(|attempt| attempt.end.is_none() || attempt.end == Some(AttemptOutcome::Succeeded));
             if scene.ready && !done && attempts().count() < self.attempts {
                 moves.push(Step::Call { request });
             }
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -63,15 +63,15 @@
     logic("reject for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     logic(
         "a broken attempt never ran",
-        "[AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Void]",
-        "[AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Broken]",
+        "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void]",
+        "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Broken]",
     ),
     logic("key order ignored", "line.requests.front() == Some(&id) && line.rest", "line.rest"),
     logic("key rest ignored", "by == id || until <= now", "by == id || until > Duration::ZERO"),
     logic(
         "key rest after breaks forgotten",
-        "AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn);\n        if let (Some(key)",
-        "AttemptEnd::TimedOut | AttemptEnd::Withdrawn);\n        if let (Some(key)",
+        "AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Withdrawn);\n        if let (Some(key)",
+        "AttemptOutcome::TimedOut | AttemptOutcome::Withdrawn);\n        if let (Some(key)",
     ),
     logic(
         "attempt budget off by one",
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -2,7 +2,7 @@
 
 use crate::setup;
 use crate::world::{Asks, Listed, Place, asks, keyed};
-use emberflow::{AttemptEnd, Notice, RetryBudget, Signals};
+use emberflow::{AttemptOutcome, Notice, RetryBudget, Signals};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -11,15 +11,15 @@
 
 const ALL: &[Listed] = &[Listed::Drains, Listed::Gone, Listed::Back, Listed::Anew];
 /// Ends that differ in what they prove: done, failed, never ran, lost.
-const FEW: &[AttemptEnd] =
-    &[AttemptEnd::Succeeded, AttemptEnd::Failed, AttemptEnd::Overloaded, AttemptEnd::Broken];
+const FEW: &[AttemptOutcome] =
+    &[AttemptOutcome::Succeeded, AttemptOutcome::Failed, AttemptOutcome::Overloaded, AttemptOutcome::Broken];
 /// Ends after which it may still run, and such as prove that it does not.
-const MAY_RUN: &[AttemptEnd] = &[
-    AttemptEnd::Succeeded,
-    AttemptEnd::Failed,
-    AttemptEnd::Overloaded,
-    AttemptEnd::TimedOut,
-    AttemptEnd::Broken,
+const MAY_RUN: &[AttemptOutcome] = &[
+    AttemptOutcome::Succeeded,
+    AttemptOutcome::Failed,
+    AttemptOutcome::Overloaded,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Broken,
 ];
 const NOTES: &[Notice] =
     &[Notice::Runs, Notice::Done(0.1), Notice::Spills(200.0), Notice::WaitsForMemory, Notice::WaitsForLoad];
@@ -131,7 +131,7 @@
         says: "notes told and not: attempts taken back from silence, a late first answer after that",
         engines: TWO,
         requests: &[asks(0)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         notices: &[Notice::Runs],
         notes: 3,
         fine: true,
@@ -189,7 +189,7 @@
         says: "the process ends earlier than a non-idempotent request would",
         engines: TWO,
         requests: &[asks(4), asks(0)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         closes: true,
         short: false,
         ..Place::PLAIN
@@ -203,7 +203,7 @@
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(0, 1)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded, AttemptEnd::Broken],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Broken],
         leaves: 1,
         ..Place::PLAIN
     },
@@ -247,7 +247,7 @@
         }),
         engines: &[(0, 0)],
         requests: &[keyed(0, 1), keyed(4, 1), keyed(0, 1)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         short: false,
         ..Place::PLAIN
     },
@@ -260,7 +260,7 @@
         }),
         engines: &[(0, 0)],
         requests: &[asks(0), asks(0)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded, AttemptEnd::Failed],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Failed],
         alike: false,
         ..Place::PLAIN
     },
@@ -273,7 +273,7 @@
         }),
         engines: TWO,
         requests: &[asks(0), asks(0)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         notices: &[Notice::WaitsForLoad],
         notes: 1,
         alike: false,
@@ -285,7 +285,7 @@
         says: "an engine that starts anew while two requests come, a window with room for one at first",
         engines: &[(0, 0)],
         requests: &[Asks { cost: 210, ..asks(0) }, Asks { cost: 210, ..asks(0) }],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         events: 1,
         listed: &[Listed::Anew],
         short: false,
@@ -300,7 +300,7 @@
         }),
         engines: &[(0, 0)],
         requests: &[asks(0), asks(0)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         events: 1,
         listed: &[Listed::Anew],
         ..Place::PLAIN
@@ -310,7 +310,7 @@
         says: "answers that report a full engine, large and small requests",
         engines: &[(0, 0)],
         requests: &[asks(0), Asks { memory: 12000.0, ..asks(0) }],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Overloaded],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         signals: Some(SIGNALS),
         short: false,
         ..Place::PLAIN
@@ -342,7 +342,7 @@
         says: "a non-idempotent and a idempotent request at two engines, one drain",
         engines: TWO,
         requests: &[asks(4), asks(0)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         events: 1,
         listed: &[Listed::Drains],
         short: false,
@@ -353,7 +353,7 @@
         says: "two requests keyed within a cell at two engines of two cells",
         engines: &[(0, 0), (1, 1)],
         requests: &[asks(1), asks(1)],
-        ends: &[AttemptEnd::Succeeded, AttemptEnd::Broken],
+        ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         short: false,
         ..Place::PLAIN
     },
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -2,7 +2,7 @@
 
 use crate::life::{Life, Move};
 use crate::world::{Listed, World};
-use emberflow::{AttemptEnd, Notice};
+use emberflow::{AttemptOutcome, Notice};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
@@ -42,8 +42,8 @@
             let truth = &life.requests[request];
             let (attempt, engine) =
                 (truth.attempts.len() - 1, truth.attempts[truth.attempts.len() - 1].engine);
-            let how = if truth.open() || end == AttemptEnd::Succeeded { "ended" } else { "ended_over" };
-            drawn(draw, format!(".{how}({request}, {attempt}, {engine}, AttemptEnd::{end:?})"))
+            let how = if truth.open() || end == AttemptOutcome::Succeeded { "ended" } else { "ended_over" };
+            drawn(draw, format!(".{how}({request}, {attempt}, {engine}, AttemptOutcome::{end:?})"))
         }
         Move::Note { request, notice, draw } => {
             let attempt = life.requests[request].attempts.len() - 1;
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -58,7 +58,7 @@
     /// In the order in which they may come, each at any time.
     pub requests: &'static [Asks],
     /// What an attempt may come to by itself.
-    pub ends: &'static [AttemptEnd],
+    pub ends: &'static [AttemptOutcome],
     pub notices: &'static [Notice],
     /// Notes of one attempt, events of the list, clients that leave: at most so many.
     pub notes: u8,
@@ -82,14 +82,14 @@
     pub short: bool,
 }
 
-pub const ENDS: &[AttemptEnd] = &[
-    AttemptEnd::Succeeded,
-    AttemptEnd::Failed,
-    AttemptEnd::Overloaded,
-    AttemptEnd::TimedOut,
-    AttemptEnd::Unreachable,
-    AttemptEnd::Broken,
-    AttemptEnd::Void,
+pub const ENDS: &[AttemptOutcome] = &[
+    AttemptOutcome::Succeeded,
+    AttemptOutcome::Failed,
+    AttemptOutcome::Overloaded,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Unreachable,
+    AttemptOutcome::Broken,
+    AttemptOutcome::Void,
 ];
 
 impl Place {
--- a/crates/router/src/door.rs
+++ b/crates/router/src/door.rs
@@ -38,7 +38,7 @@
     waiting: BTreeMap<RequestId, Waiting>,
     due: BTreeSet<(Duration, Call, RequestId)>,
     /// What the request's attempt came to, until it is settled.
-    bills: BTreeMap<RequestId, Duration>,
+    usages: BTreeMap<RequestId, Duration>,
 }
 
 /// A request that knocks, beside what the decisions are told of it.
@@ -58,8 +58,8 @@
 impl Door {
     pub fn new(roll: Roll, now: Duration) -> Self {
         let queues = Queues::new(roll.charter.clone(), now);
-        let (waiting, due, bills) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
-        Self { roll, queues, waiting, due, bills }
+        let (waiting, due, usages) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
+        Self { roll, queues, waiting, due, usages }
     }
 
     /// Takes a request in, or tells after what time such a one would be taken.
@@ -119,7 +119,7 @@
 
     /// What an answered request's attempt came to.
     pub fn billed(&mut self, request: RequestId, work: Duration) {
-        self.bills.insert(request, work);
+        self.usages.insert(request, work);
     }
 
     /// Whether a request waits here.
@@ -129,12 +129,12 @@
 
     /// A request has had its final answer, or is owed none any more.
     pub fn closed(&mut self, now: Duration, request: RequestId, how: &str) {
-        let bill = self.bills.remove(&request);
+        let usage = self.usages.remove(&request);
         if self.forget(request).is_some() {
             self.queues.leave(now, request);
             return;
         }
-        let outcome = match (how, bill) {
+        let outcome = match (how, usage) {
             ("requests_succeeded", Some(work)) => Outcome::Billed(work),
             ("requests_succeeded" | "requests_failed", _) => Outcome::Unknown,
             _ => Outcome::Back,
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -7,7 +7,7 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{AttemptEnd, Bill, Ended, Endpoint, EngineId, Notice, RequestId, Signals};
+use emberflow::{AttemptEnded, AttemptOutcome, Endpoint, EngineId, Notice, RequestId, Signals, Usage};
 use emberflow_startup::{from_ms, load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -75,14 +75,14 @@
     /// Its client may be gone: it is written to no other connection.
     kept_back: bool,
     /// It was taken back at its engine, which has not shown yet that it has heard of that: its end, and since when.
-    dropped: Option<(AttemptEnd, Duration)>,
+    dropped: Option<(AttemptOutcome, Duration)>,
     result: Option<Pages>,
 }
 
 #[derive(Clone)]
 struct Pages {
     got: Vec<Option<Vec<u8>>>,
-    bill: Option<Bill>,
+    usage: Option<Usage>,
     signals: Option<Signals>,
 }
 
@@ -103,7 +103,7 @@
 #[derive(Clone)]
 pub enum News {
     /// An attempt's end, its result, and the connection that may still bring an answer to it.
-    Ended(Ended, Option<Vec<u8>>, Option<Slot>),
+    Ended(AttemptEnded, Option<Vec<u8>>, Option<Slot>),
     Noticed(RequestId, usize, Notice),
 }
 
@@ -225,7 +225,7 @@
             let carried: Vec<Slot> = link.attempts.values().copied().collect();
             unsent.extend(carried.into_iter().filter(|attempt| self.take_out(*attempt)));
             for attempt in unsent {
-                self.end(attempt, AttemptEnd::Void, None, works);
+                self.end(attempt, AttemptOutcome::Void, None, works);
             }
         }
     }
@@ -236,7 +236,7 @@
         let Some(row) = self.attempts.get_mut(attempt) else { return };
         row.kept_back = true;
         if row.written.is_none() {
-            self.end(attempt, AttemptEnd::Void, None, works);
+            self.end(attempt, AttemptOutcome::Void, None, works);
         }
     }
 
@@ -292,11 +292,11 @@
         attempt.written = None;
         let (engine, id, owing) = (attempt.engine, attempt.id.clone(), attempt.owing.clone());
         if attempt.kept_back || !self.book.get(&engine).is_some_and(|known| known.ready) {
-            return self.end(slot, AttemptEnd::Void, None, works);
+            return self.end(slot, AttemptOutcome::Void, None, works);
         }
         match self.link_for(engine, &id, &owing, works) {
             Some(link) => self.put(slot, link, works),
-            None => self.end(slot, AttemptEnd::Unreachable, None, works),
+            None => self.end(slot, AttemptOutcome::Unreachable, None, works),
         }
     }
 
@@ -561,11 +561,11 @@
                 if !(1.0..=MOST_PAGES as f64).contains(&pages) {
                     return Err(format!("a result of {pages} pages"));
                 }
-                let bill = figure("cost")?.zip(figure("need")?);
-                let bill = bill.map(|(ms, memory_mb)| Bill { cost: from_ms(ms), memory_mb });
+                let usage = figure("cost")?.zip(figure("need")?);
+                let usage = usage.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb });
                 let mut got = vec![None; pages as usize];
                 got[0] = Some(body);
-                attempt.result = Some(Pages { got, bill, signals });
+                attempt.result = Some(Pages { got, usage, signals });
                 let asks = (1..pages as usize)
                     .map(|page| resp::array(&[b"PAGE", attempt.id.as_bytes(), page.to_string().as_bytes()]));
                 let asks = asks.collect::<Vec<_>>().concat();
@@ -599,11 +599,11 @@
                 Ok(())
             }
             "SHED" | "LATE" => {
-                self.end(slot, AttemptEnd::Overloaded, signals, works);
+                self.end(slot, AttemptOutcome::Overloaded, signals, works);
                 Ok(())
             }
             "FAULT" => {
-                self.end(slot, AttemptEnd::Failed, signals, works);
+                self.end(slot, AttemptOutcome::Failed, signals, works);
                 Ok(())
             }
             _ => Err(format!("the word {word} out of turn")),
@@ -630,18 +630,18 @@
         if body.len() > MOST_BYTES {
             return Err(format!("a result of {} bytes", body.len()));
         }
-        self.finish(slot, AttemptEnd::Succeeded, Some(body), None, works);
+        self.finish(slot, AttemptOutcome::Succeeded, Some(body), None, works);
         Ok(())
     }
 
-    fn end(&mut self, slot: Slot, end: AttemptEnd, signals: Option<Signals>, works: &mut Works) {
+    fn end(&mut self, slot: Slot, end: AttemptOutcome, signals: Option<Signals>, works: &mut Works) {
         self.finish(slot, end, None, signals, works);
     }
 
     fn finish(
         &mut self,
         slot: Slot,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         body: Option<Vec<u8>>,
         signals: Option<Signals>,
         works: &mut Works,
@@ -650,14 +650,14 @@
         let now = works.now();
         works.timers.clear(attempt.until, Timer::Attempt(slot));
         works.counters.count(match end {
-            AttemptEnd::Succeeded => "attempts_succeeded",
-            AttemptEnd::Failed => "attempts_failed",
-            AttemptEnd::Overloaded => "attempts_overloaded",
-            AttemptEnd::TimedOut => "attempts_timed_out",
-            AttemptEnd::Unreachable => "attempts_unreachable",
-            AttemptEnd::Broken => "attempts_broken",
-            AttemptEnd::Withdrawn => "attempts_withdrawn",
-            AttemptEnd::Void => "attempts_void",
+            AttemptOutcome::Succeeded => "attempts_succeeded",
+            AttemptOutcome::Failed => "attempts_failed",
+            AttemptOutcome::Overloaded => "attempts_overloaded",
+            AttemptOutcome::TimedOut => "attempts_timed_out",
+            AttemptOutcome::Unreachable => "attempts_unreachable",
+            AttemptOutcome::Broken => "attempts_broken",
+            AttemptOutcome::Withdrawn => "attempts_withdrawn",
+            AttemptOutcome::Void => "attempts_void",
         });
         if let Some((at, link)) = attempt.link.and_then(|at| Some((at, self.links.get_mut(at)?))) {
             link.attempts.remove(&attempt.id);
@@ -668,14 +668,14 @@
                 works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
             }
         }
-        let (bill, told) = attempt.result.map_or((None, None), |result| (result.bill, result.signals));
-        let ended = Ended {
+        let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.signals));
+        let ended = AttemptEnded {
             request: attempt.request,
             attempt: attempt.number,
             engine: attempt.engine,
             end,
             took: now.saturating_sub(attempt.sent),
-            bill: bill.filter(|_| end == AttemptEnd::Succeeded),
+            usage: usage.filter(|_| end == AttemptOutcome::Succeeded),
             signals: signals.or(told),
             over: false,
         };
@@ -685,11 +685,11 @@
             ended.attempt,
             ended.engine,
             ended.took,
-            ended.bill,
+            ended.usage,
             ended.signals
         );
         let given_up =
-            matches!(end, AttemptEnd::Withdrawn | AttemptEnd::TimedOut) && attempt.dropped.is_none();
+            matches!(end, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && attempt.dropped.is_none();
         self.news.push_back(News::Ended(ended, body, attempt.link.filter(|_| given_up)));
     }
 
@@ -712,7 +712,7 @@
     }
 
     pub fn cancel(&mut self, attempt: Slot, works: &mut Works) {
-        self.abandon(attempt, AttemptEnd::Withdrawn, AttemptEnd::Void, works);
+        self.abandon(attempt, AttemptOutcome::Withdrawn, AttemptOutcome::Void, works);
     }
 
     /// Takes an attempt back, whose request may be sent again. Guards against two attempts of a request at engines at once, where
@@ -727,7 +727,7 @@
         else {
             return self.cancel(attempt, works);
         };
-        row.dropped = Some((AttemptEnd::Withdrawn, works.now()));
+        row.dropped = Some((AttemptOutcome::Withdrawn, works.now()));
         let id = row.id.clone().into_bytes();
         let bytes = [resp::array(&[b"DROP", &id]), resp::array(&[b"PING", &id])].concat();
         works.counters.count("attempts_taken_back");
@@ -743,12 +743,12 @@
     /// An attempt's time is over; whoever holds the sockets has read what came for it before.
     pub fn overdue(&mut self, attempt: Slot, works: &mut Works) {
         if self.attempts.get(attempt).is_some_and(|attempt| attempt.until <= works.now()) {
-            self.abandon(attempt, AttemptEnd::TimedOut, AttemptEnd::Unreachable, works);
+            self.abandon(attempt, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, works);
         }
     }
 
     /// Gives an attempt up, at the engine too; what was never written never ran.
-    fn abandon(&mut self, slot: Slot, end: AttemptEnd, unwritten: AttemptEnd, works: &mut Works) {
+    fn abandon(&mut self, slot: Slot, end: AttemptOutcome, unwritten: AttemptOutcome, works: &mut Works) {
         if self.attempts.get(slot).is_some_and(|attempt| attempt.dropped.is_some()) {
             return self.end(slot, end, None, works);
         }
@@ -823,9 +823,9 @@
             if let Some((end, _)) = row.dropped {
                 self.end(attempt, end, None, works);
             } else if row.written.is_some_and(|from| link.output.passed() > from) {
-                self.end(attempt, AttemptEnd::Broken, None, works);
+                self.end(attempt, AttemptOutcome::Broken, None, works);
             } else if !there || std::mem::replace(&mut row.moved, true) {
-                self.end(attempt, AttemptEnd::Unreachable, None, works);
+                self.end(attempt, AttemptOutcome::Unreachable, None, works);
             } else {
                 self.place(attempt, works);
             }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -13,7 +13,7 @@
 use crate::statement;
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{Actions, Arrival, Ended, KeyId, Print, RequestId, Scheduler};
+use emberflow::{Actions, Arrival, AttemptEnded, KeyId, Print, RequestId, Scheduler};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
 use emberflow_startup::{Fields, from_ms};
@@ -174,12 +174,12 @@
         }
     }
 
-    fn ended(&mut self, now: Duration, mut ended: Ended, body: Option<Vec<u8>>) {
-        if let Some((door, bill)) = self.door.as_mut().zip(ended.bill.as_ref())
+    fn ended(&mut self, now: Duration, mut ended: AttemptEnded, body: Option<Vec<u8>>) {
+        if let Some((door, usage)) = self.door.as_mut().zip(ended.usage.as_ref())
             && body.is_some()
             && self.floor.requests.get(ended.request).is_some()
         {
-            door.billed(ended.request, bill.cost);
+            door.billed(ended.request, usage.cost);
         }
         if let Some(body) = body {
             // Not owed where the client has withdrawn in between.
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -511,11 +511,11 @@
             calls.len(),
             self.chance.below(4)
         );
-        let bill = format!("cost={},need={}", self.chance.below(40), self.chance.below(600));
+        let usage = format!("cost={},need={}", self.chance.below(40), self.chance.below(600));
         let row = format!("row\t{req}\t{}\n", self.chance.below(100));
         let (word, fields, body, over) = match self.chance.below(40) {
-            0..18 => ("HIT", format!("pages=1,{bill},{load}"), row, true),
-            18..21 => ("HIT", format!("pages=3,{bill}"), row, false),
+            0..18 => ("HIT", format!("pages=1,{usage},{load}"), row, true),
+            18..21 => ("HIT", format!("pages=3,{usage}"), row, false),
             21..25 => ("SHED", load, String::new(), true),
             25 => ("LATE", load, String::new(), true),
             26..28 => ("FAULT", load, String::new(), true),
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,8 +1,8 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Actions, Arrival, AttemptEnd, Bill, Ended, Endpoint, EngineId, KeyId, Notice, RequestId, Scheduler,
-    Signals,
+    Actions, Arrival, AttemptEnded, AttemptOutcome, Endpoint, EngineId, KeyId, Notice, RequestId, Scheduler,
+    Signals, Usage,
 };
 use emberflow_startup::{
     Fault, Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
@@ -154,18 +154,18 @@
             }
             "ENDED" => {
                 let used = line.maybe_number("usedUp").unwrap_or(0.0) as u64;
-                let bill = |used| Bill {
+                let usage = |used| Usage {
                     cost: Duration::from_millis(used / 4096),
                     memory_mb: (used % 4096 * 4) as f64,
                 };
                 let request = known("ref")?;
-                let ended = Ended {
+                let ended = AttemptEnded {
                     request: request.unwrap_or(RequestId::MAX),
                     attempt: line.index("hop")?,
                     engine: names.engines.number(line.text("engine")?),
-                    end: attempt_end(line.text("result")?)?,
+                    end: attempt_outcome(line.text("result")?)?,
                     took: line.time("delaySeenMs")?,
-                    bill: (used > 0).then(|| bill(used)),
+                    usage: (used > 0).then(|| usage(used)),
                     signals: signals(reported, line),
                     over: line.flag("noMore")?,
                 };
@@ -228,16 +228,16 @@
     })
 }
 
-fn attempt_end(result: &str) -> Result<AttemptEnd, Fault> {
+fn attempt_outcome(result: &str) -> Result<AttemptOutcome, Fault> {
     Ok(match result {
-        "success" => AttemptEnd::Succeeded,
-        "failure" => AttemptEnd::Failed,
-        "overloaded" => AttemptEnd::Overloaded,
-        "timed_out" => AttemptEnd::TimedOut,
-        "unreachable" => AttemptEnd::Unreachable,
-        "broken" => AttemptEnd::Broken,
-        "withdrawn" => AttemptEnd::Withdrawn,
-        "void" => AttemptEnd::Void,
+        "success" => AttemptOutcome::Succeeded,
+        "failure" => AttemptOutcome::Failed,
+        "overloaded" => AttemptOutcome::Overloaded,
+        "timed_out" => AttemptOutcome::TimedOut,
+        "unreachable" => AttemptOutcome::Unreachable,
+        "broken" => AttemptOutcome::Broken,
+        "withdrawn" => AttemptOutcome::Withdrawn,
+        "void" => AttemptOutcome::Void,
         other => return Err(format!("unknown `result` {other}")),
     })
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -142,7 +142,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     Succeeded,
     Failed,
     Overloaded,
@@ -155,13 +155,13 @@
 
 /// The outcome of an attempt; `over` where the request ended with it or before.
 #[derive(Clone)]
-pub struct Ended {
+pub struct AttemptEnded {
     pub request: RequestId,
     pub attempt: usize,
     pub engine: EngineId,
-    pub end: AttemptEnd,
+    pub end: AttemptOutcome,
     pub took: Duration,
-    pub bill: Option<Bill>,
+    pub usage: Option<Usage>,
     pub signals: Option<Signals>,
     pub over: bool,
 }
@@ -179,7 +179,7 @@
 
 /// What a finished attempt is billed.
 #[derive(Clone, Copy, Debug)]
-pub struct Bill {
+pub struct Usage {
     pub cost: Duration,
     pub memory_mb: f64,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -51,7 +51,8 @@
 
     /// The attempt from which a keyed request's window counts and whose engine sets its group.
     fn first_that_may_have_run(&self) -> Option<&Attempt> {
-        let never_ran = [AttemptEnd::Overloaded, AttemptEnd::Unreachable, AttemptEnd::Void].map(Some);
+        let never_ran =
+            [AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void].map(Some);
         self.attempts.iter().find(|attempt| !never_ran.contains(&attempt.end))
     }
 }
@@ -202,8 +203,8 @@
         Room { scheduler: self, now, sight: self.sight(now, true), blocked: BTreeSet::new() }
     }
 
-    pub fn attempt_ended(&mut self, now: Duration, attempt: Ended, out: &mut impl Actions) {
-        let Ended { request: id, attempt, engine, end, took, bill, signals, over } = attempt;
+    pub fn attempt_ended(&mut self, now: Duration, attempt: AttemptEnded, out: &mut impl Actions) {
+        let AttemptEnded { request: id, attempt, engine, end, took, usage, signals, over } = attempt;
         self.report(now, engine, signals, id);
         let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
         request.over |= over;
@@ -211,59 +212,60 @@
         let Some(ended) = request.attempts.get_mut(attempt) else { return self.settle(now, out) };
         ended.end = Some(end);
         let Attempt { sent, engine, grant, missing, .. } = *ended;
-        let may_still_run = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Broken | AttemptEnd::Withdrawn);
+        let may_still_run =
+            matches!(end, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Withdrawn);
         if let (Some(key), Some(rest), true) = (request.key, self.attempt_limits.key_cooldown, may_still_run)
         {
             self.lines.entry(key).or_default().rest = Some((id, now + rest));
         }
         let learned = &mut self.learned[class];
-        if let Some(bill) = bill {
-            learned.memories.push(now, bill.memory_mb);
-            told_memory.inspect(|told| learned.memory_ratios.push(now, bill.memory_mb / told));
-            told_cost.inspect(|told| learned.cost_ratios.push(now, seconds(bill.cost) / told));
+        if let Some(usage) = usage {
+            learned.memories.push(now, usage.memory_mb);
+            told_memory.inspect(|told| learned.memory_ratios.push(now, usage.memory_mb / told));
+            told_cost.inspect(|told| learned.cost_ratios.push(now, seconds(usage.cost) / told));
         }
         // Unbilled, a spill tells the most that was needed, unless a cut grant may be its cause.
-        if let (None, AttemptEnd::Succeeded, Some(told), false) =
-            (bill, end, told_memory, self.fleet.cuts_grants)
+        if let (None, AttemptOutcome::Succeeded, Some(told), false) =
+            (usage, end, told_memory, self.fleet.cuts_grants)
         {
             learned.memory_ratios.push(now, if missing > 0.0 { (grant + missing) / told } else { 1.0 });
         }
         // Of untold cost, a request is what it came to, not what such requests come to.
         let mut ideal = request.ideal;
-        if told_cost.is_none() && end == AttemptEnd::Succeeded {
+        if told_cost.is_none() && end == AttemptOutcome::Succeeded {
             // Unbilled, its share of the cores is what it ran on: else a crowd would look like its own work.
             let threads = self.classes[class].threads;
             let crowd = signals.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
             let alone = seconds(took) * threads / crowd.unwrap_or(1.0).max(1.0);
-            let cost = bill.map_or(alone, |bill| seconds(bill.cost));
+            let cost = usage.map_or(alone, |usage| seconds(usage.cost));
             learned.costs.push(now, cost);
             ideal = cost / threads.max(1.0);
         }
         let engine = self.engines.get_mut(&engine).expect("an engine that a hop went to");
         engine.out.retain(|out| (out.request, out.attempt) != (id, attempt));
-        if matches!(end, AttemptEnd::Succeeded | AttemptEnd::Failed | AttemptEnd::Overloaded) {
+        if matches!(end, AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::Overloaded) {
             engine.heard = now;
         }
         let again = engine.bad.last().is_some_and(|(at, bad)| bad > 0.0 && at + self.fleet.tick >= now);
         match end {
-            AttemptEnd::Succeeded => {
+            AttemptOutcome::Succeeded => {
                 let stretch = seconds(now - sent) / (ideal + seconds(self.fleet.tick));
                 learned.stretches.push(now, stretch);
                 // Over an idle engine's run, not the best of late: in lasting overload that drifts up.
                 engine.stretches.push(now, stretch);
                 engine.bad.push(now, 0.0);
             }
-            AttemptEnd::Overloaded => engine.refused = Some(now),
-            AttemptEnd::Failed | AttemptEnd::TimedOut => engine.bad.push(now, 1.0),
+            AttemptOutcome::Overloaded => engine.refused = Some(now),
+            AttemptOutcome::Failed | AttemptOutcome::TimedOut => engine.bad.push(now, 1.0),
             // Guards against lost machines and halls, whose connects fail or whose attempts all break at once:
             // two marks, and cold, as the list tells late. Any other break is one: a cut may mean nothing.
-            AttemptEnd::Unreachable | AttemptEnd::Broken
-                if end != AttemptEnd::Broken || again && engine.out.is_empty() =>
+            AttemptOutcome::Unreachable | AttemptOutcome::Broken
+                if end != AttemptOutcome::Broken || again && engine.out.is_empty() =>
             {
                 (0..2).for_each(|_| engine.bad.push(now, 1.0));
                 engine.cold_since = Some(now);
             }
-            AttemptEnd::Broken if !again => engine.bad.push(now, 1.0),
+            AttemptOutcome::Broken if !again => engine.bad.push(now, 1.0),
             _ => {}
         }
         self.settle(now, out);
--- a/src/print.rs
+++ b/src/print.rs
@@ -101,7 +101,10 @@
             .for_each(|at| since(now, *at).hash(into));
         // Of an attempt that is over only whether it may have run counts, and of the first of these when it left.
         let ran = |attempt: &&Attempt| {
-            !matches!(attempt.end, Some(AttemptEnd::Overloaded | AttemptEnd::Unreachable | AttemptEnd::Void))
+            !matches!(
+                attempt.end,
+                Some(AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::Void)
+            )
         };
         let windowed = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
         request
--- a/src/state.rs
+++ b/src/state.rs
@@ -38,7 +38,7 @@
     /// When it was sent or last noted.
     pub heard: Duration,
     pub grant: f64,
-    pub end: Option<AttemptEnd>,
+    pub end: Option<AttemptOutcome>,
     pub cancelled: bool,
     pub stands: bool,
     pub missing: f64,
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -190,7 +190,7 @@
 /// What the world of one life does besides what the router was started with.
 struct Habits {
     estimates: u64,
-    bills: u64,
+    usages: u64,
     signals: u64,
     tells_busy: bool,
     tells_in_flight: bool,
@@ -235,7 +235,7 @@
 enum Event {
     Arrival,
     Wake,
-    AttemptEnd(RequestId, usize, AttemptEnd),
+    AttemptOutcome(RequestId, usize, AttemptOutcome),
     Note(RequestId, usize),
     Probed(EngineId),
     Engines,
@@ -333,7 +333,7 @@
 fn habits(random: &mut Random, fleet: &Fleet) -> Habits {
     Habits {
         estimates: random.one_of(&[0, 50, 95, 100, 100]),
-        bills: random.one_of(&[0, 60, 100]),
+        usages: random.one_of(&[0, 60, 100]),
         signals: random.one_of(&[0, 50, 100]),
         tells_busy: random.percent(60),
         tells_in_flight: random.percent(60),
@@ -439,7 +439,7 @@
         match event {
             Event::Arrival => self.request_arrives(),
             Event::Wake => self.scheduler.wake(self.now, &mut self.log),
-            Event::AttemptEnd(request, attempt, end) => self.attempt_ends(request, attempt, end),
+            Event::AttemptOutcome(request, attempt, end) => self.attempt_ends(request, attempt, end),
             Event::Note(request, attempt) => self.note_comes(request, attempt),
             Event::Probed(engine) => self.probe_ends(engine),
             Event::Engines => {
@@ -534,27 +534,27 @@
         let left = until.saturating_sub(self.now);
         let faulty = random.percent(self.habits.faults);
         let (wait, end) = match () {
-            _ if machine.silent => (left, AttemptEnd::TimedOut),
-            _ if machine.gone => (random.time(1, 30).min(left), AttemptEnd::Unreachable),
-            _ if machine.fails => (random.time(1, 10).min(left), AttemptEnd::Failed),
+            _ if machine.silent => (left, AttemptOutcome::TimedOut),
+            _ if machine.gone => (random.time(1, 30).min(left), AttemptOutcome::Unreachable),
+            _ if machine.fails => (random.time(1, 10).min(left), AttemptOutcome::Failed),
             _ if faulty => {
                 let ends = [
-                    AttemptEnd::Failed,
-                    AttemptEnd::Overloaded,
-                    AttemptEnd::Overloaded,
-                    AttemptEnd::TimedOut,
-                    AttemptEnd::Unreachable,
-                    AttemptEnd::Broken,
-                    AttemptEnd::Void,
+                    AttemptOutcome::Failed,
+                    AttemptOutcome::Overloaded,
+                    AttemptOutcome::Overloaded,
+                    AttemptOutcome::TimedOut,
+                    AttemptOutcome::Unreachable,
+                    AttemptOutcome::Broken,
+                    AttemptOutcome::Void,
                 ];
                 (run.mul_f64(random.part()).min(left), random.one_of(&ends))
             }
-            _ if run >= left => (left, AttemptEnd::TimedOut),
-            _ => (run, AttemptEnd::Succeeded),
+            _ if run >= left => (left, AttemptOutcome::TimedOut),
+            _ => (run, AttemptOutcome::Succeeded),
         };
         let silent = machine.silent;
         self.running.insert((request, attempt), Running { engine, sent: self.now, until, run });
-        self.plan(wait, Event::AttemptEnd(request, attempt, end));
+        self.plan(wait, Event::AttemptOutcome(request, attempt, end));
         if let Some(every) = self.habits.note_every.filter(|_| !silent) {
             self.plan(every, Event::Note(request, attempt));
         }
@@ -562,14 +562,14 @@
 
     fn attempt_is_cancelled(&mut self, request: RequestId, attempt: usize) {
         let ends = [
-            AttemptEnd::Withdrawn,
-            AttemptEnd::Withdrawn,
-            AttemptEnd::Withdrawn,
-            AttemptEnd::Void,
-            AttemptEnd::Broken,
+            AttemptOutcome::Withdrawn,
+            AttemptOutcome::Withdrawn,
+            AttemptOutcome::Withdrawn,
+            AttemptOutcome::Void,
+            AttemptOutcome::Broken,
         ];
         let (wait, end) = (self.random.time(0, 10), self.random.one_of(&ends));
-        self.plan(wait, Event::AttemptEnd(request, attempt, end));
+        self.plan(wait, Event::AttemptOutcome(request, attempt, end));
     }
 
     fn request_is_answered(&mut self, request: RequestId) {
@@ -590,9 +590,10 @@
         })
     }
 
-    fn attempt_ends(&mut self, request: RequestId, attempt: usize, end: AttemptEnd) {
+    fn attempt_ends(&mut self, request: RequestId, attempt: usize, end: AttemptOutcome) {
         let Some(running) = self.running.remove(&(request, attempt)) else { return };
-        let tells = !matches!(end, AttemptEnd::TimedOut | AttemptEnd::Unreachable | AttemptEnd::Broken);
+        let tells =
+            !matches!(end, AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::Broken);
         let signals = if tells && self.random.percent(self.habits.signals) {
             self.signals(running.engine)
         } else {
@@ -602,14 +603,15 @@
         let took = self.now - running.sent;
         let told = asking.arrival.memory_mb.unwrap_or(100.0);
         let random = &mut self.random;
-        let billed = end == AttemptEnd::Succeeded && random.percent(self.habits.bills);
-        let bill = billed.then(|| Bill {
+        let billed = end == AttemptOutcome::Succeeded && random.percent(self.habits.usages);
+        let usage = billed.then(|| Usage {
             cost: took.mul_f64(random.between(0.5, 1.0)),
             memory_mb: told * random.between(0.4, 2.0),
         });
-        asking.answered |= end == AttemptEnd::Succeeded;
+        asking.answered |= end == AttemptOutcome::Succeeded;
         let over = asking.answered;
-        let ended = Ended { request, attempt, engine: running.engine, end, took, bill, signals, over };
+        let ended =
+            AttemptEnded { request, attempt, engine: running.engine, end, took, usage, signals, over };
         self.scheduler.attempt_ended(self.now, ended, &mut self.log);
     }
 
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -210,21 +210,21 @@
         request: RequestId,
         attempt: usize,
         engine: EngineId,
-        end: AttemptEnd,
+        end: AttemptOutcome,
     ) -> &mut Self {
-        self.attempt_ended(Ended {
+        self.attempt_ended(AttemptEnded {
             request,
             attempt,
             engine,
             end,
             took: ms(1),
-            bill: None,
+            usage: None,
             signals: None,
             over: true,
         })
     }
 
-    fn attempt_ended(&mut self, ended: Ended) -> &mut Self {
+    fn attempt_ended(&mut self, ended: AttemptEnded) -> &mut Self {
         self.scheduler.attempt_ended(ms(self.lines.1), ended, &mut self.lines);
         self
     }
@@ -271,7 +271,7 @@
         request: RequestId,
         attempt: usize,
         engine: EngineId,
-        end: AttemptEnd,
+        end: AttemptOutcome,
     ) -> &mut Self {
         self.reported(request, attempt, engine, end, None)
     }
@@ -281,11 +281,20 @@
         request: RequestId,
         attempt: usize,
         engine: EngineId,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         signals: Option<Signals>,
     ) -> &mut Self {
-        let over = end == AttemptEnd::Succeeded;
-        self.attempt_ended(Ended { request, attempt, engine, end, took: ms(1), bill: None, signals, over })
+        let over = end == AttemptOutcome::Succeeded;
+        self.attempt_ended(AttemptEnded {
+            request,
+            attempt,
+            engine,
+            end,
+            took: ms(1),
+            usage: None,
+            signals,
+            over,
+        })
     }
 
     /// Its first attempt has succeeded after so many ms.
@@ -296,14 +305,14 @@
         took: u64,
         told: Option<Signals>,
     ) -> &mut Self {
-        let (attempt, end, took) = (0, AttemptEnd::Succeeded, ms(took));
-        self.attempt_ended(Ended {
+        let (attempt, end, took) = (0, AttemptOutcome::Succeeded, ms(took));
+        self.attempt_ended(AttemptEnded {
             request,
             attempt,
             engine,
             end,
             took,
-            bill: None,
+            usage: None,
             signals: told,
             over: true,
         })
@@ -311,14 +320,14 @@
 
     /// A success with its bill; what is told of load is left out.
     pub fn billed(&mut self, request: RequestId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
-        let (end, bill) = (AttemptEnd::Succeeded, Some(Bill { cost: ms(cost), memory_mb }));
-        self.attempt_ended(Ended {
+        let (end, usage) = (AttemptOutcome::Succeeded, Some(Usage { cost: ms(cost), memory_mb }));
+        self.attempt_ended(AttemptEnded {
             request,
             attempt: 0,
             engine,
             end,
             took: ms(cost),
-            bill,
+            usage,
             signals: None,
             over: true,
         })
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -11,7 +11,7 @@
 fn ordinary_path_names_grants_and_spreads_by_room() {
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(0, 100, 50.0).accept(0, 100, 600.0).accept(1, 3000, 4000.0).accept(1, 3000, 12000.0);
-    trace.accept(1, 3000, 12000.0).accept(1, 3000, 12000.0).at(20).ended(3, 0, 0, AttemptEnd::Succeeded);
+    trace.accept(1, 3000, 12000.0).accept(1, 3000, 12000.0).at(20).ended(3, 0, 0, AttemptOutcome::Succeeded);
     expect![[r#"
         0     task 0 gets 63 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -30,7 +30,7 @@
 #[test]
 fn a_request_without_estimates_takes_the_medium_tier() {
     let mut trace = Trace::new(1, |_, _, _| ());
-    trace.accept(1, 0, 0.0).accept(1, 0, 0.0).at(5).ended(0, 0, 0, AttemptEnd::Overloaded);
+    trace.accept(1, 0, 0.0).accept(1, 0, 0.0).at(5).ended(0, 0, 0, AttemptOutcome::Overloaded);
     expect![[r#"
         0     task 0 gets 0 MB, priority 1
         0     task 0 to engine 0 until 15980
@@ -44,11 +44,11 @@
 fn under_pressure_tiers_bind_and_leave_earliest_first() {
     let mut trace = Trace::new(1, |_, _, _| ());
     let busy = Signals { busy: Some(1.0), memory: Some(0.5), ..Signals::default() };
-    trace.accept(0, 100, 50.0).at(100).reported(0, 0, 0, AttemptEnd::Succeeded, Some(busy));
+    trace.accept(0, 100, 50.0).at(100).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(busy));
     for _ in 0..4 {
         trace.accept(1, 1500, 3000.0);
     }
-    trace.at(400).reported(1, 0, 0, AttemptEnd::Succeeded, Some(busy)).wait(2000);
+    trace.at(400).reported(1, 0, 0, AttemptOutcome::Succeeded, Some(busy)).wait(2000);
     expect![[r#"
         0     task 0 gets 63 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -67,9 +67,9 @@
     let full = Signals { busy: Some(0.3), memory: Some(0.9), ..Signals::default() };
     let free = Signals { memory: Some(0.2), ..full };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0);
-    trace.at(1200).reported(0, 0, 0, AttemptEnd::Succeeded, Some(full)).decided();
+    trace.at(1200).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(full)).decided();
     trace.accept(1, 900, 4000.0).accept(0, 100, 300.0).wait(1500);
-    trace.reported(1, 0, 0, AttemptEnd::Succeeded, Some(free));
+    trace.reported(1, 0, 0, AttemptOutcome::Succeeded, Some(free));
     expect![[r#"
         1200  task 4 gets 375 MB, priority 1
         1200  task 4 to engine 0 until 9180
@@ -84,7 +84,7 @@
 #[test]
 fn an_answer_comes_before_deadline_ends_with_no_engine_or_estimate() {
     let mut trace = Trace::new(0, |_, _, _| ());
-    trace.accept(0, 0, 0.0).accept(2, 1, 1e12).at(7000).wait(8000).ended(0, 0, 0, AttemptEnd::TimedOut);
+    trace.accept(0, 0, 0.0).accept(2, 1, 1e12).at(7000).wait(8000).ended(0, 0, 0, AttemptOutcome::TimedOut);
     trace.notice(7, 3, Notice::Done(0.0)).left(9);
     expect![[r#"
         7040  bounce task 0, back after 400
@@ -97,7 +97,7 @@
 fn single_use_runs_once_and_goes_on_only_if_it_never_ran() {
     let mut trace = Trace::new(3, |_, _, _| ());
     trace.accept(2, 100, 300.0).accept(2, 100, 300.0);
-    trace.at(50).ended(0, 0, 0, AttemptEnd::Unreachable).ended(1, 0, 1, AttemptEnd::Broken);
+    trace.at(50).ended(0, 0, 0, AttemptOutcome::Unreachable).ended(1, 0, 1, AttemptOutcome::Broken);
     expect![[r#"
         0     task 0 gets 375 MB, priority 1
         0     task 0 to engine 2 until 23980
@@ -115,11 +115,11 @@
     let cell = Effect::IdempotentWithKey { scope: Scope::Cell, window: ms(700) };
     let mut trace = Trace::new(4, |_, classes, _| classes[0].effect = cell);
     trace.list((1..4).map(|engine| Endpoint { location: 0, ..endpoint(engine, true, None) }).collect());
-    trace.accept(0, 100, 300.0).at(50).ended(0, 0, 0, AttemptEnd::Broken).at(690).ended(
+    trace.accept(0, 100, 300.0).at(50).ended(0, 0, 0, AttemptOutcome::Broken).at(690).ended(
         0,
         1,
         1,
-        AttemptEnd::Broken,
+        AttemptOutcome::Broken,
     );
     trace.wait(1400);
     expect![[r#"
@@ -142,7 +142,7 @@
     trace.list(vec![Endpoint { kind: 1, ..endpoint(5, false, None) }, endpoint(0, false, None)]);
     trace
         .at(10)
-        .ended(0, 0, 5, AttemptEnd::Unreachable)
+        .ended(0, 0, 5, AttemptOutcome::Unreachable)
         .accept(0, 300, 300.0)
         .accept(1, 300, 300.0)
         .wait(1500);
@@ -188,7 +188,7 @@
     });
     trace.accept_keyed(2, 100, 300.0, Some(4)).accept_keyed(2, 100, 300.0, Some(4));
     trace.accept_keyed(2, 100, 300.0, Some(5)).accept(2, 100, 300.0);
-    trace.at(100).ended(0, 0, 0, AttemptEnd::Broken).wait(500);
+    trace.at(100).ended(0, 0, 0, AttemptOutcome::Broken).wait(500);
     expect![[r#"
         0     task 0 gets 375 MB, priority 1
         0     task 0 to engine 2 until 23980
@@ -208,7 +208,11 @@
     let budget = RetryBudget { spare: 1.0, per_request: 0.1, over: ms(5000) };
     let mut trace = Trace::new(4, |_, _, attempt_limits| attempt_limits.retry_budget = Some(budget));
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).decided();
-    trace.at(50).ended(0, 0, 0, AttemptEnd::Overloaded).ended(1, 0, 1, AttemptEnd::Overloaded).wait(600);
+    trace
+        .at(50)
+        .ended(0, 0, 0, AttemptOutcome::Overloaded)
+        .ended(1, 0, 1, AttemptOutcome::Overloaded)
+        .wait(600);
     expect![[r#"
         50    task 0 gets 375 MB, priority 1
         50    task 0 to engine 0 until 7980
@@ -221,7 +225,7 @@
 fn a_bad_plan_is_cancelled_once() {
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(1, 900, 300.0).at(500).notice(0, 0, Notice::Done(0.05)).at(510);
-    trace.ended(0, 0, 0, AttemptEnd::Withdrawn).at(1010).notice(0, 1, Notice::Done(0.05));
+    trace.ended(0, 0, 0, AttemptOutcome::Withdrawn).at(1010).notice(0, 1, Notice::Done(0.05));
     expect![[r#"
         0     task 0 gets 375 MB, priority 1
         0     task 0 to engine 0 until 15980
@@ -236,7 +240,7 @@
 fn a_attempt_that_stands_still_behind_a_load_is_moved() {
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(0, 900, 300.0).at(500).notice(0, 0, Notice::WaitsForLoad).at(505);
-    trace.ended(0, 0, 0, AttemptEnd::Withdrawn);
+    trace.ended(0, 0, 0, AttemptOutcome::Withdrawn);
     expect![[r#"
         0     task 0 gets 375 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -267,7 +271,7 @@
     let mut trace = Trace::new(1, |_, _, _| ());
     for request in 0..40 {
         trace.at(400 * u64::from(request)).accept(0, 100, 300.0).at(400 * u64::from(request) + 390);
-        trace.ended(request, 0, 0, AttemptEnd::Succeeded);
+        trace.ended(request, 0, 0, AttemptOutcome::Succeeded);
     }
     trace.decided();
     for _ in 0..3 {
@@ -284,7 +288,7 @@
 fn spills_raise_the_grant_where_nothing_bills() {
     let mut trace = Trace::new(1, |_, _, _| ());
     trace.accept(1, 300, 400.0).at(90).notice(0, 0, Notice::Spills(300.0));
-    trace.at(100).ended(0, 0, 0, AttemptEnd::Succeeded).accept(1, 300, 400.0);
+    trace.at(100).ended(0, 0, 0, AttemptOutcome::Succeeded).accept(1, 300, 400.0);
     expect![[r#"
         0     task 0 gets 500 MB, priority 1
         0     task 0 to engine 0 until 15980
@@ -298,8 +302,13 @@
 fn a_silent_engine_loses_what_may_run_again() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.note_every = None);
     trace.accept(0, 100, 300.0).accept(2, 3000, 300.0).accept(0, 100, 300.0);
-    trace.at(100).ended(2, 0, 0, AttemptEnd::Succeeded).wait(1700).ended(1, 0, 1, AttemptEnd::Succeeded);
-    trace.ended(0, 0, 0, AttemptEnd::Withdrawn).accept(0, 100, 300.0);
+    trace.at(100).ended(2, 0, 0, AttemptOutcome::Succeeded).wait(1700).ended(
+        1,
+        0,
+        1,
+        AttemptOutcome::Succeeded,
+    );
+    trace.ended(0, 0, 0, AttemptOutcome::Withdrawn).accept(0, 100, 300.0);
     expect![[r#"
         0     task 0 gets 375 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -319,7 +328,7 @@
 fn an_engine_that_fails_fast_draws_no_work() {
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0);
-    trace.at(5).ended(0, 0, 0, AttemptEnd::Failed).ended(2, 0, 0, AttemptEnd::Failed).decided();
+    trace.at(5).ended(0, 0, 0, AttemptOutcome::Failed).ended(2, 0, 0, AttemptOutcome::Failed).decided();
     trace.at(10).accept(0, 100, 300.0).accept(0, 100, 300.0).at(1100).accept(0, 100, 300.0);
     expect![[r#"
         10    task 4 gets 375 MB, priority 1
@@ -337,8 +346,14 @@
     let mut trace = Trace::new(2, |_, _, _| ());
     let full = Signals { waiting: Some(2.0), ..Signals::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).at(1190);
-    trace.notice(0, 0, Notice::WaitsForMemory).at(1200).reported(1, 0, 1, AttemptEnd::Succeeded, Some(full));
-    trace.at(1210).ended(0, 0, 0, AttemptEnd::Withdrawn);
+    trace.notice(0, 0, Notice::WaitsForMemory).at(1200).reported(
+        1,
+        0,
+        1,
+        AttemptOutcome::Succeeded,
+        Some(full),
+    );
+    trace.at(1210).ended(0, 0, 0, AttemptOutcome::Withdrawn);
     expect![[r#"
         0     task 0 gets 375 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -355,10 +370,10 @@
     let mut trace = Trace::new(2, |_, _, _| ());
     let free = Signals { busy: Some(0.1), memory: Some(0.1), ..Signals::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0);
-    trace.at(20).reported(0, 0, 0, AttemptEnd::Succeeded, Some(free));
-    trace.reported(1, 0, 1, AttemptEnd::Succeeded, Some(free)).decided();
+    trace.at(20).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(free));
+    trace.reported(1, 0, 1, AttemptOutcome::Succeeded, Some(free)).decided();
     for at in 3..7 {
-        trace.at(at * 10).accept(1, 300, 1000.0).reported(9, 0, 0, AttemptEnd::Succeeded, Some(free));
+        trace.at(at * 10).accept(1, 300, 1000.0).reported(9, 0, 0, AttemptOutcome::Succeeded, Some(free));
     }
     expect![[r#"
         30    task 4 gets 1250 MB, priority 1
@@ -390,7 +405,7 @@
     let busy = Signals { busy: Some(1.0), memory: Some(0.5), ..Signals::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).at(100);
     for request in 0..4 {
-        trace.reported(request, 0, request as EngineId, AttemptEnd::Succeeded, Some(busy));
+        trace.reported(request, 0, request as EngineId, AttemptOutcome::Succeeded, Some(busy));
     }
     trace.decided();
     trace.accept(1, 300, 300.0).accept(1, 300, 300.0).accept(1, 300, 300.0);
@@ -420,14 +435,14 @@
 fn what_goes_on_failing_is_believed_for_longer() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.routers = 100);
     for (request, at) in [(0, 0), (1, 9000)] {
-        trace.at(at).accept(0, 100, 300.0).ended(request, 0, 0, AttemptEnd::Unreachable);
-        trace.ended(request, 1, 1, AttemptEnd::Succeeded);
+        trace.at(at).accept(0, 100, 300.0).ended(request, 0, 0, AttemptOutcome::Unreachable);
+        trace.ended(request, 1, 1, AttemptOutcome::Succeeded);
     }
     trace.decided();
     trace
         .at(18_000)
         .accept(0, 100, 300.0)
-        .ended(2, 0, 1, AttemptEnd::Succeeded)
+        .ended(2, 0, 1, AttemptOutcome::Succeeded)
         .at(26_000)
         .accept(0, 100, 300.0);
     expect![[r#"
@@ -444,8 +459,8 @@
     let mut trace = Trace::new(2, |fleet, _, _| fleet.cuts_grants = true);
     let free = Signals { memory: Some(0.2), ..Signals::default() };
     trace.accept(1, 900, 900.0).accept(1, 900, 900.0).at(100).notice(0, 0, Notice::Spills(100.0));
-    trace.accept(1, 900, 6000.0).at(600).ended(2, 0, 1, AttemptEnd::Succeeded).accept(1, 900, 6000.0);
-    trace.at(700).reported(0, 0, 0, AttemptEnd::Succeeded, Some(free)).accept(1, 900, 6000.0);
+    trace.accept(1, 900, 6000.0).at(600).ended(2, 0, 1, AttemptOutcome::Succeeded).accept(1, 900, 6000.0);
+    trace.at(700).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(free)).accept(1, 900, 6000.0);
     expect![[r#"
         0     task 0 gets 1125 MB, priority 1
         0     task 0 to engine 0 until 15980
@@ -464,7 +479,7 @@
     trace
         .at(200)
         .closing(3700)
-        .ended(0, 0, 0, AttemptEnd::Succeeded)
+        .ended(0, 0, 0, AttemptOutcome::Succeeded)
         .at(600)
         .accept(0, 100, 300.0)
         .wait(3700);
@@ -506,7 +521,7 @@
     trace.decided();
     trace.at(100);
     (0..6).for_each(|request| {
-        trace.ended(request, 0, 0, AttemptEnd::Broken);
+        trace.ended(request, 0, 0, AttemptOutcome::Broken);
     });
     expect![[r#"
         100   task 0 gets 125 MB, priority 1
@@ -534,7 +549,7 @@
     trace.decided();
     trace.at(100);
     (0..6).for_each(|request| {
-        trace.ended(request, 0, 0, AttemptEnd::Broken);
+        trace.ended(request, 0, 0, AttemptOutcome::Broken);
     });
     (0..6).for_each(|_| {
         trace.accept(0, 1000, 100.0);
@@ -582,8 +597,8 @@
     trace.accept(0, 100, 100.0).accept(0, 100, 100.0).at(10);
     let gone = |engine| Endpoint { gone: true, ..endpoint(engine, false, None) };
     trace.list(vec![gone(0), gone(1), endpoint(2, true, None)]);
-    trace.at(20).ended(0, 0, 0, AttemptEnd::Succeeded).at(30).ended(1, 0, 1, AttemptEnd::Broken);
-    trace.at(40).ended(1, 1, 2, AttemptEnd::Succeeded);
+    trace.at(20).ended(0, 0, 0, AttemptOutcome::Succeeded).at(30).ended(1, 0, 1, AttemptOutcome::Broken);
+    trace.at(40).ended(1, 1, 2, AttemptOutcome::Succeeded);
     expect![[r#"
         0     task 0 gets 125 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -628,7 +643,7 @@
     });
     trace.at(20000).tell(0, true, false, Some(20000)).accept_keyed(0, 20, 300.0, None);
     trace.at(20064).woken().at(20128).accept_keyed(0, 20, 300.0, None).woken();
-    trace.at(20192).woken().at(20256).woken().ended(1, 0, 0, AttemptEnd::Overloaded);
+    trace.at(20192).woken().at(20256).woken().ended(1, 0, 0, AttemptOutcome::Overloaded);
     expect![[r#"
         20192 bounce task 0, back after 160
         20256 task 1 gets 375 MB, priority 1
@@ -715,7 +730,7 @@
     let mut trace = Trace::new(2, |_, _, _| ());
     trace.accept(0, 0, 0.0).at(50).answered(0, 0, 50, counted(1.0)).accept(0, 0, 0.0);
     trace.at(60).answered(1, 1, 10, counted(30.0)).accept(0, 0, 0.0).accept(0, 0, 0.0);
-    trace.at(70).ended(2, 0, 0, AttemptEnd::Failed);
+    trace.at(70).ended(2, 0, 0, AttemptOutcome::Failed);
     expect![[r#"
         0     task 0 gets 0 MB, priority 1
         0     task 0 to engine 0 until 7980
@@ -831,8 +846,8 @@
     let mut trace = Trace::new(2, |fleet, _, _| fleet.routers = 4);
     let told = |busy| Some(Signals { busy: Some(busy), ..Signals::default() });
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0);
-    trace.at(100).reported(0, 0, 0, AttemptEnd::Succeeded, told(0.9));
-    trace.reported(1, 0, 1, AttemptEnd::Succeeded, told(0.1)).decided();
+    trace.at(100).reported(0, 0, 0, AttemptOutcome::Succeeded, told(0.9));
+    trace.reported(1, 0, 1, AttemptOutcome::Succeeded, told(0.1)).decided();
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0);
     expect![[r#"
         100   task 2 gets 375 MB, priority 1
