--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -101,7 +101,7 @@
         "self.attempt_limits.may_cancel",
     ),
     logic("cancels where it may not", "self.attempt_limits.may_cancel && !self", "!self"),
-    logic("answers too late", "let soon = now + router.margin() * 3;", "let soon = now;"),
+    logic("answers too late", "let soon = now + scheduler.margin() * 3;", "let soon = now;"),
     logic(
         "nobody wakes it for what is out",
         "if !self.requests.is_empty() && (self.wake_due",
@@ -123,7 +123,7 @@
     logic("a client that left is not noted", "if over { request.over = true }", "if over { let _ = id; }"),
     logic(
         "the end of the process is not heeded",
-        "soon >= router.closing || request.held() && hopeless()",
+        "soon >= scheduler.closing || request.held() && hopeless()",
         "request.held() && hopeless()",
     ),
     engines(
@@ -197,25 +197,25 @@
     Mutant {
         name: "a withdrawal that is not told",
         file: FRONT,
-        from: "        self.router.clients_left(now, &withdrawn, &left, &mut self.floor);\n",
-        to: "        self.router.clients_left(now, &[], &left, &mut self.floor);\n",
+        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.floor);\n",
+        to: "        self.scheduler.clients_left(now, &[], &left, &mut self.floor);\n",
     },
     Mutant {
         name: "a client that ended its side is sent for",
         file: FRONT,
-        from: "        self.router.clients_left(now, &withdrawn, &left, &mut self.floor);\n",
-        to: "        self.router.clients_left(now, &withdrawn, &[], &mut self.floor);\n",
+        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.floor);\n",
+        to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.floor);\n",
     },
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
         file: FRONT,
-        from: "            attempts.into_iter().for_each(|attempt| self.floor.engines.keep_back(attempt, &mut self.floor.works));\n",
-        to: "            drop(attempts);\n",
+        from: "                .for_each(|attempt| self.floor.engines.keep_back(attempt, &mut self.floor.works));\n",
+        to: "                .for_each(drop);\n",
     },
     Mutant {
         name: "the module hears of no end",
         file: FRONT,
-        from: "        self.router.closing(now, by, &mut self.floor);\n",
+        from: "        self.scheduler.closing(now, by, &mut self.floor);\n",
         to: "",
     },
     Mutant {
--- a/crates/router/tests/unit/engines.rs
+++ b/crates/router/tests/unit/engines.rs
@@ -100,8 +100,8 @@
         format!("{} bytes left, {}\n", stand.seen.len() + room, stand.works.counters)
     };
     expect![[r#"
-        0 bytes left, hops_sent=1 hops_void=1 links_dialled=1
-        81 bytes left, hops_sent=1 links_dialled=1
+        0 bytes left, attempts_sent=1 attempts_void=1 links_dialled=1
+        81 bytes left, attempts_sent=1 links_dialled=1
     "#]]
     .assert_eq(&(told(0) + &told(1)));
 }
