--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -79,7 +79,7 @@
 pub enum Move {
     Arrive { draw: u64 },
     End { request: usize, end: AttemptOutcome, draw: u64 },
-    Note { request: usize, notice: Notice, draw: u64 },
+    Note { request: usize, notice: ProgressNote, draw: u64 },
     List { engine: EngineId, what: Listed, draw: u64 },
     ListLost,
     ListFailed,
@@ -302,7 +302,7 @@
                 moves.extend(draws(again).map(|draw| Move::End { request, end: *end, draw }));
             }
             if !given_up && attempt.noted < world.notes {
-                let notes = world.notices.iter().copied();
+                let notes = world.progress_notes.iter().copied();
                 moves
                     .extend(notes.flat_map(|notice| {
                         draws(held).map(move |draw| Move::Note { request, notice, draw })
@@ -419,7 +419,7 @@
             Move::Note { request, notice, .. } => {
                 let attempt = life.requests[request].attempts.len() - 1;
                 life.requests[request].attempts[attempt].noted += 1;
-                life.scheduler.notice(now, request as RequestId, attempt, notice, &mut acts);
+                life.scheduler.progress_noted(now, request as RequestId, attempt, notice, &mut acts);
             }
             Move::List { engine, what, .. } => {
                 life.listed += 1;
@@ -502,7 +502,7 @@
             end,
             took,
             usage: None,
-            signals: world.signals,
+            load_report: world.load_report,
             over,
         };
         self.scheduler.attempt_ended(now, ended, acts);
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -2,7 +2,7 @@
 
 use crate::setup;
 use crate::world::{Asks, Listed, Place, asks, keyed};
-use emberflow::{AttemptOutcome, Notice, RetryBudget, Signals};
+use emberflow::{AttemptOutcome, LoadReport, ProgressNote, RetryBudget};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -21,14 +21,19 @@
     AttemptOutcome::TimedOut,
     AttemptOutcome::Broken,
 ];
-const NOTES: &[Notice] =
-    &[Notice::Runs, Notice::Done(0.1), Notice::Spills(200.0), Notice::WaitsForMemory, Notice::WaitsForLoad];
+const NOTES: &[ProgressNote] = &[
+    ProgressNote::Runs,
+    ProgressNote::Done(0.1),
+    ProgressNote::Spills(200.0),
+    ProgressNote::WaitsForMemory,
+    ProgressNote::WaitsForLoad,
+];
 const THREE: &[(usize, u64)] = &[(0, 0), (0, 0), (0, 0)];
 /// Two in one cell, one in another cell and location.
 const CELLS: &[(usize, u64)] = &[(0, 0), (0, 0), (1, 1)];
 const TWO: &[(usize, u64)] = &[(0, 0), (0, 0)];
-const SIGNALS: Signals =
-    Signals { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
+const SIGNALS: LoadReport =
+    LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
 
 pub const PLACES: &[Place] = &[
     Place {
@@ -121,7 +126,7 @@
         engines: TWO,
         requests: &[asks(0)],
         ends: FEW,
-        notices: NOTES,
+        progress_notes: NOTES,
         notes: 2,
         leaves: 1,
         ..Place::PLAIN
@@ -132,7 +137,7 @@
         engines: TWO,
         requests: &[asks(0)],
         ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
-        notices: &[Notice::Runs],
+        progress_notes: &[ProgressNote::Runs],
         notes: 3,
         fine: true,
         late: ms(8),
@@ -274,7 +279,7 @@
         engines: TWO,
         requests: &[asks(0), asks(0)],
         ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        notices: &[Notice::WaitsForLoad],
+        progress_notes: &[ProgressNote::WaitsForLoad],
         notes: 1,
         alike: false,
         short: false,
@@ -311,7 +316,7 @@
         engines: &[(0, 0)],
         requests: &[asks(0), Asks { memory: 12000.0, ..asks(0) }],
         ends: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        signals: Some(SIGNALS),
+        load_report: Some(SIGNALS),
         short: false,
         ..Place::PLAIN
     },
@@ -332,7 +337,7 @@
         engines: TWO,
         requests: &[asks(0)],
         ends: FEW,
-        notices: &[Notice::Done(0.1), Notice::WaitsForLoad],
+        progress_notes: &[ProgressNote::Done(0.1), ProgressNote::WaitsForLoad],
         notes: 1,
         leaves: 1,
         ..Place::PLAIN
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -2,7 +2,7 @@
 
 use crate::life::{Life, Move};
 use crate::world::{Listed, World};
-use emberflow::{AttemptOutcome, Notice};
+use emberflow::{AttemptOutcome, ProgressNote};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
@@ -48,13 +48,13 @@
         Move::Note { request, notice, draw } => {
             let attempt = life.requests[request].attempts.len() - 1;
             let notice = match notice {
-                Notice::Runs => "Runs".to_owned(),
-                Notice::Done(part) => format!("Done({part:?})"),
-                Notice::Spills(missing) => format!("Spills({missing:?})"),
-                Notice::WaitsForMemory => "WaitsForMemory".to_owned(),
-                Notice::WaitsForLoad => "WaitsForLoad".to_owned(),
+                ProgressNote::Runs => "Runs".to_owned(),
+                ProgressNote::Done(part) => format!("Done({part:?})"),
+                ProgressNote::Spills(missing) => format!("Spills({missing:?})"),
+                ProgressNote::WaitsForMemory => "WaitsForMemory".to_owned(),
+                ProgressNote::WaitsForLoad => "WaitsForLoad".to_owned(),
             };
-            drawn(draw, format!(".notice({request}, {attempt}, Notice::{notice})"))
+            drawn(draw, format!(".progress_noted({request}, {attempt}, ProgressNote::{notice})"))
         }
         Move::List { engine, what, draw } => {
             let launched = life.sites[engine].launched.map(|at| at.as_millis());
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -59,7 +59,7 @@
     pub requests: &'static [Asks],
     /// What an attempt may come to by itself.
     pub ends: &'static [AttemptOutcome],
-    pub notices: &'static [Notice],
+    pub progress_notes: &'static [ProgressNote],
     /// Notes of one attempt, events of the list, clients that leave: at most so many.
     pub notes: u8,
     pub events: u8,
@@ -69,7 +69,7 @@
     pub list_lost: bool,
     pub closes: bool,
     /// What answers report of the engine's load.
-    pub signals: Option<Signals>,
+    pub load_report: Option<LoadReport>,
     /// How late a wake-up may come.
     pub late: Duration,
     /// Whether time also stops right before, at and after each latency_objective.
@@ -102,14 +102,14 @@
         kinds: &[0],
         requests: &[asks(0)],
         ends: ENDS,
-        notices: &[],
+        progress_notes: &[],
         notes: 0,
         events: 0,
         leaves: 0,
         listed: &[],
         list_lost: false,
         closes: false,
-        signals: None,
+        load_report: None,
         late: Duration::ZERO,
         fine: false,
         alike: true,
--- a/crates/explorer/tests/random.rs
+++ b/crates/explorer/tests/random.rs
@@ -44,7 +44,11 @@
     events: 6,
     leaves: 2,
     listed: PLACES[0].listed,
-    notices: &[emberflow::Notice::Runs, emberflow::Notice::WaitsForLoad, emberflow::Notice::Done(0.1)],
+    progress_notes: &[
+        emberflow::ProgressNote::Runs,
+        emberflow::ProgressNote::WaitsForLoad,
+        emberflow::ProgressNote::Done(0.1),
+    ],
     notes: 2,
     closes: true,
     list_lost: true,
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -7,7 +7,9 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use crate::works::Works;
-use emberflow::{AttemptEnded, AttemptOutcome, Endpoint, EngineId, Notice, RequestId, Signals, Usage};
+use emberflow::{
+    AttemptEnded, AttemptOutcome, Endpoint, EngineId, LoadReport, ProgressNote, RequestId, Usage,
+};
 use emberflow_startup::{from_ms, load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
@@ -83,7 +85,7 @@
 struct Pages {
     got: Vec<Option<Vec<u8>>>,
     usage: Option<Usage>,
-    signals: Option<Signals>,
+    load_report: Option<LoadReport>,
 }
 
 /// An attempt to be sent: the request's id, class, key and statement go on unchanged.
@@ -104,7 +106,7 @@
 pub enum News {
     /// An attempt's end, its result, and the connection that may still bring an answer to it.
     Ended(AttemptEnded, Option<Vec<u8>>, Option<Slot>),
-    Noticed(RequestId, usize, Notice),
+    Noticed(RequestId, usize, ProgressNote),
 }
 
 /// What the engines ask of whoever holds the sockets.
@@ -542,7 +544,7 @@
         let text = |name: &str| resp::field(fields, name, (',', '='));
         let figure =
             |name: &str| text(name).map(|value| number(name, value).map(|value| value.max(0.0))).transpose();
-        let signals = text("use").map(signals).transpose()?;
+        let load_report = text("use").map(load_report).transpose()?;
         // What ended before its engine heard of that is as good as any, if it needs no further pages.
         let taken_back = attempt.dropped.is_some();
         if taken_back
@@ -565,7 +567,7 @@
                 let usage = usage.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb });
                 let mut got = vec![None; pages as usize];
                 got[0] = Some(body);
-                attempt.result = Some(Pages { got, usage, signals });
+                attempt.result = Some(Pages { got, usage, load_report });
                 let asks = (1..pages as usize)
                     .map(|page| resp::array(&[b"PAGE", attempt.id.as_bytes(), page.to_string().as_bytes()]));
                 let asks = asks.collect::<Vec<_>>().concat();
@@ -587,11 +589,11 @@
             "INFO" => {
                 let value = figure("v")?;
                 let notice = match (text("detail"), value) {
-                    (Some("advance"), Some(done)) => Notice::Done(done),
-                    (Some("disk"), Some(missing_mb)) => Notice::Spills(missing_mb),
-                    (Some("stall"), Some(1.0)) => Notice::WaitsForMemory,
-                    (Some("stall"), Some(2.0)) => Notice::WaitsForLoad,
-                    (None, _) => Notice::Runs,
+                    (Some("advance"), Some(done)) => ProgressNote::Done(done),
+                    (Some("disk"), Some(missing_mb)) => ProgressNote::Spills(missing_mb),
+                    (Some("stall"), Some(1.0)) => ProgressNote::WaitsForMemory,
+                    (Some("stall"), Some(2.0)) => ProgressNote::WaitsForLoad,
+                    (None, _) => ProgressNote::Runs,
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
                 works.counters.count("notes");
@@ -599,11 +601,11 @@
                 Ok(())
             }
             "SHED" | "LATE" => {
-                self.end(slot, AttemptOutcome::Overloaded, signals, works);
+                self.end(slot, AttemptOutcome::Overloaded, load_report, works);
                 Ok(())
             }
             "FAULT" => {
-                self.end(slot, AttemptOutcome::Failed, signals, works);
+                self.end(slot, AttemptOutcome::Failed, load_report, works);
                 Ok(())
             }
             _ => Err(format!("the word {word} out of turn")),
@@ -634,8 +636,8 @@
         Ok(())
     }
 
-    fn end(&mut self, slot: Slot, end: AttemptOutcome, signals: Option<Signals>, works: &mut Works) {
-        self.finish(slot, end, None, signals, works);
+    fn end(&mut self, slot: Slot, end: AttemptOutcome, load_report: Option<LoadReport>, works: &mut Works) {
+        self.finish(slot, end, None, load_report, works);
     }
 
     fn finish(
@@ -643,7 +645,7 @@
         slot: Slot,
         end: AttemptOutcome,
         body: Option<Vec<u8>>,
-        signals: Option<Signals>,
+        load_report: Option<LoadReport>,
         works: &mut Works,
     ) {
         let Some(attempt) = self.attempts.take(slot) else { return };
@@ -668,7 +670,7 @@
                 works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
             }
         }
-        let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.signals));
+        let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
         let ended = AttemptEnded {
             request: attempt.request,
             attempt: attempt.number,
@@ -676,7 +678,7 @@
             end,
             took: now.saturating_sub(attempt.sent),
             usage: usage.filter(|_| end == AttemptOutcome::Succeeded),
-            signals: signals.or(told),
+            load_report: load_report.or(told),
             over: false,
         };
         log::debug!(
@@ -686,7 +688,7 @@
             ended.engine,
             ended.took,
             ended.usage,
-            ended.signals
+            ended.load_report
         );
         let given_up =
             matches!(end, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && attempt.dropped.is_none();
@@ -885,7 +887,7 @@
 }
 
 /// The load that an answer reports.
-fn signals(text: &str) -> Result<Signals, String> {
+fn load_report(text: &str) -> Result<LoadReport, String> {
     load(|names| {
         let found = names.iter().find_map(|name| Some((*name, resp::field(text, name, (';', ':'))?)));
         found.map(|(name, value)| number(name, value)).transpose()
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -162,7 +162,7 @@
             let now = self.floor.works.now();
             match news {
                 News::Noticed(request, attempt, notice) => {
-                    self.scheduler.notice(now, request, attempt, notice, &mut self.floor);
+                    self.scheduler.progress_noted(now, request, attempt, notice, &mut self.floor);
                 }
                 News::Ended(ended, body, owing) => {
                     if let Some((link, request)) = owing.zip(self.floor.requests.get_mut(ended.request)) {
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fields::{Fault, Fields, from_ms, to_ms};
 
-use emberflow::{AttemptLimits, Effect, Fleet, Kind, RequestClass, RetryBudget, Scope, Signals};
+use emberflow::{AttemptLimits, Effect, Fleet, Kind, LoadReport, RequestClass, RetryBudget, Scope};
 
 /// Values of a load report that nothing reads, by the settings' names and the pages'.
 const UNREAD: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
@@ -52,8 +52,8 @@
 }
 
 /// A load report, read by what asks for a figure under either of its names: the settings' and the pages'.
-pub fn load<E>(mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>) -> Result<Signals, E> {
-    Ok(Signals {
+pub fn load<E>(mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>) -> Result<LoadReport, E> {
+    Ok(LoadReport {
         busy: figure(&["busy", "util"])?,
         in_flight: figure(&["rif", "inflight"])?,
         waiting: figure(&["q", "queue"])?,
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,8 +1,8 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Actions, Arrival, AttemptEnded, AttemptOutcome, Endpoint, EngineId, KeyId, Notice, RequestId, Scheduler,
-    Signals, Usage,
+    Actions, Arrival, AttemptEnded, AttemptOutcome, Endpoint, EngineId, KeyId, LoadReport, ProgressNote,
+    RequestId, Scheduler, Usage,
 };
 use emberflow_startup::{
     Fault, Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
@@ -166,7 +166,7 @@
                     end: attempt_outcome(line.text("result")?)?,
                     took: line.time("delaySeenMs")?,
                     usage: (used > 0).then(|| usage(used)),
-                    signals: signals(reported, line),
+                    load_report: load_report(reported, line),
                     over: line.flag("noMore")?,
                 };
                 if request.is_some() {
@@ -176,14 +176,14 @@
             "NOTICE" => {
                 let (request, attempt, value) = (known("ref")?, line.index("hop")?, line.number("value")?);
                 let notice = match (line.whole("sort")?, value) {
-                    (1, done) => Notice::Done(done),
-                    (2, missing_mb) => Notice::Spills(missing_mb),
-                    (3, 1.0) => Notice::WaitsForMemory,
-                    (3, 2.0) => Notice::WaitsForLoad,
+                    (1, done) => ProgressNote::Done(done),
+                    (2, missing_mb) => ProgressNote::Spills(missing_mb),
+                    (3, 1.0) => ProgressNote::WaitsForMemory,
+                    (3, 2.0) => ProgressNote::WaitsForLoad,
                     (sort, value) => return Err(format!("`sort` {sort} with `value` {value} is unknown")),
                 };
                 if let Some(request) = request {
-                    scheduler.notice(
+                    scheduler.progress_noted(
                         now,
                         request,
                         attempt,
@@ -205,9 +205,9 @@
             "BELL" => scheduler.wake(now, &mut Writer { who: *who, now, names, reply }),
             "PROBE_DONE" => {
                 let engine = names.engines.number(line.text("engine")?);
-                let signals = signals(reported, line);
+                let load_report = load_report(reported, line);
                 let out = &mut Writer { who: *who, now, names, reply };
-                scheduler.probed(now, engine, signals, out);
+                scheduler.probed(now, engine, load_report, out);
             }
             "INBOX" | "STARTED" => {}
             _ => return Err(format!("unknown `op` {op}")),
@@ -242,7 +242,7 @@
     })
 }
 
-fn signals(reported: &[String], line: Fields) -> Option<Signals> {
+fn load_report(reported: &[String], line: Fields) -> Option<LoadReport> {
     let row = line.maybe("stats")?.as_array()?;
     let value = |names: &[&str]| {
         let at = reported.iter().position(|told| names.contains(&told.as_str()));
--- a/crates/wirehost/tests/digest.rs
+++ b/crates/wirehost/tests/digest.rs
@@ -288,7 +288,7 @@
         match self.chance.below(40) {
             0..12 => self.accept(),
             12..28 => self.end_any(),
-            28..32 => self.notice(),
+            28..32 => self.progress_noted(),
             32..34 => self.withdraw(),
             34..36 => {
                 let who = self.chance.below(INSTANCES);
@@ -358,7 +358,7 @@
         json!([busy, self.chance.below(9), self.chance.below(5), memory, 0.25, 17])
     }
 
-    fn notice(&mut self) {
+    fn progress_noted(&mut self) {
         if self.attempts.is_empty() {
             return;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -162,13 +162,13 @@
     pub end: AttemptOutcome,
     pub took: Duration,
     pub usage: Option<Usage>,
-    pub signals: Option<Signals>,
+    pub load_report: Option<LoadReport>,
     pub over: bool,
 }
 
 /// The load an engine reports about itself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Signals {
+pub struct LoadReport {
     pub busy: Option<f64>,
     /// Requests that it holds, and of these those that wait for memory.
     pub in_flight: Option<f64>,
@@ -185,7 +185,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Notice {
+pub enum ProgressNote {
     /// It is not over; nothing more is told.
     Runs,
     Done(f64),
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -204,8 +204,8 @@
     }
 
     pub fn attempt_ended(&mut self, now: Duration, attempt: AttemptEnded, out: &mut impl Actions) {
-        let AttemptEnded { request: id, attempt, engine, end, took, usage, signals, over } = attempt;
-        self.report(now, engine, signals, id);
+        let AttemptEnded { request: id, attempt, engine, end, took, usage, load_report, over } = attempt;
+        self.report(now, engine, load_report, id);
         let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
         request.over |= over;
         let (class, told_cost, told_memory) = (request.class, request.told_cost, request.told_memory);
@@ -235,7 +235,8 @@
         if told_cost.is_none() && end == AttemptOutcome::Succeeded {
             // Unbilled, its share of the cores is what it ran on: else a crowd would look like its own work.
             let threads = self.classes[class].threads;
-            let crowd = signals.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
+            let crowd =
+                load_report.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
             let alone = seconds(took) * threads / crowd.unwrap_or(1.0).max(1.0);
             let cost = usage.map_or(alone, |usage| seconds(usage.cost));
             learned.costs.push(now, cost);
@@ -272,17 +273,23 @@
     }
 
     /// An engine's answer to a probe, or that none came.
-    pub fn probed(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, out: &mut impl Actions) {
-        self.report(now, id, signals, RequestId::MAX);
+    pub fn probed(
+        &mut self,
+        now: Duration,
+        id: EngineId,
+        load_report: Option<LoadReport>,
+        out: &mut impl Actions,
+    ) {
+        self.report(now, id, load_report, RequestId::MAX);
         self.settle(now, out);
     }
 
-    pub fn notice(
+    pub fn progress_noted(
         &mut self,
         now: Duration,
         id: RequestId,
         attempt: usize,
-        notice: Notice,
+        notice: ProgressNote,
         out: &mut impl Actions,
     ) {
         if let Some(request) = self.requests.get_mut(&id)
@@ -290,18 +297,19 @@
             && let Some(engine) = self.engines.get_mut(&attempt_out.engine)
         {
             (engine.heard, attempt_out.heard) = (now, now);
-            attempt_out.stands |= matches!(notice, Notice::WaitsForMemory | Notice::WaitsForLoad);
+            attempt_out.stands |= matches!(notice, ProgressNote::WaitsForMemory | ProgressNote::WaitsForLoad);
             match notice {
-                Notice::Done(done) if done > 0.0 => {
+                ProgressNote::Done(done) if done > 0.0 => {
                     let left = seconds(now - attempt_out.sent) * (1.0 - done).max(0.0) / done;
                     attempt_out.finish = Some(now + span(left));
                 }
-                Notice::Spills(missing_mb) => attempt_out.missing = attempt_out.missing.max(missing_mb),
-                Notice::WaitsForLoad => engine.held.extend(request.group.map(|group| (group, now))),
+                ProgressNote::Spills(missing_mb) => attempt_out.missing = attempt_out.missing.max(missing_mb),
+                ProgressNote::WaitsForLoad => engine.held.extend(request.group.map(|group| (group, now))),
                 _ => {}
             }
             let cut = self.fleet.cuts_grants && request.told_memory.is_some();
-            let short = cut && matches!(notice, Notice::Spills(_)) || notice == Notice::WaitsForMemory;
+            let short =
+                cut && matches!(notice, ProgressNote::Spills(_)) || notice == ProgressNote::WaitsForMemory;
             engine.refused = short.then_some(now).or(engine.refused);
         }
         self.settle(now, out);
@@ -371,18 +379,18 @@
 
     /// Takes a report in. What this router's other attempts hold, over what the fleet does with as much granted
     /// everywhere, samples the share: at one engine alone, those with an own attempt would count too often.
-    fn report(&mut self, now: Duration, id: EngineId, signals: Option<Signals>, ended: RequestId) {
-        let Some((mut signals, engine)) = signals.zip(self.engines.get_mut(&id)) else { return };
+    fn report(&mut self, now: Duration, id: EngineId, load_report: Option<LoadReport>, ended: RequestId) {
+        let Some((mut load_report, engine)) = load_report.zip(self.engines.get_mut(&id)) else { return };
         // Where cores are not told, the requests in flight tell how many threads stand for them.
-        signals.in_flight = signals.in_flight.filter(|_| signals.busy.is_none());
+        load_report.in_flight = load_report.in_flight.filter(|_| load_report.busy.is_none());
         let out = self.requests.values().filter(|request| request.out());
         let threads = mean(out.map(|request| self.classes[request.class].threads)).unwrap_or(1.0);
         let crowd =
-            signals.in_flight.map(|requests| requests * threads / self.fleet.kinds[engine.kind].cores);
-        signals.busy = signals.busy.or(crowd);
-        engine.report = Some((now, signals));
+            load_report.in_flight.map(|requests| requests * threads / self.fleet.kinds[engine.kind].cores);
+        load_report.busy = load_report.busy.or(crowd);
+        engine.report = Some((now, load_report));
         // Reports that are asked for when requests are held would make the share look large.
-        if let Some(memory) = signals.memory.filter(|m| *m > 0.0 && !self.fleet.probes_tell) {
+        if let Some(memory) = load_report.memory.filter(|m| *m > 0.0 && !self.fleet.probes_tell) {
             let out = self.requests.iter().filter(|(id, request)| **id != ended && request.out());
             let own: f64 = out.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant).sum();
             let ready = self.engines.values().filter(|engine| engine.ready);
@@ -479,7 +487,7 @@
         let held = |tier| pressed().map(|(_, engine)| self.threads_out(engine, tier).min(one)).sum();
         // The few that were asked tell nothing of the others.
         let reports = || engines().filter(|_| !self.fleet.probes_tell).filter_map(|(_, e)| e.report.as_ref());
-        let told = |part: fn(&Signals) -> Option<f64>| mean(reports().filter_map(|(_, s)| part(s)));
+        let told = |part: fn(&LoadReport) -> Option<f64>| mean(reports().filter_map(|(_, s)| part(s)));
         Gateway {
             // What is in flight comes and goes too fast for a mean of old reports.
             told: (told(|s| s.memory), told(|s| s.busy.filter(|_| s.in_flight.is_none()))),
@@ -656,8 +664,8 @@
         let fresh = parts(self.own(now, id, now.saturating_sub(self.beat())));
         let guess = |told: Option<f64>, fresh, alone| told.map_or(alone, |told| told + fresh);
         let guess = (guess(kind.told.0, fresh.0, alone.0), guess(kind.told.1, fresh.1, alone.1));
-        let tells = |s: &Signals| s.memory.is_some() || kind.counted;
-        let Some((at, signals)) = engine.report.as_ref().filter(|(_, s)| tells(s)) else {
+        let tells = |s: &LoadReport| s.memory.is_some() || kind.counted;
+        let Some((at, load_report)) = engine.report.as_ref().filter(|(_, s)| tells(s)) else {
             // Nothing tells them apart but own attempts: others like what this router likes, or the mean of those
             // that tell. Free cores tell little of an engine's memory, and draw all routers there at once.
             let (own, new) = (own(), parts((0.0, 0.0)));
@@ -673,10 +681,10 @@
             Some(told) => ((told + unseen + guess * age) / (1.0 + age)).max(there),
             None => guess,
         };
-        let memory = fade(signals.memory, unseen, guess.0, there.0);
+        let memory = fade(load_report.memory, unseen, guess.0, there.0);
         // A probe tells late, and others ask too: half as far as the guess, it lets requests go as well.
         let in_use = if self.fleet.probes_tell { guess.0.min(memory / MEMORY_TARGET_PART) } else { memory };
-        (in_use, memory + fade(signals.busy, unseen_busy, guess.1, there.1))
+        (in_use, memory + fade(load_report.busy, unseen_busy, guess.1, there.1))
     }
 
     /// Revenue for a second of the usual work.
--- a/src/state.rs
+++ b/src/state.rs
@@ -74,7 +74,7 @@
     pub bad: Recent,
     pub heard: Duration,
     pub refused: Option<Duration>,
-    pub report: Option<(Duration, Signals)>,
+    pub report: Option<(Duration, LoadReport)>,
     pub groups: VecDeque<u64>,
     /// Groups that a load held there, and when an attempt last told of it.
     pub held: BTreeMap<u64, Duration>,
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -191,7 +191,7 @@
 struct Habits {
     estimates: u64,
     usages: u64,
-    signals: u64,
+    load_report: u64,
     tells_busy: bool,
     tells_in_flight: bool,
     tells_memory: bool,
@@ -334,7 +334,7 @@
     Habits {
         estimates: random.one_of(&[0, 50, 95, 100, 100]),
         usages: random.one_of(&[0, 60, 100]),
-        signals: random.one_of(&[0, 50, 100]),
+        load_report: random.one_of(&[0, 50, 100]),
         tells_busy: random.percent(60),
         tells_in_flight: random.percent(60),
         tells_memory: random.percent(70),
@@ -577,11 +577,11 @@
     }
 
     /// What the engine says of its load, as far as engines do in this life.
-    fn signals(&mut self, engine: EngineId) -> Option<Signals> {
+    fn load_report(&mut self, engine: EngineId) -> Option<LoadReport> {
         let out = self.running.values().filter(|running| running.engine == engine).count() as f64;
         let (habits, random) = (&self.habits, &mut self.random);
         let waiting = random.maybe(20, |random| random.below(3) as f64);
-        Some(Signals {
+        Some(LoadReport {
             busy: habits.tells_busy.then(|| (out / 4.0 * random.between(0.5, 1.5)).min(1.0)),
             in_flight: habits.tells_in_flight.then(|| out + random.below(4) as f64),
             waiting,
@@ -594,8 +594,8 @@
         let Some(running) = self.running.remove(&(request, attempt)) else { return };
         let tells =
             !matches!(end, AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::Broken);
-        let signals = if tells && self.random.percent(self.habits.signals) {
-            self.signals(running.engine)
+        let load_report = if tells && self.random.percent(self.habits.load_report) {
+            self.load_report(running.engine)
         } else {
             None
         };
@@ -611,7 +611,7 @@
         asking.answered |= end == AttemptOutcome::Succeeded;
         let over = asking.answered;
         let ended =
-            AttemptEnded { request, attempt, engine: running.engine, end, took, usage, signals, over };
+            AttemptEnded { request, attempt, engine: running.engine, end, took, usage, load_report, over };
         self.scheduler.attempt_ended(self.now, ended, &mut self.log);
     }
 
@@ -625,13 +625,15 @@
         }
         let done = since.as_nanos() as f64 / run.as_nanos() as f64;
         let notice = match random.below(12) {
-            0 | 1 => Notice::Runs,
-            2 => Notice::Spills(random.between(10.0, 900.0)),
-            3 => random.one_of(&[Notice::WaitsForMemory, Notice::WaitsForLoad, Notice::Runs]),
-            4 => Notice::Done(0.0),
-            _ => Notice::Done(done.min(1.0)),
+            0 | 1 => ProgressNote::Runs,
+            2 => ProgressNote::Spills(random.between(10.0, 900.0)),
+            3 => {
+                random.one_of(&[ProgressNote::WaitsForMemory, ProgressNote::WaitsForLoad, ProgressNote::Runs])
+            }
+            4 => ProgressNote::Done(0.0),
+            _ => ProgressNote::Done(done.min(1.0)),
         };
-        self.scheduler.notice(self.now, request, attempt, notice, &mut self.log);
+        self.scheduler.progress_noted(self.now, request, attempt, notice, &mut self.log);
         if let Some(every) = self.habits.note_every
             && self.random.percent(93)
         {
@@ -641,8 +643,8 @@
 
     fn probe_ends(&mut self, engine: EngineId) {
         let answers = self.machines.get(&engine).is_some_and(|machine| !machine.silent && !machine.gone);
-        let signals = if answers && !self.random.percent(10) { self.signals(engine) } else { None };
-        self.scheduler.probed(self.now, engine, signals, &mut self.log);
+        let load_report = if answers && !self.random.percent(10) { self.load_report(engine) } else { None };
+        self.scheduler.probed(self.now, engine, load_report, &mut self.log);
     }
 
     fn list_engines(&mut self, whole: bool) {
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -219,7 +219,7 @@
             end,
             took: ms(1),
             usage: None,
-            signals: None,
+            load_report: None,
             over: true,
         })
     }
@@ -282,7 +282,7 @@
         attempt: usize,
         engine: EngineId,
         end: AttemptOutcome,
-        signals: Option<Signals>,
+        load_report: Option<LoadReport>,
     ) -> &mut Self {
         let over = end == AttemptOutcome::Succeeded;
         self.attempt_ended(AttemptEnded {
@@ -292,7 +292,7 @@
             end,
             took: ms(1),
             usage: None,
-            signals,
+            load_report,
             over,
         })
     }
@@ -303,7 +303,7 @@
         request: RequestId,
         engine: EngineId,
         took: u64,
-        told: Option<Signals>,
+        told: Option<LoadReport>,
     ) -> &mut Self {
         let (attempt, end, took) = (0, AttemptOutcome::Succeeded, ms(took));
         self.attempt_ended(AttemptEnded {
@@ -313,7 +313,7 @@
             end,
             took,
             usage: None,
-            signals: told,
+            load_report: told,
             over: true,
         })
     }
@@ -328,18 +328,18 @@
             end,
             took: ms(cost),
             usage,
-            signals: None,
+            load_report: None,
             over: true,
         })
     }
 
-    pub fn notice(&mut self, request: RequestId, attempt: usize, notice: Notice) -> &mut Self {
-        self.scheduler.notice(ms(self.lines.1), request, attempt, notice, &mut self.lines);
+    pub fn progress_noted(&mut self, request: RequestId, attempt: usize, notice: ProgressNote) -> &mut Self {
+        self.scheduler.progress_noted(ms(self.lines.1), request, attempt, notice, &mut self.lines);
         self
     }
 
-    pub fn probed(&mut self, engine: EngineId, signals: Option<Signals>) -> &mut Self {
-        self.scheduler.probed(ms(self.lines.1), engine, signals, &mut self.lines);
+    pub fn probed(&mut self, engine: EngineId, load_report: Option<LoadReport>) -> &mut Self {
+        self.scheduler.probed(ms(self.lines.1), engine, load_report, &mut self.lines);
         self
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -43,7 +43,7 @@
 #[test]
 fn under_pressure_tiers_bind_and_leave_earliest_first() {
     let mut trace = Trace::new(1, |_, _, _| ());
-    let busy = Signals { busy: Some(1.0), memory: Some(0.5), ..Signals::default() };
+    let busy = LoadReport { busy: Some(1.0), memory: Some(0.5), ..LoadReport::default() };
     trace.accept(0, 100, 50.0).at(100).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(busy));
     for _ in 0..4 {
         trace.accept(1, 1500, 3000.0);
@@ -64,8 +64,8 @@
 #[test]
 fn medium_requests_wait_until_their_memory_is_there_and_small_ones_do_not() {
     let mut trace = Trace::new(1, |_, _, _| ());
-    let full = Signals { busy: Some(0.3), memory: Some(0.9), ..Signals::default() };
-    let free = Signals { memory: Some(0.2), ..full };
+    let full = LoadReport { busy: Some(0.3), memory: Some(0.9), ..LoadReport::default() };
+    let free = LoadReport { memory: Some(0.2), ..full };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0);
     trace.at(1200).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(full)).decided();
     trace.accept(1, 900, 4000.0).accept(0, 100, 300.0).wait(1500);
@@ -85,7 +85,7 @@
 fn an_answer_comes_before_deadline_ends_with_no_engine_or_estimate() {
     let mut trace = Trace::new(0, |_, _, _| ());
     trace.accept(0, 0, 0.0).accept(2, 1, 1e12).at(7000).wait(8000).ended(0, 0, 0, AttemptOutcome::TimedOut);
-    trace.notice(7, 3, Notice::Done(0.0)).left(9);
+    trace.progress_noted(7, 3, ProgressNote::Done(0.0)).left(9);
     expect![[r#"
         7040  reject request 0, back after 400
         7040  reject request 1, back after 400
@@ -224,8 +224,8 @@
 #[test]
 fn a_bad_plan_is_cancelled_once() {
     let mut trace = Trace::new(2, |_, _, _| ());
-    trace.accept(1, 900, 300.0).at(500).notice(0, 0, Notice::Done(0.05)).at(510);
-    trace.ended(0, 0, 0, AttemptOutcome::Withdrawn).at(1010).notice(0, 1, Notice::Done(0.05));
+    trace.accept(1, 900, 300.0).at(500).progress_noted(0, 0, ProgressNote::Done(0.05)).at(510);
+    trace.ended(0, 0, 0, AttemptOutcome::Withdrawn).at(1010).progress_noted(0, 1, ProgressNote::Done(0.05));
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 15980
@@ -239,7 +239,7 @@
 #[test]
 fn a_attempt_that_stands_still_behind_a_load_is_moved() {
     let mut trace = Trace::new(2, |_, _, _| ());
-    trace.accept(0, 900, 300.0).at(500).notice(0, 0, Notice::WaitsForLoad).at(505);
+    trace.accept(0, 900, 300.0).at(500).progress_noted(0, 0, ProgressNote::WaitsForLoad).at(505);
     trace.ended(0, 0, 0, AttemptOutcome::Withdrawn);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
@@ -287,7 +287,7 @@
 #[test]
 fn spills_raise_the_grant_where_nothing_bills() {
     let mut trace = Trace::new(1, |_, _, _| ());
-    trace.accept(1, 300, 400.0).at(90).notice(0, 0, Notice::Spills(300.0));
+    trace.accept(1, 300, 400.0).at(90).progress_noted(0, 0, ProgressNote::Spills(300.0));
     trace.at(100).ended(0, 0, 0, AttemptOutcome::Succeeded).accept(1, 300, 400.0);
     expect![[r#"
         0     request 0 gets 500 MB, priority 1
@@ -344,9 +344,9 @@
 #[test]
 fn a_late_request_that_earns_little_is_answered_at_once() {
     let mut trace = Trace::new(2, |_, _, _| ());
-    let full = Signals { waiting: Some(2.0), ..Signals::default() };
+    let full = LoadReport { waiting: Some(2.0), ..LoadReport::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).at(1190);
-    trace.notice(0, 0, Notice::WaitsForMemory).at(1200).reported(
+    trace.progress_noted(0, 0, ProgressNote::WaitsForMemory).at(1200).reported(
         1,
         0,
         1,
@@ -368,7 +368,7 @@
 #[test]
 fn fresh_sends_count_though_a_late_report_hides_them() {
     let mut trace = Trace::new(2, |_, _, _| ());
-    let free = Signals { busy: Some(0.1), memory: Some(0.1), ..Signals::default() };
+    let free = LoadReport { busy: Some(0.1), memory: Some(0.1), ..LoadReport::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0);
     trace.at(20).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(free));
     trace.reported(1, 0, 1, AttemptOutcome::Succeeded, Some(free)).decided();
@@ -402,7 +402,7 @@
 #[test]
 fn many_routers_pool_their_parts_of_engines_under_pressure() {
     let mut trace = Trace::new(4, |fleet, _, _| fleet.routers = 100);
-    let busy = Signals { busy: Some(1.0), memory: Some(0.5), ..Signals::default() };
+    let busy = LoadReport { busy: Some(1.0), memory: Some(0.5), ..LoadReport::default() };
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).accept(0, 100, 300.0).at(100);
     for request in 0..4 {
         trace.reported(request, 0, request as EngineId, AttemptOutcome::Succeeded, Some(busy));
@@ -457,8 +457,12 @@
 #[test]
 fn a_shortage_since_the_last_report_keeps_medium_requests_away() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.cuts_grants = true);
-    let free = Signals { memory: Some(0.2), ..Signals::default() };
-    trace.accept(1, 900, 900.0).accept(1, 900, 900.0).at(100).notice(0, 0, Notice::Spills(100.0));
+    let free = LoadReport { memory: Some(0.2), ..LoadReport::default() };
+    trace.accept(1, 900, 900.0).accept(1, 900, 900.0).at(100).progress_noted(
+        0,
+        0,
+        ProgressNote::Spills(100.0),
+    );
     trace.accept(1, 900, 6000.0).at(600).ended(2, 0, 1, AttemptOutcome::Succeeded).accept(1, 900, 6000.0);
     trace.at(700).reported(0, 0, 0, AttemptOutcome::Succeeded, Some(free)).accept(1, 900, 6000.0);
     expect![[r#"
@@ -568,7 +572,7 @@
 #[test]
 fn a_request_that_waits_for_loads_avoids_where_one_of_its_group_stood() {
     let mut trace = Trace::new(2, |_, classes, _| classes[0].waits_for_loads = true);
-    trace.accept_in(0, 7).notice(0, 0, Notice::WaitsForLoad).at(10);
+    trace.accept_in(0, 7).progress_noted(0, 0, ProgressNote::WaitsForLoad).at(10);
     (0..3).for_each(|_| {
         trace.accept_in(0, 7);
     });
@@ -617,8 +621,8 @@
     let mut trace = Trace::new(2, |_, _, _| {});
     trace.accept(0, 2000, 300.0).accept(0, 2000, 300.0).accept(0, 2000, 300.0);
     for beat in 1..6 {
-        let done = Notice::Done(0.1 * beat as f64);
-        trace.at(beat * 450).notice(1, 0, done).notice(2, 0, done);
+        let done = ProgressNote::Done(0.1 * beat as f64);
+        trace.at(beat * 450).progress_noted(1, 0, done).progress_noted(2, 0, done);
     }
     trace.wait(2300);
     expect![[r#"
@@ -653,8 +657,8 @@
 }
 
 /// A report of so many requests in flight, and of nothing else.
-fn counted(in_flight: f64) -> Option<Signals> {
-    Some(Signals { in_flight: Some(in_flight), ..Signals::default() })
+fn counted(in_flight: f64) -> Option<LoadReport> {
+    Some(LoadReport { in_flight: Some(in_flight), ..LoadReport::default() })
 }
 
 #[test]
@@ -715,7 +719,7 @@
 #[test]
 fn a_spill_keeps_no_request_away_where_memory_is_untold() {
     let mut trace = Trace::new(1, |fleet, _, _| fleet.cuts_grants = true);
-    trace.accept(0, 0, 0.0).at(20).notice(0, 0, Notice::Spills(100.0)).at(30).accept(0, 0, 0.0);
+    trace.accept(0, 0, 0.0).at(20).progress_noted(0, 0, ProgressNote::Spills(100.0)).at(30).accept(0, 0, 0.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
         0     request 0 to engine 0 until 7980
@@ -796,7 +800,7 @@
     let mut trace = Trace::new(4, |fleet, _, attempt_limits| {
         (fleet.routers, fleet.probes_tell, attempt_limits.may_probe) = (40, true, true);
     });
-    let told = |memory| Some(Signals { busy: Some(0.3), memory: Some(memory), ..Signals::default() });
+    let told = |memory| Some(LoadReport { busy: Some(0.3), memory: Some(memory), ..LoadReport::default() });
     trace.accept(1, 0, 2000.0).at(100).accept(1, 0, 2000.0).at(105).woken().at(110);
     trace.probed(1, None).probed(3, told(0.1));
     expect![[r#"
@@ -844,7 +848,7 @@
 #[test]
 fn free_cores_draw_nobody_where_no_report_tells_memory() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.routers = 4);
-    let told = |busy| Some(Signals { busy: Some(busy), ..Signals::default() });
+    let told = |busy| Some(LoadReport { busy: Some(busy), ..LoadReport::default() });
     trace.accept(0, 100, 300.0).accept(0, 100, 300.0);
     trace.at(100).reported(0, 0, 0, AttemptOutcome::Succeeded, told(0.9));
     trace.reported(1, 0, 1, AttemptOutcome::Succeeded, told(0.1)).decided();
