--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -221,7 +221,7 @@
 fn grant_too_large(world: &World, _: &Life, act: &Act) -> bool {
     let Act::Terms { grant_mb, .. } = act else { return false };
     let fleet = &world.fleet;
-    let most = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.largest_share).fold(0.0, f64::max);
+    let most = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_share).fold(0.0, f64::max);
     *grant_mb > most.round()
 }
 
--- a/crates/explorer/src/places.rs
+++ b/crates/explorer/src/places.rs
@@ -109,7 +109,7 @@
         name: "placed",
         says: "a request bound to one kind and one location, engines of every other",
         setup: setup!(|fleet, classes, attempt_limits| {
-            fleet.kinds.push(emberflow::Kind { cores: 8.0, memory_mb: 16000.0 });
+            fleet.kinds.push(emberflow::EngineKind { cores: 8.0, memory_mb: 16000.0 });
             classes[0].kinds = Some(vec![1]);
             classes[0].locations = Some(vec![1]);
         }),
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -176,7 +176,7 @@
             memory_mb: (asks.memory > 0.0).then_some(asks.memory),
             deadline: self.classes[asks.class].deadline,
             waited: Duration::ZERO,
-            later_try: None,
+            is_retry: None,
             group: None,
         }
     }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -385,7 +385,7 @@
             memory_mb,
             deadline: from_ms(deadline).min(LONGEST).saturating_sub(BETWEEN),
             waited,
-            later_try: floor.premises.marks_retries.then_some(resent),
+            is_retry: floor.premises.marks_retries.then_some(resent),
             group,
         };
         log::debug!(
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fields::{Fault, Fields, from_ms, to_ms};
 
-use emberflow::{AttemptLimits, Effect, Fleet, Kind, LoadReport, RequestClass, RetryBudget, Scope};
+use emberflow::{AttemptLimits, Effect, EngineKind, Fleet, LoadReport, RequestClass, RetryBudget, Scope};
 
 /// Values of a load report that nothing reads, by the settings' names and the pages'.
 const UNREAD: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
@@ -76,19 +76,19 @@
     Ok(Fleet {
         seed,
         routers: params.count("instances")?,
-        home: params.field("myZone")?.as_place(zones)?,
+        home_location: params.field("myZone")?.as_place(zones)?,
         kinds: kinds(params, domain)?,
-        largest_share: domain.share("largestShare")?,
-        cuts_grants: domain.optional("whenShort", short)?.is_some_and(|what| what == "cut"),
-        heeds_priorities: domain.flag("lanesCount")?,
-        note_every: domain.optional("tellsEveryMs", Fields::time)?.filter(|every| !every.is_zero()),
-        probes_tell: how(params.part("report")?)? == "probe",
+        max_grant_share: domain.share("largestShare")?,
+        shrinks_grants: domain.optional("whenShort", short)?.is_some_and(|what| what == "cut"),
+        honors_priorities: domain.flag("lanesCount")?,
+        progress_interval: domain.optional("tellsEveryMs", Fields::time)?.filter(|every| !every.is_zero()),
+        reports_only_on_probe: how(params.part("report")?)? == "probe",
         polls_endpoint_list: one_of(params, "discovery", &["push", "ask"])? == "ask",
         tick: params.positive_time("tickMs")?,
     })
 }
 
-fn kinds(params: Fields, domain: Fields) -> Result<Vec<Kind>, Fault> {
+fn kinds(params: Fields, domain: Fields) -> Result<Vec<EngineKind>, Fault> {
     let cores = domain.rows("kindCores")?;
     if cores.len() == 0 {
         return Err(domain.field("kindCores")?.fault("holds no kind"));
@@ -96,7 +96,7 @@
     let memory = rows_of(domain, "sizeMb", cores.len(), "kind")?;
     params.optional("kinds", |params, name| rows_of(params, name, cores.len(), "kind").map(drop))?;
     let kind = |(cores, memory): (Fields, Fields)| {
-        Ok(Kind { cores: cores.as_positive()?, memory_mb: memory.as_positive()? })
+        Ok(EngineKind { cores: cores.as_positive()?, memory_mb: memory.as_positive()? })
     };
     cores.zip(memory).map(kind).collect()
 }
@@ -136,7 +136,7 @@
             latency_objective: row.positive_time("onTimeMs")?,
             objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
             deadline: row.positive_time("deadlineMs")?,
-            revenue: row.not_negative("gain")?,
+            priority_weight: row.not_negative("gain")?,
             late_share: row.share("lateShare")?,
             effect: match one_of(row, "repeat", &["repeatable", "once", "by_key"])? {
                 "repeatable" => Effect::Idempotent,
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -147,7 +147,7 @@
                     memory_mb: line.maybe_number("needMb").filter(|need| *need > 0.0),
                     deadline: from_ms(line.number("graceMs")?),
                     waited: Duration::ZERO,
-                    later_try: marks_retries.then(|| line.maybe_flag("repeat")),
+                    is_retry: marks_retries.then(|| line.maybe_flag("repeat")),
                     group: line.maybe_number("tableGroup").map(|g| g as u64),
                 };
                 scheduler.accept(now, arrival, &mut Writer { who: *who, now, names, reply });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,20 +46,20 @@
 pub struct Fleet {
     pub seed: u64,
     pub routers: usize,
-    pub home: usize,
-    pub kinds: Vec<Kind>,
-    pub largest_share: f64,
-    pub heeds_priorities: bool,
+    pub home_location: usize,
+    pub kinds: Vec<EngineKind>,
+    pub max_grant_share: f64,
+    pub honors_priorities: bool,
     /// Whether an attempt gets what is left where memory is short.
-    pub cuts_grants: bool,
-    pub note_every: Option<Duration>,
+    pub shrinks_grants: bool,
+    pub progress_interval: Option<Duration>,
     /// Whether engines tell their load only when they are probed.
-    pub probes_tell: bool,
+    pub reports_only_on_probe: bool,
     pub polls_endpoint_list: bool,
     pub tick: Duration,
 }
 
-pub struct Kind {
+pub struct EngineKind {
     pub cores: f64,
     pub memory_mb: f64,
 }
@@ -68,7 +68,7 @@
     pub latency_objective: Duration,
     pub objective_stretch: f64,
     pub deadline: Duration,
-    pub revenue: f64,
+    pub priority_weight: f64,
     pub late_share: f64,
     pub effect: Effect,
     pub keeps_order: bool,
@@ -137,7 +137,7 @@
     pub deadline: Duration,
     pub waited: Duration,
     /// Whether the client tried before, where clients tell.
-    pub later_try: Option<bool>,
+    pub is_retry: Option<bool>,
     pub group: Option<u64>,
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -146,9 +146,9 @@
 
     pub fn accept(&mut self, now: Duration, arrival: Arrival, out: &mut impl Actions) {
         let learned = &mut self.learned[arrival.class];
-        // A client's later try has less deadline than usual: so much of the way to the target is gone. Where
+        // A client's retry has less deadline than usual: so much of the way to the target is gone. Where
         // clients mark such tries, a first one with less deadline than others is not taken for one.
-        if arrival.later_try != Some(true) {
+        if arrival.is_retry != Some(true) {
             learned.deadlines.push(now, seconds(arrival.deadline));
         }
         let request = self.believed(now, &arrival);
@@ -167,7 +167,7 @@
     fn believed(&self, now: Duration, arrival: &Arrival) -> Request {
         let (class, learned) = (&self.classes[arrival.class], &self.learned[arrival.class]);
         let usual = span(learned.deadlines.median().unwrap_or(0.0));
-        let spent = usual.saturating_sub(arrival.deadline) * u32::from(arrival.later_try != Some(false));
+        let spent = usual.saturating_sub(arrival.deadline) * u32::from(arrival.is_retry != Some(false));
         let key = arrival.key.filter(|_| class.keeps_order);
         let (cost, memory) = learned.expected(arrival);
         let ideal = cost / class.threads.max(1.0);
@@ -226,7 +226,7 @@
         }
         // Unbilled, a spill tells the most that was needed, unless a cut grant may be its cause.
         if let (None, AttemptOutcome::Succeeded, Some(told), false) =
-            (usage, end, told_memory, self.fleet.cuts_grants)
+            (usage, end, told_memory, self.fleet.shrinks_grants)
         {
             learned.memory_ratios.push(now, if missing > 0.0 { (grant + missing) / told } else { 1.0 });
         }
@@ -307,7 +307,7 @@
                 ProgressNote::WaitsForLoad => engine.held.extend(request.group.map(|group| (group, now))),
                 _ => {}
             }
-            let cut = self.fleet.cuts_grants && request.told_memory.is_some();
+            let cut = self.fleet.shrinks_grants && request.told_memory.is_some();
             let short =
                 cut && matches!(notice, ProgressNote::Spills(_)) || notice == ProgressNote::WaitsForMemory;
             engine.refused = short.then_some(now).or(engine.refused);
@@ -390,7 +390,7 @@
         load_report.busy = load_report.busy.or(crowd);
         engine.report = Some((now, load_report));
         // Reports that are asked for when requests are held would make the share look large.
-        if let Some(memory) = load_report.memory.filter(|m| *m > 0.0 && !self.fleet.probes_tell) {
+        if let Some(memory) = load_report.memory.filter(|m| *m > 0.0 && !self.fleet.reports_only_on_probe) {
             let out = self.requests.iter().filter(|(id, request)| **id != ended && request.out());
             let own: f64 = out.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant).sum();
             let ready = self.engines.values().filter(|engine| engine.ready);
@@ -410,7 +410,7 @@
     }
 
     fn grant(&self, request: &Request, kind: usize) -> f64 {
-        let most = self.fleet.largest_share * self.fleet.kinds[kind].memory_mb;
+        let most = self.fleet.max_grant_share * self.fleet.kinds[kind].memory_mb;
         let billed = || quantile(self.learned[request.class].memories.values(), GRANT_COVERS).unwrap_or(0.0);
         let untold = || billed().max(request.memory * GRANT_UNTOLD);
         request.told_memory.map_or_else(untold, |told| request.memory.max(told) * GRANT).min(most)
@@ -425,7 +425,7 @@
 
     /// Whether notes of an attempt have stopped: it is over and its answer lost, or it stands at a silent engine.
     fn lost(&self, now: Duration, out: &Out) -> bool {
-        let from = self.fleet.note_every.map(|every| now.saturating_sub(every * 4));
+        let from = self.fleet.progress_interval.map(|every| now.saturating_sub(every * 4));
         from.is_some_and(|from| self.requests[&out.request].attempts[out.attempt].heard < from)
     }
 
@@ -471,7 +471,7 @@
 
     /// The target moves with the pressure that the kind's engines show, from half to 1.5 of its start.
     fn gateway(&self, now: Duration, kind: usize, share: f64, seen: &BTreeMap<EngineId, Seen>) -> Gateway {
-        let Kind { cores, memory_mb } = self.fleet.kinds[kind];
+        let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
         let engines = || self.engines.iter().filter(|(_, engine)| engine.kind == kind && engine.ready);
         let mood = |id| match seen[id].pressed {
             Some(true) => -1.0,
@@ -486,7 +486,8 @@
         let one = self.classes.iter().map(|t| t.threads).fold(1.0, f64::max).max(cores * share);
         let held = |tier| pressed().map(|(_, engine)| self.threads_out(engine, tier).min(one)).sum();
         // The few that were asked tell nothing of the others.
-        let reports = || engines().filter(|_| !self.fleet.probes_tell).filter_map(|(_, e)| e.report.as_ref());
+        let reports =
+            || engines().filter(|_| !self.fleet.reports_only_on_probe).filter_map(|(_, e)| e.report.as_ref());
         let told = |part: fn(&LoadReport) -> Option<f64>| mean(reports().filter_map(|(_, s)| part(s)));
         Gateway {
             // What is in flight comes and goes too fast for a mean of old reports.
@@ -521,7 +522,7 @@
     fn silence(&self, engine: &Engine, now: Duration, runs: &[f64]) -> f64 {
         let Some(oldest) = engine.out.first().map(|out| out.sent) else { return 0.0 };
         let run = |request: &Request| request.ideal * runs[request.class] * 3.0;
-        let due = match self.fleet.note_every {
+        let due = match self.fleet.progress_interval {
             Some(every) => seconds(every) * 2.0,
             None => self.requests_out(engine).map(run).fold(f64::INFINITY, f64::min),
         };
@@ -655,7 +656,7 @@
     /// there and other routers' ones, as many as the share tells, spread evenly.
     fn load(&self, id: EngineId, request: &Request, now: Duration, share: f64, kind: &Gateway) -> (f64, f64) {
         let engine = &self.engines[&id];
-        let Kind { cores, memory_mb } = self.fleet.kinds[engine.kind];
+        let EngineKind { cores, memory_mb } = self.fleet.kinds[engine.kind];
         let (grant, threads) = (self.grant(request, engine.kind), self.classes[request.class].threads);
         let parts = |(own, own_threads)| ((own + grant) / memory_mb, (own_threads + threads) / cores);
         let others = (1.0 / share - 1.0) / kind.engines;
@@ -683,13 +684,14 @@
         };
         let memory = fade(load_report.memory, unseen, guess.0, there.0);
         // A probe tells late, and others ask too: half as far as the guess, it lets requests go as well.
-        let in_use = if self.fleet.probes_tell { guess.0.min(memory / MEMORY_TARGET_PART) } else { memory };
+        let in_use =
+            if self.fleet.reports_only_on_probe { guess.0.min(memory / MEMORY_TARGET_PART) } else { memory };
         (in_use, memory + fade(load_report.busy, unseen_busy, guess.1, there.1))
     }
 
-    /// Revenue for a second of the usual work.
+    /// Priority weight for a second of the usual work.
     fn density(&self, class: usize) -> f64 {
-        self.classes[class].revenue / self.learned[class].costs.mean().unwrap_or(f64::INFINITY)
+        self.classes[class].priority_weight / self.learned[class].costs.mean().unwrap_or(f64::INFINITY)
     }
 
     fn earns_little_late(&self, request: &Request, now: Duration) -> bool {
@@ -698,18 +700,18 @@
         // What an earlier note promised and has not come does not count.
         let due = request.attempts.last().and_then(|attempt| attempt.finish).filter(|at| *at > now);
         let left = || due.map_or(self.usual_cost(request.class), |at| seconds(at - now) * class.threads);
-        now > request.latency_objective && class.late_share * class.revenue < usual() / 4.0 * left()
+        now > request.latency_objective && class.late_share * class.priority_weight < usual() / 4.0 * left()
     }
 
     fn usual_cost(&self, class: usize) -> f64 {
         self.learned[class].costs.mean().unwrap_or(0.0)
     }
 
-    /// Where priorities are heeded: what others may stand still behind first, then by revenue for the work.
+    /// Where priorities are heeded: what others may stand still behind first, then by priority weight for the work.
     fn priority(&self, class: usize) -> u8 {
         let most = (0..self.classes.len()).map(|class| self.density(class)).fold(0.0, f64::max);
         match &self.classes[class] {
-            _ if !self.fleet.heeds_priorities => 1,
+            _ if !self.fleet.honors_priorities => 1,
             RequestClass { holds_group: true, .. } => 3,
             _ if self.density(class) >= most / 2.0 => 2,
             _ => 1,
@@ -857,7 +859,7 @@
         let bad = |request: &Request| {
             let (attempt, run) = (&request.attempts[0], sight.runs[request.class] * request.ideal);
             let left = attempt.finish.map(|finish| seconds(finish.saturating_sub(now)));
-            let unseen = self.fleet.note_every.is_none();
+            let unseen = self.fleet.progress_interval.is_none();
             attempt.stands
                 || left.is_some_and(|left| left > BAD_PLAN * run + seconds(self.fleet.tick))
                 || unseen && seconds(now - attempt.sent) > BAD_PLAN_UNSEEN * run + slack
@@ -915,7 +917,11 @@
             }
             let gateway = &gateways[engine.kind];
             let (memory_in_use, crowd) = self.load(to, request, now, sight.share, gateway);
-            let most = if engine.report.is_none() || self.fleet.probes_tell { gateway.untold } else { 1.0 };
+            let most = if engine.report.is_none() || self.fleet.reports_only_on_probe {
+                gateway.untold
+            } else {
+                1.0
+            };
             // A shortage noted since the last report, as for most engines when routers are many.
             let told = engine.report.map_or(Duration::ZERO, |(at, _)| at).max(lately);
             let short = engine.refused.is_some_and(|at| at > told);
@@ -951,7 +957,7 @@
         let liking = |to: EngineId| {
             let engine = &self.engines[&to];
             let warm = request.group.is_some_and(|group| engine.groups.contains(&group));
-            (warm, engine.location == self.fleet.home)
+            (warm, engine.location == self.fleet.home_location)
         };
         let liked = free.iter().max_by_key(|(_, to, _)| (liking(*to), self.chance(*to, self.draws)));
         liked.map(|(_, to, tier)| (*to, *tier))
@@ -989,7 +995,8 @@
         let lately = now.saturating_sub(self.beat() / 2);
         let held =
             self.requests.iter().any(|(id, request)| request.held() && self.has_turn(*id, request, now));
-        if !held || !self.fleet.probes_tell || !self.attempt_limits.may_probe || self.asked > lately {
+        if !held || !self.fleet.reports_only_on_probe || !self.attempt_limits.may_probe || self.asked > lately
+        {
             return false;
         }
         let mut asked: Vec<EngineId> = self.engines.keys().copied().collect();
--- a/src/print.rs
+++ b/src/print.rs
@@ -67,7 +67,7 @@
         (self.closing != Duration::MAX).then(|| since(now, self.closing)).hash(into);
         self.watched.hash(into);
         let asked = self.asked.max(now.saturating_sub(self.beat()));
-        self.fleet.probes_tell.then(|| since(now, asked)).hash(into);
+        self.fleet.reports_only_on_probe.then(|| since(now, asked)).hash(into);
         if self.attempt_limits.retry_budget.is_some() {
             self.accepted.iter().chain(&self.further).for_each(|at| since(now, *at).hash(into));
             self.further.len().hash(into);
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -200,7 +200,7 @@
     longest_gap: u64,
     requests: usize,
     closes: bool,
-    note_every: Option<Duration>,
+    progress_interval: Option<Duration>,
 }
 
 /// An engine as it truly is.
@@ -279,7 +279,7 @@
         latency_objective,
         objective_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
         deadline: latency_objective * random.among(1, 8) as u32,
-        revenue: random.between(0.5, 8.0),
+        priority_weight: random.between(0.5, 8.0),
         late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
         effect: effect(random),
         keeps_order: random.percent(25),
@@ -292,20 +292,20 @@
 }
 
 fn fleet(random: &mut Random) -> Fleet {
-    let kind = |random: &mut Random| Kind {
+    let kind = |random: &mut Random| EngineKind {
         cores: random.one_of(&[2.0, 4.0, 8.0]),
         memory_mb: random.one_of(&[2000.0, 8000.0, 16000.0]),
     };
     Fleet {
         seed: random.next(),
         routers: random.one_of(&[1, 1, 1, 2, 8, 40]),
-        home: random.below(3),
+        home_location: random.below(3),
         kinds: (0..=random.below(3)).map(|_| kind(random)).collect(),
-        largest_share: random.one_of(&[0.25, 0.5, 0.9]),
-        heeds_priorities: random.percent(50),
-        cuts_grants: random.percent(40),
-        note_every: random.maybe(60, |random| random.time(20, 120)),
-        probes_tell: random.percent(35),
+        max_grant_share: random.one_of(&[0.25, 0.5, 0.9]),
+        honors_priorities: random.percent(50),
+        shrinks_grants: random.percent(40),
+        progress_interval: random.maybe(60, |random| random.time(20, 120)),
+        reports_only_on_probe: random.percent(35),
         polls_endpoint_list: random.percent(50),
         tick: random.time(2, 8),
     }
@@ -343,7 +343,7 @@
         longest_gap: random.one_of(&[3, 8, 20, 60]),
         requests: random.one_of(&[20, 30, 50, 70]),
         closes: random.percent(25),
-        note_every: fleet.note_every,
+        progress_interval: fleet.progress_interval,
     }
 }
 
@@ -500,7 +500,7 @@
             memory_mb: (told && !random.percent(10)).then_some(memory),
             deadline: if is_later { deadline.mul_f64(random.between(0.3, 0.9)) } else { deadline },
             waited: if random.percent(30) { random.time(1, 60) } else { ms(0) },
-            later_try: self.habits.tells_later_tries.then_some(is_later),
+            is_retry: self.habits.tells_later_tries.then_some(is_later),
             group: random.maybe(50, |random| random.below(4) as u64),
         }
     }
@@ -555,7 +555,7 @@
         let silent = machine.silent;
         self.running.insert((request, attempt), Running { engine, sent: self.now, until, run });
         self.plan(wait, Event::AttemptOutcome(request, attempt, end));
-        if let Some(every) = self.habits.note_every.filter(|_| !silent) {
+        if let Some(every) = self.habits.progress_interval.filter(|_| !silent) {
             self.plan(every, Event::Note(request, attempt));
         }
     }
@@ -634,7 +634,7 @@
             _ => ProgressNote::Done(done.min(1.0)),
         };
         self.scheduler.progress_noted(self.now, request, attempt, notice, &mut self.log);
-        if let Some(every) = self.habits.note_every
+        if let Some(every) = self.habits.progress_interval
             && self.random.percent(93)
         {
             self.plan(every, Event::Note(request, attempt));
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -50,11 +50,11 @@
 
 /// Request classes 0 to 2: short idempotent, long idempotent on three threads, non-idempotent holding its group.
 pub fn classes() -> Vec<RequestClass> {
-    let short = |effect, revenue, latency_objective, threads| RequestClass {
+    let short = |effect, priority_weight, latency_objective, threads| RequestClass {
         latency_objective: ms(latency_objective),
         objective_stretch: 2.0,
         deadline: ms(latency_objective * 8),
-        revenue,
+        priority_weight,
         late_share: 0.0,
         effect,
         keeps_order: false,
@@ -74,13 +74,13 @@
     let fleet = Fleet {
         seed: 1,
         routers: 1,
-        home: 0,
-        kinds: vec![Kind { cores: 8.0, memory_mb: 16000.0 }],
-        largest_share: 0.5,
-        heeds_priorities: false,
-        cuts_grants: false,
-        note_every: Some(ms(500)),
-        probes_tell: false,
+        home_location: 0,
+        kinds: vec![EngineKind { cores: 8.0, memory_mb: 16000.0 }],
+        max_grant_share: 0.5,
+        honors_priorities: false,
+        shrinks_grants: false,
+        progress_interval: Some(ms(500)),
+        reports_only_on_probe: false,
         polls_endpoint_list: false,
         tick: ms(5),
     };
@@ -121,7 +121,7 @@
         ..plain
     };
     classes = effects.into_iter().map(short).collect();
-    (fleet.note_every, fleet.tick) = (Some(ms(80)), ms(8));
+    (fleet.progress_interval, fleet.tick) = (Some(ms(80)), ms(8));
     (attempt_limits.warm_up, attempt_limits.overload_window) = (ms(400), ms(100));
     (fleet, classes, attempt_limits)
 }
@@ -244,8 +244,8 @@
     }
 
     /// A request whose client says whether it tried before.
-    pub fn accept_marked(&mut self, deadline: u64, later_try: Option<bool>) -> &mut Self {
-        let arrival = Arrival { deadline: ms(deadline), later_try, ..arrival(0, 100, 300.0) };
+    pub fn accept_marked(&mut self, deadline: u64, is_retry: Option<bool>) -> &mut Self {
+        let arrival = Arrival { deadline: ms(deadline), is_retry, ..arrival(0, 100, 300.0) };
         self.arrive(arrival)
     }
 
@@ -407,7 +407,7 @@
         memory_mb: (memory_mb > 0.0).then_some(memory_mb),
         deadline: ms(24000),
         waited: Duration::ZERO,
-        later_try: None,
+        is_retry: None,
         group: None,
     }
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -135,7 +135,7 @@
 #[test]
 fn nothing_goes_to_a_drained_engine_or_off_its_placement() {
     let mut trace = Trace::new(2, |fleet, classes, _| {
-        fleet.kinds.push(Kind { cores: 8.0, memory_mb: 16000.0 });
+        fleet.kinds.push(EngineKind { cores: 8.0, memory_mb: 16000.0 });
         classes[1].kinds = Some(vec![1]);
     });
     trace.list(vec![Endpoint { kind: 1, ..endpoint(5, true, None) }]).accept(1, 300, 300.0);
@@ -300,7 +300,7 @@
 
 #[test]
 fn a_silent_engine_loses_what_may_run_again() {
-    let mut trace = Trace::new(2, |fleet, _, _| fleet.note_every = None);
+    let mut trace = Trace::new(2, |fleet, _, _| fleet.progress_interval = None);
     trace.accept(0, 100, 300.0).accept(2, 3000, 300.0).accept(0, 100, 300.0);
     trace.at(100).ended(2, 0, 0, AttemptOutcome::Succeeded).wait(1700).ended(
         1,
@@ -456,7 +456,7 @@
 
 #[test]
 fn a_shortage_since_the_last_report_keeps_medium_requests_away() {
-    let mut trace = Trace::new(2, |fleet, _, _| fleet.cuts_grants = true);
+    let mut trace = Trace::new(2, |fleet, _, _| fleet.shrinks_grants = true);
     let free = LoadReport { memory: Some(0.2), ..LoadReport::default() };
     trace.accept(1, 900, 900.0).accept(1, 900, 900.0).at(100).progress_noted(
         0,
@@ -718,7 +718,7 @@
 
 #[test]
 fn a_spill_keeps_no_request_away_where_memory_is_untold() {
-    let mut trace = Trace::new(1, |fleet, _, _| fleet.cuts_grants = true);
+    let mut trace = Trace::new(1, |fleet, _, _| fleet.shrinks_grants = true);
     trace.accept(0, 0, 0.0).at(20).progress_noted(0, 0, ProgressNote::Spills(100.0)).at(30).accept(0, 0, 0.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
@@ -798,7 +798,7 @@
 #[test]
 fn a_held_request_asks_where_load_is_told_only_to_those_who_ask() {
     let mut trace = Trace::new(4, |fleet, _, attempt_limits| {
-        (fleet.routers, fleet.probes_tell, attempt_limits.may_probe) = (40, true, true);
+        (fleet.routers, fleet.reports_only_on_probe, attempt_limits.may_probe) = (40, true, true);
     });
     let told = |memory| Some(LoadReport { busy: Some(0.3), memory: Some(memory), ..LoadReport::default() });
     trace.accept(1, 0, 2000.0).at(100).accept(1, 0, 2000.0).at(105).woken().at(110);
