--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,7 +9,7 @@
 
 mod logic;
 mod print;
-mod recent;
+mod samples;
 mod state;
 
 pub use logic::{Room, Scheduler};
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -2,8 +2,10 @@
 //! has what goes in and the `Actions` that answers come out of. After each input the rules listed in `settle`
 //! run in their order until none fires.
 
-use crate::recent::{Recent, add, mean, quantile, seconds, span};
-use crate::state::{Attempt, Engine, Gateway, Learned, Line, Out, Request, Seen, Sight, Tier};
+use crate::samples::{SampleWindow, add, mean, quantile, seconds, span};
+use crate::state::{
+    Attempt, ClassEstimates, Engine, EngineView, FleetSnapshot, Gateway, KeyQueue, Out, Request, Tier,
+};
 use crate::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -71,13 +73,13 @@
     }
 }
 
-impl Learned {
+impl ClassEstimates {
     /// A request's work and memory as corrected by what others came to.
     fn expected(&self, arrival: &Arrival) -> (f64, f64) {
-        let ratio = |ratios: &Recent| ratios.median().unwrap_or(1.0);
+        let ratio = |ratios: &SampleWindow| ratios.median().unwrap_or(1.0);
         let cost = arrival.cost.map(|told| seconds(told) * ratio(&self.cost_ratios));
         let memory = arrival.memory_mb.map(|told| told * ratio(&self.memory_ratios));
-        let mean = |samples: &Recent| samples.mean().unwrap_or(0.0);
+        let mean = |samples: &SampleWindow| samples.mean().unwrap_or(0.0);
         (cost.unwrap_or_else(|| mean(&self.costs)), memory.unwrap_or_else(|| mean(&self.memories)))
     }
 }
@@ -89,9 +91,9 @@
     pub(crate) attempt_limits: Arc<AttemptLimits>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) engines: BTreeMap<EngineId, Engine>,
-    pub(crate) lines: BTreeMap<KeyId, Line>,
-    pub(crate) learned: Vec<Learned>,
-    pub(crate) shares: Recent,
+    pub(crate) key_queues: BTreeMap<KeyId, KeyQueue>,
+    pub(crate) estimates: Vec<ClassEstimates>,
+    pub(crate) shares: SampleWindow,
     pub(crate) accepted: VecDeque<Duration>,
     pub(crate) further: VecDeque<Duration>,
     pub(crate) wake_due: Duration,
@@ -105,7 +107,7 @@
 pub struct Room<'a> {
     scheduler: &'a Scheduler,
     now: Duration,
-    sight: Sight,
+    snapshot: FleetSnapshot,
     blocked: BTreeSet<(usize, Tier)>,
 }
 
@@ -113,27 +115,28 @@
     /// Whether a request would be sent at once; those after it, in tiers without room for it, would not.
     pub fn takes(&mut self, arrival: &Arrival) -> bool {
         let request = self.scheduler.believed(self.now, arrival);
-        let line = request.key.and_then(|key| self.scheduler.lines.get(&key));
-        let waits = line
-            .is_some_and(|line| !line.requests.is_empty() || line.rest.is_some_and(|(_, at)| at > self.now));
-        !waits && self.scheduler.choose(self.now, &request, &self.sight, &mut self.blocked).is_some()
+        let key_queue = request.key.and_then(|key| self.scheduler.key_queues.get(&key));
+        let waits = key_queue.is_some_and(|key_queue| {
+            !key_queue.requests.is_empty() || key_queue.rest.is_some_and(|(_, at)| at > self.now)
+        });
+        !waits && self.scheduler.choose(self.now, &request, &self.snapshot, &mut self.blocked).is_some()
     }
 }
 
 /// One rule: a condition and an effect; tells whether it fired.
-type Rule<O> = fn(&mut Scheduler, Duration, &mut Sight, &mut O) -> bool;
+type Rule<O> = fn(&mut Scheduler, Duration, &mut FleetSnapshot, &mut O) -> bool;
 
 impl Scheduler {
     pub fn new(fleet: Fleet, classes: Vec<RequestClass>, attempt_limits: AttemptLimits) -> Self {
         Self {
-            learned: classes.iter().map(|_| Learned::keeping(SAMPLES)).collect(),
+            estimates: classes.iter().map(|_| ClassEstimates::keeping(SAMPLES)).collect(),
             fleet: fleet.into(),
             classes: classes.into(),
             attempt_limits: attempt_limits.into(),
             requests: BTreeMap::new(),
             engines: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            shares: Recent::keeping(SAMPLES * OUTCOMES),
+            key_queues: BTreeMap::new(),
+            shares: SampleWindow::keeping(SAMPLES * OUTCOMES),
             accepted: VecDeque::new(),
             further: VecDeque::new(),
             wake_due: Duration::ZERO,
@@ -145,18 +148,18 @@
     }
 
     pub fn accept(&mut self, now: Duration, arrival: Arrival, out: &mut impl Actions) {
-        let learned = &mut self.learned[arrival.class];
+        let estimates = &mut self.estimates[arrival.class];
         // A client's retry has less deadline than usual: so much of the way to the target is gone. Where
         // clients mark such tries, a first one with less deadline than others is not taken for one.
         if arrival.is_retry != Some(true) {
-            learned.deadlines.push(now, seconds(arrival.deadline));
+            estimates.deadlines.push(now, seconds(arrival.deadline));
         }
         let request = self.believed(now, &arrival);
-        let learned = &mut self.learned[arrival.class];
-        let cost = learned.expected(&arrival).0;
-        arrival.cost.inspect(|_| learned.costs.push(now, cost));
+        let estimates = &mut self.estimates[arrival.class];
+        let cost = estimates.expected(&arrival).0;
+        arrival.cost.inspect(|_| estimates.costs.push(now, cost));
         if let Some(key) = request.key {
-            self.lines.entry(key).or_default().requests.push_back(arrival.request);
+            self.key_queues.entry(key).or_default().requests.push_back(arrival.request);
         }
         self.requests.insert(arrival.request, request);
         self.accepted.push_back(now);
@@ -165,11 +168,11 @@
 
     /// A request as it is believed to be.
     fn believed(&self, now: Duration, arrival: &Arrival) -> Request {
-        let (class, learned) = (&self.classes[arrival.class], &self.learned[arrival.class]);
-        let usual = span(learned.deadlines.median().unwrap_or(0.0));
+        let (class, estimates) = (&self.classes[arrival.class], &self.estimates[arrival.class]);
+        let usual = span(estimates.deadlines.median().unwrap_or(0.0));
         let spent = usual.saturating_sub(arrival.deadline) * u32::from(arrival.is_retry != Some(false));
         let key = arrival.key.filter(|_| class.keeps_order);
-        let (cost, memory) = learned.expected(arrival);
+        let (cost, memory) = estimates.expected(arrival);
         let ideal = cost / class.threads.max(1.0);
         let arrived = now.saturating_sub(arrival.waited);
         let latency_objective = arrived + class.latency_objective + span(class.objective_stretch * ideal);
@@ -195,12 +198,12 @@
 
     /// The work that a request is expected to be, as one core's time.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
-        span(self.learned[arrival.class].expected(arrival).0)
+        span(self.estimates[arrival.class].expected(arrival).0)
     }
 
     /// What may be sent at once, for a queue before this: what can't be waits where its order counts.
     pub fn room(&self, now: Duration) -> Room<'_> {
-        Room { scheduler: self, now, sight: self.sight(now, true), blocked: BTreeSet::new() }
+        Room { scheduler: self, now, snapshot: self.snapshot(now, true), blocked: BTreeSet::new() }
     }
 
     pub fn attempt_ended(&mut self, now: Duration, attempt: AttemptEnded, out: &mut impl Actions) {
@@ -216,19 +219,19 @@
             matches!(end, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Withdrawn);
         if let (Some(key), Some(rest), true) = (request.key, self.attempt_limits.key_cooldown, may_still_run)
         {
-            self.lines.entry(key).or_default().rest = Some((id, now + rest));
+            self.key_queues.entry(key).or_default().rest = Some((id, now + rest));
         }
-        let learned = &mut self.learned[class];
+        let estimates = &mut self.estimates[class];
         if let Some(usage) = usage {
-            learned.memories.push(now, usage.memory_mb);
-            told_memory.inspect(|told| learned.memory_ratios.push(now, usage.memory_mb / told));
-            told_cost.inspect(|told| learned.cost_ratios.push(now, seconds(usage.cost) / told));
+            estimates.memories.push(now, usage.memory_mb);
+            told_memory.inspect(|told| estimates.memory_ratios.push(now, usage.memory_mb / told));
+            told_cost.inspect(|told| estimates.cost_ratios.push(now, seconds(usage.cost) / told));
         }
         // Unbilled, a spill tells the most that was needed, unless a cut grant may be its cause.
         if let (None, AttemptOutcome::Succeeded, Some(told), false) =
             (usage, end, told_memory, self.fleet.shrinks_grants)
         {
-            learned.memory_ratios.push(now, if missing > 0.0 { (grant + missing) / told } else { 1.0 });
+            estimates.memory_ratios.push(now, if missing > 0.0 { (grant + missing) / told } else { 1.0 });
         }
         // Of untold cost, a request is what it came to, not what such requests come to.
         let mut ideal = request.ideal;
@@ -239,7 +242,7 @@
                 load_report.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
             let alone = seconds(took) * threads / crowd.unwrap_or(1.0).max(1.0);
             let cost = usage.map_or(alone, |usage| seconds(usage.cost));
-            learned.costs.push(now, cost);
+            estimates.costs.push(now, cost);
             ideal = cost / threads.max(1.0);
         }
         let engine = self.engines.get_mut(&engine).expect("an engine that a hop went to");
@@ -251,7 +254,7 @@
         match end {
             AttemptOutcome::Succeeded => {
                 let stretch = seconds(now - sent) / (ideal + seconds(self.fleet.tick));
-                learned.stretches.push(now, stretch);
+                estimates.stretches.push(now, stretch);
                 // Over an idle engine's run, not the best of late: in lasting overload that drifts up.
                 engine.stretches.push(now, stretch);
                 engine.bad.push(now, 0.0);
@@ -400,7 +403,7 @@
     }
 
     /// The shortest target time: the module's measure for what is soon and what is long.
-    pub(crate) fn beat(&self) -> Duration {
+    pub(crate) fn shortest_objective(&self) -> Duration {
         self.classes.iter().map(|t| t.latency_objective).min().unwrap_or(self.fleet.tick)
     }
 
@@ -411,7 +414,8 @@
 
     fn grant(&self, request: &Request, kind: usize) -> f64 {
         let most = self.fleet.max_grant_share * self.fleet.kinds[kind].memory_mb;
-        let billed = || quantile(self.learned[request.class].memories.values(), GRANT_COVERS).unwrap_or(0.0);
+        let billed =
+            || quantile(self.estimates[request.class].memories.values(), GRANT_COVERS).unwrap_or(0.0);
         let untold = || billed().max(request.memory * GRANT_UNTOLD);
         request.told_memory.map_or_else(untold, |told| request.memory.max(told) * GRANT).min(most)
     }
@@ -440,16 +444,16 @@
     }
 
     /// Where nothing waits to be sent, only the engines that hold something matter.
-    fn sight(&self, now: Duration, held: bool) -> Sight {
-        let from = now.saturating_sub(self.beat() * 4);
-        let recent = self.learned.iter().flat_map(|l| l.stretches.since(from));
+    fn snapshot(&self, now: Duration, held: bool) -> FleetSnapshot {
+        let from = now.saturating_sub(self.shortest_objective() * 4);
+        let recent = self.estimates.iter().flat_map(|l| l.stretches.since(from));
         let stretch = quantile(recent, 0.5).unwrap_or(1.0).max(1.0);
-        let run = |l: &Learned| quantile(l.stretches.since(from), 0.5).unwrap_or(1.0).max(1.0);
-        let runs: Vec<f64> = self.learned.iter().map(run).collect();
+        let run = |l: &ClassEstimates| quantile(l.stretches.since(from), 0.5).unwrap_or(1.0).max(1.0);
+        let runs: Vec<f64> = self.estimates.iter().map(run).collect();
         let see = |engine: &Engine| {
             let own = quantile(engine.stretches.since(from), 0.5);
             let silence = self.silence(engine, now, &runs);
-            Seen {
+            EngineView {
                 pressed: self.pressed(engine, now, own.map(|own| own > PRESSED)),
                 silence,
                 sick: silence >= 1.0 || self.failing(engine, now),
@@ -458,7 +462,7 @@
             }
         };
         let engines = self.engines.iter().filter(|(_, e)| held || !e.out.is_empty());
-        let mut engines: BTreeMap<EngineId, Seen> = engines.map(|(id, e)| (*id, see(e))).collect();
+        let mut engines: BTreeMap<EngineId, EngineView> = engines.map(|(id, e)| (*id, see(e))).collect();
         // Where nothing recent tells of an engine, as for most when routers are many, the others tell.
         let told = |p| engines.values().filter(|seen| seen.pressed == Some(p)).count();
         if told(true) > told(false) {
@@ -466,11 +470,17 @@
         }
         let (share, kinds) = (self.share(), 0..if held { self.fleet.kinds.len() } else { 0 });
         let gateways = kinds.map(|kind| self.gateway(now, kind, share, &engines)).collect();
-        Sight { runs, share, engines, gateways }
+        FleetSnapshot { runs, share, engines, gateways }
     }
 
     /// The target moves with the pressure that the kind's engines show, from half to 1.5 of its start.
-    fn gateway(&self, now: Duration, kind: usize, share: f64, seen: &BTreeMap<EngineId, Seen>) -> Gateway {
+    fn gateway(
+        &self,
+        now: Duration,
+        kind: usize,
+        share: f64,
+        seen: &BTreeMap<EngineId, EngineView>,
+    ) -> Gateway {
         let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
         let engines = || self.engines.iter().filter(|(_, engine)| engine.kind == kind && engine.ready);
         let mood = |id| match seen[id].pressed {
@@ -508,7 +518,7 @@
 
     /// Whether an engine shows pressure; `None` where nothing recent tells.
     fn pressed(&self, engine: &Engine, now: Duration, slow: Option<bool>) -> Option<bool> {
-        let from = now.saturating_sub(self.beat() * 2);
+        let from = now.saturating_sub(self.shortest_objective() * 2);
         let refused = engine.refused.is_some_and(|at| at >= from);
         let reported = engine.report.as_ref().filter(|(at, _)| *at >= from).map(|(_, s)| {
             let cores = s.busy.map(|busy| busy / if s.in_flight.is_some() { PRESSED } else { 1.0 });
@@ -526,14 +536,15 @@
             Some(every) => seconds(every) * 2.0,
             None => self.requests_out(engine).map(run).fold(f64::INFINITY, f64::min),
         };
-        seconds(now.saturating_sub(engine.heard.max(oldest))) / due.max(seconds(self.beat()))
+        seconds(now.saturating_sub(engine.heard.max(oldest))) / due.max(seconds(self.shortest_objective()))
     }
 
     /// Guards against engines that fail fast or are gone: they look free. What goes on is believed longer,
     /// since the trials of many routers add up.
     fn failing(&self, engine: &Engine, now: Duration) -> bool {
         let in_a_row = engine.bad.since(Duration::ZERO).take_while(|bad| *bad > 0.0).count();
-        let bad = || engine.bad.since(now.saturating_sub(self.beat() * 4 * in_a_row.max(2) as u32));
+        let bad =
+            || engine.bad.since(now.saturating_sub(self.shortest_objective() * 4 * in_a_row.max(2) as u32));
         bad().sum::<f64>() >= 2.0 && mean(bad()).is_some_and(|part| part >= 0.3)
     }
 
@@ -592,8 +603,9 @@
 
     /// Whether it is this request's turn among those of its key.
     fn has_turn(&self, id: RequestId, request: &Request, now: Duration) -> bool {
-        let Some(line) = request.key.and_then(|key| self.lines.get(&key)) else { return true };
-        line.requests.front() == Some(&id) && line.rest.is_none_or(|(by, until)| by == id || until <= now)
+        let Some(key_queue) = request.key.and_then(|key| self.key_queues.get(&key)) else { return true };
+        key_queue.requests.front() == Some(&id)
+            && key_queue.rest.is_none_or(|(by, until)| by == id || until <= now)
     }
 
     /// Guards cold engines: this router's part of what a starting engine takes in any window, by the usual
@@ -636,8 +648,14 @@
     /// Whether the tier has a slot open at an engine: largest one at a time, the others bound under pressure.
     /// Guards against surges and slow fleets: limits shrink as latency rises. Guards against many routers,
     /// whose one query at each engine adds up: parts under one are pooled over the engines under pressure.
-    fn slot_open(&self, engine: &Engine, tier: Tier, threads: f64, sight: (&Seen, &Gateway, f64)) -> bool {
-        let (seen, gateway, share) = sight;
+    fn slot_open(
+        &self,
+        engine: &Engine,
+        tier: Tier,
+        threads: f64,
+        snapshot: (&EngineView, &Gateway, f64),
+    ) -> bool {
+        let (seen, gateway, share) = snapshot;
         let part = if tier == Tier::Small { SMALL_THREADS } else { MEDIUM_THREADS };
         let most = self.fleet.kinds[engine.kind].cores * share * part;
         let held = self.threads_out(engine, tier);
@@ -662,7 +680,7 @@
         let others = (1.0 / share - 1.0) / kind.engines;
         let own = || self.own(now, id, Duration::ZERO);
         let alone = parts(add(own(), (kind.memory * others, kind.threads * others)));
-        let fresh = parts(self.own(now, id, now.saturating_sub(self.beat())));
+        let fresh = parts(self.own(now, id, now.saturating_sub(self.shortest_objective())));
         let guess = |told: Option<f64>, fresh, alone| told.map_or(alone, |told| told + fresh);
         let guess = (guess(kind.told.0, fresh.0, alone.0), guess(kind.told.1, fresh.1, alone.1));
         let tells = |s: &LoadReport| s.memory.is_some() || kind.counted;
@@ -674,8 +692,8 @@
             let new = (new.0 + new.1) / if kind.counted { 1.0 } else { share };
             return (guess.0, kind.told.0.map_or(alike + new, |_| guess.0 + guess.1));
         };
-        let (unseen, unseen_busy) = parts(self.own(now, id, at.saturating_sub(self.beat())));
-        let age = seconds(now - *at) / seconds(self.beat() * 4);
+        let (unseen, unseen_busy) = parts(self.own(now, id, at.saturating_sub(self.shortest_objective())));
+        let age = seconds(now - *at) / seconds(self.shortest_objective() * 4);
         // Guards against engines that have gone quiet under a crowd: whatever was told, own attempts are there.
         let there = parts(own());
         let fade = |told: Option<f64>, unseen: f64, guess: f64, there: f64| match told {
@@ -691,7 +709,7 @@
 
     /// Priority weight for a second of the usual work.
     fn density(&self, class: usize) -> f64 {
-        self.classes[class].priority_weight / self.learned[class].costs.mean().unwrap_or(f64::INFINITY)
+        self.classes[class].priority_weight / self.estimates[class].costs.mean().unwrap_or(f64::INFINITY)
     }
 
     fn earns_little_late(&self, request: &Request, now: Duration) -> bool {
@@ -704,7 +722,7 @@
     }
 
     fn usual_cost(&self, class: usize) -> f64 {
-        self.learned[class].costs.mean().unwrap_or(0.0)
+        self.estimates[class].costs.mean().unwrap_or(0.0)
     }
 
     /// Where priorities are heeded: what others may stand still behind first, then by priority weight for the work.
@@ -736,7 +754,8 @@
         hopeless: impl Fn(&Self, RequestId, &Request) -> bool,
         out: &mut impl Actions,
     ) -> bool {
-        let retry_after = self.attempt_limits.max_retry_after.map(|longest| self.beat().min(longest));
+        let retry_after =
+            self.attempt_limits.max_retry_after.map(|longest| self.shortest_objective().min(longest));
         let open =
             self.requests.iter().filter(|(id, request)| !request.over && hopeless(self, **id, request));
         let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
@@ -791,19 +810,26 @@
             Self::refuse_what_waits_in_vain,
             Self::stay_awake,
         ];
-        let mut sight = self.sight(now, self.requests.values().any(Request::held));
-        while rules.iter().any(|rule| rule(self, now, &mut sight, out)) {}
+        let mut snapshot = self.snapshot(now, self.requests.values().any(Request::held));
+        while rules.iter().any(|rule| rule(self, now, &mut snapshot, out)) {}
     }
 
-    fn forget_what_is_over(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
+    fn forget_what_is_over(
+        &mut self,
+        now: Duration,
+        snapshot: &mut FleetSnapshot,
+        out: &mut impl Actions,
+    ) -> bool {
         let over =
             |request: &Request| request.over && request.attempts.iter().all(|attempt| attempt.end.is_some());
         let gone: BTreeSet<RequestId> =
             self.requests.extract_if(.., |_, t| over(t)).map(|(id, _)| id).collect();
         if !gone.is_empty() {
-            self.lines.values_mut().for_each(|line| line.requests.retain(|id| !gone.contains(id)));
-            let resting = |line: &Line| line.rest.is_some_and(|(_, until)| until > now);
-            self.lines.retain(|_, line| !line.requests.is_empty() || resting(line));
+            self.key_queues
+                .values_mut()
+                .for_each(|key_queue| key_queue.requests.retain(|id| !gone.contains(id)));
+            let resting = |key_queue: &KeyQueue| key_queue.rest.is_some_and(|(_, until)| until > now);
+            self.key_queues.retain(|_, key_queue| !key_queue.requests.is_empty() || resting(key_queue));
         }
         let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
         for times in [&mut self.accepted, &mut self.further] {
@@ -815,13 +841,13 @@
         };
         let left = self.engines.iter().find(|(id, engine)| engine.gone && !seen(**id)).map(|(id, _)| *id);
         left.inspect(|id| out.forget(*id));
-        sight.engines.retain(|id, _| Some(*id) != left);
+        snapshot.engines.retain(|id, _| Some(*id) != left);
         left.and_then(|id| self.engines.remove(&id)).is_some() || !gone.is_empty()
     }
 
     /// One final answer before deadline ends, or the process, and at once where no further attempt is allowed, or
     /// is for nobody any more.
-    fn answer_in_time(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
+    fn answer_in_time(&mut self, now: Duration, _: &mut FleetSnapshot, out: &mut impl Actions) -> bool {
         let hopeless = |scheduler: &Self, _: RequestId, request: &Request| {
             let soon = now + scheduler.margin() * 3;
             let again =
@@ -834,9 +860,14 @@
     }
 
     /// Guards against engines, and single answers, of which nothing comes: takes back what may be repeated.
-    fn cancel_on_silent_engines(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
+    fn cancel_on_silent_engines(
+        &mut self,
+        now: Duration,
+        snapshot: &mut FleetSnapshot,
+        out: &mut impl Actions,
+    ) -> bool {
         let mut fired = false;
-        for (id, seen) in &sight.engines {
+        for (id, seen) in &snapshot.engines {
             let silent = seen.silence >= 1.5;
             let lost = |o: &&Out| silent || self.lost(now, o);
             let attempts = self.engines[id].out.iter().filter(lost).map(|o| (o.request, o.attempt));
@@ -854,10 +885,15 @@
 
     /// Guards against attempts that take many times their expected run while the estimate gives no cause: only a
     /// request's first attempt, since a second one as slow shows a costly request.
-    fn cancel_bad_plans(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
-        let slack = seconds(self.beat());
+    fn cancel_bad_plans(
+        &mut self,
+        now: Duration,
+        snapshot: &mut FleetSnapshot,
+        out: &mut impl Actions,
+    ) -> bool {
+        let slack = seconds(self.shortest_objective());
         let bad = |request: &Request| {
-            let (attempt, run) = (&request.attempts[0], sight.runs[request.class] * request.ideal);
+            let (attempt, run) = (&request.attempts[0], snapshot.runs[request.class] * request.ideal);
             let left = attempt.finish.map(|finish| seconds(finish.saturating_sub(now)));
             let unseen = self.fleet.progress_interval.is_none();
             attempt.stands
@@ -871,8 +907,13 @@
     }
 
     /// Under pressure, attempts past their target whose type earns little when late make room for those in time.
-    fn drop_what_is_late(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
-        let pressed = |attempt: &Attempt| sight.engines[&attempt.engine].pressed == Some(true);
+    fn drop_what_is_late(
+        &mut self,
+        now: Duration,
+        snapshot: &mut FleetSnapshot,
+        out: &mut impl Actions,
+    ) -> bool {
+        let pressed = |attempt: &Attempt| snapshot.engines[&attempt.engine].pressed == Some(true);
         let late = |request: &Request| {
             request.attempts.last().is_some_and(pressed) && self.earns_little_late(request, now)
         };
@@ -887,20 +928,20 @@
         &self,
         now: Duration,
         request: &Request,
-        sight: &Sight,
+        snapshot: &FleetSnapshot,
         blocked: &mut BTreeSet<(usize, Tier)>,
     ) -> Option<(EngineId, Tier)> {
-        let (gateways, lately) = (&sight.gateways, now.saturating_sub(self.beat() * 2));
+        let (gateways, lately) = (&snapshot.gateways, now.saturating_sub(self.shortest_objective() * 2));
         let (threads, memory) = (self.classes[request.class].threads, request.tier_memory());
         let mut tiers = gateways.iter().map(|gateway| gateway.tier(memory)).enumerate();
         if tiers.all(|slot| blocked.contains(&slot)) {
             return None;
         }
         let open =
-            |id, e: &Engine| self.allowed(request, e) && self.fits_cold(id, e, request, now, sight.share);
+            |id, e: &Engine| self.allowed(request, e) && self.fits_cold(id, e, request, now, snapshot.share);
         let tried = |id: EngineId| request.attempts.iter().any(|attempt| attempt.engine == id);
-        let healthy = |e: EngineId| !sight.engines[&e].sick;
-        let pause = self.beat().div_f64(2.0 * sight.share).max(self.beat());
+        let healthy = |e: EngineId| !snapshot.engines[&e].sick;
+        let pause = self.shortest_objective().div_f64(2.0 * snapshot.share).max(self.shortest_objective());
         let trickled = |e: &Engine| e.out.is_empty() && e.sent.last().is_none_or(|(at, _)| at + pause <= now);
         let ready = self.engines.iter().map(|(id, e)| (*id, e)).filter(|(id, e)| open(*id, e));
         let mut ready: Vec<(EngineId, &Engine)> = ready.collect();
@@ -911,12 +952,12 @@
         let mut free: Vec<(f64, EngineId, Tier)> = Vec::new();
         let mut full = Vec::new();
         for (to, engine) in ready {
-            let (tier, seen) = (gateways[engine.kind].tier(memory), &sight.engines[&to]);
+            let (tier, seen) = (gateways[engine.kind].tier(memory), &snapshot.engines[&to]);
             if blocked.contains(&(engine.kind, tier)) {
                 continue;
             }
             let gateway = &gateways[engine.kind];
-            let (memory_in_use, crowd) = self.load(to, request, now, sight.share, gateway);
+            let (memory_in_use, crowd) = self.load(to, request, now, snapshot.share, gateway);
             let most = if engine.report.is_none() || self.fleet.reports_only_on_probe {
                 gateway.untold
             } else {
@@ -929,7 +970,7 @@
             let crowded = gateway.counted && crowd - memory_in_use > PRESSED * FULL;
             let fits =
                 memory_in_use <= most && !short && !crowded || gateway.threads == 0.0 || tier <= Tier::Small;
-            if fits && self.slot_open(engine, tier, threads, (seen, gateway, sight.share)) {
+            if fits && self.slot_open(engine, tier, threads, (seen, gateway, snapshot.share)) {
                 free.push((1.0 - crowd / 2.0 * seen.slow, to, tier));
             } else {
                 full.push((engine.kind, tier));
@@ -964,7 +1005,7 @@
     }
 
     /// The ordinary path: held requests leave earliest first per tier.
-    fn release(&mut self, now: Duration, sight: &mut Sight, out: &mut impl Actions) -> bool {
+    fn release(&mut self, now: Duration, snapshot: &mut FleetSnapshot, out: &mut impl Actions) -> bool {
         let held =
             self.requests.iter().filter(|(_, request)| request.held()).map(|(id, _)| *id).collect::<Vec<_>>();
         let mut blocked: BTreeSet<(usize, Tier)> = BTreeSet::new();
@@ -976,11 +1017,11 @@
             if !again || !self.has_turn(id, request, now) {
                 continue;
             }
-            let Some((to, tier)) = self.choose(now, request, sight, &mut blocked) else { continue };
+            let Some((to, tier)) = self.choose(now, request, snapshot, &mut blocked) else { continue };
             let (kind, threads) = (self.engines[&to].kind, self.classes[request.class].threads);
-            let (gateway, grant) = (&mut sight.gateways[kind], self.grant(request, kind));
+            let (gateway, grant) = (&mut snapshot.gateways[kind], self.grant(request, kind));
             (gateway.memory, gateway.threads) = (gateway.memory + grant, gateway.threads + threads);
-            gateway.held[tier as usize] += threads * f64::from(sight.engines[&to].pressed == Some(true));
+            gateway.held[tier as usize] += threads * f64::from(snapshot.engines[&to].pressed == Some(true));
             self.send(now, id, to, tier, out);
             self.draws += 1;
             gateway.small += f64::from(tier == Tier::Small);
@@ -991,8 +1032,8 @@
     }
 
     /// Where only probes tell: two engines of which nothing is known are asked, once in half a beat.
-    fn ask_what_is_free(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
-        let lately = now.saturating_sub(self.beat() / 2);
+    fn ask_what_is_free(&mut self, now: Duration, _: &mut FleetSnapshot, out: &mut impl Actions) -> bool {
+        let lately = now.saturating_sub(self.shortest_objective() / 2);
         let held =
             self.requests.iter().any(|(id, request)| request.held() && self.has_turn(*id, request, now));
         if !held || !self.fleet.reports_only_on_probe || !self.attempt_limits.may_probe || self.asked > lately
@@ -1012,10 +1053,10 @@
     fn refuse_what_waits_in_vain(
         &mut self,
         now: Duration,
-        sight: &mut Sight,
+        snapshot: &mut FleetSnapshot,
         out: &mut impl Actions,
     ) -> bool {
-        let from = now.saturating_sub(self.beat() * 4);
+        let from = now.saturating_sub(self.shortest_objective() * 4);
         // Those of untold cost stand in one line, which has one time-out: else patient ones keep others out.
         let way =
             |(at, t): (usize, &RequestClass)| t.objective_stretch * self.usual_cost(at) / t.threads.max(1.0);
@@ -1024,7 +1065,7 @@
         // Guards against crowds that no fleet could serve, which each input would go through: more work than
         // four times (so far off may the part be) what this router's part of all cores does until its latency_objective.
         let cores = self.engines.values().filter(|e| !e.gone).map(|e| self.fleet.kinds[e.kind].cores);
-        let (most, mut before) = (4.0 * sight.share * cores.sum::<f64>(), 0.0);
+        let (most, mut before) = (4.0 * snapshot.share * cores.sum::<f64>(), 0.0);
         let behind = |(at, (id, request)): (usize, (&RequestId, &Request))| {
             let work = before + request.ideal * self.classes[request.class].threads;
             let fits = at < SAMPLES
@@ -1035,15 +1076,15 @@
         let held = self.requests.iter().filter(|(_, request)| request.held()).enumerate();
         let crowd: BTreeSet<RequestId> = held.filter_map(behind).collect();
         let in_vain = |scheduler: &Self, id: RequestId, request: &Request| {
-            let (run, memory) = (request.ideal * sight.runs[request.class], request.tier_memory());
+            let (run, memory) = (request.ideal * snapshot.runs[request.class], request.tier_memory());
             // What is learned from those sent judges no type of which none came back lately.
-            let back = || scheduler.learned[request.class].stretches.since(from).next().is_some();
+            let back = || scheduler.estimates[request.class].stretches.since(from).next().is_some();
             let run = span(if request.told_cost.is_some() || back() { run } else { 0.0 });
             if !scheduler.has_turn(id, request, now) {
                 let earns_late = scheduler.classes[request.class].late_share > 0.0;
                 return now + run > if earns_late { request.deadline } else { request.latency_objective };
             }
-            let tiers = sight.gateways.iter().map(|gateway| gateway.tier(memory));
+            let tiers = snapshot.gateways.iter().map(|gateway| gateway.tier(memory));
             let hold = HOLD[tiers.min().unwrap_or(Tier::Largest) as usize];
             let alone = request.told_cost.is_some() || request.key.is_some();
             let way = request.latency_objective.saturating_sub(request.arrived);
@@ -1053,14 +1094,14 @@
         self.refuse(|scheduler, id, request| request.held() && in_vain(scheduler, id, request), out)
     }
 
-    fn stay_awake(&mut self, now: Duration, _: &mut Sight, out: &mut impl Actions) -> bool {
+    fn stay_awake(&mut self, now: Duration, _: &mut FleetSnapshot, out: &mut impl Actions) -> bool {
         if self.fleet.polls_endpoint_list && !self.watched {
             self.watched = true;
             out.watch();
         }
         // What waits to be sent is looked at more often than what is out.
         let held = self.requests.values().any(Request::held);
-        let wait = if held { Duration::ZERO } else { self.beat() / 8 }.max(self.fleet.tick * 8);
+        let wait = if held { Duration::ZERO } else { self.shortest_objective() / 8 }.max(self.fleet.tick * 8);
         if !self.requests.is_empty() && (self.wake_due <= now || self.wake_due > now + wait) {
             self.wake_due = now + wait;
             out.wake_after(wait);
--- a/src/print.rs
+++ b/src/print.rs
@@ -2,7 +2,7 @@
 //! what can't influence a later action: times are told relative to now, chance is left to the caller, and
 //! engines are told apart by what stands there and not by their numbers.
 
-use crate::recent::Recent;
+use crate::samples::SampleWindow;
 use crate::state::{Attempt, Engine, Request};
 use crate::*;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 
 impl Scheduler {
     pub fn kept(&self) -> Kept {
-        Kept { requests: self.requests.len(), engines: self.engines.len(), keys: self.lines.len() }
+        Kept { requests: self.requests.len(), engines: self.engines.len(), keys: self.key_queues.len() }
     }
 
     /// Sets where chance goes on from: with it left open, a caller sets each draw.
@@ -46,7 +46,7 @@
         let places: BTreeMap<RequestId, usize> = self.requests.keys().copied().zip(0..).collect();
         // Where nothing is open and nothing will come, only what is left to be let go counts.
         if self.requests.is_empty() && !with.more {
-            (self.engines.len(), self.lines.len(), self.closing == Duration::MAX).hash(into);
+            (self.engines.len(), self.key_queues.len(), self.closing == Duration::MAX).hash(into);
             return since(now, self.wake_due.max(now)).hash(into);
         }
         let mut engines: Vec<u64> =
@@ -56,9 +56,10 @@
         }
         engines.hash(into);
         self.requests.values().for_each(|request| self.request(request, with, into));
-        for line in self.lines.values() {
-            line.requests.iter().map(|id| places.get(id).copied()).for_each(|place| place.hash(into));
-            line.rest
+        for key_queue in self.key_queues.values() {
+            key_queue.requests.iter().map(|id| places.get(id).copied()).for_each(|place| place.hash(into));
+            key_queue
+                .rest
                 .filter(|(_, until)| *until > now)
                 .map(|(id, at)| (places.get(&id), since(now, at)))
                 .hash(into);
@@ -66,22 +67,23 @@
         since(now, self.wake_due.max(now)).hash(into);
         (self.closing != Duration::MAX).then(|| since(now, self.closing)).hash(into);
         self.watched.hash(into);
-        let asked = self.asked.max(now.saturating_sub(self.beat()));
+        let asked = self.asked.max(now.saturating_sub(self.shortest_objective()));
         self.fleet.reports_only_on_probe.then(|| since(now, asked)).hash(into);
         if self.attempt_limits.retry_budget.is_some() {
             self.accepted.iter().chain(&self.further).for_each(|at| since(now, *at).hash(into));
             self.further.len().hash(into);
         }
-        let lately = now.saturating_sub(self.beat() * 4);
+        let lately = now.saturating_sub(self.shortest_objective() * 4);
         samples(&self.shares, now, Duration::ZERO, into);
-        for learned in &self.learned {
-            let lasting = [&learned.costs, &learned.memories, &learned.cost_ratios, &learned.memory_ratios];
+        for estimates in &self.estimates {
+            let lasting =
+                [&estimates.costs, &estimates.memories, &estimates.cost_ratios, &estimates.memory_ratios];
             // Only their values count, in the order in which they will be let go.
             lasting.iter().for_each(|recent| values(recent, into));
             if with.more {
-                values(&learned.deadlines, into);
+                values(&estimates.deadlines, into);
             }
-            samples(&learned.stretches, now, lately, into);
+            samples(&estimates.stretches, now, lately, into);
         }
     }
 
@@ -136,7 +138,7 @@
         with: &Print,
     ) -> u64 {
         let mut digest = Digest::new();
-        let (into, now, beat) = (&mut digest, with.now, self.beat());
+        let (into, now, shortest_objective) = (&mut digest, with.now, self.shortest_objective());
         (engine.location, engine.kind, engine.cell, engine.ready, engine.gone).hash(into);
         engine.launched.map(|at| since(now, at)).hash(into);
         let cold = engine.cold_since.filter(|at| *at + self.attempt_limits.warm_up > now);
@@ -162,14 +164,14 @@
         }
         let oldest = engine.out.first().map(|out| out.sent);
         oldest.map(|at| since(now, engine.heard.max(at))).hash(into);
-        let pause = beat.div_f64(2.0 * share).max(beat);
+        let pause = shortest_objective.div_f64(2.0 * share).max(shortest_objective);
         let latest = engine.sent.last().filter(|(at, _)| *at + pause > now);
         latest.map(|(at, _)| since(now, at)).hash(into);
-        samples(&engine.stretches, now, now.saturating_sub(beat * 4), into);
+        samples(&engine.stretches, now, now.saturating_sub(shortest_objective * 4), into);
         // Outcomes are looked back on for four beats each in a row: those past all that are of one age.
-        let oldest = now.saturating_sub(beat * 4 * engine.bad.samples().count().max(2) as u32);
+        let oldest = now.saturating_sub(shortest_objective * 4 * engine.bad.samples().count().max(2) as u32);
         engine.bad.samples().for_each(|(at, bad)| (since(now, at.max(oldest)), bad.to_bits()).hash(into));
-        engine.refused.filter(|at| *at + beat * 2 >= now).map(|at| since(now, at)).hash(into);
+        engine.refused.filter(|at| *at + shortest_objective * 2 >= now).map(|at| since(now, at)).hash(into);
         if let Some((at, told)) = &engine.report {
             let parts = [told.busy, told.waiting, told.memory, told.disks];
             (since(now, *at), parts.map(|part| part.map(f64::to_bits))).hash(into);
@@ -186,11 +188,11 @@
     at.as_micros() as i64 - now.as_micros() as i64
 }
 
-fn values(recent: &Recent, into: &mut impl Hasher) {
+fn values(recent: &SampleWindow, into: &mut impl Hasher) {
     recent.values().for_each(|value| value.to_bits().hash(into));
 }
 
-fn samples(recent: &Recent, now: Duration, from: Duration, into: &mut impl Hasher) {
+fn samples(recent: &SampleWindow, now: Duration, from: Duration, into: &mut impl Hasher) {
     let kept = recent.samples().filter(|(at, _)| *at >= from);
     kept.for_each(|(at, value)| (since(now, at), value.to_bits()).hash(into));
 }
--- a/src/recent.rs
+++ b/src/samples.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 #[derive(Clone)]
-pub struct Recent {
+pub struct SampleWindow {
     samples: VecDeque<(Duration, f64)>,
     kept: usize,
 }
 
-impl Recent {
+impl SampleWindow {
     pub fn keeping(kept: usize) -> Self {
         Self { samples: VecDeque::new(), kept }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the module remembers of requests, engines and keys; it decides nothing.
 
-use crate::recent::Recent;
+use crate::samples::SampleWindow;
 use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -69,9 +69,9 @@
     pub cold_since: Option<Duration>,
     /// In the order of sending.
     pub out: Vec<Out>,
-    pub sent: Recent,
-    pub stretches: Recent,
-    pub bad: Recent,
+    pub sent: SampleWindow,
+    pub stretches: SampleWindow,
+    pub bad: SampleWindow,
     pub heard: Duration,
     pub refused: Option<Duration>,
     pub report: Option<(Duration, LoadReport)>,
@@ -81,32 +81,32 @@
 }
 
 #[derive(Clone)]
-pub struct Learned {
-    pub costs: Recent,
-    pub memories: Recent,
-    pub cost_ratios: Recent,
-    pub memory_ratios: Recent,
-    pub stretches: Recent,
-    pub deadlines: Recent,
+pub struct ClassEstimates {
+    pub costs: SampleWindow,
+    pub memories: SampleWindow,
+    pub cost_ratios: SampleWindow,
+    pub memory_ratios: SampleWindow,
+    pub stretches: SampleWindow,
+    pub deadlines: SampleWindow,
 }
 
 /// Requests of one key in the order taken, and the rest owed after an attempt that may still run.
 #[derive(Clone, Default)]
-pub struct Line {
+pub struct KeyQueue {
     pub requests: VecDeque<RequestId>,
     pub rest: Option<(RequestId, Duration)>,
 }
 
 /// What one round of the rules sees: run over that on an idle engine, by request class; this router's
 /// share; the engines; the thresholds, kept up as requests leave.
-pub struct Sight {
+pub struct FleetSnapshot {
     pub runs: Vec<f64>,
     pub share: f64,
-    pub engines: BTreeMap<EngineId, Seen>,
+    pub engines: BTreeMap<EngineId, EngineView>,
     pub gateways: Vec<Gateway>,
 }
 
-pub struct Seen {
+pub struct EngineView {
     pub pressed: Option<bool>,
     pub silence: f64,
     pub sick: bool,
@@ -134,9 +134,9 @@
     pub pool: f64,
 }
 
-impl Learned {
+impl ClassEstimates {
     pub fn keeping(samples: usize) -> Self {
-        let recent = || Recent::keeping(samples);
+        let recent = || SampleWindow::keeping(samples);
         Self {
             costs: recent(),
             memories: recent(),
@@ -160,9 +160,9 @@
             listed: now,
             cold_since: row.launched,
             out: Vec::new(),
-            sent: Recent::keeping(samples * samples),
-            stretches: Recent::keeping(samples),
-            bad: Recent::keeping(outcomes),
+            sent: SampleWindow::keeping(samples * samples),
+            stretches: SampleWindow::keeping(samples),
+            bad: SampleWindow::keeping(outcomes),
             heard: now,
             refused: None,
             report: None,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -620,9 +620,9 @@
 fn a_attempt_of_which_nothing_is_noted_is_taken_back_while_its_engine_answers_others() {
     let mut trace = Trace::new(2, |_, _, _| {});
     trace.accept(0, 2000, 300.0).accept(0, 2000, 300.0).accept(0, 2000, 300.0);
-    for beat in 1..6 {
-        let done = ProgressNote::Done(0.1 * beat as f64);
-        trace.at(beat * 450).progress_noted(1, 0, done).progress_noted(2, 0, done);
+    for shortest_objective in 1..6 {
+        let done = ProgressNote::Done(0.1 * shortest_objective as f64);
+        trace.at(shortest_objective * 450).progress_noted(1, 0, done).progress_noted(2, 0, done);
     }
     trace.wait(2300);
     expect![[r#"
