--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -1,16 +1,16 @@
-//! A world round the whole router but its sockets: clients' connections, the floor, the module, the connections
+//! A world round the whole router but its sockets: clients' connections, the dispatcher, the module, the connections
 //! to one or two engines, and a planned restart. What the clients read is what they judge by.
 
 use crate::links::{Came, Far, Socket};
 use crate::search::Walk;
 use crate::witness;
+use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::bulletin::Row;
+use emberflow_router::context::Context;
 use emberflow_router::engines::Ask;
-use emberflow_router::front::Front;
-use emberflow_router::premises::Briefing;
 use emberflow_router::resp;
+use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
-use emberflow_router::works::Works;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -158,7 +158,7 @@
 #[derive(Clone)]
 pub struct Home {
     pub now: Duration,
-    front: Front,
+    server: Server,
     seats: Vec<Seat>,
     asked: Vec<Asked>,
     far: BTreeMap<Slot, Far>,
@@ -257,10 +257,11 @@
 }
 
 fn keeps(home: &Home, act: &Act) -> bool {
-    let floor = &home.front.floor;
-    let (_, links, attempts) = floor.engines.held();
-    let kept = links + attempts + floor.works.timers.len() + floor.clients.table.len() + home.far.len();
-    matches!(act, Act::Rests) && !home.front.left && (kept > 0 || !floor.requests.is_empty())
+    let dispatcher = &home.server.dispatcher;
+    let (_, links, attempts) = dispatcher.engines.held();
+    let held_counts =
+        links + attempts + dispatcher.context.timers.len() + dispatcher.clients.table.len() + home.far.len();
+    matches!(act, Act::Rests) && !home.server.left && (held_counts > 0 || !dispatcher.requests.is_empty())
 }
 
 fn req(number: u64) -> String {
@@ -271,12 +272,12 @@
     fn new(world: &House) -> Self {
         let now = Duration::from_secs(20);
         let file: Value = serde_json::from_str(CONFIGURATION).expect("the world's configuration is JSON");
-        let briefing = Briefing::read(&file, None).expect("the world's configuration makes sense");
-        let mut front = Front::new(briefing, Works { now, ..Works::default() });
-        front.listed(true, &Self::rows(world, true));
+        let bootstrap = Bootstrap::read(&file, None).expect("the world's configuration makes sense");
+        let mut server = Server::new(bootstrap, Context { now, ..Context::default() });
+        server.listed(true, &Self::rows(world, true));
         let mut home = Self {
             now,
-            front,
+            server,
             seats: Vec::new(),
             asked: Vec::new(),
             far: BTreeMap::new(),
@@ -288,7 +289,7 @@
             broken: None,
         };
         for _ in world.lines {
-            let slot = home.front.admit();
+            let slot = home.server.admit();
             let room = world.slow.then_some(FEW);
             let (begun, rest) = (Vec::new(), None);
             home.seats.push(Seat { slot, here: true, shut: false, said: 0, room, begun, rest });
@@ -338,7 +339,7 @@
     /// Whether an answer is still owed; one that its client has not read to the end is its own affair.
     fn open(&self, asked: &Asked) -> bool {
         let seat = &self.seats[asked.client];
-        let unread = seat.room.is_some() && !self.front.owes(seat.slot, asked.id);
+        let unread = seat.room.is_some() && !self.server.owes(seat.slot, asked.id);
         asked.answers == 0 && !asked.withdrawn && seat.here && !unread
     }
 
@@ -358,7 +359,7 @@
                 format!(r#"{{"jsonrpc":"2.0","method":"withdraw","params":{{"req":"{}"}}}}"#, req(number))
             }
             Line::Nonsense => "{".to_owned(),
-            Line::Endless => " ".repeat(self.front.floor.premises.most_bytes()),
+            Line::Endless => " ".repeat(self.server.dispatcher.config.most_bytes()),
         }
         .into_bytes();
         if !matches!(world.lines[client][line], Line::Endless) {
@@ -392,9 +393,9 @@
 
     fn hear(&mut self, client: usize, mut came: Came) {
         let slot = self.seats[client].slot;
-        let now = self.front.floor.works.now();
-        self.front.glance(now, [(slot, &mut came)]);
-        while self.front.hear(slot, now, &mut came, || false) {}
+        let now = self.server.dispatcher.context.now();
+        self.server.glance(now, [(slot, &mut came)]);
+        while self.server.hear(slot, now, &mut came, || false) {}
     }
 
     fn answer(&mut self, link: Slot, call: usize, word: &str, body: &str) {
@@ -406,31 +407,31 @@
     }
 
     fn bring(&mut self, link: Slot, mut came: Came) {
-        let floor = &mut self.front.floor;
-        floor.engines.read(link, &mut came, &mut floor.works);
+        let dispatcher = &mut self.server.dispatcher;
+        dispatcher.engines.read(link, &mut came, &mut dispatcher.context);
     }
 
-    /// Does what the front asks for, as the edge would, and holds what clients and engines see against the laws.
+    /// Does what the server asks for, as the edge would, and holds what clients and engines see against the laws.
     fn pump(&mut self, actor: Option<usize>) {
         loop {
-            self.front.tell();
+            self.server.tell();
             let mut quiet = true;
-            while let Some(ask) = self.front.floor.engines.asks.pop_front() {
+            while let Some(ask) = self.server.dispatcher.engines.asks.pop_front() {
                 quiet = false;
                 match ask {
                     Ask::Dial(link, _) => drop(self.far.insert(link, Far::default())),
                     Ask::Close(link) => drop(self.far.remove(&link)),
                 }
             }
-            for link in std::mem::take(&mut self.front.floor.engines.unsent) {
+            for link in std::mem::take(&mut self.server.dispatcher.engines.unsent) {
                 quiet = false;
                 self.flush(link);
             }
-            for slot in std::mem::take(&mut self.front.floor.clients.unsaid) {
+            for slot in std::mem::take(&mut self.server.dispatcher.clients.unsaid) {
                 quiet = false;
                 self.reads(slot);
             }
-            for (slot, mut last) in std::mem::take(&mut self.front.closed) {
+            for (slot, mut last) in std::mem::take(&mut self.server.closed) {
                 quiet = false;
                 let mut words = Vec::new();
                 last.drain(&mut words).expect("a client that reads");
@@ -451,7 +452,7 @@
     fn reads(&mut self, slot: Slot) {
         let Some(seat) = self.seats.iter_mut().find(|seat| seat.slot == slot) else { return };
         let mut far = Far::taking(seat.room);
-        self.front.floor.clients.drain(slot, &mut Socket(&mut far)).expect("a client that only blocks");
+        self.server.dispatcher.clients.drain(slot, &mut Socket(&mut far)).expect("a client that only blocks");
         seat.room = far.room;
         self.read(slot, &far.inbox);
     }
@@ -475,7 +476,7 @@
 
     fn flush(&mut self, link: Slot) {
         let Some(far) = self.far.get_mut(&link) else { return };
-        self.front.floor.engines.drain(link, &mut Socket(far)).expect("a far end that reads");
+        self.server.dispatcher.engines.drain(link, &mut Socket(far)).expect("a far end that reads");
         let inbox = std::mem::take(&mut far.inbox);
         let mut taken = 0;
         while let Ok(Some((parts, length))) = resp::parse(&inbox[taken..]) {
@@ -513,7 +514,7 @@
     }
 
     fn moves(&self, home: &Home, moves: &mut Vec<Step>) {
-        if home.broken.is_some() || home.front.left {
+        if home.broken.is_some() || home.server.left {
             return;
         }
         for (client, seat) in home.seats.iter().enumerate().filter(|(_, seat)| seat.here && !seat.shut) {
@@ -551,7 +552,7 @@
         if self.restarts && !home.terminated {
             moves.push(Step::Terminate);
         }
-        if !home.front.floor.works.timers.is_empty() {
+        if !home.server.dispatcher.context.timers.is_empty() {
             moves.push(Step::Pass);
         }
     }
@@ -587,13 +588,13 @@
             }
             Step::Up { link } => {
                 next.far.entry(link).and_modify(|far| far.up = true);
-                let floor = &mut next.front.floor;
-                floor.engines.came_up(link, &mut floor.works);
+                let dispatcher = &mut next.server.dispatcher;
+                dispatcher.engines.came_up(link, &mut dispatcher.context);
             }
             Step::Refuse { link } => {
                 next.faults += 1;
-                let floor = &mut next.front.floor;
-                floor.engines.refused(link, false, "refused", &mut floor.works);
+                let dispatcher = &mut next.server.dispatcher;
+                dispatcher.engines.refused(link, false, "refused", &mut dispatcher.context);
             }
             Step::Hit { link, call } => {
                 let body = format!("request {}\tcall {call}\tx\n", next.calls[call].req);
@@ -613,32 +614,32 @@
             }
             Step::Drain => {
                 next.drained = true;
-                next.front.listed(false, &Home::rows(self, false)[..1]);
+                next.server.listed(false, &Home::rows(self, false)[..1]);
             }
             Step::Terminate => {
                 next.terminated = true;
-                next.front.close();
+                next.server.close();
             }
             Step::Pass => {
-                let to = next.front.works().timers.first().map_or(next.now, |at| at.max(next.now));
+                let to = next.server.context().timers.first().map_or(next.now, |at| at.max(next.now));
                 next.judge(&Act::Pass { to });
                 next.now = to;
-                next.front.works().now = to;
-                while let Some(due) = next.front.works().timers.pop(to) {
-                    next.front.due(due);
+                next.server.context().now = to;
+                while let Some(due) = next.server.context().timers.pop(to) {
+                    next.server.due(due);
                     next.pump(None);
                 }
             }
         }
         next.pump(actor);
-        next.front.clear();
+        next.server.clear();
         next.pump(actor);
         next
     }
 
-    fn print(&self, home: &Home) -> u64 {
+    fn fingerprint(&self, home: &Home) -> u64 {
         let mut into = DefaultHasher::new();
-        home.front.print(&mut into);
+        home.server.fingerprint(&mut into);
         for far in home.far.values() {
             (far.up, far.pings).hash(&mut into);
         }
@@ -656,7 +657,7 @@
             let place = home.far.keys().position(|link| *link == call.link).filter(|_| !call.ended);
             (call.req, call.asked, call.ended, call.ran, place).hash(&mut into);
         }
-        (home.faults, home.drained, home.terminated, home.front.left, home.broken).hash(&mut into);
+        (home.faults, home.drained, home.terminated, home.server.left, home.broken).hash(&mut into);
         into.finish()
     }
 
--- a/crates/explorer/src/laws.rs
+++ b/crates/explorer/src/laws.rs
@@ -91,7 +91,7 @@
 fn late_answer(_: &World, life: &Life, act: &Act) -> bool {
     let Act::Pass { to } = act else { return false };
     let late = |request: &Truth| {
-        request.open() && (request.deadline <= *to || life.closing.is_some_and(|by| by <= *to))
+        request.open() && (request.deadline <= *to || life.shutdown_at.is_some_and(|by| by <= *to))
     };
     // What nothing would wake the module for is another law's matter.
     !life.wakes.is_empty() && life.requests.iter().any(late)
--- a/crates/explorer/src/life.rs
+++ b/crates/explorer/src/life.rs
@@ -144,10 +144,10 @@
     pub rests: Vec<(KeyId, RequestId, Duration)>,
     pub listed: u8,
     pub left: u8,
-    pub closing: Option<Duration>,
+    pub shutdown_at: Option<Duration>,
     pub watched: bool,
     pub broken: Option<&'static Law>,
-    pub print: u64,
+    pub fingerprint: u64,
 }
 
 impl std::fmt::Debug for Life {
@@ -158,13 +158,13 @@
 
 impl PartialEq for Life {
     fn eq(&self, other: &Self) -> bool {
-        self.print == other.print
+        self.fingerprint == other.fingerprint
     }
 }
 
 impl Hash for Life {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.print.hash(state);
+        self.fingerprint.hash(state);
     }
 }
 
@@ -205,10 +205,10 @@
             rests: Vec::new(),
             listed: 0,
             left: 0,
-            closing: None,
+            shutdown_at: None,
             watched: false,
             broken: None,
-            print: 0,
+            fingerprint: 0,
         };
         let site =
             Site { ready: true, gone: false, forgotten: false, launched: None, told: now, sent: Vec::new() };
@@ -241,8 +241,8 @@
             .hash(&mut digest);
             digest.finish()
         };
-        let with = Print { now: self.now, more, alike: world.alike, beside: &beside };
-        self.scheduler.print(&with, &mut digest);
+        let with = Fingerprint { now: self.now, more, alike: world.alike, beside: &beside };
+        self.scheduler.fingerprint(&with, &mut digest);
         for site in self.sites.iter().filter(|site| site.forgotten) {
             (site.ready, site.gone).hash(&mut digest);
         }
@@ -266,9 +266,9 @@
             self.further.iter().for_each(|at| (self.now - *at).hash(&mut digest));
         }
         (self.requests.len(), self.listed, self.left, self.watched).hash(&mut digest);
-        self.closing.map(|by| by.saturating_sub(self.now)).hash(&mut digest);
+        self.shutdown_at.map(|by| by.saturating_sub(self.now)).hash(&mut digest);
         self.broken.map(|law| law.name).hash(&mut digest);
-        self.print = digest.finish();
+        self.fingerprint = digest.finish();
     }
 
     /// All that may happen next.
@@ -279,7 +279,7 @@
         let held = self.requests.iter().any(|request| request.open() && request.out().is_none());
         // Chance counts where something may be sent.
         let draws = |may_send: bool| if may_send && world.engines.len() > 1 { 0..DRAWS } else { 0..1 };
-        let coming = self.requests.len() < world.requests.len() && self.closing.is_none();
+        let coming = self.requests.len() < world.requests.len() && self.shutdown_at.is_none();
         if coming {
             moves.extend(draws(true).map(|draw| Move::Arrive { draw }));
         }
@@ -336,7 +336,7 @@
         if due.is_some_and(|at| at <= self.now) {
             moves.extend(draws(held).map(|draw| Move::Wake { draw }));
         }
-        if world.closes && self.closing.is_none() && !self.requests.is_empty() {
+        if world.closes && self.shutdown_at.is_none() && !self.requests.is_empty() {
             moves.push(Move::Close);
         }
         let overdue = due.is_some_and(|at| at + world.late <= self.now);
@@ -366,7 +366,7 @@
         }
         if self.requests.iter().any(Truth::open) {
             times.extend(self.rests.iter().flat_map(|(.., until)| before(*until)));
-            times.extend(self.closing);
+            times.extend(self.shutdown_at);
         }
         // Where a cold engine's window ends, another request may find room.
         if self.requests.len() < world.requests.len() {
@@ -388,7 +388,7 @@
         let mut acts = Acts::default();
         scheduler.endpoints_changed(self.now, true, Vec::new(), &mut acts);
         let quiet = acts.0.iter().all(|act| matches!(act, Act::Forget { .. }));
-        quiet && (scheduler.kept().requests, scheduler.kept().engines) == (0, 0)
+        quiet && (scheduler.held_counts().requests, scheduler.held_counts().engines) == (0, 0)
     }
 
     pub fn step(&self, world: &World, step: &Move) -> Self {
@@ -457,8 +457,8 @@
             }
             Move::Close => {
                 let by = now + world.classes[0].deadline;
-                life.closing = Some(by);
-                life.scheduler.closing(now, by, &mut acts);
+                life.shutdown_at = Some(by);
+                life.scheduler.shutting_down(now, by, &mut acts);
             }
             Move::Pass => {
                 let to = life.next_instant(world).unwrap_or(now);
--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -6,11 +6,11 @@
 use crate::witness;
 use emberflow::{AttemptOutcome, EngineId, RequestId};
 use emberflow_router::bulletin::Row;
+use emberflow_router::context::Context;
 use emberflow_router::engines::{Ask, Call, Engines, News};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
-use emberflow_router::works::Works;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{Cursor, Read, Write};
@@ -127,7 +127,7 @@
 #[derive(Clone)]
 pub struct Scene {
     pub now: Duration,
-    works: Works,
+    context: Context,
     engines: Engines,
     engine: EngineId,
     ready: bool,
@@ -180,7 +180,7 @@
         "no call begins to leave for an engine after its drain was told",
         |scene, act| matches!(act, Act::Leaves) && !scene.ready,
     ),
-    Law("nothing kept", "at rest there is no attempt, connection or deadline", keeps),
+    Law("nothing held_counts", "at rest there is no attempt, connection or deadline", keeps),
 ];
 
 fn ends_twice(scene: &Scene, act: &Act) -> bool {
@@ -220,7 +220,7 @@
 
 fn keeps(scene: &Scene, act: &Act) -> bool {
     let (_, links, attempts) = scene.engines.held();
-    matches!(act, Act::Rests) && links + attempts + scene.works.timers.len() + scene.far.len() > 0
+    matches!(act, Act::Rests) && links + attempts + scene.context.timers.len() + scene.far.len() > 0
 }
 
 pub(crate) struct Socket<'a>(pub &'a mut Far);
@@ -282,14 +282,14 @@
 impl Scene {
     fn new(world: &Links) -> Self {
         let now = Duration::from_secs(20);
-        let mut works = Works { now, ..Works::default() };
+        let mut context = Context { now, ..Context::default() };
         let mut engines = Engines::new(world.streams, COMES_UP, IDLE, world.most_links);
-        let engine = engines.listed(&row(7, true, false, 0), &mut works).engine;
+        let engine = engines.listed(&row(7, true, false, 0), &mut context).engine;
         let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
         Self {
             now,
-            works,
+            context,
             engines,
             engine,
             ready: true,
@@ -348,7 +348,7 @@
         let owing: Vec<Slot> =
             self.owing.iter().filter(|(by, _)| *by == request).map(|(_, link)| *link).collect();
         // The attempt must be known before its news is.
-        let slot = self.engines.send(self.engine, call, &owing, &mut self.works);
+        let slot = self.engines.send(self.engine, call, &owing, &mut self.context);
         let until = self.now + DEADLINE;
         self.attempts.push(Attempt {
             request,
@@ -401,7 +401,7 @@
                 _ => {}
             }
         }
-        self.engines.read(link, &mut Came::then_silent(bytes), &mut self.works);
+        self.engines.read(link, &mut Came::then_silent(bytes), &mut self.context);
     }
 
     /// Does what the machine asks for and holds what it tells against the laws; `only` may end by it.
@@ -558,7 +558,7 @@
         if !scene.listed {
             moves.extend(self.listed.iter().map(|what| Step::List { what: *what }));
         }
-        if scene.works.timers.first().is_some() {
+        if scene.context.timers.first().is_some() {
             moves.push(Step::Pass);
         }
     }
@@ -570,9 +570,9 @@
             Step::Call { request } => next.call(request),
             Step::Up { link } => {
                 next.far.entry(link).and_modify(|far| far.up = true);
-                next.engines.came_up(link, &mut next.works);
+                next.engines.came_up(link, &mut next.context);
             }
-            Step::Refuse { link } => next.engines.refused(link, false, "refused", &mut next.works),
+            Step::Refuse { link } => next.engines.refused(link, false, "refused", &mut next.context),
             Step::Says { link, call, word } => {
                 next.faults += u8::from(matches!(word, Word::Half | Word::Again | Word::Stray | Word::Noise));
                 // What ends by a well-formed answer is its own attempt; what noise ends is all on the connection.
@@ -581,13 +581,13 @@
             }
             Step::Resets { link } => {
                 next.faults += 1;
-                next.engines.read(link, &mut Came::then_reset(), &mut next.works);
+                next.engines.read(link, &mut Came::then_reset(), &mut next.context);
             }
             Step::Flows { link } => {
                 next.far.entry(link).and_modify(|far| far.room = None);
                 next.flush(link);
             }
-            Step::Cancel { call } => next.engines.cancel(next.attempts[call].slot, &mut next.works),
+            Step::Cancel { call } => next.engines.cancel(next.attempts[call].slot, &mut next.context),
             Step::List { what } => {
                 next.listed = true;
                 let anew = (next.now + Duration::from_millis(1)).as_millis() as u64;
@@ -597,27 +597,27 @@
                     Told::Gone | Told::Replaced => (7, false, true, 0),
                 };
                 next.ready = ready;
-                next.engines.listed(&row(id, ready, gone, since), &mut next.works);
+                next.engines.listed(&row(id, ready, gone, since), &mut next.context);
                 if gone {
-                    next.engines.forget(next.engine, &mut next.works);
+                    next.engines.forget(next.engine, &mut next.context);
                 }
                 if what == Told::Replaced {
-                    let fresh = next.engines.listed(&row(8, true, false, anew), &mut next.works);
+                    let fresh = next.engines.listed(&row(8, true, false, anew), &mut next.context);
                     (next.engine, next.ready) = (fresh.engine, true);
                 }
             }
             Step::Pass => {
-                let to = next.works.timers.first().map_or(next.now, |at| at.max(next.now));
+                let to = next.context.timers.first().map_or(next.now, |at| at.max(next.now));
                 next.judge(&Act::Passes { to });
                 next.now = to;
-                next.works.now = next.now;
-                while let Some(due) = next.works.timers.pop(next.now) {
-                    let (engines, works) = (&mut next.engines, &mut next.works);
+                next.context.now = next.now;
+                while let Some(due) = next.context.timers.pop(next.now) {
+                    let (engines, context) = (&mut next.engines, &mut next.context);
                     match due {
-                        Timer::Attempt(slot) => engines.overdue(slot, works),
-                        Timer::Link(slot) => engines.link_overdue(slot, next.now, works),
-                        Timer::Whole(slot) => engines.not_whole(slot, works),
-                        Timer::Idle(slot) => engines.link_idle(slot, works),
+                        Timer::Attempt(slot) => engines.overdue(slot, context),
+                        Timer::Link(slot) => engines.link_overdue(slot, next.now, context),
+                        Timer::Whole(slot) => engines.not_whole(slot, context),
+                        Timer::Idle(slot) => engines.link_idle(slot, context),
                         _ => {}
                     }
                 }
@@ -627,9 +627,9 @@
         next
     }
 
-    fn print(&self, scene: &Scene) -> u64 {
+    fn fingerprint(&self, scene: &Scene) -> u64 {
         let mut into = DefaultHasher::new();
-        scene.engines.print(scene.now, &mut into);
+        scene.engines.fingerprint(scene.now, &mut into);
         let places: BTreeMap<Slot, usize> = scene.far.keys().copied().zip(0..).collect();
         for far in scene.far.values() {
             (far.up, far.room, &far.inbox, &far.got, &far.asked, far.pings, &far.rest, far.spoilt)
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -16,8 +16,8 @@
 const LOGIC: &str = "src/logic.rs";
 const STATE: &str = "src/state.rs";
 
-const FLOOR: &str = "crates/router/src/floor.rs";
-const FRONT: &str = "crates/router/src/front.rs";
+const FLOOR: &str = "crates/router/src/dispatch.rs";
+const FRONT: &str = "crates/router/src/server.rs";
 const CLIENTS: &str = "crates/router/src/clients.rs";
 const QUEUES: &str = "crates/teams/src/queues.rs";
 const ORDER: &str = "crates/teams/src/order.rs";
@@ -123,7 +123,7 @@
     logic("a client that left is not noted", "if over { request.over = true }", "if over { let _ = id; }"),
     logic(
         "the end of the process is not heeded",
-        "soon >= scheduler.closing || request.held() && hopeless()",
+        "soon >= scheduler.shutdown_at || request.held() && hopeless()",
         "request.held() && hopeless()",
     ),
     engines(
@@ -152,8 +152,8 @@
         "if attempt.id.is_empty() || attempt.written.is_some() {",
     ),
     engines(
-        "idle connections are kept",
-        "works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));",
+        "idle connections are held_counts",
+        "context.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));",
         "",
     ),
     engines(
@@ -173,13 +173,13 @@
     ),
     engines(
         "an attempt without a deadline",
-        "        works.timers.set(call.until, Timer::Attempt(attempt));\n",
+        "        context.timers.set(call.until, Timer::Attempt(attempt));\n",
         "",
     ),
     Mutant {
         name: "an answered request goes on",
         file: FLOOR,
-        from: "            self.engines.cancel(*attempt, &mut self.works);\n        }\n        Some(request)",
+        from: "            self.engines.cancel(*attempt, &mut self.context);\n        }\n        Some(request)",
         to: "            let _ = attempt;\n        }\n        Some(request)",
     },
     Mutant {
@@ -197,25 +197,25 @@
     Mutant {
         name: "a withdrawal that is not told",
         file: FRONT,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.floor);\n",
-        to: "        self.scheduler.clients_left(now, &[], &left, &mut self.floor);\n",
+        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);\n",
+        to: "        self.scheduler.clients_left(now, &[], &left, &mut self.dispatcher);\n",
     },
     Mutant {
         name: "a client that ended its side is sent for",
         file: FRONT,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.floor);\n",
-        to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.floor);\n",
+        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);\n",
+        to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.dispatcher);\n",
     },
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
         file: FRONT,
-        from: "                .for_each(|attempt| self.floor.engines.keep_back(attempt, &mut self.floor.works));\n",
+        from: "                .for_each(|attempt| self.dispatcher.engines.keep_back(attempt, &mut self.dispatcher.context));\n",
         to: "                .for_each(drop);\n",
     },
     Mutant {
         name: "the module hears of no end",
         file: FRONT,
-        from: "        self.scheduler.closing(now, by, &mut self.floor);\n",
+        from: "        self.scheduler.shutting_down(now, by, &mut self.dispatcher);\n",
         to: "",
     },
     Mutant {
@@ -225,7 +225,7 @@
         to: "        let _ = requests;\n        clients",
     },
     Mutant {
-        name: "silent clients are kept",
+        name: "silent clients are held_counts",
         file: CLIENTS,
         from: "if due <= now { Ok(begun) } else { Err(due) }",
         to: "if due > now { Err(due) } else if begun { Ok(begun) } else { Err(now + IDLE) }",
@@ -248,7 +248,7 @@
     bulletin("an unknown kind listed", "row.kind >= self.kinds", "row.kind > self.kinds"),
     bulletin("the last event forgotten", "self.last = frame.0;", ""),
     bulletin(
-        "half a frame kept over a new connection",
+        "half a frame held_counts over a new connection",
         "Self { input: Ring::default(), greeted: false, ..*self }",
         "Self { input: self.input.clone(), greeted: false, ..*self }",
     ),
@@ -387,10 +387,10 @@
     let names = |dir: &Path| -> std::io::Result<Vec<PathBuf>> {
         std::fs::read_dir(dir)?.map(|entry| Ok(entry?.file_name().into())).collect()
     };
-    let kept = names(from)?;
-    for name in names(to)?.into_iter().filter(|name| !kept.contains(name)) {
+    let held_counts = names(from)?;
+    for name in names(to)?.into_iter().filter(|name| !held_counts.contains(name)) {
         let stale = to.join(name);
         if stale.is_dir() { std::fs::remove_dir_all(stale)? } else { std::fs::remove_file(stale)? }
     }
-    kept.iter().try_for_each(|name| mirror(&from.join(name), &to.join(name)))
+    held_counts.iter().try_for_each(|name| mirror(&from.join(name), &to.join(name)))
 }
--- a/crates/explorer/src/paper.rs
+++ b/crates/explorer/src/paper.rs
@@ -267,7 +267,7 @@
         next
     }
 
-    fn print(&self, desk: &Desk) -> u64 {
+    fn fingerprint(&self, desk: &Desk) -> u64 {
         let mut into = DefaultHasher::new();
         (desk.reader.input.len(), desk.reader.last, &desk.held, desk.last, desk.told).hash(&mut into);
         (&desk.rest, desk.lost, desk.faults, desk.breaks, desk.broken).hash(&mut into);
--- a/crates/explorer/src/search.rs
+++ b/crates/explorer/src/search.rs
@@ -16,7 +16,7 @@
     fn moves(&self, state: &Self::State, moves: &mut Vec<Self::Move>);
     fn step(&self, state: &Self::State, step: &Self::Move) -> Self::State;
     /// The same for states that go on alike.
-    fn print(&self, state: &Self::State) -> u64;
+    fn fingerprint(&self, state: &Self::State) -> u64;
     /// The law that a state's last step broke; `last` where nothing can come any more.
     fn broken(&self, state: &Self::State, last: bool) -> Option<&'static str>;
 }
@@ -73,8 +73,8 @@
     fn write(&mut self, _: &[u8]) {
         unreachable!("only whole prints are looked up");
     }
-    fn write_u64(&mut self, print: u64) {
-        self.0 = print;
+    fn write_u64(&mut self, fingerprint: u64) {
+        self.0 = fingerprint;
     }
 }
 
@@ -87,7 +87,7 @@
 pub fn walk<W: Walk>(world: &W, bounds: Bounds) -> Report<W> {
     let begun = Instant::now();
     let start = world.start();
-    let first = world.print(&start);
+    let first = world.fingerprint(&start);
     let mut origins = Origins::default();
     origins.insert(first, (first, u32::MAX));
     let (covered, took, mut found) = (Covered::Whole, Duration::ZERO, None);
@@ -111,12 +111,12 @@
                 let law = world.broken(state, moves.is_empty());
                 let to = |(at, step): (usize, &W::Move)| {
                     let state = world.step(state, step);
-                    (world.print(&state), at as u32, state)
+                    (world.fingerprint(&state), at as u32, state)
                 };
                 let ways = moves.iter().enumerate().filter(|_| law.is_none());
                 let reached: Vec<_> =
-                    ways.map(to).filter(|(print, ..)| !origins.contains_key(print)).collect();
-                (world.print(state), law, reached, moves.is_empty())
+                    ways.map(to).filter(|(fingerprint, ..)| !origins.contains_key(fingerprint)).collect();
+                (world.fingerprint(state), law, reached, moves.is_empty())
             };
             let spread: Vec<_> = batch.par_iter().map(spread).collect();
             // In the order of the batch, whoever was first: the same on every run.
@@ -126,8 +126,8 @@
                     found = Some(Found { law, path: path(world, &origins, from) });
                     break 'levels;
                 }
-                for (print, at, state) in reached {
-                    if let Entry::Vacant(entry) = origins.entry(print) {
+                for (fingerprint, at, state) in reached {
+                    if let Entry::Vacant(entry) = origins.entry(fingerprint) {
                         entry.insert((from, at));
                         next.push(state);
                     }
--- a/crates/explorer/src/story.rs
+++ b/crates/explorer/src/story.rs
@@ -72,7 +72,7 @@
         Move::Wake { draw } => drawn(draw, ".woken()".to_owned()),
         Move::Close => {
             let by = life.now + world.classes[0].deadline;
-            Some(format!(".closing({})", by.as_millis()))
+            Some(format!(".shutting_down({})", by.as_millis()))
         }
         Move::Pass => None,
     }
--- a/crates/explorer/src/turns.rs
+++ b/crates/explorer/src/turns.rs
@@ -254,9 +254,9 @@
         next
     }
 
-    fn print(&self, hall: &Hall) -> u64 {
+    fn fingerprint(&self, hall: &Hall) -> u64 {
         let mut into = DefaultHasher::new();
-        hall.queues.print(hall.now, &mut into);
+        hall.queues.fingerprint(hall.now, &mut into);
         (&hall.stands, hall.passed_by, hall.turns, hall.changed, hall.passes, hall.backs, hall.broken)
             .hash(&mut into);
         into.finish()
--- a/crates/explorer/src/world.rs
+++ b/crates/explorer/src/world.rs
@@ -206,8 +206,8 @@
         life.step(self, step)
     }
 
-    fn print(&self, life: &Life) -> u64 {
-        life.print
+    fn fingerprint(&self, life: &Life) -> u64 {
+        life.fingerprint
     }
 
     fn broken(&self, life: &Life, last: bool) -> Option<&'static str> {
--- a/crates/explorer/tests/random.rs
+++ b/crates/explorer/tests/random.rs
@@ -4,7 +4,7 @@
 use emberflow_explorer::search::Walk;
 use emberflow_explorer::world::{Asks, Place, World, asks};
 use emberflow_explorer::{house, links};
-use emberflow_router::premises::Briefing;
+use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::ring::Ring;
 use emberflow_router::{bulletin, jsonrpc, resp};
 use proptest::prelude::*;
@@ -134,9 +134,9 @@
             let parsed = resp::parse(bytes)?;
             Ok(parsed.map(|(parts, length)| (parts.iter().map(|part| part.to_vec()).collect::<Vec<_>>(), length)))
         };
-        let (front, back) = bytes.split_at(at % (bytes.len() + 1));
+        let (server, back) = bytes.split_at(at % (bytes.len() + 1));
         let single: Vec<&[u8]> = bytes.chunks(1).collect();
-        prop_assert_eq!(told(&[&bytes], parse), told(&[front, back], parse));
+        prop_assert_eq!(told(&[&bytes], parse), told(&[server, back], parse));
         prop_assert_eq!(told(&[&bytes], parse), told(&single, parse));
     }
 
@@ -147,8 +147,8 @@
             let rows = |event: &Option<bulletin::Event>| event.as_ref().map(|(whole, rows)| (*whole, rows.len()));
             Ok(parsed.map(|((number, event), length)| ((number, rows(&event)), length)))
         };
-        let (front, back) = bytes.split_at(at % (bytes.len() + 1));
-        prop_assert_eq!(told(&[&bytes], parse), told(&[front, back], parse));
+        let (server, back) = bytes.split_at(at % (bytes.len() + 1));
+        prop_assert_eq!(told(&[&bytes], parse), told(&[server, back], parse));
     }
 
     #[test]
@@ -166,7 +166,7 @@
         let at = at % text.len();
         let spoilt = format!("{}{with}{}", &text[..at], &text[at + 1..]);
         if let Ok(file) = serde_json::from_str(&spoilt) {
-            let _ = Briefing::read(&file, None);
+            let _ = Bootstrap::read(&file, None);
         }
     }
 }
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -175,7 +175,7 @@
     fn step(&self, _: &u64, step: &u64) -> u64 {
         *step
     }
-    fn print(&self, state: &u64) -> u64 {
+    fn fingerprint(&self, state: &u64) -> u64 {
         *state
     }
     fn broken(&self, state: &u64, _: bool) -> Option<&'static str> {
--- a/crates/router/src/door.rs
+++ b/crates/router/src/admission_queue.rs
@@ -1,7 +1,7 @@
 //! The queue before the decisions, where an operator has told teams: what waits there is taken and owed an answer,
 //! and not yet accepted. Whose turn it is and what a wait will be is decided by `emberflow-teams`.
 
-use emberflow::{Arrival, RequestId, Room};
+use emberflow::{Arrival, Capacity, RequestId};
 use emberflow_operator::Roll;
 use emberflow_teams::{Asking, Outcome, Queues, Refusal, Wait};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone)]
-pub struct Door {
+pub struct AdmissionQueue {
     pub roll: Roll,
     queues: Queues,
     waiting: BTreeMap<RequestId, Waiting>,
@@ -42,7 +42,7 @@
 }
 
 /// A request that knocks, beside what the decisions are told of it.
-pub struct Knock {
+pub struct Admission {
     pub team: usize,
     pub urgency: u8,
     /// What makes it the same request as another, and what its order goes by.
@@ -55,7 +55,7 @@
     pub asks_to_be_told: bool,
 }
 
-impl Door {
+impl AdmissionQueue {
     pub fn new(roll: Roll, now: Duration) -> Self {
         let queues = Queues::new(roll.charter.clone(), now);
         let (waiting, due, usages) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
@@ -63,8 +63,9 @@
     }
 
     /// Takes a request in, or tells after what time such a one would be taken.
-    pub fn knock(&mut self, now: Duration, arrival: Arrival, knock: Knock) -> Result<(), Refusal> {
-        let Knock { team, urgency, identity, key, work, latency_objective, margin, asks_to_be_told } = knock;
+    pub fn enqueue(&mut self, now: Duration, arrival: Arrival, admission: Admission) -> Result<(), Refusal> {
+        let Admission { team, urgency, identity, key, work, latency_objective, margin, asks_to_be_told } =
+            admission;
         let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
         let deadline = arrival.deadline.saturating_sub(arrival.waited);
         let (class, identity) = (arrival.class as u16, Some(identity));
@@ -80,7 +81,7 @@
     }
 
     /// The next request to be accepted: one whose time is nearly up, or one whose turn it is and that has room.
-    pub fn next<'a>(&mut self, now: Duration, room: impl FnOnce() -> Room<'a>) -> Option<Arrival> {
+    pub fn next<'a>(&mut self, now: Duration, capacity: impl FnOnce() -> Capacity<'a>) -> Option<Arrival> {
         if self.waiting.is_empty() {
             return None;
         }
@@ -90,10 +91,10 @@
         // Guards the order of keys: those that came before it are handed on before it.
         let late = late.map(|(.., request)| self.queues.first_of_key(*request));
         let its_turn = || {
-            let mut room = room();
+            let mut capacity = capacity();
             self.queues.next(|request| {
                 let waiting = self.waiting.get(&request);
-                waiting.is_some_and(|waiting| room.takes(&waiting.arrival(now)))
+                waiting.is_some_and(|waiting| capacity.admits(&waiting.arrival(now)))
             })
         };
         let request = late.or_else(its_turn)?;
--- a/crates/router/src/premises.rs
+++ b/crates/router/src/bootstrap.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 /// All that is told at start; `listen` takes the place of the configuration's own address.
-pub struct Briefing {
-    pub premises: Premises,
+pub struct Bootstrap {
+    pub config: RouterConfig,
     pub fleet: Fleet,
     pub classes: Vec<RequestClass>,
     pub attempt_limits: AttemptLimits,
@@ -26,12 +26,12 @@
     pub orders: Orders,
 }
 
-impl Briefing {
+impl Bootstrap {
     pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, Fault> {
-        let premises = Premises::read(file, listen)?;
+        let config = RouterConfig::read(file, listen)?;
         let settings = Fields::of(file).part("settings")?;
-        let (last, events) = known(Fields::of(file), &premises.locations, &premises.kinds)?;
-        let (fleet, classes) = (fleet(premises.seed, settings)?, request_classes(settings)?);
+        let (last, events) = known(Fields::of(file), &config.locations, &config.kinds)?;
+        let (fleet, classes) = (fleet(config.seed, settings)?, request_classes(settings)?);
         Ok(Self {
             fleet,
             classes,
@@ -40,13 +40,13 @@
             unread: unknown_reports(settings)?,
             last,
             events,
-            premises,
+            config,
             orders: Orders::default(),
         })
     }
 }
 
-impl Briefing {
+impl Bootstrap {
     /// Takes the operator's own file in, or tells its first fault.
     pub fn order(&mut self, text: &str) -> Result<(), Fault> {
         self.orders = Orders::read(text)?;
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone)]
-pub struct Premises {
+pub struct RouterConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub bulletin: SocketAddr,
@@ -78,7 +78,7 @@
     pub settings: u64,
 }
 
-impl Premises {
+impl RouterConfig {
     fn read(file: &Value, listen: Option<&str>) -> Result<Self, Fault> {
         let file = Fields::of(file);
         let (limits, settings) = (file.part("limits")?, file.part("settings")?);
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -189,8 +189,8 @@
     pub fn overdue(&mut self, slot: Slot, now: Duration) -> Result<bool, Duration> {
         let Some(client) = self.table.get_mut(slot) else { return Ok(false) };
         let begun = !client.input.is_empty();
-        let kept = if begun || !client.heard { STALLED } else { IDLE };
-        let due = if client.waits_for_nothing() { client.active + kept } else { now + STALLED };
+        let held_counts = if begun || !client.heard { STALLED } else { IDLE };
+        let due = if client.waits_for_nothing() { client.active + held_counts } else { now + STALLED };
         client.due = due;
         if due <= now { Ok(begun) } else { Err(due) }
     }
@@ -340,7 +340,7 @@
     }
 
     /// Feeds the state to `into`, times told from `now`: states that print alike go on alike.
-    pub fn print(&self, now: Duration, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, now: Duration, into: &mut impl Hasher) {
         let since = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
         for (_, client) in self.table.iter() {
             (client.input.len(), client.output.len(), client.scanned, &client.open).hash(into);
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
+use crate::bootstrap::Bootstrap;
 use crate::edge::Edge;
-use crate::premises::Briefing;
 use lexopt::prelude::*;
 use std::ffi::{OsStr, OsString};
 use std::process::ExitCode;
@@ -78,22 +78,22 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let path = config.or_else(|| std::env::var_os("EDGE_CONFIG")).ok_or("EDGE_CONFIG is not set")?;
     let listen = std::env::var("EDGE_LISTEN").ok();
-    Edge::run(move || briefing(&path, operator.as_deref(), listen.as_deref()))
+    Edge::run(move || bootstrap(&path, operator.as_deref(), listen.as_deref()))
 }
 
 fn check(path: &OsStr, operator: Option<&OsStr>) -> Result<(), String> {
-    let Briefing { premises, fleet, classes, events, last, unread, orders, .. } =
-        briefing(path, operator, None)?;
+    let Bootstrap { config, fleet, classes, events, last, unread, orders, .. } =
+        bootstrap(path, operator, None)?;
     let engines = events.iter().flat_map(|(_, rows)| rows).map(|row| row.id);
     let engines = engines.collect::<std::collections::BTreeSet<_>>().len();
-    println!("{} listens on {}, bulletin at {}", premises.name, premises.listen, premises.bulletin);
-    println!("limits: {} MB, {} descriptors", premises.memory >> 20, premises.descriptors);
+    println!("{} listens on {}, bulletin at {}", config.name, config.listen, config.bulletin);
+    println!("limits: {} MB, {} descriptors", config.memory >> 20, config.descriptors);
     println!(
         "one of {} routers; {engines} engines of {} kinds by event {last}",
         fleet.routers,
         fleet.kinds.len()
     );
-    println!("{} class types: {}", classes.len(), premises.classes.join(", "));
+    println!("{} class types: {}", classes.len(), config.classes.join(", "));
     unread.iter().for_each(|unread| println!("{unread}, so it goes unread"));
     if let Some(roll) = orders.teams {
         let part = |(at, name): (usize, &String)| format!("{name} {:.1} %", roll.charter.part(at) * 100.0);
@@ -104,7 +104,7 @@
 }
 
 /// Both files, or the first fault of either.
-fn briefing(path: &OsStr, operator: Option<&OsStr>, listen: Option<&str>) -> Result<Briefing, String> {
+fn bootstrap(path: &OsStr, operator: Option<&OsStr>, listen: Option<&str>) -> Result<Bootstrap, String> {
     let read = |path: &OsStr| {
         let shown = path.to_string_lossy().into_owned();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
@@ -112,9 +112,9 @@
     };
     let (shown, text) = read(path)?;
     let file = serde_json::from_str(&text).map_err(|e| format!("{shown}: {e}"))?;
-    let mut briefing = Briefing::read(&file, listen).map_err(|e| format!("{shown}: {e}"))?;
+    let mut bootstrap = Bootstrap::read(&file, listen).map_err(|e| format!("{shown}: {e}"))?;
     if let Some((shown, text)) = operator.map(read).transpose()? {
-        briefing.order(&text).map_err(|e| format!("{shown}: {e}"))?;
+        bootstrap.order(&text).map_err(|e| format!("{shown}: {e}"))?;
     }
-    Ok(briefing)
+    Ok(bootstrap)
 }
--- a/crates/router/src/works.rs
+++ b/crates/router/src/context.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Default)]
-pub struct Works {
+pub struct Context {
     /// The time of the input being taken, set by whoever takes it.
     pub now: Duration,
     /// What the clock showed at the Unix epoch's millisecond 0, as a span before its own zero.
@@ -14,7 +14,7 @@
     pub counters: Counters,
 }
 
-impl Works {
+impl Context {
     pub fn now(&self) -> Duration {
         self.now
     }
--- a/crates/router/src/floor.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,13 +1,13 @@
 //! What the decisions act on: the open requests, and the outlet that carries out what is decided for them.
 
+use crate::bootstrap::RouterConfig;
 use crate::clients::Clients;
 use crate::clock::whole_ms;
+use crate::context::Context;
 use crate::engines::{Call, Engines};
 use crate::jsonrpc;
-use crate::premises::Premises;
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
-use crate::works::Works;
 use emberflow::{Actions, EngineId, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -90,9 +90,9 @@
 
 /// What the decisions act on.
 #[derive(Clone)]
-pub struct Floor {
-    pub premises: Premises,
-    pub works: Works,
+pub struct Dispatcher {
+    pub config: RouterConfig,
+    pub context: Context,
     pub clients: Clients,
     pub engines: Engines,
     pub requests: Requests,
@@ -101,30 +101,30 @@
     pub closed: Option<Vec<(RequestId, &'static str)>>,
 }
 
-impl Actions for Floor {
+impl Actions for Dispatcher {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let Some(row) = self.requests.get_mut(request) else {
-            return self.works.counters.must(false, "a_attempt_of_an_answered_request");
+            return self.context.counters.must(false, "a_attempt_of_an_answered_request");
         };
         let call = Call {
             request,
             number: row.attempts.len(),
             id: &row.req,
-            class: &self.premises.classes[row.class],
+            class: &self.config.classes[row.class],
             opkey: row.opkey.as_deref(),
             statement: &row.statement,
             grant_mb: row.grant_mb,
             priority: row.priority,
             until,
         };
-        let attempt = self.engines.send(engine, call, &row.owing, &mut self.works);
+        let attempt = self.engines.send(engine, call, &row.owing, &mut self.context);
         row.attempts.push(attempt);
     }
     fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
             for attempt in &request.attempts {
-                self.engines.rank(*attempt, priority, &mut self.works);
+                self.engines.rank(*attempt, priority, &mut self.context);
             }
         }
         (request.grant_mb, request.priority) = (grant_mb, priority);
@@ -133,58 +133,58 @@
         if let Some(attempt) =
             self.requests.get(request).and_then(|request| request.attempts.get(attempt)).copied()
         {
-            self.engines.take_back(attempt, &mut self.works);
+            self.engines.take_back(attempt, &mut self.context);
         }
     }
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let holdoff = retry_after.map(whole_ms).filter(|ms| *ms > 0);
         let line = |id| jsonrpc::error(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", holdoff);
         let answered = self.answer(request, "requests_rejected", line);
-        self.works.counters.must(answered, "a_second_answer");
+        self.context.counters.must(answered, "a_second_answer");
     }
     fn fail(&mut self, request: RequestId) {
         let line = |id| jsonrpc::error(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
         let answered = self.answer(request, "requests_failed", line);
-        self.works.counters.must(answered, "a_second_answer");
+        self.context.counters.must(answered, "a_second_answer");
     }
     /// Never asked for here.
     fn probe(&mut self, _: EngineId) {}
     fn wake_after(&mut self, wait: Duration) {
-        self.works.timers.set(self.works.now() + wait, Timer::Wake);
+        self.context.timers.set(self.context.now() + wait, Timer::Wake);
     }
     /// The bulletin tells its changes unasked.
     fn watch(&mut self) {}
     fn forget(&mut self, engine: EngineId) {
-        self.engines.forget(engine, &mut self.works);
+        self.engines.forget(engine, &mut self.context);
     }
 }
 
-impl Floor {
-    /// Nothing open yet, within what the premises allow.
-    pub fn within(premises: Premises, works: Works) -> Self {
-        let clients = Clients::within(premises.most_bytes(), premises.most_held_bytes());
-        let Premises { streams, comes_up, idle_close, .. } = premises;
-        let mut engines = Engines::new(streams, comes_up, idle_close, premises.most_links());
-        engines.may_duplicate = premises.may_duplicate;
+impl Dispatcher {
+    /// Nothing open yet, within what the config allow.
+    pub fn within(config: RouterConfig, context: Context) -> Self {
+        let clients = Clients::within(config.most_bytes(), config.most_held_bytes());
+        let RouterConfig { streams, comes_up, idle_close, .. } = config;
+        let mut engines = Engines::new(streams, comes_up, idle_close, config.most_links());
+        engines.may_duplicate = config.may_duplicate;
         Self {
             clients,
             engines,
-            works,
+            context,
             requests: Requests::default(),
             serving: false,
             closed: None,
-            premises,
+            config,
         }
     }
 
     /// Takes a request in under the next number; tells whether the limits allow it.
     pub fn open(&mut self, request: Request) -> bool {
         let bytes = self.requests.bytes + request.statement.len();
-        if self.requests.table.len() >= self.premises.most_open || bytes > self.premises.most_held_bytes() {
-            self.works.counters.count("requests_over_the_limit");
+        if self.requests.table.len() >= self.config.most_open || bytes > self.config.most_held_bytes() {
+            self.context.counters.count("requests_over_the_limit");
             return false;
         }
-        self.works.counters.count("requests_taken");
+        self.context.counters.count("requests_taken");
         if let Some(client) = self.clients.table.get_mut(request.client) {
             client.open.insert(request.id, self.requests.next);
         }
@@ -193,10 +193,10 @@
     }
 
     /// Feeds the state to `into`: states that print alike go on alike.
-    pub fn print(&self, into: &mut impl Hasher) {
-        let now = self.works.now();
-        self.engines.print(now, into);
-        self.clients.print(now, into);
+    pub fn fingerprint(&self, into: &mut impl Hasher) {
+        let now = self.context.now();
+        self.engines.fingerprint(now, into);
+        self.clients.fingerprint(now, into);
         for (_, request) in self.requests.table.iter() {
             (
                 self.clients.table.place(request.client),
@@ -214,7 +214,7 @@
                 .for_each(|at| at.hash(into));
         }
         // What else falls due is told by the connections and attempts themselves.
-        let due = self.works.timers.iter();
+        let due = self.context.timers.iter();
         let due =
             due.filter(|(_, due)| matches!(due, Timer::Wake | Timer::Bulletin | Timer::Admit | Timer::Leave));
         due.for_each(|(at, due)| (at.as_micros() as i64 - now.as_micros() as i64, due).hash(into));
@@ -227,10 +227,10 @@
         format!(
             "{} held_clients={} held_requests={} held_engines={engines} held_links={links} held_attempts={attempts} \
              held_timers={}",
-            self.works.counters,
+            self.context.counters,
             self.clients.table.len(),
             self.requests.table.len(),
-            self.works.timers.len()
+            self.context.timers.len()
         )
     }
 
@@ -244,14 +244,14 @@
     /// Ends a request for the network; what is still out for it is given up, since nobody waits for it.
     pub fn close(&mut self, number: RequestId, how: &'static str) -> Option<Request> {
         let request = self.requests.take(number)?;
-        self.works.counters.count(how);
+        self.context.counters.count(how);
         log::debug!("task {number}: {how}");
         if let Some(closed) = &mut self.closed {
             closed.push((number, how));
         }
-        self.clients.answered(request.client, request.id, self.works.now());
+        self.clients.answered(request.client, request.id, self.context.now());
         for attempt in &request.attempts {
-            self.engines.cancel(*attempt, &mut self.works);
+            self.engines.cancel(*attempt, &mut self.context);
         }
         Some(request)
     }
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -1,18 +1,18 @@
-//! The loop and its sockets: what they bring is told to the front, and what that asks for is done. It decides
+//! The loop and its sockets: what they bring is told to the server, and what that asks for is done. It decides
 //! nothing.
 
+use crate::bootstrap::Bootstrap;
 use crate::bulletin;
 use crate::clients::CROSSING;
 use crate::clock::Clock;
+use crate::context::Context;
 use crate::engines::Ask;
-use crate::front::Front;
-use crate::premises::Briefing;
 use crate::ready::Ready;
 use crate::ring::Filled;
+use crate::server::Server;
 use crate::slots::Slot;
 use crate::timers::Timer;
 use crate::wires::{Wire, listen};
-use crate::works::Works;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -36,7 +36,7 @@
 const WRITTEN: Duration = Duration::from_secs(3);
 
 pub struct Edge {
-    front: Front,
+    server: Server,
     clock: Clock,
     ear: LoopHandle<'static, Edge>,
     clients: BTreeMap<Slot, Wire<Edge>>,
@@ -53,27 +53,27 @@
     /// left, the bulletin, connections that wait to be accepted.
     glances: Vec<Slot>,
     told: bool,
-    knocks: bool,
+    connections_pending: bool,
     signals: Vec<Signal>,
     /// When the sockets were last looked at, how long the work took that came before, and whether they are being
     /// looked at.
     looked: Duration,
     work: Duration,
     looking: bool,
-    door: RegistrationToken,
+    listener_token: RegistrationToken,
     listener: Rc<TcpListener>,
     /// Reads the configuration; and if it made no sense, when it is read again, and when for the last time.
-    read: Box<dyn Fn() -> Result<Briefing, String>>,
+    read: Box<dyn Fn() -> Result<Bootstrap, String>>,
     again: Option<(Duration, Duration)>,
 }
 
 impl Edge {
     /// Serves until a planned restart ends it. The configuration is read at the start and at each SIGHUP.
-    pub fn run(read: impl Fn() -> Result<Briefing, String> + 'static) -> Result<(), String> {
-        let briefing = read()?;
-        briefing.unread.iter().for_each(|unread| log::warn!("{unread}, so it goes unread"));
-        let (premises, fault) =
-            (&briefing.premises, |what: &str, e: &dyn std::fmt::Display| format!("{what}: {e}"));
+    pub fn run(read: impl Fn() -> Result<Bootstrap, String> + 'static) -> Result<(), String> {
+        let bootstrap = read()?;
+        bootstrap.unread.iter().for_each(|unread| log::warn!("{unread}, so it goes unread"));
+        let (config, fault) =
+            (&bootstrap.config, |what: &str, e: &dyn std::fmt::Display| format!("{what}: {e}"));
         let mut event_loop = EventLoop::try_new().map_err(|e| fault("the loop", &e))?;
         let ear = event_loop.handle();
         let stops = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])
@@ -81,21 +81,21 @@
         let heard =
             |event: calloop::signals::Event, _: &mut (), edge: &mut Self| edge.signals.push(event.signal());
         ear.insert_source(stops, heard).map_err(|e| fault("signals", &e))?;
-        let listener = listen(premises.listen, premises.descriptors);
-        let listener = listener.map_err(|e| fault(&format!("listening on {}", premises.listen), &e))?;
+        let listener = listen(config.listen, config.descriptors);
+        let listener = listener.map_err(|e| fault(&format!("listening on {}", config.listen), &e))?;
         let address = listener.local_addr().map_err(|e| fault("listening", &e))?;
-        log::info!("{} listens on {address}", premises.name);
+        log::info!("{} listens on {address}", config.name);
         let listener = Rc::new(listener);
         let source = Generic::new(Rc::clone(&listener), Interest::READ, Mode::Level);
         let admits = |_, _: &mut _, edge: &mut Self| {
-            edge.knocks = true;
+            edge.connections_pending = true;
             Ok(PostAction::Continue)
         };
-        let door = ear.insert_source(source, admits).map_err(|e| fault("listening", &e))?;
-        let clock = Clock::starting(briefing.attempt_limits.warm_up);
-        let works = Works { now: clock.now(), zero: clock.zero(), ..Works::default() };
+        let listener_token = ear.insert_source(source, admits).map_err(|e| fault("listening", &e))?;
+        let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
+        let context = Context { now: clock.now(), zero: clock.zero(), ..Context::default() };
         let mut edge = Self {
-            front: Front::new(briefing, works),
+            server: Server::new(bootstrap, context),
             clock,
             ear,
             clients: BTreeMap::new(),
@@ -107,20 +107,20 @@
             unread: BTreeSet::new(),
             glances: Vec::new(),
             told: false,
-            knocks: false,
+            connections_pending: false,
             signals: Vec::new(),
             looked: Duration::ZERO,
             work: Duration::ZERO,
             looking: false,
-            door,
+            listener_token,
             listener,
             read: Box::new(read),
             again: None,
         };
         edge.looked = edge.clock.now();
         edge.dial_bulletin();
-        while !edge.front.left {
-            let due = edge.front.works().timers.first().map(|at| at.saturating_sub(edge.clock.now()));
+        while !edge.server.left {
+            let due = edge.server.context().timers.first().map(|at| at.saturating_sub(edge.clock.now()));
             let done = edge.unheard.is_empty() && edge.unread.is_empty() && edge.not_read_out.is_empty();
             let wait = if done { due } else { Some(Duration::ZERO) };
             (edge.work, edge.looking) = (edge.clock.now().saturating_sub(edge.looked), true);
@@ -129,7 +129,7 @@
             edge.turn();
         }
         edge.take_leave(&mut event_loop);
-        log::info!("counters at exit: {}", edge.front.floor.tally());
+        log::info!("counters at exit: {}", edge.server.dispatcher.tally());
         // Guards against a signal told again while the process ends, which would end it as failed: what takes
         // signals stays until the end.
         std::mem::forget(event_loop);
@@ -139,7 +139,7 @@
     /// Takes the time for the input that follows.
     fn look_at_the_clock(&mut self) {
         self.has_looked();
-        self.front.works().now = self.clock.now();
+        self.server.context().now = self.clock.now();
     }
 
     /// Takes the time when the sockets were looked at, the first time that this is called after.
@@ -170,7 +170,7 @@
         for signal in std::mem::take(&mut self.signals) {
             self.signal(signal);
         }
-        if std::mem::take(&mut self.knocks) {
+        if std::mem::take(&mut self.connections_pending) {
             self.admit();
         }
         for slot in std::mem::take(&mut self.unread) {
@@ -182,45 +182,45 @@
             self.hear(slot, since);
         }
         self.fall_due();
-        self.front.clear();
+        self.server.clear();
         self.carry_out();
     }
 
     fn fall_due(&mut self) {
         loop {
             self.look_at_the_clock();
-            let now = self.front.works().now();
-            let Some(due) = self.front.works().timers.pop(now) else { break };
+            let now = self.server.context().now();
+            let Some(due) = self.server.context().timers.pop(now) else { break };
             match due {
                 // Guards against a router that is late itself: what came meanwhile counts.
                 Timer::Client(slot) => self.hear(slot, self.since()),
                 Timer::Attempt(attempt) => {
-                    if let Some(link) = self.front.floor.engines.link_of(attempt) {
+                    if let Some(link) = self.server.dispatcher.engines.link_of(attempt) {
                         self.link_ready(link);
                     }
                 }
                 Timer::Link(slot) => self.link_ready(slot),
                 Timer::Whole(slot) => self.read_link(slot),
                 Timer::Bulletin => self.await_bulletin(),
-                Timer::Admit => self.open_the_door(),
+                Timer::Admit => self.resume_accepting(),
                 Timer::Leave => self.look_around(),
                 Timer::Reload => self.reload(),
                 Timer::Part(slot) => drop(self.parting.remove(&slot)),
-                Timer::Wake | Timer::Idle(_) | Timer::Door => {}
+                Timer::Wake | Timer::Idle(_) | Timer::AdmissionQueue => {}
             }
-            self.front.due(due);
+            self.server.due(due);
             self.carry_out();
         }
     }
 
-    /// Does what the front asks for, until it asks for nothing more.
+    /// Does what the server asks for, until it asks for nothing more.
     fn carry_out(&mut self) {
         loop {
-            self.front.tell();
-            let Front { floor, closed, .. } = &mut self.front;
-            let asks = std::mem::take(&mut floor.engines.asks);
-            let unsent = std::mem::take(&mut floor.engines.unsent);
-            let unsaid = std::mem::take(&mut floor.clients.unsaid);
+            self.server.tell();
+            let Server { dispatcher, closed, .. } = &mut self.server;
+            let asks = std::mem::take(&mut dispatcher.engines.asks);
+            let unsent = std::mem::take(&mut dispatcher.engines.unsent);
+            let unsaid = std::mem::take(&mut dispatcher.clients.unsaid);
             let closed = std::mem::take(closed);
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
@@ -233,8 +233,13 @@
                             Ok(wire) => drop(self.links.insert(slot, wire)),
                             Err(error) => {
                                 log::info!("no connection to {to}: {error}");
-                                let floor = &mut self.front.floor;
-                                floor.engines.refused(slot, false, &error.to_string(), &mut floor.works);
+                                let dispatcher = &mut self.server.dispatcher;
+                                dispatcher.engines.refused(
+                                    slot,
+                                    false,
+                                    &error.to_string(),
+                                    &mut dispatcher.context,
+                                );
                             }
                         }
                     }
@@ -243,7 +248,7 @@
             unsent.into_iter().for_each(|slot| self.flush_link(slot));
             for slot in unsaid {
                 if !self.flush_client(slot) {
-                    self.front.client_gone(slot, "it can't be written to");
+                    self.server.client_gone(slot, "it can't be written to");
                 }
             }
             for (slot, mut words) in closed {
@@ -268,13 +273,13 @@
     /// Reads on for a little from a connection that is closed to its client. Guards against answers lost: a socket
     /// that is closed with something unread is reset, and takes what was said last with it.
     fn part(&mut self, slot: Slot, wire: Wire<Self>) {
-        let full = self.parting.len() >= self.front.floor.premises.most_parting();
+        let full = self.parting.len() >= self.server.dispatcher.config.most_parting();
         if full || wire.socket.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let works = self.front.works();
-        works.counters.count("clients_read_out");
-        works.timers.set(works.now() + CROSSING, Timer::Part(slot));
+        let context = self.server.context();
+        context.counters.count("clients_read_out");
+        context.timers.set(context.now() + CROSSING, Timer::Part(slot));
         self.parting.insert(slot, wire);
         self.read_out(slot);
     }
@@ -303,17 +308,17 @@
                     if let Some(slot) = idle.filter(|_| self.is_full()) {
                         self.make_room(slot);
                     }
-                    let floor = &mut self.front.floor;
-                    let slot = floor.clients.table.next();
+                    let dispatcher = &mut self.server.dispatcher;
+                    let slot = dispatcher.clients.table.next();
                     match Wire::attend(&self.ear, socket, move |edge: &mut Self| edge.client_told(slot)) {
                         Ok(wire) => {
-                            let slot = self.front.admit();
+                            let slot = self.server.admit();
                             log::debug!("client {slot:?} from {from}");
                             self.clients.insert(slot, wire);
                             self.client_told(slot);
                         }
                         Err(error) => {
-                            floor.works.counters.count("clients_not_admitted");
+                            dispatcher.context.counters.count("clients_not_admitted");
                             log::warn!("a client was not admitted: {error}");
                         }
                     }
@@ -322,7 +327,7 @@
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted) => {}
                 Err(error) => {
-                    self.front.works().counters.count("accepts_failed");
+                    self.server.context().counters.count("accepts_failed");
                     log::warn!("accept: {error}");
                     match idle.or_else(|| self.idlest()) {
                         Some(slot) => self.make_room(slot),
@@ -334,40 +339,40 @@
     }
 
     fn is_full(&self) -> bool {
-        self.front.floor.clients.table.len() >= self.front.floor.premises.most_clients()
+        self.server.dispatcher.clients.table.len() >= self.server.dispatcher.config.most_clients()
     }
 
     /// The client that has been idle for longest, as its socket shows as well. Guards against requests that stood
     /// there unread: a connection was closed with what counts as taken.
     fn idlest(&mut self) -> Option<Slot> {
         loop {
-            let now = self.front.works().now();
-            let slot = self.front.floor.clients.idlest(now)?;
+            let now = self.server.context().now();
+            let slot = self.server.dispatcher.clients.idlest(now)?;
             self.hear(slot, self.since());
-            if self.front.floor.clients.idlest(now) == Some(slot) {
+            if self.server.dispatcher.clients.idlest(now) == Some(slot) {
                 return Some(slot);
             }
         }
     }
 
     fn make_room(&mut self, slot: Slot) {
-        self.front.works().counters.count("clients_closed_for_room");
-        self.front.client_gone(slot, "idle, to make room");
+        self.server.context().counters.count("clients_closed_for_room");
+        self.server.client_gone(slot, "idle, to make room");
         self.carry_out();
     }
 
-    fn open_the_door(&mut self) {
-        if let Err(error) = self.ear.enable(&self.door) {
+    fn resume_accepting(&mut self) {
+        if let Err(error) = self.ear.enable(&self.listener_token) {
             log::error!("no connection is accepted any more: {error}");
-            self.front.works().counters.must(false, "a_closed_door");
+            self.server.context().counters.must(false, "a_closed_door");
         }
     }
 
     fn pause(&mut self) {
-        let works = self.front.works();
-        works.counters.count("accepts_paused");
-        works.timers.set(works.now() + CROSSING, Timer::Admit);
-        if let Err(error) = self.ear.disable(&self.door) {
+        let context = self.server.context();
+        context.counters.count("accepts_paused");
+        context.timers.set(context.now() + CROSSING, Timer::Admit);
+        if let Err(error) = self.ear.disable(&self.listener_token) {
             log::warn!("accepting can't pause: {error}");
         }
     }
@@ -390,7 +395,7 @@
         let slots = std::mem::take(&mut self.glances);
         let socket = |slot| Some((slot, Reads(Rc::clone(&self.clients.get(&slot)?.socket))));
         let clients: Vec<_> = slots.into_iter().filter_map(socket).collect();
-        self.front.glance(self.since(), clients);
+        self.server.glance(self.since(), clients);
         self.carry_out();
     }
 
@@ -399,11 +404,11 @@
         self.look_at_the_clock();
         let Some(socket) = self.clients.get(&slot).map(|wire| Rc::clone(&wire.socket)) else { return };
         if !self.flush_client(slot) {
-            self.front.client_gone(slot, "it can't be written to");
+            self.server.client_gone(slot, "it can't be written to");
             return self.carry_out();
         }
-        if self.front.hear(slot, since, &mut &*socket, || !matches!(socket.take_error(), Ok(None))) {
-            self.unheard.add(slot, self.front.floor.works.now());
+        if self.server.hear(slot, since, &mut &*socket, || !matches!(socket.take_error(), Ok(None))) {
+            self.unheard.add(slot, self.server.dispatcher.context.now());
         }
         self.carry_out();
     }
@@ -411,7 +416,7 @@
     /// Writes what is to be said to a client; tells whether it could be written to.
     fn flush_client(&mut self, slot: Slot) -> bool {
         let Some(wire) = self.clients.get(&slot) else { return true };
-        self.front.floor.clients.drain(slot, &mut &*wire.socket).is_ok()
+        self.server.dispatcher.clients.drain(slot, &mut &*wire.socket).is_ok()
     }
 
     // ---- engines ----
@@ -424,14 +429,14 @@
     fn link_ready(&mut self, slot: Slot) {
         self.look_at_the_clock();
         let Some(wire) = self.links.get(&slot) else { return };
-        let floor = &mut self.front.floor;
-        if floor.engines.is_up(slot) == Some(false) {
+        let dispatcher = &mut self.server.dispatcher;
+        if dispatcher.engines.is_up(slot) == Some(false) {
             match wire.has_come_up() {
                 Ok(false) => return,
-                Ok(true) => floor.engines.came_up(slot, &mut floor.works),
+                Ok(true) => dispatcher.engines.came_up(slot, &mut dispatcher.context),
                 Err(error) => {
                     let there = error.kind() == io::ErrorKind::ConnectionReset;
-                    floor.engines.refused(slot, there, &error.to_string(), &mut floor.works);
+                    dispatcher.engines.refused(slot, there, &error.to_string(), &mut dispatcher.context);
                     return self.carry_out();
                 }
             }
@@ -443,18 +448,18 @@
 
     fn flush_link(&mut self, slot: Slot) {
         let Some(wire) = self.links.get(&slot) else { return };
-        let floor = &mut self.front.floor;
-        if let Err(error) = floor.engines.drain(slot, &mut &*wire.socket) {
+        let dispatcher = &mut self.server.dispatcher;
+        if let Err(error) = dispatcher.engines.drain(slot, &mut &*wire.socket) {
             // Answers may have come before the engine closed.
-            floor.engines.read(slot, &mut &*wire.socket, &mut floor.works);
-            floor.engines.lose(slot, &error.to_string(), true, &mut floor.works);
+            dispatcher.engines.read(slot, &mut &*wire.socket, &mut dispatcher.context);
+            dispatcher.engines.lose(slot, &error.to_string(), true, &mut dispatcher.context);
         }
     }
 
     fn read_link(&mut self, slot: Slot) {
         let Some(wire) = self.links.get(&slot) else { return };
-        let floor = &mut self.front.floor;
-        if floor.engines.read(slot, &mut &*wire.socket, &mut floor.works) {
+        let dispatcher = &mut self.server.dispatcher;
+        if dispatcher.engines.read(slot, &mut &*wire.socket, &mut dispatcher.context) {
             self.unread.insert(slot);
         }
     }
@@ -466,10 +471,12 @@
         if let Err(why) = self.read_bulletin() {
             log::debug!("bulletin, the connection before: {why}");
         }
-        self.front.bulletin = self.front.bulletin.anew();
-        self.front.works().counters.count("bulletin_dialled");
+        self.server.bulletin = self.server.bulletin.anew();
+        self.server.context().counters.count("bulletin_dialled");
         self.bulletin = None;
-        match Wire::dial(&self.ear, self.front.floor.premises.bulletin, |edge: &mut Self| edge.told = true) {
+        match Wire::dial(&self.ear, self.server.dispatcher.config.bulletin, |edge: &mut Self| {
+            edge.told = true
+        }) {
             Ok(wire) => {
                 self.bulletin = Some(wire);
                 self.expect_bulletin(COMES_UP);
@@ -481,26 +488,26 @@
     /// The bulletin has said nothing in time, unless that stands unread: the router may be the one that is late.
     fn await_bulletin(&mut self) {
         self.bulletin_ready();
-        if self.front.bulletin.due <= self.front.floor.works.now() {
+        if self.server.bulletin.due <= self.server.dispatcher.context.now() {
             self.dial_bulletin();
         }
     }
 
     /// The bulletin is dialled anew unless this is put off in time.
     fn expect_bulletin(&mut self, wait: Duration) {
-        let Front { bulletin, floor, .. } = &mut self.front;
-        floor.works.timers.clear(bulletin.due, Timer::Bulletin);
-        bulletin.due = floor.works.now() + wait;
-        floor.works.timers.set(bulletin.due, Timer::Bulletin);
+        let Server { bulletin, dispatcher, .. } = &mut self.server;
+        dispatcher.context.timers.clear(bulletin.due, Timer::Bulletin);
+        bulletin.due = dispatcher.context.now() + wait;
+        dispatcher.context.timers.set(bulletin.due, Timer::Bulletin);
     }
 
     fn bulletin_ready(&mut self) {
         self.look_at_the_clock();
         if let Err(why) = self.read_bulletin() {
-            if self.front.bulletin.greeted {
+            if self.server.bulletin.greeted {
                 log::info!("bulletin: {why}");
             }
-            self.front.works().counters.count("bulletin_lost");
+            self.server.context().counters.count("bulletin_lost");
             self.bulletin = None;
             self.expect_bulletin(AGAIN);
         }
@@ -511,18 +518,18 @@
         loop {
             let Some(wire) = &self.bulletin else { return Ok(()) };
             let socket = Rc::clone(&wire.socket);
-            if !self.front.bulletin.greeted {
+            if !self.server.bulletin.greeted {
                 if !wire.has_come_up().map_err(|e| e.to_string())? {
                     return Ok(());
                 }
-                let last = self.front.bulletin.last.to_be_bytes();
+                let last = self.server.bulletin.last.to_be_bytes();
                 (&*socket).write_all(&last).map_err(|e| e.to_string())?;
-                self.front.bulletin.greeted = true;
+                self.server.bulletin.greeted = true;
                 self.expect_bulletin(SILENCE);
             }
-            let input = &mut self.front.bulletin.input;
+            let input = &mut self.server.bulletin.input;
             let filled = input.fill(&mut &*socket, 2 * bulletin::MOST_BYTES).map_err(|e| e.to_string())?;
-            if self.front.bulletin_heard()? {
+            if self.server.bulletin_heard()? {
                 self.expect_bulletin(SILENCE);
             }
             match filled {
@@ -538,37 +545,37 @@
     /// under load, or are another router's: they change nothing. One may still be being written: it is looked at
     /// again for a while.
     fn reload(&mut self) {
-        let briefing = (self.read)().and_then(|briefing| {
-            let ours = briefing.premises.name == self.front.floor.premises.name;
-            let name = &briefing.premises.name;
-            if ours { Ok(briefing) } else { Err(format!("it is the configuration of `{name}`")) }
+        let bootstrap = (self.read)().and_then(|bootstrap| {
+            let ours = bootstrap.config.name == self.server.dispatcher.config.name;
+            let name = &bootstrap.config.name;
+            if ours { Ok(bootstrap) } else { Err(format!("it is the configuration of `{name}`")) }
         });
         let before = self.again.take();
-        let works = self.front.works();
-        match briefing {
-            Ok(Briefing { premises, orders, .. }) => {
-                works.counters.count("reloads");
-                let changed = self.front.floor.premises.changed(&premises);
+        let context = self.server.context();
+        match bootstrap {
+            Ok(Bootstrap { config, orders, .. }) => {
+                context.counters.count("reloads");
+                let changed = self.server.dispatcher.config.changed(&config);
                 if !changed.is_empty() {
                     log::warn!(
                         "changed in the configuration, but not before a restart: {}",
                         changed.join(", ")
                     );
                 }
-                self.front.reorder(orders.teams);
-                log::info!("configuration read anew, bulletin at {}", premises.bulletin);
-                self.front.floor.premises.bulletin = premises.bulletin;
+                self.server.reorder(orders.teams);
+                log::info!("configuration read anew, bulletin at {}", config.bulletin);
+                self.server.dispatcher.config.bulletin = config.bulletin;
                 self.dial_bulletin();
             }
             Err(error) => {
-                let (now, last) = (works.now(), before.map(|(_, last)| last));
+                let (now, last) = (context.now(), before.map(|(_, last)| last));
                 let last = last.unwrap_or_else(|| {
                     log::error!("configuration not read anew, the old one stays: {error}");
-                    works.counters.count("reloads_refused");
+                    context.counters.count("reloads_refused");
                     now + WRITTEN
                 });
                 if now < last {
-                    works.timers.set(now + AGAIN, Timer::Reload);
+                    context.timers.set(now + AGAIN, Timer::Reload);
                     self.again = Some((now + AGAIN, last));
                 } else {
                     log::error!("configuration not looked at again: {error}");
@@ -581,21 +588,21 @@
 
     /// Before the process may end: nothing that clients have said stands in the sockets, or with the kernel.
     fn look_around(&mut self) {
-        if self.front.is_done() {
+        if self.server.is_done() {
             self.admit();
             let since = self.since();
             for slot in self.clients.keys().copied().collect::<Vec<_>>() {
                 self.hear(slot, since);
             }
         }
-        self.front.unheard = !self.unheard.is_empty();
+        self.server.unheard = !self.unheard.is_empty();
     }
 
     /// Nothing is said any more. What crosses that is read out. Guards against answers lost: see `part`.
     fn take_leave(&mut self, event_loop: &mut EventLoop<'static, Self>) {
         let end = self.clock.now() + CROSSING;
         // Connections that still come are not waited for.
-        let _ = self.ear.disable(&self.door);
+        let _ = self.ear.disable(&self.listener_token);
         self.clients.retain(|_, wire| wire.socket.shutdown(Shutdown::Write).is_ok());
         loop {
             self.clients.retain(|_, wire| read_out(&wire.socket) != Filled::Closed);
@@ -608,16 +615,16 @@
 
     fn signal(&mut self, signal: Signal) {
         self.look_at_the_clock();
-        log::info!("counters: {}", self.front.floor.tally());
+        log::info!("counters: {}", self.server.dispatcher.tally());
         match signal {
             Signal::SIGHUP => {
                 if let Some((due, _)) = self.again.take() {
-                    self.front.works().timers.clear(due, Timer::Reload);
+                    self.server.context().timers.clear(due, Timer::Reload);
                 }
                 self.reload();
             }
             Signal::SIGUSR1 => {}
-            _ => self.front.close(),
+            _ => self.server.close(),
         }
         self.carry_out();
     }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -2,11 +2,11 @@
 
 use crate::bulletin::Row;
 use crate::clock::whole_ms;
+use crate::context::Context;
 use crate::resp;
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
-use crate::works::Works;
 use emberflow::{
     AttemptEnded, AttemptOutcome, Endpoint, EngineId, LoadReport, ProgressNote, RequestId, Usage,
 };
@@ -159,8 +159,8 @@
     }
 
     /// Takes one line of the list in. A process that ended takes its connections with it, told or not.
-    pub fn listed(&mut self, row: &Row, works: &mut Works) -> Endpoint {
-        let launched = (row.up_since_ms > 0).then(|| works.at_unix_ms(row.up_since_ms));
+    pub fn listed(&mut self, row: &Row, context: &mut Context) -> Endpoint {
+        let launched = (row.up_since_ms > 0).then(|| context.at_unix_ms(row.up_since_ms));
         let engine = *self.numbers.entry(row.id).or_insert(self.next);
         if engine == self.next {
             let (id, address, ready) = (row.id, row.address, row.ready);
@@ -168,7 +168,7 @@
             self.next += 1;
         }
         if !row.ready {
-            self.hold_back(engine, works);
+            self.hold_back(engine, context);
         }
         let Some(known) = self.book.get_mut(&engine) else { unreachable!("a numbered engine") };
         (known.address, known.ready) = (row.address, row.ready);
@@ -179,7 +179,7 @@
             let links = known.links.clone();
             let old = |slot: &Slot| self.links.get(*slot).is_some_and(|link| link.opened < at);
             for slot in links.into_iter().filter(old).collect::<Vec<_>>() {
-                self.lose(slot, "its engine has started anew", false, works);
+                self.lose(slot, "its engine has started anew", false, context);
             }
         }
         Endpoint {
@@ -194,22 +194,22 @@
     }
 
     /// A whole list leaves out what has gone: nothing is sent there any more, nor what waits for a connection.
-    pub fn only(&mut self, rows: &[Row], works: &mut Works) {
+    pub fn only(&mut self, rows: &[Row], context: &mut Context) {
         let left_out = |known: &Engine| known.ready && !rows.iter().any(|row| row.id == known.id);
         let left_out = self.book.iter().filter(|(_, known)| left_out(known));
         for engine in left_out.map(|(engine, _)| *engine).collect::<Vec<_>>() {
-            self.hold_back(engine, works);
+            self.hold_back(engine, context);
             self.book.entry(engine).and_modify(|known| known.ready = false);
         }
     }
 
     /// An engine's number, connections and history end.
-    pub fn forget(&mut self, engine: EngineId, works: &mut Works) {
+    pub fn forget(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.links_of(engine) {
-            self.lose(slot, "its engine is gone", false, works);
+            self.lose(slot, "its engine is gone", false, context);
         }
         if let Some(known) = self.book.remove(&engine) {
-            works.counters.count("engines_forgotten");
+            context.counters.count("engines_forgotten");
             self.numbers.remove(&known.id);
         }
     }
@@ -220,25 +220,25 @@
 
     /// What waits for a connection to an engine that is not to be sent to any more is never written; a call that
     /// stands in front of what its connection has to say, and of which nothing has left, is taken out again.
-    fn hold_back(&mut self, engine: EngineId, works: &mut Works) {
+    fn hold_back(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.links_of(engine) {
             let Some(link) = self.links.get(slot) else { continue };
             let mut unsent = link.waiting.clone();
             let carried: Vec<Slot> = link.attempts.values().copied().collect();
             unsent.extend(carried.into_iter().filter(|attempt| self.take_out(*attempt)));
             for attempt in unsent {
-                self.end(attempt, AttemptOutcome::Void, None, works);
+                self.end(attempt, AttemptOutcome::Void, None, context);
             }
         }
     }
 
     /// An attempt whose client may be gone: what was not written is never written, and what was goes nowhere else.
-    pub fn keep_back(&mut self, attempt: Slot, works: &mut Works) {
+    pub fn keep_back(&mut self, attempt: Slot, context: &mut Context) {
         self.take_out(attempt);
         let Some(row) = self.attempts.get_mut(attempt) else { return };
         row.kept_back = true;
         if row.written.is_none() {
-            self.end(attempt, AttemptOutcome::Void, None, works);
+            self.end(attempt, AttemptOutcome::Void, None, context);
         }
     }
 
@@ -255,8 +255,8 @@
     }
 
     /// Sends an attempt, on a connection that owes no answer to an earlier attempt: answers name the request alone.
-    pub fn send(&mut self, engine: EngineId, call: Call, owing: &[Slot], works: &mut Works) -> Slot {
-        let now = works.now();
+    pub fn send(&mut self, engine: EngineId, call: Call, owing: &[Slot], context: &mut Context) -> Slot {
+        let now = context.now();
         let fields = [
             Some(format!("queue={}", call.class)),
             Some(format!("budget={}", whole_ms(call.until.saturating_sub(now)).max(1))),
@@ -282,30 +282,36 @@
             dropped: None,
             result: None,
         });
-        works.timers.set(call.until, Timer::Attempt(attempt));
-        works.counters.count("attempts_sent");
-        self.place(attempt, works);
+        context.timers.set(call.until, Timer::Attempt(attempt));
+        context.counters.count("attempts_sent");
+        self.place(attempt, context);
         attempt
     }
 
     /// Puts an attempt on a connection; none is made to an engine that is not to be sent to any more.
-    fn place(&mut self, slot: Slot, works: &mut Works) {
+    fn place(&mut self, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.written = None;
         let (engine, id, owing) = (attempt.engine, attempt.id.clone(), attempt.owing.clone());
         if attempt.kept_back || !self.book.get(&engine).is_some_and(|known| known.ready) {
-            return self.end(slot, AttemptOutcome::Void, None, works);
+            return self.end(slot, AttemptOutcome::Void, None, context);
         }
-        match self.link_for(engine, &id, &owing, works) {
-            Some(link) => self.put(slot, link, works),
-            None => self.end(slot, AttemptOutcome::Unreachable, None, works),
+        match self.link_for(engine, &id, &owing, context) {
+            Some(link) => self.put(slot, link, context),
+            None => self.end(slot, AttemptOutcome::Unreachable, None, context),
         }
     }
 
     /// A connection with room for another attempt: one that carries none, else a new one as far as this engine's
     /// part of them goes, else the one that carries least. Guards against spoilt answers and resets, which
     /// take all that a connection carries with them.
-    fn link_for(&mut self, engine: EngineId, id: &str, owing: &[Slot], works: &mut Works) -> Option<Slot> {
+    fn link_for(
+        &mut self,
+        engine: EngineId,
+        id: &str,
+        owing: &[Slot],
+        context: &mut Context,
+    ) -> Option<Slot> {
         let Engine { links, address, .. } = self.book.get(&engine)?;
         let rows = links.iter().filter_map(|slot| Some((*slot, self.links.get(*slot)?)));
         let open = rows.filter(|(slot, link)| {
@@ -322,13 +328,13 @@
             return Some(slot);
         }
         if self.links.len() >= self.most_links {
-            works.counters.count("links_over_the_limit");
+            context.counters.count("links_over_the_limit");
             return None;
         }
         let address = *address;
-        let now = works.now();
+        let now = context.now();
         let due = now + self.comes_up;
-        works.counters.count("links_dialled");
+        context.counters.count("links_dialled");
         let slot = self.links.insert(Link {
             engine,
             up: false,
@@ -344,52 +350,52 @@
             whole_by: None,
             idle: None,
         });
-        works.timers.set(due, Timer::Link(slot));
+        context.timers.set(due, Timer::Link(slot));
         self.asks.push_back(Ask::Dial(slot, address));
         self.book.entry(engine).and_modify(|known| known.links.push(slot));
         Some(slot)
     }
 
-    fn put(&mut self, attempt: Slot, slot: Slot, works: &mut Works) {
+    fn put(&mut self, attempt: Slot, slot: Slot, context: &mut Context) {
         let (Some(row), Some(link)) = (self.attempts.get_mut(attempt), self.links.get_mut(slot)) else {
             return;
         };
         row.link = Some(slot);
         link.attempts.insert(row.id.clone(), attempt);
         if let Some(at) = link.idle.take() {
-            works.timers.clear(at, Timer::Idle(slot));
+            context.timers.clear(at, Timer::Idle(slot));
         }
         link.waiting.push(attempt);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
-        if link.up && !link.asked && works.now() > link.heard + self.comes_up {
-            self.check(slot, works);
+        if link.up && !link.asked && context.now() > link.heard + self.comes_up {
+            self.check(slot, context);
         }
-        self.go_on(slot, works);
+        self.go_on(slot, context);
     }
 
     /// Has the connection show that it works.
-    fn check(&mut self, slot: Slot, works: &mut Works) {
+    fn check(&mut self, slot: Slot, context: &mut Context) {
         let Some(link) = self.links.get_mut(slot) else { return };
         link.output.push(&resp::array(&[b"PING", b"0"]));
         link.asked = true;
-        works.counters.count("links_checked");
-        self.look_at(slot, works.now() + self.comes_up, works);
+        context.counters.count("links_checked");
+        self.look_at(slot, context.now() + self.comes_up, context);
     }
 
-    fn look_at(&mut self, slot: Slot, at: Duration, works: &mut Works) {
+    fn look_at(&mut self, slot: Slot, at: Duration, context: &mut Context) {
         let Some(link) = self.links.get_mut(slot) else { return };
-        link.due.inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
+        link.due.inspect(|at| context.timers.clear(*at, Timer::Link(slot)));
         link.due = Some(at);
-        works.timers.set(at, Timer::Link(slot));
+        context.timers.set(at, Timer::Link(slot));
     }
 
     /// Writes what waits, as far as the connection is known to work.
-    fn go_on(&mut self, slot: Slot, works: &mut Works) {
+    fn go_on(&mut self, slot: Slot, context: &mut Context) {
         let Some(link) = self.links.get_mut(slot) else { return };
         if link.up && !link.asked && !link.waiting.is_empty() {
             self.next_call(slot);
             if self.links.get(slot).is_some_and(|link| link.due.is_none()) {
-                self.look_at(slot, works.now() + self.comes_up * 2, works);
+                self.look_at(slot, context.now() + self.comes_up * 2, context);
             }
         }
         if self.links.get(slot).is_some_and(|link| link.up && !link.output.is_empty()) {
@@ -423,21 +429,21 @@
         self.links.get(slot).map(|link| link.up)
     }
 
-    pub fn came_up(&mut self, slot: Slot, works: &mut Works) {
+    pub fn came_up(&mut self, slot: Slot, context: &mut Context) {
         let Some(link) = self.links.get_mut(slot) else { return };
         link.up = true;
-        link.heard = works.now();
+        link.heard = context.now();
         log::debug!("engine {}: connection {slot:?} up after {:?}", link.engine, link.heard - link.opened);
-        link.due.take().inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
-        self.go_on(slot, works);
+        link.due.take().inspect(|at| context.timers.clear(*at, Timer::Link(slot)));
+        self.go_on(slot, context);
     }
 
     /// A connection did not come about: refused, or reset where its engine was `there`.
-    pub fn refused(&mut self, slot: Slot, there: bool, why: &str, works: &mut Works) {
+    pub fn refused(&mut self, slot: Slot, there: bool, why: &str, context: &mut Context) {
         if !there {
-            works.counters.count("links_refused");
+            context.counters.count("links_refused");
         }
-        self.lose(slot, why, there, works);
+        self.lose(slot, why, there, context);
     }
 
     /// Writes what a connection has to say, as far as `to` takes it.
@@ -463,40 +469,40 @@
     }
 
     /// Takes in what `from` has for a connection, as much as one turn bears; tells whether there may be more.
-    pub fn read(&mut self, slot: Slot, from: &mut impl Read, works: &mut Works) -> bool {
+    pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
         let Some(link) = self.links.get_mut(slot) else { return false };
         let filled = link.input.fill(from, TURN);
-        if let Err(malformed) = self.hear(slot, works) {
-            works.counters.count("engine_input_malformed");
+        if let Err(malformed) = self.hear(slot, context) {
+            context.counters.count("engine_input_malformed");
             log::warn!("malformed from an engine: {malformed}");
-            self.lose(slot, &malformed, true, works);
+            self.lose(slot, &malformed, true, context);
             return false;
         }
         match filled {
             Ok(Filled::Drained | Filled::Enough) => {}
-            Ok(Filled::Closed) => self.lose(slot, "closed by the engine", true, works),
-            Err(ref error) => self.lose(slot, &error.to_string(), true, works),
+            Ok(Filled::Closed) => self.lose(slot, "closed by the engine", true, context),
+            Err(ref error) => self.lose(slot, &error.to_string(), true, context),
         }
         let Some(link) = self.links.get_mut(slot) else { return false };
         if link.whole_by.is_none() && !link.input.is_empty() {
-            let by = works.now() + self.comes_up * 2;
+            let by = context.now() + self.comes_up * 2;
             link.whole_by = Some(by);
-            works.timers.set(by, Timer::Whole(slot));
+            context.timers.set(by, Timer::Whole(slot));
         }
         matches!(filled, Ok(Filled::Enough))
     }
 
     /// Guards against answers that stop short on a connection that stays open: nothing can follow them.
-    pub fn not_whole(&mut self, slot: Slot, works: &mut Works) {
-        let now = works.now();
+    pub fn not_whole(&mut self, slot: Slot, context: &mut Context) {
+        let now = context.now();
         if self.links.get(slot).and_then(|link| link.whole_by).is_some_and(|by| by <= now) {
-            works.counters.count("engine_input_cut_short");
-            self.lose(slot, "an answer that stopped short", true, works);
+            context.counters.count("engine_input_cut_short");
+            self.lose(slot, "an answer that stopped short", true, context);
         }
     }
 
     /// Takes in all answers that have come whole.
-    fn hear(&mut self, slot: Slot, works: &mut Works) -> Result<(), String> {
+    fn hear(&mut self, slot: Slot, context: &mut Context) -> Result<(), String> {
         loop {
             let Some(link) = self.links.get_mut(slot) else { return Ok(()) };
             let Some((parts, length)) = resp::parse(link.input.readable())? else { return Ok(()) };
@@ -505,30 +511,30 @@
             let (id, word, fields) = (text(part(0))?, text(part(1))?, text(part(2))?);
             let body = part(3).to_vec();
             link.input.consume(length);
-            link.heard = works.now();
-            link.whole_by.take().inspect(|at| works.timers.clear(*at, Timer::Whole(slot)));
+            link.heard = context.now();
+            link.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
             if std::mem::take(&mut link.asked) {
-                self.go_on(slot, works);
+                self.go_on(slot, context);
             }
             if word == "PONG" {
-                self.has_heard(slot, &id, works);
+                self.has_heard(slot, &id, context);
                 continue;
             }
             match self.links.get(slot).and_then(|link| link.attempts.get(&id)).copied() {
-                Some(attempt) => self.answer(attempt, &word, &fields, body, works)?,
-                None => works.counters.count("engine_answers_for_nothing"),
+                Some(attempt) => self.answer(attempt, &word, &fields, body, context)?,
+                None => context.counters.count("engine_answers_for_nothing"),
             }
         }
     }
 
     /// What comes under a request's name behind what took its attempt back shows that its engine has given that up, and
     /// that no answer to it follows.
-    fn has_heard(&mut self, slot: Slot, id: &str, works: &mut Works) {
+    fn has_heard(&mut self, slot: Slot, id: &str, context: &mut Context) {
         let Some(attempt) = self.links.get(slot).and_then(|link| link.attempts.get(id)).copied() else {
             return;
         };
         if let Some((end, _)) = self.attempts.get(attempt).and_then(|row| row.dropped) {
-            self.end(attempt, end, None, works);
+            self.end(attempt, end, None, context);
         }
     }
 
@@ -538,7 +544,7 @@
         word: &str,
         fields: &str,
         body: Vec<u8>,
-        works: &mut Works,
+        context: &mut Context,
     ) -> Result<(), String> {
         let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
         let text = |name: &str| resp::field(fields, name, (',', '='));
@@ -555,7 +561,7 @@
         match word {
             // Guards against answers told twice or unasked: they cost nothing else on the connection.
             "HIT" if attempt.result.is_some() => {
-                works.counters.count("engine_answers_repeated");
+                context.counters.count("engine_answers_repeated");
                 Ok(())
             }
             "HIT" => {
@@ -571,8 +577,8 @@
                 let asks = (1..pages as usize)
                     .map(|page| resp::array(&[b"PAGE", attempt.id.as_bytes(), page.to_string().as_bytes()]));
                 let asks = asks.collect::<Vec<_>>().concat();
-                self.write(slot, &asks, works);
-                self.complete(slot, works)
+                self.write(slot, &asks, context);
+                self.complete(slot, context)
             }
             "PART" => {
                 let page = figure("page")?.ok_or("a page without its number")? as usize;
@@ -580,11 +586,11 @@
                 match got.filter(|got| got.is_none()) {
                     Some(got) => *got = Some(body),
                     None => {
-                        works.counters.count("engine_answers_repeated");
+                        context.counters.count("engine_answers_repeated");
                         return Ok(());
                     }
                 }
-                self.complete(slot, works)
+                self.complete(slot, context)
             }
             "INFO" => {
                 let value = figure("v")?;
@@ -596,16 +602,16 @@
                     (None, _) => ProgressNote::Runs,
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
-                works.counters.count("notes");
+                context.counters.count("notes");
                 self.news.push_back(News::Noticed(attempt.request, attempt.number, notice));
                 Ok(())
             }
             "SHED" | "LATE" => {
-                self.end(slot, AttemptOutcome::Overloaded, load_report, works);
+                self.end(slot, AttemptOutcome::Overloaded, load_report, context);
                 Ok(())
             }
             "FAULT" => {
-                self.end(slot, AttemptOutcome::Failed, load_report, works);
+                self.end(slot, AttemptOutcome::Failed, load_report, context);
                 Ok(())
             }
             _ => Err(format!("the word {word} out of turn")),
@@ -614,13 +620,13 @@
 
     /// Ends an attempt whose pages are all there. Until then the next is due soon: guards against pages that never
     /// come.
-    fn complete(&mut self, slot: Slot, works: &mut Works) -> Result<(), String> {
+    fn complete(&mut self, slot: Slot, context: &mut Context) -> Result<(), String> {
         let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
         let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if result.got.iter().any(Option::is_none) {
-            works.timers.clear(attempt.until, Timer::Attempt(slot));
-            attempt.until = attempt.until.min(works.now() + self.comes_up * 2);
-            works.timers.set(attempt.until, Timer::Attempt(slot));
+            context.timers.clear(attempt.until, Timer::Attempt(slot));
+            attempt.until = attempt.until.min(context.now() + self.comes_up * 2);
+            context.timers.set(attempt.until, Timer::Attempt(slot));
             return Ok(());
         }
         let pages: Vec<Vec<u8>> = std::mem::take(&mut result.got).into_iter().flatten().collect();
@@ -632,12 +638,18 @@
         if body.len() > MOST_BYTES {
             return Err(format!("a result of {} bytes", body.len()));
         }
-        self.finish(slot, AttemptOutcome::Succeeded, Some(body), None, works);
+        self.finish(slot, AttemptOutcome::Succeeded, Some(body), None, context);
         Ok(())
     }
 
-    fn end(&mut self, slot: Slot, end: AttemptOutcome, load_report: Option<LoadReport>, works: &mut Works) {
-        self.finish(slot, end, None, load_report, works);
+    fn end(
+        &mut self,
+        slot: Slot,
+        end: AttemptOutcome,
+        load_report: Option<LoadReport>,
+        context: &mut Context,
+    ) {
+        self.finish(slot, end, None, load_report, context);
     }
 
     fn finish(
@@ -646,12 +658,12 @@
         end: AttemptOutcome,
         body: Option<Vec<u8>>,
         load_report: Option<LoadReport>,
-        works: &mut Works,
+        context: &mut Context,
     ) {
         let Some(attempt) = self.attempts.take(slot) else { return };
-        let now = works.now();
-        works.timers.clear(attempt.until, Timer::Attempt(slot));
-        works.counters.count(match end {
+        let now = context.now();
+        context.timers.clear(attempt.until, Timer::Attempt(slot));
+        context.counters.count(match end {
             AttemptOutcome::Succeeded => "attempts_succeeded",
             AttemptOutcome::Failed => "attempts_failed",
             AttemptOutcome::Overloaded => "attempts_overloaded",
@@ -667,7 +679,7 @@
             if link.attempts.is_empty() {
                 let idle = now + self.idle_close.mul_f64(RETIRED);
                 link.idle = Some(idle);
-                works.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
+                context.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
             }
         }
         let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
@@ -695,46 +707,46 @@
         self.news.push_back(News::Ended(ended, body, attempt.link.filter(|_| given_up)));
     }
 
-    fn write(&mut self, attempt: Slot, bytes: &[u8], works: &mut Works) {
+    fn write(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
         let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.link) else { return };
         if let Some(link) = self.links.get_mut(slot) {
             link.output.push(bytes);
-            self.go_on(slot, works);
+            self.go_on(slot, context);
         }
     }
 
     /// A new priority of an attempt that is out, behind its call.
-    pub fn rank(&mut self, attempt: Slot, priority: u8, works: &mut Works) {
+    pub fn rank(&mut self, attempt: Slot, priority: u8, context: &mut Context) {
         let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
         let bytes = resp::array(&[b"RANK", row.id.as_bytes(), priority.to_string().as_bytes()]);
         match row.written {
-            Some(_) => self.write(attempt, &bytes, works),
+            Some(_) => self.write(attempt, &bytes, context),
             None => row.call.extend(bytes),
         }
     }
 
-    pub fn cancel(&mut self, attempt: Slot, works: &mut Works) {
-        self.abandon(attempt, AttemptOutcome::Withdrawn, AttemptOutcome::Void, works);
+    pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
+        self.abandon(attempt, AttemptOutcome::Withdrawn, AttemptOutcome::Void, context);
     }
 
     /// Takes an attempt back, whose request may be sent again. Guards against two attempts of a request at engines at once, where
     /// the settings do not allow that: what gives one up and the next call go over different connections, and may
     /// come in either order. So its engine has to show first that it has heard, by answering what stands behind
     /// that on the same connection, or the connection is closed.
-    pub fn take_back(&mut self, attempt: Slot, works: &mut Works) {
+    pub fn take_back(&mut self, attempt: Slot, context: &mut Context) {
         self.take_out(attempt);
         let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
         let Some(link) =
             row.link.filter(|_| row.written.is_some() && row.result.is_none() && !self.may_duplicate)
         else {
-            return self.cancel(attempt, works);
+            return self.cancel(attempt, context);
         };
-        row.dropped = Some((AttemptOutcome::Withdrawn, works.now()));
+        row.dropped = Some((AttemptOutcome::Withdrawn, context.now()));
         let id = row.id.clone().into_bytes();
         let bytes = [resp::array(&[b"DROP", &id]), resp::array(&[b"PING", &id])].concat();
-        works.counters.count("attempts_taken_back");
-        self.write(attempt, &bytes, works);
-        self.look_at(link, works.now() + self.comes_up, works);
+        context.counters.count("attempts_taken_back");
+        self.write(attempt, &bytes, context);
+        self.look_at(link, context.now() + self.comes_up, context);
     }
 
     /// The connection that an attempt is on.
@@ -743,30 +755,30 @@
     }
 
     /// An attempt's time is over; whoever holds the sockets has read what came for it before.
-    pub fn overdue(&mut self, attempt: Slot, works: &mut Works) {
-        if self.attempts.get(attempt).is_some_and(|attempt| attempt.until <= works.now()) {
-            self.abandon(attempt, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, works);
+    pub fn overdue(&mut self, attempt: Slot, context: &mut Context) {
+        if self.attempts.get(attempt).is_some_and(|attempt| attempt.until <= context.now()) {
+            self.abandon(attempt, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
         }
     }
 
     /// Gives an attempt up, at the engine too; what was never written never ran.
-    fn abandon(&mut self, slot: Slot, end: AttemptOutcome, unwritten: AttemptOutcome, works: &mut Works) {
+    fn abandon(&mut self, slot: Slot, end: AttemptOutcome, unwritten: AttemptOutcome, context: &mut Context) {
         if self.attempts.get(slot).is_some_and(|attempt| attempt.dropped.is_some()) {
-            return self.end(slot, end, None, works);
+            return self.end(slot, end, None, context);
         }
         self.take_out(slot);
         let Some(attempt) = self.attempts.get(slot) else { return };
         if attempt.written.is_none() {
-            return self.end(slot, unwritten, None, works);
+            return self.end(slot, unwritten, None, context);
         }
         let word: &[u8] = if attempt.result.is_some() { b"CLOSE" } else { b"DROP" };
         let bytes = resp::array(&[word, attempt.id.as_bytes()]);
-        self.write(slot, &bytes, works);
-        self.end(slot, end, None, works);
+        self.write(slot, &bytes, context);
+        self.end(slot, end, None, context);
     }
 
     /// A connection that has not come up, or has not shown that it works, in time.
-    pub fn link_overdue(&mut self, slot: Slot, now: Duration, works: &mut Works) {
+    pub fn link_overdue(&mut self, slot: Slot, now: Duration, context: &mut Context) {
         let Some(link) = self.links.get_mut(slot).filter(|link| link.due.is_some_and(|at| at <= now)) else {
             return;
         };
@@ -777,34 +789,34 @@
         let waits = attempts().map(|(_, since)| since + self.comes_up).min();
         let next = waits.map_or(next, |at| at.min(next));
         if !link.up {
-            works.counters.count("links_not_up_in_time");
-            self.lose(slot, "not up in time", false, works);
+            context.counters.count("links_not_up_in_time");
+            self.lose(slot, "not up in time", false, context);
         } else if link.asked || unheard {
             // Nothing that it carries can be answered any more.
-            works.counters.count("links_silent");
-            self.lose(slot, "silent", true, works);
+            context.counters.count("links_silent");
+            self.lose(slot, "silent", true, context);
         } else if link.attempts.is_empty() {
             // Looked at again with its next attempt.
         } else if next <= now {
-            self.check(slot, works);
-            self.go_on(slot, works);
+            self.check(slot, context);
+            self.go_on(slot, context);
         } else {
-            self.look_at(slot, next, works);
+            self.look_at(slot, next, context);
         }
     }
 
-    pub fn link_idle(&mut self, slot: Slot, works: &mut Works) {
+    pub fn link_idle(&mut self, slot: Slot, context: &mut Context) {
         if let Some(link) = self.links.get(slot).filter(|link| link.attempts.is_empty())
-            && (link.retired || link.idle.is_some_and(|at| at <= works.now()))
+            && (link.retired || link.idle.is_some_and(|at| at <= context.now()))
         {
-            self.lose(slot, "idle", true, works);
+            self.lose(slot, "idle", true, context);
         }
     }
 
     /// Closes a connection; of what it carried, that of which nothing was written never ran. Where the engine
     /// had been `there`, that goes on to another connection once: guards against resets of new and of idle
     /// ones, which tell nothing of the engine.
-    pub fn lose(&mut self, slot: Slot, why: &str, there: bool, works: &mut Works) {
+    pub fn lose(&mut self, slot: Slot, why: &str, there: bool, context: &mut Context) {
         let Some(link) = self.links.take(slot) else { return };
         self.asks.push_back(Ask::Close(slot));
         log::debug!(
@@ -813,23 +825,23 @@
             link.attempts.len()
         );
         self.book.entry(link.engine).and_modify(|known| known.links.retain(|other| *other != slot));
-        link.due.inspect(|at| works.timers.clear(*at, Timer::Link(slot)));
-        link.whole_by.inspect(|at| works.timers.clear(*at, Timer::Whole(slot)));
-        link.idle.inspect(|at| works.timers.clear(*at, Timer::Idle(slot)));
+        link.due.inspect(|at| context.timers.clear(*at, Timer::Link(slot)));
+        link.whole_by.inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
+        link.idle.inspect(|at| context.timers.clear(*at, Timer::Idle(slot)));
         if there && !link.attempts.is_empty() {
-            works.counters.count("links_lost");
+            context.counters.count("links_lost");
         }
         for attempt in link.attempts.into_values() {
             let Some(row) = self.attempts.get_mut(attempt) else { continue };
             row.link = None;
             if let Some((end, _)) = row.dropped {
-                self.end(attempt, end, None, works);
+                self.end(attempt, end, None, context);
             } else if row.written.is_some_and(|from| link.output.passed() > from) {
-                self.end(attempt, AttemptOutcome::Broken, None, works);
+                self.end(attempt, AttemptOutcome::Broken, None, context);
             } else if !there || std::mem::replace(&mut row.moved, true) {
-                self.end(attempt, AttemptOutcome::Unreachable, None, works);
+                self.end(attempt, AttemptOutcome::Unreachable, None, context);
             } else {
-                self.place(attempt, works);
+                self.place(attempt, context);
             }
         }
     }
@@ -848,7 +860,7 @@
     }
 
     /// Feeds the state to `into`, times told from `now`: states that print alike go on alike.
-    pub fn print(&self, now: Duration, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, now: Duration, into: &mut impl Hasher) {
         let since = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
         let places: BTreeMap<Slot, usize> = self.links.iter().map(|(slot, _)| slot).zip(0..).collect();
         for (number, engine) in &self.book {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,23 +1,23 @@
 //! The real router: emberflow's decisions on sockets. [`command::run`] is the program; to embed it,
-//! [`premises::Briefing`] reads a configuration and [`edge::Edge::run`] serves by it until SIGTERM.
+//! [`bootstrap::Bootstrap`] reads a configuration and [`edge::Edge::run`] serves by it until SIGTERM.
 
+pub mod admission_queue;
+pub mod bootstrap;
 pub mod bulletin;
 pub mod clients;
 pub mod clock;
 pub mod command;
+pub mod context;
 pub mod counters;
-pub mod door;
+pub mod dispatch;
 pub mod edge;
 pub mod engines;
-pub mod floor;
-pub mod front;
 pub mod jsonrpc;
-pub mod premises;
 mod ready;
 pub mod resp;
 pub mod ring;
+pub mod server;
 pub mod slots;
 pub mod statement;
 pub mod timers;
 mod wires;
-pub mod works;
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Default)]
 pub struct Ring {
     bytes: VecDeque<u8>,
-    /// All that was ever taken out at the front.
+    /// All that was ever taken out at the server.
     passed: u64,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes out bytes at the front that were never to leave.
+    /// Takes out bytes at the server that were never to leave.
     pub fn cut(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/server.rs
@@ -1,19 +1,19 @@
 //! The machine that owns the decisions: what comes in is told to them, and what they say is carried out. Lines,
 //! frames, bytes and times in; bytes to write and connections to dial or to close out. It holds no socket.
 
+use crate::admission_queue::{Admission, AdmissionQueue};
+use crate::bootstrap::Bootstrap;
 use crate::bulletin::{Bulletin, Row};
 use crate::clients::{Heard, MOST_OPEN};
-use crate::door::{Door, Knock};
+use crate::context::Context;
+use crate::dispatch::{Dispatcher, Request};
 use crate::engines::News;
-use crate::floor::{Floor, Request};
 use crate::jsonrpc::{self, Objection, Withdrawal};
-use crate::premises::Briefing;
 use crate::ring::Ring;
 use crate::slots::Slot;
 use crate::statement;
 use crate::timers::Timer;
-use crate::works::Works;
-use emberflow::{Actions, Arrival, AttemptEnded, KeyId, Print, RequestId, Scheduler};
+use emberflow::{Actions, Arrival, AttemptEnded, Fingerprint, KeyId, RequestId, Scheduler};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
 use emberflow_startup::{Fields, from_ms};
@@ -38,9 +38,9 @@
 const LOOK: Duration = Duration::from_millis(10);
 
 #[derive(Clone)]
-pub struct Front {
+pub struct Server {
     scheduler: Scheduler,
-    pub floor: Floor,
+    pub dispatcher: Dispatcher,
     pub bulletin: Bulletin,
     /// Clients that are gone, whose connections are to be closed, and what was last said to them.
     pub closed: Vec<(Slot, Ring)>,
@@ -52,99 +52,99 @@
     /// The longest deadline of any request class.
     longest: Duration,
     /// Where the operator has told teams.
-    door: Option<Door>,
-    door_due: Option<Duration>,
+    admission_queue: Option<AdmissionQueue>,
+    admission_queue_due: Option<Duration>,
     /// By request class, the target and whether requests of one key keep their order.
     habits: Vec<(Duration, bool)>,
     max_retry_after: Option<Duration>,
 }
 
-impl Front {
+impl Server {
     /// Begins with the events that the configuration tells.
-    pub fn new(briefing: Briefing, works: Works) -> Self {
-        let Briefing { premises, fleet, classes, attempt_limits, last, events, orders, unread: _ } = briefing;
+    pub fn new(bootstrap: Bootstrap, context: Context) -> Self {
+        let Bootstrap { config, fleet, classes, attempt_limits, last, events, orders, unread: _ } = bootstrap;
         let (habits, now) =
-            (classes.iter().map(|t| (t.latency_objective, t.keeps_order)).collect(), works.now());
+            (classes.iter().map(|t| (t.latency_objective, t.keeps_order)).collect(), context.now());
         let max_retry_after = attempt_limits.max_retry_after;
         let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-        let mut front = Self {
+        let mut server = Self {
             scheduler: Scheduler::new(fleet, classes, attempt_limits),
-            bulletin: Bulletin::after(last, premises.kinds.len(), premises.locations.len()),
+            bulletin: Bulletin::after(last, config.kinds.len(), config.locations.len()),
             closed: Vec::new(),
             leaving: None,
             unheard: false,
             left: false,
             longest,
-            door: None,
-            door_due: None,
+            admission_queue: None,
+            admission_queue_due: None,
             habits,
             max_retry_after,
-            floor: Floor::within(premises, works),
+            dispatcher: Dispatcher::within(config, context),
         };
         if let Some(roll) = orders.teams {
             log::info!("{} teams, each with a full budget", roll.names.len());
-            front.open_door(roll, now);
+            server.open_admission_queue(roll, now);
         }
         for (whole, rows) in events {
-            front.listed(whole, &rows);
+            server.listed(whole, &rows);
         }
-        front
+        server
     }
 
     /// Takes a client's connection in, of which nothing was read yet.
     pub fn admit(&mut self) -> Slot {
-        let Floor { clients, works, .. } = &mut self.floor;
+        let Dispatcher { clients, context, .. } = &mut self.dispatcher;
         let slot = clients.table.next();
-        let due = clients.admit(works.now());
-        works.timers.set(due, Timer::Client(slot));
-        works.counters.count("clients_admitted");
+        let due = clients.admit(context.now());
+        context.timers.set(due, Timer::Client(slot));
+        context.counters.count("clients_admitted");
         slot
     }
 
     /// Whether a client's request under this id is open.
     pub fn owes(&self, client: Slot, id: u64) -> bool {
-        self.floor.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
+        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
     }
 
     /// Feeds the state to `into`: states that print alike go on alike, whatever comes.
-    pub fn print(&self, into: &mut impl Hasher) {
-        let now = self.floor.works.now();
+    pub fn fingerprint(&self, into: &mut impl Hasher) {
+        let now = self.dispatcher.context.now();
         let since = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        self.scheduler.print(&Print { now, more: true, alike: false, beside: &|_| 0 }, into);
-        self.floor.print(into);
+        self.scheduler.fingerprint(&Fingerprint { now, more: true, alike: false, beside: &|_| 0 }, into);
+        self.dispatcher.fingerprint(into);
         (self.leaving.map(since), self.left).hash(into);
     }
 
-    pub fn works(&mut self) -> &mut Works {
-        &mut self.floor.works
+    pub fn context(&mut self) -> &mut Context {
+        &mut self.dispatcher.context
     }
 
     /// What falls due; whoever holds the sockets has read what came for it before.
     pub fn due(&mut self, due: Timer) {
-        let now = self.floor.works.now();
-        let Floor { engines, works, .. } = &mut self.floor;
+        let now = self.dispatcher.context.now();
+        let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         match due {
-            Timer::Wake => self.scheduler.wake(now, &mut self.floor),
-            Timer::Attempt(slot) => engines.overdue(slot, works),
-            Timer::Link(slot) => engines.link_overdue(slot, now, works),
-            Timer::Whole(slot) => engines.not_whole(slot, works),
-            Timer::Idle(slot) => engines.link_idle(slot, works),
+            Timer::Wake => self.scheduler.wake(now, &mut self.dispatcher),
+            Timer::Attempt(slot) => engines.overdue(slot, context),
+            Timer::Link(slot) => engines.link_overdue(slot, now, context),
+            Timer::Whole(slot) => engines.not_whole(slot, context),
+            Timer::Idle(slot) => engines.link_idle(slot, context),
             Timer::Client(slot) => self.client_overdue(slot, now),
             Timer::Leave => self.leave(),
-            Timer::Bulletin | Timer::Admit | Timer::Door | Timer::Reload | Timer::Part(_) => {}
+            Timer::Bulletin | Timer::Admit | Timer::AdmissionQueue | Timer::Reload | Timer::Part(_) => {}
         }
         self.tell();
     }
 
     /// Lets clients go to whom nothing more is owed, and those that read too little.
     pub fn clear(&mut self) {
-        for slot in std::mem::take(&mut self.floor.clients.ending) {
-            if self.floor.clients.finished(slot) {
+        for slot in std::mem::take(&mut self.dispatcher.clients.ending) {
+            if self.dispatcher.clients.finished(slot) {
                 self.client_gone(slot, "nothing more to hear or to say");
             }
         }
-        while let Some(slot) = self.floor.clients.swollen() {
-            self.floor.works.counters.count("clients_too_slow");
+        while let Some(slot) = self.dispatcher.clients.swollen() {
+            self.dispatcher.context.counters.count("clients_too_slow");
             self.client_gone(slot, "it reads least of its answers");
         }
     }
@@ -158,14 +158,15 @@
     }
 
     fn tell_news(&mut self) {
-        while let Some(news) = self.floor.engines.news.pop_front() {
-            let now = self.floor.works.now();
+        while let Some(news) = self.dispatcher.engines.news.pop_front() {
+            let now = self.dispatcher.context.now();
             match news {
                 News::Noticed(request, attempt, notice) => {
-                    self.scheduler.progress_noted(now, request, attempt, notice, &mut self.floor);
+                    self.scheduler.progress_noted(now, request, attempt, notice, &mut self.dispatcher);
                 }
                 News::Ended(ended, body, owing) => {
-                    if let Some((link, request)) = owing.zip(self.floor.requests.get_mut(ended.request)) {
+                    if let Some((link, request)) = owing.zip(self.dispatcher.requests.get_mut(ended.request))
+                    {
                         request.owing.push(link);
                     }
                     self.ended(now, ended, body);
@@ -175,18 +176,18 @@
     }
 
     fn ended(&mut self, now: Duration, mut ended: AttemptEnded, body: Option<Vec<u8>>) {
-        if let Some((door, usage)) = self.door.as_mut().zip(ended.usage.as_ref())
+        if let Some((admission_queue, usage)) = self.admission_queue.as_mut().zip(ended.usage.as_ref())
             && body.is_some()
-            && self.floor.requests.get(ended.request).is_some()
+            && self.dispatcher.requests.get(ended.request).is_some()
         {
-            door.billed(ended.request, usage.cost);
+            admission_queue.billed(ended.request, usage.cost);
         }
         if let Some(body) = body {
             // Not owed where the client has withdrawn in between.
-            self.floor.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
+            self.dispatcher.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
         }
-        ended.over = self.floor.requests.get(ended.request).is_none();
-        self.scheduler.attempt_ended(now, ended, &mut self.floor);
+        ended.over = self.dispatcher.requests.get(ended.request).is_none();
+        self.scheduler.attempt_ended(now, ended, &mut self.dispatcher);
     }
 
     // ---- clients ----
@@ -200,10 +201,10 @@
         from: &mut impl Read,
         failed: impl Fn() -> bool,
     ) -> bool {
-        let now = self.floor.works.now();
-        match self.floor.clients.hear(slot, (now, since), from, failed) {
+        let now = self.dispatcher.context.now();
+        match self.dispatcher.clients.hear(slot, (now, since), from, failed) {
             Heard::Line(line, came) => {
-                let taken_back = self.floor.clients.look_ahead(slot);
+                let taken_back = self.dispatcher.clients.look_ahead(slot);
                 let open = taken_back.iter().filter_map(|named| self.named(slot, named));
                 let open: Vec<_> = open.collect();
                 if !open.is_empty() {
@@ -229,9 +230,9 @@
     }
 
     fn object(&mut self, slot: Slot, id: Option<u64>, code: i64, message: &str) {
-        self.floor.works.counters.count("client_input_refused");
+        self.dispatcher.context.counters.count("client_input_refused");
         log::debug!("refused from client {slot:?} under id {id:?}: {message}");
-        self.floor.clients.say(slot, &jsonrpc::error(id, code, message, None));
+        self.dispatcher.clients.say(slot, &jsonrpc::error(id, code, message, None));
     }
 
     /// A line that has waited to be read for so long.
@@ -250,29 +251,29 @@
 
     fn status(&mut self, slot: Slot, id: Option<u64>) -> Result<(), Objection> {
         let id = id.ok_or_else(|| (id, jsonrpc::INVALID, "`status` without an id".to_owned()))?;
-        let serving = self.floor.serving && self.leaving.is_none();
-        self.floor.clients.say(slot, &jsonrpc::status(id, serving));
+        let serving = self.dispatcher.serving && self.leaving.is_none();
+        self.dispatcher.clients.say(slot, &jsonrpc::status(id, serving));
         Ok(())
     }
 
     /// The open request that a client names by its `req` or by its id here.
     fn named(&self, slot: Slot, (req, id): &Withdrawal) -> Option<RequestId> {
         let named = |number: &RequestId| {
-            self.floor
+            self.dispatcher
                 .requests
                 .get(*number)
                 .is_some_and(|request| request.req == *req || Some(request.id) == *id)
         };
-        self.floor.clients.table.get(slot)?.open.values().copied().find(named)
+        self.dispatcher.clients.table.get(slot)?.open.values().copied().find(named)
     }
 
     /// What clients have that may have stopped waiting, which came at `since` at the earliest: looked at for all
     /// of them before anything else is done, and told to the decisions at once.
     pub fn glance<R: Read>(&mut self, since: Duration, clients: impl IntoIterator<Item = (Slot, R)>) {
-        let now = self.floor.works.now();
+        let now = self.dispatcher.context.now();
         let (mut withdrawn, mut ended, mut closed) = (Vec::new(), Vec::new(), Vec::new());
         for (slot, mut from) in clients {
-            let seen = self.floor.clients.glance(slot, (now, since), &mut from);
+            let seen = self.dispatcher.clients.glance(slot, (now, since), &mut from);
             withdrawn.extend(seen.withdrawn.iter().filter_map(|named| self.named(slot, named)));
             ended.extend(seen.ended.then_some(slot));
             closed.extend(seen.closed.then_some(slot));
@@ -287,22 +288,28 @@
     /// Requests are owed to nobody any more; clients have ended their side, and may be gone as well. What waits in
     /// any queue for one of these is rejected, and what is out has its end waited for.
     fn clients_left(&mut self, mut withdrawn: Vec<RequestId>, ended: Vec<Slot>) {
-        let now = self.floor.works.now();
-        withdrawn.retain(|request| self.floor.close(*request, "requests_withdrawn").is_some());
-        let open = ended.iter().filter_map(|slot| self.floor.clients.table.get(*slot));
+        let now = self.dispatcher.context.now();
+        withdrawn.retain(|request| self.dispatcher.close(*request, "requests_withdrawn").is_some());
+        let open = ended.iter().filter_map(|slot| self.dispatcher.clients.table.get(*slot));
         let mut left: Vec<RequestId> = open.flat_map(|client| client.open.values().copied()).collect();
         for request in &left {
-            let attempts =
-                self.floor.requests.get(*request).map(|request| request.attempts.clone()).unwrap_or_default();
+            let attempts = self
+                .dispatcher
+                .requests
+                .get(*request)
+                .map(|request| request.attempts.clone())
+                .unwrap_or_default();
             attempts
                 .into_iter()
-                .for_each(|attempt| self.floor.engines.keep_back(attempt, &mut self.floor.works));
+                .for_each(|attempt| self.dispatcher.engines.keep_back(attempt, &mut self.dispatcher.context));
         }
-        let at_the_door = |request: &RequestId| self.door.as_ref().is_some_and(|door| door.holds(*request));
-        for request in left.extract_if(.., |request| at_the_door(request)) {
-            self.floor.reject(request, None);
+        let in_admission_queue = |request: &RequestId| {
+            self.admission_queue.as_ref().is_some_and(|admission_queue| admission_queue.holds(*request))
+        };
+        for request in left.extract_if(.., |request| in_admission_queue(request)) {
+            self.dispatcher.reject(request, None);
         }
-        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.floor);
+        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);
         self.tell();
     }
 
@@ -313,12 +320,12 @@
         (method, fields): (&str, Fields),
         waited: Duration,
     ) -> Result<(), Objection> {
-        let now = self.floor.works.now();
-        let class = self.floor.premises.classes.iter().position(|name| name == method);
+        let now = self.dispatcher.context.now();
+        let class = self.dispatcher.config.classes.iter().position(|name| name == method);
         let class = class.ok_or_else(|| (id, jsonrpc::NO_METHOD, format!("no method `{method}`")))?;
         let invalid = |id: Option<u64>, what: &str| Err((id, jsonrpc::INVALID, what.to_owned()));
         let Some(number) = id else { return invalid(None, "a task without an id") };
-        let Some(client) = self.floor.clients.table.get(slot) else { return Ok(()) };
+        let Some(client) = self.dispatcher.clients.table.get(slot) else { return Ok(()) };
         if client.open.contains_key(&number) {
             // Under that id it would pass for the answer that the open one is owed.
             return invalid(None, "`id` is open already");
@@ -344,17 +351,17 @@
             return Err(wrong("`req` is not 16 hex digits".into()));
         }
         // Its client ended its side before this line's turn came: nobody may wait for it any more.
-        if self.floor.clients.has_left(slot, now) {
+        if self.dispatcher.clients.has_left(slot, now) {
             return Err((id, jsonrpc::REJECTED, "its client has left".into()));
         }
         // Guards against requests sent on for nobody: its client had taken it back before its turn came.
-        if self.floor.clients.takes_back(slot, req, number) {
-            self.floor.works.counters.count("requests_withdrawn");
+        if self.dispatcher.clients.takes_back(slot, req, number) {
+            self.dispatcher.context.counters.count("requests_withdrawn");
             log::debug!("task {req} of client {slot:?}: withdrawn before it was heard");
             return Ok(());
         }
         // Engines tell requests apart by it alone, whoever asks.
-        if self.floor.requests.holds(req) {
+        if self.dispatcher.requests.holds(req) {
             return invalid(id, "`req` is open already");
         }
         let opkey = maybe_text("opkey")?;
@@ -376,16 +383,16 @@
             Some(Some(told @ (0 | 1))) => told == 1,
             Some(_) => return Err(wrong("`resent` is not 0 or 1".into())),
         };
-        let floor = &mut self.floor;
+        let dispatcher = &mut self.dispatcher;
         let arrival = Arrival {
-            request: floor.requests.next,
+            request: dispatcher.requests.next,
             class,
             key: subject.map(key),
             cost,
             memory_mb,
             deadline: from_ms(deadline).min(LONGEST).saturating_sub(BETWEEN),
             waited,
-            is_retry: floor.premises.marks_retries.then_some(resent),
+            is_retry: dispatcher.config.marks_retries.then_some(resent),
             group,
         };
         log::debug!(
@@ -394,37 +401,41 @@
             arrival.request,
             arrival.group
         );
-        let asks =
-            self.door.as_ref().map(|door| team_and_urgency(&door.roll, fields)).transpose().map_err(wrong)?;
-        let floor = &mut self.floor;
+        let asks = self
+            .admission_queue
+            .as_ref()
+            .map(|admission_queue| team_and_urgency(&admission_queue.roll, fields))
+            .transpose()
+            .map_err(wrong)?;
+        let dispatcher = &mut self.dispatcher;
         let same = key(opkey.unwrap_or(req)) as u64;
         let (req, opkey) = (req.to_owned(), opkey.map(str::to_owned));
-        if !floor.open(Request::new(slot, number, req, class, opkey, statement)) {
+        if !dispatcher.open(Request::new(slot, number, req, class, opkey, statement)) {
             return Err((id, jsonrpc::REJECTED, "too many tasks are open".into()));
         }
         match asks {
-            Some((team, urgency, told)) => self.knock(now, arrival, (team, urgency, same, told)),
-            None => self.scheduler.accept(now, arrival, floor),
+            Some((team, urgency, told)) => self.enqueue(now, arrival, (team, urgency, same, told)),
+            None => self.scheduler.accept(now, arrival, dispatcher),
         }
         Ok(())
     }
 
     // ---- teams ----
 
-    fn open_door(&mut self, roll: Roll, now: Duration) {
-        self.door = Some(Door::new(roll, now));
-        self.floor.closed = Some(Vec::new());
+    fn open_admission_queue(&mut self, roll: Roll, now: Duration) {
+        self.admission_queue = Some(AdmissionQueue::new(roll, now));
+        self.dispatcher.closed = Some(Vec::new());
     }
 
     /// A request waits for its team's turn, or is turned away with the time after which such a one would be taken.
-    fn knock(
+    fn enqueue(
         &mut self,
         now: Duration,
         arrival: Arrival,
         (team, urgency, identity, told): (usize, u8, u64, bool),
     ) {
         let (latency_objective, ordered) = self.habits[arrival.class];
-        let knock = Knock {
+        let admission = Admission {
             team,
             urgency,
             identity,
@@ -436,71 +447,77 @@
             asks_to_be_told: told,
         };
         let request = arrival.request;
-        let Some(Err(refusal)) = self.door.as_mut().map(|door| door.knock(now, arrival, knock)) else {
+        let Some(Err(refusal)) = self
+            .admission_queue
+            .as_mut()
+            .map(|admission_queue| admission_queue.enqueue(now, arrival, admission))
+        else {
             return;
         };
-        self.floor.works.counters.count("requests_refused_at_the_door");
+        self.dispatcher.context.counters.count("requests_refused_at_the_door");
         log::debug!("task {request}: {:?}, back in {:?}", refusal.reason, refusal.retry_after);
         let retry_after = self.max_retry_after.map(|longest| refusal.retry_after.min(longest));
-        self.floor.reject(request, retry_after);
+        self.dispatcher.reject(request, retry_after);
     }
 
     /// Settles what was closed, hands on the next request that has room, and tells clients of their waits; tells
     /// whether one was handed on.
     fn attend(&mut self) -> bool {
-        let Some(door) = &mut self.door else { return false };
-        let now = self.floor.works.now();
-        for (request, how) in self.floor.closed.as_mut().map(std::mem::take).unwrap_or_default() {
-            door.closed(now, request, how);
+        let Some(admission_queue) = &mut self.admission_queue else { return false };
+        let now = self.dispatcher.context.now();
+        for (request, how) in self.dispatcher.closed.as_mut().map(std::mem::take).unwrap_or_default() {
+            admission_queue.closed(now, request, how);
         }
-        if let Some(arrival) = door.next(now, || self.scheduler.room(now)) {
-            self.scheduler.accept(now, arrival, &mut self.floor);
+        if let Some(arrival) = admission_queue.next(now, || self.scheduler.capacity(now)) {
+            self.scheduler.accept(now, arrival, &mut self.dispatcher);
             return true;
         }
-        for (request, wait) in door.to_tell(now) {
-            if let Some(request) = self.floor.requests.get(request) {
-                self.floor.clients.say(request.client, &jsonrpc::waiting(request.id, &wait));
+        for (request, wait) in admission_queue.to_tell(now) {
+            if let Some(request) = self.dispatcher.requests.get(request) {
+                self.dispatcher.clients.say(request.client, &jsonrpc::waiting(request.id, &wait));
             }
         }
         // What opens by time alone is looked for by the decisions' own step.
-        let due = door.due().map(|due| due.min(now + self.scheduler.margin()));
-        if due != self.door_due {
-            let timers = &mut self.floor.works.timers;
-            if let Some(old) = std::mem::replace(&mut self.door_due, due) {
-                timers.clear(old, Timer::Door);
+        let due = admission_queue.due().map(|due| due.min(now + self.scheduler.margin()));
+        if due != self.admission_queue_due {
+            let timers = &mut self.dispatcher.context.timers;
+            if let Some(old) = std::mem::replace(&mut self.admission_queue_due, due) {
+                timers.clear(old, Timer::AdmissionQueue);
             }
-            due.into_iter().for_each(|at| timers.set(at, Timer::Door));
+            due.into_iter().for_each(|at| timers.set(at, Timer::AdmissionQueue));
         }
         false
     }
 
     /// Hands on all that waits, whatever its turn.
-    fn empty_the_door(&mut self, now: Duration) {
-        while let Some(arrival) = self.door.as_mut().and_then(|door| door.any(now)) {
-            self.scheduler.accept(now, arrival, &mut self.floor);
+    fn drain_admission_queue(&mut self, now: Duration) {
+        while let Some(arrival) =
+            self.admission_queue.as_mut().and_then(|admission_queue| admission_queue.any(now))
+        {
+            self.scheduler.accept(now, arrival, &mut self.dispatcher);
         }
     }
 
     /// The operator's file, read anew: what waits moves with its team; where there are no teams any more, it is
     /// handed on.
     pub fn reorder(&mut self, roll: Option<Roll>) {
-        let now = self.floor.works.now();
-        match (&mut self.door, roll) {
-            (Some(door), Some(roll)) => {
-                door.roll.changes(&roll).iter().for_each(|what| log::info!("teams: {what}"));
-                door.change(now, roll);
+        let now = self.dispatcher.context.now();
+        match (&mut self.admission_queue, roll) {
+            (Some(admission_queue), Some(roll)) => {
+                admission_queue.roll.changes(&roll).iter().for_each(|what| log::info!("teams: {what}"));
+                admission_queue.change(now, roll);
             }
             (Some(_), None) => {
                 log::info!("no teams any more");
-                self.empty_the_door(now);
-                (self.door, self.floor.closed) = (None, None);
-                if let Some(due) = self.door_due.take() {
-                    self.floor.works.timers.clear(due, Timer::Door);
+                self.drain_admission_queue(now);
+                (self.admission_queue, self.dispatcher.closed) = (None, None);
+                if let Some(due) = self.admission_queue_due.take() {
+                    self.dispatcher.context.timers.clear(due, Timer::AdmissionQueue);
                 }
             }
             (None, Some(roll)) => {
                 log::info!("{} teams, each with a full budget", roll.names.len());
-                self.open_door(roll, now);
+                self.open_admission_queue(roll, now);
             }
             (None, None) => {}
         }
@@ -514,18 +531,22 @@
 
     fn client_overdue(&mut self, slot: Slot, now: Duration) {
         // It may have ended with what was read before.
-        if self.floor.clients.table.get(slot).is_none() {
+        if self.dispatcher.clients.table.get(slot).is_none() {
             return;
         }
-        match self.floor.clients.overdue(slot, now) {
+        match self.dispatcher.clients.overdue(slot, now) {
             Ok(begun) => {
-                self.floor.works.counters.count(if begun { "clients_stalled" } else { "clients_idle" });
+                self.dispatcher.context.counters.count(if begun {
+                    "clients_stalled"
+                } else {
+                    "clients_idle"
+                });
                 if begun {
                     self.object(slot, None, jsonrpc::PARSE, "a line that stopped short");
                 }
                 self.client_gone(slot, if begun { "stopped within a line" } else { "idle" });
             }
-            Err(due) => self.floor.works.timers.set(due, Timer::Client(slot)),
+            Err(due) => self.dispatcher.context.timers.set(due, Timer::Client(slot)),
         }
     }
 
@@ -539,9 +560,9 @@
 
     /// Takes a client's connection out; tells what was open on it.
     fn part(&mut self, slot: Slot, why: &str) -> Vec<RequestId> {
-        let Some(client) = self.floor.clients.take(slot) else { return Vec::new() };
+        let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
         log::debug!("client {slot:?} over with {}: {why}", client.held());
-        self.floor.works.timers.clear(client.due, Timer::Client(slot));
+        self.dispatcher.context.timers.clear(client.due, Timer::Client(slot));
         self.closed.push((slot, client.output));
         client.open.into_values().collect()
     }
@@ -549,22 +570,22 @@
     // ---- engines and their list ----
 
     pub fn listed(&mut self, whole: bool, rows: &[Row]) {
-        let Floor { engines, works, .. } = &mut self.floor;
+        let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         if whole {
-            engines.only(rows, works);
+            engines.only(rows, context);
         }
-        let endpoints: Vec<_> = rows.iter().map(|row| engines.listed(row, works)).collect();
-        self.floor.serving |= endpoints.iter().any(|row| row.ready);
-        self.floor.works.counters.count("list_events");
-        let now = self.floor.works.now();
-        self.scheduler.endpoints_changed(now, whole, endpoints, &mut self.floor);
+        let endpoints: Vec<_> = rows.iter().map(|row| engines.listed(row, context)).collect();
+        self.dispatcher.serving |= endpoints.iter().any(|row| row.ready);
+        self.dispatcher.context.counters.count("list_events");
+        let now = self.dispatcher.context.now();
+        self.scheduler.endpoints_changed(now, whole, endpoints, &mut self.dispatcher);
         self.tell();
     }
 
     /// Takes in all whole frames that the bulletin's connection has brought; tells whether there were any.
     pub fn bulletin_heard(&mut self) -> Result<bool, String> {
         let mut any = false;
-        while let Some((number, rows)) = self.bulletin.take(&mut self.floor.works.counters)? {
+        while let Some((number, rows)) = self.bulletin.take(&mut self.dispatcher.context.counters)? {
             any = true;
             if let Some((whole, rows)) = rows {
                 log::info!("bulletin: event {number} with {} engines", rows.len());
@@ -581,27 +602,27 @@
         if self.leaving.is_some() {
             return;
         }
-        let works = &mut self.floor.works;
-        let now = works.now();
+        let context = &mut self.dispatcher.context;
+        let now = context.now();
         let by = now + self.longest.min(LONGEST_COUNTED) + STRAGGLERS - ON_THE_WAY;
         self.leaving = Some(by);
-        works.timers.set(now + STRAGGLERS, Timer::Leave);
-        self.empty_the_door(now);
-        self.scheduler.closing(now, by, &mut self.floor);
+        context.timers.set(now + STRAGGLERS, Timer::Leave);
+        self.drain_admission_queue(now);
+        self.scheduler.shutting_down(now, by, &mut self.dispatcher);
         self.tell();
     }
 
     /// Ends once nothing is open, or when SIGKILL may come.
     fn leave(&mut self) {
-        let now = self.floor.works.now();
+        let now = self.dispatcher.context.now();
         let done = self.is_done() && !self.unheard;
         self.left = done || self.leaving.is_some_and(|by| now >= by);
-        self.floor.works.timers.set(now + LOOK, Timer::Leave);
+        self.dispatcher.context.timers.set(now + LOOK, Timer::Leave);
     }
 
     /// Whether nothing is owed, as far as clients were heard.
     pub fn is_done(&self) -> bool {
-        let Floor { requests, clients, engines, .. } = &self.floor;
+        let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
         requests.is_empty() && clients.all_said() && engines.all_written()
     }
 }
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -29,7 +29,7 @@
     /// A connection that was closed to a client is read no longer.
     Part(Slot),
     /// Something changes among the requests that wait for their team's turn.
-    Door,
+    AdmissionQueue,
 }
 
 #[derive(Clone, Default)]
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -1,14 +1,14 @@
-//! Guards a change of words that is to change no behaviour: seeded lives of the front, without sockets or clock, and
+//! Guards a change of words that is to change no behaviour: seeded lives of the server, without sockets or clock, and
 //! one digest over all that its peers would see of them: the bytes on each connection, what is dialled and closed,
 //! and when it wants to be looked at next. Log lines are not in it.
 
+use emberflow_router::bootstrap::Bootstrap;
+use emberflow_router::context::Context;
 use emberflow_router::engines::Ask;
-use emberflow_router::front::Front;
-use emberflow_router::premises::Briefing;
 use emberflow_router::resp;
+use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
-use emberflow_router::works::Works;
 use expect_test::expect;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -188,7 +188,7 @@
 struct Life<'a> {
     chance: Chance,
     witness: &'a mut Witness,
-    front: Front,
+    server: Server,
     clients: Vec<Client>,
     links: BTreeMap<Slot, Link>,
     connections: u64,
@@ -226,12 +226,12 @@
             "rules": {"fallMs": 100, "overloadFactor": 2.5, "startCapacity": 0.3, "warmUpMs": 400}}})
 }
 
-fn briefing(file: &Value, operators_file: Option<&str>) -> Briefing {
-    let mut briefing = Briefing::read(file, None).expect("the configuration makes sense");
+fn bootstrap(file: &Value, operators_file: Option<&str>) -> Bootstrap {
+    let mut bootstrap = Bootstrap::read(file, None).expect("the configuration makes sense");
     operators_file
         .into_iter()
-        .for_each(|text| briefing.order(text).expect("the operator's file makes sense"));
-    briefing
+        .for_each(|text| bootstrap.order(text).expect("the operator's file makes sense"));
+    bootstrap
 }
 
 impl<'a> Life<'a> {
@@ -239,9 +239,9 @@
         let mut chance = Chance(seed);
         let file = configuration(&mut chance, seed);
         let operators_file = (seed % 4 >= 2).then(|| OPERATORS_FILES[seed as usize % 2]);
-        let works = Works { now: START, ..Works::default() };
+        let context = Context { now: START, ..Context::default() };
         let mut life = Self {
-            front: Front::new(briefing(&file, operators_file), works),
+            server: Server::new(bootstrap(&file, operators_file), context),
             chance,
             witness,
             clients: Vec::new(),
@@ -264,10 +264,10 @@
             self.witness.note("step", step, &[]);
             self.step();
             self.carry_out();
-            self.front.clear();
+            self.server.clear();
             self.carry_out();
             self.note_when_due();
-            if self.front.left {
+            if self.server.left {
                 self.witness.count("lives left");
                 break;
             }
@@ -275,9 +275,9 @@
                 self.close();
             }
         }
-        let owes = !self.front.floor.requests.is_empty();
-        self.witness.note("end", u64::from(self.front.left), &[u8::from(owes)]);
-        let counters = self.front.floor.works.counters.to_string();
+        let owes = !self.server.dispatcher.requests.is_empty();
+        self.witness.note("end", u64::from(self.server.left), &[u8::from(owes)]);
+        let counters = self.server.dispatcher.context.counters.to_string();
         for (name, count) in counters.split(' ').filter_map(|counter| counter.split_once('=')) {
             *self.witness.counted.entry(name.into()).or_default() += count.parse::<u64>().expect("a count");
         }
@@ -313,16 +313,16 @@
     // ---- clients ----
 
     fn admit(&mut self) {
-        if self.clients.len() >= self.front.floor.premises.most_clients() {
-            let now = self.front.floor.works.now();
-            let idlest = self.front.floor.clients.idlest(now);
-            return idlest.into_iter().for_each(|slot| self.front.client_gone(slot, "to make room"));
+        if self.clients.len() >= self.server.dispatcher.config.most_clients() {
+            let now = self.server.dispatcher.context.now();
+            let idlest = self.server.dispatcher.clients.idlest(now);
+            return idlest.into_iter().for_each(|slot| self.server.client_gone(slot, "to make room"));
         }
         self.connections += 1;
         let room = if self.chance.one_in(6) { 40 } else { usize::MAX };
         self.clients.push(Client {
             number: self.connections,
-            slot: self.front.admit(),
+            slot: self.server.admit(),
             coming: Vec::new(),
             ended: false,
             room,
@@ -400,7 +400,7 @@
         let Some(client) = self.any_client() else { return };
         let asked = &self.clients[client].asked;
         let last = asked[asked.len().saturating_sub(4)..].to_vec();
-        let most_bytes = self.front.floor.premises.most_bytes();
+        let most_bytes = self.server.dispatcher.config.most_bytes();
         let line = match (self.chance.below(12), last.is_empty()) {
             (0..5, false) => {
                 let (id, req) = self.chance.pick(&last);
@@ -433,11 +433,11 @@
     }
 
     fn hear(&mut self, slot: Slot, bytes: &[u8], after: After) {
-        let since = self.front.floor.works.now() - Duration::from_millis(self.chance.below(3));
+        let since = self.server.dispatcher.context.now() - Duration::from_millis(self.chance.below(3));
         let mut came = Came(bytes, after);
-        self.front.glance(since, [(slot, &mut came)]);
+        self.server.glance(since, [(slot, &mut came)]);
         self.carry_out();
-        while self.front.hear(slot, since, &mut came, || false) {
+        while self.server.hear(slot, since, &mut came, || false) {
             self.carry_out();
         }
     }
@@ -452,7 +452,7 @@
     fn flush_client(&mut self, slot: Slot) {
         let Some(client) = self.clients.iter_mut().find(|client| client.slot == slot) else { return };
         let mut far = Takes { room: client.room, taken: Vec::new() };
-        self.front.floor.clients.drain(slot, &mut far).expect("a client that only blocks");
+        self.server.dispatcher.clients.drain(slot, &mut far).expect("a client that only blocks");
         client.room = far.room;
         let number = client.number;
         self.client_read(number, &far.taken);
@@ -467,7 +467,7 @@
         client.unread.extend_from_slice(bytes);
         while let Some(end) = client.unread.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = client.unread.drain(..=end).collect();
-            let line: Value = serde_json::from_slice(&line).expect("the front says JSON");
+            let line: Value = serde_json::from_slice(&line).expect("the server says JSON");
             self.witness.count(kind_of_line(&line));
             if !line["error"]["data"]["holdoff"].is_null() {
                 self.witness.count("held off");
@@ -487,12 +487,12 @@
         let Some(slot) = self.any_link(false) else { return };
         let refused = self.chance.one_in(8);
         let there = self.chance.one_in(2);
-        let floor = &mut self.front.floor;
+        let dispatcher = &mut self.server.dispatcher;
         if refused {
-            floor.engines.refused(slot, there, "refused", &mut floor.works);
+            dispatcher.engines.refused(slot, there, "refused", &mut dispatcher.context);
             return self.witness.count("links refused");
         }
-        floor.engines.came_up(slot, &mut floor.works);
+        dispatcher.engines.came_up(slot, &mut dispatcher.context);
         self.links.entry(slot).and_modify(|link| link.up = true);
         self.flush_link(slot);
     }
@@ -554,15 +554,15 @@
         let all = link.coming.len();
         let count = if part { self.chance.below(all as u64) as usize } else { all };
         let bytes: Vec<u8> = link.coming.drain(..count).collect();
-        let floor = &mut self.front.floor;
-        floor.engines.read(slot, &mut Came(&bytes, after), &mut floor.works);
+        let dispatcher = &mut self.server.dispatcher;
+        dispatcher.engines.read(slot, &mut Came(&bytes, after), &mut dispatcher.context);
     }
 
     fn flush_link(&mut self, slot: Slot) {
         let Some(link) = self.links.get_mut(&slot).filter(|link| link.up) else { return };
         let narrow = self.chance.one_in(10);
         let mut far = Takes { room: if narrow { 30 } else { usize::MAX }, taken: Vec::new() };
-        self.front.floor.engines.drain(slot, &mut far).expect("an engine that only blocks");
+        self.server.dispatcher.engines.drain(slot, &mut far).expect("an engine that only blocks");
         if !far.taken.is_empty() {
             self.witness.note("to engine", link.number, &far.taken);
         }
@@ -573,7 +573,7 @@
     /// Notes the calls that have come whole, and answers at once what engines do.
     fn engine_reads(&mut self, slot: Slot) {
         let Some(link) = self.links.get_mut(&slot) else { return };
-        while let Some((parts, length)) = resp::parse(&link.inbox).expect("the front says RESP") {
+        while let Some((parts, length)) = resp::parse(&link.inbox).expect("the server says RESP") {
             let texts: Vec<String> = parts.iter().map(|part| String::from_utf8_lossy(part).into()).collect();
             link.inbox.drain(..length);
             let (word, id) = (texts[0].as_str(), &texts[1]);
@@ -622,7 +622,7 @@
     fn tell_list(&mut self, whole: bool) {
         let changed = self.chance.below(4) as usize;
         if self.frame > 1 && self.chance.one_in(3) {
-            self.up_since[changed] = self.front.floor.works.now().as_millis() as u64;
+            self.up_since[changed] = self.server.dispatcher.context.now().as_millis() as u64;
         }
         let mut records = Vec::new();
         for engine in 0..4 {
@@ -645,15 +645,15 @@
     fn bulletin_brings(&mut self, count: usize) {
         let count = count.min(self.frames.len());
         let bytes: Vec<u8> = self.frames.drain(..count).collect();
-        self.front.bulletin.input.push(&bytes);
-        let heard = self.front.bulletin_heard();
-        self.witness.note("bulletin", self.front.bulletin.last, &[u8::from(heard.is_ok())]);
+        self.server.bulletin.input.push(&bytes);
+        let heard = self.server.bulletin_heard();
+        self.witness.note("bulletin", self.server.bulletin.last, &[u8::from(heard.is_ok())]);
         if heard.is_err() {
             // The connection is made anew, and begins with the whole list.
             self.witness.count("lists refused");
-            self.front.bulletin = self.front.bulletin.anew();
+            self.server.bulletin = self.server.bulletin.anew();
             self.frames.clear();
-            self.frame = self.front.bulletin.last + 1;
+            self.frame = self.server.bulletin.last + 1;
             self.tell_list(true);
         }
     }
@@ -662,23 +662,24 @@
         let texts = [None, Some(OPERATORS_FILES[0]), Some(OPERATORS_FILES[1])];
         let text = self.chance.pick(&texts);
         let file = configuration(&mut Chance(1), 1);
-        self.front.reorder(briefing(&file, text).orders.teams);
+        self.server.reorder(bootstrap(&file, text).orders.teams);
         self.witness.count("reloads");
     }
 
     /// Time passes, and what falls due is done when it does, or a little late.
     fn time_passes(&mut self, most_ms: u64) {
-        let to = self.front.floor.works.now() + Duration::from_micros(self.chance.below(most_ms * 1000));
-        while let Some(at) = self.front.floor.works.timers.first().filter(|at| *at <= to) {
+        let to =
+            self.server.dispatcher.context.now() + Duration::from_micros(self.chance.below(most_ms * 1000));
+        while let Some(at) = self.server.dispatcher.context.timers.first().filter(|at| *at <= to) {
             let late = Duration::from_micros(self.chance.pick(&[0, 0, 0, 700]));
-            let now = self.front.floor.works.now().max(at + late);
-            self.front.floor.works.now = now;
-            while let Some(due) = self.front.floor.works.timers.pop(now) {
+            let now = self.server.dispatcher.context.now().max(at + late);
+            self.server.dispatcher.context.now = now;
+            while let Some(due) = self.server.dispatcher.context.timers.pop(now) {
                 self.falls_due(due);
             }
             self.note_when_due();
         }
-        self.front.floor.works.now = self.front.floor.works.now().max(to);
+        self.server.dispatcher.context.now = self.server.dispatcher.context.now().max(to);
     }
 
     /// As whoever holds the sockets does: what came before is heard before.
@@ -686,40 +687,40 @@
         match due {
             Timer::Client(slot) => self.hear(slot, &[], After::Silence),
             Timer::Attempt(attempt) => {
-                if let Some(link) = self.front.floor.engines.link_of(attempt) {
+                if let Some(link) = self.server.dispatcher.engines.link_of(attempt) {
                     self.flush_link(link);
                 }
             }
             _ => {}
         }
-        self.front.due(due);
+        self.server.due(due);
         self.carry_out();
     }
 
     fn close(&mut self) {
         if !self.closing {
             self.closing = true;
-            self.front.close();
+            self.server.close();
             self.carry_out();
             self.witness.count("planned ends");
         }
     }
 
-    // ---- what the front asks for ----
+    // ---- what the server asks for ----
 
     fn note_when_due(&mut self) {
-        let first = self.front.floor.works.timers.first();
+        let first = self.server.dispatcher.context.timers.first();
         let first = first.map_or(u64::MAX, |at| at.as_micros() as u64);
         self.witness.note("due", first, &[]);
     }
 
     fn carry_out(&mut self) {
         loop {
-            self.front.tell();
-            let asks = std::mem::take(&mut self.front.floor.engines.asks);
-            let unsent = std::mem::take(&mut self.front.floor.engines.unsent);
-            let unsaid = std::mem::take(&mut self.front.floor.clients.unsaid);
-            let closed = std::mem::take(&mut self.front.closed);
+            self.server.tell();
+            let asks = std::mem::take(&mut self.server.dispatcher.engines.asks);
+            let unsent = std::mem::take(&mut self.server.dispatcher.engines.unsent);
+            let unsaid = std::mem::take(&mut self.server.dispatcher.clients.unsaid);
+            let closed = std::mem::take(&mut self.server.closed);
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
             }
--- a/crates/router/tests/front.rs
+++ b/crates/router/tests/front.rs
@@ -1,10 +1,10 @@
 //! The machine that owns the decisions, without sockets or clock.
 
-use emberflow_router::front::Front;
-use emberflow_router::premises::Briefing;
+use emberflow_router::bootstrap::Bootstrap;
+use emberflow_router::context::Context;
+use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
-use emberflow_router::works::Works;
 use expect_test::expect;
 use std::io::{ErrorKind, Read, Result};
 use std::time::Duration;
@@ -19,10 +19,10 @@
 
 const NOW: Duration = Duration::from_secs(20);
 
-fn front() -> Front {
+fn server() -> Server {
     let file = serde_json::from_str(CONFIGURATION).expect("JSON");
-    let briefing = Briefing::read(&file, None).expect("it makes sense");
-    Front::new(briefing, Works { now: NOW, ..Works::default() })
+    let bootstrap = Bootstrap::read(&file, None).expect("it makes sense");
+    Server::new(bootstrap, Context { now: NOW, ..Context::default() })
 }
 
 /// What has come, and nothing more for now.
@@ -38,11 +38,11 @@
 }
 
 /// Says a line that came so long ago; what is answered at once.
-fn says(front: &mut Front, slot: Slot, line: &str, ago: u64) -> String {
-    let since = front.floor.works.now() - Duration::from_millis(ago);
-    front.hear(slot, since, &mut Came(line.as_bytes()), || false);
+fn says(server: &mut Server, slot: Slot, line: &str, ago: u64) -> String {
+    let since = server.dispatcher.context.now() - Duration::from_millis(ago);
+    server.hear(slot, since, &mut Came(line.as_bytes()), || false);
     let mut said = Vec::new();
-    front.floor.clients.drain(slot, &mut said).expect("it is written");
+    server.dispatcher.clients.drain(slot, &mut said).expect("it is written");
     if said.is_empty() { "no answer yet\n".into() } else { String::from_utf8(said).expect("text") }
 }
 
@@ -55,9 +55,9 @@
 /// The rule counts from a request's last byte, however late the router is to read it.
 #[test]
 fn deadline_counts_from_when_a_line_came() {
-    let mut front = front();
-    let slot = front.admit();
-    let told = [(1, 0), (2, 300), (3, 900)].map(|(id, ago)| says(&mut front, slot, &ask(id, 1000), ago));
+    let mut server = server();
+    let slot = server.admit();
+    let told = [(1, 0), (2, 300), (3, 900)].map(|(id, ago)| says(&mut server, slot, &ask(id, 1000), ago));
     expect![[r#"
         no answer yet
         no answer yet
@@ -69,9 +69,9 @@
 /// Seen on days with bad clients: answers left 4 ms before their clients gave up, and came after.
 #[test]
 fn an_answer_leaves_sooner_by_what_its_way_may_take() {
-    let mut front = front();
-    let slot = front.admit();
-    let told = [(1, 100), (2, 200)].map(|(id, deadline)| says(&mut front, slot, &ask(id, deadline), 0));
+    let mut server = server();
+    let slot = server.admit();
+    let told = [(1, 100), (2, 200)].map(|(id, deadline)| says(&mut server, slot, &ask(id, deadline), 0));
     expect![[r#"
         {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         no answer yet
@@ -81,39 +81,40 @@
 
 #[test]
 fn a_client_that_ended_as_its_time_came_is_not_counted_as_idle() {
-    let mut front = front();
-    let slots = [front.admit(), front.admit()];
-    front.floor.works.now = NOW + Duration::from_secs(2);
-    front.client_gone(slots[0], "closed by the client");
-    slots.into_iter().for_each(|slot| front.due(Timer::Client(slot)));
-    expect!["clients_admitted=2 clients_idle=1"].assert_eq(&front.floor.works.counters.to_string());
+    let mut server = server();
+    let slots = [server.admit(), server.admit()];
+    server.dispatcher.context.now = NOW + Duration::from_secs(2);
+    server.client_gone(slots[0], "closed by the client");
+    slots.into_iter().for_each(|slot| server.due(Timer::Client(slot)));
+    expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
 }
 
 #[test]
 fn room_is_made_by_who_was_quiet_and_first_by_who_never_spoke() {
-    let mut front = front();
-    let slots: Vec<Slot> = (0..4).map(|_| front.admit()).collect();
+    let mut server = server();
+    let slots: Vec<Slot> = (0..4).map(|_| server.admit()).collect();
     let status = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
-    says(&mut front, slots[0], status, 0);
-    says(&mut front, slots[1], &ask(1, 8000), 0);
+    says(&mut server, slots[0], status, 0);
+    says(&mut server, slots[1], &ask(1, 8000), 0);
     let mut told = String::new();
-    let mut look = |front: &mut Front, ms: u64| {
+    let mut look = |server: &mut Server, ms: u64| {
         let now = NOW + Duration::from_millis(ms);
-        front.floor.works.now = now;
-        let idle = front.floor.clients.idlest(now).map(|slot| slots.iter().position(|other| *other == slot));
+        server.dispatcher.context.now = now;
+        let idle =
+            server.dispatcher.clients.idlest(now).map(|slot| slots.iter().position(|other| *other == slot));
         told += &format!("after {ms} ms: {idle:?}\n");
         idle.flatten()
     };
-    look(&mut front, 49);
-    look(&mut front, 50);
+    look(&mut server, 49);
+    look(&mut server, 50);
     // A part of a line has come.
-    says(&mut front, slots[2], "{", 0);
+    says(&mut server, slots[2], "{", 0);
     for ms in [51, 99] {
-        if let Some(idle) = look(&mut front, ms) {
-            front.client_gone(slots[idle], "for room");
+        if let Some(idle) = look(&mut server, ms) {
+            server.client_gone(slots[idle], "for room");
         }
     }
-    look(&mut front, 100);
+    look(&mut server, 100);
     expect![[r#"
         after 49 ms: None
         after 50 ms: Some(Some(2))
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -542,7 +542,7 @@
 fn what_waits_at_the_teams_door_is_rejected_once_its_client_has_left() {
     const ORDERS: &str = "{teams: {list: [{name: 'audit', share: 1, \
                           budget: {work_s: 1, per_s: 60, burst_s: 1}}]}}";
-    let mut house = House::open_ordered("door-left", 1, &leisure(), ORDERS);
+    let mut house = House::open_ordered("admission_queue-left", 1, &leisure(), ORDERS);
     let mut clients: Vec<Client> = (0..3).map(|_| house.client()).collect();
     let mut engine = house.engine(0);
     for (client, id) in clients.iter_mut().zip(1..) {
@@ -575,7 +575,7 @@
 fn what_waits_at_the_teams_door_is_handed_on_for_nobody_once_it_is_taken_back() {
     const ORDERS: &str = "{teams: {list: [{name: 'audit', share: 1, \
                           budget: {work_s: 1, per_s: 60, burst_s: 1}}]}}";
-    let mut house = House::open_ordered("door-taken", 1, &leisure(), ORDERS);
+    let mut house = House::open_ordered("admission_queue-taken", 1, &leisure(), ORDERS);
     let (mut client, mut engine) = (house.client(), house.engine(0));
     for id in 1..=3 {
         client.ask_much("audit", id, 60_000, "");
--- a/crates/router/tests/sockets/house.rs
+++ b/crates/router/tests/sockets/house.rs
@@ -157,7 +157,7 @@
         Engine::at(&self.engines[at])
     }
 
-    /// Two engines, the first to hear a command in front.
+    /// Two engines, the first to hear a command in server.
     pub fn any_engine(&self) -> Vec<Engine> {
         let mut engines: Vec<_> = self.engines.iter().map(Engine::at).collect();
         let first =
--- a/crates/router/tests/unit/engines.rs
+++ b/crates/router/tests/unit/engines.rs
@@ -6,7 +6,7 @@
 
 /// An engine that listens, and an attempt that has gone out to it.
 struct Stand {
-    works: Works,
+    context: Context,
     engines: Engines,
     attempt: Slot,
     link: Slot,
@@ -15,11 +15,11 @@
 
 impl Stand {
     fn new(comes_up: Duration, until: Duration) -> Self {
-        let mut works = Works::default();
+        let mut context = Context::default();
         let mut engines = Engines::new(1, comes_up, Duration::from_secs(20), 1);
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
         let row = Row { id: 7, address, ready: true, gone: false, location, kind, cell, up_since_ms: 0 };
-        let engine = engines.listed(&row, &mut works).engine;
+        let engine = engines.listed(&row, &mut context).engine;
         let call = Call {
             request: 0,
             number: 0,
@@ -31,18 +31,18 @@
             priority: 1,
             until,
         };
-        let attempt = engines.send(engine, call, &[], &mut works);
+        let attempt = engines.send(engine, call, &[], &mut context);
         let link = engines.link_of(attempt).expect("a connection");
-        Self { works, engines, attempt, link, seen: Vec::new() }
+        Self { context, engines, attempt, link, seen: Vec::new() }
     }
 
     fn up(&mut self) {
-        self.engines.came_up(self.link, &mut self.works);
+        self.engines.came_up(self.link, &mut self.context);
         self.engines.drain(self.link, &mut self.seen).expect("it writes");
     }
 
     fn hears(&mut self, words: &[&[u8]]) {
-        self.engines.read(self.link, &mut Silent(Cursor::new(resp::array(words))), &mut self.works);
+        self.engines.read(self.link, &mut Silent(Cursor::new(resp::array(words))), &mut self.context);
     }
 }
 
@@ -62,9 +62,9 @@
 fn a_new_priority_of_an_attempt_that_is_out_goes_to_its_engine() {
     let long = Duration::from_secs(20);
     let mut stand = Stand::new(long, long);
-    stand.engines.rank(stand.attempt, 3, &mut stand.works);
+    stand.engines.rank(stand.attempt, 3, &mut stand.context);
     stand.up();
-    stand.engines.rank(stand.attempt, 2, &mut stand.works);
+    stand.engines.rank(stand.attempt, 2, &mut stand.context);
     stand.engines.drain(stand.link, &mut stand.seen).expect("it writes");
     let text = String::from_utf8(stand.seen).expect("text");
     let words: Vec<&str> = text.lines().skip(10).take(13).collect();
@@ -91,13 +91,13 @@
     let told = |room: usize| {
         let long = Duration::from_secs(20);
         let mut stand = Stand::new(long, long);
-        stand.engines.came_up(stand.link, &mut stand.works);
+        stand.engines.came_up(stand.link, &mut stand.context);
         stand.engines.drain(stand.link, &mut Narrow(room)).expect("it blocks");
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
         let row = Row { id: 7, address, ready: false, gone: false, location, kind, cell, up_since_ms: 0 };
-        stand.engines.listed(&row, &mut stand.works);
+        stand.engines.listed(&row, &mut stand.context);
         stand.engines.drain(stand.link, &mut stand.seen).expect("it writes");
-        format!("{} bytes left, {}\n", stand.seen.len() + room, stand.works.counters)
+        format!("{} bytes left, {}\n", stand.seen.len() + room, stand.context.counters)
     };
     expect![[r#"
         0 bytes left, attempts_sent=1 attempts_void=1 links_dialled=1
@@ -112,17 +112,17 @@
     let mut stand = Stand::new(soon, soon * 10);
     stand.up();
     let look = |stand: &mut Stand, at: Duration| {
-        stand.works.now = at;
-        stand.engines.link_overdue(stand.link, at, &mut stand.works);
+        stand.context.now = at;
+        stand.engines.link_overdue(stand.link, at, &mut stand.context);
         stand.engines.links.get(stand.link).is_some()
     };
     let asked = look(&mut stand, soon * 2);
-    stand.works.now = soon * 3;
+    stand.context.now = soon * 3;
     stand.hears(&[b"0", b"PONG", b"-", b""]);
     let kept = look(&mut stand, soon * 3);
-    stand.works.now = soon * 10;
+    stand.context.now = soon * 10;
     stand.hears(&[b"9b1f03aa5c7e2d41", b"HIT", b"pages=1", b"a\tb\tc\n"]);
-    stand.engines.overdue(stand.attempt, &mut stand.works);
+    stand.engines.overdue(stand.attempt, &mut stand.context);
     let told = match stand.engines.news.pop_front() {
         Some(News::Ended(ended, body, _)) => {
             format!("{:?}, {:?} bytes", ended.end, body.map(|b| b.len()))
@@ -130,5 +130,5 @@
         _ => "nothing".into(),
     };
     expect!["asked true, kept true, Succeeded, Some(6) bytes; attempts_sent=1 attempts_succeeded=1 links_checked=1 links_dialled=1"]
-        .assert_eq(&format!("asked {asked}, kept {kept}, {told}; {}", stand.works.counters));
+        .assert_eq(&format!("asked {asked}, kept {kept}, {told}; {}", stand.context.counters));
 }
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/tryout.rs
@@ -4,8 +4,8 @@
 use crate::bulletin::{Bulletin, Row};
 use crate::clients::{Client, Fate, Habit, How};
 use crate::engine::{Engine, Runs};
+use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::edge::Edge;
-use emberflow_router::premises::Briefing;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -86,11 +86,11 @@
         let (file, orders) = (settings(router, bulletin.address), self.orders.clone());
         std::thread::spawn(move || {
             let read = move || {
-                let mut briefing = Briefing::read(&file, None)?;
+                let mut bootstrap = Bootstrap::read(&file, None)?;
                 if let Some(orders) = &orders {
-                    briefing.order(orders)?;
+                    bootstrap.order(orders)?;
                 }
-                Ok(briefing)
+                Ok(bootstrap)
             };
             if let Err(error) = Edge::run(read) {
                 eprintln!("the router: {error}");
--- a/crates/teams/src/order.rs
+++ b/crates/teams/src/order.rs
@@ -103,7 +103,7 @@
     }
 
     /// Feeds the state to `into`: orders that print alike go on alike.
-    pub fn print(&self, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, into: &mut impl Hasher) {
         let parties = self.parties.iter().map(|party| {
             let since = |at: i64| at - self.at;
             // An idle one that is behind starts from where the turns have come to.
--- a/crates/teams/src/queues.rs
+++ b/crates/teams/src/queues.rs
@@ -500,10 +500,10 @@
     }
 
     /// Feeds the state to `into`, with times told from `now`: queues that print alike go on alike.
-    pub fn print(&self, now: Duration, into: &mut impl Hasher) {
-        self.firms.print(into);
-        self.teams.iter().for_each(|order| order.print(into));
-        self.pace.print(now, into);
+    pub fn fingerprint(&self, now: Duration, into: &mut impl Hasher) {
+        self.firms.fingerprint(into);
+        self.teams.iter().for_each(|order| order.fingerprint(into));
+        self.pace.fingerprint(now, into);
         for line in &self.lines {
             let left = line.budget.as_ref().map(|budget| (budget.left_at(now) * 1e6).round() as i64);
             (left, line.turns % PASSED_BY, line.gained.to_bits()).hash(into);
--- a/crates/teams/src/waits.rs
+++ b/crates/teams/src/waits.rs
@@ -82,7 +82,7 @@
     }
 
     /// Feeds the state to `into`, with times told from `now`: paces that print alike go on alike.
-    pub fn print(&self, now: Duration, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, now: Duration, into: &mut impl Hasher) {
         self.gone.iter().for_each(|(at, work)| (now.saturating_sub(*at), work.to_bits()).hash(into));
         self.had.iter().for_each(|ratio| ratio.to_bits().hash(into));
     }
--- a/src/print.rs
+++ b/src/fingerprint.rs
@@ -10,14 +10,14 @@
 
 /// How much a router keeps of what comes and goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct HeldCounts {
     pub requests: usize,
     pub engines: usize,
     pub keys: usize,
 }
 
 /// What the caller knows beside the router's own state.
-pub struct Print<'a> {
+pub struct Fingerprint<'a> {
     pub now: Duration,
     /// Whether requests may still arrive: else what was learned of their types can be of no more use.
     pub more: bool,
@@ -30,8 +30,8 @@
 type Digest = DefaultHasher;
 
 impl Scheduler {
-    pub fn kept(&self) -> Kept {
-        Kept { requests: self.requests.len(), engines: self.engines.len(), keys: self.key_queues.len() }
+    pub fn held_counts(&self) -> HeldCounts {
+        HeldCounts { requests: self.requests.len(), engines: self.engines.len(), keys: self.key_queues.len() }
     }
 
     /// Sets where chance goes on from: with it left open, a caller sets each draw.
@@ -41,12 +41,12 @@
 
     /// Feeds the state to `into`; two states that print alike act alike from here on, whatever comes, but for
     /// chance and, if engines may change places, their numbers.
-    pub fn print(&self, with: &Print, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, with: &Fingerprint, into: &mut impl Hasher) {
         let now = with.now;
         let places: BTreeMap<RequestId, usize> = self.requests.keys().copied().zip(0..).collect();
         // Where nothing is open and nothing will come, only what is left to be let go counts.
         if self.requests.is_empty() && !with.more {
-            (self.engines.len(), self.key_queues.len(), self.closing == Duration::MAX).hash(into);
+            (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(into);
             return since(now, self.wake_due.max(now)).hash(into);
         }
         let mut engines: Vec<u64> =
@@ -65,7 +65,7 @@
                 .hash(into);
         }
         since(now, self.wake_due.max(now)).hash(into);
-        (self.closing != Duration::MAX).then(|| since(now, self.closing)).hash(into);
+        (self.shutdown_at != Duration::MAX).then(|| since(now, self.shutdown_at)).hash(into);
         self.watched.hash(into);
         let asked = self.asked.max(now.saturating_sub(self.shortest_objective()));
         self.fleet.reports_only_on_probe.then(|| since(now, asked)).hash(into);
@@ -87,7 +87,7 @@
         }
     }
 
-    fn request(&self, request: &Request, with: &Print, into: &mut impl Hasher) {
+    fn request(&self, request: &Request, with: &Fingerprint, into: &mut impl Hasher) {
         let now = with.now;
         (request.class, request.group, request.over, request.left && !request.over, request.key).hash(into);
         [
@@ -135,7 +135,7 @@
         id: EngineId,
         engine: &Engine,
         places: &BTreeMap<RequestId, usize>,
-        with: &Print,
+        with: &Fingerprint,
     ) -> u64 {
         let mut digest = Digest::new();
         let (into, now, shortest_objective) = (&mut digest, with.now, self.shortest_objective());
@@ -193,6 +193,6 @@
 }
 
 fn samples(recent: &SampleWindow, now: Duration, from: Duration, into: &mut impl Hasher) {
-    let kept = recent.samples().filter(|(at, _)| *at >= from);
-    kept.for_each(|(at, value)| (since(now, at), value.to_bits()).hash(into));
+    let held_counts = recent.samples().filter(|(at, _)| *at >= from);
+    held_counts.for_each(|(at, value)| (since(now, at), value.to_bits()).hash(into));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,13 +7,13 @@
 //! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller gives
 //! out: request indices rise in the order of arrival and are never used again.
 
+mod fingerprint;
 mod logic;
-mod print;
 mod samples;
 mod state;
 
-pub use logic::{Room, Scheduler};
-pub use print::{Kept, Print};
+pub use fingerprint::{Fingerprint, HeldCounts};
+pub use logic::{Capacity, Scheduler};
 use std::time::Duration;
 
 pub type RequestId = u32;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -98,22 +98,22 @@
     pub(crate) further: VecDeque<Duration>,
     pub(crate) wake_due: Duration,
     pub(crate) asked: Duration,
-    pub(crate) closing: Duration,
+    pub(crate) shutdown_at: Duration,
     pub(crate) watched: bool,
     pub(crate) draws: u64,
 }
 
 /// What may be sent at once, tier by tier.
-pub struct Room<'a> {
+pub struct Capacity<'a> {
     scheduler: &'a Scheduler,
     now: Duration,
     snapshot: FleetSnapshot,
     blocked: BTreeSet<(usize, Tier)>,
 }
 
-impl Room<'_> {
+impl Capacity<'_> {
     /// Whether a request would be sent at once; those after it, in tiers without room for it, would not.
-    pub fn takes(&mut self, arrival: &Arrival) -> bool {
+    pub fn admits(&mut self, arrival: &Arrival) -> bool {
         let request = self.scheduler.believed(self.now, arrival);
         let key_queue = request.key.and_then(|key| self.scheduler.key_queues.get(&key));
         let waits = key_queue.is_some_and(|key_queue| {
@@ -141,7 +141,7 @@
             further: VecDeque::new(),
             wake_due: Duration::ZERO,
             asked: Duration::ZERO,
-            closing: Duration::MAX,
+            shutdown_at: Duration::MAX,
             watched: false,
             draws: 0,
         }
@@ -188,8 +188,8 @@
             latency_objective: latency_objective
                 .saturating_sub(spent)
                 .min(arrived + arrival.deadline)
-                .min(self.closing),
-            deadline: (arrived + arrival.deadline).min(self.closing),
+                .min(self.shutdown_at),
+            deadline: (arrived + arrival.deadline).min(self.shutdown_at),
             over: false,
             left: false,
             attempts: Vec::new(),
@@ -202,8 +202,8 @@
     }
 
     /// What may be sent at once, for a queue before this: what can't be waits where its order counts.
-    pub fn room(&self, now: Duration) -> Room<'_> {
-        Room { scheduler: self, now, snapshot: self.snapshot(now, true), blocked: BTreeSet::new() }
+    pub fn capacity(&self, now: Duration) -> Capacity<'_> {
+        Capacity { scheduler: self, now, snapshot: self.snapshot(now, true), blocked: BTreeSet::new() }
     }
 
     pub fn attempt_ended(&mut self, now: Duration, attempt: AttemptEnded, out: &mut impl Actions) {
@@ -360,8 +360,8 @@
     }
 
     /// The process ends at `by`: nobody waits longer than that.
-    pub fn closing(&mut self, now: Duration, by: Duration, out: &mut impl Actions) {
-        self.closing = by;
+    pub fn shutting_down(&mut self, now: Duration, by: Duration, out: &mut impl Actions) {
+        self.shutdown_at = by;
         let cut = |request: &mut Request| {
             (request.deadline, request.latency_objective) =
                 (request.deadline.min(by), request.latency_objective.min(by))
@@ -854,7 +854,7 @@
                 || scheduler.may_run_again(request, now) && !scheduler.earns_little_late(request, now);
             let hopeless =
                 || request.left || soon >= request.deadline || !request.attempts.is_empty() && !again();
-            soon >= scheduler.closing || request.held() && hopeless()
+            soon >= scheduler.shutdown_at || request.held() && hopeless()
         };
         self.refuse(hopeless, out)
     }
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -6,16 +6,16 @@
 #[derive(Clone)]
 pub struct SampleWindow {
     samples: VecDeque<(Duration, f64)>,
-    kept: usize,
+    held_counts: usize,
 }
 
 impl SampleWindow {
-    pub fn keeping(kept: usize) -> Self {
-        Self { samples: VecDeque::new(), kept }
+    pub fn keeping(held_counts: usize) -> Self {
+        Self { samples: VecDeque::new(), held_counts }
     }
 
     pub fn push(&mut self, now: Duration, value: f64) {
-        if self.samples.len() == self.kept {
+        if self.samples.len() == self.held_counts {
             self.samples.pop_front();
         }
         self.samples.push_back((now, value));
--- a/src/state.rs
+++ b/src/state.rs
@@ -172,10 +172,10 @@
     }
 
     /// Notes the group it reads, of which it keeps the last few.
-    pub fn reads(&mut self, group: Option<u64>, kept: usize) {
+    pub fn reads(&mut self, group: Option<u64>, held_counts: usize) {
         if let Some(group) = group {
             self.groups.retain(|g| *g != group);
-            self.groups.truncate(kept - 1);
+            self.groups.truncate(held_counts - 1);
             self.groups.push_front(group);
         }
     }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -411,7 +411,7 @@
             self.happen(event);
             self.act();
         }
-        let Kept { requests, engines, keys } = self.scheduler.kept();
+        let HeldCounts { requests, engines, keys } = self.scheduler.held_counts();
         self.log.add(KEPT, &[requests as u64, engines as u64, keys as u64]);
         self.log
     }
@@ -456,7 +456,7 @@
             }
             Event::Closing => {
                 let by = self.now + self.random.time(20, 800);
-                self.scheduler.closing(self.now, by, &mut self.log);
+                self.scheduler.shutting_down(self.now, by, &mut self.log);
             }
             Event::Look => {
                 self.look_for_room();
@@ -698,9 +698,9 @@
 
     fn look_for_room(&mut self) {
         let arrivals: Vec<Arrival> = (0..3).map(|_| self.arrival()).collect();
-        let mut room = self.scheduler.room(self.now);
+        let mut room = self.scheduler.capacity(self.now);
         for arrival in &arrivals {
-            self.log.add(ROOM, &[u64::from(room.takes(arrival))]);
+            self.log.add(ROOM, &[u64::from(room.admits(arrival))]);
         }
         let work = self.scheduler.expected_work(&arrivals[0]);
         self.log.add(EXPECTED_WORK, &[nanos(work), nanos(self.scheduler.margin())]);
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -354,8 +354,8 @@
         self
     }
 
-    pub fn closing(&mut self, by: u64) -> &mut Self {
-        self.scheduler.closing(ms(self.lines.1), ms(by), &mut self.lines);
+    pub fn shutting_down(&mut self, by: u64) -> &mut Self {
+        self.scheduler.shutting_down(ms(self.lines.1), ms(by), &mut self.lines);
         self
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -482,7 +482,7 @@
     trace.accept(0, 100, 300.0).accept(1, 900, 300.0).accept(2, 900, 300.0);
     trace
         .at(200)
-        .closing(3700)
+        .shutting_down(3700)
         .ended(0, 0, 0, AttemptOutcome::Succeeded)
         .at(600)
         .accept(0, 100, 300.0)
@@ -509,7 +509,7 @@
 fn the_end_of_the_process_is_not_slept_through() {
     let mut trace = Trace::new(1, |_, _, _| {});
     trace.accept(1, 900, 300.0).decided();
-    trace.at(30).closing(130).wake().wake().wake();
+    trace.at(30).shutting_down(130).wake().wake().wake();
     expect![[r#"
         70    reject request 0, back after 400
     "#]]
