--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -394,7 +394,7 @@
     fn hear(&mut self, client: usize, mut came: Came) {
         let slot = self.seats[client].slot;
         let now = self.server.dispatcher.context.now();
-        self.server.glance(now, [(slot, &mut came)]);
+        self.server.peek(now, [(slot, &mut came)]);
         while self.server.hear(slot, now, &mut came, || false) {}
     }
 
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -114,7 +114,7 @@
 
 /// What a look ahead of a client's turn has told.
 #[derive(Default)]
-pub struct Glance {
+pub struct Peek {
     /// What it does not wait for any more.
     pub withdrawn: Vec<Withdrawal>,
     /// Its connection is over, or it has ended its side.
@@ -259,8 +259,8 @@
     /// Looks ahead through what has come from a client with requests open or lines not heard, before its turn: whether
     /// it has stopped waiting for some, or is gone. Guards against requests that were sent on for nobody while that stood unread
     /// behind other lines, floods of others or its own unread answers.
-    pub fn glance(&mut self, slot: Slot, (now, since): (Duration, Duration), from: &mut impl Read) -> Glance {
-        let mut seen = Glance::default();
+    pub fn peek(&mut self, slot: Slot, (now, since): (Duration, Duration), from: &mut impl Read) -> Peek {
+        let mut seen = Peek::default();
         let most = self.most_bytes;
         let Some(client) = self.table.get_mut(slot).filter(|client| !client.shut) else { return seen };
         if client.open.is_empty() && client.input.is_empty() {
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -7,12 +7,12 @@
 use crate::clock::Clock;
 use crate::context::Context;
 use crate::engines::Ask;
-use crate::ready::Ready;
+use crate::ready_list::ReadyList;
 use crate::ring::Filled;
 use crate::server::Server;
 use crate::slots::Slot;
+use crate::sockets::{RegisteredSocket, listen};
 use crate::timers::Timer;
-use crate::wires::{Wire, listen};
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -38,20 +38,20 @@
 pub struct Edge {
     server: Server,
     clock: Clock,
-    ear: LoopHandle<'static, Edge>,
-    clients: BTreeMap<Slot, Wire<Edge>>,
-    links: BTreeMap<Slot, Wire<Edge>>,
-    bulletin: Option<Wire<Edge>>,
+    loop_handle: LoopHandle<'static, Edge>,
+    clients: BTreeMap<Slot, RegisteredSocket<Edge>>,
+    links: BTreeMap<Slot, RegisteredSocket<Edge>>,
+    bulletin: Option<RegisteredSocket<Edge>>,
     /// Connections closed to clients, of which something may stand unread.
-    parting: BTreeMap<Slot, Wire<Edge>>,
+    parting: BTreeMap<Slot, RegisteredSocket<Edge>>,
     /// Those of them that had more than one turn took.
     not_read_out: Vec<Slot>,
     /// Clients that may have something to say, and connections to engines that have something to be read.
-    unheard: Ready,
+    unheard: ReadyList,
     unread: BTreeSet<Slot>,
     /// What else the sockets and signals told that was not looked at yet: clients that have said something or
     /// left, the bulletin, connections that wait to be accepted.
-    glances: Vec<Slot>,
+    pending_reads: Vec<Slot>,
     told: bool,
     connections_pending: bool,
     signals: Vec<Signal>,
@@ -75,12 +75,12 @@
         let (config, fault) =
             (&bootstrap.config, |what: &str, e: &dyn std::fmt::Display| format!("{what}: {e}"));
         let mut event_loop = EventLoop::try_new().map_err(|e| fault("the loop", &e))?;
-        let ear = event_loop.handle();
+        let loop_handle = event_loop.handle();
         let stops = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])
             .map_err(|e| fault("signals", &e))?;
         let heard =
             |event: calloop::signals::Event, _: &mut (), edge: &mut Self| edge.signals.push(event.signal());
-        ear.insert_source(stops, heard).map_err(|e| fault("signals", &e))?;
+        loop_handle.insert_source(stops, heard).map_err(|e| fault("signals", &e))?;
         let listener = listen(config.listen, config.descriptors);
         let listener = listener.map_err(|e| fault(&format!("listening on {}", config.listen), &e))?;
         let address = listener.local_addr().map_err(|e| fault("listening", &e))?;
@@ -91,21 +91,21 @@
             edge.connections_pending = true;
             Ok(PostAction::Continue)
         };
-        let listener_token = ear.insert_source(source, admits).map_err(|e| fault("listening", &e))?;
+        let listener_token = loop_handle.insert_source(source, admits).map_err(|e| fault("listening", &e))?;
         let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
         let context = Context { now: clock.now(), zero: clock.zero(), ..Context::default() };
         let mut edge = Self {
             server: Server::new(bootstrap, context),
             clock,
-            ear,
+            loop_handle,
             clients: BTreeMap::new(),
             links: BTreeMap::new(),
             bulletin: None,
             parting: BTreeMap::new(),
             not_read_out: Vec::new(),
-            unheard: Ready::default(),
+            unheard: ReadyList::default(),
             unread: BTreeSet::new(),
-            glances: Vec::new(),
+            pending_reads: Vec::new(),
             told: false,
             connections_pending: false,
             signals: Vec::new(),
@@ -160,7 +160,7 @@
     /// lines: before each, what falls due is done, a line that is known of waits for one of each other client at
     /// most, and all sockets are looked at again after `LINES`.
     fn turn(&mut self) {
-        self.glance();
+        self.peek();
         for slot in std::mem::take(&mut self.not_read_out) {
             self.read_out(slot);
         }
@@ -229,8 +229,10 @@
                 match ask {
                     Ask::Close(slot) => drop(self.links.remove(&slot)),
                     Ask::Dial(slot, to) => {
-                        match Wire::dial(&self.ear, to, move |edge: &mut Self| edge.link_told(slot)) {
-                            Ok(wire) => drop(self.links.insert(slot, wire)),
+                        match RegisteredSocket::dial(&self.loop_handle, to, move |edge: &mut Self| {
+                            edge.link_told(slot)
+                        }) {
+                            Ok(registered) => drop(self.links.insert(slot, registered)),
                             Err(error) => {
                                 log::info!("no connection to {to}: {error}");
                                 let dispatcher = &mut self.server.dispatcher;
@@ -253,15 +255,15 @@
             }
             for (slot, mut words) in closed {
                 // What its socket does not take at once is lost with it.
-                if let Some(wire) = self.clients.remove(&slot) {
-                    let _ = words.drain(&mut &*wire.socket);
-                    let unread = wire.socket.peek(&mut [0; 4096]).unwrap_or_default();
+                if let Some(registered) = self.clients.remove(&slot) {
+                    let _ = words.drain(&mut &*registered.socket);
+                    let unread = registered.socket.peek(&mut [0; 4096]).unwrap_or_default();
                     let unsaid = words.len();
                     if unread + unsaid > 0 {
                         log::debug!("client {slot:?}: {unsaid} bytes not said, {unread} or more not read");
                     }
                     if unread > 0 {
-                        self.part(slot, wire);
+                        self.part(slot, registered);
                     }
                 }
             }
@@ -272,21 +274,21 @@
 
     /// Reads on for a little from a connection that is closed to its client. Guards against answers lost: a socket
     /// that is closed with something unread is reset, and takes what was said last with it.
-    fn part(&mut self, slot: Slot, wire: Wire<Self>) {
+    fn part(&mut self, slot: Slot, registered: RegisteredSocket<Self>) {
         let full = self.parting.len() >= self.server.dispatcher.config.most_parting();
-        if full || wire.socket.shutdown(Shutdown::Write).is_err() {
+        if full || registered.socket.shutdown(Shutdown::Write).is_err() {
             return;
         }
         let context = self.server.context();
         context.counters.count("clients_read_out");
         context.timers.set(context.now() + CROSSING, Timer::Part(slot));
-        self.parting.insert(slot, wire);
+        self.parting.insert(slot, registered);
         self.read_out(slot);
     }
 
     /// Throws away what has come on a connection that is closed to its client.
     fn read_out(&mut self, slot: Slot) {
-        match self.parting.get(&slot).map(|wire| read_out(&wire.socket)) {
+        match self.parting.get(&slot).map(|registered| read_out(&registered.socket)) {
             Some(Filled::Enough) => self.not_read_out.push(slot),
             Some(Filled::Closed) => drop(self.parting.remove(&slot)),
             Some(Filled::Drained) | None => {}
@@ -310,11 +312,13 @@
                     }
                     let dispatcher = &mut self.server.dispatcher;
                     let slot = dispatcher.clients.table.next();
-                    match Wire::attend(&self.ear, socket, move |edge: &mut Self| edge.client_told(slot)) {
-                        Ok(wire) => {
+                    match RegisteredSocket::attend(&self.loop_handle, socket, move |edge: &mut Self| {
+                        edge.client_told(slot)
+                    }) {
+                        Ok(registered) => {
                             let slot = self.server.admit();
                             log::debug!("client {slot:?} from {from}");
-                            self.clients.insert(slot, wire);
+                            self.clients.insert(slot, registered);
                             self.client_told(slot);
                         }
                         Err(error) => {
@@ -362,7 +366,7 @@
     }
 
     fn resume_accepting(&mut self) {
-        if let Err(error) = self.ear.enable(&self.listener_token) {
+        if let Err(error) = self.loop_handle.enable(&self.listener_token) {
             log::error!("no connection is accepted any more: {error}");
             self.server.context().counters.must(false, "a_closed_door");
         }
@@ -372,7 +376,7 @@
         let context = self.server.context();
         context.counters.count("accepts_paused");
         context.timers.set(context.now() + CROSSING, Timer::Admit);
-        if let Err(error) = self.ear.disable(&self.listener_token) {
+        if let Err(error) = self.loop_handle.disable(&self.listener_token) {
             log::warn!("accepting can't pause: {error}");
         }
     }
@@ -383,26 +387,28 @@
             return self.read_out(slot);
         }
         self.unheard.add(slot, self.since());
-        self.glances.push(slot);
+        self.pending_reads.push(slot);
     }
 
     /// Looks at all that clients have said before anything else is done: some may have left.
-    fn glance(&mut self) {
-        if self.glances.is_empty() {
+    fn peek(&mut self) {
+        if self.pending_reads.is_empty() {
             return;
         }
         self.look_at_the_clock();
-        let slots = std::mem::take(&mut self.glances);
+        let slots = std::mem::take(&mut self.pending_reads);
         let socket = |slot| Some((slot, Reads(Rc::clone(&self.clients.get(&slot)?.socket))));
         let clients: Vec<_> = slots.into_iter().filter_map(socket).collect();
-        self.server.glance(self.since(), clients);
+        self.server.peek(self.since(), clients);
         self.carry_out();
     }
 
     /// Hears the next line of a client, which came at `since` at the earliest.
     fn hear(&mut self, slot: Slot, since: Duration) {
         self.look_at_the_clock();
-        let Some(socket) = self.clients.get(&slot).map(|wire| Rc::clone(&wire.socket)) else { return };
+        let Some(socket) = self.clients.get(&slot).map(|registered| Rc::clone(&registered.socket)) else {
+            return;
+        };
         if !self.flush_client(slot) {
             self.server.client_gone(slot, "it can't be written to");
             return self.carry_out();
@@ -415,8 +421,8 @@
 
     /// Writes what is to be said to a client; tells whether it could be written to.
     fn flush_client(&mut self, slot: Slot) -> bool {
-        let Some(wire) = self.clients.get(&slot) else { return true };
-        self.server.dispatcher.clients.drain(slot, &mut &*wire.socket).is_ok()
+        let Some(registered) = self.clients.get(&slot) else { return true };
+        self.server.dispatcher.clients.drain(slot, &mut &*registered.socket).is_ok()
     }
 
     // ---- engines ----
@@ -428,10 +434,10 @@
     /// The connection's socket has changed.
     fn link_ready(&mut self, slot: Slot) {
         self.look_at_the_clock();
-        let Some(wire) = self.links.get(&slot) else { return };
+        let Some(registered) = self.links.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
         if dispatcher.engines.is_up(slot) == Some(false) {
-            match wire.has_come_up() {
+            match registered.has_come_up() {
                 Ok(false) => return,
                 Ok(true) => dispatcher.engines.came_up(slot, &mut dispatcher.context),
                 Err(error) => {
@@ -447,19 +453,19 @@
     }
 
     fn flush_link(&mut self, slot: Slot) {
-        let Some(wire) = self.links.get(&slot) else { return };
+        let Some(registered) = self.links.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
-        if let Err(error) = dispatcher.engines.drain(slot, &mut &*wire.socket) {
+        if let Err(error) = dispatcher.engines.drain(slot, &mut &*registered.socket) {
             // Answers may have come before the engine closed.
-            dispatcher.engines.read(slot, &mut &*wire.socket, &mut dispatcher.context);
+            dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context);
             dispatcher.engines.lose(slot, &error.to_string(), true, &mut dispatcher.context);
         }
     }
 
     fn read_link(&mut self, slot: Slot) {
-        let Some(wire) = self.links.get(&slot) else { return };
+        let Some(registered) = self.links.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
-        if dispatcher.engines.read(slot, &mut &*wire.socket, &mut dispatcher.context) {
+        if dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context) {
             self.unread.insert(slot);
         }
     }
@@ -474,11 +480,13 @@
         self.server.bulletin = self.server.bulletin.anew();
         self.server.context().counters.count("bulletin_dialled");
         self.bulletin = None;
-        match Wire::dial(&self.ear, self.server.dispatcher.config.bulletin, |edge: &mut Self| {
-            edge.told = true
-        }) {
-            Ok(wire) => {
-                self.bulletin = Some(wire);
+        match RegisteredSocket::dial(
+            &self.loop_handle,
+            self.server.dispatcher.config.bulletin,
+            |edge: &mut Self| edge.told = true,
+        ) {
+            Ok(registered) => {
+                self.bulletin = Some(registered);
                 self.expect_bulletin(COMES_UP);
             }
             Err(_) => self.expect_bulletin(AGAIN),
@@ -516,10 +524,10 @@
 
     fn read_bulletin(&mut self) -> Result<(), String> {
         loop {
-            let Some(wire) = &self.bulletin else { return Ok(()) };
-            let socket = Rc::clone(&wire.socket);
+            let Some(registered) = &self.bulletin else { return Ok(()) };
+            let socket = Rc::clone(&registered.socket);
             if !self.server.bulletin.greeted {
-                if !wire.has_come_up().map_err(|e| e.to_string())? {
+                if !registered.has_come_up().map_err(|e| e.to_string())? {
                     return Ok(());
                 }
                 let last = self.server.bulletin.last.to_be_bytes();
@@ -602,10 +610,10 @@
     fn take_leave(&mut self, event_loop: &mut EventLoop<'static, Self>) {
         let end = self.clock.now() + CROSSING;
         // Connections that still come are not waited for.
-        let _ = self.ear.disable(&self.listener_token);
-        self.clients.retain(|_, wire| wire.socket.shutdown(Shutdown::Write).is_ok());
+        let _ = self.loop_handle.disable(&self.listener_token);
+        self.clients.retain(|_, registered| registered.socket.shutdown(Shutdown::Write).is_ok());
         loop {
-            self.clients.retain(|_, wire| read_out(&wire.socket) != Filled::Closed);
+            self.clients.retain(|_, registered| read_out(&registered.socket) != Filled::Closed);
             let left = end.saturating_sub(self.clock.now());
             if self.clients.is_empty() || left.is_zero() || event_loop.dispatch(left, self).is_err() {
                 return;
--- a/crates/router/src/ready.rs
+++ b/crates/router/src/ready_list.rs
@@ -8,14 +8,14 @@
 /// Connections that may have more to say than was heard. Each is heard once before one is heard again, however
 /// much that one has to say.
 #[derive(Default)]
-pub struct Ready {
+pub struct ReadyList {
     /// And since when, at the earliest.
     slots: BTreeMap<Slot, Duration>,
     /// Whose turn was last.
     last: Option<Slot>,
 }
 
-impl Ready {
+impl ReadyList {
     pub fn add(&mut self, slot: Slot, since: Duration) {
         self.slots.entry(slot).and_modify(|at| *at = since.min(*at)).or_insert(since);
     }
@@ -35,5 +35,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/ready.rs"]
+#[path = "../tests/unit/ready_list.rs"]
 mod tests;
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -269,11 +269,11 @@
 
     /// What clients have that may have stopped waiting, which came at `since` at the earliest: looked at for all
     /// of them before anything else is done, and told to the decisions at once.
-    pub fn glance<R: Read>(&mut self, since: Duration, clients: impl IntoIterator<Item = (Slot, R)>) {
+    pub fn peek<R: Read>(&mut self, since: Duration, clients: impl IntoIterator<Item = (Slot, R)>) {
         let now = self.dispatcher.context.now();
         let (mut withdrawn, mut ended, mut closed) = (Vec::new(), Vec::new(), Vec::new());
         for (slot, mut from) in clients {
-            let seen = self.dispatcher.clients.glance(slot, (now, since), &mut from);
+            let seen = self.dispatcher.clients.peek(slot, (now, since), &mut from);
             withdrawn.extend(seen.withdrawn.iter().filter_map(|named| self.named(slot, named)));
             ended.extend(seen.ended.then_some(slot));
             closed.extend(seen.closed.then_some(slot));
--- a/crates/router/src/wires.rs
+++ b/crates/router/src/sockets.rs
@@ -8,15 +8,15 @@
 use std::rc::Rc;
 
 /// A connection's socket and its place in the loop, which it leaves when it is dropped.
-pub struct Wire<T: 'static> {
+pub struct RegisteredSocket<T: 'static> {
     pub socket: Rc<TcpStream>,
     token: RegistrationToken,
-    ear: LoopHandle<'static, T>,
+    loop_handle: LoopHandle<'static, T>,
 }
 
-impl<T> Drop for Wire<T> {
+impl<T> Drop for RegisteredSocket<T> {
     fn drop(&mut self) {
-        self.ear.remove(self.token);
+        self.loop_handle.remove(self.token);
     }
 }
 
@@ -30,10 +30,10 @@
     Ok(socket.into())
 }
 
-impl<T> Wire<T> {
+impl<T> RegisteredSocket<T> {
     /// Has `ready` called at every change of what the socket can do.
     pub fn attend(
-        ear: &LoopHandle<'static, T>,
+        loop_handle: &LoopHandle<'static, T>,
         socket: TcpStream,
         ready: impl Fn(&mut T) + 'static,
     ) -> io::Result<Self> {
@@ -45,13 +45,13 @@
             ready(edge);
             Ok(PostAction::Continue)
         };
-        let token = ear.insert_source(source, heard).map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Self { socket, token, ear: ear.clone() })
+        let token = loop_handle.insert_source(source, heard).map_err(|e| io::Error::other(e.to_string()))?;
+        Ok(Self { socket, token, loop_handle: loop_handle.clone() })
     }
 
     /// Begins a connection; it has come up once its socket can be written to.
     pub fn dial(
-        ear: &LoopHandle<'static, T>,
+        loop_handle: &LoopHandle<'static, T>,
         to: SocketAddr,
         ready: impl Fn(&mut T) + 'static,
     ) -> io::Result<Self> {
@@ -61,7 +61,7 @@
             Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
             Err(e) => return Err(e),
         }
-        Self::attend(ear, socket.into(), ready)
+        Self::attend(loop_handle, socket.into(), ready)
     }
 
     /// Whether a dialled connection has come up; an error if it failed.
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -435,7 +435,7 @@
     fn hear(&mut self, slot: Slot, bytes: &[u8], after: After) {
         let since = self.server.dispatcher.context.now() - Duration::from_millis(self.chance.below(3));
         let mut came = Came(bytes, after);
-        self.server.glance(since, [(slot, &mut came)]);
+        self.server.peek(since, [(slot, &mut came)]);
         self.carry_out();
         while self.server.hear(slot, since, &mut came, || false) {
             self.carry_out();
--- a/crates/router/tests/unit/ready.rs
+++ b/crates/router/tests/unit/ready_list.rs
@@ -8,7 +8,7 @@
 fn one_who_always_has_more_keeps_nobody_waiting_for_more_than_one_turn() {
     let mut table = Slots::default();
     let slots: Vec<Slot> = (0..4).map(|_| table.insert(())).collect();
-    let mut ready = Ready::default();
+    let mut ready = ReadyList::default();
     let at = Duration::from_millis;
     slots[..3].iter().for_each(|slot| ready.add(*slot, at(1)));
     let mut heard = Vec::new();
