--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/links.rs
@@ -5,8 +5,8 @@
 use crate::search::Walk;
 use crate::witness;
 use emberflow::{AttemptOutcome, EngineId, RequestId};
-use emberflow_router::bulletin::Row;
 use emberflow_router::context::Context;
+use emberflow_router::discovery::Row;
 use emberflow_router::engines::{Ask, Call, Engines, News};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -21,15 +21,15 @@
 const CLIENTS: &str = "crates/router/src/clients.rs";
 const QUEUES: &str = "crates/teams/src/queues.rs";
 const ORDER: &str = "crates/teams/src/order.rs";
-const BULLETIN: &str = "crates/router/src/bulletin.rs";
+const DISCOVERY: &str = "crates/router/src/discovery service.rs";
 const ENGINES: &str = "crates/router/src/engines.rs";
 
 const fn engines(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file: ENGINES, from, to }
 }
 
-const fn bulletin(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
-    Mutant { name, file: BULLETIN, from, to }
+const fn discovery(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
+    Mutant { name, file: DISCOVERY, from, to }
 }
 
 const fn logic(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
@@ -242,12 +242,12 @@
         from: "(client.scanned, client.active, client.heard) = (0, now, true);",
         to: "(client.active, client.heard) = (now, true);",
     },
-    bulletin("a change taken after a gap", "*number != self.last + 1", "*number == u64::MAX"),
-    bulletin("an event taken twice", "if *number <= self.last =>", "if *number < self.last =>"),
-    bulletin("a lost event not noticed", "if *number > self.last =>", "if *number == u64::MAX =>"),
-    bulletin("an unknown kind listed", "row.kind >= self.kinds", "row.kind > self.kinds"),
-    bulletin("the last event forgotten", "self.last = frame.0;", ""),
-    bulletin(
+    discovery("a change taken after a gap", "*number != self.last + 1", "*number == u64::MAX"),
+    discovery("an event taken twice", "if *number <= self.last =>", "if *number < self.last =>"),
+    discovery("a lost event not noticed", "if *number > self.last =>", "if *number == u64::MAX =>"),
+    discovery("an unknown kind listed", "row.kind >= self.kinds", "row.kind > self.kinds"),
+    discovery("the last event forgotten", "self.last = frame.0;", ""),
+    discovery(
         "half a frame held_counts over a new connection",
         "Self { input: Ring::default(), greeted: false, ..*self }",
         "Self { input: self.input.clone(), greeted: false, ..*self }",
@@ -347,7 +347,7 @@
     let house = house::WORLDS.iter().map(|world| world.name);
     let near: Vec<&str> = match mutant.file {
         QUEUES | ORDER => turns::WORLDS.iter().map(|world| world.name).collect(),
-        BULLETIN => paper::WORLDS.iter().map(|world| world.name).collect(),
+        DISCOVERY => paper::WORLDS.iter().map(|world| world.name).collect(),
         LOGIC | STATE => vec!["--short"],
         ENGINES => links.chain(house).collect(),
         _ => house.collect(),
--- a/crates/explorer/src/paper.rs
+++ b/crates/explorer/src/paper.rs
@@ -1,10 +1,10 @@
-//! A world round the bulletin's connection: a teller of the list that may be told twice, skip, spoil and split
+//! A world round the discovery service's connection: a teller of the list that may be told twice, skip, spoil and split
 //! what it says, break off and be dialled again, while its list changes. The reader inside is the router's own.
 
 use crate::search::Walk;
 use crate::witness;
-use emberflow_router::bulletin::{Bulletin, Row};
 use emberflow_router::counters::Counters;
+use emberflow_router::discovery::{Discovery, Row};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -54,7 +54,7 @@
 
 #[derive(Clone)]
 pub struct Desk {
-    reader: Bulletin,
+    reader: Discovery,
     /// What the router holds for the list.
     held: BTreeMap<u32, bool>,
     /// The last event of the list, and the last one told on this connection.
@@ -185,7 +185,7 @@
 
     fn start(&self) -> Desk {
         Desk {
-            reader: Bulletin::after(0, 1, 1),
+            reader: Discovery::after(0, 1, 1),
             held: list(0),
             last: 0,
             told: 0,
@@ -285,7 +285,7 @@
 
 pub const WORLDS: &[Paper] = &[
     Paper {
-        name: "the bulletin",
+        name: "the discovery service",
         says: "a list of three events, told as changes or whole, in pieces, twice wrong, broken off twice",
         events: 3,
         faults: 2,
@@ -293,7 +293,7 @@
         short: true,
     },
     Paper {
-        name: "the bulletin, longer",
+        name: "the discovery service, longer",
         says: "a list of six events, three times wrong, broken off three times",
         events: 6,
         faults: 3,
--- a/crates/explorer/tests/random.rs
+++ b/crates/explorer/tests/random.rs
@@ -6,7 +6,7 @@
 use emberflow_explorer::{house, links};
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::ring::Ring;
-use emberflow_router::{bulletin, jsonrpc, resp};
+use emberflow_router::{discovery, jsonrpc, resp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -143,8 +143,8 @@
     #[test]
     fn frames_split_anywhere_tell_the_same(bytes in frames(), at in any::<usize>()) {
         let parse = |bytes: &[u8]| {
-            let parsed = bulletin::parse(bytes)?;
-            let rows = |event: &Option<bulletin::Event>| event.as_ref().map(|(whole, rows)| (*whole, rows.len()));
+            let parsed = discovery::parse(bytes)?;
+            let rows = |event: &Option<discovery::Event>| event.as_ref().map(|(whole, rows)| (*whole, rows.len()));
             Ok(parsed.map(|((number, event), length)| ((number, rows(&event)), length)))
         };
         let (server, back) = bytes.split_at(at % (bytes.len() + 1));
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_list_told_twice_with_gaps_spoilt_in_pieces_and_anew() {
-    holds("the bulletin");
+    holds("the discovery service");
 }
 
 #[test]
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_path_that_is_not_there_is_told_with_what_is() {
-    let world = entries().into_iter().find(|world| world.name == "the bulletin").expect("a world");
+    let world = entries().into_iter().find(|world| world.name == "the discovery service").expect("a world");
     expect![[r#"Err("Rest is not among [Event, Break, Spoil { wrong: Unknown }, Spoil { wrong: Length }, Spoil { wrong: Ahead }]")"#]]
         .assert_eq(&format!("{:?}", (world.follow)("Rest")));
 }
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -1,6 +1,6 @@
 //! Where a router stands: what its configuration tells at start.
 
-use crate::bulletin::{Event, known};
+use crate::discovery::{Event, known};
 use emberflow::{AttemptLimits, Fleet, RequestClass};
 use emberflow_operator::Orders;
 use emberflow_startup::{
@@ -17,7 +17,7 @@
     pub fleet: Fleet,
     pub classes: Vec<RequestClass>,
     pub attempt_limits: AttemptLimits,
-    /// The last event of the bulletin, and all so far.
+    /// The last event of the discovery service, and all so far.
     pub last: u64,
     pub events: Vec<Event>,
     /// Fields of the load report that go unread, in words.
@@ -58,7 +58,7 @@
 pub struct RouterConfig {
     pub name: String,
     pub listen: SocketAddr,
-    pub bulletin: SocketAddr,
+    pub discovery: SocketAddr,
     pub seed: u64,
     pub descriptors: usize,
     pub memory: usize,
@@ -90,7 +90,7 @@
         Ok(Self {
             name: file.text("name")?.to_owned(),
             listen: address("listen", listen.map_or_else(|| file.text("listen"), Ok)?)?,
-            bulletin: address("bulletin", file.text("bulletin")?)?,
+            discovery: address("bulletin", file.text("bulletin")?)?,
             seed: u64::from_str_radix(seed, 16).map_err(|_| format!("`seed` is not hexadecimal: {seed}"))?,
             descriptors: limits.index("sockets")?,
             memory: limits.index("memory_mb")?.saturating_mul(1 << 20),
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -86,7 +86,7 @@
         bootstrap(path, operator, None)?;
     let engines = events.iter().flat_map(|(_, rows)| rows).map(|row| row.id);
     let engines = engines.collect::<std::collections::BTreeSet<_>>().len();
-    println!("{} listens on {}, bulletin at {}", config.name, config.listen, config.bulletin);
+    println!("{} listens on {}, bulletin at {}", config.name, config.listen, config.discovery);
     println!("limits: {} MB, {} descriptors", config.memory >> 20, config.descriptors);
     println!(
         "one of {} routers; {engines} engines of {} kinds by event {last}",
--- a/crates/router/src/bulletin.rs
+++ b/crates/router/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The bulletin: the list of engines, from the configuration and as frames over a connection.
+//! The discovery service: the list of engines, from the configuration and as frames over a connection.
 
 use crate::counters::Counters;
 use crate::ring::Ring;
@@ -30,7 +30,7 @@
 
 /// What comes over the connection, and the number of the last event heard.
 #[derive(Clone)]
-pub struct Bulletin {
+pub struct Discovery {
     pub input: Ring,
     pub greeted: bool,
     pub last: u64,
@@ -41,7 +41,7 @@
     locations: usize,
 }
 
-impl Bulletin {
+impl Discovery {
     pub fn after(last: u64, kinds: usize, locations: usize) -> Self {
         Self { input: Ring::default(), greeted: false, last, due: Duration::ZERO, kinds, locations }
     }
@@ -63,7 +63,7 @@
         match &frame {
             (number, None) if *number > self.last => Err(format!("event {number} without those before it")),
             (number, Some(_)) if *number <= self.last => {
-                counters.count("bulletin_events_repeated");
+                counters.count("discovery_events_repeated");
                 Ok(Some((*number, None)))
             }
             (number, None) if *number < self.last => Ok(Some(frame)),
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -152,7 +152,7 @@
     fn wake_after(&mut self, wait: Duration) {
         self.context.timers.set(self.context.now() + wait, Timer::Wake);
     }
-    /// The bulletin tells its changes unasked.
+    /// The discovery service tells its changes unasked.
     fn watch(&mut self) {}
     fn forget(&mut self, engine: EngineId) {
         self.engines.forget(engine, &mut self.context);
@@ -215,8 +215,8 @@
         }
         // What else falls due is told by the connections and attempts themselves.
         let due = self.context.timers.iter();
-        let due =
-            due.filter(|(_, due)| matches!(due, Timer::Wake | Timer::Bulletin | Timer::Admit | Timer::Leave));
+        let due = due
+            .filter(|(_, due)| matches!(due, Timer::Wake | Timer::Discovery | Timer::Admit | Timer::Leave));
         due.for_each(|(at, due)| (at.as_micros() as i64 - now.as_micros() as i64, due).hash(into));
         self.serving.hash(into);
     }
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -2,10 +2,10 @@
 //! nothing.
 
 use crate::bootstrap::Bootstrap;
-use crate::bulletin;
 use crate::clients::CROSSING;
 use crate::clock::Clock;
 use crate::context::Context;
+use crate::discovery;
 use crate::engines::Ask;
 use crate::ready_list::ReadyList;
 use crate::ring::Filled;
@@ -24,14 +24,14 @@
 
 /// Lines taken from clients in one turn of the loop.
 const LINES: usize = 64;
-/// The bulletin sends something each second; it is dialled again after so much silence, or so long after a
+/// The discovery service sends something each second; it is dialled again after so much silence, or so long after a
 /// failure.
 const SILENCE: Duration = Duration::from_millis(2500);
 const AGAIN: Duration = Duration::from_millis(200);
-/// What the bulletin has to tell counts as told 4 s after it stopped: a connection that has not come up within this
+/// What the discovery service has to tell counts as told 4 s after it stopped: a connection that has not come up within this
 /// leaves time for another.
 const COMES_UP: Duration = Duration::from_secs(1);
-/// A configuration that makes no sense at SIGHUP may still be being written for so long: what the bulletin has to
+/// A configuration that makes no sense at SIGHUP may still be being written for so long: what the discovery service has to
 /// tell counts as told 4 s after.
 const WRITTEN: Duration = Duration::from_secs(3);
 
@@ -41,7 +41,7 @@
     loop_handle: LoopHandle<'static, Edge>,
     clients: BTreeMap<Slot, RegisteredSocket<Edge>>,
     links: BTreeMap<Slot, RegisteredSocket<Edge>>,
-    bulletin: Option<RegisteredSocket<Edge>>,
+    discovery: Option<RegisteredSocket<Edge>>,
     /// Connections closed to clients, of which something may stand unread.
     parting: BTreeMap<Slot, RegisteredSocket<Edge>>,
     /// Those of them that had more than one turn took.
@@ -50,7 +50,7 @@
     unheard: ReadyList,
     unread: BTreeSet<Slot>,
     /// What else the sockets and signals told that was not looked at yet: clients that have said something or
-    /// left, the bulletin, connections that wait to be accepted.
+    /// left, the discovery service, connections that wait to be accepted.
     pending_reads: Vec<Slot>,
     told: bool,
     connections_pending: bool,
@@ -100,7 +100,7 @@
             loop_handle,
             clients: BTreeMap::new(),
             links: BTreeMap::new(),
-            bulletin: None,
+            discovery: None,
             parting: BTreeMap::new(),
             not_read_out: Vec::new(),
             unheard: ReadyList::default(),
@@ -118,7 +118,7 @@
             again: None,
         };
         edge.looked = edge.clock.now();
-        edge.dial_bulletin();
+        edge.dial_discovery();
         while !edge.server.left {
             let due = edge.server.context().timers.first().map(|at| at.saturating_sub(edge.clock.now()));
             let done = edge.unheard.is_empty() && edge.unread.is_empty() && edge.not_read_out.is_empty();
@@ -165,7 +165,7 @@
             self.read_out(slot);
         }
         if std::mem::take(&mut self.told) {
-            self.bulletin_ready();
+            self.discovery_ready();
         }
         for signal in std::mem::take(&mut self.signals) {
             self.signal(signal);
@@ -201,7 +201,7 @@
                 }
                 Timer::Link(slot) => self.link_ready(slot),
                 Timer::Whole(slot) => self.read_link(slot),
-                Timer::Bulletin => self.await_bulletin(),
+                Timer::Discovery => self.await_discovery(),
                 Timer::Admit => self.resume_accepting(),
                 Timer::Leave => self.look_around(),
                 Timer::Reload => self.reload(),
@@ -470,75 +470,75 @@
         }
     }
 
-    // ---- the bulletin ----
+    // ---- the discovery service ----
 
     /// What the connection before has brought counts yet.
-    fn dial_bulletin(&mut self) {
-        if let Err(why) = self.read_bulletin() {
+    fn dial_discovery(&mut self) {
+        if let Err(why) = self.read_discovery() {
             log::debug!("bulletin, the connection before: {why}");
         }
-        self.server.bulletin = self.server.bulletin.anew();
-        self.server.context().counters.count("bulletin_dialled");
-        self.bulletin = None;
+        self.server.discovery = self.server.discovery.anew();
+        self.server.context().counters.count("discovery_dialled");
+        self.discovery = None;
         match RegisteredSocket::dial(
             &self.loop_handle,
-            self.server.dispatcher.config.bulletin,
+            self.server.dispatcher.config.discovery,
             |edge: &mut Self| edge.told = true,
         ) {
             Ok(registered) => {
-                self.bulletin = Some(registered);
-                self.expect_bulletin(COMES_UP);
+                self.discovery = Some(registered);
+                self.expect_discovery(COMES_UP);
             }
-            Err(_) => self.expect_bulletin(AGAIN),
+            Err(_) => self.expect_discovery(AGAIN),
         }
     }
 
-    /// The bulletin has said nothing in time, unless that stands unread: the router may be the one that is late.
-    fn await_bulletin(&mut self) {
-        self.bulletin_ready();
-        if self.server.bulletin.due <= self.server.dispatcher.context.now() {
-            self.dial_bulletin();
+    /// The discovery service has said nothing in time, unless that stands unread: the router may be the one that is late.
+    fn await_discovery(&mut self) {
+        self.discovery_ready();
+        if self.server.discovery.due <= self.server.dispatcher.context.now() {
+            self.dial_discovery();
         }
     }
 
-    /// The bulletin is dialled anew unless this is put off in time.
-    fn expect_bulletin(&mut self, wait: Duration) {
-        let Server { bulletin, dispatcher, .. } = &mut self.server;
-        dispatcher.context.timers.clear(bulletin.due, Timer::Bulletin);
-        bulletin.due = dispatcher.context.now() + wait;
-        dispatcher.context.timers.set(bulletin.due, Timer::Bulletin);
+    /// The discovery service is dialled anew unless this is put off in time.
+    fn expect_discovery(&mut self, wait: Duration) {
+        let Server { discovery, dispatcher, .. } = &mut self.server;
+        dispatcher.context.timers.clear(discovery.due, Timer::Discovery);
+        discovery.due = dispatcher.context.now() + wait;
+        dispatcher.context.timers.set(discovery.due, Timer::Discovery);
     }
 
-    fn bulletin_ready(&mut self) {
+    fn discovery_ready(&mut self) {
         self.look_at_the_clock();
-        if let Err(why) = self.read_bulletin() {
-            if self.server.bulletin.greeted {
+        if let Err(why) = self.read_discovery() {
+            if self.server.discovery.greeted {
                 log::info!("bulletin: {why}");
             }
-            self.server.context().counters.count("bulletin_lost");
-            self.bulletin = None;
-            self.expect_bulletin(AGAIN);
+            self.server.context().counters.count("discovery_lost");
+            self.discovery = None;
+            self.expect_discovery(AGAIN);
         }
         self.carry_out();
     }
 
-    fn read_bulletin(&mut self) -> Result<(), String> {
+    fn read_discovery(&mut self) -> Result<(), String> {
         loop {
-            let Some(registered) = &self.bulletin else { return Ok(()) };
+            let Some(registered) = &self.discovery else { return Ok(()) };
             let socket = Rc::clone(&registered.socket);
-            if !self.server.bulletin.greeted {
+            if !self.server.discovery.greeted {
                 if !registered.has_come_up().map_err(|e| e.to_string())? {
                     return Ok(());
                 }
-                let last = self.server.bulletin.last.to_be_bytes();
+                let last = self.server.discovery.last.to_be_bytes();
                 (&*socket).write_all(&last).map_err(|e| e.to_string())?;
-                self.server.bulletin.greeted = true;
-                self.expect_bulletin(SILENCE);
+                self.server.discovery.greeted = true;
+                self.expect_discovery(SILENCE);
             }
-            let input = &mut self.server.bulletin.input;
-            let filled = input.fill(&mut &*socket, 2 * bulletin::MOST_BYTES).map_err(|e| e.to_string())?;
-            if self.server.bulletin_heard()? {
-                self.expect_bulletin(SILENCE);
+            let input = &mut self.server.discovery.input;
+            let filled = input.fill(&mut &*socket, 2 * discovery::MOST_BYTES).map_err(|e| e.to_string())?;
+            if self.server.discovery_heard()? {
+                self.expect_discovery(SILENCE);
             }
             match filled {
                 Filled::Closed => return Err("closed".into()),
@@ -548,7 +548,7 @@
         }
     }
 
-    /// The configuration anew: the bulletin's address and the operator's file take effect, all else takes a
+    /// The configuration anew: the discovery service's address and the operator's file take effect, all else takes a
     /// restart. Open requests, connections and what was learned stay. Guards against files that are written wrong
     /// under load, or are another router's: they change nothing. One may still be being written: it is looked at
     /// again for a while.
@@ -571,9 +571,9 @@
                     );
                 }
                 self.server.reorder(orders.teams);
-                log::info!("configuration read anew, bulletin at {}", config.bulletin);
-                self.server.dispatcher.config.bulletin = config.bulletin;
-                self.dial_bulletin();
+                log::info!("configuration read anew, bulletin at {}", config.discovery);
+                self.server.dispatcher.config.discovery = config.discovery;
+                self.dial_discovery();
             }
             Err(error) => {
                 let (now, last) = (context.now(), before.map(|(_, last)| last));
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -1,8 +1,8 @@
 //! The engines' side: connections, attempts, the pages of a result. It chooses no engine and answers no client.
 
-use crate::bulletin::Row;
 use crate::clock::whole_ms;
 use crate::context::Context;
+use crate::discovery::Row;
 use crate::resp;
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -3,12 +3,12 @@
 
 pub mod admission_queue;
 pub mod bootstrap;
-pub mod bulletin;
 pub mod clients;
 pub mod clock;
 pub mod command;
 pub mod context;
 pub mod counters;
+pub mod discovery;
 pub mod dispatch;
 pub mod edge;
 pub mod engines;
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -3,9 +3,9 @@
 
 use crate::admission_queue::{Admission, AdmissionQueue};
 use crate::bootstrap::Bootstrap;
-use crate::bulletin::{Bulletin, Row};
 use crate::clients::{Heard, MOST_OPEN};
 use crate::context::Context;
+use crate::discovery::{Discovery, Row};
 use crate::dispatch::{Dispatcher, Request};
 use crate::engines::News;
 use crate::jsonrpc::{self, Objection, Withdrawal};
@@ -41,7 +41,7 @@
 pub struct Server {
     scheduler: Scheduler,
     pub dispatcher: Dispatcher,
-    pub bulletin: Bulletin,
+    pub discovery: Discovery,
     /// Clients that are gone, whose connections are to be closed, and what was last said to them.
     pub closed: Vec<(Slot, Ring)>,
     /// When the process ends at the latest, once that is planned.
@@ -69,7 +69,7 @@
         let longest = classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let mut server = Self {
             scheduler: Scheduler::new(fleet, classes, attempt_limits),
-            bulletin: Bulletin::after(last, config.kinds.len(), config.locations.len()),
+            discovery: Discovery::after(last, config.kinds.len(), config.locations.len()),
             closed: Vec::new(),
             leaving: None,
             unheard: false,
@@ -131,7 +131,7 @@
             Timer::Idle(slot) => engines.link_idle(slot, context),
             Timer::Client(slot) => self.client_overdue(slot, now),
             Timer::Leave => self.leave(),
-            Timer::Bulletin | Timer::Admit | Timer::AdmissionQueue | Timer::Reload | Timer::Part(_) => {}
+            Timer::Discovery | Timer::Admit | Timer::AdmissionQueue | Timer::Reload | Timer::Part(_) => {}
         }
         self.tell();
     }
@@ -582,10 +582,10 @@
         self.tell();
     }
 
-    /// Takes in all whole frames that the bulletin's connection has brought; tells whether there were any.
-    pub fn bulletin_heard(&mut self) -> Result<bool, String> {
+    /// Takes in all whole frames that the discovery service's connection has brought; tells whether there were any.
+    pub fn discovery_heard(&mut self) -> Result<bool, String> {
         let mut any = false;
-        while let Some((number, rows)) = self.bulletin.take(&mut self.dispatcher.context.counters)? {
+        while let Some((number, rows)) = self.discovery.take(&mut self.dispatcher.context.counters)? {
             any = true;
             if let Some((whole, rows)) = rows {
                 log::info!("bulletin: event {number} with {} engines", rows.len());
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -16,8 +16,8 @@
     Whole(Slot),
     /// A connection to an engine has carried nothing for long.
     Idle(Slot),
-    /// The bulletin must have sent something, or is dialled again.
-    Bulletin,
+    /// The discovery service must have sent something, or is dialled again.
+    Discovery,
     /// A client must have said something, or be in use.
     Client(Slot),
     /// New connections are accepted again.
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -1,6 +1,6 @@
 //! The codecs alone: bytes in, messages out, however the bytes are split.
 
-use emberflow_router::{bulletin, jsonrpc, resp, ring::Ring, statement};
+use emberflow_router::{discovery, jsonrpc, resp, ring::Ring, statement};
 use expect_test::expect;
 
 /// What `parse` makes of input that comes in two parts, cut at every place; all must come to the same.
@@ -131,7 +131,7 @@
     };
     let parse = |ring: &mut Ring| {
         let (said, length) = {
-            let ((number, event), length) = bulletin::parse(ring.readable()).expect("well formed")?;
+            let ((number, event), length) = discovery::parse(ring.readable()).expect("well formed")?;
             let rows = event.iter().flat_map(|(_, rows)| rows);
             let rows: Vec<_> = rows
                 .map(|r| {
@@ -155,7 +155,7 @@
     let mut strange = record;
     strange[10] = 7;
     let bad = [frame(1, 3, &[]), frame(1, 2, &record[1..]), frame(1, 1, &strange), vec![255; 4], vec![0; 4]];
-    let told: String = bad.iter().map(|bytes| format!("{:?}\n", bulletin::parse(bytes).err())).collect();
+    let told: String = bad.iter().map(|bytes| format!("{:?}\n", discovery::parse(bytes).err())).collect();
     expect![[r#"
         Some("a frame of kind 3 with 0 bytes")
         Some("a frame of kind 2 with 26 bytes")
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -194,7 +194,7 @@
     connections: u64,
     next_req: u64,
     sent_before: BTreeMap<String, u64>,
-    /// What the bulletin has to bring yet.
+    /// What the discovery service has to bring yet.
     frames: Vec<u8>,
     frame: u64,
     up_since: [u64; 4],
@@ -255,7 +255,7 @@
             closing: false,
         };
         life.tell_list(true);
-        life.bulletin_brings(usize::MAX);
+        life.discovery_brings(usize::MAX);
         life
     }
 
@@ -300,7 +300,7 @@
             85 => self.list_changes(),
             86 => {
                 let count = self.chance.below(120) as usize;
-                self.bulletin_brings(count);
+                self.discovery_brings(count);
             }
             87 if self.chance.one_in(4) => self.reload(),
             88..98 => self.time_passes(30),
@@ -614,7 +614,7 @@
             self.frames.extend([0, 0, 0, 1]);
         }
         if !self.chance.one_in(3) {
-            self.bulletin_brings(usize::MAX);
+            self.discovery_brings(usize::MAX);
         }
     }
 
@@ -642,18 +642,18 @@
         self.witness.count(if whole { "whole lists" } else { "list changes" });
     }
 
-    fn bulletin_brings(&mut self, count: usize) {
+    fn discovery_brings(&mut self, count: usize) {
         let count = count.min(self.frames.len());
         let bytes: Vec<u8> = self.frames.drain(..count).collect();
-        self.server.bulletin.input.push(&bytes);
-        let heard = self.server.bulletin_heard();
-        self.witness.note("bulletin", self.server.bulletin.last, &[u8::from(heard.is_ok())]);
+        self.server.discovery.input.push(&bytes);
+        let heard = self.server.discovery_heard();
+        self.witness.note("bulletin", self.server.discovery.last, &[u8::from(heard.is_ok())]);
         if heard.is_err() {
             // The connection is made anew, and begins with the whole list.
             self.witness.count("lists refused");
-            self.server.bulletin = self.server.bulletin.anew();
+            self.server.discovery = self.server.discovery.anew();
             self.frames.clear();
-            self.frame = self.server.bulletin.last + 1;
+            self.frame = self.server.discovery.last + 1;
             self.tell_list(true);
         }
     }
@@ -759,7 +759,7 @@
     }
 }
 
-/// A line of the list, as the bulletin's frames hold it.
+/// A line of the list, as the discovery service's frames hold it.
 fn record(engine: usize, state: u8, moved: u8, up_since: u64) -> [u8; 27] {
     let mut record = [0; 27];
     record[3] = engine as u8 + 1;
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -152,7 +152,7 @@
 fn what_waits_for_a_connection_is_not_written_once_its_client_or_engine_has_left() {
     let told = |name: &str, leaves: &dyn Fn(&mut TcpStream, Client, SocketAddr) -> Option<Client>| {
         let mut house = House::open(name, 1, &settings(1000, 8000));
-        let (mut bulletin, mut client) = (house.bulletin(), house.client());
+        let (mut discovery, mut client) = (house.discovery(), house.client());
         let address = house.engines[0].local_addr().expect("an address");
         let mut engine = house.engine(0);
         client.ask(1, "lookup", 8000);
@@ -164,7 +164,7 @@
         assert_eq!(engine.hear(), "PING 0");
         let left = house.meanwhile(|_| {
             engine.say_on(0, 0, "PONG", "-", "");
-            leaves(&mut bulletin, client, address)
+            leaves(&mut discovery, client, address)
         });
         let answer = left.map_or("gone".into(), |mut client| client.hear());
         let refused = answer.contains("-32011");
@@ -188,12 +188,12 @@
             drop(client);
             None
         }),
-        told("asked-drain", &|bulletin, client, address| {
-            bulletin.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
+        told("asked-drain", &|discovery, client, address| {
+            discovery.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
             Some(client)
         }),
-        told("asked-whole", &|bulletin, client, _| {
-            bulletin.write_all(&whole(2)).expect("it reads");
+        told("asked-whole", &|discovery, client, _| {
+            discovery.write_all(&whole(2)).expect("it reads");
             Some(client)
         }),
     ];
@@ -237,7 +237,7 @@
 #[test]
 fn what_is_held_is_not_sent_to_an_engine_that_drains_as_it_makes_room() {
     let mut house = House::open("drains", 1, &leisure());
-    let (mut bulletin, mut client, mut engine) = (house.bulletin(), house.client(), house.engine(0));
+    let (mut discovery, mut client, mut engine) = (house.discovery(), house.client(), house.engine(0));
     let address = house.engines[0].local_addr().expect("an address");
     fill(&mut client, 1);
     engine.takes(&mut house);
@@ -245,7 +245,7 @@
     is_heard(&mut client);
     house.meanwhile(|_| {
         engine.say(1, "HIT", "pages=1", ROWS);
-        bulletin.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
+        discovery.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
     });
     house.note(client.hear()).note(format!("sent then: {:?}", calls(&mut engine, 0)));
     expect![[r#"
@@ -329,7 +329,7 @@
 #[test]
 fn a_list_that_has_spoken_is_not_silent_and_one_that_is_left_is_read_first() {
     let mut house = House::open("spoken", 1, &settings(5000, 8000));
-    let mut old = house.bulletin();
+    let mut old = house.discovery();
     let address = house.engines[0].local_addr().expect("an address");
     house.meanwhile(|_| {
         old.write_all(&changes(2, &[(0, address, 0, 0)])).expect("it reads");
@@ -337,15 +337,16 @@
     });
     house.logs("event 2");
     let moved = TcpListener::bind((address.ip(), 0)).expect("a port");
-    let before = std::mem::replace(&mut house.bulletin, moved);
-    let [before, after] = [&before, &house.bulletin].map(|l| l.local_addr().expect("an address").to_string());
+    let before = std::mem::replace(&mut house.discovery, moved);
+    let [before, after] =
+        [&before, &house.discovery].map(|l| l.local_addr().expect("an address").to_string());
     // A drain in the old one's socket as the file moves it; the new one says nothing.
     house.meanwhile(|house| {
         std::fs::write(&house.file.0, house.file.1.replace(&before, &after)).expect("a file");
         house.signal("-HUP");
         old.write_all(&changes(3, &[(0, address, 1, 0)])).expect("it reads");
     });
-    let _silent = house.bulletin();
+    let _silent = house.discovery();
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
     house.note(client.hear());
@@ -353,18 +354,19 @@
         bulletin after 1
         bulletin after 3
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
-        ended with Some(0): bulletin_dialled=2 reloads=1
-    "#]].assert_eq(&house.end(&["bulletin_dialled", "attempts_sent", "reloads"]));
+        ended with Some(0): discovery_dialled=2 reloads=1
+    "#]].assert_eq(&house.end(&["discovery_dialled", "attempts_sent", "reloads"]));
 }
 
 /// A file may still be being written at SIGHUP; one of another router is not ours; other settings take a restart.
 #[test]
 fn a_configuration_half_written_is_read_once_it_is_whole_and_anothers_never() {
     let mut house = House::open("half", 1, &settings(5000, 8000));
-    let _old = house.bulletin();
+    let _old = house.discovery();
     let moved = TcpListener::bind((house.at.ip(), 0)).expect("a port");
-    let before = std::mem::replace(&mut house.bulletin, moved);
-    let [before, after] = [&before, &house.bulletin].map(|l| l.local_addr().expect("an address").to_string());
+    let before = std::mem::replace(&mut house.discovery, moved);
+    let [before, after] =
+        [&before, &house.discovery].map(|l| l.local_addr().expect("an address").to_string());
     let whole = house.file.1.replace(&before, &after).replace("\"lookup\"", "\"view\"");
     std::fs::write(&house.file.0, whole.replace("\"n0\"", "\"n1\"")).expect("a file");
     house.signal("-HUP");
@@ -372,7 +374,7 @@
     std::fs::write(&house.file.0, &whole[..whole.len() / 2]).expect("a file");
     std::fs::write(&house.file.0, &whole).expect("a file");
     house.logs("changed in the configuration, but not before a restart: the settings");
-    let _new = house.bulletin();
+    let _new = house.discovery();
     // The class of the start is still served.
     let (mut client, mut engine) = (house.client(), house.engine(0));
     client.ask(1, "lookup", 8000);
@@ -416,7 +418,7 @@
 #[test]
 fn a_reset_under_a_single_use_request_at_a_drain_and_an_end_is_answered_once() {
     let mut house = House::open("crossing", 2, &settings(5000, 8000));
-    let (mut bulletin, mut client) = (house.bulletin(), house.client());
+    let (mut discovery, mut client) = (house.discovery(), house.client());
     let addresses: Vec<_> = house.engines.iter().map(|e| e.local_addr().expect("an address")).collect();
     client.ask(1, "post", 8000);
     let mut engines = house.any_engine();
@@ -426,7 +428,7 @@
     house.meanwhile(|house| {
         engines[0].write(0, &resp::array(&[b"half an answer"])[..6]);
         engines[0].cut(1);
-        bulletin.write_all(&changes(2, &[(number, first, 1, 0)])).expect("it reads");
+        discovery.write_all(&changes(2, &[(number, first, 1, 0)])).expect("it reads");
         house.signal("-TERM");
     });
     house.note(client.hear());
@@ -490,16 +492,16 @@
 #[test]
 fn a_crowd_of_idle_clients_keeps_nobody_from_the_list_that_returns() {
     let mut house = House::open_within((64, 24), "returns", 2, &leisure());
-    let (old, mut waits) = (house.bulletin(), house.client());
+    let (old, mut waits) = (house.discovery(), house.client());
     let addresses: Vec<_> = house.engines.iter().map(|e| e.local_addr().expect("an address")).collect();
     waits.ask(1, "lookup", 60_000);
     let mut engines = house.any_engine();
     engines[0].call();
     let drains = engines[0].listener.local_addr().expect("an address");
     let number = addresses.iter().position(|at| *at == drains).expect("one of them") as u32;
-    let at = house.bulletin.local_addr().expect("an address");
+    let at = house.discovery.local_addr().expect("an address");
     let elsewhere = TcpListener::bind((at.ip(), 0)).expect("a port");
-    drop(std::mem::replace(&mut house.bulletin, elsewhere));
+    drop(std::mem::replace(&mut house.discovery, elsewhere));
     drop(old);
     house.logs("bulletin: ");
     let crowd = house.meanwhile(|house| {
@@ -510,8 +512,8 @@
         });
         crowd
     });
-    house.bulletin = TcpListener::bind(at).expect("its port");
-    let mut list = house.bulletin();
+    house.discovery = TcpListener::bind(at).expect("its port");
+    let mut list = house.discovery();
     list.write_all(&changes(2, &[(number, drains, 1, 0)])).expect("it reads");
     house.logs("event 2");
     let mut new = house.client();
--- a/crates/router/tests/sockets/house.rs
+++ b/crates/router/tests/sockets/house.rs
@@ -1,4 +1,4 @@
-//! The program, started, between small stand-ins for a client, engines and the bulletin.
+//! The program, started, between small stand-ins for a client, engines and the discovery service.
 
 use emberflow_router::resp;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,7 +15,7 @@
     pub program: Child,
     pub log: BufReader<ChildStderr>,
     pub at: SocketAddr,
-    pub bulletin: TcpListener,
+    pub discovery: TcpListener,
     pub engines: Vec<TcpListener>,
     /// Its configuration.
     pub file: (std::path::PathBuf, String),
@@ -112,7 +112,7 @@
     ) -> Self {
         let at = address();
         let listener = || TcpListener::bind((at, 0)).expect("a port");
-        let (bulletin, engines): (_, Vec<_>) = (listener(), (0..engines).map(|_| listener()).collect());
+        let (discovery, engines): (_, Vec<_>) = (listener(), (0..engines).map(|_| listener()).collect());
         let member = |(at, address): (usize, SocketAddr)| {
             format!(
                 r#"{{"id":"s-{at:08x}","host_port":"{address}","locality":"hall-a","flavor":"std-8","cell":0,"phase":"ready","size":1,"up_since_ms":0}}"#
@@ -128,7 +128,7 @@
             r#"{{"name":"n0","listen":"{at}:0","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory},"sockets":{sockets}}},
             "bulletin":"{}","known":{{"no":1,"items":[{{"no":1,"roster":{{"revision":1,"complete":true,"members":[{}]}}}}]}},
             "settings":{settings}}}"#,
-            bulletin.local_addr().expect("an address"),
+            discovery.local_addr().expect("an address"),
             members.join(",")
         );
         let path = file(name, &text);
@@ -145,7 +145,7 @@
         log.read_line(&mut line).expect("it tells where it listens");
         let at = line.trim().rsplit(' ').next().and_then(|at| at.parse().ok());
         let at = at.unwrap_or_else(|| panic!("no address: {line}"));
-        Self { program, log, at, bulletin, engines, file: (path, text), seen: String::new() }
+        Self { program, log, at, discovery, engines, file: (path, text), seen: String::new() }
     }
 
     pub fn client(&self) -> Client {
@@ -166,8 +166,8 @@
         engines
     }
 
-    pub fn bulletin(&mut self) -> TcpStream {
-        let mut socket = accept(&self.bulletin);
+    pub fn discovery(&mut self) -> TcpStream {
+        let mut socket = accept(&self.discovery);
         let mut last = [0; 8];
         socket.read_exact(&mut last).expect("the last event's number");
         self.note(format!("bulletin after {}", u64::from_be_bytes(last)));
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! The program, started, between small stand-ins for a client, engines and the bulletin: what it takes and serves.
+//! The program, started, between small stand-ins for a client, engines and the discovery service: what it takes and serves.
 
 mod ending;
 mod house;
@@ -170,7 +170,7 @@
 #[test]
 fn what_waits_for_a_connection_is_never_written_once_its_engine_drains() {
     let mut house = House::open("waiting", 1, &settings(2000, 8000));
-    let mut bulletin = house.bulletin();
+    let mut discovery = house.discovery();
     let address = house.engines[0].local_addr().expect("an address");
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
@@ -181,7 +181,7 @@
     std::thread::sleep(Duration::from_millis(2100));
     client.ask(2, "post", 8000);
     house.note(engine.hear());
-    bulletin.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
+    discovery.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
     house.note(client.hear());
     engine.say(0, "PONG", "-", "");
     let counters = house.end(&["attempts_void", "links_silent"]);
@@ -199,7 +199,7 @@
 #[test]
 fn drains_are_kept_and_a_new_engine_at_an_old_address_is_another() {
     let mut house = House::open("drain", 1, &settings(5000, 8000));
-    let mut bulletin = house.bulletin();
+    let mut discovery = house.discovery();
     let address = house.engines[0].local_addr().expect("an address");
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
@@ -207,37 +207,37 @@
     house.note(old.hear());
     let frame = changes(2, &[(0, address, 2, 0), (7, address, 0, 0)]);
     let (first, second) = frame.split_at(11);
-    bulletin.write_all(first).expect("it reads");
-    bulletin.write_all(second).expect("it reads");
+    discovery.write_all(first).expect("it reads");
+    discovery.write_all(second).expect("it reads");
     house.logs("event 2");
     client.ask(2, "lookup", 8000);
     house.note(old.hear());
     old.say(1, "HIT", "pages=1", "from the old one\t\t\n");
     house.note(client.hear());
-    drop(bulletin);
-    let _bulletin = house.bulletin();
+    drop(discovery);
+    let _discovery = house.discovery();
     expect![[r#"
         bulletin after 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"ZnJvbSB0aGUgb2xkIG9uZQkJCg=="}}
         bulletin after 2
-        ended with Some(0): bulletin_lost=1 links_dialled=2
+        ended with Some(0): discovery_lost=1 links_dialled=2
     "#]]
-    .assert_eq(&house.end(&["links_dialled", "bulletin_lost"]));
+    .assert_eq(&house.end(&["links_dialled", "discovery_lost"]));
 }
 
 #[test]
-fn a_bad_frame_changes_nothing_and_the_bulletin_is_dialled_again() {
+fn a_bad_frame_changes_nothing_and_the_discovery_is_dialled_again() {
     let mut house = House::open("frame", 1, &settings(5000, 8000));
     let address = house.engines[0].local_addr().expect("an address");
     let mut no_such_kind = changes(2, &[(0, address, 0, 0)]);
     no_such_kind[25] = 9;
     let gap = changes(5, &[(0, address, 2, 0)]);
     for frame in [gap, no_such_kind, vec![255; 16]] {
-        let mut bulletin = house.bulletin();
-        bulletin.write_all(&frame).expect("it reads");
-        assert_eq!(bulletin.read(&mut [0; 1]).unwrap_or(0), 0, "closed by the router");
+        let mut discovery = house.discovery();
+        discovery.write_all(&frame).expect("it reads");
+        assert_eq!(discovery.read(&mut [0; 1]).unwrap_or(0), 0, "closed by the router");
     }
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
@@ -248,9 +248,9 @@
         bulletin after 1
         bulletin after 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
-        ended with Some(0): bulletin_lost=3 list_events=1
+        ended with Some(0): discovery_lost=3 list_events=1
     "#]]
-    .assert_eq(&house.end(&["bulletin_lost", "list_events"]));
+    .assert_eq(&house.end(&["discovery_lost", "list_events"]));
 }
 
 #[test]
@@ -727,14 +727,14 @@
 #[test]
 fn what_an_engine_carried_ends_when_the_list_tells_of_its_new_start() {
     let mut house = House::open("anew", 1, &settings(5000, 8000));
-    let mut bulletin = house.bulletin();
+    let mut discovery = house.discovery();
     let address = house.engines[0].local_addr().expect("an address");
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
     let mut engine = house.engine(0);
     house.note(engine.hear());
     let soon = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time") + Duration::from_secs(1);
-    bulletin.write_all(&changes(2, &[(0, address, 0, soon.as_millis() as u64)])).expect("it reads");
+    discovery.write_all(&changes(2, &[(0, address, 0, soon.as_millis() as u64)])).expect("it reads");
     house.note(engine.hear());
     house.note(engine.hear());
     engine.say(1, "HIT", "pages=1", "x\t\t\n");
@@ -860,10 +860,10 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_bulletin_and_a_bad_one_changes_nothing() {
+fn a_new_configuration_moves_the_discovery_and_a_bad_one_changes_nothing() {
     let mut house = House::open("reload", 1, &settings(5000, 8000));
     let address = house.engines[0].local_addr().expect("an address");
-    let mut before = house.bulletin();
+    let mut before = house.discovery();
     let mut client = house.client();
     client.ask(1, "lookup", 8000);
     let mut engine = house.engine(0);
@@ -874,10 +874,10 @@
     // Events told twice are passed over, and the connection stays.
     before.write_all(&changes(2, &[(7, address, 0, 0)]).repeat(2)).expect("it reads");
     let moved = TcpListener::bind((address.ip(), 0)).expect("a port");
-    let old = std::mem::replace(&mut house.bulletin, moved);
+    let old = std::mem::replace(&mut house.discovery, moved);
     let anew = house.file.1.replace(
         &old.local_addr().expect("an address").to_string(),
-        &house.bulletin.local_addr().expect("an address").to_string(),
+        &house.discovery.local_addr().expect("an address").to_string(),
     );
     let told = |house: &mut House| {
         let mut client = house.client();
@@ -887,7 +887,7 @@
     told(&mut house);
     std::fs::write(&house.file.0, anew).expect("a file");
     house.signal("-HUP");
-    let _after = house.bulletin();
+    let _after = house.discovery();
     engine.say(1, "HIT", "pages=1", "x\t\t\n");
     house.note(client.hear());
     house.note(format!("the old bulletin reads {:?} more bytes", before.read(&mut [0; 9]).ok()));
@@ -900,9 +900,9 @@
         bulletin after 2
         {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
         the old bulletin reads Some(0) more bytes
-        ended with Some(0): bulletin_events_repeated=1 reloads=2 reloads_refused=1
+        ended with Some(0): discovery_events_repeated=1 reloads=2 reloads_refused=1
     "#]]
-    .assert_eq(&house.end(&["reloads", "reloads_refused", "bulletin_lost", "bulletin_events_repeated"]));
+    .assert_eq(&house.end(&["reloads", "reloads_refused", "discovery_lost", "discovery_events_repeated"]));
 }
 
 #[test]
@@ -941,7 +941,7 @@
 #[test]
 fn nothing_is_held_of_engines_clients_and_requests_that_have_gone() {
     let mut house = House::open("churn", 1, &settings(5000, 8000));
-    let mut bulletin = house.bulletin();
+    let mut discovery = house.discovery();
     let address = house.engines[0].local_addr().expect("an address");
     let mut engine = house.engine(0);
     for round in 0..10 {
@@ -949,7 +949,7 @@
         let frames = (first..first + 300).flat_map(|number| {
             changes(number, &[(number as u32 - 2, address, 2, 0), (number as u32 - 1, address, 0, 0)])
         });
-        bulletin.write_all(&frames.collect::<Vec<_>>()).expect("it reads");
+        discovery.write_all(&frames.collect::<Vec<_>>()).expect("it reads");
         house.logs(&format!("event {} ", first + 299));
         for id in 1..=200 {
             let mut client = house.client();
@@ -975,20 +975,20 @@
 }
 
 #[test]
-fn a_bulletin_that_breaks_off_or_falls_silent_is_asked_again_in_time() {
+fn a_discovery_that_breaks_off_or_falls_silent_is_asked_again_in_time() {
     let mut house = House::open("quiet", 1, &settings(5000, 8000));
     let address = house.engines[0].local_addr().expect("an address");
     let frame = changes(2, &[(0, address, 0, 0)]);
-    let mut broken = house.bulletin();
+    let mut broken = house.discovery();
     broken.write_all(&frame[..20]).expect("it reads");
     drop(broken);
     let began = Instant::now();
-    let mut silent = house.bulletin();
+    let mut silent = house.discovery();
     let after_a_break = began.elapsed().as_secs() < 2;
     silent.write_all(&frame).expect("it reads");
     silent.write_all(&frame[..20]).expect("it reads");
     let began = Instant::now();
-    let _again = house.bulletin();
+    let _again = house.discovery();
     let after_a_stop = began.elapsed().as_secs() < 4;
     house.note(format!("within 2 s after a break: {after_a_break}, 4 s after a stop: {after_a_stop}"));
     expect![[r#"
@@ -996,9 +996,9 @@
         bulletin after 1
         bulletin after 2
         within 2 s after a break: true, 4 s after a stop: true
-        ended with Some(0): bulletin_dialled=3 list_events=2
+        ended with Some(0): discovery_dialled=3 list_events=2
     "#]]
-    .assert_eq(&house.end(&["list_events", "bulletin_dialled"]));
+    .assert_eq(&house.end(&["list_events", "discovery_dialled"]));
 }
 
 /// Seen on days with bad clients: a connection that had just come was closed to make room for those behind it, and
--- a/crates/standins/src/bulletin.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in bulletin: it tells the whole list to whoever connects, each change, and a sign of life each second.
+//! A stand-in discovery service: it tells the whole list to whoever connects, each change, and a sign of life each second.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone)]
-pub struct Bulletin {
+pub struct Discovery {
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
 }
@@ -46,7 +46,7 @@
     [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], &payload].concat()
 }
 
-impl Bulletin {
+impl Discovery {
     pub fn start(rows: Vec<Row>) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/tryout.rs
@@ -1,8 +1,8 @@
-//! A first try: engines, a bulletin and a router on loopback, mixed work of three teams, an engine lost half-way,
+//! A first try: engines, a discovery service and a router on loopback, mixed work of three teams, an engine lost half-way,
 //! and a table of what became of it.
 
-use crate::bulletin::{Bulletin, Row};
 use crate::clients::{Client, Fate, Habit, How};
+use crate::discovery::{Discovery, Row};
 use crate::engine::{Engine, Runs};
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::edge::Edge;
@@ -27,10 +27,10 @@
     pub loses: bool,
 }
 
-fn settings(listen: SocketAddr, bulletin: SocketAddr) -> Value {
+fn settings(listen: SocketAddr, discovery: SocketAddr) -> Value {
     let kind = |name: &str, latency_objective: u64, deadline: u64, repeat: &str| json!({"name": name, "onTimeMs": latency_objective, "deadlineMs": deadline, "gain": 1, "lateShare": 0.1, "repeat": repeat});
     json!({"name": "tryout", "listen": listen.to_string(), "seed": "1",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "bulletin": bulletin.to_string(),
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "bulletin": discovery.to_string(),
         "known": {"no": 0, "items": []},
         "settings": {"instances": 1, "myZone": 0, "zones": ["hall-a"], "kinds": ["std-4"], "discovery": "push",
             "tickMs": 5,
@@ -81,9 +81,9 @@
             up_since_ms: 0,
         };
         let rows: Vec<Row> = (1..).zip(&engines).map(row).collect();
-        let bulletin = Bulletin::start(rows.clone()).map_err(fault("the bulletin"))?;
+        let discovery = Discovery::start(rows.clone()).map_err(fault("the bulletin"))?;
         let router = Self::free_port().map_err(fault("a port"))?;
-        let (file, orders) = (settings(router, bulletin.address), self.orders.clone());
+        let (file, orders) = (settings(router, discovery.address), self.orders.clone());
         std::thread::spawn(move || {
             let read = move || {
                 let mut bootstrap = Bootstrap::read(&file, None)?;
@@ -119,7 +119,7 @@
                 lost = true;
                 drop(engines.remove(0));
                 std::thread::sleep(Duration::from_millis(500));
-                bulletin.change(Row { state: 2, ..rows[0] });
+                discovery.change(Row { state: 2, ..rows[0] });
             }
         }
         let _ = writeln!(progress);
