--- a/crates/explorer/src/links.rs
+++ b/crates/explorer/src/connection_model.rs
@@ -21,7 +21,7 @@
 /// A call is abandoned after so long.
 const DEADLINE: Duration = Duration::from_millis(350);
 
-pub struct Links {
+pub struct Connections {
     pub name: &'static str,
     pub says: &'static str,
     /// How many requests, and attempts of each.
@@ -33,7 +33,7 @@
     /// What the list may tell, once.
     pub listed: &'static [Told],
     /// Connections that the machine may have, and calls that one carries.
-    pub most_links: usize,
+    pub most_connections: usize,
     pub streams: usize,
     /// Bytes that a socket takes until it flows; `None` where it always does.
     pub narrow: Option<usize>,
@@ -74,11 +74,11 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Call { request: usize },
-    Up { link: Slot },
-    Refuse { link: Slot },
-    Says { link: Slot, call: usize, word: Word },
-    Resets { link: Slot },
-    Flows { link: Slot },
+    Up { connection: Slot },
+    Refuse { connection: Slot },
+    Says { connection: Slot, call: usize, word: Word },
+    Resets { connection: Slot },
+    Flows { connection: Slot },
     Cancel { call: usize },
     List { what: Told },
     Pass,
@@ -219,8 +219,8 @@
 }
 
 fn keeps(scene: &Scene, act: &Act) -> bool {
-    let (_, links, attempts) = scene.engines.held();
-    matches!(act, Act::Rests) && links + attempts + scene.context.timers.len() + scene.far.len() > 0
+    let (_, connections, attempts) = scene.engines.held();
+    matches!(act, Act::Rests) && connections + attempts + scene.context.timers.len() + scene.far.len() > 0
 }
 
 pub(crate) struct Socket<'a>(pub &'a mut Far);
@@ -280,10 +280,10 @@
 }
 
 impl Scene {
-    fn new(world: &Links) -> Self {
+    fn new(world: &Connections) -> Self {
         let now = Duration::from_secs(20);
         let mut context = Context { now, ..Context::default() };
-        let mut engines = Engines::new(world.streams, COMES_UP, IDLE, world.most_links);
+        let mut engines = Engines::new(world.streams, COMES_UP, IDLE, world.most_connections);
         let engine = engines.listed(&row(7, true, false, 0), &mut context).engine;
         let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
@@ -310,7 +310,7 @@
 
     /// Notes which laws the machine could break from here by one act.
     fn near(&self) {
-        if witness::all_near(witness::LINKS, LAWS.len()) {
+        if witness::all_near(witness::CONNECTIONS, LAWS.len()) {
             return;
         }
         let (fault, wrong) = (AttemptOutcome::Failed, Some(&b"wrong"[..]));
@@ -327,7 +327,7 @@
             acts.extend(answered.map(|by| ends(fault, None, Some(*by))));
         }
         for act in acts {
-            witness::note(witness::LINKS, LAWS.iter().map(|Law(_, _, breaks)| breaks(self, &act)));
+            witness::note(witness::CONNECTIONS, LAWS.iter().map(|Law(_, _, breaks)| breaks(self, &act)));
         }
     }
 
@@ -346,7 +346,7 @@
             until: self.now + DEADLINE,
         };
         let owing: Vec<Slot> =
-            self.owing.iter().filter(|(by, _)| *by == request).map(|(_, link)| *link).collect();
+            self.owing.iter().filter(|(by, _)| *by == request).map(|(_, connection)| *connection).collect();
         // The attempt must be known before its news is.
         let slot = self.engines.send(self.engine, call, &owing, &mut self.context);
         let until = self.now + DEADLINE;
@@ -362,8 +362,8 @@
         });
     }
 
-    fn says(&mut self, link: Slot, call: usize, word: Word) {
-        let Some(far) = self.far.get_mut(&link) else { return };
+    fn says(&mut self, connection: Slot, call: usize, word: Word) {
+        let Some(far) = self.far.get_mut(&connection) else { return };
         far.spoilt |= word == Word::Noise;
         let name = self.attempts.get(call).map_or_else(String::new, |attempt| id(attempt.request));
         let (request, number) =
@@ -401,31 +401,31 @@
                 _ => {}
             }
         }
-        self.engines.read(link, &mut Came::then_silent(bytes), &mut self.context);
+        self.engines.read(connection, &mut Came::then_silent(bytes), &mut self.context);
     }
 
     /// Does what the machine asks for and holds what it tells against the laws; `only` may end by it.
-    fn pump(&mut self, world: &Links, only: Option<usize>) {
+    fn pump(&mut self, world: &Connections, only: Option<usize>) {
         loop {
             let mut quiet = true;
             while let Some(ask) = self.engines.asks.pop_front() {
                 quiet = false;
                 match ask {
-                    Ask::Dial(link, _) => {
+                    Ask::Dial(connection, _) => {
                         let room = world.narrow;
-                        self.far.insert(link, Far::taking(room));
+                        self.far.insert(connection, Far::taking(room));
                     }
-                    Ask::Close(link) => drop(self.far.remove(&link)),
+                    Ask::Close(connection) => drop(self.far.remove(&connection)),
                 }
             }
-            for link in std::mem::take(&mut self.engines.unsent) {
+            for connection in std::mem::take(&mut self.engines.unsent) {
                 quiet = false;
-                self.flush(link);
+                self.flush(connection);
             }
             while let Some(news) = self.engines.news.pop_front() {
                 quiet = false;
                 if let News::Ended(ended, body, owing) = news {
-                    self.owing.extend(owing.map(|link| (ended.request as usize, link)));
+                    self.owing.extend(owing.map(|connection| (ended.request as usize, connection)));
                     self.ended(ended.request as usize, ended.attempt, ended.end, body, only);
                 }
             }
@@ -454,10 +454,10 @@
     }
 
     /// Lets a connection's bytes go as far as its far end takes them, which reads the calls that came whole.
-    fn flush(&mut self, link: Slot) {
-        let Some(far) = self.far.get_mut(&link) else { return };
+    fn flush(&mut self, connection: Slot) {
+        let Some(far) = self.far.get_mut(&connection) else { return };
         let before = far.inbox.len();
-        self.engines.drain(link, &mut Socket(far)).expect("a far end that only blocks");
+        self.engines.drain(connection, &mut Socket(far)).expect("a far end that only blocks");
         let new_call = far.inbox[before..].windows(3).any(|at| at == b"GET");
         let (mut taken, mut came) = (0, Vec::new());
         while let Ok(Some((parts, length))) = resp::parse(&far.inbox[taken..]) {
@@ -492,7 +492,7 @@
     }
 }
 
-impl Walk for Links {
+impl Walk for Connections {
     type State = Scene;
     type Move = Step;
 
@@ -512,13 +512,13 @@
                 moves.push(Step::Call { request });
             }
         }
-        for (link, far) in &scene.far {
-            let link = *link;
+        for (connection, far) in &scene.far {
+            let connection = *connection;
             if far.spoilt {
                 continue;
             }
             if !far.up {
-                moves.extend([Step::Up { link }, Step::Refuse { link }]);
+                moves.extend([Step::Up { connection }, Step::Refuse { connection }]);
                 continue;
             }
             let may = |word: Word| self.words.contains(&word);
@@ -526,7 +526,7 @@
             for call in far.got.iter().copied() {
                 let attempt = &scene.attempts[call];
                 let mut say = |word: Word, can: bool| {
-                    moves.extend((can && may(word)).then_some(Step::Says { link, call, word }));
+                    moves.extend((can && may(word)).then_some(Step::Says { connection, call, word }));
                 };
                 let free = far.rest.is_empty();
                 for word in [Word::Hit, Word::HitOfTwo, Word::Shed, Word::Fault] {
@@ -538,17 +538,17 @@
                 say(Word::Again, attempt.hit.is_some_and(|pages| pages > 0) && free && fault);
             }
             let mut say = |word: Word, can: bool| {
-                moves.extend((can && may(word)).then_some(Step::Says { link, call: usize::MAX, word }));
+                moves.extend((can && may(word)).then_some(Step::Says { connection, call: usize::MAX, word }));
             };
             say(Word::Rest, !far.rest.is_empty());
             say(Word::Pong, far.pings > 0 && far.rest.is_empty());
             say(Word::Stray, fault && far.rest.is_empty());
             say(Word::Noise, fault && far.rest.is_empty());
             if fault {
-                moves.push(Step::Resets { link });
+                moves.push(Step::Resets { connection });
             }
             if far.room.is_some() {
-                moves.push(Step::Flows { link });
+                moves.push(Step::Flows { connection });
             }
         }
         if self.cancels {
@@ -568,24 +568,26 @@
         let mut only = None;
         match *step {
             Step::Call { request } => next.call(request),
-            Step::Up { link } => {
-                next.far.entry(link).and_modify(|far| far.up = true);
-                next.engines.came_up(link, &mut next.context);
+            Step::Up { connection } => {
+                next.far.entry(connection).and_modify(|far| far.up = true);
+                next.engines.came_up(connection, &mut next.context);
             }
-            Step::Refuse { link } => next.engines.refused(link, false, "refused", &mut next.context),
-            Step::Says { link, call, word } => {
+            Step::Refuse { connection } => {
+                next.engines.refused(connection, false, "refused", &mut next.context)
+            }
+            Step::Says { connection, call, word } => {
                 next.faults += u8::from(matches!(word, Word::Half | Word::Again | Word::Stray | Word::Noise));
                 // What ends by a well-formed answer is its own attempt; what noise ends is all on the connection.
                 only = (word != Word::Noise && word != Word::Rest).then_some(call);
-                next.says(link, call, word);
+                next.says(connection, call, word);
             }
-            Step::Resets { link } => {
+            Step::Resets { connection } => {
                 next.faults += 1;
-                next.engines.read(link, &mut Came::then_reset(), &mut next.context);
+                next.engines.read(connection, &mut Came::then_reset(), &mut next.context);
             }
-            Step::Flows { link } => {
-                next.far.entry(link).and_modify(|far| far.room = None);
-                next.flush(link);
+            Step::Flows { connection } => {
+                next.far.entry(connection).and_modify(|far| far.room = None);
+                next.flush(connection);
             }
             Step::Cancel { call } => next.engines.cancel(next.attempts[call].slot, &mut next.context),
             Step::List { what } => {
@@ -615,9 +617,9 @@
                     let (engines, context) = (&mut next.engines, &mut next.context);
                     match due {
                         Timer::Attempt(slot) => engines.overdue(slot, context),
-                        Timer::Link(slot) => engines.link_overdue(slot, next.now, context),
+                        Timer::Connection(slot) => engines.connection_overdue(slot, next.now, context),
                         Timer::Whole(slot) => engines.not_whole(slot, context),
-                        Timer::Idle(slot) => engines.link_idle(slot, context),
+                        Timer::Idle(slot) => engines.connection_idle(slot, context),
                         _ => {}
                     }
                 }
@@ -636,7 +638,7 @@
                 .hash(&mut into);
         }
         for attempt in &scene.attempts {
-            let at = scene.engines.link_of(attempt.slot).and_then(|link| places.get(&link));
+            let at = scene.engines.connection_of(attempt.slot).and_then(|connection| places.get(&connection));
             let left = attempt.until.saturating_sub(scene.now);
             let left = attempt.end.is_none().then_some(left);
             (
@@ -650,8 +652,8 @@
             )
                 .hash(&mut into);
         }
-        for (request, link) in &scene.owing {
-            (request, places.get(link)).hash(&mut into);
+        for (request, connection) in &scene.owing {
+            (request, places.get(connection)).hash(&mut into);
         }
         (scene.ready, scene.faults, scene.listed, scene.broken).hash(&mut into);
         into.finish()
@@ -667,8 +669,8 @@
 const ANSWERS: &[Word] =
     &[Word::Hit, Word::HitOfTwo, Word::Part, Word::Shed, Word::Fault, Word::Note, Word::Pong];
 
-pub const WORLDS: &[Links] = &[
-    Links {
+pub const WORLDS: &[Connections] = &[
+    Connections {
         name: "a connection's answers",
         says: "one request of two attempts, every word, calls taken back, the engine draining, starting anew, gone or replaced",
         requests: 1,
@@ -676,13 +678,13 @@
         words: ANSWERS,
         faults: 0,
         listed: &[Told::Drains, Told::Anew, Told::Gone, Told::Replaced],
-        most_links: 2,
+        most_connections: 2,
         streams: 2,
         narrow: None,
         cancels: true,
         short: true,
     },
-    Links {
+    Connections {
         name: "a connection's faults",
         says: "one request of two attempts, answers split, repeated, strayed or spoilt, resets, twice in all",
         requests: 1,
@@ -700,13 +702,13 @@
         ],
         faults: 2,
         listed: &[],
-        most_links: 2,
+        most_connections: 2,
         streams: 2,
         narrow: None,
         cancels: true,
         short: true,
     },
-    Links {
+    Connections {
         name: "a shared connection",
         says: "two requests on one connection, one of which is dropped, one fault",
         requests: 2,
@@ -714,13 +716,13 @@
         words: &[Word::Hit, Word::HitOfTwo, Word::Part, Word::Pong, Word::Again, Word::Stray, Word::Noise],
         faults: 1,
         listed: &[],
-        most_links: 1,
+        most_connections: 1,
         streams: 2,
         narrow: None,
         cancels: true,
         short: false,
     },
-    Links {
+    Connections {
         name: "a narrow connection",
         says: "one request of two attempts on sockets that take ten bytes at first, a drain or a new start, one reset",
         requests: 1,
@@ -728,13 +730,13 @@
         words: &[Word::Hit, Word::Pong],
         faults: 1,
         listed: &[Told::Drains, Told::Anew],
-        most_links: 2,
+        most_connections: 2,
         streams: 2,
         narrow: Some(10),
         cancels: true,
         short: true,
     },
-    Links {
+    Connections {
         name: "two on a narrow connection",
         says: "two requests on one connection that takes nothing at first, a drain",
         requests: 2,
@@ -742,7 +744,7 @@
         words: &[Word::Hit, Word::Pong],
         faults: 0,
         listed: &[Told::Drains],
-        most_links: 1,
+        most_connections: 1,
         streams: 2,
         narrow: Some(0),
         cancels: true,
--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -1,7 +1,7 @@
 //! A world round the whole router but its sockets: clients' connections, the dispatcher, the module, the connections
 //! to one or two engines, and a planned restart. What the clients read is what they judge by.
 
-use crate::links::{Came, Far, Socket};
+use crate::connection_model::{Came, Far, Socket};
 use crate::search::Walk;
 use crate::witness;
 use emberflow_router::bootstrap::Bootstrap;
@@ -89,28 +89,28 @@
         client: usize,
     },
     Up {
-        link: Slot,
+        connection: Slot,
     },
     Refuse {
-        link: Slot,
+        connection: Slot,
     },
     Hit {
-        link: Slot,
+        connection: Slot,
         call: usize,
     },
     Shed {
-        link: Slot,
+        connection: Slot,
         call: usize,
     },
     Fault {
-        link: Slot,
+        connection: Slot,
         call: usize,
     },
     Pong {
-        link: Slot,
+        connection: Slot,
     },
     Reset {
-        link: Slot,
+        connection: Slot,
     },
     Drain,
     Terminate,
@@ -150,7 +150,7 @@
     req: u64,
     /// For which request it came.
     asked: Option<usize>,
-    link: Slot,
+    connection: Slot,
     ended: bool,
     ran: bool,
 }
@@ -258,9 +258,12 @@
 
 fn keeps(home: &Home, act: &Act) -> bool {
     let dispatcher = &home.server.dispatcher;
-    let (_, links, attempts) = dispatcher.engines.held();
-    let held_counts =
-        links + attempts + dispatcher.context.timers.len() + dispatcher.clients.table.len() + home.far.len();
+    let (_, connections, attempts) = dispatcher.engines.held();
+    let held_counts = connections
+        + attempts
+        + dispatcher.context.timers.len()
+        + dispatcher.clients.table.len()
+        + home.far.len();
     matches!(act, Act::Rests) && !home.server.left && (held_counts > 0 || !dispatcher.requests.is_empty())
 }
 
@@ -398,17 +401,17 @@
         while self.server.hear(slot, now, &mut came, || false) {}
     }
 
-    fn answer(&mut self, link: Slot, call: usize, word: &str, body: &str) {
+    fn answer(&mut self, connection: Slot, call: usize, word: &str, body: &str) {
         let name = req(self.calls[call].req);
         self.calls[call].ended = true;
         self.calls[call].ran = word != "SHED";
         let bytes = resp::array(&[name.as_bytes(), word.as_bytes(), b"pages=1", body.as_bytes()]);
-        self.bring(link, Came::then_silent(bytes));
+        self.bring(connection, Came::then_silent(bytes));
     }
 
-    fn bring(&mut self, link: Slot, mut came: Came) {
+    fn bring(&mut self, connection: Slot, mut came: Came) {
         let dispatcher = &mut self.server.dispatcher;
-        dispatcher.engines.read(link, &mut came, &mut dispatcher.context);
+        dispatcher.engines.read(connection, &mut came, &mut dispatcher.context);
     }
 
     /// Does what the server asks for, as the edge would, and holds what clients and engines see against the laws.
@@ -419,13 +422,13 @@
             while let Some(ask) = self.server.dispatcher.engines.asks.pop_front() {
                 quiet = false;
                 match ask {
-                    Ask::Dial(link, _) => drop(self.far.insert(link, Far::default())),
-                    Ask::Close(link) => drop(self.far.remove(&link)),
+                    Ask::Dial(connection, _) => drop(self.far.insert(connection, Far::default())),
+                    Ask::Close(connection) => drop(self.far.remove(&connection)),
                 }
             }
-            for link in std::mem::take(&mut self.server.dispatcher.engines.unsent) {
+            for connection in std::mem::take(&mut self.server.dispatcher.engines.unsent) {
                 quiet = false;
-                self.flush(link);
+                self.flush(connection);
             }
             for slot in std::mem::take(&mut self.server.dispatcher.clients.unsaid) {
                 quiet = false;
@@ -474,9 +477,9 @@
         }
     }
 
-    fn flush(&mut self, link: Slot) {
-        let Some(far) = self.far.get_mut(&link) else { return };
-        self.server.dispatcher.engines.drain(link, &mut Socket(far)).expect("a far end that reads");
+    fn flush(&mut self, connection: Slot) {
+        let Some(far) = self.far.get_mut(&connection) else { return };
+        self.server.dispatcher.engines.drain(connection, &mut Socket(far)).expect("a far end that reads");
         let inbox = std::mem::take(&mut far.inbox);
         let mut taken = 0;
         while let Ok(Some((parts, length))) = resp::parse(&inbox[taken..]) {
@@ -485,11 +488,11 @@
             };
             let number = u64::from_str_radix(part(1), 16).unwrap_or(u64::MAX);
             match part(0) {
-                "GET" => self.came(number, link),
-                "PING" => drop(self.far.entry(link).and_modify(|far| far.pings += 1)),
+                "GET" => self.came(number, connection),
+                "PING" => drop(self.far.entry(connection).and_modify(|far| far.pings += 1)),
                 // An engine that has been told so answers it no more.
                 "DROP" => {
-                    let its = |call: &&mut Call| call.req == number && call.link == link;
+                    let its = |call: &&mut Call| call.req == number && call.connection == connection;
                     self.calls.iter_mut().filter(its).for_each(|call| call.ended = true);
                 }
                 _ => {}
@@ -498,10 +501,10 @@
         }
     }
 
-    fn came(&mut self, number: u64, link: Slot) {
+    fn came(&mut self, number: u64, connection: Slot) {
         self.judge(&Act::Comes { req: number });
         let asked = self.open_as(number);
-        self.calls.push(Call { req: number, asked, link, ended: false, ran: true });
+        self.calls.push(Call { req: number, asked, connection, ended: false, ran: true });
     }
 }
 
@@ -529,22 +532,22 @@
             }
         }
         let fault = home.faults < self.faults;
-        for (link, far) in home.far.iter().map(|(link, far)| (*link, far)) {
+        for (connection, far) in home.far.iter().map(|(connection, far)| (*connection, far)) {
             if !far.up {
-                moves.push(Step::Up { link });
-                moves.extend(fault.then_some(Step::Refuse { link }));
+                moves.push(Step::Up { connection });
+                moves.extend(fault.then_some(Step::Refuse { connection }));
                 continue;
             }
-            let here = |(_, call): &(usize, &Call)| call.link == link && !call.ended;
+            let here = |(_, call): &(usize, &Call)| call.connection == connection && !call.ended;
             for (call, _) in home.calls.iter().enumerate().filter(here) {
                 moves.extend([
-                    Step::Hit { link, call },
-                    Step::Shed { link, call },
-                    Step::Fault { link, call },
+                    Step::Hit { connection, call },
+                    Step::Shed { connection, call },
+                    Step::Fault { connection, call },
                 ]);
             }
-            moves.extend((far.pings > 0).then_some(Step::Pong { link }));
-            moves.extend(fault.then_some(Step::Reset { link }));
+            moves.extend((far.pings > 0).then_some(Step::Pong { connection }));
+            moves.extend(fault.then_some(Step::Reset { connection }));
         }
         if self.drains && !home.drained {
             moves.push(Step::Drain);
@@ -586,31 +589,34 @@
                 next.seats[client].room = None;
                 next.reads(next.seats[client].slot);
             }
-            Step::Up { link } => {
-                next.far.entry(link).and_modify(|far| far.up = true);
+            Step::Up { connection } => {
+                next.far.entry(connection).and_modify(|far| far.up = true);
                 let dispatcher = &mut next.server.dispatcher;
-                dispatcher.engines.came_up(link, &mut dispatcher.context);
+                dispatcher.engines.came_up(connection, &mut dispatcher.context);
             }
-            Step::Refuse { link } => {
+            Step::Refuse { connection } => {
                 next.faults += 1;
                 let dispatcher = &mut next.server.dispatcher;
-                dispatcher.engines.refused(link, false, "refused", &mut dispatcher.context);
+                dispatcher.engines.refused(connection, false, "refused", &mut dispatcher.context);
             }
-            Step::Hit { link, call } => {
+            Step::Hit { connection, call } => {
                 let body = format!("request {}\tcall {call}\tx\n", next.calls[call].req);
                 next.bodies.push((next.calls[call].req, body.clone()));
-                next.answer(link, call, "HIT", &body);
+                next.answer(connection, call, "HIT", &body);
             }
-            Step::Shed { link, call } => next.answer(link, call, "SHED", ""),
-            Step::Fault { link, call } => next.answer(link, call, "FAULT", ""),
-            Step::Pong { link } => {
-                next.far.entry(link).and_modify(|far| far.pings -= 1);
-                next.bring(link, Came::then_silent(resp::array(&[b"0", b"PONG", b"-", b""])));
+            Step::Shed { connection, call } => next.answer(connection, call, "SHED", ""),
+            Step::Fault { connection, call } => next.answer(connection, call, "FAULT", ""),
+            Step::Pong { connection } => {
+                next.far.entry(connection).and_modify(|far| far.pings -= 1);
+                next.bring(connection, Came::then_silent(resp::array(&[b"0", b"PONG", b"-", b""])));
             }
-            Step::Reset { link } => {
+            Step::Reset { connection } => {
                 next.faults += 1;
-                next.calls.iter_mut().filter(|call| call.link == link).for_each(|call| call.ended = true);
-                next.bring(link, Came::then_reset());
+                next.calls
+                    .iter_mut()
+                    .filter(|call| call.connection == connection)
+                    .for_each(|call| call.ended = true);
+                next.bring(connection, Came::then_reset());
             }
             Step::Drain => {
                 next.drained = true;
@@ -654,7 +660,8 @@
         }
         for call in &home.calls {
             // Where it is matters while it may be answered.
-            let place = home.far.keys().position(|link| *link == call.link).filter(|_| !call.ended);
+            let place =
+                home.far.keys().position(|connection| *connection == call.connection).filter(|_| !call.ended);
             (call.req, call.asked, call.ended, call.ran, place).hash(&mut into);
         }
         (home.faults, home.drained, home.terminated, home.server.left, home.broken).hash(&mut into);
--- a/crates/explorer/src/lib.rs
+++ b/crates/explorer/src/lib.rs
@@ -1,10 +1,10 @@
 //! Walks every path in small worlds round the real decisions, and tells the shortest one on which a law breaks.
 
 pub mod command;
+pub mod connection_model;
 pub mod house;
 pub mod laws;
 pub mod life;
-pub mod links;
 pub mod mutants;
 pub mod paper;
 pub mod places;
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -1,6 +1,6 @@
 //! Faults planted on purpose: each is one small edit of the code, made in a copy, which the walk must catch.
 
-use crate::{house, links, paper, turns};
+use crate::{connection_model, house, paper, turns};
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
 use std::time::Instant;
@@ -128,12 +128,12 @@
     ),
     engines(
         "calls left in place at a drain",
-        "let whole = row.written == Some(link.output.passed()) && ",
-        "let whole = row.written == Some(link.output.passed() + 1) && ",
+        "let whole = row.written == Some(connection.output.passed()) && ",
+        "let whole = row.written == Some(connection.output.passed() + 1) && ",
     ),
     engines(
         "waiting calls left at a drain",
-        "let mut unsent = link.waiting.clone();",
+        "let mut unsent = connection.waiting.clone();",
         "let mut unsent = Vec::new();",
     ),
     engines(
@@ -143,8 +143,8 @@
     ),
     engines(
         "a call that began to leave is sent anew",
-        "row.written.is_some_and(|from| link.output.passed() > from)",
-        "row.written.is_some_and(|from| link.output.passed() > from + (1 << 40))",
+        "row.written.is_some_and(|from| connection.output.passed() > from)",
+        "row.written.is_some_and(|from| connection.output.passed() > from + (1 << 40))",
     ),
     engines(
         "given up unwritten though it left",
@@ -153,7 +153,7 @@
     ),
     engines(
         "idle connections are held_counts",
-        "context.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));",
+        "context.timers.set(if connection.retired { now } else { idle }, Timer::Idle(at));",
         "",
     ),
     engines(
@@ -168,8 +168,8 @@
     ),
     engines(
         "an answer ends whatever is there",
-        "match self.links.get(slot).and_then(|link| link.attempts.get(&id)).copied() {",
-        "match self.links.get(slot).and_then(|link| link.attempts.get(&id).or(link.attempts.values().next())).copied() {",
+        "match self.connections.get(slot).and_then(|connection| connection.attempts.get(&id)).copied() {",
+        "match self.connections.get(slot).and_then(|connection| connection.attempts.get(&id).or(connection.attempts.values().next())).copied() {",
     ),
     engines(
         "an attempt without a deadline",
@@ -343,13 +343,13 @@
     let walk =
         |options: &[&str]| Command::new(&program).args(options).output().map_err(|e| fault("the walk", e));
     // Most are caught close to where they stand; all worlds are for those that are not.
-    let links = links::WORLDS.iter().map(|world| world.name);
+    let connections = connection_model::WORLDS.iter().map(|world| world.name);
     let house = house::WORLDS.iter().map(|world| world.name);
     let near: Vec<&str> = match mutant.file {
         QUEUES | ORDER => turns::WORLDS.iter().map(|world| world.name).collect(),
         DISCOVERY => paper::WORLDS.iter().map(|world| world.name).collect(),
         LOGIC | STATE => vec!["--short"],
-        ENGINES => links.chain(house).collect(),
+        ENGINES => connections.chain(house).collect(),
         _ => house.collect(),
     };
     let mut walked = walk(&near)?;
--- a/crates/explorer/src/walks.rs
+++ b/crates/explorer/src/walks.rs
@@ -1,7 +1,7 @@
 //! All worlds, of whatever they are made, as the command line sees them.
 
+use crate::connection_model::{self, Connections};
 use crate::house::{self, House};
-use crate::links::{self, Links};
 use crate::paper::{self, Paper};
 use crate::places::PLACES;
 use crate::search::{Bounds, Extent, Walk, walk};
@@ -90,10 +90,10 @@
         }),
         follow: Box::new(move |steps| followed(&World::of(place), steps)),
     });
-    let connections = |world: &'static Links| entry(world.name, world.says, world.short, None, world);
+    let connections = |world: &'static Connections| entry(world.name, world.says, world.short, None, world);
     let houses = |world: &'static House| entry(world.name, world.says, world.short, world.depth, world);
     let papers = |world: &'static Paper| entry(world.name, world.says, world.short, None, world);
-    let worlds = module.chain(links::WORLDS.iter().map(connections));
+    let worlds = module.chain(connection_model::WORLDS.iter().map(connections));
     let teams = |world: &'static Turns| entry(world.name, world.says, world.short, None, world);
     let worlds = worlds.chain(house::WORLDS.iter().map(houses)).chain(paper::WORLDS.iter().map(papers));
     worlds.chain(turns::WORLDS.iter().map(teams)).collect()
@@ -102,9 +102,14 @@
 /// All laws, by name and in words, and the bit that tells whether one was put to the test.
 pub fn laws() -> impl Iterator<Item = (&'static str, &'static str, usize)> {
     let module = laws::LAWS.iter().map(|law| (law.name, law.says)).zip(witness::MODULE..);
-    let links = links::LAWS.iter().map(|law| (law.0, law.1)).zip(witness::LINKS..);
+    let connections = connection_model::LAWS.iter().map(|law| (law.0, law.1)).zip(witness::CONNECTIONS..);
     let house = house::LAWS.iter().map(|law| (law.0, law.1)).zip(witness::HOUSE..);
     let paper = paper::LAWS.iter().map(|law| (law.0, law.1)).zip(witness::PAPER..);
     let turns = turns::LAWS.iter().map(|law| (law.0, law.1)).zip(witness::TURNS..);
-    module.chain(links).chain(house).chain(paper).chain(turns).map(|((name, says), at)| (name, says, at))
+    module
+        .chain(connections)
+        .chain(house)
+        .chain(paper)
+        .chain(turns)
+        .map(|((name, says), at)| (name, says, at))
 }
--- a/crates/explorer/src/witness.rs
+++ b/crates/explorer/src/witness.rs
@@ -5,7 +5,7 @@
 
 /// Of the module, of connections, of the house, of the discovery service and of the teams, each from its own bit on.
 pub const MODULE: usize = 0;
-pub const LINKS: usize = 20;
+pub const CONNECTIONS: usize = 20;
 pub const HOUSE: usize = 30;
 pub const PAPER: usize = 40;
 pub const TURNS: usize = 50;
--- a/crates/explorer/tests/random.rs
+++ b/crates/explorer/tests/random.rs
@@ -3,7 +3,7 @@
 use emberflow_explorer::places::PLACES;
 use emberflow_explorer::search::Walk;
 use emberflow_explorer::world::{Asks, Place, World, asks};
-use emberflow_explorer::{house, links};
+use emberflow_explorer::{connection_model, house};
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::ring::Ring;
 use emberflow_router::{discovery, jsonrpc, resp};
@@ -120,7 +120,7 @@
 
     #[test]
     fn long_lives_of_connections_and_of_the_house_break_no_law(choices in lives(), at in any::<usize>()) {
-        prop_assert_eq!(live(&links::WORLDS[at % links::WORLDS.len()], &choices), None);
+        prop_assert_eq!(live(&connection_model::WORLDS[at % connection_model::WORLDS.len()], &choices), None);
         prop_assert_eq!(live(&house::WORLDS[at % house::WORLDS.len()], &choices), None);
     }
 }
--- a/crates/explorer/tests/walk.rs
+++ b/crates/explorer/tests/walk.rs
@@ -131,9 +131,9 @@
         "two on a narrow connection",
         "
         Call { request: 0 }
-        Up { link: 0.0 }
+        Up { connection: 0.0 }
         List { what: Drains }
-        Flows { link: 0.0 }
+        Flows { connection: 0.0 }
     ",
     );
 }
@@ -144,10 +144,10 @@
         "two on a narrow connection",
         "
         Call { request: 0 }
-        Up { link: 0.0 }
+        Up { connection: 0.0 }
         Cancel { call: 0 }
         List { what: Drains }
-        Flows { link: 0.0 }
+        Flows { connection: 0.0 }
     ",
     );
 }
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -137,7 +137,7 @@
         same.into_iter().filter(|(_, same)| !same).map(|(what, _)| what).collect()
     }
 
-    pub fn most_links(&self) -> usize {
+    pub fn most_connections(&self) -> usize {
         self.descriptors / 3
     }
 
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -164,7 +164,7 @@
     pub fn within(config: RouterConfig, context: Context) -> Self {
         let clients = Clients::within(config.most_bytes(), config.most_held_bytes());
         let RouterConfig { streams, comes_up, idle_close, .. } = config;
-        let mut engines = Engines::new(streams, comes_up, idle_close, config.most_links());
+        let mut engines = Engines::new(streams, comes_up, idle_close, config.most_connections());
         engines.may_duplicate = config.may_duplicate;
         Self {
             clients,
@@ -210,7 +210,7 @@
             request
                 .owing
                 .iter()
-                .filter_map(|link| self.engines.link_place(*link))
+                .filter_map(|connection| self.engines.connection_place(*connection))
                 .for_each(|at| at.hash(into));
         }
         // What else falls due is told by the connections and attempts themselves.
@@ -223,9 +223,9 @@
 
     /// All counters, and how much is held of what comes and goes.
     pub fn tally(&self) -> String {
-        let (engines, links, attempts) = self.engines.held();
+        let (engines, connections, attempts) = self.engines.held();
         format!(
-            "{} held_clients={} held_requests={} held_engines={engines} held_links={links} held_attempts={attempts} \
+            "{} held_clients={} held_requests={} held_engines={engines} held_connections={connections} held_attempts={attempts} \
              held_timers={}",
             self.context.counters,
             self.clients.table.len(),
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/edge.rs
@@ -40,7 +40,7 @@
     clock: Clock,
     loop_handle: LoopHandle<'static, Edge>,
     clients: BTreeMap<Slot, RegisteredSocket<Edge>>,
-    links: BTreeMap<Slot, RegisteredSocket<Edge>>,
+    connections: BTreeMap<Slot, RegisteredSocket<Edge>>,
     discovery: Option<RegisteredSocket<Edge>>,
     /// Connections closed to clients, of which something may stand unread.
     parting: BTreeMap<Slot, RegisteredSocket<Edge>>,
@@ -99,7 +99,7 @@
             clock,
             loop_handle,
             clients: BTreeMap::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             discovery: None,
             parting: BTreeMap::new(),
             not_read_out: Vec::new(),
@@ -174,7 +174,7 @@
             self.admit();
         }
         for slot in std::mem::take(&mut self.unread) {
-            self.link_ready(slot);
+            self.connection_ready(slot);
         }
         for _ in 0..LINES {
             self.fall_due();
@@ -195,12 +195,12 @@
                 // Guards against a router that is late itself: what came meanwhile counts.
                 Timer::Client(slot) => self.hear(slot, self.since()),
                 Timer::Attempt(attempt) => {
-                    if let Some(link) = self.server.dispatcher.engines.link_of(attempt) {
-                        self.link_ready(link);
+                    if let Some(connection) = self.server.dispatcher.engines.connection_of(attempt) {
+                        self.connection_ready(connection);
                     }
                 }
-                Timer::Link(slot) => self.link_ready(slot),
-                Timer::Whole(slot) => self.read_link(slot),
+                Timer::Connection(slot) => self.connection_ready(slot),
+                Timer::Whole(slot) => self.read_connection(slot),
                 Timer::Discovery => self.await_discovery(),
                 Timer::Admit => self.resume_accepting(),
                 Timer::Leave => self.look_around(),
@@ -227,12 +227,12 @@
             }
             for ask in asks {
                 match ask {
-                    Ask::Close(slot) => drop(self.links.remove(&slot)),
+                    Ask::Close(slot) => drop(self.connections.remove(&slot)),
                     Ask::Dial(slot, to) => {
                         match RegisteredSocket::dial(&self.loop_handle, to, move |edge: &mut Self| {
-                            edge.link_told(slot)
+                            edge.connection_told(slot)
                         }) {
-                            Ok(registered) => drop(self.links.insert(slot, registered)),
+                            Ok(registered) => drop(self.connections.insert(slot, registered)),
                             Err(error) => {
                                 log::info!("no connection to {to}: {error}");
                                 let dispatcher = &mut self.server.dispatcher;
@@ -247,7 +247,7 @@
                     }
                 }
             }
-            unsent.into_iter().for_each(|slot| self.flush_link(slot));
+            unsent.into_iter().for_each(|slot| self.flush_connection(slot));
             for slot in unsaid {
                 if !self.flush_client(slot) {
                     self.server.client_gone(slot, "it can't be written to");
@@ -427,14 +427,14 @@
 
     // ---- engines ----
 
-    fn link_told(&mut self, slot: Slot) {
+    fn connection_told(&mut self, slot: Slot) {
         self.unread.insert(slot);
     }
 
     /// The connection's socket has changed.
-    fn link_ready(&mut self, slot: Slot) {
+    fn connection_ready(&mut self, slot: Slot) {
         self.look_at_the_clock();
-        let Some(registered) = self.links.get(&slot) else { return };
+        let Some(registered) = self.connections.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
         if dispatcher.engines.is_up(slot) == Some(false) {
             match registered.has_come_up() {
@@ -447,13 +447,13 @@
                 }
             }
         }
-        self.flush_link(slot);
-        self.read_link(slot);
+        self.flush_connection(slot);
+        self.read_connection(slot);
         self.carry_out();
     }
 
-    fn flush_link(&mut self, slot: Slot) {
-        let Some(registered) = self.links.get(&slot) else { return };
+    fn flush_connection(&mut self, slot: Slot) {
+        let Some(registered) = self.connections.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
         if let Err(error) = dispatcher.engines.drain(slot, &mut &*registered.socket) {
             // Answers may have come before the engine closed.
@@ -462,8 +462,8 @@
         }
     }
 
-    fn read_link(&mut self, slot: Slot) {
-        let Some(registered) = self.links.get(&slot) else { return };
+    fn read_connection(&mut self, slot: Slot) {
+        let Some(registered) = self.connections.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
         if dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context) {
             self.unread.insert(slot);
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -32,12 +32,12 @@
     address: SocketAddr,
     ready: bool,
     launched: Option<Duration>,
-    links: Vec<Slot>,
+    connections: Vec<Slot>,
 }
 
 /// One connection.
 #[derive(Clone)]
-struct Link {
+struct Connection {
     engine: EngineId,
     up: bool,
     /// It takes no further attempts.
@@ -63,7 +63,7 @@
     request: RequestId,
     number: usize,
     engine: EngineId,
-    link: Option<Slot>,
+    connection: Option<Slot>,
     id: String,
     call: Vec<u8>,
     sent: Duration,
@@ -124,7 +124,7 @@
     numbers: BTreeMap<u32, EngineId>,
     /// The number of the next.
     next: EngineId,
-    links: Slots<Link>,
+    connections: Slots<Connection>,
     attempts: Slots<Attempt>,
     pub news: VecDeque<News>,
     pub asks: VecDeque<Ask>,
@@ -133,19 +133,19 @@
     streams: usize,
     comes_up: Duration,
     idle_close: Duration,
-    most_links: usize,
+    most_connections: usize,
     /// Whether a request may be sent again while its engine may not have heard yet that it was taken back.
     pub may_duplicate: bool,
 }
 
 impl Engines {
     /// Of a connection: what it carries, how soon it must come up, when an engine closes an idle one.
-    pub fn new(streams: usize, comes_up: Duration, idle_close: Duration, most_links: usize) -> Self {
+    pub fn new(streams: usize, comes_up: Duration, idle_close: Duration, most_connections: usize) -> Self {
         Self {
             book: BTreeMap::new(),
             numbers: BTreeMap::new(),
             next: 0,
-            links: Slots::default(),
+            connections: Slots::default(),
             attempts: Slots::default(),
             news: VecDeque::new(),
             asks: VecDeque::new(),
@@ -153,7 +153,7 @@
             streams,
             comes_up,
             idle_close,
-            most_links,
+            most_connections,
             may_duplicate: true,
         }
     }
@@ -164,7 +164,7 @@
         let engine = *self.numbers.entry(row.id).or_insert(self.next);
         if engine == self.next {
             let (id, address, ready) = (row.id, row.address, row.ready);
-            self.book.insert(engine, Engine { id, address, ready, launched, links: Vec::new() });
+            self.book.insert(engine, Engine { id, address, ready, launched, connections: Vec::new() });
             self.next += 1;
         }
         if !row.ready {
@@ -176,9 +176,10 @@
             && let Some(at) = launched
         {
             known.launched = launched;
-            let links = known.links.clone();
-            let old = |slot: &Slot| self.links.get(*slot).is_some_and(|link| link.opened < at);
-            for slot in links.into_iter().filter(old).collect::<Vec<_>>() {
+            let connections = known.connections.clone();
+            let old =
+                |slot: &Slot| self.connections.get(*slot).is_some_and(|connection| connection.opened < at);
+            for slot in connections.into_iter().filter(old).collect::<Vec<_>>() {
                 self.lose(slot, "its engine has started anew", false, context);
             }
         }
@@ -205,7 +206,7 @@
 
     /// An engine's number, connections and history end.
     pub fn forget(&mut self, engine: EngineId, context: &mut Context) {
-        for slot in self.links_of(engine) {
+        for slot in self.connections_of(engine) {
             self.lose(slot, "its engine is gone", false, context);
         }
         if let Some(known) = self.book.remove(&engine) {
@@ -214,17 +215,17 @@
         }
     }
 
-    fn links_of(&self, engine: EngineId) -> Vec<Slot> {
-        self.book.get(&engine).map_or_else(Vec::new, |known| known.links.clone())
+    fn connections_of(&self, engine: EngineId) -> Vec<Slot> {
+        self.book.get(&engine).map_or_else(Vec::new, |known| known.connections.clone())
     }
 
     /// What waits for a connection to an engine that is not to be sent to any more is never written; a call that
     /// stands in front of what its connection has to say, and of which nothing has left, is taken out again.
     fn hold_back(&mut self, engine: EngineId, context: &mut Context) {
-        for slot in self.links_of(engine) {
-            let Some(link) = self.links.get(slot) else { continue };
-            let mut unsent = link.waiting.clone();
-            let carried: Vec<Slot> = link.attempts.values().copied().collect();
+        for slot in self.connections_of(engine) {
+            let Some(connection) = self.connections.get(slot) else { continue };
+            let mut unsent = connection.waiting.clone();
+            let carried: Vec<Slot> = connection.attempts.values().copied().collect();
             unsent.extend(carried.into_iter().filter(|attempt| self.take_out(*attempt)));
             for attempt in unsent {
                 self.end(attempt, AttemptOutcome::Void, None, context);
@@ -245,10 +246,13 @@
     /// Takes a call out again that stands in front of what its connection has to say, if nothing of it has left.
     fn take_out(&mut self, attempt: Slot) -> bool {
         let Some(row) = self.attempts.get_mut(attempt) else { return false };
-        let Some(link) = row.link.and_then(|link| self.links.get_mut(link)) else { return false };
-        let whole = row.written == Some(link.output.passed()) && !row.call.is_empty();
+        let Some(connection) = row.connection.and_then(|connection| self.connections.get_mut(connection))
+        else {
+            return false;
+        };
+        let whole = row.written == Some(connection.output.passed()) && !row.call.is_empty();
         if whole {
-            link.output.cut(row.call.len());
+            connection.output.cut(row.call.len());
             row.written = None;
         }
         whole
@@ -270,7 +274,7 @@
             request: call.request,
             number: call.number,
             engine,
-            link: None,
+            connection: None,
             id: call.id.to_owned(),
             call: words,
             sent: now,
@@ -296,8 +300,8 @@
         if attempt.kept_back || !self.book.get(&engine).is_some_and(|known| known.ready) {
             return self.end(slot, AttemptOutcome::Void, None, context);
         }
-        match self.link_for(engine, &id, &owing, context) {
-            Some(link) => self.put(slot, link, context),
+        match self.connection_for(engine, &id, &owing, context) {
+            Some(connection) => self.put(slot, connection, context),
             None => self.end(slot, AttemptOutcome::Unreachable, None, context),
         }
     }
@@ -305,37 +309,39 @@
     /// A connection with room for another attempt: one that carries none, else a new one as far as this engine's
     /// part of them goes, else the one that carries least. Guards against spoilt answers and resets, which
     /// take all that a connection carries with them.
-    fn link_for(
+    fn connection_for(
         &mut self,
         engine: EngineId,
         id: &str,
         owing: &[Slot],
         context: &mut Context,
     ) -> Option<Slot> {
-        let Engine { links, address, .. } = self.book.get(&engine)?;
-        let rows = links.iter().filter_map(|slot| Some((*slot, self.links.get(*slot)?)));
-        let open = rows.filter(|(slot, link)| {
-            let apart = !owing.contains(slot) && !link.attempts.contains_key(id);
-            apart && !link.retired && link.attempts.len() < self.streams
+        let Engine { connections, address, .. } = self.book.get(&engine)?;
+        let rows = connections.iter().filter_map(|slot| Some((*slot, self.connections.get(*slot)?)));
+        let open = rows.filter(|(slot, connection)| {
+            let apart = !owing.contains(slot) && !connection.attempts.contains_key(id);
+            apart && !connection.retired && connection.attempts.len() < self.streams
         });
         // The one heard last among equals: the others run idle, and it need not show that it works.
-        let least = open.min_by_key(|(_, link)| (link.attempts.len(), !link.up, Reverse(link.heard)));
-        let part = self.most_links / self.book.len();
-        let full = self.links.len() >= self.most_links;
-        if let Some((slot, link)) = least
-            && (link.attempts.is_empty() || full || links.len() >= part)
+        let least = open.min_by_key(|(_, connection)| {
+            (connection.attempts.len(), !connection.up, Reverse(connection.heard))
+        });
+        let part = self.most_connections / self.book.len();
+        let full = self.connections.len() >= self.most_connections;
+        if let Some((slot, connection)) = least
+            && (connection.attempts.is_empty() || full || connections.len() >= part)
         {
             return Some(slot);
         }
-        if self.links.len() >= self.most_links {
-            context.counters.count("links_over_the_limit");
+        if self.connections.len() >= self.most_connections {
+            context.counters.count("connections_over_the_limit");
             return None;
         }
         let address = *address;
         let now = context.now();
         let due = now + self.comes_up;
-        context.counters.count("links_dialled");
-        let slot = self.links.insert(Link {
+        context.counters.count("connections_dialled");
+        let slot = self.connections.insert(Connection {
             engine,
             up: false,
             retired: false,
@@ -350,24 +356,25 @@
             whole_by: None,
             idle: None,
         });
-        context.timers.set(due, Timer::Link(slot));
+        context.timers.set(due, Timer::Connection(slot));
         self.asks.push_back(Ask::Dial(slot, address));
-        self.book.entry(engine).and_modify(|known| known.links.push(slot));
+        self.book.entry(engine).and_modify(|known| known.connections.push(slot));
         Some(slot)
     }
 
     fn put(&mut self, attempt: Slot, slot: Slot, context: &mut Context) {
-        let (Some(row), Some(link)) = (self.attempts.get_mut(attempt), self.links.get_mut(slot)) else {
+        let (Some(row), Some(connection)) = (self.attempts.get_mut(attempt), self.connections.get_mut(slot))
+        else {
             return;
         };
-        row.link = Some(slot);
-        link.attempts.insert(row.id.clone(), attempt);
-        if let Some(at) = link.idle.take() {
+        row.connection = Some(slot);
+        connection.attempts.insert(row.id.clone(), attempt);
+        if let Some(at) = connection.idle.take() {
             context.timers.clear(at, Timer::Idle(slot));
         }
-        link.waiting.push(attempt);
+        connection.waiting.push(attempt);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
-        if link.up && !link.asked && context.now() > link.heard + self.comes_up {
+        if connection.up && !connection.asked && context.now() > connection.heard + self.comes_up {
             self.check(slot, context);
         }
         self.go_on(slot, context);
@@ -375,30 +382,31 @@
 
     /// Has the connection show that it works.
     fn check(&mut self, slot: Slot, context: &mut Context) {
-        let Some(link) = self.links.get_mut(slot) else { return };
-        link.output.push(&resp::array(&[b"PING", b"0"]));
-        link.asked = true;
-        context.counters.count("links_checked");
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        connection.output.push(&resp::array(&[b"PING", b"0"]));
+        connection.asked = true;
+        context.counters.count("connections_checked");
         self.look_at(slot, context.now() + self.comes_up, context);
     }
 
     fn look_at(&mut self, slot: Slot, at: Duration, context: &mut Context) {
-        let Some(link) = self.links.get_mut(slot) else { return };
-        link.due.inspect(|at| context.timers.clear(*at, Timer::Link(slot)));
-        link.due = Some(at);
-        context.timers.set(at, Timer::Link(slot));
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        connection.due.inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
+        connection.due = Some(at);
+        context.timers.set(at, Timer::Connection(slot));
     }
 
     /// Writes what waits, as far as the connection is known to work.
     fn go_on(&mut self, slot: Slot, context: &mut Context) {
-        let Some(link) = self.links.get_mut(slot) else { return };
-        if link.up && !link.asked && !link.waiting.is_empty() {
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        if connection.up && !connection.asked && !connection.waiting.is_empty() {
             self.next_call(slot);
-            if self.links.get(slot).is_some_and(|link| link.due.is_none()) {
+            if self.connections.get(slot).is_some_and(|connection| connection.due.is_none()) {
                 self.look_at(slot, context.now() + self.comes_up * 2, context);
             }
         }
-        if self.links.get(slot).is_some_and(|link| link.up && !link.output.is_empty()) {
+        if self.connections.get(slot).is_some_and(|connection| connection.up && !connection.output.is_empty())
+        {
             self.unsent.push(slot);
         }
     }
@@ -407,41 +415,49 @@
     /// can be taken back. Guards against engines that do not read: what had been told to drain got the calls
     /// that its connection had no room for.
     fn next_call(&mut self, slot: Slot) -> bool {
-        let Some(link) = self.links.get_mut(slot) else { return false };
-        if !link.up || link.asked || !link.output.is_empty() || link.waiting.is_empty() {
+        let Some(connection) = self.connections.get_mut(slot) else { return false };
+        if !connection.up
+            || connection.asked
+            || !connection.output.is_empty()
+            || connection.waiting.is_empty()
+        {
             return false;
         }
-        if let Some(attempt) = self.attempts.get_mut(link.waiting.remove(0)) {
-            attempt.written = Some(link.output.end());
+        if let Some(attempt) = self.attempts.get_mut(connection.waiting.remove(0)) {
+            attempt.written = Some(connection.output.end());
             log::debug!(
                 "task {} hop {}: on connection {slot:?} to engine {}",
                 attempt.request,
                 attempt.number,
                 attempt.engine
             );
-            link.output.push(&attempt.call);
+            connection.output.push(&attempt.call);
         }
         true
     }
 
     /// Whether a connection is up; `None` where it is no more.
     pub fn is_up(&self, slot: Slot) -> Option<bool> {
-        self.links.get(slot).map(|link| link.up)
+        self.connections.get(slot).map(|connection| connection.up)
     }
 
     pub fn came_up(&mut self, slot: Slot, context: &mut Context) {
-        let Some(link) = self.links.get_mut(slot) else { return };
-        link.up = true;
-        link.heard = context.now();
-        log::debug!("engine {}: connection {slot:?} up after {:?}", link.engine, link.heard - link.opened);
-        link.due.take().inspect(|at| context.timers.clear(*at, Timer::Link(slot)));
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        connection.up = true;
+        connection.heard = context.now();
+        log::debug!(
+            "engine {}: connection {slot:?} up after {:?}",
+            connection.engine,
+            connection.heard - connection.opened
+        );
+        connection.due.take().inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
         self.go_on(slot, context);
     }
 
     /// A connection did not come about: refused, or reset where its engine was `there`.
     pub fn refused(&mut self, slot: Slot, there: bool, why: &str, context: &mut Context) {
         if !there {
-            context.counters.count("links_refused");
+            context.counters.count("connections_refused");
         }
         self.lose(slot, why, there, context);
     }
@@ -449,13 +465,15 @@
     /// Writes what a connection has to say, as far as `to` takes it.
     pub fn drain(&mut self, slot: Slot, to: &mut impl Write) -> Done<()> {
         loop {
-            let Some(link) = self.links.get_mut(slot).filter(|link| link.up) else { return Ok(()) };
-            link.output.drain(to)?;
-            if !link.output.is_empty() {
+            let Some(connection) = self.connections.get_mut(slot).filter(|connection| connection.up) else {
+                return Ok(());
+            };
+            connection.output.drain(to)?;
+            if !connection.output.is_empty() {
                 return Ok(());
             }
             // A call that has left is not kept: it goes on to no other connection.
-            for attempt in link.attempts.values() {
+            for attempt in connection.attempts.values() {
                 if let Some(attempt) =
                     self.attempts.get_mut(*attempt).filter(|attempt| attempt.written.is_some())
                 {
@@ -470,8 +488,8 @@
 
     /// Takes in what `from` has for a connection, as much as one turn bears; tells whether there may be more.
     pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
-        let Some(link) = self.links.get_mut(slot) else { return false };
-        let filled = link.input.fill(from, TURN);
+        let Some(connection) = self.connections.get_mut(slot) else { return false };
+        let filled = connection.input.fill(from, TURN);
         if let Err(malformed) = self.hear(slot, context) {
             context.counters.count("engine_input_malformed");
             log::warn!("malformed from an engine: {malformed}");
@@ -483,10 +501,10 @@
             Ok(Filled::Closed) => self.lose(slot, "closed by the engine", true, context),
             Err(ref error) => self.lose(slot, &error.to_string(), true, context),
         }
-        let Some(link) = self.links.get_mut(slot) else { return false };
-        if link.whole_by.is_none() && !link.input.is_empty() {
+        let Some(connection) = self.connections.get_mut(slot) else { return false };
+        if connection.whole_by.is_none() && !connection.input.is_empty() {
             let by = context.now() + self.comes_up * 2;
-            link.whole_by = Some(by);
+            connection.whole_by = Some(by);
             context.timers.set(by, Timer::Whole(slot));
         }
         matches!(filled, Ok(Filled::Enough))
@@ -495,7 +513,7 @@
     /// Guards against answers that stop short on a connection that stays open: nothing can follow them.
     pub fn not_whole(&mut self, slot: Slot, context: &mut Context) {
         let now = context.now();
-        if self.links.get(slot).and_then(|link| link.whole_by).is_some_and(|by| by <= now) {
+        if self.connections.get(slot).and_then(|connection| connection.whole_by).is_some_and(|by| by <= now) {
             context.counters.count("engine_input_cut_short");
             self.lose(slot, "an answer that stopped short", true, context);
         }
@@ -504,23 +522,23 @@
     /// Takes in all answers that have come whole.
     fn hear(&mut self, slot: Slot, context: &mut Context) -> Result<(), String> {
         loop {
-            let Some(link) = self.links.get_mut(slot) else { return Ok(()) };
-            let Some((parts, length)) = resp::parse(link.input.readable())? else { return Ok(()) };
+            let Some(connection) = self.connections.get_mut(slot) else { return Ok(()) };
+            let Some((parts, length)) = resp::parse(connection.input.readable())? else { return Ok(()) };
             let text = |part: &[u8]| String::from_utf8(part.to_vec()).map_err(|_| "text that is no UTF-8");
             let part = |at: usize| parts.get(at).copied().unwrap_or_default();
             let (id, word, fields) = (text(part(0))?, text(part(1))?, text(part(2))?);
             let body = part(3).to_vec();
-            link.input.consume(length);
-            link.heard = context.now();
-            link.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
-            if std::mem::take(&mut link.asked) {
+            connection.input.consume(length);
+            connection.heard = context.now();
+            connection.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
+            if std::mem::take(&mut connection.asked) {
                 self.go_on(slot, context);
             }
             if word == "PONG" {
                 self.has_heard(slot, &id, context);
                 continue;
             }
-            match self.links.get(slot).and_then(|link| link.attempts.get(&id)).copied() {
+            match self.connections.get(slot).and_then(|connection| connection.attempts.get(&id)).copied() {
                 Some(attempt) => self.answer(attempt, &word, &fields, body, context)?,
                 None => context.counters.count("engine_answers_for_nothing"),
             }
@@ -530,7 +548,9 @@
     /// What comes under a request's name behind what took its attempt back shows that its engine has given that up, and
     /// that no answer to it follows.
     fn has_heard(&mut self, slot: Slot, id: &str, context: &mut Context) {
-        let Some(attempt) = self.links.get(slot).and_then(|link| link.attempts.get(id)).copied() else {
+        let Some(attempt) =
+            self.connections.get(slot).and_then(|connection| connection.attempts.get(id)).copied()
+        else {
             return;
         };
         if let Some((end, _)) = self.attempts.get(attempt).and_then(|row| row.dropped) {
@@ -673,13 +693,15 @@
             AttemptOutcome::Withdrawn => "attempts_withdrawn",
             AttemptOutcome::Void => "attempts_void",
         });
-        if let Some((at, link)) = attempt.link.and_then(|at| Some((at, self.links.get_mut(at)?))) {
-            link.attempts.remove(&attempt.id);
-            link.waiting.retain(|waits| *waits != slot);
-            if link.attempts.is_empty() {
+        if let Some((at, connection)) =
+            attempt.connection.and_then(|at| Some((at, self.connections.get_mut(at)?)))
+        {
+            connection.attempts.remove(&attempt.id);
+            connection.waiting.retain(|waits| *waits != slot);
+            if connection.attempts.is_empty() {
                 let idle = now + self.idle_close.mul_f64(RETIRED);
-                link.idle = Some(idle);
-                context.timers.set(if link.retired { now } else { idle }, Timer::Idle(at));
+                connection.idle = Some(idle);
+                context.timers.set(if connection.retired { now } else { idle }, Timer::Idle(at));
             }
         }
         let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
@@ -704,13 +726,13 @@
         );
         let given_up =
             matches!(end, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && attempt.dropped.is_none();
-        self.news.push_back(News::Ended(ended, body, attempt.link.filter(|_| given_up)));
+        self.news.push_back(News::Ended(ended, body, attempt.connection.filter(|_| given_up)));
     }
 
     fn write(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
-        let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.link) else { return };
-        if let Some(link) = self.links.get_mut(slot) {
-            link.output.push(bytes);
+        let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.connection) else { return };
+        if let Some(connection) = self.connections.get_mut(slot) {
+            connection.output.push(bytes);
             self.go_on(slot, context);
         }
     }
@@ -736,8 +758,8 @@
     pub fn take_back(&mut self, attempt: Slot, context: &mut Context) {
         self.take_out(attempt);
         let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
-        let Some(link) =
-            row.link.filter(|_| row.written.is_some() && row.result.is_none() && !self.may_duplicate)
+        let Some(connection) =
+            row.connection.filter(|_| row.written.is_some() && row.result.is_none() && !self.may_duplicate)
         else {
             return self.cancel(attempt, context);
         };
@@ -746,12 +768,12 @@
         let bytes = [resp::array(&[b"DROP", &id]), resp::array(&[b"PING", &id])].concat();
         context.counters.count("attempts_taken_back");
         self.write(attempt, &bytes, context);
-        self.look_at(link, context.now() + self.comes_up, context);
+        self.look_at(connection, context.now() + self.comes_up, context);
     }
 
     /// The connection that an attempt is on.
-    pub fn link_of(&self, attempt: Slot) -> Option<Slot> {
-        self.attempts.get(attempt)?.link
+    pub fn connection_of(&self, attempt: Slot) -> Option<Slot> {
+        self.attempts.get(attempt)?.connection
     }
 
     /// An attempt's time is over; whoever holds the sockets has read what came for it before.
@@ -778,24 +800,27 @@
     }
 
     /// A connection that has not come up, or has not shown that it works, in time.
-    pub fn link_overdue(&mut self, slot: Slot, now: Duration, context: &mut Context) {
-        let Some(link) = self.links.get_mut(slot).filter(|link| link.due.is_some_and(|at| at <= now)) else {
+    pub fn connection_overdue(&mut self, slot: Slot, now: Duration, context: &mut Context) {
+        let Some(connection) =
+            self.connections.get_mut(slot).filter(|connection| connection.due.is_some_and(|at| at <= now))
+        else {
             return;
         };
-        link.due = None;
-        let next = link.heard + self.comes_up * 2;
-        let attempts = || link.attempts.values().filter_map(|attempt| self.attempts.get(*attempt)?.dropped);
+        connection.due = None;
+        let next = connection.heard + self.comes_up * 2;
+        let attempts =
+            || connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt)?.dropped);
         let unheard = attempts().any(|(_, since)| since + self.comes_up <= now);
         let waits = attempts().map(|(_, since)| since + self.comes_up).min();
         let next = waits.map_or(next, |at| at.min(next));
-        if !link.up {
-            context.counters.count("links_not_up_in_time");
+        if !connection.up {
+            context.counters.count("connections_not_up_in_time");
             self.lose(slot, "not up in time", false, context);
-        } else if link.asked || unheard {
+        } else if connection.asked || unheard {
             // Nothing that it carries can be answered any more.
-            context.counters.count("links_silent");
+            context.counters.count("connections_silent");
             self.lose(slot, "silent", true, context);
-        } else if link.attempts.is_empty() {
+        } else if connection.attempts.is_empty() {
             // Looked at again with its next attempt.
         } else if next <= now {
             self.check(slot, context);
@@ -805,9 +830,10 @@
         }
     }
 
-    pub fn link_idle(&mut self, slot: Slot, context: &mut Context) {
-        if let Some(link) = self.links.get(slot).filter(|link| link.attempts.is_empty())
-            && (link.retired || link.idle.is_some_and(|at| at <= context.now()))
+    pub fn connection_idle(&mut self, slot: Slot, context: &mut Context) {
+        if let Some(connection) =
+            self.connections.get(slot).filter(|connection| connection.attempts.is_empty())
+            && (connection.retired || connection.idle.is_some_and(|at| at <= context.now()))
         {
             self.lose(slot, "idle", true, context);
         }
@@ -817,26 +843,28 @@
     /// had been `there`, that goes on to another connection once: guards against resets of new and of idle
     /// ones, which tell nothing of the engine.
     pub fn lose(&mut self, slot: Slot, why: &str, there: bool, context: &mut Context) {
-        let Some(link) = self.links.take(slot) else { return };
+        let Some(connection) = self.connections.take(slot) else { return };
         self.asks.push_back(Ask::Close(slot));
         log::debug!(
             "engine {}: connection {slot:?} over with {} hops: {why}",
-            link.engine,
-            link.attempts.len()
+            connection.engine,
+            connection.attempts.len()
         );
-        self.book.entry(link.engine).and_modify(|known| known.links.retain(|other| *other != slot));
-        link.due.inspect(|at| context.timers.clear(*at, Timer::Link(slot)));
-        link.whole_by.inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
-        link.idle.inspect(|at| context.timers.clear(*at, Timer::Idle(slot)));
-        if there && !link.attempts.is_empty() {
-            context.counters.count("links_lost");
-        }
-        for attempt in link.attempts.into_values() {
+        self.book
+            .entry(connection.engine)
+            .and_modify(|known| known.connections.retain(|other| *other != slot));
+        connection.due.inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
+        connection.whole_by.inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
+        connection.idle.inspect(|at| context.timers.clear(*at, Timer::Idle(slot)));
+        if there && !connection.attempts.is_empty() {
+            context.counters.count("connections_lost");
+        }
+        for attempt in connection.attempts.into_values() {
             let Some(row) = self.attempts.get_mut(attempt) else { continue };
-            row.link = None;
+            row.connection = None;
             if let Some((end, _)) = row.dropped {
                 self.end(attempt, end, None, context);
-            } else if row.written.is_some_and(|from| link.output.passed() > from) {
+            } else if row.written.is_some_and(|from| connection.output.passed() > from) {
                 self.end(attempt, AttemptOutcome::Broken, None, context);
             } else if !there || std::mem::replace(&mut row.moved, true) {
                 self.end(attempt, AttemptOutcome::Unreachable, None, context);
@@ -848,53 +876,74 @@
 
     /// How many engines, connections and attempts are known.
     pub fn held(&self) -> (usize, usize, usize) {
-        (self.book.len(), self.links.len(), self.attempts.len())
+        (self.book.len(), self.connections.len(), self.attempts.len())
     }
 
     pub fn attempt_place(&self, attempt: Slot) -> Option<usize> {
         self.attempts.place(attempt)
     }
 
-    pub fn link_place(&self, link: Slot) -> Option<usize> {
-        self.links.place(link)
+    pub fn connection_place(&self, connection: Slot) -> Option<usize> {
+        self.connections.place(connection)
     }
 
     /// Feeds the state to `into`, times told from `now`: states that print alike go on alike.
     pub fn fingerprint(&self, now: Duration, into: &mut impl Hasher) {
         let since = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        let places: BTreeMap<Slot, usize> = self.links.iter().map(|(slot, _)| slot).zip(0..).collect();
+        let places: BTreeMap<Slot, usize> = self.connections.iter().map(|(slot, _)| slot).zip(0..).collect();
         for (number, engine) in &self.book {
             (number, engine.ready, engine.launched.map(since)).hash(into);
-            engine.links.iter().for_each(|slot| places.get(slot).hash(into));
+            engine.connections.iter().for_each(|slot| places.get(slot).hash(into));
         }
-        for (_, link) in self.links.iter() {
+        for (_, connection) in self.connections.iter() {
             let mut unread = Vec::new();
             // What has come so far, and what waits to leave.
-            for ring in [&link.input, &link.output] {
+            for ring in [&connection.input, &connection.output] {
                 let _ = ring.clone().drain(&mut unread);
                 unread.len().hash(into);
             }
             unread.hash(into);
-            (link.engine, link.up, link.retired, link.asked, link.attempts.len(), link.waiting.len())
+            (
+                connection.engine,
+                connection.up,
+                connection.retired,
+                connection.asked,
+                connection.attempts.len(),
+                connection.waiting.len(),
+            )
                 .hash(into);
-            let times = [Some(link.opened), Some(link.heard), link.due, link.whole_by, link.idle];
+            let times = [
+                Some(connection.opened),
+                Some(connection.heard),
+                connection.due,
+                connection.whole_by,
+                connection.idle,
+            ];
             times.map(|at| at.map(since)).hash(into);
         }
         for (slot, attempt) in self.attempts.iter() {
-            let link = attempt.link.and_then(|link| self.links.get(link));
-            let begun = link.zip(attempt.written).map(|(link, from)| link.output.passed() > from);
-            let waits = link.map(|link| link.waiting.iter().position(|waits| *waits == slot));
-            (attempt.request, attempt.number, attempt.link.and_then(|link| places.get(&link)), begun, waits)
+            let connection = attempt.connection.and_then(|connection| self.connections.get(connection));
+            let begun =
+                connection.zip(attempt.written).map(|(connection, from)| connection.output.passed() > from);
+            let waits =
+                connection.map(|connection| connection.waiting.iter().position(|waits| *waits == slot));
+            (
+                attempt.request,
+                attempt.number,
+                attempt.connection.and_then(|connection| places.get(&connection)),
+                begun,
+                waits,
+            )
                 .hash(into);
             (since(attempt.until), attempt.moved, attempt.kept_back, attempt.call.is_empty()).hash(into);
             attempt.dropped.map(|(_, at)| since(at)).hash(into);
-            attempt.owing.iter().filter_map(|link| places.get(link)).for_each(|at| at.hash(into));
+            attempt.owing.iter().filter_map(|connection| places.get(connection)).for_each(|at| at.hash(into));
             attempt.result.as_ref().map(|result| &result.got).hash(into);
         }
     }
 
     pub fn all_written(&self) -> bool {
-        self.links.iter().all(|(_, link)| link.output.is_empty())
+        self.connections.iter().all(|(_, connection)| connection.output.is_empty())
     }
 }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -126,9 +126,9 @@
         match due {
             Timer::Wake => self.scheduler.wake(now, &mut self.dispatcher),
             Timer::Attempt(slot) => engines.overdue(slot, context),
-            Timer::Link(slot) => engines.link_overdue(slot, now, context),
+            Timer::Connection(slot) => engines.connection_overdue(slot, now, context),
             Timer::Whole(slot) => engines.not_whole(slot, context),
-            Timer::Idle(slot) => engines.link_idle(slot, context),
+            Timer::Idle(slot) => engines.connection_idle(slot, context),
             Timer::Client(slot) => self.client_overdue(slot, now),
             Timer::Leave => self.leave(),
             Timer::Discovery | Timer::Admit | Timer::AdmissionQueue | Timer::Reload | Timer::Part(_) => {}
@@ -165,9 +165,10 @@
                     self.scheduler.progress_noted(now, request, attempt, notice, &mut self.dispatcher);
                 }
                 News::Ended(ended, body, owing) => {
-                    if let Some((link, request)) = owing.zip(self.dispatcher.requests.get_mut(ended.request))
+                    if let Some((connection, request)) =
+                        owing.zip(self.dispatcher.requests.get_mut(ended.request))
                     {
-                        request.owing.push(link);
+                        request.owing.push(connection);
                     }
                     self.ended(now, ended, body);
                 }
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -11,7 +11,7 @@
     /// An attempt is abandoned.
     Attempt(Slot),
     /// A connection to an engine must have come up, or have shown that it works.
-    Link(Slot),
+    Connection(Slot),
     /// An answer that has begun must have come whole.
     Whole(Slot),
     /// A connection to an engine has carried nothing for long.
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -68,7 +68,7 @@
     ("attempts_broken", 200),
     ("attempts_void", 200),
     ("attempts_taken_back", 200),
-    ("links_silent", 100),
+    ("connections_silent", 100),
     ("engine_input_malformed", 50),
     ("engine_input_cut_short", 50),
 ];
@@ -176,7 +176,7 @@
 }
 
 #[derive(Default)]
-struct Link {
+struct Connection {
     number: u64,
     up: bool,
     coming: Vec<u8>,
@@ -190,8 +190,8 @@
     witness: &'a mut Witness,
     server: Server,
     clients: Vec<Client>,
-    links: BTreeMap<Slot, Link>,
-    connections: u64,
+    connections: BTreeMap<Slot, Connection>,
+    connection_count: u64,
     next_req: u64,
     sent_before: BTreeMap<String, u64>,
     /// What the discovery service has to bring yet.
@@ -245,8 +245,8 @@
             chance,
             witness,
             clients: Vec::new(),
-            links: BTreeMap::new(),
-            connections: 0,
+            connections: BTreeMap::new(),
+            connection_count: 0,
             next_req: 1,
             sent_before: BTreeMap::new(),
             frames: Vec::new(),
@@ -292,11 +292,11 @@
             44..46 => self.client_reads(),
             46 => self.client_is_heard(After::End),
             47 => self.client_is_heard(After::Reset),
-            48..58 => self.link_comes_up(),
+            48..58 => self.connection_comes_up(),
             58..74 => self.engine_says(),
-            74..83 => self.link_is_read(After::Silence),
-            83 if self.chance.one_in(3) => self.link_is_read(After::Reset),
-            84 if self.chance.one_in(3) => self.link_is_read(After::End),
+            74..83 => self.connection_is_read(After::Silence),
+            83 if self.chance.one_in(3) => self.connection_is_read(After::Reset),
+            84 if self.chance.one_in(3) => self.connection_is_read(After::End),
             85 => self.list_changes(),
             86 => {
                 let count = self.chance.below(120) as usize;
@@ -318,10 +318,10 @@
             let idlest = self.server.dispatcher.clients.idlest(now);
             return idlest.into_iter().for_each(|slot| self.server.client_gone(slot, "to make room"));
         }
-        self.connections += 1;
+        self.connection_count += 1;
         let room = if self.chance.one_in(6) { 40 } else { usize::MAX };
         self.clients.push(Client {
-            number: self.connections,
+            number: self.connection_count,
             slot: self.server.admit(),
             coming: Vec::new(),
             ended: false,
@@ -477,14 +477,15 @@
 
     // ---- engines ----
 
-    fn any_link(&mut self, up: bool) -> Option<Slot> {
-        let links = self.links.iter().filter(|(_, link)| link.up == up).map(|(slot, _)| *slot);
-        let links: Vec<Slot> = links.collect();
-        (!links.is_empty()).then(|| self.chance.pick(&links))
+    fn any_connection(&mut self, up: bool) -> Option<Slot> {
+        let connections =
+            self.connections.iter().filter(|(_, connection)| connection.up == up).map(|(slot, _)| *slot);
+        let connections: Vec<Slot> = connections.collect();
+        (!connections.is_empty()).then(|| self.chance.pick(&connections))
     }
 
-    fn link_comes_up(&mut self) {
-        let Some(slot) = self.any_link(false) else { return };
+    fn connection_comes_up(&mut self) {
+        let Some(slot) = self.any_connection(false) else { return };
         let refused = self.chance.one_in(8);
         let there = self.chance.one_in(2);
         let dispatcher = &mut self.server.dispatcher;
@@ -493,14 +494,14 @@
             return self.witness.count("links refused");
         }
         dispatcher.engines.came_up(slot, &mut dispatcher.context);
-        self.links.entry(slot).and_modify(|link| link.up = true);
-        self.flush_link(slot);
+        self.connections.entry(slot).and_modify(|connection| connection.up = true);
+        self.flush_connection(slot);
     }
 
     /// An engine answers one of its calls in some way, and most often all of it comes at once.
     fn engine_says(&mut self) {
-        let Some(slot) = self.any_link(true) else { return };
-        let calls = self.links[&slot].calls.clone();
+        let Some(slot) = self.any_connection(true) else { return };
+        let calls = self.connections[&slot].calls.clone();
         if calls.is_empty() {
             return;
         }
@@ -535,47 +536,49 @@
         if self.chance.one_in(150) {
             bytes = b"*x\r\nnoise\r\n".to_vec();
         }
-        if let Some(link) = self.links.get_mut(&slot) {
-            link.coming.extend(bytes);
-            link.calls.retain(|call| !over || *call != req);
+        if let Some(connection) = self.connections.get_mut(&slot) {
+            connection.coming.extend(bytes);
+            connection.calls.retain(|call| !over || *call != req);
         }
         let part = self.chance.one_in(4);
-        self.link_brings(slot, part, After::Silence);
+        self.connection_brings(slot, part, After::Silence);
     }
 
-    fn link_is_read(&mut self, after: After) {
-        let Some(slot) = self.any_link(true) else { return };
+    fn connection_is_read(&mut self, after: After) {
+        let Some(slot) = self.any_connection(true) else { return };
         let part = self.chance.one_in(4);
-        self.link_brings(slot, part, after);
+        self.connection_brings(slot, part, after);
     }
 
-    fn link_brings(&mut self, slot: Slot, part: bool, after: After) {
-        let Some(link) = self.links.get_mut(&slot) else { return };
-        let all = link.coming.len();
+    fn connection_brings(&mut self, slot: Slot, part: bool, after: After) {
+        let Some(connection) = self.connections.get_mut(&slot) else { return };
+        let all = connection.coming.len();
         let count = if part { self.chance.below(all as u64) as usize } else { all };
-        let bytes: Vec<u8> = link.coming.drain(..count).collect();
+        let bytes: Vec<u8> = connection.coming.drain(..count).collect();
         let dispatcher = &mut self.server.dispatcher;
         dispatcher.engines.read(slot, &mut Came(&bytes, after), &mut dispatcher.context);
     }
 
-    fn flush_link(&mut self, slot: Slot) {
-        let Some(link) = self.links.get_mut(&slot).filter(|link| link.up) else { return };
+    fn flush_connection(&mut self, slot: Slot) {
+        let Some(connection) = self.connections.get_mut(&slot).filter(|connection| connection.up) else {
+            return;
+        };
         let narrow = self.chance.one_in(10);
         let mut far = Takes { room: if narrow { 30 } else { usize::MAX }, taken: Vec::new() };
         self.server.dispatcher.engines.drain(slot, &mut far).expect("an engine that only blocks");
         if !far.taken.is_empty() {
-            self.witness.note("to engine", link.number, &far.taken);
+            self.witness.note("to engine", connection.number, &far.taken);
         }
-        link.inbox.extend(far.taken);
+        connection.inbox.extend(far.taken);
         self.engine_reads(slot);
     }
 
     /// Notes the calls that have come whole, and answers at once what engines do.
     fn engine_reads(&mut self, slot: Slot) {
-        let Some(link) = self.links.get_mut(&slot) else { return };
-        while let Some((parts, length)) = resp::parse(&link.inbox).expect("the server says RESP") {
+        let Some(connection) = self.connections.get_mut(&slot) else { return };
+        while let Some((parts, length)) = resp::parse(&connection.inbox).expect("the server says RESP") {
             let texts: Vec<String> = parts.iter().map(|part| String::from_utf8_lossy(part).into()).collect();
-            link.inbox.drain(..length);
+            connection.inbox.drain(..length);
             let (word, id) = (texts[0].as_str(), &texts[1]);
             self.witness.count(format!("engine is told {word}"));
             match word {
@@ -585,11 +588,11 @@
                     if *sent > 1 {
                         self.witness.count("hops sent again");
                     }
-                    link.calls.push(id.clone());
+                    connection.calls.push(id.clone());
                 }
                 "PAGE" if !self.chance.one_in(8) => {
                     let (fields, row) = (format!("page={}", texts[2]), format!("page\t{id}\t{}\n", texts[2]));
-                    link.coming.extend(resp::array(&[
+                    connection.coming.extend(resp::array(&[
                         id.as_bytes(),
                         b"PART",
                         fields.as_bytes(),
@@ -597,9 +600,9 @@
                     ]));
                 }
                 "PING" if !self.chance.one_in(8) => {
-                    link.coming.extend(resp::array(&[id.as_bytes(), b"PONG", b"-", b""]));
+                    connection.coming.extend(resp::array(&[id.as_bytes(), b"PONG", b"-", b""]));
                 }
-                "DROP" | "CLOSE" if !self.chance.one_in(4) => link.calls.retain(|call| call != id),
+                "DROP" | "CLOSE" if !self.chance.one_in(4) => connection.calls.retain(|call| call != id),
                 _ => {}
             }
         }
@@ -687,8 +690,8 @@
         match due {
             Timer::Client(slot) => self.hear(slot, &[], After::Silence),
             Timer::Attempt(attempt) => {
-                if let Some(link) = self.server.dispatcher.engines.link_of(attempt) {
-                    self.flush_link(link);
+                if let Some(connection) = self.server.dispatcher.engines.connection_of(attempt) {
+                    self.flush_connection(connection);
                 }
             }
             _ => {}
@@ -725,7 +728,7 @@
                 return;
             }
             asks.into_iter().for_each(|ask| self.carry_out_ask(ask));
-            unsent.into_iter().for_each(|slot| self.flush_link(slot));
+            unsent.into_iter().for_each(|slot| self.flush_connection(slot));
             unsaid.into_iter().for_each(|slot| self.flush_client(slot));
             for (slot, mut last) in closed {
                 let Some(at) = self.clients.iter().position(|client| client.slot == slot) else { continue };
@@ -743,15 +746,15 @@
     fn carry_out_ask(&mut self, ask: Ask) {
         match ask {
             Ask::Dial(slot, address) => {
-                self.connections += 1;
-                let number = self.connections;
+                self.connection_count += 1;
+                let number = self.connection_count;
                 self.witness.note("dial", number, address.to_string().as_bytes());
                 self.witness.count("links dialled");
-                self.links.insert(slot, Link { number, ..Link::default() });
+                self.connections.insert(slot, Connection { number, ..Connection::default() });
             }
             Ask::Close(slot) => {
-                if let Some(link) = self.links.remove(&slot) {
-                    self.witness.note("close link", link.number, &[]);
+                if let Some(connection) = self.connections.remove(&slot) {
+                    self.witness.note("close link", connection.number, &[]);
                     self.witness.count("links closed");
                 }
             }
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -228,9 +228,9 @@
         PING 0
         true
         sent then: []
-        ended with Some(0): hops_void=1 links_dialled=1
+        ended with Some(0): hops_void=1 connections_dialled=1
     "#]]
-    .assert_eq(&house.end(&["attempts_void", "links_dialled"]));
+    .assert_eq(&house.end(&["attempts_void", "connections_dialled"]));
 }
 
 /// A drain is told in the instant in which an answer makes room at that engine.
@@ -482,9 +482,9 @@
         closed
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
-        ended with Some(0): hops_taken_back=2 hops_withdrawn=2 links_silent=1
+        ended with Some(0): hops_taken_back=2 hops_withdrawn=2 connections_silent=1
     "#]]
-    .assert_eq(&house.end(&["attempts_taken_back", "attempts_withdrawn", "links_silent"]));
+    .assert_eq(&house.end(&["attempts_taken_back", "attempts_withdrawn", "connections_silent"]));
 }
 
 /// Idle clients take all the room there is while discovery is down, and it returns in the same instant: the list is
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -111,9 +111,9 @@
         DROP 0000000000000002
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":2,"result":{"data":"ZnJvbSB0aGUgc2Vjb25kIGhvcAkJCg=="}}
-        ended with Some(0): engine_answers_for_nothing=1 hops_withdrawn=2 links_dialled=3
+        ended with Some(0): engine_answers_for_nothing=1 hops_withdrawn=2 connections_dialled=3
     "#]]
-    .assert_eq(&house.end(&["attempts_withdrawn", "engine_answers_for_nothing", "links_dialled"]));
+    .assert_eq(&house.end(&["attempts_withdrawn", "engine_answers_for_nothing", "connections_dialled"]));
 }
 
 #[test]
@@ -162,9 +162,9 @@
         closed
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":2,"result":{"data":"eQkJCg=="}}
-        ended with Some(0): links_dialled=2 links_silent=1
+        ended with Some(0): connections_dialled=2 connections_silent=1
     "#]]
-    .assert_eq(&house.end(&["links_silent", "attempts_unreachable", "links_dialled"]));
+    .assert_eq(&house.end(&["connections_silent", "attempts_unreachable", "connections_dialled"]));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     discovery.write_all(&changes(2, &[(0, address, 1, 0)])).expect("it reads");
     house.note(client.hear());
     engine.say(0, "PONG", "-", "");
-    let counters = house.end(&["attempts_void", "links_silent"]);
+    let counters = house.end(&["attempts_void", "connections_silent"]);
     expect![[r#"
         bulletin after 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
@@ -222,9 +222,9 @@
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"ZnJvbSB0aGUgb2xkIG9uZQkJCg=="}}
         bulletin after 2
-        ended with Some(0): discovery_lost=1 links_dialled=2
+        ended with Some(0): discovery_lost=1 connections_dialled=2
     "#]]
-    .assert_eq(&house.end(&["links_dialled", "discovery_lost"]));
+    .assert_eq(&house.end(&["connections_dialled", "discovery_lost"]));
 }
 
 #[test]
@@ -547,13 +547,13 @@
         GET 0000000000000002 queue=post,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"YQkJCmIJCQo="}}
         {"jsonrpc":"2.0","id":2,"result":{"data":"YwkJCg=="}}
-        ended with Some(0): engine_answers_for_nothing=2 engine_answers_repeated=3 links_dialled=1
+        ended with Some(0): engine_answers_for_nothing=2 engine_answers_repeated=3 connections_dialled=1
     "#]]
     .assert_eq(&house.end(&[
         "engine_answers_repeated",
         "engine_answers_for_nothing",
-        "links_dialled",
-        "links_lost",
+        "connections_dialled",
+        "connections_lost",
     ]));
 }
 
@@ -641,9 +641,9 @@
         PING 0
         GET 0000000000000002 queue=post,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":2,"result":{"data":"eQkJCg=="}}
-        ended with Some(0): hops_succeeded=2 links_lost=1
+        ended with Some(0): hops_succeeded=2 connections_lost=1
     "#]]
-    .assert_eq(&house.end(&["links_lost", "attempts_unreachable", "attempts_succeeded"]));
+    .assert_eq(&house.end(&["connections_lost", "attempts_unreachable", "attempts_succeeded"]));
 }
 
 #[test]
@@ -965,13 +965,13 @@
     }
     let counters = ["requests_succeeded", "clients_admitted", "engines_forgotten"];
     let held =
-        ["held_clients", "held_requests", "held_attempts", "held_engines", "held_links", "held_timers"];
+        ["held_clients", "held_requests", "held_attempts", "held_engines", "held_connections", "held_timers"];
     let told = house.end(&[&counters[..], &held].concat());
     let (told, timers) = told.trim().rsplit_once("held_timers=").expect("the last");
     let few = timers.parse::<u64>().is_ok_and(|count| count < 20);
     expect![[r#"
         bulletin after 1
-        ended with Some(0): clients_admitted=2000 engines_forgotten=3000 tasks_succeeded=200 held_clients=0 held_tasks=0 held_engines=1 held_links=1 held_hops=0 few deadlines: true"#]].assert_eq(&format!("{told}few deadlines: {few}"));
+        ended with Some(0): clients_admitted=2000 engines_forgotten=3000 tasks_succeeded=200 held_clients=0 held_tasks=0 held_engines=1 held_connections=1 held_hops=0 few deadlines: true"#]].assert_eq(&format!("{told}few deadlines: {few}"));
 }
 
 #[test]
--- a/crates/router/tests/unit/engines.rs
+++ b/crates/router/tests/unit/engines.rs
@@ -9,7 +9,7 @@
     context: Context,
     engines: Engines,
     attempt: Slot,
-    link: Slot,
+    connection: Slot,
     seen: Vec<u8>,
 }
 
@@ -32,17 +32,17 @@
             until,
         };
         let attempt = engines.send(engine, call, &[], &mut context);
-        let link = engines.link_of(attempt).expect("a connection");
-        Self { context, engines, attempt, link, seen: Vec::new() }
+        let connection = engines.connection_of(attempt).expect("a connection");
+        Self { context, engines, attempt, connection, seen: Vec::new() }
     }
 
     fn up(&mut self) {
-        self.engines.came_up(self.link, &mut self.context);
-        self.engines.drain(self.link, &mut self.seen).expect("it writes");
+        self.engines.came_up(self.connection, &mut self.context);
+        self.engines.drain(self.connection, &mut self.seen).expect("it writes");
     }
 
     fn hears(&mut self, words: &[&[u8]]) {
-        self.engines.read(self.link, &mut Silent(Cursor::new(resp::array(words))), &mut self.context);
+        self.engines.read(self.connection, &mut Silent(Cursor::new(resp::array(words))), &mut self.context);
     }
 }
 
@@ -65,7 +65,7 @@
     stand.engines.rank(stand.attempt, 3, &mut stand.context);
     stand.up();
     stand.engines.rank(stand.attempt, 2, &mut stand.context);
-    stand.engines.drain(stand.link, &mut stand.seen).expect("it writes");
+    stand.engines.drain(stand.connection, &mut stand.seen).expect("it writes");
     let text = String::from_utf8(stand.seen).expect("text");
     let words: Vec<&str> = text.lines().skip(10).take(13).collect();
     expect!["$4 RANK $16 9b1f03aa5c7e2d41 $1 3 *3 $4 RANK $16 9b1f03aa5c7e2d41 $1 2"]
@@ -91,17 +91,17 @@
     let told = |room: usize| {
         let long = Duration::from_secs(20);
         let mut stand = Stand::new(long, long);
-        stand.engines.came_up(stand.link, &mut stand.context);
-        stand.engines.drain(stand.link, &mut Narrow(room)).expect("it blocks");
+        stand.engines.came_up(stand.connection, &mut stand.context);
+        stand.engines.drain(stand.connection, &mut Narrow(room)).expect("it blocks");
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
         let row = Row { id: 7, address, ready: false, gone: false, location, kind, cell, up_since_ms: 0 };
         stand.engines.listed(&row, &mut stand.context);
-        stand.engines.drain(stand.link, &mut stand.seen).expect("it writes");
+        stand.engines.drain(stand.connection, &mut stand.seen).expect("it writes");
         format!("{} bytes left, {}\n", stand.seen.len() + room, stand.context.counters)
     };
     expect![[r#"
-        0 bytes left, attempts_sent=1 attempts_void=1 links_dialled=1
-        81 bytes left, attempts_sent=1 links_dialled=1
+        0 bytes left, attempts_sent=1 attempts_void=1 connections_dialled=1
+        81 bytes left, attempts_sent=1 connections_dialled=1
     "#]]
     .assert_eq(&(told(0) + &told(1)));
 }
@@ -113,8 +113,8 @@
     stand.up();
     let look = |stand: &mut Stand, at: Duration| {
         stand.context.now = at;
-        stand.engines.link_overdue(stand.link, at, &mut stand.context);
-        stand.engines.links.get(stand.link).is_some()
+        stand.engines.connection_overdue(stand.connection, at, &mut stand.context);
+        stand.engines.connections.get(stand.connection).is_some()
     };
     let asked = look(&mut stand, soon * 2);
     stand.context.now = soon * 3;
@@ -129,6 +129,6 @@
         }
         _ => "nothing".into(),
     };
-    expect!["asked true, kept true, Succeeded, Some(6) bytes; attempts_sent=1 attempts_succeeded=1 links_checked=1 links_dialled=1"]
+    expect!["asked true, kept true, Succeeded, Some(6) bytes; attempts_sent=1 attempts_succeeded=1 connections_checked=1 connections_dialled=1"]
         .assert_eq(&format!("asked {asked}, kept {kept}, {told}; {}", stand.context.counters));
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -51,7 +51,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-struct Link {
+struct Connection {
     socket: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -95,7 +95,7 @@
 struct Desk {
     load: Load,
     runs: Runs,
-    links: Vec<Option<Link>>,
+    connections: Vec<Option<Connection>>,
     /// The connection that a request came on.
     from: BTreeMap<String, usize>,
     begun: Instant,
@@ -104,8 +104,8 @@
 
 impl Desk {
     fn new(load: Load, runs: Runs) -> Self {
-        let (links, from) = (Vec::new(), BTreeMap::new());
-        Self { load, runs, links, from, begun: Instant::now(), results: 0 }
+        let (connections, from) = (Vec::new(), BTreeMap::new());
+        Self { load, runs, connections, from, begun: Instant::now(), results: 0 }
     }
 
     fn run(mut self, listener: &TcpListener, told: &Mutex<Fault>) {
@@ -117,11 +117,11 @@
             self.load.pace = if fault.pace > 0.0 { fault.pace } else { 1.0 };
             while let Ok((socket, _)) = listener.accept() {
                 if socket.set_nonblocking(true).is_ok() && socket.set_nodelay(true).is_ok() {
-                    let link = Link { socket, input: Vec::new(), output: Vec::new() };
-                    let free = self.links.iter().position(Option::is_none);
+                    let connection = Connection { socket, input: Vec::new(), output: Vec::new() };
+                    let free = self.connections.iter().position(Option::is_none);
                     match free {
-                        Some(at) => self.links[at] = Some(link),
-                        None => self.links.push(Some(link)),
+                        Some(at) => self.connections[at] = Some(connection),
+                        None => self.connections.push(Some(connection)),
                     }
                 }
             }
@@ -135,7 +135,7 @@
                 let fields = format!("pages=1,cost={:.1},need={:.1}", done.work * 1e3, done.need_mb);
                 self.say(at, &[done.id.as_bytes(), b"HIT", fields.as_bytes(), body.as_bytes()]);
             }
-            for at in 0..self.links.len() {
+            for at in 0..self.connections.len() {
                 self.serve(at, now, fault.silent);
             }
             std::thread::sleep(Duration::from_millis(1));
@@ -143,41 +143,41 @@
     }
 
     fn say(&mut self, at: usize, words: &[&[u8]]) {
-        if let Some(Some(link)) = self.links.get_mut(at) {
-            link.output.extend(resp::array(words));
+        if let Some(Some(connection)) = self.connections.get_mut(at) {
+            connection.output.extend(resp::array(words));
         }
     }
 
     fn serve(&mut self, at: usize, now: Duration, silent: bool) {
-        let Some(link) = &mut self.links[at] else { return };
+        let Some(connection) = &mut self.connections[at] else { return };
         let mut chunk = [0; 16 * 1024];
-        let open = match link.socket.read(&mut chunk) {
+        let open = match connection.socket.read(&mut chunk) {
             Ok(0) => false,
             Ok(count) => {
-                link.input.extend(&chunk[..count]);
+                connection.input.extend(&chunk[..count]);
                 true
             }
             Err(e) => e.kind() == ErrorKind::WouldBlock,
         };
         let mut words = Vec::new();
-        while let Ok(Some((parts, length))) = resp::parse(&link.input) {
+        while let Ok(Some((parts, length))) = resp::parse(&connection.input) {
             words.push(
                 parts.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect::<Vec<_>>(),
             );
-            link.input.drain(..length);
+            connection.input.drain(..length);
         }
         for words in words {
             self.hear(at, now, &words, silent);
         }
-        let Some(link) = &mut self.links[at] else { return };
-        while !link.output.is_empty() {
-            match link.socket.write(&link.output) {
-                Ok(count) => drop(link.output.drain(..count)),
+        let Some(connection) = &mut self.connections[at] else { return };
+        while !connection.output.is_empty() {
+            match connection.socket.write(&connection.output) {
+                Ok(count) => drop(connection.output.drain(..count)),
                 Err(_) => break,
             }
         }
-        if !open || link.input.len().max(link.output.len()) > MOST_BYTES {
-            self.links[at] = None;
+        if !open || connection.input.len().max(connection.output.len()) > MOST_BYTES {
+            self.connections[at] = None;
             let lost: Vec<String> =
                 self.from.iter().filter(|(_, by)| **by == at).map(|(id, _)| id.clone()).collect();
             for id in lost {
