--- a/crates/explorer/src/connection_model.rs
+++ b/crates/explorer/src/connection_model.rs
@@ -7,7 +7,7 @@
 use emberflow::{AttemptOutcome, EngineId, RequestId};
 use emberflow_router::context::Context;
 use emberflow_router::discovery::Row;
-use emberflow_router::engines::{Ask, Call, Engines, News};
+use emberflow_router::engine_pool::{Ask, Call, EnginePool, News};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
@@ -128,7 +128,7 @@
 pub struct Scene {
     pub now: Duration,
     context: Context,
-    engines: Engines,
+    engines: EnginePool,
     engine: EngineId,
     ready: bool,
     far: BTreeMap<Slot, Far>,
@@ -283,7 +283,7 @@
     fn new(world: &Connections) -> Self {
         let now = Duration::from_secs(20);
         let mut context = Context { now, ..Context::default() };
-        let mut engines = Engines::new(world.streams, COMES_UP, IDLE, world.most_connections);
+        let mut engines = EnginePool::new(world.streams, COMES_UP, IDLE, world.most_connections);
         let engine = engines.listed(&row(7, true, false, 0), &mut context).engine;
         let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
--- a/crates/explorer/src/house.rs
+++ b/crates/explorer/src/house.rs
@@ -7,7 +7,7 @@
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
 use emberflow_router::discovery::Row;
-use emberflow_router::engines::Ask;
+use emberflow_router::engine_pool::Ask;
 use emberflow_router::resp;
 use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -22,7 +22,7 @@
 const QUEUES: &str = "crates/teams/src/queues.rs";
 const ORDER: &str = "crates/teams/src/order.rs";
 const DISCOVERY: &str = "crates/router/src/discovery service.rs";
-const ENGINES: &str = "crates/router/src/engines.rs";
+const ENGINES: &str = "crates/router/src/engine_pool.rs";
 
 const fn engines(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file: ENGINES, from, to }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::bootstrap::Bootstrap;
-use crate::edge::Edge;
+use crate::event_loop::RouterLoop;
 use lexopt::prelude::*;
 use std::ffi::{OsStr, OsString};
 use std::process::ExitCode;
@@ -78,7 +78,7 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let path = config.or_else(|| std::env::var_os("EDGE_CONFIG")).ok_or("EDGE_CONFIG is not set")?;
     let listen = std::env::var("EDGE_LISTEN").ok();
-    Edge::run(move || bootstrap(&path, operator.as_deref(), listen.as_deref()))
+    RouterLoop::run(move || bootstrap(&path, operator.as_deref(), listen.as_deref()))
 }
 
 fn check(path: &OsStr, operator: Option<&OsStr>) -> Result<(), String> {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::clients::Clients;
 use crate::clock::whole_ms;
 use crate::context::Context;
-use crate::engines::{Call, Engines};
+use crate::engine_pool::{Call, EnginePool};
 use crate::jsonrpc;
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
@@ -94,7 +94,7 @@
     pub config: RouterConfig,
     pub context: Context,
     pub clients: Clients,
-    pub engines: Engines,
+    pub engines: EnginePool,
     pub requests: Requests,
     pub serving: bool,
     /// Requests that were closed, and how, where a queue before the decisions wants to know.
@@ -164,7 +164,7 @@
     pub fn within(config: RouterConfig, context: Context) -> Self {
         let clients = Clients::within(config.most_bytes(), config.most_held_bytes());
         let RouterConfig { streams, comes_up, idle_close, .. } = config;
-        let mut engines = Engines::new(streams, comes_up, idle_close, config.most_connections());
+        let mut engines = EnginePool::new(streams, comes_up, idle_close, config.most_connections());
         engines.may_duplicate = config.may_duplicate;
         Self {
             clients,
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engine_pool.rs
@@ -119,7 +119,7 @@
 /// The machine of all connections and attempts: bytes, rows of the list and times in; bytes to write, connections
 /// to dial and to close, and news of attempts out. It holds no socket and no clock.
 #[derive(Clone)]
-pub struct Engines {
+pub struct EnginePool {
     book: BTreeMap<EngineId, Engine>,
     numbers: BTreeMap<u32, EngineId>,
     /// The number of the next.
@@ -138,7 +138,7 @@
     pub may_duplicate: bool,
 }
 
-impl Engines {
+impl EnginePool {
     /// Of a connection: what it carries, how soon it must come up, when an engine closes an idle one.
     pub fn new(streams: usize, comes_up: Duration, idle_close: Duration, most_connections: usize) -> Self {
         Self {
@@ -961,5 +961,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/engines.rs"]
+#[path = "../tests/unit/engine_pool.rs"]
 mod tests;
--- a/crates/router/src/edge.rs
+++ b/crates/router/src/event_loop.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::context::Context;
 use crate::discovery;
-use crate::engines::Ask;
+use crate::engine_pool::Ask;
 use crate::ready_list::ReadyList;
 use crate::ring::Filled;
 use crate::server::Server;
@@ -35,15 +35,15 @@
 /// tell counts as told 4 s after.
 const WRITTEN: Duration = Duration::from_secs(3);
 
-pub struct Edge {
+pub struct RouterLoop {
     server: Server,
     clock: Clock,
-    loop_handle: LoopHandle<'static, Edge>,
-    clients: BTreeMap<Slot, RegisteredSocket<Edge>>,
-    connections: BTreeMap<Slot, RegisteredSocket<Edge>>,
-    discovery: Option<RegisteredSocket<Edge>>,
+    loop_handle: LoopHandle<'static, RouterLoop>,
+    clients: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
+    connections: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
+    discovery: Option<RegisteredSocket<RouterLoop>>,
     /// Connections closed to clients, of which something may stand unread.
-    parting: BTreeMap<Slot, RegisteredSocket<Edge>>,
+    parting: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
     /// Those of them that had more than one turn took.
     not_read_out: Vec<Slot>,
     /// Clients that may have something to say, and connections to engines that have something to be read.
@@ -67,7 +67,7 @@
     again: Option<(Duration, Duration)>,
 }
 
-impl Edge {
+impl RouterLoop {
     /// Serves until a planned restart ends it. The configuration is read at the start and at each SIGHUP.
     pub fn run(read: impl Fn() -> Result<Bootstrap, String> + 'static) -> Result<(), String> {
         let bootstrap = read()?;
@@ -78,8 +78,9 @@
         let loop_handle = event_loop.handle();
         let stops = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])
             .map_err(|e| fault("signals", &e))?;
-        let heard =
-            |event: calloop::signals::Event, _: &mut (), edge: &mut Self| edge.signals.push(event.signal());
+        let heard = |event: calloop::signals::Event, _: &mut (), router_loop: &mut Self| {
+            router_loop.signals.push(event.signal())
+        };
         loop_handle.insert_source(stops, heard).map_err(|e| fault("signals", &e))?;
         let listener = listen(config.listen, config.descriptors);
         let listener = listener.map_err(|e| fault(&format!("listening on {}", config.listen), &e))?;
@@ -87,14 +88,14 @@
         log::info!("{} listens on {address}", config.name);
         let listener = Rc::new(listener);
         let source = Generic::new(Rc::clone(&listener), Interest::READ, Mode::Level);
-        let admits = |_, _: &mut _, edge: &mut Self| {
-            edge.connections_pending = true;
+        let admits = |_, _: &mut _, router_loop: &mut Self| {
+            router_loop.connections_pending = true;
             Ok(PostAction::Continue)
         };
         let listener_token = loop_handle.insert_source(source, admits).map_err(|e| fault("listening", &e))?;
         let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
         let context = Context { now: clock.now(), zero: clock.zero(), ..Context::default() };
-        let mut edge = Self {
+        let mut router_loop = Self {
             server: Server::new(bootstrap, context),
             clock,
             loop_handle,
@@ -117,19 +118,27 @@
             read: Box::new(read),
             again: None,
         };
-        edge.looked = edge.clock.now();
-        edge.dial_discovery();
-        while !edge.server.left {
-            let due = edge.server.context().timers.first().map(|at| at.saturating_sub(edge.clock.now()));
-            let done = edge.unheard.is_empty() && edge.unread.is_empty() && edge.not_read_out.is_empty();
+        router_loop.looked = router_loop.clock.now();
+        router_loop.dial_discovery();
+        while !router_loop.server.left {
+            let due = router_loop
+                .server
+                .context()
+                .timers
+                .first()
+                .map(|at| at.saturating_sub(router_loop.clock.now()));
+            let done = router_loop.unheard.is_empty()
+                && router_loop.unread.is_empty()
+                && router_loop.not_read_out.is_empty();
             let wait = if done { due } else { Some(Duration::ZERO) };
-            (edge.work, edge.looking) = (edge.clock.now().saturating_sub(edge.looked), true);
-            event_loop.dispatch(wait, &mut edge).map_err(|e| fault("the loop", &e))?;
-            edge.has_looked();
-            edge.turn();
-        }
-        edge.take_leave(&mut event_loop);
-        log::info!("counters at exit: {}", edge.server.dispatcher.tally());
+            (router_loop.work, router_loop.looking) =
+                (router_loop.clock.now().saturating_sub(router_loop.looked), true);
+            event_loop.dispatch(wait, &mut router_loop).map_err(|e| fault("the loop", &e))?;
+            router_loop.has_looked();
+            router_loop.turn();
+        }
+        router_loop.take_leave(&mut event_loop);
+        log::info!("counters at exit: {}", router_loop.server.dispatcher.tally());
         // Guards against a signal told again while the process ends, which would end it as failed: what takes
         // signals stays until the end.
         std::mem::forget(event_loop);
@@ -229,8 +238,8 @@
                 match ask {
                     Ask::Close(slot) => drop(self.connections.remove(&slot)),
                     Ask::Dial(slot, to) => {
-                        match RegisteredSocket::dial(&self.loop_handle, to, move |edge: &mut Self| {
-                            edge.connection_told(slot)
+                        match RegisteredSocket::dial(&self.loop_handle, to, move |router_loop: &mut Self| {
+                            router_loop.connection_told(slot)
                         }) {
                             Ok(registered) => drop(self.connections.insert(slot, registered)),
                             Err(error) => {
@@ -312,9 +321,11 @@
                     }
                     let dispatcher = &mut self.server.dispatcher;
                     let slot = dispatcher.clients.table.next();
-                    match RegisteredSocket::attend(&self.loop_handle, socket, move |edge: &mut Self| {
-                        edge.client_told(slot)
-                    }) {
+                    match RegisteredSocket::attend(
+                        &self.loop_handle,
+                        socket,
+                        move |router_loop: &mut Self| router_loop.client_told(slot),
+                    ) {
                         Ok(registered) => {
                             let slot = self.server.admit();
                             log::debug!("client {slot:?} from {from}");
@@ -483,7 +494,7 @@
         match RegisteredSocket::dial(
             &self.loop_handle,
             self.server.dispatcher.config.discovery,
-            |edge: &mut Self| edge.told = true,
+            |router_loop: &mut Self| router_loop.told = true,
         ) {
             Ok(registered) => {
                 self.discovery = Some(registered);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
 //! The real router: emberflow's decisions on sockets. [`command::run`] is the program; to embed it,
-//! [`bootstrap::Bootstrap`] reads a configuration and [`edge::Edge::run`] serves by it until SIGTERM.
+//! [`bootstrap::Bootstrap`] reads a configuration and [`event_loop::RouterLoop::run`] serves by it until SIGTERM.
 
 pub mod admission_queue;
 pub mod bootstrap;
@@ -10,8 +10,8 @@
 pub mod counters;
 pub mod discovery;
 pub mod dispatch;
-pub mod edge;
-pub mod engines;
+pub mod engine_pool;
+pub mod event_loop;
 pub mod jsonrpc;
 mod ready_list;
 pub mod resp;
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -7,7 +7,7 @@
 use crate::context::Context;
 use crate::discovery::{Discovery, Row};
 use crate::dispatch::{Dispatcher, Request};
-use crate::engines::News;
+use crate::engine_pool::News;
 use crate::jsonrpc::{self, Objection, Withdrawal};
 use crate::ring::Ring;
 use crate::slots::Slot;
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -41,8 +41,8 @@
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
         let source = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
-        let heard = move |_, _: &mut _, edge: &mut T| {
-            ready(edge);
+        let heard = move |_, _: &mut _, router_loop: &mut T| {
+            ready(router_loop);
             Ok(PostAction::Continue)
         };
         let token = loop_handle.insert_source(source, heard).map_err(|e| io::Error::other(e.to_string()))?;
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -4,7 +4,7 @@
 
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
-use emberflow_router::engines::Ask;
+use emberflow_router::engine_pool::Ask;
 use emberflow_router::resp;
 use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
--- a/crates/router/tests/unit/engines.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -7,7 +7,7 @@
 /// An engine that listens, and an attempt that has gone out to it.
 struct Stand {
     context: Context,
-    engines: Engines,
+    engines: EnginePool,
     attempt: Slot,
     connection: Slot,
     seen: Vec<u8>,
@@ -16,7 +16,7 @@
 impl Stand {
     fn new(comes_up: Duration, until: Duration) -> Self {
         let mut context = Context::default();
-        let mut engines = Engines::new(1, comes_up, Duration::from_secs(20), 1);
+        let mut engines = EnginePool::new(1, comes_up, Duration::from_secs(20), 1);
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
         let row = Row { id: 7, address, ready: true, gone: false, location, kind, cell, up_since_ms: 0 };
         let engine = engines.listed(&row, &mut context).engine;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -6,4 +6,4 @@
 pub mod engine;
 pub mod load;
 pub mod skewed;
-pub mod tryout;
+pub mod demo;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,26 +1,26 @@
-//! `emberflow-standins tryout`: a first try on loopback.
+//! `emberflow-standins demo`: a first try on loopback.
 
+use emberflow_standins::demo::{Demo, mixed, table};
 use emberflow_standins::skewed;
-use emberflow_standins::tryout::{Tryout, mixed, table};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 use std::time::Duration;
 
 const USAGE: &str = "\
-usage: emberflow-standins tryout [--seconds N] [--seed N] [--engines N] [--operator FILE]
+usage: emberflow-standins demo [--seconds N] [--seed N] [--engines N] [--operator FILE]
        emberflow-standins skewed [--seconds N] [--seed N]
 starts stand-in engines, a bulletin and a router on loopback, sends the mixed work of three teams,
 loses an engine half-way, and prints what became of it (20 seconds, seed 1, 3 engines);
 skewed has one of four teams send ten times its share, without and with a file of teams, and compares";
 
 enum Command {
-    Tryout(Tryout),
+    Demo(Demo),
     Skewed(Duration, u64),
     Help,
 }
 
 fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
-    let mut tryout = Tryout {
+    let mut demo = Demo {
         lasts: Duration::from_secs(20),
         seed: 1,
         engines: 3,
@@ -32,14 +32,14 @@
     while let Some(argument) = arguments.next()? {
         match argument {
             Long("seconds") => {
-                tryout.lasts = Duration::from_secs(arguments.value()?.parse::<u64>()?.clamp(1, 3600))
+                demo.lasts = Duration::from_secs(arguments.value()?.parse::<u64>()?.clamp(1, 3600))
             }
-            Long("seed") => tryout.seed = arguments.value()?.parse()?,
-            Long("engines") => tryout.engines = arguments.value()?.parse::<u32>()?.clamp(1, 64),
+            Long("seed") => demo.seed = arguments.value()?.parse()?,
+            Long("engines") => demo.engines = arguments.value()?.parse::<u32>()?.clamp(1, 64),
             Long("operator") => {
                 let path = arguments.value()?;
                 let text = std::fs::read_to_string(&path);
-                tryout.orders = Some(text.map_err(|e| format!("{}: {e}", path.to_string_lossy()))?);
+                demo.orders = Some(text.map_err(|e| format!("{}: {e}", path.to_string_lossy()))?);
             }
             Short('h') | Long("help") => return Ok(Command::Help),
             Value(told) if word.is_none() => word = Some(told),
@@ -47,8 +47,8 @@
         }
     }
     match word {
-        Some(word) if word == "tryout" => Ok(Command::Tryout(tryout)),
-        Some(word) if word == "skewed" => Ok(Command::Skewed(tryout.lasts, tryout.seed)),
+        Some(word) if word == "demo" => Ok(Command::Demo(demo)),
+        Some(word) if word == "skewed" => Ok(Command::Skewed(demo.lasts, demo.seed)),
         Some(word) if word == "help" => Ok(Command::Help),
         Some(word) => Err(format!("no such command: {}", word.to_string_lossy()).into()),
         None => Err("a command is missing".into()),
@@ -62,7 +62,7 @@
     };
     match parse(lexopt::Parser::from_env()) {
         Ok(Command::Help) => println!("{USAGE}"),
-        Ok(Command::Tryout(tryout)) => match tryout.run(std::io::stderr()) {
+        Ok(Command::Demo(demo)) => match demo.run(std::io::stderr()) {
             Ok(fates) => print!("{}", table(&fates)),
             Err(error) => return refuse(error, 1),
         },
--- a/crates/standins/src/skewed.rs
+++ b/crates/standins/src/skewed.rs
@@ -2,7 +2,7 @@
 //! teams and to one with them, and what became of it is compared.
 
 use crate::clients::{Client, Fate, Habit, How};
-use crate::tryout::{Tryout, table};
+use crate::demo::{Demo, table};
 use std::time::{Duration, Instant};
 
 const TEAMS: [&str; 4] = ["audit", "payroll", "posting", "tax"];
@@ -63,8 +63,8 @@
 pub fn run(lasts: Duration, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     for (name, orders) in [("without teams", None), ("with teams", Some(ORDERS.to_owned()))] {
-        let tryout = Tryout { lasts, seed, engines: ENGINES, orders, clients, loses: false };
-        let fates = tryout.run(std::io::stderr())?;
+        let demo = Demo { lasts, seed, engines: ENGINES, orders, clients, loses: false };
+        let fates = demo.run(std::io::stderr())?;
         let done = |fate: &&Fate| fate.how == How::Succeeded;
         let seconds = |fate: &Fate| fate.wait.map(|wait| wait.as_secs_f64());
         let mut urgent: Vec<f64> =
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/tryout.rs
@@ -16,7 +16,7 @@
 const CORES: f64 = 4.0;
 const MEMORY_MB: f64 = 4096.0;
 
-pub struct Tryout {
+pub struct Demo {
     pub lasts: Duration,
     pub seed: u64,
     pub engines: u32,
@@ -29,7 +29,7 @@
 
 fn settings(listen: SocketAddr, discovery: SocketAddr) -> Value {
     let kind = |name: &str, latency_objective: u64, deadline: u64, repeat: &str| json!({"name": name, "onTimeMs": latency_objective, "deadlineMs": deadline, "gain": 1, "lateShare": 0.1, "repeat": repeat});
-    json!({"name": "tryout", "listen": listen.to_string(), "seed": "1",
+    json!({"name": "demo", "listen": listen.to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "bulletin": discovery.to_string(),
         "known": {"no": 0, "items": []},
         "settings": {"instances": 1, "myZone": 0, "zones": ["hall-a"], "kinds": ["std-4"], "discovery": "push",
@@ -65,7 +65,7 @@
     move |e| format!("{what}: {e}")
 }
 
-impl Tryout {
+impl Demo {
     /// Runs it, with a line of progress a second; the fates of all that was sent.
     pub fn run(&self, mut progress: impl Write) -> Result<Vec<Fate>, String> {
         let runs = Runs::default();
--- a/crates/standins/tests/tryout.rs
+++ b/crates/standins/tests/tryout.rs
@@ -2,8 +2,8 @@
 
 use emberflow_router::resp;
 use emberflow_standins::clients::How;
+use emberflow_standins::demo::{Demo, mixed, table};
 use emberflow_standins::engine::{Engine, Fault, Runs};
-use emberflow_standins::tryout::{Tryout, mixed, table};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -11,15 +11,9 @@
 #[test]
 fn everything_asked_is_answered_though_an_engine_is_lost() {
     for orders in [None, Some("{teams: {list: [{name: 'audit'}, {name: 'posting'}]}}".to_owned())] {
-        let tryout = Tryout {
-            lasts: Duration::from_secs(2),
-            seed: 1,
-            engines: 2,
-            orders,
-            clients: mixed,
-            loses: true,
-        };
-        let fates = tryout.run(std::io::sink()).expect("it runs");
+        let demo =
+            Demo { lasts: Duration::from_secs(2), seed: 1, engines: 2, orders, clients: mixed, loses: true };
+        let fates = demo.run(std::io::sink()).expect("it runs");
         let count = |how| fates.iter().filter(|fate| fate.how == how).count();
         assert_eq!((count(How::Unanswered), count(How::Refused)), (0, 0), "{}", table(&fates));
         assert!(count(How::Succeeded) > 20, "{}", table(&fates));
