--- a/crates/explorer/src/mutants.rs
+++ b/crates/explorer/src/mutants.rs
@@ -66,7 +66,7 @@
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void]",
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Broken]",
     ),
-    logic("key order ignored", "line.requests.front() == Some(&id) && line.rest", "line.rest"),
+    logic("key order ignored", "key_queue.requests.front() == Some(&id) && key_queue.rest", "key_queue.rest"),
     logic("key rest ignored", "by == id || until <= now", "by == id || until > Duration::ZERO"),
     logic(
         "key rest after breaks forgotten",
--- a/crates/standins/src/tryout.rs
+++ b/crates/standins/src/demo.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{Discovery, Row};
 use crate::engine::{Engine, Runs};
 use emberflow_router::bootstrap::Bootstrap;
-use emberflow_router::edge::Edge;
+use emberflow_router::event_loop::RouterLoop;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
                 }
                 Ok(bootstrap)
             };
-            if let Err(error) = Edge::run(read) {
+            if let Err(error) = RouterLoop::run(read) {
                 eprintln!("the router: {error}");
             }
         });
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -2,8 +2,8 @@
 //! under a small load model and fail when told to, the discovery service, and clients that send mixed work.
 
 pub mod clients;
+pub mod demo;
 pub mod discovery;
 pub mod engine;
 pub mod load;
 pub mod skewed;
-pub mod demo;
