--- a/crates/standins/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,14 +1,14 @@
-//! `emberflow-standins demo`: a first try on loopback.
+//! `emberflow-emulator demo`: a first try on loopback.
 
-use emberflow_standins::demo::{Demo, mixed, table};
-use emberflow_standins::skewed;
+use emberflow_emulator::demo::{Demo, mixed, table};
+use emberflow_emulator::skewed;
 use lexopt::prelude::*;
 use std::process::ExitCode;
 use std::time::Duration;
 
 const USAGE: &str = "\
-usage: emberflow-standins demo [--seconds N] [--seed N] [--engines N] [--operator FILE]
-       emberflow-standins skewed [--seconds N] [--seed N]
+usage: emberflow-emulator demo [--seconds N] [--seed N] [--engines N] [--operator FILE]
+       emberflow-emulator skewed [--seconds N] [--seed N]
 starts stand-in engines, a bulletin and a router on loopback, sends the mixed work of three teams,
 loses an engine half-way, and prints what became of it (20 seconds, seed 1, 3 engines);
 skewed has one of four teams send ten times its share, without and with a file of teams, and compares";
@@ -57,7 +57,7 @@
 
 fn main() -> ExitCode {
     let refuse = |error: String, code| {
-        eprintln!("emberflow-standins: {error}\n{USAGE}");
+        eprintln!("emberflow-emulator: {error}\n{USAGE}");
         ExitCode::from(code)
     };
     match parse(lexopt::Parser::from_env()) {
--- a/crates/standins/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -1,9 +1,9 @@
 //! The first try, shortened: whatever is lost, everything that was asked has its one answer.
 
+use emberflow_emulator::clients::How;
+use emberflow_emulator::demo::{Demo, mixed, table};
+use emberflow_emulator::engine::{Engine, Fault, Runs};
 use emberflow_router::resp;
-use emberflow_standins::clients::How;
-use emberflow_standins::demo::{Demo, mixed, table};
-use emberflow_standins::engine::{Engine, Fault, Runs};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
--- a/crates/standins/tests/load.rs
+++ b/crates/emulator/tests/load.rs
@@ -1,6 +1,6 @@
 //! The load model of an engine.
 
-use emberflow_standins::load::Load;
+use emberflow_emulator::load::Load;
 use expect_test::expect;
 use std::time::Duration;
 
--- a/crates/explorer/src/main.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-fn main() -> std::process::ExitCode {
-    emberflow_explorer::command::run()
-}
--- a/crates/explorer/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 const USAGE: &str = "\
-usage: emberflow-explorer [WORLD ...]     walk the named worlds, or all, and tell the first broken law
-       emberflow-explorer worlds          list the worlds and the laws
-       emberflow-explorer mutants [NAME ...]
+usage: emberflow-model-checker [WORLD ...]     walk the named worlds, or all, and tell the first broken law
+       emberflow-model-checker worlds          list the worlds and the laws
+       emberflow-model-checker mutants [NAME ...]
                                           plant each fault in a copy and tell which law caught it
-       emberflow-explorer help
+       emberflow-model-checker help
 options of a walk: --short        only the worlds of the short set
                    --time S       stop after so many seconds (300)
                    --memory MB    stop when the process holds so much (8000)
@@ -60,7 +60,7 @@
 }
 
 fn refuse(error: &str) -> ExitCode {
-    eprintln!("emberflow-explorer: {error}\n{USAGE}");
+    eprintln!("emberflow-model-checker: {error}\n{USAGE}");
     ExitCode::from(2)
 }
 
--- /dev/null
+++ b/crates/model-checker/src/main.rs
@@ -0,0 +1,3 @@
+fn main() -> std::process::ExitCode {
+    emberflow_model_checker::command::run()
+}
--- a/crates/explorer/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -287,7 +287,7 @@
 /// Plants the named ones, or all; fails unless each is caught.
 pub fn run(names: &[String]) -> ExitCode {
     if let Some(name) = names.iter().find(|name| MUTANTS.iter().all(|mutant| mutant.name != name.as_str())) {
-        eprintln!("emberflow-explorer: no mutant `{name}`; there are:");
+        eprintln!("emberflow-model-checker: no mutant `{name}`; there are:");
         MUTANTS.iter().for_each(|mutant| eprintln!("  {}", mutant.name));
         return ExitCode::from(2);
     }
@@ -330,7 +330,7 @@
     std::fs::write(&file, edited(&text, mutant)?).map_err(|e| fault(mutant.file, e))?;
     let begun = Instant::now();
     let built = Command::new("cargo")
-        .args(["build", "--release", "--offline", "--quiet", "--package", "emberflow-explorer"])
+        .args(["build", "--release", "--offline", "--quiet", "--package", "emberflow-model-checker"])
         .env("CARGO_TARGET_DIR", root.join("target/mutants/built"))
         .current_dir(&copy)
         .output()
@@ -339,7 +339,7 @@
         return Err(format!("it does not build: {}", String::from_utf8_lossy(&built.stderr)));
     }
     let (took, begun) = (begun.elapsed().as_secs_f64(), Instant::now());
-    let program = root.join("target/mutants/built/release/emberflow-explorer");
+    let program = root.join("target/mutants/built/release/emberflow-model-checker");
     let walk =
         |options: &[&str]| Command::new(&program).args(options).output().map_err(|e| fault("the walk", e));
     // Most are caught close to where they stand; all worlds are for those that are not.
--- a/crates/explorer/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -1,8 +1,8 @@
 //! The short set of worlds, walked whole, and what the walk itself must do: find, stop and tell.
 
-use emberflow_explorer::mutants::{MUTANTS, edited};
-use emberflow_explorer::search::{Bounds, Covered, Walk, walk};
-use emberflow_explorer::walks::entries;
+use emberflow_model_checker::mutants::{MUTANTS, edited};
+use emberflow_model_checker::search::{Bounds, Covered, Walk, walk};
+use emberflow_model_checker::walks::entries;
 use expect_test::expect;
 use std::process::Command;
 use std::time::Duration;
@@ -213,8 +213,10 @@
 #[test]
 fn bad_words_end_with_2_and_an_unfinished_walk_with_3() {
     let run = |words: &[&str]| {
-        let done =
-            Command::new(env!("CARGO_BIN_EXE_emberflow-explorer")).args(words).output().expect("it runs");
+        let done = Command::new(env!("CARGO_BIN_EXE_emberflow-model-checker"))
+            .args(words)
+            .output()
+            .expect("it runs");
         done.status.code().unwrap_or(-1)
     };
     let codes = [
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -3,7 +3,7 @@
 use crate::discovery::{Event, known};
 use emberflow::{AttemptLimits, Fleet, RequestClass};
 use emberflow_operator::Orders;
-use emberflow_startup::{
+use emberflow_settings::{
     Fault, Fields, attempt_limits, fleet, marks_retries, request_classes, unknown_reports,
 };
 use serde_json::Value;
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,7 +1,7 @@
 //! The one clock: spans since a while before the start, so that what was told to have happened in that while
 //! has a time as well.
 
-use emberflow_startup::to_ms;
+use emberflow_settings::to_ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 pub struct Clock {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::counters::Counters;
 use crate::ring::Ring;
-use emberflow_startup::{Fault, Fields};
+use emberflow_settings::{Fault, Fields};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -10,7 +10,7 @@
 use emberflow::{
     AttemptEnded, AttemptOutcome, Endpoint, EngineId, LoadReport, ProgressNote, RequestId, Usage,
 };
-use emberflow_startup::{from_ms, load};
+use emberflow_settings::{from_ms, load};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -3,7 +3,7 @@
 use crate::clock::whole_ms;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use emberflow_startup::Fields;
+use emberflow_settings::Fields;
 use emberflow_teams::Wait;
 use serde_json::{Value, json};
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -16,7 +16,7 @@
 use emberflow::{Actions, Arrival, AttemptEnded, Fingerprint, KeyId, RequestId, Scheduler};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
-use emberflow_startup::{Fields, from_ms};
+use emberflow_settings::{Fields, from_ms};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Read;
 use std::time::Duration;
--- a/crates/startup/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that contradict each other, name what is not known, or lack what a rule needs.
 
-use emberflow_startup::{
+use emberflow_settings::{
     Fields, attempt_limits, fleet, marks_retries, reported, request_classes, unknown_reports,
 };
 use expect_test::expect;
--- a/crates/wirehost/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,7 +4,7 @@
     Actions, Arrival, AttemptEnded, AttemptOutcome, Endpoint, EngineId, KeyId, LoadReport, ProgressNote,
     RequestId, Scheduler, Usage,
 };
-use emberflow_startup::{
+use emberflow_settings::{
     Fault, Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
 };
 use serde_json::{Value, json};
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 
 mod instance;
 
-use emberflow_startup::{Fault, Fields, unknown_reports};
+use emberflow_settings::{Fault, Fields, unknown_reports};
 use instance::Instance;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, Write};
@@ -52,7 +52,7 @@
         if op == "NEW_INSTANCE" {
             for unread in unknown_reports(line.part("params")?)? {
                 if self.told.insert(unread.clone()) {
-                    eprintln!("emberflow-wirehost: {unread}, so it goes unread");
+                    eprintln!("emberflow-simulator-adapter: {unread}, so it goes unread");
                 }
             }
         }
@@ -106,12 +106,12 @@
             Err(error) => Err(format!("input: {error}")),
         };
         if let Err(fault) = done {
-            eprintln!("emberflow-wirehost: line {}: {fault}", number + 1);
+            eprintln!("emberflow-simulator-adapter: line {}: {fault}", number + 1);
             return ExitCode::FAILURE;
         }
     }
     if host.batch.is_some() {
-        eprintln!("emberflow-wirehost: input ended inside a batch");
+        eprintln!("emberflow-simulator-adapter: input ended inside a batch");
         return ExitCode::FAILURE;
     }
     ExitCode::SUCCESS
--- a/crates/wirehost/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -135,7 +135,7 @@
 
 impl<'a> Day<'a> {
     fn new(seed: u64, witness: &'a mut Witness) -> Self {
-        let host = Command::new(env!("CARGO_BIN_EXE_emberflow-wirehost"))
+        let host = Command::new(env!("CARGO_BIN_EXE_emberflow-simulator-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
--- a/crates/wirehost/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Stdio};
 
 fn run(input: &str) -> String {
-    let host = Command::new(env!("CARGO_BIN_EXE_emberflow-wirehost"))
+    let host = Command::new(env!("CARGO_BIN_EXE_emberflow-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -72,17 +72,17 @@
     ];
     let said: String = bad.into_iter().map(day).collect();
     expect![[r#"
-        emberflow-wirehost: line 5: malformed JSON: key must be a string at line 1 column 2
+        emberflow-simulator-adapter: line 5: malformed JSON: key must be a string at line 1 column 2
         ended well: false
-        emberflow-wirehost: line 5: unknown `op` DANCE
+        emberflow-simulator-adapter: line 5: unknown `op` DANCE
         ended well: false
-        emberflow-wirehost: line 5: `qos` is missing
+        emberflow-simulator-adapter: line 5: `qos` is missing
         ended well: false
-        emberflow-wirehost: line 5: event for the unknown instance 4
+        emberflow-simulator-adapter: line 5: event for the unknown instance 4
         ended well: false
-        emberflow-wirehost: line 5: `who` is missing
+        emberflow-simulator-adapter: line 5: `who` is missing
         ended well: false
-        emberflow-wirehost: line 5: unknown `result` maybe
+        emberflow-simulator-adapter: line 5: unknown `result` maybe
         ended well: false
     "#]]
     .assert_eq(&said);
@@ -100,7 +100,7 @@
 #[test]
 fn input_that_ends_inside_a_batch_is_an_error() {
     expect![[r#"
-        emberflow-wirehost: input ended inside a batch
+        emberflow-simulator-adapter: input ended inside a batch
         ended well: false
     "#]]
     .assert_eq(&run("{\"op\":\"BEGIN_BATCH\",\"atTimeMs\":1,\"frame\":1}\n"));
@@ -117,15 +117,15 @@
     ];
     let said: String = changes.map(|(from, to)| started(&[PARAMS.replace(from, to)])).concat();
     expect![[r#"
-        emberflow-wirehost: line 2: `params.rules.fallMs` is missing
+        emberflow-simulator-adapter: line 2: `params.rules.fallMs` is missing
         ended well: false
-        emberflow-wirehost: line 2: `params.categories[0].keyScope` is unknown: galaxy
+        emberflow-simulator-adapter: line 2: `params.categories[0].keyScope` is unknown: galaxy
         ended well: false
-        emberflow-wirehost: line 2: `params.domain.sizeMb` has 2 rows, not 1, one a kind
+        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` has 2 rows, not 1, one a kind
         ended well: false
-        emberflow-wirehost: line 2: `params.report.names[1]` is not text
+        emberflow-simulator-adapter: line 2: `params.report.names[1]` is not text
         ended well: false
-        emberflow-wirehost: line 2: `params.tickMs` is not a time in milliseconds above 0
+        emberflow-simulator-adapter: line 2: `params.tickMs` is not a time in milliseconds above 0
         ended well: false
     "#]]
     .assert_eq(&said);
@@ -136,7 +136,7 @@
     let params = PARAMS.replace(r#""how":"none","names":[]"#, r#""how":"answers","names":["q","moon"]"#);
     expect![[r#"
         {"frame":1,"op":"READY"}
-        emberflow-wirehost: `params.report.names[1]` is unknown: moon, so it goes unread
+        emberflow-simulator-adapter: `params.report.names[1]` is unknown: moon, so it goes unread
         ended well: true
     "#]]
     .assert_eq(&started(&[params.clone(), params]));
