--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -21,7 +21,7 @@
 const CLIENTS: &str = "crates/router/src/clients.rs";
 const QUEUES: &str = "crates/teams/src/queues.rs";
 const ORDER: &str = "crates/teams/src/order.rs";
-const DISCOVERY: &str = "crates/router/src/discovery service.rs";
+const DISCOVERY: &str = "crates/router/src/discovery.rs";
 const ENGINES: &str = "crates/router/src/engine_pool.rs";
 
 const fn engines(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
@@ -66,7 +66,11 @@
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void]",
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Broken]",
     ),
-    logic("key order ignored", "key_queue.requests.front() == Some(&id) && key_queue.rest", "key_queue.rest"),
+    logic(
+        "key order ignored",
+        "key_queue.requests.front() == Some(&id)\n            && key_queue.rest",
+        "key_queue.rest",
+    ),
     logic("key rest ignored", "by == id || until <= now", "by == id || until > Duration::ZERO"),
     logic(
         "key rest after breaks forgotten",
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -93,7 +93,7 @@
         fleet.routers,
         fleet.kinds.len()
     );
-    println!("{} class types: {}", classes.len(), config.classes.join(", "));
+    println!("{} request classes: {}", classes.len(), config.classes.join(", "));
     unread.iter().for_each(|unread| println!("{unread}, so it goes unread"));
     if let Some(roll) = orders.teams {
         let part = |(at, name): (usize, &String)| format!("{name} {:.1} %", roll.charter.part(at) * 100.0);
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -104,7 +104,7 @@
 impl Actions for Dispatcher {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let Some(row) = self.requests.get_mut(request) else {
-            return self.context.counters.must(false, "a_attempt_of_an_answered_request");
+            return self.context.counters.must(false, "an_attempt_of_an_answered_request");
         };
         let call = Call {
             request,
