--- a/crates/emulator/src/demo.rs
+++ b/crates/emulator/src/demo.rs
@@ -88,7 +88,7 @@
             let read = move || {
                 let mut bootstrap = Bootstrap::read(&file, None)?;
                 if let Some(orders) = &orders {
-                    bootstrap.order(orders)?;
+                    bootstrap.read_operator_file(orders)?;
                 }
                 Ok(bootstrap)
             };
--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -6,7 +6,7 @@
 use crate::witness;
 use emberflow::{AttemptOutcome, EngineId, RequestId};
 use emberflow_router::context::Context;
-use emberflow_router::discovery::Row;
+use emberflow_router::discovery::{EndpointRecord, EndpointState};
 use emberflow_router::engine_pool::{Ask, Call, EnginePool, News};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
@@ -274,9 +274,9 @@
     format!("request {request}\thop {number}\tpage {page}\n")
 }
 
-fn row(id: u32, ready: bool, gone: bool, up_since_ms: u64) -> Row {
+fn row(id: u32, state: EndpointState, up_since_ms: u64) -> EndpointRecord {
     let address = ([127, 0, 0, 1], 9).into();
-    Row { id, address, ready, gone, location: 0, kind: 0, cell: 0, up_since_ms }
+    EndpointRecord { id, address, state, location: 0, kind: 0, cell: 0, up_since_ms }
 }
 
 impl Scene {
@@ -284,7 +284,7 @@
         let now = Duration::from_secs(20);
         let mut context = Context { now, ..Context::default() };
         let mut engines = EnginePool::new(world.streams, COMES_UP, IDLE, world.most_connections);
-        let engine = engines.listed(&row(7, true, false, 0), &mut context).engine;
+        let engine = engines.listed(&row(7, EndpointState::Ready, 0), &mut context).engine;
         let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
         Self {
@@ -593,18 +593,18 @@
             Step::List { what } => {
                 next.listed = true;
                 let anew = (next.now + Duration::from_millis(1)).as_millis() as u64;
-                let (id, ready, gone, since) = match what {
-                    Told::Drains => (7, false, false, 0),
-                    Told::Anew => (7, true, false, anew),
-                    Told::Gone | Told::Replaced => (7, false, true, 0),
+                let (state, since) = match what {
+                    Told::Drains => (EndpointState::Draining, 0),
+                    Told::Anew => (EndpointState::Ready, anew),
+                    Told::Gone | Told::Replaced => (EndpointState::Gone, 0),
                 };
-                next.ready = ready;
-                next.engines.listed(&row(id, ready, gone, since), &mut next.context);
-                if gone {
+                next.ready = state == EndpointState::Ready;
+                next.engines.listed(&row(7, state, since), &mut next.context);
+                if state == EndpointState::Gone {
                     next.engines.forget(next.engine, &mut next.context);
                 }
                 if what == Told::Replaced {
-                    let fresh = next.engines.listed(&row(8, true, false, anew), &mut next.context);
+                    let fresh = next.engines.listed(&row(8, EndpointState::Ready, anew), &mut next.context);
                     (next.engine, next.ready) = (fresh.engine, true);
                 }
             }
@@ -618,8 +618,8 @@
                     match due {
                         Timer::Attempt(slot) => engines.overdue(slot, context),
                         Timer::Connection(slot) => engines.connection_overdue(slot, next.now, context),
-                        Timer::Whole(slot) => engines.not_whole(slot, context),
-                        Timer::Idle(slot) => engines.connection_idle(slot, context),
+                        Timer::AnswerComplete(slot) => engines.not_whole(slot, context),
+                        Timer::ConnectionIdle(slot) => engines.connection_idle(slot, context),
                         _ => {}
                     }
                 }
--- a/crates/model-checker/src/house.rs
+++ b/crates/model-checker/src/house.rs
@@ -6,10 +6,10 @@
 use crate::witness;
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
-use emberflow_router::discovery::Row;
+use emberflow_router::discovery::{EndpointEvent, EndpointRecord, EndpointState, EventScope};
 use emberflow_router::engine_pool::Ask;
 use emberflow_router::resp;
-use emberflow_router::server::Server;
+use emberflow_router::server::{ClosedClient, Server};
 use emberflow_router::slots::Slot;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -264,7 +264,9 @@
         + dispatcher.context.timers.len()
         + dispatcher.clients.table.len()
         + home.far.len();
-    matches!(act, Act::Rests) && !home.server.left && (held_counts > 0 || !dispatcher.requests.is_empty())
+    matches!(act, Act::Rests)
+        && !home.server.has_stopped()
+        && (held_counts > 0 || !dispatcher.requests.is_empty())
 }
 
 fn req(number: u64) -> String {
@@ -277,7 +279,8 @@
         let file: Value = serde_json::from_str(CONFIGURATION).expect("the world's configuration is JSON");
         let bootstrap = Bootstrap::read(&file, None).expect("the world's configuration makes sense");
         let mut server = Server::new(bootstrap, Context { now, ..Context::default() });
-        server.listed(true, &Self::rows(world, true));
+        let endpoints = Self::rows(world, true);
+        server.endpoints_changed(&EndpointEvent { scope: EventScope::Snapshot, endpoints });
         let mut home = Self {
             now,
             server,
@@ -292,7 +295,7 @@
             broken: None,
         };
         for _ in world.lines {
-            let slot = home.server.admit();
+            let slot = home.server.accept_client();
             let room = world.slow.then_some(FEW);
             let (begun, rest) = (Vec::new(), None);
             home.seats.push(Seat { slot, here: true, shut: false, said: 0, room, begun, rest });
@@ -301,12 +304,11 @@
     }
 
     /// All engines; the first may drain.
-    fn rows(world: &House, ready: bool) -> Vec<Row> {
-        let row = |id: u32| Row {
+    fn rows(world: &House, ready: bool) -> Vec<EndpointRecord> {
+        let row = |id: u32| EndpointRecord {
             id,
             address: ([127, 0, 0, 1], 9 + id as u16).into(),
-            ready: ready || id > 0,
-            gone: false,
+            state: if ready || id > 0 { EndpointState::Ready } else { EndpointState::Draining },
             location: 0,
             kind: 0,
             cell: 0,
@@ -342,7 +344,7 @@
     /// Whether an answer is still owed; one that its client has not read to the end is its own affair.
     fn open(&self, asked: &Asked) -> bool {
         let seat = &self.seats[asked.client];
-        let unread = seat.room.is_some() && !self.server.owes(seat.slot, asked.id);
+        let unread = seat.room.is_some() && !self.server.has_open_request(seat.slot, asked.id);
         asked.answers == 0 && !asked.withdrawn && seat.here && !unread
     }
 
@@ -362,7 +364,7 @@
                 format!(r#"{{"jsonrpc":"2.0","method":"withdraw","params":{{"req":"{}"}}}}"#, req(number))
             }
             Line::Nonsense => "{".to_owned(),
-            Line::Endless => " ".repeat(self.server.dispatcher.config.most_bytes()),
+            Line::Endless => " ".repeat(self.server.dispatcher.config.max_line_bytes()),
         }
         .into_bytes();
         if !matches!(world.lines[client][line], Line::Endless) {
@@ -397,8 +399,8 @@
     fn hear(&mut self, client: usize, mut came: Came) {
         let slot = self.seats[client].slot;
         let now = self.server.dispatcher.context.now();
-        self.server.peek(now, [(slot, &mut came)]);
-        while self.server.hear(slot, now, &mut came, || false) {}
+        self.server.scan_clients(now, [(slot, &mut came)]);
+        while self.server.read_client_line(slot, now, &mut came, || false) {}
     }
 
     fn answer(&mut self, connection: Slot, call: usize, word: &str, body: &str) {
@@ -417,7 +419,7 @@
     /// Does what the server asks for, as the edge would, and holds what clients and engines see against the laws.
     fn pump(&mut self, actor: Option<usize>) {
         loop {
-            self.server.tell();
+            self.server.process_events();
             let mut quiet = true;
             while let Some(ask) = self.server.dispatcher.engines.asks.pop_front() {
                 quiet = false;
@@ -434,7 +436,7 @@
                 quiet = false;
                 self.reads(slot);
             }
-            for (slot, mut last) in std::mem::take(&mut self.server.closed) {
+            for ClosedClient { slot, output: mut last } in std::mem::take(&mut self.server.closed_clients) {
                 quiet = false;
                 let mut words = Vec::new();
                 last.drain(&mut words).expect("a client that reads");
@@ -517,7 +519,7 @@
     }
 
     fn moves(&self, home: &Home, moves: &mut Vec<Step>) {
-        if home.broken.is_some() || home.server.left {
+        if home.broken.is_some() || home.server.has_stopped() {
             return;
         }
         for (client, seat) in home.seats.iter().enumerate().filter(|(_, seat)| seat.here && !seat.shut) {
@@ -620,11 +622,12 @@
             }
             Step::Drain => {
                 next.drained = true;
-                next.server.listed(false, &Home::rows(self, false)[..1]);
+                let endpoints = Home::rows(self, false).into_iter().take(1).collect();
+                next.server.endpoints_changed(&EndpointEvent { scope: EventScope::Changes, endpoints });
             }
             Step::Terminate => {
                 next.terminated = true;
-                next.server.close();
+                next.server.begin_shutdown();
             }
             Step::Pass => {
                 let to = next.server.context().timers.first().map_or(next.now, |at| at.max(next.now));
@@ -632,13 +635,13 @@
                 next.now = to;
                 next.server.context().now = to;
                 while let Some(due) = next.server.context().timers.pop(to) {
-                    next.server.due(due);
+                    next.server.timer_expired(due);
                     next.pump(None);
                 }
             }
         }
         next.pump(actor);
-        next.server.clear();
+        next.server.close_finished_clients();
         next.pump(actor);
         next
     }
@@ -664,7 +667,7 @@
                 home.far.keys().position(|connection| *connection == call.connection).filter(|_| !call.ended);
             (call.req, call.asked, call.ended, call.ran, place).hash(&mut into);
         }
-        (home.faults, home.drained, home.terminated, home.server.left, home.broken).hash(&mut into);
+        (home.faults, home.drained, home.terminated, home.server.has_stopped(), home.broken).hash(&mut into);
         into.finish()
     }
 
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -16,8 +16,10 @@
 const LOGIC: &str = "src/logic.rs";
 const STATE: &str = "src/state.rs";
 
-const FLOOR: &str = "crates/router/src/dispatch.rs";
-const FRONT: &str = "crates/router/src/server.rs";
+const DISPATCH: &str = "crates/router/src/dispatch.rs";
+const REQUEST_TABLE: &str = "crates/router/src/request_table.rs";
+const SERVER_CLIENTS: &str = "crates/router/src/server/clients.rs";
+const SERVER_SHUTDOWN: &str = "crates/router/src/server/shutdown.rs";
 const CLIENTS: &str = "crates/router/src/clients.rs";
 const QUEUES: &str = "crates/teams/src/queues.rs";
 const ORDER: &str = "crates/teams/src/order.rs";
@@ -157,7 +159,7 @@
     ),
     engines(
         "idle connections are held_counts",
-        "context.timers.set(if connection.retired { now } else { idle }, Timer::Idle(at));",
+        "context.timers.set(if connection.retired { now } else { idle }, Timer::ConnectionIdle(at));",
         "",
     ),
     engines(
@@ -182,49 +184,49 @@
     ),
     Mutant {
         name: "an answered request goes on",
-        file: FLOOR,
+        file: DISPATCH,
         from: "            self.engines.cancel(*attempt, &mut self.context);\n        }\n        Some(request)",
         to: "            let _ = attempt;\n        }\n        Some(request)",
     },
     Mutant {
         name: "an open request is taken again",
-        file: FLOOR,
-        from: "self.reqs.contains(req)",
-        to: "self.reqs.contains(req) && req.is_empty()",
+        file: REQUEST_TABLE,
+        from: "self.names.contains(name)",
+        to: "self.names.contains(name) && name.is_empty()",
     },
     Mutant {
         name: "a client that left is still waited for",
-        file: FRONT,
+        file: SERVER_CLIENTS,
         from: "        client.open.into_values().collect()",
         to: "        drop(client.open);\n        Vec::new()",
     },
     Mutant {
         name: "a withdrawal that is not told",
-        file: FRONT,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);\n",
-        to: "        self.scheduler.clients_left(now, &[], &left, &mut self.dispatcher);\n",
+        file: SERVER_CLIENTS,
+        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
+        to: "        self.scheduler.clients_left(now, &[], &accepted, &mut self.dispatcher);\n",
     },
     Mutant {
         name: "a client that ended its side is sent for",
-        file: FRONT,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);\n",
+        file: SERVER_CLIENTS,
+        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.dispatcher);\n",
     },
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
-        file: FRONT,
-        from: "                .for_each(|attempt| self.dispatcher.engines.keep_back(attempt, &mut self.dispatcher.context));\n",
-        to: "                .for_each(drop);\n",
+        file: SERVER_CLIENTS,
+        from: "                engines.keep_back(*attempt, context);\n",
+        to: "                let _ = (attempt, &engines, &context);\n",
     },
     Mutant {
         name: "the module hears of no end",
-        file: FRONT,
-        from: "        self.scheduler.shutting_down(now, by, &mut self.dispatcher);\n",
+        file: SERVER_SHUTDOWN,
+        from: "        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);\n",
         to: "",
     },
     Mutant {
         name: "leaves with requests open",
-        file: FRONT,
+        file: SERVER_SHUTDOWN,
         from: "        requests.is_empty() && clients",
         to: "        let _ = requests;\n        clients",
     },
@@ -246,15 +248,19 @@
         from: "(client.scanned, client.active, client.heard) = (0, now, true);",
         to: "(client.active, client.heard) = (now, true);",
     },
-    discovery("a change taken after a gap", "*number != self.last + 1", "*number == u64::MAX"),
-    discovery("an event taken twice", "if *number <= self.last =>", "if *number < self.last =>"),
-    discovery("a lost event not noticed", "if *number > self.last =>", "if *number == u64::MAX =>"),
-    discovery("an unknown kind listed", "row.kind >= self.kinds", "row.kind > self.kinds"),
-    discovery("the last event forgotten", "self.last = frame.0;", ""),
+    discovery("a change taken after a gap", "number != last + 1", "number == u64::MAX"),
+    discovery("an event taken twice", "if number <= last =>", "if number < last =>"),
+    discovery("a lost event not noticed", "if number > last =>", "if number == u64::MAX =>"),
+    discovery(
+        "an unknown kind listed",
+        "endpoint.kind >= self.kind_count",
+        "endpoint.kind > self.kind_count",
+    ),
+    discovery("the last event forgotten", "self.last_event = number;", ""),
     discovery(
         "half a frame held_counts over a new connection",
-        "Self { input: Ring::default(), greeted: false, ..*self }",
-        "Self { input: self.input.clone(), greeted: false, ..*self }",
+        "Self { input: Ring::default(), subscribed: false, ..*self }",
+        "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
         name: "urgency does not count",
--- a/crates/model-checker/src/paper.rs
+++ b/crates/model-checker/src/paper.rs
@@ -4,7 +4,7 @@
 use crate::search::Walk;
 use crate::witness;
 use emberflow_router::counters::Counters;
-use emberflow_router::discovery::{Discovery, Row};
+use emberflow_router::discovery::{Discovery, EndpointRecord, EventScope};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -129,7 +129,7 @@
 
 impl Desk {
     fn taken(&self) -> u64 {
-        self.reader.last
+        self.reader.last_event
     }
 
     fn judge(&mut self, act: &Act) {
@@ -155,12 +155,15 @@
         loop {
             // What it believes before it has read is what the laws compare with.
             let mut ahead = self.reader.clone();
-            match ahead.take(&mut Counters::default()) {
+            match ahead.next_frame(&mut Counters::default()) {
                 Ok(None) => return,
-                Ok(Some((number, rows))) => {
-                    let plain = |row: &Row| (row.id, row.ready);
-                    let rows = rows.map(|(whole, rows)| (whole, rows.iter().map(plain).collect::<Vec<_>>()));
-                    self.judge(&Act::Takes { number, rows: rows.clone() });
+                Ok(Some(frame)) => {
+                    let plain = |endpoint: &EndpointRecord| (endpoint.id, endpoint.is_ready());
+                    let rows = frame.event.map(|event| {
+                        let rows: Vec<_> = event.endpoints.iter().map(plain).collect();
+                        (event.scope == EventScope::Snapshot, rows)
+                    });
+                    self.judge(&Act::Takes { number: frame.number, rows: rows.clone() });
                     if let Some((whole, rows)) = rows {
                         if whole {
                             self.held.clear();
@@ -185,7 +188,7 @@
 
     fn start(&self) -> Desk {
         Desk {
-            reader: Discovery::after(0, 1, 1),
+            reader: Discovery::resume_after(0, 1, 1),
             held: list(0),
             last: 0,
             told: 0,
@@ -260,8 +263,8 @@
             }
             Step::Break => {
                 next.breaks += u8::from(!next.lost);
-                (next.lost, next.reader) = (false, next.reader.anew());
-                (next.told, next.rest) = (next.reader.last, Vec::new());
+                (next.lost, next.reader) = (false, next.reader.for_new_connection());
+                (next.told, next.rest) = (next.reader.last_event, Vec::new());
             }
         }
         next
@@ -269,7 +272,7 @@
 
     fn fingerprint(&self, desk: &Desk) -> u64 {
         let mut into = DefaultHasher::new();
-        (desk.reader.input.len(), desk.reader.last, &desk.held, desk.last, desk.told).hash(&mut into);
+        (desk.reader.input.len(), desk.reader.last_event, &desk.held, desk.last, desk.told).hash(&mut into);
         (&desk.rest, desk.lost, desk.faults, desk.breaks, desk.broken).hash(&mut into);
         into.finish()
     }
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -143,9 +143,9 @@
     #[test]
     fn frames_split_anywhere_tell_the_same(bytes in frames(), at in any::<usize>()) {
         let parse = |bytes: &[u8]| {
-            let parsed = discovery::parse(bytes)?;
-            let rows = |event: &Option<discovery::Event>| event.as_ref().map(|(whole, rows)| (*whole, rows.len()));
-            Ok(parsed.map(|((number, event), length)| ((number, rows(&event)), length)))
+            let parsed = discovery::parse_frame(bytes).map_err(|error| error.to_string())?;
+            let endpoints = |event: discovery::EndpointEvent| (event.scope, event.endpoints.len());
+            Ok(parsed.map(|(frame, length)| ((frame.number, frame.event.map(endpoints)), length)))
         };
         let (server, back) = bytes.split_at(at % (bytes.len() + 1));
         prop_assert_eq!(told(&[&bytes], parse), told(&[server, back], parse));
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -1,175 +1,218 @@
-//! The queue before the decisions, where an operator has told teams: what waits there is taken and owed an answer,
-//! and not yet accepted. Whose turn it is and what a wait will be is decided by `emberflow-teams`.
+//! The queue in front of the scheduler, where the operator has configured teams: requests that wait in it are open
+//! and not yet accepted. Whose turn it is and how long a request will wait is decided by `emberflow-teams`.
 
+use crate::dispatch::{Completion, RequestOutcome};
 use emberflow::{Arrival, Capacity, RequestId};
 use emberflow_operator::Roll;
 use emberflow_teams::{Asking, Outcome, Queues, Refusal, Wait};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What falls due for a request that waits: it is handed on whatever its turn, or told of its wait.
+/// What is due for a queued request at a time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Call {
-    HandOn,
-    Tell,
+enum Due {
+    /// It is passed to the scheduler whatever its turn.
+    Dispatch,
+    /// Its client is notified of its wait.
+    WaitNotice,
 }
 
+/// A request in the queue.
 #[derive(Clone)]
-struct Waiting {
+struct QueuedRequest {
     arrival: Arrival,
-    since: Duration,
-    /// When it is handed on at the latest.
-    by: Duration,
-    /// When it is told of its wait next, if it asked for that.
-    told: Option<Duration>,
+    arrived_at: Duration,
+    /// When it is passed to the scheduler at the latest.
+    dispatch_by: Duration,
+    /// When its client is notified of its wait next, if it wants to be.
+    next_notice: Option<Duration>,
 }
 
-impl Waiting {
-    /// As it stands now.
+impl QueuedRequest {
+    /// The request as the scheduler is given it now.
     fn arrival(&self, now: Duration) -> Arrival {
-        Arrival { waited: now.saturating_sub(self.since), ..self.arrival.clone() }
+        Arrival { waited: now.saturating_sub(self.arrived_at), ..self.arrival.clone() }
     }
 }
 
-#[derive(Clone)]
-pub struct AdmissionQueue {
-    pub roll: Roll,
-    queues: Queues,
-    waiting: BTreeMap<RequestId, Waiting>,
-    due: BTreeSet<(Duration, Call, RequestId)>,
-    /// What the request's attempt came to, until it is settled.
-    usages: BTreeMap<RequestId, Duration>,
-}
-
-/// A request that knocks, beside what the decisions are told of it.
+/// What admission goes by for a request, beside what the scheduler is given.
 pub struct Admission {
     pub team: usize,
     pub urgency: u8,
-    /// What makes it the same request as another, and what its order goes by.
+    /// The same for a request and its retries.
     pub identity: u64,
+    /// Requests of one key are passed on in the order in which they came.
     pub key: Option<u64>,
+    /// Expected time on one core.
     pub work: Duration,
     pub latency_objective: Duration,
-    /// It is handed on that long before its deadline ends.
+    /// How long before the end of its deadline it is passed on at the latest.
     pub margin: Duration,
-    pub asks_to_be_told: bool,
+    pub wants_wait_notices: bool,
+}
+
+/// An estimate of how long a request will still be queued, for its client.
+pub struct WaitNotice {
+    pub request: RequestId,
+    pub wait: Wait,
+}
+
+/// The requests that wait for their team's turn.
+#[derive(Clone)]
+pub struct AdmissionQueue {
+    pub teams: Roll,
+    queues: Queues,
+    queued: BTreeMap<RequestId, QueuedRequest>,
+    due: BTreeSet<(Duration, Due, RequestId)>,
+    /// What requests that were passed on have cost, until they are closed.
+    costs: BTreeMap<RequestId, Duration>,
 }
 
 impl AdmissionQueue {
-    pub fn new(roll: Roll, now: Duration) -> Self {
-        let queues = Queues::new(roll.charter.clone(), now);
-        let (waiting, due, usages) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
-        Self { roll, queues, waiting, due, usages }
+    /// An empty queue, each team's budget full.
+    pub fn new(teams: Roll, now: Duration) -> Self {
+        Self {
+            queues: Queues::new(teams.charter.clone(), now),
+            teams,
+            queued: BTreeMap::new(),
+            due: BTreeSet::new(),
+            costs: BTreeMap::new(),
+        }
     }
 
-    /// Takes a request in, or tells after what time such a one would be taken.
+    /// Queues a request, or refuses it with the time after which it would be admitted.
     pub fn enqueue(&mut self, now: Duration, arrival: Arrival, admission: Admission) -> Result<(), Refusal> {
-        let Admission { team, urgency, identity, key, work, latency_objective, margin, asks_to_be_told } =
-            admission;
-        let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
-        let deadline = arrival.deadline.saturating_sub(arrival.waited);
-        let (class, identity) = (arrival.class as u16, Some(identity));
-        let asking =
-            Asking { request, team, urgency, class, work, latency_objective, deadline, identity, key };
-        self.queues.arrive(now, asking)?;
-        let by = now + deadline.saturating_sub(margin);
-        let told = (asks_to_be_told && self.roll.waits_field.is_some()).then_some(now);
-        self.due.insert((by, Call::HandOn, request));
-        self.due.extend(told.map(|at| (at, Call::Tell, request)));
-        self.waiting.insert(request, Waiting { arrival, since, by, told });
+        let request = arrival.request;
+        let remaining = arrival.deadline.saturating_sub(arrival.waited);
+        self.queues.arrive(
+            now,
+            Asking {
+                request,
+                team: admission.team,
+                urgency: admission.urgency,
+                class: arrival.class as u16,
+                work: admission.work,
+                latency_objective: admission.latency_objective,
+                deadline: remaining,
+                identity: Some(admission.identity),
+                key: admission.key,
+            },
+        )?;
+        let wants_notices = admission.wants_wait_notices && self.teams.waits_field.is_some();
+        let queued = QueuedRequest {
+            arrived_at: now.saturating_sub(arrival.waited),
+            arrival,
+            dispatch_by: now + remaining.saturating_sub(admission.margin),
+            next_notice: wants_notices.then_some(now),
+        };
+        self.due.insert((queued.dispatch_by, Due::Dispatch, request));
+        self.due.extend(queued.next_notice.map(|at| (at, Due::WaitNotice, request)));
+        self.queued.insert(request, queued);
         Ok(())
     }
 
-    /// The next request to be accepted: one whose time is nearly up, or one whose turn it is and that has room.
-    pub fn next<'a>(&mut self, now: Duration, capacity: impl FnOnce() -> Capacity<'a>) -> Option<Arrival> {
-        if self.waiting.is_empty() {
+    /// Takes out the next request for the scheduler: one whose time is nearly up, else the next by turn that there
+    /// is capacity for.
+    pub fn next_admissible<'a>(
+        &mut self,
+        now: Duration,
+        capacity: impl FnOnce() -> Capacity<'a>,
+    ) -> Option<Arrival> {
+        if self.queued.is_empty() {
             return None;
         }
         self.queues.pass(now);
-        let late =
-            self.due.iter().take_while(|(at, ..)| *at <= now).find(|(_, call, _)| *call == Call::HandOn);
-        // Guards the order of keys: those that came before it are handed on before it.
-        let late = late.map(|(.., request)| self.queues.first_of_key(*request));
-        let its_turn = || {
-            let mut capacity = capacity();
-            self.queues.next(|request| {
-                let waiting = self.waiting.get(&request);
-                waiting.is_some_and(|waiting| capacity.admits(&waiting.arrival(now)))
-            })
-        };
-        let request = late.or_else(its_turn)?;
-        self.hand(now, request)
+        let next = self.next_overdue(now).or_else(|| self.next_by_turn(now, capacity()))?;
+        self.release(now, next)
+    }
+
+    /// A request whose time is nearly up, or one of the same key that came before it and must be passed on first.
+    fn next_overdue(&self, now: Duration) -> Option<RequestId> {
+        let mut overdue = self.due.iter().take_while(|(at, ..)| *at <= now);
+        let (.., request) = overdue.find(|(_, due, _)| *due == Due::Dispatch)?;
+        Some(self.queues.first_of_key(*request))
+    }
+
+    fn next_by_turn(&self, now: Duration, mut capacity: Capacity) -> Option<RequestId> {
+        self.queues.next(|request| {
+            let queued = self.queued.get(&request);
+            queued.is_some_and(|queued| capacity.admits(&queued.arrival(now)))
+        })
     }
 
-    /// Any request that waits, the oldest first.
-    pub fn any(&mut self, now: Duration) -> Option<Arrival> {
-        self.hand(now, *self.waiting.keys().next()?)
+    /// Takes out the oldest request, whatever its turn.
+    pub fn take_oldest(&mut self, now: Duration) -> Option<Arrival> {
+        let oldest = *self.queued.keys().next()?;
+        self.release(now, oldest)
     }
 
-    fn hand(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
+    fn release(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
         self.queues.let_go(now, request);
-        self.forget(request).map(|waiting| waiting.arrival(now))
+        self.remove(request).map(|queued| queued.arrival(now))
     }
 
-    fn forget(&mut self, request: RequestId) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&request)?;
-        self.due.remove(&(waiting.by, Call::HandOn, request));
-        waiting.told.map(|at| self.due.remove(&(at, Call::Tell, request)));
-        Some(waiting)
+    fn remove(&mut self, request: RequestId) -> Option<QueuedRequest> {
+        let queued = self.queued.remove(&request)?;
+        self.due.remove(&(queued.dispatch_by, Due::Dispatch, request));
+        if let Some(at) = queued.next_notice {
+            self.due.remove(&(at, Due::WaitNotice, request));
+        }
+        Some(queued)
     }
 
-    /// What an answered request's attempt came to.
-    pub fn billed(&mut self, request: RequestId, work: Duration) {
-        self.usages.insert(request, work);
+    /// Notes what a request's successful attempt cost, until the request is closed.
+    pub fn record_cost(&mut self, request: RequestId, cost: Duration) {
+        self.costs.insert(request, cost);
     }
 
-    /// Whether a request waits here.
-    pub fn holds(&self, request: RequestId) -> bool {
-        self.waiting.contains_key(&request)
+    /// Whether a request is queued.
+    pub fn contains(&self, request: RequestId) -> bool {
+        self.queued.contains_key(&request)
     }
 
-    /// A request has had its final answer, or is owed none any more.
-    pub fn closed(&mut self, now: Duration, request: RequestId, how: &str) {
-        let usage = self.usages.remove(&request);
-        if self.forget(request).is_some() {
+    /// Settles a request that was answered or withdrawn: charges its team, or takes it out of the queue.
+    pub fn request_closed(&mut self, now: Duration, Completion { request, outcome }: Completion) {
+        let cost = self.costs.remove(&request);
+        if self.remove(request).is_some() {
             self.queues.leave(now, request);
             return;
         }
-        let outcome = match (how, usage) {
-            ("requests_succeeded", Some(work)) => Outcome::Billed(work),
-            ("requests_succeeded" | "requests_failed", _) => Outcome::Unknown,
-            _ => Outcome::Back,
+        let charge = match (outcome, cost) {
+            (RequestOutcome::Succeeded, Some(cost)) => Outcome::Billed(cost),
+            (RequestOutcome::Succeeded | RequestOutcome::Failed, _) => Outcome::Unknown,
+            (RequestOutcome::Rejected | RequestOutcome::Withdrawn, _) => Outcome::Back,
         };
-        self.queues.settle(now, request, outcome);
+        self.queues.settle(now, request, charge);
     }
 
-    /// Another roll: what waits moves with its team, by name.
-    pub fn change(&mut self, now: Duration, roll: Roll) {
-        self.queues.change(now, roll.charter.clone(), &self.roll.on(&roll));
-        self.roll = roll;
+    /// Replaces the teams; queued requests move to the team of the same name.
+    pub fn apply_teams(&mut self, now: Duration, teams: Roll) {
+        self.queues.change(now, teams.charter.clone(), &self.teams.on(&teams));
+        self.teams = teams;
     }
 
-    /// Requests that are to be told of their wait now, and those waits where anything can be said.
-    pub fn to_tell(&mut self, now: Duration) -> Vec<(RequestId, Wait)> {
-        let due = self.due.iter().take_while(|(at, ..)| *at <= now);
-        let due: Vec<_> = due.filter(|(_, call, _)| *call == Call::Tell).copied().collect();
-        let mut told = Vec::new();
-        for (at, call, request) in due {
-            self.due.remove(&(at, call, request));
-            // A roll that was read anew may have it that nobody is told any more.
-            let again = self.roll.waits_field.as_ref().map(|_| now + self.roll.told_every);
-            self.due.extend(again.map(|at| (at, Call::Tell, request)));
-            self.waiting.entry(request).and_modify(|waiting| waiting.told = again);
-            if again.is_none() {
-                continue;
-            }
-            told.extend(self.queues.wait(now, request).map(|wait| (request, wait)));
+    /// The notices that are due now, as far as there is an estimate; each is scheduled again.
+    pub fn take_wait_notices(&mut self, now: Duration) -> Vec<WaitNotice> {
+        let due_now = self.due.iter().take_while(|(at, ..)| *at <= now);
+        let notices = due_now.filter(|(_, due, _)| *due == Due::WaitNotice);
+        let due_requests: Vec<_> = notices.map(|(at, _, request)| (*at, *request)).collect();
+        // Teams that were reloaded may say that clients are not notified any more.
+        let next_notice = self.teams.waits_field.as_ref().map(|_| now + self.teams.told_every);
+        for (at, request) in &due_requests {
+            self.due.remove(&(*at, Due::WaitNotice, *request));
+            self.due.extend(next_notice.map(|at| (at, Due::WaitNotice, *request)));
+            self.queued.entry(*request).and_modify(|queued| queued.next_notice = next_notice);
+        }
+        if next_notice.is_none() {
+            return Vec::new();
         }
-        told
+        let notice = |(_, request)| Some(WaitNotice { request, wait: self.queues.wait(now, request)? });
+        due_requests.into_iter().filter_map(notice).collect()
     }
 
-    /// When something falls due here.
-    pub fn due(&self) -> Option<Duration> {
-        self.due.first().map(|(at, ..)| *at).into_iter().chain(self.queues.due()).min()
+    /// When something is due in the queue next.
+    pub fn next_deadline(&self) -> Option<Duration> {
+        let first_due = self.due.first().map(|(at, ..)| *at);
+        first_due.into_iter().chain(self.queues.due()).min()
     }
 }
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,33 +1,37 @@
-//! The one clock: spans since a while before the start, so that what was told to have happened in that while
-//! has a time as well.
+//! The router's clock. Its zero lies a while before the process started, so that what happened in that while has a
+//! time as well.
 
 use emberflow_settings::to_ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A monotonic clock; times are spans since its zero.
 pub struct Clock {
     started: Instant,
-    before: Duration,
-    /// Of the clock's zero, since the Unix epoch.
+    /// The time at the start.
+    started_at: Duration,
+    /// Its zero, as a span since the Unix epoch.
     zero: Duration,
 }
 
 impl Clock {
-    pub fn starting(before: Duration) -> Self {
+    /// A clock that starts now, at the time `started_at`.
+    pub fn starting(started_at: Duration) -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: Instant::now(), before, zero: unix.saturating_sub(before) }
+        Self { started: Instant::now(), started_at, zero: unix.saturating_sub(started_at) }
     }
 
+    /// The time now.
     pub fn now(&self) -> Duration {
-        self.before + self.started.elapsed()
+        self.started_at + self.started.elapsed()
     }
 
-    /// Of its zero, since the Unix epoch.
+    /// The clock's zero, as a span since the Unix epoch.
     pub fn zero(&self) -> Duration {
         self.zero
     }
 }
 
-/// Whole milliseconds, for a line that has only those.
+/// Whole milliseconds, rounded down.
 pub fn whole_ms(time: Duration) -> u64 {
     to_ms(time).floor() as u64
 }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -1,44 +1,44 @@
-//! The command line.
+//! The command line: `emberflow serve`, `check`, `version` and `help`.
 
 use crate::bootstrap::Bootstrap;
+use crate::error::{ConfigError, ServeError};
 use crate::event_loop::RouterLoop;
+use emberflow_operator::Roll;
 use lexopt::prelude::*;
+use std::collections::BTreeSet;
 use std::ffi::{OsStr, OsString};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 const USAGE: &str = "\
 usage: emberflow serve [--config FILE] [--operator FILE]
                                          serve until SIGTERM; without FILE, by $EDGE_CONFIG
        emberflow check FILE [--operator FILE]
-                                         read a configuration and tell what it says
+                                         read a configuration and print a summary
        emberflow version
        emberflow help";
 
+/// Exit status for a command line that makes no sense.
+const USAGE_ERROR: u8 = 2;
+const BYTES_PER_MB: usize = 1 << 20;
+
 enum Command {
-    Serve(Option<OsString>, Option<OsString>),
-    Check(OsString, Option<OsString>),
+    Serve { config: Option<PathBuf>, operator: Option<PathBuf> },
+    Check { config: PathBuf, operator: Option<PathBuf> },
     Version,
     Help,
 }
 
+/// Runs the program by its command line and returns its exit status.
 pub fn run() -> ExitCode {
-    let done = match parse(lexopt::Parser::from_env()) {
-        Ok(Command::Serve(config, operator)) => serve(config, operator),
-        Ok(Command::Check(path, operator)) => check(&path, operator.as_deref()),
-        Ok(Command::Version) => {
-            println!("emberflow {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-        Ok(Command::Help) => {
-            println!("{USAGE}");
-            Ok(())
-        }
+    let command = match parse(lexopt::Parser::from_env()) {
+        Ok(command) => command,
         Err(error) => {
             eprintln!("emberflow: {error}\n{USAGE}");
-            return ExitCode::from(2);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
-    match done {
+    match execute(command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("emberflow: {error}");
@@ -47,25 +47,48 @@
     }
 }
 
+fn execute(command: Command) -> Result<(), ServeError> {
+    match command {
+        Command::Serve { config, operator } => serve(config, operator)?,
+        Command::Check { config, operator } => check(&config, operator.as_deref())?,
+        Command::Version => println!("emberflow {}", env!("CARGO_PKG_VERSION")),
+        Command::Help => println!("{USAGE}"),
+    }
+    Ok(())
+}
+
 fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
     let mut words = Vec::new();
-    let (mut config, mut operator) = (None, None);
+    let mut config = None;
+    let mut operator = None;
     while let Some(argument) = arguments.next()? {
         match argument {
-            Long("config") if words == ["serve"] && config.is_none() => config = Some(arguments.value()?),
-            Long("operator") if operator.is_none() => operator = Some(arguments.value()?),
+            Long("config") if words == ["serve"] && config.is_none() => {
+                config = Some(arguments.value()?.into());
+            }
+            Long("operator") if operator.is_none() => operator = Some(arguments.value()?.into()),
             Short('h') | Long("help") => return Ok(Command::Help),
             Short('V') | Long("version") => return Ok(Command::Version),
             Value(word) => words.push(word),
             other => return Err(other.unexpected()),
         }
     }
-    if operator.is_some() && !words.first().is_some_and(|word| word == "serve" || word == "check") {
+    command_of(&words, config, operator)
+}
+
+/// The command that the words name, with the options that were given.
+fn command_of(
+    words: &[OsString],
+    config: Option<PathBuf>,
+    operator: Option<PathBuf>,
+) -> Result<Command, lexopt::Error> {
+    let takes_operator = words.first().is_some_and(|word| word == "serve" || word == "check");
+    if operator.is_some() && !takes_operator {
         return Err("`--operator` belongs to `serve` and `check`".into());
     }
-    match words.as_slice() {
-        [word] if word == "serve" => Ok(Command::Serve(config, operator)),
-        [word, path] if word == "check" => Ok(Command::Check(path.clone(), operator)),
+    match words {
+        [word] if word == "serve" => Ok(Command::Serve { config, operator }),
+        [word, path] if word == "check" => Ok(Command::Check { config: path.into(), operator }),
         [word] if word == "check" => Err("`check` needs a file".into()),
         [word] if word == "version" => Ok(Command::Version),
         [word] if word == "help" => Ok(Command::Help),
@@ -74,47 +97,53 @@
     }
 }
 
-fn serve(config: Option<OsString>, operator: Option<OsString>) -> Result<(), String> {
+fn serve(config: Option<PathBuf>, operator: Option<PathBuf>) -> Result<(), ServeError> {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    let path = config.or_else(|| std::env::var_os("EDGE_CONFIG")).ok_or("EDGE_CONFIG is not set")?;
+    let from_environment = || std::env::var_os("EDGE_CONFIG").map(PathBuf::from);
+    let path = config.or_else(from_environment).ok_or(ConfigError::NoPath)?;
     let listen = std::env::var("EDGE_LISTEN").ok();
-    RouterLoop::run(move || bootstrap(&path, operator.as_deref(), listen.as_deref()))
+    RouterLoop::run(move || read_files(&path, operator.as_deref(), listen.as_deref()))
 }
 
-fn check(path: &OsStr, operator: Option<&OsStr>) -> Result<(), String> {
-    let Bootstrap { config, fleet, classes, events, last, unread, orders, .. } =
-        bootstrap(path, operator, None)?;
-    let engines = events.iter().flat_map(|(_, rows)| rows).map(|row| row.id);
-    let engines = engines.collect::<std::collections::BTreeSet<_>>().len();
-    println!("{} listens on {}, bulletin at {}", config.name, config.listen, config.discovery);
-    println!("limits: {} MB, {} descriptors", config.memory >> 20, config.descriptors);
-    println!(
-        "one of {} routers; {engines} engines of {} kinds by event {last}",
-        fleet.routers,
-        fleet.kinds.len()
-    );
+/// Reads a configuration and prints a summary of it.
+fn check(path: &Path, operator: Option<&Path>) -> Result<(), ConfigError> {
+    let Bootstrap { config, fleet, classes, events, last_event, ignored_report_fields, orders, .. } =
+        read_files(path, operator, None)?;
+    let engine_ids = events.iter().flat_map(|event| &event.endpoints).map(|endpoint| endpoint.id);
+    let engine_count = engine_ids.collect::<BTreeSet<_>>().len();
+    println!("{}: listen {}, discovery {}", config.name, config.listen_address, config.discovery_address);
+    println!("limits: {} MB, {} descriptors", config.memory_bytes / BYTES_PER_MB, config.max_descriptors);
+    println!("fleet: {} routers, {engine_count} engines at event {last_event}", fleet.routers);
+    println!("{} engine kinds: {}", config.kinds.len(), config.kinds.join(", "));
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
-    unread.iter().for_each(|unread| println!("{unread}, so it goes unread"));
-    if let Some(roll) = orders.teams {
-        let part = |(at, name): (usize, &String)| format!("{name} {:.1} %", roll.charter.part(at) * 100.0);
-        let parts: Vec<String> = roll.names.iter().enumerate().map(part).collect();
-        println!("{} teams: {}", roll.names.len(), parts.join(", "));
+    ignored_report_fields.iter().for_each(|fault| println!("{fault} (ignored)"));
+    if let Some(teams) = &orders.teams {
+        println!("{} teams: {}", teams.names.len(), team_shares(teams));
     }
     Ok(())
 }
 
-/// Both files, or the first fault of either.
-fn bootstrap(path: &OsStr, operator: Option<&OsStr>, listen: Option<&str>) -> Result<Bootstrap, String> {
-    let read = |path: &OsStr| {
-        let shown = path.to_string_lossy().into_owned();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
-        Ok::<_, String>((shown, text))
-    };
-    let (shown, text) = read(path)?;
-    let file = serde_json::from_str(&text).map_err(|e| format!("{shown}: {e}"))?;
-    let mut bootstrap = Bootstrap::read(&file, listen).map_err(|e| format!("{shown}: {e}"))?;
-    if let Some((shown, text)) = operator.map(read).transpose()? {
-        bootstrap.order(&text).map_err(|e| format!("{shown}: {e}"))?;
+/// Each team's name with its share of the engines.
+fn team_shares(teams: &Roll) -> String {
+    let share = |(team, name): (usize, &String)| format!("{name} {:.1} %", teams.charter.part(team) * 100.0);
+    let shares: Vec<String> = teams.names.iter().enumerate().map(share).collect();
+    shares.join(", ")
+}
+
+/// Reads the configuration and the operator's file, if there is one; returns the first error in either.
+fn read_files(path: &Path, operator: Option<&Path>, listen: Option<&str>) -> Result<Bootstrap, ConfigError> {
+    let in_file = |path: &Path, source| ConfigError::InFile { path: path.into(), source: Box::new(source) };
+    let text = read_text(path)?;
+    let file =
+        serde_json::from_str(&text).map_err(|source| ConfigError::Json { path: path.into(), source })?;
+    let mut bootstrap = Bootstrap::read(&file, listen).map_err(|error| in_file(path, error))?;
+    if let Some(path) = operator {
+        let text = read_text(path)?;
+        bootstrap.read_operator_file(&text).map_err(|error| in_file(path, error))?;
     }
     Ok(bootstrap)
 }
+
+fn read_text(path: &Path) -> Result<String, ConfigError> {
+    std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: path.into(), source })
+}
--- a/crates/router/src/context.rs
+++ b/crates/router/src/context.rs
@@ -1,26 +1,28 @@
-//! What every part of the router uses: the time of the input being taken, the deadlines, the counters.
+//! What every part of the router uses: the time of the event in hand, the pending timers and the counters.
 
 use crate::counters::Counters;
 use crate::timers::Timers;
 use std::time::Duration;
 
+/// Shared by all parts of a router; times are spans on the router's clock.
 #[derive(Clone, Default)]
 pub struct Context {
-    /// The time of the input being taken, set by whoever takes it.
+    /// The time of the event in hand, set by the caller before it hands over an event.
     pub now: Duration,
-    /// What the clock showed at the Unix epoch's millisecond 0, as a span before its own zero.
-    pub zero: Duration,
+    /// The clock's zero, as a span since the Unix epoch.
+    pub clock_zero: Duration,
     pub timers: Timers,
     pub counters: Counters,
 }
 
 impl Context {
+    /// The time of the event in hand.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// What the clock showed at a Unix time; what lies before its zero happened at its zero.
-    pub fn at_unix_ms(&self, ms: u64) -> Duration {
-        Duration::from_millis(ms).saturating_sub(self.zero)
+    /// Converts Unix milliseconds to the router's clock; times before the clock's zero become zero.
+    pub fn at_unix_ms(&self, unix_ms: u64) -> Duration {
+        Duration::from_millis(unix_ms).saturating_sub(self.clock_zero)
     }
 }
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -1,31 +1,33 @@
-//! Counts of what is taken in, sent and answered, and of what should never happen.
+//! Counters of what is received, sent and answered, and of what must never happen.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
+/// Counters by name.
 #[derive(Clone, Default)]
 pub struct Counters {
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl Counters {
-    pub fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    /// Increments a counter.
+    pub fn count(&mut self, name: &'static str) {
+        *self.counts.entry(name).or_default() += 1;
     }
 
-    /// What must hold: stops a debug build, is counted in a release build.
-    pub fn must(&mut self, holds: bool, otherwise: &'static str) {
-        debug_assert!(holds, "{otherwise}");
+    /// Checks an invariant: where it does not hold, a debug build panics, and a release build counts the violation.
+    pub fn must(&mut self, holds: bool, violation: &'static str) {
+        debug_assert!(holds, "{violation}");
         if !holds {
-            self.count(otherwise);
-            log::error!("broken: {otherwise}");
+            self.count(violation);
+            log::error!("invariant violated: {violation}");
         }
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let lines = self.counts.iter().map(|(what, count)| format!("{what}={count}"));
-        f.write_str(&lines.collect::<Vec<_>>().join(" "))
+        let counts = self.counts.iter().map(|(name, count)| format!("{name}={count}"));
+        f.write_str(&counts.collect::<Vec<_>>().join(" "))
     }
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,156 +1,250 @@
-//! The discovery service: the list of engines, from the configuration and as frames over a connection.
+//! The discovery service's list of engines: its events as the configuration holds them at the start, and as binary
+//! frames over a connection.
 
 use crate::counters::Counters;
+use crate::error::DiscoveryError;
 use crate::ring::Ring;
 use emberflow_settings::{Fault, Fields};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-const RECORD: usize = 27;
+/// Bytes of a frame's length prefix, and of the event number and kind that follow it.
+const LENGTH_BYTES: usize = 4;
+const HEADER_BYTES: usize = 9;
+/// Bytes of one endpoint in a frame.
+const RECORD_BYTES: usize = 27;
 /// Bytes of the largest frame: far more engines than any list has.
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// One line of the list, as the configuration and the frames tell it alike.
-pub struct Row {
+/// Kinds of frames on the wire.
+const HEARTBEAT_FRAME: u8 = 0;
+const SNAPSHOT_FRAME: u8 = 1;
+const CHANGES_FRAME: u8 = 2;
+
+/// Whether an engine takes requests, as the discovery service says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointState {
+    Ready,
+    /// It takes no new requests for now.
+    Draining,
+    /// It has left and will not come back under the same id.
+    Gone,
+}
+
+/// One engine of the list.
+pub struct EndpointRecord {
     pub id: u32,
     pub address: SocketAddr,
-    pub ready: bool,
-    pub gone: bool,
+    pub state: EndpointState,
+    /// Indexes into the names that the settings list.
     pub location: usize,
     pub kind: usize,
+    /// The failure domain within its location.
     pub cell: u64,
+    /// When its process started, in milliseconds since the Unix epoch; 0 where that is unknown.
     pub up_since_ms: u64,
 }
 
-/// An event: whether it holds the whole list, and its rows.
-pub type Event = (bool, Vec<Row>);
+impl EndpointRecord {
+    /// Whether the engine takes new requests.
+    pub fn is_ready(&self) -> bool {
+        self.state == EndpointState::Ready
+    }
+}
+
+/// How much of the list an event holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EventScope {
+    /// Every engine: those left out have gone.
+    Snapshot,
+    /// Only the engines that have changed.
+    Changes,
+}
 
-/// A frame: its number and event; `None` for nothing new.
-pub type Frame = (u64, Option<Event>);
+/// A change of the list of engines.
+pub struct EndpointEvent {
+    pub scope: EventScope,
+    pub endpoints: Vec<EndpointRecord>,
+}
 
-/// What comes over the connection, and the number of the last event heard.
+/// A frame from the discovery service.
+pub struct Frame {
+    /// The number of its event, or of the last event for a heartbeat.
+    pub number: u64,
+    /// `None` for a heartbeat, and for an event that was received before.
+    pub event: Option<EndpointEvent>,
+}
+
+/// The events of the configuration, and the number of the last one.
+pub struct InitialEvents {
+    pub last_event: u64,
+    pub events: Vec<EndpointEvent>,
+}
+
+/// The receiving side of the discovery service's connection. It holds no socket.
 #[derive(Clone)]
 pub struct Discovery {
+    /// Bytes received and not yet decoded.
     pub input: Ring,
-    pub greeted: bool,
-    pub last: u64,
-    /// When the connection is given up, or dialled again.
-    pub due: Duration,
+    /// Whether the number of the last event was sent on this connection, which the service resumes after.
+    pub subscribed: bool,
+    /// The number of the last event received.
+    pub last_event: u64,
+    /// When the connection is dialled anew unless something is received before.
+    pub redial_at: Duration,
     /// How many kinds and locations the settings name.
-    kinds: usize,
-    locations: usize,
+    kind_count: usize,
+    location_count: usize,
 }
 
 impl Discovery {
-    pub fn after(last: u64, kinds: usize, locations: usize) -> Self {
-        Self { input: Ring::default(), greeted: false, last, due: Duration::ZERO, kinds, locations }
+    /// Resumes after an event, for settings with so many kinds and locations.
+    pub fn resume_after(last_event: u64, kind_count: usize, location_count: usize) -> Self {
+        Self {
+            input: Ring::default(),
+            subscribed: false,
+            last_event,
+            redial_at: Duration::ZERO,
+            kind_count,
+            location_count,
+        }
     }
 
-    /// A new connection, after the same event.
-    pub fn anew(&self) -> Self {
-        Self { input: Ring::default(), greeted: false, ..*self }
+    /// The state for a new connection, which resumes after the same event.
+    pub fn for_new_connection(&self) -> Self {
+        Self { input: Ring::default(), subscribed: false, ..*self }
     }
 
-    /// The next whole frame, checked against the last number and the settings. An event that was told before
-    /// is nothing new.
-    pub fn take(&mut self, counters: &mut Counters) -> Result<Option<Frame>, String> {
-        let Some((frame, length)) = parse(self.input.readable())? else { return Ok(None) };
+    /// Decodes the next complete frame, `None` until one has been received. The frame is checked against the
+    /// number of the last event and against the settings; an event that was received before becomes a heartbeat.
+    pub fn next_frame(&mut self, counters: &mut Counters) -> Result<Option<Frame>, DiscoveryError> {
+        let Some((frame, length)) = parse_frame(self.input.readable())? else { return Ok(None) };
         self.input.consume(length);
-        let mut rows = frame.1.iter().flat_map(|(_, rows)| rows);
-        if let Some(row) = rows.find(|row| row.kind >= self.kinds || row.location >= self.locations) {
-            return Err(format!("an engine of kind {} in location {}", row.kind, row.location));
-        }
-        match &frame {
-            (number, None) if *number > self.last => Err(format!("event {number} without those before it")),
-            (number, Some(_)) if *number <= self.last => {
+        self.check_endpoints(&frame)?;
+        let (number, last) = (frame.number, self.last_event);
+        match frame.event.as_ref().map(|event| event.scope) {
+            None if number > last => Err(DiscoveryError::MissedEvents { number, last }),
+            Some(_) if number <= last => {
                 counters.count("discovery_events_repeated");
-                Ok(Some((*number, None)))
-            }
-            (number, None) if *number < self.last => Ok(Some(frame)),
-            (number, Some((false, _))) if *number != self.last + 1 => {
-                Err(format!("changes {number} after {}", self.last))
+                Ok(Some(Frame { number, event: None }))
             }
+            None if number < last => Ok(Some(frame)),
+            Some(EventScope::Changes) if number != last + 1 => Err(DiscoveryError::EventGap { number, last }),
             _ => {
-                self.last = frame.0;
+                self.last_event = number;
                 Ok(Some(frame))
             }
         }
     }
+
+    /// Rejects endpoints of a kind or in a location that the settings do not name.
+    fn check_endpoints(&self, frame: &Frame) -> Result<(), DiscoveryError> {
+        let is_unknown = |endpoint: &&EndpointRecord| {
+            endpoint.kind >= self.kind_count || endpoint.location >= self.location_count
+        };
+        let mut endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
+        match endpoints.find(is_unknown) {
+            Some(&EndpointRecord { kind, location, .. }) => {
+                Err(DiscoveryError::UnknownKindOrLocation { kind, location })
+            }
+            None => Ok(()),
+        }
+    }
 }
 
-/// The first whole frame of `bytes` and its length; `None` until it has come.
-pub fn parse(bytes: &[u8]) -> Result<Option<(Frame, usize)>, String> {
-    let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
-    let length = u32::from_be_bytes(*head) as usize;
-    if !(9..=MOST_BYTES).contains(&length) {
-        return Err(format!("a frame of {length} bytes"));
+/// Decodes the frame that `bytes` begin with; returns it and its length on the wire, `None` while it is incomplete.
+pub fn parse_frame(bytes: &[u8]) -> Result<Option<(Frame, usize)>, DiscoveryError> {
+    let Some((prefix, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let length = u32::from_be_bytes(*prefix) as usize;
+    if !(HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        return Err(DiscoveryError::FrameLength { bytes: length });
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
-    let number = whole(&frame[..8]);
-    let (kind, payload) = (frame[8], &frame[9..]);
-    let rows = match kind {
-        0 if payload.is_empty() => None,
-        1 | 2 if payload.len().is_multiple_of(RECORD) => {
-            let rows = payload.chunks(RECORD).map(record).collect::<Result<_, _>>()?;
-            Some((kind == 1, rows))
-        }
-        _ => return Err(format!("a frame of kind {kind} with {} bytes", payload.len())),
-    };
-    Ok(Some(((number, rows), 4 + length)))
+    let (header, payload) = frame.split_at(HEADER_BYTES);
+    let number = big_endian(&header[..8]);
+    let event = parse_event(header[8], payload)?;
+    Ok(Some((Frame { number, event }, LENGTH_BYTES + length)))
 }
 
-fn whole(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+fn parse_event(kind: u8, payload: &[u8]) -> Result<Option<EndpointEvent>, DiscoveryError> {
+    let is_complete = payload.len().is_multiple_of(RECORD_BYTES);
+    let scope = match kind {
+        HEARTBEAT_FRAME if payload.is_empty() => return Ok(None),
+        SNAPSHOT_FRAME if is_complete => EventScope::Snapshot,
+        CHANGES_FRAME if is_complete => EventScope::Changes,
+        _ => return Err(DiscoveryError::FrameKind { kind, bytes: payload.len() }),
+    };
+    let endpoints = payload.chunks(RECORD_BYTES).map(parse_record).collect::<Result<_, _>>()?;
+    Ok(Some(EndpointEvent { scope, endpoints }))
 }
 
-fn record(bytes: &[u8]) -> Result<Row, String> {
-    let state = bytes[10];
-    if state > 2 {
-        return Err(format!("an engine in state {state}"));
-    }
-    let address = Ipv4Addr::new(bytes[4], bytes[5], bytes[6], bytes[7]);
-    Ok(Row {
-        id: whole(&bytes[..4]) as u32,
-        address: (address, whole(&bytes[8..10]) as u16).into(),
-        ready: state == 0,
-        gone: state == 2,
+fn parse_record(bytes: &[u8]) -> Result<EndpointRecord, DiscoveryError> {
+    let state = match bytes[10] {
+        0 => EndpointState::Ready,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Gone,
+        unknown => return Err(DiscoveryError::EndpointState(unknown)),
+    };
+    let ip = Ipv4Addr::new(bytes[4], bytes[5], bytes[6], bytes[7]);
+    let port = big_endian(&bytes[8..10]) as u16;
+    Ok(EndpointRecord {
+        id: big_endian(&bytes[..4]) as u32,
+        address: (ip, port).into(),
+        state,
         location: bytes[11].into(),
         kind: bytes[12].into(),
-        cell: whole(&bytes[13..15]),
-        up_since_ms: whole(&bytes[19..27]),
+        cell: big_endian(&bytes[13..15]),
+        up_since_ms: big_endian(&bytes[19..27]),
     })
 }
 
-/// The number of the last event of the start, and all of them.
-pub fn known(file: Fields, locations: &[String], kinds: &[String]) -> Result<(u64, Vec<Event>), Fault> {
+fn big_endian(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0, |number, byte| number << 8 | u64::from(*byte))
+}
+
+/// Decodes the events that the configuration file holds.
+pub fn initial_events(file: Fields, locations: &[String], kinds: &[String]) -> Result<InitialEvents, Fault> {
     let known = file.part("known")?;
     let event = |item: Fields| {
         let roster = item.part("roster")?;
-        let rows = roster.rows("members")?.map(|row| member(row, locations, kinds));
-        Ok((roster.flag("complete")?, rows.collect::<Result<_, Fault>>()?))
+        let members = roster.rows("members")?.map(|row| configured_endpoint(row, locations, kinds));
+        let scope = if roster.flag("complete")? { EventScope::Snapshot } else { EventScope::Changes };
+        Ok(EndpointEvent { scope, endpoints: members.collect::<Result<_, Fault>>()? })
     };
     let events = known.rows("items")?.map(event).collect::<Result<_, Fault>>()?;
-    Ok((known.whole("no")?, events))
+    Ok(InitialEvents { last_event: known.whole("no")?, events })
 }
 
-fn member(row: Fields, locations: &[String], kinds: &[String]) -> Result<Row, Fault> {
-    let told = |name: &str| Ok::<_, Fault>((row.field(name)?, row.text(name)?));
-    let ((named, id), (placed, address)) = (told("id")?, told("host_port")?);
-    let number = id.strip_prefix("s-").and_then(|digits| u32::from_str_radix(digits, 16).ok());
-    let place = |list: &[String], name: &str| {
-        let (field, name) = told(name)?;
-        let unknown = || field.fault(format_args!("is not in the settings: {name}"));
-        list.iter().position(|n| n == name).ok_or_else(unknown)
+fn configured_endpoint(row: Fields, locations: &[String], kinds: &[String]) -> Result<EndpointRecord, Fault> {
+    let id = row.text("id")?;
+    let address = row.text("host_port")?;
+    let id_number = id.strip_prefix("s-").and_then(|digits| u32::from_str_radix(digits, 16).ok());
+    let state = match row.text("phase")? {
+        "ready" => EndpointState::Ready,
+        "gone" => EndpointState::Gone,
+        _ => EndpointState::Draining,
     };
-    let phase = row.text("phase")?;
-    Ok(Row {
-        id: number.ok_or_else(|| named.fault(format_args!("is no engine's id: {id}")))?,
-        address: address.parse().map_err(|_| placed.fault(format_args!("is no address: {address}")))?,
-        ready: phase == "ready",
-        gone: phase == "gone",
-        location: place(locations, "locality")?,
-        kind: place(kinds, "flavor")?,
+    let field_fault =
+        |name: &str, wrong: String| row.field(name).map_or_else(|fault| fault, |field| field.fault(wrong));
+    Ok(EndpointRecord {
+        id: id_number.ok_or_else(|| field_fault("id", format!("is no engine's id: {id}")))?,
+        address: address
+            .parse()
+            .map_err(|_| field_fault("host_port", format!("is no address: {address}")))?,
+        state,
+        location: index_of_name(row, "locality", locations)?,
+        kind: index_of_name(row, "flavor", kinds)?,
         cell: row.maybe_number("cell").unwrap_or(0.0) as u64,
         up_since_ms: row.maybe_number("up_since_ms").unwrap_or(0.0) as u64,
     })
 }
+
+/// The index in `names` of the text of a field.
+fn index_of_name(row: Fields, field_name: &str, names: &[String]) -> Result<usize, Fault> {
+    let name = row.text(field_name)?;
+    let index = names.iter().position(|known| known == name);
+    match index {
+        Some(index) => Ok(index),
+        None => Err(row.field(field_name)?.fault(format_args!("is not in the settings: {name}"))),
+    }
+}
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,104 +1,60 @@
-//! What the decisions act on: the open requests, and the outlet that carries out what is decided for them.
+//! Carries out what the scheduler decides: sends attempts to engines and answers to clients.
 
-use crate::bootstrap::RouterConfig;
 use crate::clients::Clients;
 use crate::clock::whole_ms;
+use crate::config::RouterConfig;
 use crate::context::Context;
 use crate::engine_pool::{Call, EnginePool};
 use crate::jsonrpc;
-use crate::slots::{Slot, Slots};
+use crate::request_table::{Request, RequestTable};
 use crate::timers::Timer;
 use emberflow::{Actions, EngineId, RequestId};
-use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A request until it has been answered.
-#[derive(Clone)]
-pub struct Request {
-    pub client: Slot,
-    pub id: u64,
-    pub req: String,
-    pub class: usize,
-    pub opkey: Option<String>,
-    pub statement: Vec<u8>,
-    pub grant_mb: f64,
-    pub priority: u8,
-    pub attempts: Vec<Slot>,
-    /// Connections that may still bring an answer to an attempt that was given up.
-    pub owing: Vec<Slot>,
+/// How a request was closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestOutcome {
+    Succeeded,
+    /// It was not run: a retry is harmless.
+    Rejected,
+    /// It may have been run.
+    Failed,
+    /// Its client has stopped waiting for it.
+    Withdrawn,
 }
 
-impl Request {
-    pub fn new(
-        client: Slot,
-        id: u64,
-        req: String,
-        class: usize,
-        opkey: Option<String>,
-        statement: Vec<u8>,
-    ) -> Self {
-        let (grant_mb, priority, attempts, owing) = (0.0, 1, Vec::new(), Vec::new());
-        Self { client, id, req, class, opkey, statement, grant_mb, priority, attempts, owing }
+impl RequestOutcome {
+    /// The counter of requests that were closed so.
+    pub fn counter(self) -> &'static str {
+        match self {
+            Self::Succeeded => "requests_succeeded",
+            Self::Rejected => "requests_rejected",
+            Self::Failed => "requests_failed",
+            Self::Withdrawn => "requests_withdrawn",
+        }
     }
 }
 
-/// The open requests, by the numbers that the decisions know them by.
-#[derive(Clone, Default)]
-pub struct Requests {
-    table: Slots<Request>,
-    numbers: BTreeMap<RequestId, Slot>,
-    reqs: BTreeSet<String>,
-    /// The number of the next.
-    pub next: RequestId,
-    /// Of all their statements.
-    bytes: usize,
-}
-
-impl Requests {
-    pub fn get(&self, number: RequestId) -> Option<&Request> {
-        self.table.get(*self.numbers.get(&number)?)
-    }
-
-    pub fn get_mut(&mut self, number: RequestId) -> Option<&mut Request> {
-        self.table.get_mut(*self.numbers.get(&number)?)
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.table.is_empty()
-    }
-
-    /// Whether a request of this name is open.
-    pub fn holds(&self, req: &str) -> bool {
-        self.reqs.contains(req)
-    }
-
-    fn insert(&mut self, request: Request) {
-        self.reqs.insert(request.req.clone());
-        self.bytes += request.statement.len();
-        self.numbers.insert(self.next, self.table.insert(request));
-        self.next = self.next.wrapping_add(1);
-    }
-
-    fn take(&mut self, number: RequestId) -> Option<Request> {
-        let request = self.numbers.remove(&number).and_then(|slot| self.table.take(slot))?;
-        self.bytes -= request.statement.len();
-        self.reqs.remove(&request.req);
-        Some(request)
-    }
+/// A request that was closed, as the admission queue is notified.
+#[derive(Clone, Copy)]
+pub struct Completion {
+    pub request: RequestId,
+    pub outcome: RequestOutcome,
 }
 
-/// What the decisions act on.
+/// What the scheduler acts on: open requests, clients and engines.
 #[derive(Clone)]
 pub struct Dispatcher {
     pub config: RouterConfig,
     pub context: Context,
     pub clients: Clients,
     pub engines: EnginePool,
-    pub requests: Requests,
-    pub serving: bool,
-    /// Requests that were closed, and how, where a queue before the decisions wants to know.
-    pub closed: Option<Vec<(RequestId, &'static str)>>,
+    pub requests: RequestTable,
+    /// Whether any engine was ever ready.
+    pub had_ready_endpoint: bool,
+    /// Requests that were closed, collected only where there is an admission queue.
+    pub completions: Option<Vec<Completion>>,
 }
 
 impl Actions for Dispatcher {
@@ -109,17 +65,18 @@
         let call = Call {
             request,
             number: row.attempts.len(),
-            id: &row.req,
+            id: &row.name,
             class: &self.config.classes[row.class],
-            opkey: row.opkey.as_deref(),
+            opkey: row.idempotency_key.as_deref(),
             statement: &row.statement,
             grant_mb: row.grant_mb,
             priority: row.priority,
             until,
         };
-        let attempt = self.engines.send(engine, call, &row.owing, &mut self.context);
+        let attempt = self.engines.send(engine, call, &row.late_connections, &mut self.context);
         row.attempts.push(attempt);
     }
+
     fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
@@ -127,132 +84,160 @@
                 self.engines.rank(*attempt, priority, &mut self.context);
             }
         }
-        (request.grant_mb, request.priority) = (grant_mb, priority);
+        request.grant_mb = grant_mb;
+        request.priority = priority;
     }
+
     fn cancel(&mut self, request: RequestId, attempt: usize) {
-        if let Some(attempt) =
-            self.requests.get(request).and_then(|request| request.attempts.get(attempt)).copied()
-        {
-            self.engines.take_back(attempt, &mut self.context);
+        let Some(request) = self.requests.get(request) else { return };
+        if let Some(attempt) = request.attempts.get(attempt) {
+            self.engines.take_back(*attempt, &mut self.context);
         }
     }
+
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
-        let holdoff = retry_after.map(whole_ms).filter(|ms| *ms > 0);
-        let line = |id| jsonrpc::error(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", holdoff);
-        let answered = self.answer(request, "requests_rejected", line);
-        self.context.counters.must(answered, "a_second_answer");
+        let retry_after_ms = retry_after.map(whole_ms).filter(|ms| *ms > 0);
+        let line =
+            |id| jsonrpc::error(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", retry_after_ms);
+        let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
+        self.context.counters.must(was_open, "a_second_answer");
     }
+
     fn fail(&mut self, request: RequestId) {
         let line = |id| jsonrpc::error(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
-        let answered = self.answer(request, "requests_failed", line);
-        self.context.counters.must(answered, "a_second_answer");
+        let was_open = self.answer_request(request, RequestOutcome::Failed, line);
+        self.context.counters.must(was_open, "a_second_answer");
     }
-    /// Never asked for here.
+
+    /// Never called: health checks are switched off on sockets.
     fn probe(&mut self, _: EngineId) {}
+
     fn wake_after(&mut self, wait: Duration) {
         self.context.timers.set(self.context.now() + wait, Timer::Wake);
     }
-    /// The discovery service tells its changes unasked.
+
+    /// Without effect: the discovery service sends its events unasked.
     fn watch(&mut self) {}
+
     fn forget(&mut self, engine: EngineId) {
         self.engines.forget(engine, &mut self.context);
     }
 }
 
 impl Dispatcher {
-    /// Nothing open yet, within what the config allow.
-    pub fn within(config: RouterConfig, context: Context) -> Self {
-        let clients = Clients::within(config.most_bytes(), config.most_held_bytes());
-        let RouterConfig { streams, comes_up, idle_close, .. } = config;
-        let mut engines = EnginePool::new(streams, comes_up, idle_close, config.most_connections());
-        engines.may_duplicate = config.may_duplicate;
+    /// A dispatcher without clients, engines or requests, within the limits of a configuration.
+    pub fn new(config: RouterConfig, context: Context) -> Self {
+        let clients = Clients::within(config.max_line_bytes(), config.max_buffered_bytes());
+        let mut engines = EnginePool::new(
+            config.streams_per_connection,
+            config.connect_timeout,
+            config.engine_idle_close,
+            config.max_engine_connections(),
+        );
+        engines.may_duplicate = config.allows_concurrent_attempts;
         Self {
+            config,
+            context,
             clients,
             engines,
-            context,
-            requests: Requests::default(),
-            serving: false,
-            closed: None,
-            config,
+            requests: RequestTable::default(),
+            had_ready_endpoint: false,
+            completions: None,
         }
     }
 
-    /// Takes a request in under the next number; tells whether the limits allow it.
-    pub fn open(&mut self, request: Request) -> bool {
-        let bytes = self.requests.bytes + request.statement.len();
-        if self.requests.table.len() >= self.config.most_open || bytes > self.config.most_held_bytes() {
+    /// Opens a request under the next id; returns whether the limits allow it.
+    pub fn open_request(&mut self, request: Request) -> bool {
+        let statement_bytes = self.requests.statement_bytes() + request.statement.len();
+        let is_table_full = self.requests.len() >= self.config.max_open_requests;
+        if is_table_full || statement_bytes > self.config.max_buffered_bytes() {
             self.context.counters.count("requests_over_the_limit");
             return false;
         }
         self.context.counters.count("requests_taken");
         if let Some(client) = self.clients.table.get_mut(request.client) {
-            client.open.insert(request.id, self.requests.next);
+            client.open.insert(request.client_request_id, self.requests.next_id);
         }
         self.requests.insert(request);
         true
     }
 
-    /// Feeds the state to `into`: states that print alike go on alike.
-    pub fn fingerprint(&self, into: &mut impl Hasher) {
-        let now = self.context.now();
-        self.engines.fingerprint(now, into);
-        self.clients.fingerprint(now, into);
-        for (_, request) in self.requests.table.iter() {
-            (
-                self.clients.table.place(request.client),
-                request.id,
-                &request.req,
-                request.class,
-                request.priority,
-            )
-                .hash(into);
-            request.attempts.iter().for_each(|attempt| self.engines.attempt_place(*attempt).hash(into));
-            request
-                .owing
-                .iter()
-                .filter_map(|connection| self.engines.connection_place(*connection))
-                .for_each(|at| at.hash(into));
-        }
-        // What else falls due is told by the connections and attempts themselves.
-        let due = self.context.timers.iter();
-        let due = due
-            .filter(|(_, due)| matches!(due, Timer::Wake | Timer::Discovery | Timer::Admit | Timer::Leave));
-        due.for_each(|(at, due)| (at.as_micros() as i64 - now.as_micros() as i64, due).hash(into));
-        self.serving.hash(into);
-    }
-
-    /// All counters, and how much is held of what comes and goes.
-    pub fn tally(&self) -> String {
-        let (engines, connections, attempts) = self.engines.held();
-        format!(
-            "{} held_clients={} held_requests={} held_engines={engines} held_connections={connections} held_attempts={attempts} \
-             held_timers={}",
-            self.context.counters,
-            self.clients.table.len(),
-            self.requests.table.len(),
-            self.context.timers.len()
-        )
-    }
-
-    /// The one final answer of a request; tells whether it was still owed.
-    pub fn answer(&mut self, number: RequestId, how: &'static str, line: impl Fn(u64) -> Vec<u8>) -> bool {
-        let Some(request) = self.close(number, how) else { return false };
-        self.clients.say(request.client, &line(request.id));
+    /// Sends a request's one final answer, built from its id on the client's connection; returns whether the
+    /// request was still open.
+    pub fn answer_request(
+        &mut self,
+        request: RequestId,
+        outcome: RequestOutcome,
+        line: impl Fn(u64) -> Vec<u8>,
+    ) -> bool {
+        let Some(request) = self.close_request(request, outcome) else { return false };
+        self.clients.say(request.client, &line(request.client_request_id));
         true
     }
 
-    /// Ends a request for the network; what is still out for it is given up, since nobody waits for it.
-    pub fn close(&mut self, number: RequestId, how: &'static str) -> Option<Request> {
-        let request = self.requests.take(number)?;
-        self.context.counters.count(how);
-        log::debug!("task {number}: {how}");
-        if let Some(closed) = &mut self.closed {
-            closed.push((number, how));
+    /// Closes a request and cancels its attempts, since nobody waits for them any more.
+    pub fn close_request(&mut self, id: RequestId, outcome: RequestOutcome) -> Option<Request> {
+        let request = self.requests.remove(id)?;
+        self.context.counters.count(outcome.counter());
+        log::debug!("request closed: request={id} outcome={outcome:?}");
+        if let Some(completions) = &mut self.completions {
+            completions.push(Completion { request: id, outcome });
         }
-        self.clients.answered(request.client, request.id, self.context.now());
+        self.clients.answered(request.client, request.client_request_id, self.context.now());
         for attempt in &request.attempts {
             self.engines.cancel(*attempt, &mut self.context);
         }
         Some(request)
     }
+
+    /// Feeds the state to `hasher`: two dispatchers with the same fingerprint behave the same.
+    pub fn fingerprint(&self, hasher: &mut impl Hasher) {
+        let now = self.context.now();
+        self.engines.fingerprint(now, hasher);
+        self.clients.fingerprint(now, hasher);
+        for request in self.requests.iter() {
+            self.fingerprint_request(request, hasher);
+        }
+        self.fingerprint_timers(now, hasher);
+        self.had_ready_endpoint.hash(hasher);
+    }
+
+    fn fingerprint_request(&self, request: &Request, hasher: &mut impl Hasher) {
+        self.clients.table.place(request.client).hash(hasher);
+        request.client_request_id.hash(hasher);
+        request.name.hash(hasher);
+        request.class.hash(hasher);
+        request.priority.hash(hasher);
+        for attempt in &request.attempts {
+            self.engines.attempt_place(*attempt).hash(hasher);
+        }
+        let late_connections = request.late_connections.iter();
+        let open_connections =
+            late_connections.filter_map(|connection| self.engines.connection_place(*connection));
+        open_connections.for_each(|connection| connection.hash(hasher));
+    }
+
+    /// The timers that connections, attempts and clients do not feed themselves.
+    fn fingerprint_timers(&self, now: Duration, hasher: &mut impl Hasher) {
+        for (at, timer) in self.context.timers.iter() {
+            if matches!(timer, Timer::Wake | Timer::Discovery | Timer::ResumeAccepting | Timer::ShutdownCheck)
+            {
+                let microseconds_left = at.as_micros() as i64 - now.as_micros() as i64;
+                (microseconds_left, timer).hash(hasher);
+            }
+        }
+    }
+
+    /// All counters and the sizes of all tables, in one line for the log.
+    pub fn counters_line(&self) -> String {
+        let (engines, connections, attempts) = self.engines.held();
+        let clients = self.clients.table.len();
+        let requests = self.requests.len();
+        let timers = self.context.timers.len();
+        format!(
+            "{} held_clients={clients} held_requests={requests} held_engines={engines} \
+             held_connections={connections} held_attempts={attempts} held_timers={timers}",
+            self.context.counters
+        )
+    }
 }
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::whole_ms;
 use crate::context::Context;
-use crate::discovery::Row;
+use crate::discovery::{EndpointRecord, EndpointState};
 use crate::resp;
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
@@ -159,19 +159,19 @@
     }
 
     /// Takes one line of the list in. A process that ended takes its connections with it, told or not.
-    pub fn listed(&mut self, row: &Row, context: &mut Context) -> Endpoint {
+    pub fn listed(&mut self, row: &EndpointRecord, context: &mut Context) -> Endpoint {
         let launched = (row.up_since_ms > 0).then(|| context.at_unix_ms(row.up_since_ms));
         let engine = *self.numbers.entry(row.id).or_insert(self.next);
         if engine == self.next {
-            let (id, address, ready) = (row.id, row.address, row.ready);
+            let (id, address, ready) = (row.id, row.address, row.is_ready());
             self.book.insert(engine, Engine { id, address, ready, launched, connections: Vec::new() });
             self.next += 1;
         }
-        if !row.ready {
+        if !row.is_ready() {
             self.hold_back(engine, context);
         }
         let Some(known) = self.book.get_mut(&engine) else { unreachable!("a numbered engine") };
-        (known.address, known.ready) = (row.address, row.ready);
+        (known.address, known.ready) = (row.address, row.is_ready());
         if known.launched != launched
             && let Some(at) = launched
         {
@@ -188,14 +188,14 @@
             location: row.location,
             kind: row.kind,
             cell: row.cell,
-            ready: row.ready,
-            gone: row.gone,
+            ready: row.is_ready(),
+            gone: row.state == EndpointState::Gone,
             launched,
         }
     }
 
     /// A whole list leaves out what has gone: nothing is sent there any more, nor what waits for a connection.
-    pub fn only(&mut self, rows: &[Row], context: &mut Context) {
+    pub fn only(&mut self, rows: &[EndpointRecord], context: &mut Context) {
         let left_out = |known: &Engine| known.ready && !rows.iter().any(|row| row.id == known.id);
         let left_out = self.book.iter().filter(|(_, known)| left_out(known));
         for engine in left_out.map(|(engine, _)| *engine).collect::<Vec<_>>() {
@@ -370,7 +370,7 @@
         row.connection = Some(slot);
         connection.attempts.insert(row.id.clone(), attempt);
         if let Some(at) = connection.idle.take() {
-            context.timers.clear(at, Timer::Idle(slot));
+            context.timers.clear(at, Timer::ConnectionIdle(slot));
         }
         connection.waiting.push(attempt);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
@@ -505,7 +505,7 @@
         if connection.whole_by.is_none() && !connection.input.is_empty() {
             let by = context.now() + self.comes_up * 2;
             connection.whole_by = Some(by);
-            context.timers.set(by, Timer::Whole(slot));
+            context.timers.set(by, Timer::AnswerComplete(slot));
         }
         matches!(filled, Ok(Filled::Enough))
     }
@@ -530,7 +530,7 @@
             let body = part(3).to_vec();
             connection.input.consume(length);
             connection.heard = context.now();
-            connection.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
+            connection.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::AnswerComplete(slot)));
             if std::mem::take(&mut connection.asked) {
                 self.go_on(slot, context);
             }
@@ -701,7 +701,7 @@
             if connection.attempts.is_empty() {
                 let idle = now + self.idle_close.mul_f64(RETIRED);
                 connection.idle = Some(idle);
-                context.timers.set(if connection.retired { now } else { idle }, Timer::Idle(at));
+                context.timers.set(if connection.retired { now } else { idle }, Timer::ConnectionIdle(at));
             }
         }
         let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
@@ -854,8 +854,8 @@
             .entry(connection.engine)
             .and_modify(|known| known.connections.retain(|other| *other != slot));
         connection.due.inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
-        connection.whole_by.inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
-        connection.idle.inspect(|at| context.timers.clear(*at, Timer::Idle(slot)));
+        connection.whole_by.inspect(|at| context.timers.clear(*at, Timer::AnswerComplete(slot)));
+        connection.idle.inspect(|at| context.timers.clear(*at, Timer::ConnectionIdle(slot)));
         if there && !connection.attempts.is_empty() {
             context.counters.count("connections_lost");
         }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,3 +1,5 @@
+//! The `emberflow` program.
+
 fn main() -> std::process::ExitCode {
     emberflow_router::command::run()
 }
--- a/crates/router/src/ready_list.rs
+++ b/crates/router/src/ready_list.rs
@@ -1,36 +1,49 @@
-//! Who may have something to say, each heard in turn.
+//! Clients that may have more to read, read in turn.
 
 use crate::slots::Slot;
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-/// Connections that may have more to say than was heard. Each is heard once before one is heard again, however
-/// much that one has to say.
+/// A client whose turn it is.
+#[derive(Clone, Copy, Debug)]
+pub struct ReadyClient {
+    pub slot: Slot,
+    /// What it has sent was received at this time at the earliest.
+    pub received_since: Duration,
+}
+
+/// Clients that may have more to read. Each is read from once before any is read from again, however much that one
+/// has sent.
 #[derive(Default)]
 pub struct ReadyList {
-    /// And since when, at the earliest.
-    slots: BTreeMap<Slot, Duration>,
+    /// With the earliest time at which something may have been received.
+    received_since: BTreeMap<Slot, Duration>,
     /// Whose turn was last.
     last: Option<Slot>,
 }
 
 impl ReadyList {
-    pub fn add(&mut self, slot: Slot, since: Duration) {
-        self.slots.entry(slot).and_modify(|at| *at = since.min(*at)).or_insert(since);
+    /// Adds a client; one that is on the list keeps the earlier time.
+    pub fn add(&mut self, slot: Slot, received_since: Duration) {
+        let earliest = self.received_since.entry(slot).or_insert(received_since);
+        *earliest = received_since.min(*earliest);
     }
 
+    /// Whether nobody has more to read.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.received_since.is_empty()
     }
 
-    /// Takes out whose turn it is, and since when it has waited at the earliest.
-    pub fn next(&mut self) -> Option<(Slot, Duration)> {
-        let after = self.last.and_then(|last| self.slots.range((Excluded(last), Unbounded)).next());
-        let (slot, since) = after.or(self.slots.first_key_value()).map(|(slot, since)| (*slot, *since))?;
-        self.slots.remove(&slot);
-        self.last = Some(slot);
-        Some((slot, since))
+    /// Takes out the client whose turn it is.
+    pub fn next(&mut self) -> Option<ReadyClient> {
+        let after_last =
+            self.last.and_then(|last| self.received_since.range((Excluded(last), Unbounded)).next());
+        let (slot, received_since) = after_last.or(self.received_since.first_key_value())?;
+        let ready = ReadyClient { slot: *slot, received_since: *received_since };
+        self.received_since.remove(&ready.slot);
+        self.last = Some(ready.slot);
+        Some(ready)
     }
 }
 
--- /dev/null
+++ b/crates/router/src/server/admission.rs
@@ -0,0 +1,129 @@
+//! Requests that wait for their team's turn before the scheduler accepts them, and changes of the teams.
+
+use super::Server;
+use super::parameters::TeamParameters;
+use crate::admission_queue::{Admission, AdmissionQueue};
+use crate::jsonrpc;
+use crate::timers::Timer;
+use emberflow::{Actions, Arrival};
+use emberflow_operator::Roll;
+use emberflow_teams::Refusal;
+use std::time::Duration;
+
+impl Server {
+    pub(super) fn open_admission_queue(&mut self, teams: Roll, now: Duration) {
+        log::info!("admission queue opened: teams={} budgets=full", teams.names.len());
+        self.admission_queue = Some(AdmissionQueue::new(teams, now));
+        self.dispatcher.completions = Some(Vec::new());
+    }
+
+    /// Removes the admission queue after all that waits in it was passed to the scheduler.
+    fn close_admission_queue(&mut self, now: Duration) {
+        log::info!("admission queue closed: no teams any more");
+        self.drain_admission_queue(now);
+        self.admission_queue = None;
+        self.dispatcher.completions = None;
+        if let Some(at) = self.admission_timer.take() {
+            self.dispatcher.context.timers.clear(at, Timer::AdmissionQueue);
+        }
+    }
+
+    /// Queues a request until its team's turn, or rejects it with the time after which it would be admitted.
+    pub(super) fn enqueue(&mut self, now: Duration, arrival: Arrival, team: TeamParameters, identity: u64) {
+        let admission = self.admission_of(&arrival, team, identity);
+        let request = arrival.request;
+        let Some(admission_queue) = &mut self.admission_queue else { return };
+        if let Err(Refusal { reason, retry_after }) = admission_queue.enqueue(now, arrival, admission) {
+            self.dispatcher.context.counters.count("requests_refused_at_the_door");
+            log::debug!(
+                "request not admitted: request={request} reason={reason:?} retry_after={retry_after:?}"
+            );
+            let retry_after = self.max_retry_after.map(|longest| retry_after.min(longest));
+            self.dispatcher.reject(request, retry_after);
+        }
+    }
+
+    fn admission_of(&self, arrival: &Arrival, team: TeamParameters, identity: u64) -> Admission {
+        let class = &self.class_traits[arrival.class];
+        Admission {
+            team: team.team,
+            urgency: team.urgency,
+            identity,
+            key: arrival.key.filter(|_| class.keeps_order).map(|key| key as u64),
+            work: self.scheduler.expected_work(arrival),
+            latency_objective: class.latency_objective,
+            // The scheduler answers before the deadline what it is given by then.
+            margin: self.scheduler.margin() * 2,
+            wants_wait_notices: team.wants_wait_notices,
+        }
+    }
+
+    /// Settles requests that were closed, passes the next queued request with capacity to the scheduler, and
+    /// notifies clients of their wait; returns whether a request was passed on.
+    pub(super) fn admit_next(&mut self) -> bool {
+        let Some(admission_queue) = &mut self.admission_queue else { return false };
+        let now = self.dispatcher.context.now();
+        let completions = self.dispatcher.completions.as_mut().map(std::mem::take).unwrap_or_default();
+        for completion in completions {
+            admission_queue.request_closed(now, completion);
+        }
+        if let Some(arrival) = admission_queue.next_admissible(now, || self.scheduler.capacity(now)) {
+            self.scheduler.accept(now, arrival, &mut self.dispatcher);
+            return true;
+        }
+        self.send_wait_notices(now);
+        self.schedule_admission_timer(now);
+        false
+    }
+
+    fn send_wait_notices(&mut self, now: Duration) {
+        let Some(admission_queue) = &mut self.admission_queue else { return };
+        for notice in admission_queue.take_wait_notices(now) {
+            if let Some(request) = self.dispatcher.requests.get(notice.request) {
+                let line = jsonrpc::waiting(request.client_request_id, &notice.wait);
+                self.dispatcher.clients.say(request.client, &line);
+            }
+        }
+    }
+
+    /// Capacity that becomes free by time alone is found by the scheduler's own interval.
+    fn schedule_admission_timer(&mut self, now: Duration) {
+        let next_deadline = self.admission_queue.as_ref().and_then(AdmissionQueue::next_deadline);
+        let due = next_deadline.map(|at| at.min(now + self.scheduler.margin()));
+        if due == self.admission_timer {
+            return;
+        }
+        let timers = &mut self.dispatcher.context.timers;
+        if let Some(at) = self.admission_timer {
+            timers.clear(at, Timer::AdmissionQueue);
+        }
+        if let Some(at) = due {
+            timers.set(at, Timer::AdmissionQueue);
+        }
+        self.admission_timer = due;
+    }
+
+    /// Passes all queued requests to the scheduler, whatever their turn.
+    pub(super) fn drain_admission_queue(&mut self, now: Duration) {
+        while let Some(arrival) = self.admission_queue.as_mut().and_then(|queue| queue.take_oldest(now)) {
+            self.scheduler.accept(now, arrival, &mut self.dispatcher);
+        }
+    }
+
+    /// Applies the teams of a reloaded operator's file. Queued requests move with their team; where there are no
+    /// teams any more, they are passed to the scheduler.
+    pub fn apply_teams(&mut self, teams: Option<Roll>) {
+        let now = self.dispatcher.context.now();
+        match (&mut self.admission_queue, teams) {
+            (Some(admission_queue), Some(teams)) => {
+                let changes = admission_queue.teams.changes(&teams);
+                changes.iter().for_each(|change| log::info!("teams changed: {change}"));
+                admission_queue.apply_teams(now, teams);
+            }
+            (Some(_), None) => self.close_admission_queue(now),
+            (None, Some(teams)) => self.open_admission_queue(teams, now),
+            (None, None) => {}
+        }
+        self.process_events();
+    }
+}
--- /dev/null
+++ b/crates/router/src/server/parameters.rs
@@ -0,0 +1,166 @@
+//! The parameters of a client's request, decoded and checked.
+
+use crate::{jsonrpc, statement};
+use emberflow::KeyId;
+use emberflow_operator::Roll;
+use emberflow_operator::roll::LONGEST_NAME;
+use emberflow_settings::{Fault, Fields, from_ms};
+use std::fmt;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
+
+/// Digits of a request's name.
+const NAME_DIGITS: usize = 16;
+/// The largest number that is taken from a client, beyond years or petabytes. What can't be true is not learned from.
+const MAX_NUMBER: f64 = 1e9;
+/// The urgency of ordinary requests; the highest is 3.
+const ORDINARY_URGENCY: u8 = 0;
+
+/// What is wrong with a request's parameters, as its client is told.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ParameterError {
+    #[error("{0}")]
+    Field(Fault),
+    #[error("`{0}` is out of range")]
+    OutOfRange(&'static str),
+    #[error("`req` is not 16 hex digits")]
+    Name,
+    #[error("`opkey` holds more than letters and digits")]
+    IdempotencyKey,
+    #[error("`timeout` is not above 0")]
+    Deadline,
+    #[error("`data` is not base64")]
+    Encoding,
+    #[error("`data` is no text")]
+    Statement,
+    #[error("`resent` is not 0 or 1")]
+    Resent,
+    #[error("`{field}` is over {LONGEST_NAME} bytes")]
+    TeamName { field: String },
+    #[error("`{field}` is not 0, 1, 2 or 3")]
+    Urgency { field: String },
+}
+
+impl From<Fault> for ParameterError {
+    fn from(fault: Fault) -> Self {
+        Self::Field(fault)
+    }
+}
+
+/// What a request says of itself, apart from its class, id and name.
+pub(super) struct RequestParameters {
+    /// Requests of one key may have to be run in order.
+    pub ordering_key: Option<KeyId>,
+    /// Expected time on one core.
+    pub cost: Option<Duration>,
+    pub memory_mb: Option<f64>,
+    pub deadline_ms: f64,
+    pub idempotency_key: Option<String>,
+    pub statement: Vec<u8>,
+    /// Which tables the statement reads, as far as its text shows.
+    pub table_group: Option<u64>,
+    /// Whether the client has sent it before.
+    pub is_resent: bool,
+}
+
+impl RequestParameters {
+    pub fn decode(fields: Fields) -> Result<Self, ParameterError> {
+        let idempotency_key = optional_text(fields, "opkey")?;
+        if idempotency_key.is_some_and(|key| key.bytes().any(|byte| !byte.is_ascii_alphanumeric())) {
+            return Err(ParameterError::IdempotencyKey);
+        }
+        let ordering_key = optional_text(fields, "subject")?.map(hash_of);
+        let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::Deadline)?;
+        let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
+        let memory_mb = positive_number(fields, "memory")?;
+        let statement = jsonrpc::body(fields.text("data")?).ok_or(ParameterError::Encoding)?;
+        let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::Statement)?;
+        let table_group = statement::group(statement_text);
+        let is_resent = resent_flag(fields)?;
+        Ok(Self {
+            ordering_key,
+            cost,
+            memory_mb,
+            deadline_ms,
+            idempotency_key: idempotency_key.map(str::to_owned),
+            statement,
+            table_group,
+            is_resent,
+        })
+    }
+}
+
+impl fmt::Display for RequestParameters {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let Self { cost, memory_mb, table_group, deadline_ms, is_resent, idempotency_key, .. } = self;
+        write!(f, "cost={cost:?} memory_mb={memory_mb:?} table_group={table_group:?} ")?;
+        write!(f, "deadline_ms={deadline_ms} resent={is_resent} idempotency_key={idempotency_key:?}")
+    }
+}
+
+/// What a request says of its team, where the operator has configured teams.
+pub(super) struct TeamParameters {
+    pub team: usize,
+    /// From 0 for ordinary work to 3.
+    pub urgency: u8,
+    /// Whether the client wants to be notified of its place in the queue.
+    pub wants_wait_notices: bool,
+}
+
+impl TeamParameters {
+    /// Reads the fields that the operator's file names.
+    pub fn decode(teams: &Roll, fields: Fields) -> Result<Self, ParameterError> {
+        let name = optional_text(fields, &teams.team_field)?.unwrap_or_default();
+        if name.len() > LONGEST_NAME {
+            return Err(ParameterError::TeamName { field: teams.team_field.clone() });
+        }
+        let urgency = match fields.maybe(&teams.urgency_field).map(|value| value.as_u64()) {
+            None => ORDINARY_URGENCY,
+            Some(Some(urgency @ 0..=3)) => urgency as u8,
+            Some(_) => return Err(ParameterError::Urgency { field: teams.urgency_field.clone() }),
+        };
+        let waits_field = teams.waits_field.as_ref();
+        let wants_wait_notices = waits_field.is_some_and(|field| fields.maybe_flag(field));
+        Ok(Self { team: teams.team(name), urgency, wants_wait_notices })
+    }
+}
+
+/// The name by which a request is known to engines: 16 hexadecimal digits.
+pub(super) fn request_name<'a>(fields: Fields<'a>) -> Result<&'a str, ParameterError> {
+    let name = fields.text("req")?;
+    let is_hexadecimal = name.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::Name) }
+}
+
+/// The index by which a name is known to the scheduler. Two names with the same hash only wait for each other.
+pub(super) fn hash_of(name: &str) -> KeyId {
+    let mut hasher = DefaultHasher::new();
+    name.hash(&mut hasher);
+    hasher.finish() as KeyId
+}
+
+fn optional_text<'a>(fields: Fields<'a>, name: &str) -> Result<Option<&'a str>, Fault> {
+    fields.optional(name, Fields::text)
+}
+
+/// A number from 0 to [`MAX_NUMBER`]; absent for 0.
+fn positive_number(fields: Fields, name: &'static str) -> Result<Option<f64>, ParameterError> {
+    let value = fields.optional(name, Fields::number)?;
+    match value {
+        Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::OutOfRange(name)),
+        value => Ok(value.filter(|value| *value > 0.0)),
+    }
+}
+
+/// Whether the client has sent the request before, as a boolean or as 0 or 1.
+fn resent_flag(fields: Fields) -> Result<bool, ParameterError> {
+    let Some(value) = fields.maybe("resent") else { return Ok(false) };
+    if let Some(flag) = value.as_bool() {
+        return Ok(flag);
+    }
+    match value.as_u64() {
+        Some(0) => Ok(false),
+        Some(1) => Ok(true),
+        _ => Err(ParameterError::Resent),
+    }
+}
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets and their place in a loop.
+//! Non-blocking sockets, registered with an event loop.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// A connection's socket and its place in the loop, which it leaves when it is dropped.
+/// A connection's socket and its registration with the loop, which ends when it is dropped.
 pub struct RegisteredSocket<T: 'static> {
     pub socket: Rc<TcpStream>,
     token: RegistrationToken,
@@ -20,59 +20,62 @@
     }
 }
 
-/// Listens at an address. As many connections may wait to be accepted as a process holds: those beyond are begun
-/// anew by their clients, a second or more later.
-pub fn listen(at: SocketAddr, most: usize) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+/// Listens at an address. The backlog is as long as the connections that the process may have open: clients whose
+/// connections do not fit into it retry after a second or more.
+pub fn listen(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(most.try_into().unwrap_or(i32::MAX))?;
+    socket.bind(&address.into())?;
+    socket.listen(backlog.try_into().unwrap_or(i32::MAX))?;
     Ok(socket.into())
 }
 
 impl<T> RegisteredSocket<T> {
-    /// Has `ready` called at every change of what the socket can do.
-    pub fn attend(
+    /// Registers a socket: `on_ready` is called whenever it becomes readable or writable.
+    pub fn register(
         loop_handle: &LoopHandle<'static, T>,
         socket: TcpStream,
-        ready: impl Fn(&mut T) + 'static,
+        on_ready: impl Fn(&mut T) + 'static,
     ) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
         let source = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
-        let heard = move |_, _: &mut _, router_loop: &mut T| {
-            ready(router_loop);
+        let callback = move |_, _: &mut _, data: &mut T| {
+            on_ready(data);
             Ok(PostAction::Continue)
         };
-        let token = loop_handle.insert_source(source, heard).map_err(|e| io::Error::other(e.to_string()))?;
+        let token = loop_handle
+            .insert_source(source, callback)
+            .map_err(|error| io::Error::other(error.to_string()))?;
         Ok(Self { socket, token, loop_handle: loop_handle.clone() })
     }
 
-    /// Begins a connection; it has come up once its socket can be written to.
+    /// Begins to connect; the connection is established once its socket is writable.
     pub fn dial(
         loop_handle: &LoopHandle<'static, T>,
-        to: SocketAddr,
-        ready: impl Fn(&mut T) + 'static,
+        address: SocketAddr,
+        on_ready: impl Fn(&mut T) + 'static,
     ) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
-        match socket.connect(&to.into()) {
+        let socket =
+            Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+        match socket.connect(&address.into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) => {}
-            Err(e) => return Err(e),
+            Err(error) if error.raw_os_error() == Some(libc::EINPROGRESS) => {}
+            Err(error) => return Err(error),
         }
-        Self::attend(loop_handle, socket.into(), ready)
+        Self::register(loop_handle, socket.into(), on_ready)
     }
 
-    /// Whether a dialled connection has come up; an error if it failed.
-    pub fn has_come_up(&self) -> io::Result<bool> {
+    /// Whether a dialled connection is established; an error if connecting failed.
+    pub fn is_established(&self) -> io::Result<bool> {
         if let Some(error) = self.socket.take_error()? {
             return Err(error);
         }
         match self.socket.peer_addr() {
             Ok(_) => Ok(true),
-            Err(e) if e.kind() == io::ErrorKind::NotConnected => Ok(false),
-            Err(e) => Err(e),
+            Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(false),
+            Err(error) => Err(error),
         }
     }
 }
--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -21,9 +21,10 @@
 #[test]
 fn the_configuration_of_the_readme_is_taken() {
     expect![[r#"
-        Some(0) n0 listens on 127.0.0.1:9090, bulletin at 127.0.0.1:9092
+        Some(0) n0: listen 127.0.0.1:9090, discovery 127.0.0.1:9092
         limits: 192 MB, 1024 descriptors
-        one of 1 routers; 1 engines of 1 kinds by event 1
+        fleet: 1 routers, 1 engines at event 1
+        1 engine kinds: std-8
         1 request classes: lookup
     "#]]
     .assert_eq(&run(&["check"], "readme", &readme()));
@@ -32,11 +33,12 @@
 #[test]
 fn a_report_field_of_unknown_name_is_told_and_ignored() {
     expect![[r#"
-        Some(0) n0 listens on 127.0.0.1:9090, bulletin at 127.0.0.1:9092
+        Some(0) n0: listen 127.0.0.1:9090, discovery 127.0.0.1:9092
         limits: 192 MB, 1024 descriptors
-        one of 1 routers; 1 engines of 1 kinds by event 1
+        fleet: 1 routers, 1 engines at event 1
+        1 engine kinds: std-8
         1 request classes: lookup
-        `settings.report.names[2]` is unknown: moon, so it goes unread
+        `settings.report.names[2]` is unknown: moon (ignored)
     "#]]
     .assert_eq(&run(&["check"], "moon", &readme().replace("\"x1\"", "\"moon\"")));
 }
@@ -70,7 +72,7 @@
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is missing
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is unknown: galaxy
         Some(1) emberflow: FILE: `settings.kinds` has 2 rows, not 1, one a kind
-        Some(1) emberflow: FILE: `settings.zones[1]` stands there twice: hall-a
+        Some(1) emberflow: FILE: `settings.zones[1]` is listed twice: hall-a
         Some(1) emberflow: FILE: `settings.myZone` is 1, past the end of a list of 1
         Some(1) emberflow: FILE: `known.items[0].roster.members[0].locality` is not in the settings: hall-z
         Some(1) emberflow: FILE: `known.items[0].roster.members[0].id` is no engine's id: 1
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -131,31 +131,35 @@
     };
     let parse = |ring: &mut Ring| {
         let (said, length) = {
-            let ((number, event), length) = discovery::parse(ring.readable()).expect("well formed")?;
-            let rows = event.iter().flat_map(|(_, rows)| rows);
-            let rows: Vec<_> = rows
+            let (frame, length) = discovery::parse_frame(ring.readable()).expect("well formed")?;
+            let endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
+            let endpoints: Vec<_> = endpoints
                 .map(|r| {
                     format!(
-                        "{:08x} {} {} {} {} {} {}",
-                        r.id, r.address, r.ready, r.location, r.kind, r.cell, r.up_since_ms
+                        "{:08x} {} {:?} {} {} {} {}",
+                        r.id, r.address, r.state, r.location, r.kind, r.cell, r.up_since_ms
                     )
                 })
                 .collect();
-            (format!("{number} {:?} {rows:?}", event.as_ref().map(|(whole, _)| whole)), length)
+            let scope = frame.event.as_ref().map(|event| event.scope);
+            (format!("{} {scope:?} {endpoints:?}", frame.number), length)
         };
         ring.consume(length);
         Some(said)
     };
     let good = [frame(41, 1, &record), frame(42, 2, &[]), frame(42, 0, &[])].concat();
     expect![[r#"
-        41 Some(true) ["00c41f7a 10.1.0.9:9090 false 2 3 4 256"]
-        42 Some(false) []
+        41 Some(Snapshot) ["00c41f7a 10.1.0.9:9090 Draining 2 3 4 256"]
+        42 Some(Changes) []
         42 None []"#]]
     .assert_eq(&split_everywhere(&good, parse));
     let mut strange = record;
     strange[10] = 7;
     let bad = [frame(1, 3, &[]), frame(1, 2, &record[1..]), frame(1, 1, &strange), vec![255; 4], vec![0; 4]];
-    let told: String = bad.iter().map(|bytes| format!("{:?}\n", discovery::parse(bytes).err())).collect();
+    let told: String = bad
+        .iter()
+        .map(|bytes| format!("{:?}\n", discovery::parse_frame(bytes).err().map(|error| error.to_string())))
+        .collect();
     expect![[r#"
         Some("a frame of kind 3 with 0 bytes")
         Some("a frame of kind 2 with 26 bytes")
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -6,7 +6,7 @@
 use emberflow_router::context::Context;
 use emberflow_router::engine_pool::Ask;
 use emberflow_router::resp;
-use emberflow_router::server::Server;
+use emberflow_router::server::{ClosedClient, Server};
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
 use expect_test::expect;
@@ -230,7 +230,7 @@
     let mut bootstrap = Bootstrap::read(file, None).expect("the configuration makes sense");
     operators_file
         .into_iter()
-        .for_each(|text| bootstrap.order(text).expect("the operator's file makes sense"));
+        .for_each(|text| bootstrap.read_operator_file(text).expect("the operator's file makes sense"));
     bootstrap
 }
 
@@ -264,10 +264,10 @@
             self.witness.note("step", step, &[]);
             self.step();
             self.carry_out();
-            self.server.clear();
+            self.server.close_finished_clients();
             self.carry_out();
             self.note_when_due();
-            if self.server.left {
+            if self.server.has_stopped() {
                 self.witness.count("lives left");
                 break;
             }
@@ -276,7 +276,7 @@
             }
         }
         let owes = !self.server.dispatcher.requests.is_empty();
-        self.witness.note("end", u64::from(self.server.left), &[u8::from(owes)]);
+        self.witness.note("end", u64::from(self.server.has_stopped()), &[u8::from(owes)]);
         let counters = self.server.dispatcher.context.counters.to_string();
         for (name, count) in counters.split(' ').filter_map(|counter| counter.split_once('=')) {
             *self.witness.counted.entry(name.into()).or_default() += count.parse::<u64>().expect("a count");
@@ -313,16 +313,16 @@
     // ---- clients ----
 
     fn admit(&mut self) {
-        if self.clients.len() >= self.server.dispatcher.config.most_clients() {
+        if self.clients.len() >= self.server.dispatcher.config.max_clients() {
             let now = self.server.dispatcher.context.now();
             let idlest = self.server.dispatcher.clients.idlest(now);
-            return idlest.into_iter().for_each(|slot| self.server.client_gone(slot, "to make room"));
+            return idlest.into_iter().for_each(|slot| self.server.close_client(slot, "to make room"));
         }
         self.connection_count += 1;
         let room = if self.chance.one_in(6) { 40 } else { usize::MAX };
         self.clients.push(Client {
             number: self.connection_count,
-            slot: self.server.admit(),
+            slot: self.server.accept_client(),
             coming: Vec::new(),
             ended: false,
             room,
@@ -400,7 +400,7 @@
         let Some(client) = self.any_client() else { return };
         let asked = &self.clients[client].asked;
         let last = asked[asked.len().saturating_sub(4)..].to_vec();
-        let most_bytes = self.server.dispatcher.config.most_bytes();
+        let most_bytes = self.server.dispatcher.config.max_line_bytes();
         let line = match (self.chance.below(12), last.is_empty()) {
             (0..5, false) => {
                 let (id, req) = self.chance.pick(&last);
@@ -435,9 +435,9 @@
     fn hear(&mut self, slot: Slot, bytes: &[u8], after: After) {
         let since = self.server.dispatcher.context.now() - Duration::from_millis(self.chance.below(3));
         let mut came = Came(bytes, after);
-        self.server.peek(since, [(slot, &mut came)]);
+        self.server.scan_clients(since, [(slot, &mut came)]);
         self.carry_out();
-        while self.server.hear(slot, since, &mut came, || false) {
+        while self.server.read_client_line(slot, since, &mut came, || false) {
             self.carry_out();
         }
     }
@@ -649,14 +649,14 @@
         let count = count.min(self.frames.len());
         let bytes: Vec<u8> = self.frames.drain(..count).collect();
         self.server.discovery.input.push(&bytes);
-        let heard = self.server.discovery_heard();
-        self.witness.note("bulletin", self.server.discovery.last, &[u8::from(heard.is_ok())]);
+        let heard = self.server.receive_endpoint_events();
+        self.witness.note("bulletin", self.server.discovery.last_event, &[u8::from(heard.is_ok())]);
         if heard.is_err() {
             // The connection is made anew, and begins with the whole list.
             self.witness.count("lists refused");
-            self.server.discovery = self.server.discovery.anew();
+            self.server.discovery = self.server.discovery.for_new_connection();
             self.frames.clear();
-            self.frame = self.server.discovery.last + 1;
+            self.frame = self.server.discovery.last_event + 1;
             self.tell_list(true);
         }
     }
@@ -665,7 +665,7 @@
         let texts = [None, Some(OPERATORS_FILES[0]), Some(OPERATORS_FILES[1])];
         let text = self.chance.pick(&texts);
         let file = configuration(&mut Chance(1), 1);
-        self.server.reorder(bootstrap(&file, text).orders.teams);
+        self.server.apply_teams(bootstrap(&file, text).orders.teams);
         self.witness.count("reloads");
     }
 
@@ -696,14 +696,14 @@
             }
             _ => {}
         }
-        self.server.due(due);
+        self.server.timer_expired(due);
         self.carry_out();
     }
 
     fn close(&mut self) {
         if !self.closing {
             self.closing = true;
-            self.server.close();
+            self.server.begin_shutdown();
             self.carry_out();
             self.witness.count("planned ends");
         }
@@ -719,18 +719,18 @@
 
     fn carry_out(&mut self) {
         loop {
-            self.server.tell();
+            self.server.process_events();
             let asks = std::mem::take(&mut self.server.dispatcher.engines.asks);
             let unsent = std::mem::take(&mut self.server.dispatcher.engines.unsent);
             let unsaid = std::mem::take(&mut self.server.dispatcher.clients.unsaid);
-            let closed = std::mem::take(&mut self.server.closed);
+            let closed = std::mem::take(&mut self.server.closed_clients);
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
             }
             asks.into_iter().for_each(|ask| self.carry_out_ask(ask));
             unsent.into_iter().for_each(|slot| self.flush_connection(slot));
             unsaid.into_iter().for_each(|slot| self.flush_client(slot));
-            for (slot, mut last) in closed {
+            for ClosedClient { slot, output: mut last } in closed {
                 let Some(at) = self.clients.iter().position(|client| client.slot == slot) else { continue };
                 let mut words = Vec::new();
                 last.drain(&mut words).expect("writing to memory");
--- a/crates/router/tests/front.rs
+++ b/crates/router/tests/front.rs
@@ -40,7 +40,7 @@
 /// Says a line that came so long ago; what is answered at once.
 fn says(server: &mut Server, slot: Slot, line: &str, ago: u64) -> String {
     let since = server.dispatcher.context.now() - Duration::from_millis(ago);
-    server.hear(slot, since, &mut Came(line.as_bytes()), || false);
+    server.read_client_line(slot, since, &mut Came(line.as_bytes()), || false);
     let mut said = Vec::new();
     server.dispatcher.clients.drain(slot, &mut said).expect("it is written");
     if said.is_empty() { "no answer yet\n".into() } else { String::from_utf8(said).expect("text") }
@@ -56,7 +56,7 @@
 #[test]
 fn deadline_counts_from_when_a_line_came() {
     let mut server = server();
-    let slot = server.admit();
+    let slot = server.accept_client();
     let told = [(1, 0), (2, 300), (3, 900)].map(|(id, ago)| says(&mut server, slot, &ask(id, 1000), ago));
     expect![[r#"
         no answer yet
@@ -70,7 +70,7 @@
 #[test]
 fn an_answer_leaves_sooner_by_what_its_way_may_take() {
     let mut server = server();
-    let slot = server.admit();
+    let slot = server.accept_client();
     let told = [(1, 100), (2, 200)].map(|(id, deadline)| says(&mut server, slot, &ask(id, deadline), 0));
     expect![[r#"
         {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
@@ -82,17 +82,17 @@
 #[test]
 fn a_client_that_ended_as_its_time_came_is_not_counted_as_idle() {
     let mut server = server();
-    let slots = [server.admit(), server.admit()];
+    let slots = [server.accept_client(), server.accept_client()];
     server.dispatcher.context.now = NOW + Duration::from_secs(2);
-    server.client_gone(slots[0], "closed by the client");
-    slots.into_iter().for_each(|slot| server.due(Timer::Client(slot)));
+    server.close_client(slots[0], "closed by the client");
+    slots.into_iter().for_each(|slot| server.timer_expired(Timer::Client(slot)));
     expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
 }
 
 #[test]
 fn room_is_made_by_who_was_quiet_and_first_by_who_never_spoke() {
     let mut server = server();
-    let slots: Vec<Slot> = (0..4).map(|_| server.admit()).collect();
+    let slots: Vec<Slot> = (0..4).map(|_| server.accept_client()).collect();
     let status = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
     says(&mut server, slots[0], status, 0);
     says(&mut server, slots[1], &ask(1, 8000), 0);
@@ -111,7 +111,7 @@
     says(&mut server, slots[2], "{", 0);
     for ms in [51, 99] {
         if let Some(idle) = look(&mut server, ms) {
-            server.client_gone(slots[idle], "for room");
+            server.close_client(slots[idle], "for room");
         }
     }
     look(&mut server, 100);
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -503,7 +503,7 @@
     let elsewhere = TcpListener::bind((at.ip(), 0)).expect("a port");
     drop(std::mem::replace(&mut house.discovery, elsewhere));
     drop(old);
-    house.logs("bulletin: ");
+    house.logs("discovery connection lost");
     let crowd = house.meanwhile(|house| {
         let crowd: Vec<_> = (0..22).map(|_| house.client()).collect();
         crowd.iter().for_each(|client| {
--- a/crates/router/tests/sockets/house.rs
+++ b/crates/router/tests/sockets/house.rs
@@ -143,7 +143,7 @@
         let mut log = BufReader::new(program.stderr.take().expect("its log"));
         let mut line = String::new();
         log.read_line(&mut line).expect("it tells where it listens");
-        let at = line.trim().rsplit(' ').next().and_then(|at| at.parse().ok());
+        let at = line.trim().rsplit('=').next().and_then(|at| at.parse().ok());
         let at = at.unwrap_or_else(|| panic!("no address: {line}"));
         Self { program, log, at, discovery, engines, file: (path, text), seen: String::new() }
     }
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -379,7 +379,7 @@
     client.ask_much("audit", 4, 60_000, "");
     let mut id = engine.takes(&mut house);
     let orders = [
-        ("not read anew", "{teams: {list: [{name: 'audit', share: -1}]}}"),
+        ("configuration not reloaded", "{teams: {list: [{name: 'audit', share: -1}]}}"),
         ("posting is gone", "{teams: {list: [{name: 'audit', share: 5}]}}"),
     ];
     for (told, orders) in orders {
@@ -870,7 +870,7 @@
     house.note(engine.hear());
     std::fs::write(&house.file.0, "{\"name\":").expect("a file");
     house.signal("-HUP");
-    house.logs("not read anew");
+    house.logs("configuration not reloaded");
     // Events told twice are passed over, and the connection stays.
     before.write_all(&changes(2, &[(7, address, 0, 0)]).repeat(2)).expect("it reads");
     let moved = TcpListener::bind((address.ip(), 0)).expect("a port");
@@ -1045,7 +1045,7 @@
         }
         client.ask(2, "lookup", 8000);
     });
-    let before = house.logs_after("task 0 ", "refused from client");
+    let before = house.logs_after("request=0 ", "client line refused");
     house.note(format!("one line of each of the flood at most before the task: {}", before <= flood.len()));
     house.engine(0).call();
     expect![[r#"
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -18,7 +18,15 @@
         let mut context = Context::default();
         let mut engines = EnginePool::new(1, comes_up, Duration::from_secs(20), 1);
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
-        let row = Row { id: 7, address, ready: true, gone: false, location, kind, cell, up_since_ms: 0 };
+        let row = EndpointRecord {
+            id: 7,
+            address,
+            state: EndpointState::Ready,
+            location,
+            kind,
+            cell,
+            up_since_ms: 0,
+        };
         let engine = engines.listed(&row, &mut context).engine;
         let call = Call {
             request: 0,
@@ -94,7 +102,15 @@
         stand.engines.came_up(stand.connection, &mut stand.context);
         stand.engines.drain(stand.connection, &mut Narrow(room)).expect("it blocks");
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
-        let row = Row { id: 7, address, ready: false, gone: false, location, kind, cell, up_since_ms: 0 };
+        let row = EndpointRecord {
+            id: 7,
+            address,
+            state: EndpointState::Draining,
+            location,
+            kind,
+            cell,
+            up_since_ms: 0,
+        };
         stand.engines.listed(&row, &mut stand.context);
         stand.engines.drain(stand.connection, &mut stand.seen).expect("it writes");
         format!("{} bytes left, {}\n", stand.seen.len() + room, stand.context.counters)
