--- /dev/null
+++ b/crates/router/tests/sockets/clients.rs
@@ -0,0 +1,304 @@
+//! What clients send, and how they leave: malformed input, withdrawals, half-closed and reset connections.
+
+use crate::harness::*;
+use emberflow_router::clients::CROSSING;
+use expect_test::expect;
+use std::io::{ErrorKind, Write};
+use std::ops::RangeInclusive;
+use std::time::{Duration, Instant};
+
+/// Lines of all clients that the router reads before it looks at all sockets again.
+const LINES_READ_PER_TURN: usize = 64;
+/// Bytes that one line may have under the limits of these tests.
+const MOST_BYTES_OF_A_LINE: usize = 8192;
+
+#[test]
+fn malformed_client_input_gets_the_standard_errors_and_reaches_no_engine() {
+    let mut router = RouterHarness::start("client-input", 1, &settings(5000, 8000));
+    let mut client = router.connect_client();
+    let malformed_lines = [
+        "{oops",
+        r#"[{"jsonrpc":"2.0","id":1,"method":"status"}]"#,
+        r#"{"jsonrpc":"2.0","id":2,"method":"dance"}"#,
+        r#"{"jsonrpc":"2.0","method":"lookup","params":{}}"#,
+        r#"{"jsonrpc":"2.0","id":4,"method":"lookup"}"#,
+        r#"{"jsonrpc":"2.0","id":5,"method":"lookup","params":{"req":"xyz","timeout":5,"data":""}}"#,
+        r#"{"jsonrpc":"2.0","id":6,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":-5,"data":""}}"#,
+        r#"{"jsonrpc":"2.0","id":7,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":50,"data":"?"}}"#,
+        r#"{"jsonrpc":"2.0","id":8,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":50,"ms":"x","data":""}}"#,
+        r#"{"jsonrpc":"2.0","id":9,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":50,"ms":-1,"data":""}}"#,
+        r#"{"jsonrpc":"2.0","id":10,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":50,"memory":1e300,"data":""}}"#,
+        r#"{"jsonrpc":"2.0","id":11,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":50,"resent":"no","data":""}}"#,
+        r#"{"jsonrpc":"2.0","id":12,"method":"lookup","params":{"req":"9b1f03aa5c7e2d41","timeout":50,"data":"//4="}}"#,
+    ];
+    for line in malformed_lines {
+        client.send_line(line);
+        router.record_answer(&mut client);
+    }
+    for id in (1..=32).chain([1, 33]) {
+        client.send_request(id, "lookup", 8000);
+    }
+    router.record_answers(&mut client, 2);
+    let mut client_of_same_request = router.connect_client();
+    client_of_same_request.send_request(2, "lookup", 8000);
+    router.record_answer(&mut client_of_same_request);
+    let mut client_without_line_end = router.connect_client();
+    // The router may close the connection before all of it is written.
+    let _ = client_without_line_end.socket().write_all(&vec![b'x'; 1 << 20]);
+    router.record_answer(&mut client_without_line_end);
+    let mut other_client = router.connect_client();
+    router.record(other_client.status(1));
+    expect![[r#"
+        {"error":{"code":-32700,"message":"malformed JSON: key must be a string at line 1 column 2"},"id":null,"jsonrpc":"2.0"}
+        {"error":{"code":-32600,"message":"a request is one object"},"id":null,"jsonrpc":"2.0"}
+        {"error":{"code":-32601,"message":"no method `dance`"},"id":2,"jsonrpc":"2.0"}
+        {"error":{"code":-32600,"message":"a task without an id"},"id":null,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`req` is missing"},"id":4,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`req` is not 16 hex digits"},"id":5,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`timeout` is out of range"},"id":6,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`data` is not base64"},"id":7,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`ms` is not a number"},"id":8,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`ms` is out of range"},"id":9,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`memory` is out of range"},"id":10,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`resent` is not 0 or 1"},"id":11,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`data` is no text"},"id":12,"jsonrpc":"2.0"}
+        {"error":{"code":-32600,"message":"`id` is open already"},"id":null,"jsonrpc":"2.0"}
+        {"error":{"code":-32600,"message":"too many open requests"},"id":33,"jsonrpc":"2.0"}
+        {"error":{"code":-32600,"message":"`req` is open already"},"id":2,"jsonrpc":"2.0"}
+        {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
+        {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
+        exit status Some(0): client_input_refused=17 requests_taken=32
+    "#]].assert_eq(&router.finish(&["client_input_refused", "requests_taken"]));
+}
+
+#[test]
+fn a_half_closed_client_is_answered_and_a_withdrawn_request_is_cancelled() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("half-closed", &settings(5000, 8000));
+    let mut other_client = router.connect_client();
+    client.send_request(1, "lookup", 8000);
+    router.record_command(&mut engine);
+    client.shut_down_sending();
+    other_client.send_request(2, "lookup", 8000);
+    router.record_command(&mut engine);
+    other_client.send_line(&withdraw_line(2));
+    router.record_command(&mut engine);
+    other_client.send_request(3, "lookup", 8000);
+    router.record_command(&mut engine);
+    other_client.send_line(r#"{"jsonrpc":"2.0","id":4,"method":"withdraw","params":{"id":3}}"#);
+    router.record_command(&mut engine);
+    engine.send_result(2, "withdrawn\t\t\n");
+    engine.send_result(1, "for the half-closed client\t\t\n");
+    router.record_answers(&mut client, 2);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        DROP 0000000000000002
+        GET 0000000000000003 queue=lookup,mem=120,prio=2 select 1
+        DROP 0000000000000003
+        {"jsonrpc":"2.0","id":1,"result":{"data":"Zm9yIHRoZSBoYWxmLWNsb3NlZCBjbGllbnQJCQo="}}
+        closed
+        exit status Some(0): attempts_withdrawn=2 requests_succeeded=1 requests_withdrawn=2
+    "#]]
+    .assert_eq(&router.finish(&["requests_succeeded", "requests_withdrawn", "attempts_withdrawn"]));
+}
+
+/// One request fills the engine and others are queued; their clients leave, each in another way, in the same instant
+/// as the first result frees capacity.
+#[test]
+fn a_queued_request_is_not_sent_however_its_client_leaves() {
+    let mut router = RouterHarness::start("leaves", 1, &long_queueing_settings());
+    let mut clients = router.connect_clients(6);
+    let mut engine = router.engine(0);
+    clients[0].send_filling_request(1);
+    engine.record_next_call(&mut router);
+    for (client, id) in clients[1..].iter_mut().zip(2..) {
+        client.send_filling_request(id);
+        client.status(99);
+    }
+    let mut new_client = router.connect_client();
+    let mut half_closed = router.while_stopped(|_| {
+        engine.send_result(1, ROWS);
+        // Behind other lines of the same client.
+        clients[1].send_line(&vec![status_line(98); 30].join("\n"));
+        clients[1].send_line(&withdraw_line(2));
+        clients[4].shut_down_sending();
+        new_client.send_filling_request(7);
+        let half_closed = clients.remove(4);
+        clients.remove(3).reset();
+        // The others close, but for the first two.
+        clients.truncate(2);
+        half_closed
+    });
+    router.record_answer(&mut clients[0]).record_further_calls(&mut engine, 1);
+    router.record_answers(&mut half_closed, 2).record_answer(&mut new_client);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        further calls: [7]
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":5,"jsonrpc":"2.0"}
+        closed
+        {"jsonrpc":"2.0","id":7,"result":{"data":"YQliCWMK"}}
+        exit status Some(0): requests_rejected=3 requests_succeeded=2 requests_withdrawn=2
+    "#]]
+    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
+}
+
+/// Longer than the router takes to act on a withdrawal that it has read.
+const LONGER_THAN_A_WITHDRAWAL_TAKES: Duration = Duration::from_millis(150);
+
+/// Has so many requests run at once, so that as many connections to the engine stand.
+fn connect_to_engine(client: &mut TestClient, engine: &mut TestEngine, requests: RangeInclusive<u64>) {
+    for request in requests.clone() {
+        client.send_request(request, "lookup", 60_000);
+    }
+    for _ in requests.clone() {
+        engine.next_call();
+    }
+    for request in requests.clone() {
+        engine.send_result(request, ROWS);
+    }
+    for _ in requests {
+        client.read_line();
+    }
+}
+
+/// Sends requests from 1 on and has each answered, until the router leaves one unread since the client reads none of
+/// the answers; returns how many were answered, at most one less than `most`.
+fn fill_answers_until_unread(
+    router: &RouterHarness,
+    client: &mut TestClient,
+    engine: &mut TestEngine,
+    rows: &str,
+    most: u64,
+) -> u64 {
+    let mut answered = 0;
+    loop {
+        let request = answered + 1;
+        client.send_request(request, "lookup", 60_000);
+        if request == most || !router.forwards_from(client, engine) {
+            return answered;
+        }
+        engine.next_command();
+        engine.send_result(request, rows);
+        answered = request;
+    }
+}
+
+/// The router does not read from a client that does not read its answers: meanwhile the client sends a request and its
+/// withdrawal, and both stand in its socket when it reads on.
+#[test]
+fn a_request_withdrawn_before_it_was_read_is_not_sent() {
+    let limits = ResourceLimits::with_descriptors(4096);
+    let router = RouterHarness::start_with_limits(limits, "withdrawn-unread", 1, &settings(5000, 60_000));
+    let (mut router, mut client, mut engine) = with_client_and_engine(router);
+    connect_to_engine(&mut client, &mut engine, 2001..=2004);
+    let rows = ROWS.repeat(7500);
+    let unread_request = 1 + fill_answers_until_unread(&router, &mut client, &mut engine, &rows, 500);
+    router.record(format!("stops reading: {}", unread_request < 500));
+    for request in [1002, 1001, 1003] {
+        client.send_request(request, "lookup", 60_000);
+    }
+    client.send_line(&withdraw_line(1002));
+    std::thread::sleep(LONGER_THAN_A_WITHDRAWAL_TAKES);
+    let all_complete = (1..unread_request).all(|_| client.read_line().contains(r#""result""#));
+    router.record(format!("all answers complete: {all_complete}"));
+    let mut further_calls = engine.answer_calls(3);
+    further_calls.retain(|request| *request != unread_request);
+    further_calls.sort_unstable();
+    router.record(format!("further calls: {further_calls:?}"));
+    let answers = (0..3).filter(|_| client.read_line().contains("YQliCWMK")).count();
+    router.record(format!("answers: {answers}"));
+    expect![[r#"
+        stops reading: true
+        all answers complete: true
+        further calls: [1001, 1003]
+        answers: 3
+        exit status Some(0): requests_withdrawn=1
+    "#]]
+    .assert_eq(&router.finish(&[
+        "requests_withdrawn",
+        "requests_withdrawn_unheard",
+        "requests_rejected",
+        "requests_failed",
+    ]));
+}
+
+/// Sends what no line may hold, until neither side's kernel takes more.
+fn fill_sockets_without_line_end(client: &TestClient) {
+    let mut socket = client.socket();
+    socket.set_nonblocking(true).expect("a socket can be non-blocking");
+    let mut sent = 0;
+    loop {
+        match socket.write(&[b'['; 65536]) {
+            Ok(count) => sent += count,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+            Err(error) => panic!("the stopped router keeps the connection open: {error}"),
+        }
+    }
+    assert!(sent > 1 << 20, "{sent} bytes fit into one line");
+    socket.set_nonblocking(false).expect("a socket can be blocking");
+}
+
+/// A router that closes a client's connection with unread input.
+struct ClosingRouter {
+    router: RouterHarness,
+    client: TestClient,
+    /// They stay connected, so that each has its turn.
+    _other_clients: Vec<TestClient>,
+    /// Before the router read any of the input.
+    resumed_at: Instant,
+}
+
+/// Starts a router with many clients, one of them without a line's end, which sends what `send` says. The router reads
+/// a line of each in turn and closes that client's connection before it reads from it again, so that the rest of its
+/// input stands unread in the socket.
+fn close_with_unread_input(name: &str, send: impl FnOnce(&mut TestClient)) -> ClosingRouter {
+    let limits = ResourceLimits::with_descriptors(4096);
+    let router = RouterHarness::start_with_limits(limits, name, 1, &settings(5000, 8000));
+    let mut client = router.connect_client();
+    let mut other_clients = router.connect_clients(LINES_READ_PER_TURN);
+    for client in &mut other_clients {
+        client.status(1);
+    }
+    router.stop();
+    for client in &mut other_clients {
+        client.send_line(&vec![status_line(2); 2].join("\n"));
+    }
+    send(&mut client);
+    router.wait_until_delivered();
+    let resumed_at = Instant::now();
+    router.resume();
+    ClosingRouter { router, client, _other_clients: other_clients, resumed_at }
+}
+
+#[test]
+fn a_connection_closed_with_unread_input_delivers_its_last_answer() {
+    let more_than_a_line = vec![b'['; 5 * MOST_BYTES_OF_A_LINE];
+    let mut closing = close_with_unread_input("unending", |client| client.send_bytes(&more_than_a_line));
+    let (answer, is_closed_without_reset) = closing.client.read_to_end();
+    let router = &mut closing.router;
+    router.record(answer).record(format!("closed without a reset: {is_closed_without_reset}"));
+    expect![[r#"
+        {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
+        closed without a reset: true
+        exit status Some(0): client_input_refused=1 clients_read_out=1
+    "#]]
+    .assert_eq(&router.finish(&["client_input_refused", "clients_read_out"]));
+}
+
+/// More is unread than one turn reads, and than the kernel holds for the router: it reads on for [`CROSSING`].
+#[test]
+fn a_connection_closed_with_much_unread_input_delivers_its_last_answer() {
+    let mut closing =
+        close_with_unread_input("unending-much", |client| fill_sockets_without_line_end(client));
+    let (answer, is_closed_without_reset) = closing.client.read_to_end();
+    let is_reset_too_early = !is_closed_without_reset && closing.resumed_at.elapsed() < CROSSING;
+    let router = &mut closing.router;
+    router.record(answer).record(format!("reset too early: {is_reset_too_early}"));
+    expect![[r#"
+        {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
+        reset too early: false
+        exit status Some(0): client_input_refused=1 clients_read_out=1
+    "#]]
+    .assert_eq(&router.finish(&["client_input_refused", "clients_read_out"]));
+}
--- /dev/null
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -0,0 +1,273 @@
+//! Connections to engines: health checks before use, resets, malformed input, and calls that were not written yet.
+
+use crate::harness::*;
+use emberflow_router::resp;
+use expect_test::expect;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Longer than an idle connection is trusted where it has a second to come up.
+const LONGER_THAN_A_SECOND: Duration = Duration::from_millis(1100);
+
+#[test]
+fn a_reset_fails_a_sent_call_and_a_refused_connection_rejects_it() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("reset", &settings(5000, 8000));
+    client.send_request(1, "post", 8000);
+    router.record_command(&mut engine);
+    drop(engine);
+    router.record_answer(&mut client);
+    expect![[r#"
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_broken=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_broken", "attempts_unreachable"]));
+
+    let mut router = RouterHarness::start("refused", 0, &settings(5000, 8000));
+    let mut client = router.connect_client();
+    client.send_request(1, "post", 8000);
+    router.record_answer(&mut client);
+    expect![[r#"
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_unreachable=3
+    "#]].assert_eq(&router.finish(&["attempts_broken", "attempts_unreachable"]));
+}
+
+#[test]
+fn an_idle_connection_must_answer_a_ping_before_it_is_used() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("silent", &settings(1000, 8000));
+    client.send_request(1, "lookup", 8000);
+    router.record_command(&mut engine);
+    engine.send_result(1, "x\t\t\n");
+    router.record_answer(&mut client);
+    std::thread::sleep(LONGER_THAN_A_SECOND);
+    client.send_request(2, "lookup", 8000);
+    router.record_commands(&mut engine, 3);
+    engine.send_result(2, "y\t\t\n");
+    router.record_answer(&mut client);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
+        PING 0
+        closed
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"eQkJCg=="}}
+        exit status Some(0): connections_dialled=2 connections_silent=1
+    "#]]
+    .assert_eq(&router.finish(&["connections_silent", "attempts_unreachable", "connections_dialled"]));
+}
+
+#[test]
+fn a_call_waiting_for_a_connection_is_not_sent_once_its_engine_drains() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("waiting", &settings(2000, 8000));
+    let mut discovery = router.accept_discovery();
+    let address = router.engine_address(0);
+    client.send_request(1, "lookup", 8000);
+    router.record_command(&mut engine);
+    engine.send_result(1, "x\t\t\n");
+    router.record_answer(&mut client);
+    std::thread::sleep(Duration::from_millis(2100));
+    client.send_request(2, "post", 8000);
+    router.record_command(&mut engine);
+    discovery.send_changes(2, &[EngineChange::draining(0, address)]);
+    router.record_answer(&mut client);
+    engine.send(0, "PONG", "-", "");
+    let transcript = router.finish(&["attempts_void", "connections_silent"]);
+    expect![[r#"
+        discovery dialled after event 1
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
+        PING 0
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_void=1
+        closed
+    "#]].assert_eq(&format!("{transcript}{}\n", engine.next_command()));
+}
+
+#[test]
+fn malformed_engine_input_closes_the_connection_and_fails_its_attempts() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("engine-input", &settings(5000, 8000));
+    let malformed_messages = [
+        ("DANCE", "-"),
+        ("HIT", "pages=0"),
+        ("HIT", "pages=x"),
+        ("HIT", "pages=100000"),
+        ("INFO", "detail=advance,v=much"),
+        ("FAULT", "use=util:high"),
+    ];
+    serve_request(&mut client, &mut engine, 1, "lookup", "");
+    for (id, (word, fields)) in (100..).step_by(10).zip(malformed_messages) {
+        client.send_request(id, "post", 8000);
+        engine.next_call();
+        engine.send(id, word, fields, "");
+        router.record_answer(&mut client);
+        // Results in between, so that the engine is not ejected as an outlier.
+        for successful in id + 1..id + 5 {
+            serve_request(&mut client, &mut engine, successful, "lookup", "");
+        }
+    }
+    expect![[r#"
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":100,"jsonrpc":"2.0"}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":110,"jsonrpc":"2.0"}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":120,"jsonrpc":"2.0"}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":130,"jsonrpc":"2.0"}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":140,"jsonrpc":"2.0"}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":150,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_broken=6 engine_input_malformed=6 requests_failed=6
+    "#]]
+    .assert_eq(&router.finish(&["engine_input_malformed", "attempts_broken", "requests_failed"]));
+}
+
+#[test]
+fn a_call_not_written_before_a_reset_moves_to_another_connection() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("moves", &settings(1000, 8000));
+    serve_first_request(&mut client, &mut engine, "post");
+    std::thread::sleep(LONGER_THAN_A_SECOND);
+    client.send_request(2, "post", 8000);
+    router.record_command(&mut engine);
+    engine.close_connection_of(1);
+    router.record_command(&mut engine);
+    engine.send_result(2, "y\t\t\n");
+    router.record_answer(&mut client);
+    expect![[r#"
+        PING 0
+        GET 0000000000000002 queue=post,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"eQkJCg=="}}
+        exit status Some(0): attempts_succeeded=2 connections_lost=1
+    "#]]
+    .assert_eq(&router.finish(&["connections_lost", "attempts_unreachable", "attempts_succeeded"]));
+}
+
+#[test]
+fn a_response_sent_before_the_engine_closed_counts() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("closed", &settings(5000, 8000));
+    client.send_request(1, "post", 8000);
+    router.record_command(&mut engine);
+    client.send_request(2, "post", 8000);
+    router.record_command(&mut engine);
+    engine.send_result(1, "done\t\t\n");
+    drop(engine);
+    router.record_answers(&mut client, 2);
+    expect![[r#"
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        GET 0000000000000002 queue=post,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQkJCg=="}}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":2,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_broken=1 attempts_succeeded=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_succeeded", "attempts_broken"]));
+}
+
+/// How the client or the engine of a call leaves; returns the client if it still reads.
+type Leave = fn(&mut TestDiscovery, TestClient, SocketAddr) -> Option<TestClient>;
+
+/// A call waits until an idle connection has answered a ping; `leave` comes in the same instant as the answer.
+/// Returns what became of the call.
+fn leave_as_the_ping_is_answered(name: &str, leave: Leave) -> String {
+    let (mut router, mut client, mut engine) = start_with_one_engine(name, &settings(1000, 8000));
+    let mut discovery = router.accept_discovery();
+    let address = router.engine_address(0);
+    serve_first_request(&mut client, &mut engine, "lookup");
+    std::thread::sleep(LONGER_THAN_A_SECOND);
+    client.send_request(2, "post", 8000);
+    assert_eq!(engine.next_command(), "PING 0");
+    let remaining = router.while_stopped(|_| {
+        engine.send_on(0, 0, "PONG", "-", "");
+        leave(&mut discovery, client, address)
+    });
+    let is_rejected = remaining.is_some_and(|mut client| client.read_line().contains("-32011"));
+    let further_calls = engine.answer_calls(0);
+    let transcript = router.finish(&["attempts_void"]);
+    format!("{name}: further calls {further_calls:?}, rejected {is_rejected}; {transcript}")
+}
+
+/// The client shuts down its sending side or closes, or the engine drains or is missing from a complete list.
+#[test]
+fn a_call_waiting_for_a_connection_is_not_sent_once_its_client_or_engine_left() {
+    let outcomes = [
+        leave_as_the_ping_is_answered("ping-half-close", |_, client, _| {
+            client.shut_down_sending();
+            Some(client)
+        }),
+        leave_as_the_ping_is_answered("ping-close", |_, client, _| {
+            drop(client);
+            None
+        }),
+        leave_as_the_ping_is_answered("ping-drain", |discovery, client, address| {
+            discovery.send_changes(2, &[EngineChange::draining(0, address)]);
+            Some(client)
+        }),
+        leave_as_the_ping_is_answered("ping-complete-list", |discovery, client, _| {
+            discovery.send(&empty_list_frame(2));
+            Some(client)
+        }),
+    ];
+    expect![[r#"
+        ping-half-close: further calls [], rejected true; discovery dialled after event 1
+        exit status Some(0): attempts_void=1
+        ping-close: further calls [], rejected false; discovery dialled after event 1
+        exit status Some(0): attempts_void=1
+        ping-drain: further calls [], rejected true; discovery dialled after event 1
+        exit status Some(0): attempts_void=1
+        ping-complete-list: further calls [], rejected true; discovery dialled after event 1
+        exit status Some(0): attempts_void=1
+    "#]]
+    .assert_eq(&outcomes.concat());
+}
+
+/// A connection is reset before the call that waits on it was written, and its client leaves in the same instant.
+#[test]
+fn a_call_on_a_reset_connection_is_not_moved_once_its_client_left() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("not-moved", &settings(1000, 8000));
+    client.send_request(1, "lookup", 8000);
+    engine.record_next_call(&mut router);
+    engine.send_result(1, ROWS);
+    client.read_line();
+    std::thread::sleep(LONGER_THAN_A_SECOND);
+    client.send_request(2, "lookup", 8000);
+    router.record_command(&mut engine);
+    router.while_stopped(|_| {
+        engine.close_connection_of(1);
+        client.shut_down_sending();
+    });
+    let is_rejected = client.read_line().contains("-32011");
+    router.record(format!("rejected: {is_rejected}")).record_further_calls(&mut engine, 0);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        PING 0
+        rejected: true
+        further calls: []
+        exit status Some(0): attempts_void=1 connections_dialled=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_void", "connections_dialled"]));
+}
+
+/// An engine drains, the connection with a written call is reset and SIGTERM comes, all at once.
+#[test]
+fn a_reset_during_drain_and_shutdown_fails_a_non_idempotent_request_once() {
+    let mut router = RouterHarness::start("reset-drain-shutdown", 2, &settings(5000, 8000));
+    let mut discovery = router.accept_discovery();
+    let mut client = router.connect_client();
+    client.send_request(1, "post", 8000);
+    let mut engines = router.two_engines_by_first_command();
+    engines[0].next_call();
+    let drain = EngineChange::draining(router.number_of(&engines[0]), engines[0].address());
+    router.while_stopped(|router| {
+        engines[0].send_bytes(0, &resp::array(&[b"half an answer"])[..6]);
+        engines[0].close_connection_of(1);
+        discovery.send_changes(2, &[drain]);
+        router.signal("-TERM");
+    });
+    router.record_answer(&mut client);
+    for engine in &mut engines {
+        router.record_further_calls(engine, 0);
+    }
+    expect![[r#"
+        discovery dialled after event 1
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
+        further calls: []
+        further calls: []
+        exit status Some(0): attempts_sent=1 requests_failed=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_sent", "requests_failed"]));
+}
--- /dev/null
+++ b/crates/router/tests/sockets/harness/configuration.rs
@@ -0,0 +1,96 @@
+//! The configuration files of the routers under test.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::{Path, PathBuf};
+
+/// Settings with `CONNECT_TIMEOUT_MS` and `DEADLINE_MS` to be filled in by [`settings`].
+const SETTINGS_TEMPLATE: &str = r#"{"caps":{"cancel":true,"connectTimeoutMs":CONNECT_TIMEOUT_MS,"idleCloseMs":15000.0,
+"maxRetryAfterMs":400.0,"mostTries":3,"retryAfter":true,"streamsPerConn":32},
+"categories":[{"deadlineMs":DEADLINE_MS,"gain":1,"lateShare":0,"name":"lookup","onTimeMs":2000.0,"repeat":"repeatable"},
+{"deadlineMs":DEADLINE_MS,"gain":1,"lateShare":0,"name":"post","onTimeMs":2000.0,"repeat":"once"}],"discovery":"push",
+"domain":{"kindCores":[8],"largestShare":0.4,"lanesCount":true,"sizeMb":[16384.0],"tellsEveryMs":500.0,
+"whenShort":"line_up"},"instances":1,"kinds":["std-8"],"myZone":0,"report":{"how":"none","names":[]},
+"rules":{"fallMs":1000.0,"overloadFactor":2.5,"startCapacity":0.3,"warmUpMs":9000.0},"tickMs":5.0,
+"zones":["hall-a"]}"#;
+
+/// A complete configuration, but for the address at `LISTEN`.
+const MINIMAL_CONFIGURATION: &str = r#"{"name":"n0","listen":"LISTEN","seed":"1","limits":{"memory_mb":64,"sockets":256},
+"bulletin":"127.0.0.1:1","known":{"no":0,"items":[]},"settings":{"caps":{"cancel":true,"connectTimeoutMs":250,
+"idleCloseMs":15000,"mostTries":3,"retryAfter":false,"streamsPerConn":32},"categories":[{"deadlineMs":8000,
+"gain":1,"lateShare":0,"name":"lookup","onTimeMs":2000,"repeat":"once"}],"discovery":"push",
+"domain":{"kindCores":[8],"largestShare":0.4,"lanesCount":true,"sizeMb":[16384]},"instances":1,"kinds":["std-8"],
+"myZone":0,"report":{"how":"none"},"rules":{"fallMs":1000,"overloadFactor":2.5,"startCapacity":0.3,
+"warmUpMs":9000},"tickMs":5,"zones":["hall-a"]}}"#;
+
+/// An operator's file with two teams of equal shares, one with a short queue.
+pub const TWO_TEAMS: &str = r#"{
+    teams: {list: [{name: "audit"}, {name: "posting", most_waiting: 3}], waits: {field: "tell", every_s: 3600}},
+}"#;
+
+/// What a router may use.
+#[derive(Clone, Copy)]
+pub struct ResourceLimits {
+    pub memory_mb: u32,
+    pub descriptors: u32,
+}
+
+impl Default for ResourceLimits {
+    fn default() -> Self {
+        Self { memory_mb: 64, descriptors: 256 }
+    }
+}
+
+impl ResourceLimits {
+    /// The usual memory with other descriptors.
+    pub fn with_descriptors(descriptors: u32) -> Self {
+        Self { descriptors, ..Self::default() }
+    }
+}
+
+/// Settings with two request classes, `lookup`, which is idempotent, and `post`, which is not.
+pub fn settings(connect_timeout_ms: u64, deadline_ms: u64) -> String {
+    SETTINGS_TEMPLATE
+        .replace("CONNECT_TIMEOUT_MS", &connect_timeout_ms.to_string())
+        .replace("DEADLINE_MS", &deadline_ms.to_string())
+}
+
+/// Settings under which requests that have no capacity stay queued for long.
+pub fn long_queueing_settings() -> String {
+    settings(5000, 60_000).replace("2000.0", "40000.0")
+}
+
+/// A small configuration for a router that listens at an address.
+pub fn minimal_configuration(listen: SocketAddr) -> String {
+    MINIMAL_CONFIGURATION.replace("LISTEN", &listen.to_string())
+}
+
+/// The configuration of a router on a loopback host, with its discovery service and the engines of its list.
+pub fn configuration_text(
+    host: Ipv4Addr,
+    limits: ResourceLimits,
+    discovery: SocketAddr,
+    engines: &[SocketAddr],
+    settings: &str,
+) -> String {
+    let members: Vec<String> = engines.iter().enumerate().map(member).collect();
+    let ResourceLimits { memory_mb, descriptors } = limits;
+    format!(
+        r#"{{"name":"n0","listen":"{host}:0","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{descriptors}}},
+            "bulletin":"{discovery}","known":{{"no":1,"items":[{{"no":1,"roster":{{"revision":1,"complete":true,"members":[{}]}}}}]}},
+            "settings":{settings}}}"#,
+        members.join(",")
+    )
+}
+
+fn member((index, address): (usize, &SocketAddr)) -> String {
+    format!(
+        r#"{{"id":"s-{index:08x}","host_port":"{address}","locality":"hall-a","flavor":"std-8","cell":0,"phase":"ready","size":1,"up_since_ms":0}}"#
+    )
+}
+
+/// Writes a configuration file for a test.
+pub fn write_configuration_file(name: &str, text: &str) -> PathBuf {
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
+    std::fs::write(&path, text).expect("the test directory is writable");
+    path
+}
--- /dev/null
+++ b/crates/router/tests/sockets/requests.rs
@@ -0,0 +1,287 @@
+//! How requests are served: attempts, retries, results and deadlines.
+
+use crate::harness::*;
+use expect_test::expect;
+use std::time::Duration;
+
+#[test]
+fn serves_a_request_page_by_page_and_shuts_down_gracefully() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("serve", &settings(5000, 8000));
+    router.record(client.status(1));
+    client.send_request(2, "lookup", 8000);
+    router.record_command(&mut engine);
+    engine.send(2, "INFO", "detail=advance,v=0.5", "");
+    engine.send_result(9, "of an unknown request");
+    engine.send(2, "HIT", "pages=3,cost=48.0,need=90", ROWS);
+    router.record_commands(&mut engine, 2);
+    engine.send(2, "PART", "page=2", "g\th\ti\n");
+    engine.send(2, "PART", "page=1", "d\te\tf\n");
+    router.record_answer(&mut client);
+    let counters =
+        ["requests_taken", "requests_succeeded", "attempts_sent", "notes", "engine_answers_for_nothing"];
+    expect![[r#"
+        {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        PAGE 0000000000000002 1
+        PAGE 0000000000000002 2
+        {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMKZAllCWYKZwloCWkK"}}
+        exit status Some(0): attempts_sent=1 engine_answers_for_nothing=1 notes=1 requests_succeeded=1 requests_taken=1
+    "#]]
+    .assert_eq(&router.finish(&counters));
+}
+
+#[test]
+fn an_overloaded_engine_is_retried_elsewhere_and_a_fault_fails_the_request() {
+    let mut router = RouterHarness::start("full", 2, &settings(5000, 8000));
+    let mut client = router.connect_client();
+    client.send_request(1, "post", 8000);
+    let mut engines = router.two_engines_by_first_command();
+    router.record_command(&mut engines[0]);
+    engines[0].send_overloaded(1);
+    router.record_command(&mut engines[1]);
+    engines[1].send(1, "FAULT", "-", "");
+    router.record_answer(&mut client);
+    expect![[r#"
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":1,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_failed=1 attempts_overloaded=1 requests_failed=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_overloaded", "attempts_failed", "requests_failed"]));
+}
+
+#[test]
+fn a_timed_out_attempt_is_cancelled_and_its_late_response_ignored() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("timed-out", &settings(5000, 8000));
+    client.send_request(1, "lookup", 1500);
+    router.record_commands(&mut engine, 2).record_answer(&mut client);
+    engine.send_result(1, "late\t\t\n");
+    client.send_request(2, "lookup", 8000);
+    router.record_command(&mut engine);
+    engine.send_result(2, "in time\t\t\n");
+    router.record_answer(&mut client);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        DROP 0000000000000001
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"aW4gdGltZQkJCg=="}}
+        exit status Some(0): attempts_timed_out=1 engine_answers_for_nothing=1 requests_rejected=1
+    "#]].assert_eq(&router.finish(&[
+        "attempts_timed_out",
+        "requests_rejected",
+        "engine_answers_for_nothing",
+    ]));
+}
+
+#[test]
+fn a_retry_avoids_the_connection_that_may_still_answer_an_earlier_attempt() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("late-response", &settings(5000, 8000));
+    client.send_request(1, "lookup", 8000);
+    router.record_command(&mut engine);
+    engine.send_overloaded(1);
+    router.record_command(&mut engine);
+    // A stalled first attempt is withdrawn and retried; there is no other engine.
+    client.send_request(2, "lookup", 8000);
+    router.record_command(&mut engine);
+    let first_connection = engine.connection_of(2);
+    engine.send_stalled(2);
+    router.record_command(&mut engine);
+    engine.send_on(first_connection, 2, "SHED", "-", "");
+    router.record_command(&mut engine);
+    engine.send_result(2, "from the second attempt\t\t\n");
+    router.record_answer(&mut client);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        DROP 0000000000000002
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"ZnJvbSB0aGUgc2Vjb25kIGF0dGVtcHQJCQo="}}
+        exit status Some(0): attempts_withdrawn=2 connections_dialled=3 engine_answers_for_nothing=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_withdrawn", "engine_answers_for_nothing", "connections_dialled"]));
+}
+
+#[test]
+fn repeated_and_unexpected_responses_leave_their_connection_usable() {
+    let limits = ResourceLimits::with_descriptors(4);
+    let router = RouterHarness::start_with_limits(limits, "repeated", 1, &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = with_client_and_engine(router);
+    client.send_request(1, "post", 8000);
+    client.send_request(2, "post", 8000);
+    router.record_commands(&mut engine, 2);
+    engine.send_result(9, "unknown\n");
+    engine.send(1, "PART", "page=1", "not requested\n");
+    engine.send(1, "HIT", "pages=2", "a\t\t\n");
+    engine.send(1, "HIT", "pages=2", "a\t\t\n");
+    engine.send(1, "PART", "page=7", "beyond\n");
+    engine.send(1, "PART", "page=1", "b\t\t\n");
+    engine.send(1, "PART", "page=1", "b\t\t\n");
+    engine.send_result(2, "c\t\t\n");
+    router.record_answers(&mut client, 2);
+    expect![[r#"
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        GET 0000000000000002 queue=post,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQkJCmIJCQo="}}
+        {"jsonrpc":"2.0","id":2,"result":{"data":"YwkJCg=="}}
+        exit status Some(0): connections_dialled=1 engine_answers_for_nothing=2 engine_answers_repeated=3
+    "#]]
+    .assert_eq(&router.finish(&[
+        "engine_answers_repeated",
+        "engine_answers_for_nothing",
+        "connections_dialled",
+        "connections_lost",
+    ]));
+}
+
+#[test]
+fn malformed_results_are_retried_if_idempotent_and_never_forwarded() {
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("malformed-result", &settings(5000, 8000));
+    for (id, body) in [(1, "noise"), (2, "two\tcolumns\n"), (3, "a\tb\tc\nand a half")] {
+        client.send_request(id, "lookup", 8000);
+        engine.next_command();
+        engine.send_result(id, body);
+        router.record_commands(&mut engine, 2);
+        engine.send_result(id, ROWS);
+        router.record_answer(&mut client);
+    }
+    client.send_request(4, "post", 8000);
+    engine.next_command();
+    engine.send_result(4, "noise");
+    router.record_answer(&mut client);
+    expect![[r#"
+        closed
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        closed
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
+        closed
+        GET 0000000000000003 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":3,"result":{"data":"YQliCWMK"}}
+        {"error":{"code":-32000,"message":"given up: it may have run"},"id":4,"jsonrpc":"2.0"}
+        exit status Some(0): attempts_broken=4 engine_input_malformed=4 requests_failed=1
+    "#]]
+    .assert_eq(&router.finish(&["engine_input_malformed", "attempts_broken", "requests_failed"]));
+}
+
+#[test]
+fn truncated_and_missing_responses_are_detected_on_their_connection_and_retried() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("truncated", &settings(300, 8000));
+    client.send_request(1, "lookup", 8000);
+    engine.next_call();
+    let truncated = b"*4\r\n$16\r\n00000";
+    engine.send_bytes(engine.connection_of(1), truncated);
+    engine.next_call();
+    engine.send_result(1, ROWS);
+    router.record_answer(&mut client);
+    client.send_request(2, "lookup", 8000);
+    engine.next_call();
+    engine.send(2, "HIT", "pages=2", ROWS);
+    engine.next_call();
+    engine.send_result(2, "d\te\tf\n");
+    router.record_answer(&mut client);
+    client.send_request(3, "lookup", 8000);
+    engine.next_call();
+    engine.next_call();
+    engine.send_result(3, "g\th\ti\n");
+    router.record_answer(&mut client);
+    expect![[r#"
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        {"jsonrpc":"2.0","id":2,"result":{"data":"ZAllCWYK"}}
+        {"jsonrpc":"2.0","id":3,"result":{"data":"ZwloCWkK"}}
+        exit status Some(0): attempts_broken=2 attempts_timed_out=1 engine_input_cut_short=1
+    "#]]
+    .assert_eq(&router.finish(&["engine_input_cut_short", "attempts_timed_out", "attempts_broken"]));
+}
+
+#[test]
+fn requests_with_one_subject_run_one_at_a_time_in_order() {
+    let ordered = settings(5000, 8000).replace(r#""name":"post""#, r#""keepOrder":true,"name":"post""#);
+    let (mut router, mut client, mut engine) = start_with_one_engine("order", &ordered);
+    for (id, subject) in [(1, "a"), (2, "a"), (3, "b")] {
+        client.send_request_with(&format!(r#""subject":"{subject}","#), id, "post", 8000);
+        if id != 2 {
+            router.record_command(&mut engine);
+        }
+    }
+    engine.send_result(1, "x\t\t\n");
+    router.record_answer(&mut client).record_command(&mut engine);
+    expect![[r#"
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        GET 0000000000000003 queue=post,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
+        GET 0000000000000002 queue=post,mem=120,prio=2 select 1
+        exit status Some(0): requests_failed=2 requests_succeeded=1
+    "#]]
+    .assert_eq(&router.finish(&["requests_succeeded", "requests_failed"]));
+}
+
+/// The router reads the engine's response only after the client's deadline: a non-idempotent request is neither sent
+/// again nor answered twice.
+#[test]
+fn a_response_read_together_with_the_expired_deadline_gives_one_answer() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("late-deadline", &settings(5000, 8000));
+    client.send_request(1, "post", 700);
+    engine.record_next_call(&mut router);
+    router.while_stopped(|_| {
+        engine.send_result(1, ROWS);
+        std::thread::sleep(Duration::from_millis(800));
+    });
+    router.record_answer(&mut client);
+    router.record(client.status(9)).record_further_calls(&mut engine, 0);
+    expect![[r#"
+        GET 0000000000000001 queue=post,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        {"id":9,"jsonrpc":"2.0","result":{"serving":true}}
+        further calls: []
+        exit status Some(0): requests_succeeded=1
+    "#]]
+    .assert_eq(&router.finish(&["requests_succeeded", "requests_failed"]));
+}
+
+/// Where the settings allow no hedged requests, the withdrawal of an attempt and the retry must not overtake each
+/// other on two connections.
+#[test]
+fn a_withdrawn_attempt_is_retried_once_its_engine_confirmed_the_withdrawal() {
+    let without_hedging =
+        settings(400, 60_000).replace("\"mostTries\":3", "\"mostTries\":3,\"mayDuplicate\":false");
+    let (mut router, mut client, mut engine) = start_with_one_engine("confirmed", &without_hedging);
+    client.send_request(1, "lookup", 60_000);
+    engine.record_next_call(&mut router);
+    engine.send_stalled(1);
+    router.record_commands(&mut engine, 2);
+    let early = engine.has_command_within(Duration::from_millis(100));
+    router.record(format!("retried before the engine confirmed: {early}"));
+    engine.send(1, "PONG", "-", "");
+    engine.record_next_call(&mut router);
+    engine.send_stalled(1);
+    router.while_stopped(|_| engine.send_result(1, ROWS));
+    router.record_answer(&mut client);
+    // The connection of an engine that does not confirm is closed first.
+    client.send_request(2, "lookup", 60_000);
+    engine.record_next_call(&mut router);
+    engine.send_stalled(2);
+    router.record_commands(&mut engine, 3);
+    engine.record_next_call(&mut router);
+    engine.send_result(2, ROWS);
+    router.record_answer(&mut client);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        DROP 0000000000000001
+        PING 0000000000000001
+        retried before the engine confirmed: false
+        GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        DROP 0000000000000002
+        PING 0000000000000002
+        closed
+        GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
+        exit status Some(0): attempts_taken_back=2 attempts_withdrawn=2 connections_silent=1
+    "#]]
+    .assert_eq(&router.finish(&["attempts_taken_back", "attempts_withdrawn", "connections_silent"]));
+}
--- /dev/null
+++ b/crates/router/tests/sockets/teams.rs
@@ -0,0 +1,138 @@
+//! Queues of teams: shares, urgency, timeouts and withdrawals.
+
+use crate::harness::*;
+use expect_test::expect;
+use std::time::{Duration, Instant};
+
+/// An operator's file with a team whose budget is used up by one request.
+const TEAM_WITH_BUDGET: &str = "{teams: {list: [{name: 'audit', share: 1, \
+                                budget: {work_s: 1, per_s: 60, burst_s: 1}}]}}";
+
+#[test]
+fn teams_share_capacity_and_urgent_requests_pass_queued_ones() {
+    let (mut router, mut client, mut engine) =
+        start_one_engine_with_operator_file("teams-share", &settings(5000, 60_000), TWO_TEAMS);
+    for id in 1..=4 {
+        client.send_large_request("posting", id, 60_000, "");
+    }
+    client.send_large_request("audit", 5, 60_000, "");
+    client.send_large_request("audit", 6, 60_000, r#""urgency":3,"#);
+    client.send_large_request("posting", 7, 60_000, "");
+    router.record_answer(&mut client);
+    for _ in 0..6 {
+        let id = engine.record_next_call(&mut router);
+        engine.send_result(id, "1\t2\t3\n");
+        router.record_answer(&mut client);
+    }
+    expect![[r#"
+        {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":7,"jsonrpc":"2.0"}
+        GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"MQkyCTMK"}}
+        GET 0000000000000006 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":6,"result":{"data":"MQkyCTMK"}}
+        GET 0000000000000005 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":5,"result":{"data":"MQkyCTMK"}}
+        GET 0000000000000002 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":2,"result":{"data":"MQkyCTMK"}}
+        GET 0000000000000003 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":3,"result":{"data":"MQkyCTMK"}}
+        GET 0000000000000004 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":4,"result":{"data":"MQkyCTMK"}}
+        exit status Some(0): requests_refused_at_the_door=1 requests_rejected=1 requests_succeeded=6
+    "#]]
+    .assert_eq(&router.finish(&["requests_succeeded", "requests_rejected", "requests_refused_at_the_door"]));
+}
+
+#[test]
+fn queued_requests_of_teams_are_rejected_in_time_withdrawn_and_answered_at_shutdown() {
+    let (mut router, mut client, mut engine) =
+        start_one_engine_with_operator_file("teams-queue", &settings(5000, 60_000), TWO_TEAMS);
+    client.send_large_request("audit", 1, 60_000, "");
+    router.record(engine.next_call());
+    // One more is queued by the scheduler, the rest in the team's queue.
+    client.send_large_request("audit", 2, 60_000, "");
+    client.send_large_request("audit", 3, 500, "");
+    client.send_large_request("audit", 4, 60_000, "");
+    client.send_line(&withdraw_line(4));
+    let sent_at = Instant::now();
+    router.record_answer(&mut client);
+    assert!(sent_at.elapsed() < Duration::from_millis(500), "rejected before its timeout");
+    for (team, urgency) in [("7", "0"), ("\"a\"", "4"), ("\"a\"", "-1"), ("\"a\"", "\"x\"")] {
+        client.send_request_with(&format!(r#""team":{team},"urgency":{urgency},"#), 8, "lookup", 8000);
+        router.record_answer(&mut client);
+    }
+    client.send_request_with(&format!(r#""team":"{}","#, "x".repeat(129)), 8, "lookup", 8000);
+    router.record_answer(&mut client);
+    // Graceful shutdown answers requests in a team's queue like those that the scheduler queues.
+    client.send_large_request("nobody", 5, 60_000, "");
+    router.signal("-TERM");
+    let mut answers = [client.read_line(), client.read_line(), client.read_line()];
+    answers.sort();
+    router.record(answers.join("\n"));
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":3,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`team` is not text"},"id":8,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`urgency` is not 0, 1, 2 or 3"},"id":8,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`urgency` is not 0, 1, 2 or 3"},"id":8,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`urgency` is not 0, 1, 2 or 3"},"id":8,"jsonrpc":"2.0"}
+        {"error":{"code":-32602,"message":"`team` is over 128 bytes"},"id":8,"jsonrpc":"2.0"}
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
+        {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":5,"jsonrpc":"2.0"}
+        exit status Some(0): requests_rejected=4 requests_withdrawn=1 held_requests=0
+    "#]].assert_eq(&router.finish(&["requests_rejected", "requests_withdrawn", "held_requests"]));
+}
+
+/// Of two requests in a team's queue, one client shuts down its sending side and the other closes.
+#[test]
+fn a_request_queued_for_its_team_is_rejected_once_its_client_left() {
+    let settings = long_queueing_settings();
+    let mut router = RouterHarness::start_with_operator_file("team-left", 1, &settings, TEAM_WITH_BUDGET);
+    let mut clients = router.connect_clients(3);
+    let mut engine = router.engine(0);
+    for (client, id) in clients.iter_mut().zip(1..) {
+        client.send_large_request("audit", id, 60_000, "");
+        client.status(99);
+    }
+    let first = engine.record_next_call(&mut router);
+    router.while_stopped(|_| {
+        engine.send_result(first, ROWS);
+        drop(clients.pop());
+        clients[1].shut_down_sending();
+    });
+    router.record_answer(&mut clients[0]).record_answer(&mut clients[1]);
+    router.record_further_calls(&mut engine, 0);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
+        further calls: []
+        exit status Some(0): requests_rejected=2 requests_succeeded=1
+    "#]]
+    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
+}
+
+/// Requests in a team's queue are withdrawn in the same instant as capacity for them is freed.
+#[test]
+fn a_request_queued_for_its_team_is_not_sent_once_it_is_withdrawn() {
+    let (mut router, mut client, mut engine) =
+        start_one_engine_with_operator_file("team-withdrawn", &long_queueing_settings(), TEAM_WITH_BUDGET);
+    for id in 1..=3 {
+        client.send_large_request("audit", id, 60_000, "");
+        client.status(99);
+    }
+    let first = engine.record_next_call(&mut router);
+    router.while_stopped(|_| {
+        engine.send_result(first, ROWS);
+        client.send_line(&(withdraw_line(2) + "\n" + &withdraw_line(3)));
+    });
+    router.record_answer(&mut client).record_further_calls(&mut engine, 0);
+    expect![[r#"
+        GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
+        {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
+        further calls: []
+        exit status Some(0): requests_succeeded=1 requests_withdrawn=2
+    "#]]
+    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
+}
