--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -426,7 +426,7 @@
                 quiet = false;
                 if let News::Ended(ended, body, owing) = news {
                     self.owing.extend(owing.map(|connection| (ended.request as usize, connection)));
-                    self.ended(ended.request as usize, ended.attempt, ended.end, body, only);
+                    self.ended(ended.request as usize, ended.attempt, ended.outcome, body, only);
                 }
             }
             if quiet {
--- a/crates/model-checker/src/story.rs
+++ b/crates/model-checker/src/story.rs
@@ -2,7 +2,7 @@
 
 use crate::life::{Life, Move};
 use crate::world::{Listed, World};
-use emberflow::{AttemptOutcome, ProgressNote};
+use emberflow::{AttemptOutcome, Lifecycle, ProgressNote};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
@@ -48,23 +48,23 @@
         Move::Note { request, notice, draw } => {
             let attempt = life.requests[request].attempts.len() - 1;
             let notice = match notice {
-                ProgressNote::Runs => "Runs".to_owned(),
-                ProgressNote::Done(part) => format!("Done({part:?})"),
-                ProgressNote::Spills(missing) => format!("Spills({missing:?})"),
-                ProgressNote::WaitsForMemory => "WaitsForMemory".to_owned(),
-                ProgressNote::WaitsForLoad => "WaitsForLoad".to_owned(),
+                ProgressNote::Running => "Running".to_owned(),
+                ProgressNote::Fraction(part) => format!("Fraction({part:?})"),
+                ProgressNote::Spilling(missing) => format!("Spilling({missing:?})"),
+                ProgressNote::WaitingForMemory => "WaitingForMemory".to_owned(),
+                ProgressNote::WaitingForLoad => "WaitingForLoad".to_owned(),
             };
             drawn(draw, format!(".progress_noted({request}, {attempt}, ProgressNote::{notice})"))
         }
         Move::List { engine, what, draw } => {
             let launched = life.sites[engine].launched.map(|at| at.as_millis());
-            let (ready, gone, launched) = match what {
-                Listed::Drains => (false, life.sites[engine].gone, launched),
-                Listed::Gone => (false, true, launched),
-                Listed::Back => (true, false, launched),
-                Listed::Anew => (true, false, Some(life.now.as_millis())),
+            let (lifecycle, launched) = match what {
+                Listed::Drains => (Lifecycle::Draining, launched),
+                Listed::Gone => (Lifecycle::Gone, launched),
+                Listed::Back => (Lifecycle::Ready, launched),
+                Listed::Anew => (Lifecycle::Ready, Some(life.now.as_millis())),
             };
-            drawn(draw, format!(".tell({engine}, {ready}, {gone}, {launched:?})"))
+            drawn(draw, format!(".tell({engine}, Lifecycle::{lifecycle:?}, {launched:?})"))
         }
         Move::ListLost => Some(".list_lost()".to_owned()),
         Move::ListFailed => Some(".endpoint_list_failed()".to_owned()),
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -90,7 +90,7 @@
     println!("limits: {} MB, {} descriptors", config.memory >> 20, config.descriptors);
     println!(
         "one of {} routers; {engines} engines of {} kinds by event {last}",
-        fleet.routers,
+        fleet.router_count,
         fleet.kinds.len()
     );
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -120,7 +120,7 @@
         let attempt = self.engines.send(engine, call, &row.owing, &mut self.context);
         row.attempts.push(attempt);
     }
-    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
             for attempt in &request.attempts {
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -8,7 +8,7 @@
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use emberflow::{
-    AttemptEnded, AttemptOutcome, Endpoint, EngineId, LoadReport, ProgressNote, RequestId, Usage,
+    AttemptEnded, AttemptOutcome, Endpoint, EngineId, Lifecycle, LoadReport, ProgressNote, RequestId, Usage,
 };
 use emberflow_settings::{from_ms, load};
 use std::cmp::Reverse;
@@ -183,15 +183,12 @@
                 self.lose(slot, "its engine has started anew", false, context);
             }
         }
-        Endpoint {
-            engine,
-            location: row.location,
-            kind: row.kind,
-            cell: row.cell,
-            ready: row.ready,
-            gone: row.gone,
-            launched,
-        }
+        let lifecycle = match row {
+            Row { gone: true, .. } => Lifecycle::Gone,
+            Row { ready: true, .. } => Lifecycle::Ready,
+            _ => Lifecycle::Draining,
+        };
+        Endpoint { engine, location: row.location, kind: row.kind, cell: row.cell, lifecycle, launched }
     }
 
     /// A whole list leaves out what has gone: nothing is sent there any more, nor what waits for a connection.
@@ -615,11 +612,11 @@
             "INFO" => {
                 let value = figure("v")?;
                 let notice = match (text("detail"), value) {
-                    (Some("advance"), Some(done)) => ProgressNote::Done(done),
-                    (Some("disk"), Some(missing_mb)) => ProgressNote::Spills(missing_mb),
-                    (Some("stall"), Some(1.0)) => ProgressNote::WaitsForMemory,
-                    (Some("stall"), Some(2.0)) => ProgressNote::WaitsForLoad,
-                    (None, _) => ProgressNote::Runs,
+                    (Some("advance"), Some(done)) => ProgressNote::Fraction(done),
+                    (Some("disk"), Some(missing_mb)) => ProgressNote::Spilling(missing_mb),
+                    (Some("stall"), Some(1.0)) => ProgressNote::WaitingForMemory,
+                    (Some("stall"), Some(2.0)) => ProgressNote::WaitingForLoad,
+                    (None, _) => ProgressNote::Running,
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
                 context.counters.count("notes");
@@ -709,18 +706,18 @@
             request: attempt.request,
             attempt: attempt.number,
             engine: attempt.engine,
-            end,
-            took: now.saturating_sub(attempt.sent),
+            outcome: end,
+            elapsed: now.saturating_sub(attempt.sent),
             usage: usage.filter(|_| end == AttemptOutcome::Succeeded),
             load_report: load_report.or(told),
-            over: false,
+            request_done: false,
         };
         log::debug!(
             "task {} hop {} at engine {}: {end:?} after {:?}, bill {:?}, load {:?}",
             ended.request,
             ended.attempt,
             ended.engine,
-            ended.took,
+            ended.elapsed,
             ended.usage,
             ended.load_report
         );
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -13,7 +13,9 @@
 use crate::slots::Slot;
 use crate::statement;
 use crate::timers::Timer;
-use emberflow::{Actions, Arrival, AttemptEnded, Fingerprint, KeyId, RequestId, Scheduler};
+use emberflow::{
+    Actions, Arrival, AttemptEnded, EndpointUpdate, Fingerprint, KeyId, Lifecycle, RequestId, Scheduler,
+};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
 use emberflow_settings::{Fields, from_ms};
@@ -187,7 +189,7 @@
             // Not owed where the client has withdrawn in between.
             self.dispatcher.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
         }
-        ended.over = self.dispatcher.requests.get(ended.request).is_none();
+        ended.request_done = self.dispatcher.requests.get(ended.request).is_none();
         self.scheduler.attempt_ended(now, ended, &mut self.dispatcher);
     }
 
@@ -576,10 +578,11 @@
             engines.only(rows, context);
         }
         let endpoints: Vec<_> = rows.iter().map(|row| engines.listed(row, context)).collect();
-        self.dispatcher.serving |= endpoints.iter().any(|row| row.ready);
+        self.dispatcher.serving |= endpoints.iter().any(|row| row.lifecycle == Lifecycle::Ready);
         self.dispatcher.context.counters.count("list_events");
         let now = self.dispatcher.context.now();
-        self.scheduler.endpoints_changed(now, whole, endpoints, &mut self.dispatcher);
+        let update = if whole { EndpointUpdate::FullList } else { EndpointUpdate::Changes };
+        self.scheduler.endpoints_changed(now, update, endpoints, &mut self.dispatcher);
         self.tell();
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub use fields::{Fault, Fields, from_ms, to_ms};
 
-use emberflow::{AttemptLimits, Effect, EngineKind, Fleet, LoadReport, RequestClass, RetryBudget, Scope};
+use emberflow::{AttemptLimits, Effect, EngineKind, Fleet, KeyScope, LoadReport, RequestClass, RetryBudget};
 
 /// Values of a load report that nothing reads, by the settings' names and the pages'.
 const UNREAD: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
@@ -75,7 +75,7 @@
     let zones = params.optional("zones", Fields::list)?.map(<[_]>::len);
     Ok(Fleet {
         seed,
-        routers: params.count("instances")?,
+        router_count: params.count("instances")?,
         home_location: params.field("myZone")?.as_place(zones)?,
         kinds: kinds(params, domain)?,
         max_grant_share: domain.share("largestShare")?,
@@ -143,9 +143,9 @@
                 "once" => Effect::NonIdempotent,
                 _ => Effect::IdempotentWithKey {
                     scope: match one_of(row, "keyScope", &["all", "zone", "cell"])? {
-                        "all" => Scope::All,
-                        "zone" => Scope::Location,
-                        _ => Scope::Cell,
+                        "all" => KeyScope::All,
+                        "zone" => KeyScope::Location,
+                        _ => KeyScope::Cell,
                     },
                     window: row.time("windowMs")?,
                 },
@@ -163,8 +163,8 @@
 
 pub fn attempt_limits(params: Fields) -> Result<AttemptLimits, Fault> {
     let (caps, rules) = (params.part("caps")?, params.part("rules")?);
-    let over = rules.optional("countedOverMs", Fields::positive_time)?;
-    let extra = |name: &str| match (rules.optional(name, Fields::not_negative)?, over) {
+    let window = rules.optional("countedOverMs", Fields::positive_time)?;
+    let extra = |name: &str| match (rules.optional(name, Fields::not_negative)?, window) {
         (Some(_), None) => Err(rules.field(name)?.fault("stands without `countedOverMs`")),
         (extra, _) => Ok(extra.unwrap_or(0.0)),
     };
@@ -179,7 +179,7 @@
         overload_factor: rules.positive("overloadFactor")?,
         overload_window: rules.positive_time("fallMs")?,
         key_cooldown: rules.optional("keyQuietMs", Fields::time)?,
-        retry_budget: over.map(|over| RetryBudget { spare, per_request, over }),
+        retry_budget: window.map(|window| RetryBudget { spare, per_request, window }),
         max_retry_after: caps.flag("retryAfter")?.then_some(longest).flatten(),
     })
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,8 +1,8 @@
 //! One instance: ids to indices and back, events to the router's calls, its words to actions.
 
 use emberflow::{
-    Actions, Arrival, AttemptEnded, AttemptOutcome, Endpoint, EngineId, KeyId, LoadReport, ProgressNote,
-    RequestId, Scheduler, Usage,
+    Actions, Arrival, AttemptEnded, AttemptOutcome, Endpoint, EndpointUpdate, EngineId, KeyId, Lifecycle,
+    LoadReport, ProgressNote, RequestId, Scheduler, Usage,
 };
 use emberflow_settings::{
     Fault, Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
@@ -69,7 +69,7 @@
             json!({"op": "PASS_ON", "ref": self.request(request), "engine": engine, "abandonAtMs": until}),
         );
     }
-    fn terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         let request = self.request(request);
         self.write(json!({"op": "PROVIDE", "ref": request, "memoryGrant": grant_mb, "importance": priority}));
     }
@@ -133,7 +133,8 @@
                 let endpoints = rows.iter().map(|row| endpoint(Fields::of(row), &mut names.engines));
                 let endpoints = endpoints.collect::<Result<Vec<_>, Fault>>()?;
                 let out = &mut Writer { who: *who, now, names, reply };
-                scheduler.endpoints_changed(now, mode != "patch", endpoints, out);
+                let update = if mode == "patch" { EndpointUpdate::Changes } else { EndpointUpdate::FullList };
+                scheduler.endpoints_changed(now, update, endpoints, out);
             }
             "ACCEPT" => {
                 let arrival = Arrival {
@@ -163,11 +164,11 @@
                     request: request.unwrap_or(RequestId::MAX),
                     attempt: line.index("hop")?,
                     engine: names.engines.number(line.text("engine")?),
-                    end: attempt_outcome(line.text("result")?)?,
-                    took: line.time("delaySeenMs")?,
+                    outcome: attempt_outcome(line.text("result")?)?,
+                    elapsed: line.time("delaySeenMs")?,
                     usage: (used > 0).then(|| usage(used)),
                     load_report: load_report(reported, line),
-                    over: line.flag("noMore")?,
+                    request_done: line.flag("noMore")?,
                 };
                 if request.is_some() {
                     scheduler.attempt_ended(now, ended, &mut Writer { who: *who, now, names, reply });
@@ -176,10 +177,10 @@
             "NOTICE" => {
                 let (request, attempt, value) = (known("ref")?, line.index("hop")?, line.number("value")?);
                 let notice = match (line.whole("sort")?, value) {
-                    (1, done) => ProgressNote::Done(done),
-                    (2, missing_mb) => ProgressNote::Spills(missing_mb),
-                    (3, 1.0) => ProgressNote::WaitsForMemory,
-                    (3, 2.0) => ProgressNote::WaitsForLoad,
+                    (1, done) => ProgressNote::Fraction(done),
+                    (2, missing_mb) => ProgressNote::Spilling(missing_mb),
+                    (3, 1.0) => ProgressNote::WaitingForMemory,
+                    (3, 2.0) => ProgressNote::WaitingForLoad,
                     (sort, value) => return Err(format!("`sort` {sort} with `value` {value} is unknown")),
                 };
                 if let Some(request) = request {
@@ -222,8 +223,11 @@
         location: row.index("site")?,
         kind: row.index("flavor")?,
         cell: row.whole("cohort")?,
-        ready: row.text("condition")? == "healthy",
-        gone: row.text("condition")? == "deregistered",
+        lifecycle: match row.text("condition")? {
+            "healthy" => Lifecycle::Ready,
+            "deregistered" => Lifecycle::Gone,
+            _ => Lifecycle::Draining,
+        },
         launched: row.maybe_time("launchedMs").filter(|at| !at.is_zero()),
     })
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -7,6 +7,7 @@
 use crate::*;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
 
 /// How much a router keeps of what comes and goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -139,7 +140,7 @@
     ) -> u64 {
         let mut digest = Digest::new();
         let (into, now, shortest_objective) = (&mut digest, with.now, self.shortest_objective());
-        (engine.location, engine.kind, engine.cell, engine.ready, engine.gone).hash(into);
+        (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(into);
         engine.launched.map(|at| since(now, at)).hash(into);
         let cold = engine.cold_since.filter(|at| *at + self.attempt_limits.warm_up > now);
         cold.map(|at| since(now, at)).hash(into);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -11,6 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// Part of an engine's memory, within this router's share, that the target starts at (the design's 0.5).
 const MEMORY_TARGET_PART: f64 = 0.5;
@@ -207,10 +208,19 @@
     }
 
     pub fn attempt_ended(&mut self, now: Duration, attempt: AttemptEnded, out: &mut impl Actions) {
-        let AttemptEnded { request: id, attempt, engine, end, took, usage, load_report, over } = attempt;
+        let AttemptEnded {
+            request: id,
+            attempt,
+            engine,
+            outcome: end,
+            elapsed,
+            usage,
+            load_report,
+            request_done,
+        } = attempt;
         self.report(now, engine, load_report, id);
         let Some(request) = self.requests.get_mut(&id) else { return self.settle(now, out) };
-        request.over |= over;
+        request.over |= request_done;
         let (class, told_cost, told_memory) = (request.class, request.told_cost, request.told_memory);
         let Some(ended) = request.attempts.get_mut(attempt) else { return self.settle(now, out) };
         ended.end = Some(end);
@@ -240,7 +250,7 @@
             let threads = self.classes[class].threads;
             let crowd =
                 load_report.and_then(|_| self.engines[&engine].report).and_then(|(_, told)| told.busy);
-            let alone = seconds(took) * threads / crowd.unwrap_or(1.0).max(1.0);
+            let alone = seconds(elapsed) * threads / crowd.unwrap_or(1.0).max(1.0);
             let cost = usage.map_or(alone, |usage| seconds(usage.cost));
             estimates.costs.push(now, cost);
             ideal = cost / threads.max(1.0);
@@ -300,19 +310,22 @@
             && let Some(engine) = self.engines.get_mut(&attempt_out.engine)
         {
             (engine.heard, attempt_out.heard) = (now, now);
-            attempt_out.stands |= matches!(notice, ProgressNote::WaitsForMemory | ProgressNote::WaitsForLoad);
+            attempt_out.stands |=
+                matches!(notice, ProgressNote::WaitingForMemory | ProgressNote::WaitingForLoad);
             match notice {
-                ProgressNote::Done(done) if done > 0.0 => {
+                ProgressNote::Fraction(done) if done > 0.0 => {
                     let left = seconds(now - attempt_out.sent) * (1.0 - done).max(0.0) / done;
                     attempt_out.finish = Some(now + span(left));
                 }
-                ProgressNote::Spills(missing_mb) => attempt_out.missing = attempt_out.missing.max(missing_mb),
-                ProgressNote::WaitsForLoad => engine.held.extend(request.group.map(|group| (group, now))),
+                ProgressNote::Spilling(missing_mb) => {
+                    attempt_out.missing = attempt_out.missing.max(missing_mb)
+                }
+                ProgressNote::WaitingForLoad => engine.held.extend(request.group.map(|group| (group, now))),
                 _ => {}
             }
             let cut = self.fleet.shrinks_grants && request.told_memory.is_some();
-            let short =
-                cut && matches!(notice, ProgressNote::Spills(_)) || notice == ProgressNote::WaitsForMemory;
+            let short = cut && matches!(notice, ProgressNote::Spilling(_))
+                || notice == ProgressNote::WaitingForMemory;
             engine.refused = short.then_some(now).or(engine.refused);
         }
         self.settle(now, out);
@@ -340,17 +353,17 @@
     pub fn endpoints_changed(
         &mut self,
         now: Duration,
-        whole: bool,
+        update: EndpointUpdate,
         rows: Vec<Endpoint>,
         out: &mut impl Actions,
     ) {
-        if whole {
-            self.engines.values_mut().for_each(|engine| (engine.ready, engine.gone) = (false, true));
+        if update == EndpointUpdate::FullList {
+            self.engines.values_mut().for_each(|engine| engine.lifecycle = Lifecycle::Gone);
         }
         for row in rows {
             let new = || Engine::listed(&row, now, SAMPLES, OUTCOMES);
             let engine = self.engines.entry(row.engine).or_insert_with(new);
-            (engine.ready, engine.gone) = (row.ready, row.gone);
+            engine.lifecycle = row.lifecycle;
             if row.launched.is_some() && row.launched != engine.launched {
                 let before = std::mem::replace(engine, new());
                 (engine.out, engine.sent) = (before.out, before.sent);
@@ -396,7 +409,7 @@
         if let Some(memory) = load_report.memory.filter(|m| *m > 0.0 && !self.fleet.reports_only_on_probe) {
             let out = self.requests.iter().filter(|(id, request)| **id != ended && request.out());
             let own: f64 = out.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant).sum();
-            let ready = self.engines.values().filter(|engine| engine.ready);
+            let ready = self.engines.values().filter(|engine| engine.lifecycle.accepts_requests());
             let all: f64 = ready.map(|engine| self.fleet.kinds[engine.kind].memory_mb).sum();
             self.shares.push(now, (own / (memory * all.max(1.0))).min(1.0));
         }
@@ -423,7 +436,7 @@
     /// This router's part of the fleet's class: its part of the memory that engines report granted, else an
     /// equal one.
     pub(crate) fn share(&self) -> f64 {
-        let equal = 1.0 / self.fleet.routers.max(1) as f64;
+        let equal = 1.0 / self.fleet.router_count.max(1) as f64;
         self.shares.mean().map_or(equal, |seen| seen.clamp(equal / 4.0, 1.0))
     }
 
@@ -482,7 +495,11 @@
         seen: &BTreeMap<EngineId, EngineView>,
     ) -> Gateway {
         let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
-        let engines = || self.engines.iter().filter(|(_, engine)| engine.kind == kind && engine.ready);
+        let engines = || {
+            self.engines
+                .iter()
+                .filter(|(_, engine)| engine.kind == kind && engine.lifecycle.accepts_requests())
+        };
         let mood = |id| match seen[id].pressed {
             Some(true) => -1.0,
             Some(false) => 1.0,
@@ -557,20 +574,21 @@
             (Effect::IdempotentWithKey { scope, .. }, Some(attempt)) => {
                 let first = &self.engines[&attempt.engine];
                 match scope {
-                    Scope::All => true,
-                    Scope::Location => first.location == engine.location,
-                    Scope::Cell => first.cell == engine.cell,
+                    KeyScope::All => true,
+                    KeyScope::Location => first.location == engine.location,
+                    KeyScope::Cell => first.cell == engine.cell,
                 }
             }
             _ => true,
         };
-        engine.ready && placed && same_group
+        engine.lifecycle.accepts_requests() && placed && same_group
     }
 
     /// Whether neither placement nor an earlier attempt keeps it from engines that others may be sent to.
     fn may_go_anywhere(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
-        let bound = matches!(&class.effect, Effect::IdempotentWithKey { scope, .. } if *scope != Scope::All);
+        let bound =
+            matches!(&class.effect, Effect::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
         class.locations.is_none() && (!bound || request.first_that_may_have_run().is_none())
     }
 
@@ -588,7 +606,7 @@
 
     fn may_reject(&self, request: &Request) -> bool {
         match &self.classes[request.class].effect {
-            Effect::Idempotent | Effect::IdempotentWithKey { scope: Scope::All, .. } => true,
+            Effect::Idempotent | Effect::IdempotentWithKey { scope: KeyScope::All, .. } => true,
             _ => request.first_that_may_have_run().is_none(),
         }
     }
@@ -596,8 +614,8 @@
     /// Further attempts that the budget still holds.
     fn attempts_left(&self, now: Duration) -> f64 {
         let Some(budget) = &self.attempt_limits.retry_budget else { return f64::INFINITY };
-        let taken = self.accepted.iter().filter(|at| **at + budget.over > now).count() as f64;
-        let made = self.further.iter().filter(|at| **at + budget.over >= now).count() as f64;
+        let taken = self.accepted.iter().filter(|at| **at + budget.window > now).count() as f64;
+        let made = self.further.iter().filter(|at| **at + budget.window >= now).count() as f64;
         budget.spare + budget.per_request * taken - made
     }
 
@@ -784,7 +802,7 @@
         let request = &self.requests[&id];
         let grant = self.grant(request, self.engines[&to].kind);
         let usual = self.usual_cost(request.class);
-        out.terms(id, grant.round(), self.priority(request.class));
+        out.set_terms(id, grant.round(), self.priority(request.class));
         out.send(id, to, request.deadline.saturating_sub(self.margin()));
         self.further.extend((!request.attempts.is_empty()).then_some(now));
         let (group, threads) = (request.group, self.classes[request.class].threads);
@@ -831,7 +849,7 @@
             let resting = |key_queue: &KeyQueue| key_queue.rest.is_some_and(|(_, until)| until > now);
             self.key_queues.retain(|_, key_queue| !key_queue.requests.is_empty() || resting(key_queue));
         }
-        let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.over);
+        let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.window);
         for times in [&mut self.accepted, &mut self.further] {
             while times.pop_front_if(|at| *at + window < now).is_some() {}
         }
@@ -839,7 +857,11 @@
         let seen = |id| {
             self.requests.values().any(|request| request.attempts.iter().any(|attempt| attempt.engine == id))
         };
-        let left = self.engines.iter().find(|(id, engine)| engine.gone && !seen(**id)).map(|(id, _)| *id);
+        let left = self
+            .engines
+            .iter()
+            .find(|(id, engine)| engine.lifecycle.is_deregistered() && !seen(**id))
+            .map(|(id, _)| *id);
         left.inspect(|id| out.forget(*id));
         snapshot.engines.retain(|id, _| Some(*id) != left);
         left.and_then(|id| self.engines.remove(&id)).is_some() || !gone.is_empty()
@@ -1041,7 +1063,8 @@
             return false;
         }
         let mut asked: Vec<EngineId> = self.engines.keys().copied().collect();
-        let unknown = |e: &Engine| e.ready && e.report.is_none_or(|(at, _)| at < lately);
+        let unknown =
+            |e: &Engine| e.lifecycle.accepts_requests() && e.report.is_none_or(|(at, _)| at < lately);
         asked.retain(|id| unknown(&self.engines[id]));
         asked.sort_by_key(|id| self.chance(*id, now.as_micros() as u64));
         asked.into_iter().take(2).for_each(|id| out.probe(id));
@@ -1064,7 +1087,11 @@
         let shortest = ways.min().unwrap_or(Duration::MAX);
         // Guards against crowds that no fleet could serve, which each input would go through: more work than
         // four times (so far off may the part be) what this router's part of all cores does until its latency_objective.
-        let cores = self.engines.values().filter(|e| !e.gone).map(|e| self.fleet.kinds[e.kind].cores);
+        let cores = self
+            .engines
+            .values()
+            .filter(|e| !e.lifecycle.is_deregistered())
+            .map(|e| self.fleet.kinds[e.kind].cores);
         let (most, mut before) = (4.0 * snapshot.share * cores.sum::<f64>(), 0.0);
         let behind = |(at, (id, request)): (usize, (&RequestId, &Request))| {
             let work = before + request.ideal * self.classes[request.class].threads;
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,6 +3,7 @@
 use crate::samples::SampleWindow;
 use crate::*;
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
@@ -61,8 +62,7 @@
     pub location: usize,
     pub kind: usize,
     pub cell: u64,
-    pub ready: bool,
-    pub gone: bool,
+    pub lifecycle: Lifecycle,
     pub launched: Option<Duration>,
     /// When this router heard of that launch.
     pub listed: Duration,
@@ -154,8 +154,7 @@
             location: row.location,
             kind: row.kind,
             cell: row.cell,
-            ready: row.ready,
-            gone: row.gone,
+            lifecycle: row.lifecycle,
             launched: row.launched,
             listed: now,
             cold_since: row.launched,
