--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -4,9 +4,9 @@
 
 use crate::search::Walk;
 use crate::witness;
-use emberflow::{AttemptOutcome, EngineId, RequestId};
+use emberflow::{AttemptOutcome, EngineId, Lifecycle, RequestId};
 use emberflow_router::context::Context;
-use emberflow_router::discovery::{EndpointRecord, EndpointState};
+use emberflow_router::discovery::EndpointRecord;
 use emberflow_router::engine_pool::{Ask, Call, EnginePool, News};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
@@ -274,9 +274,9 @@
     format!("request {request}\thop {number}\tpage {page}\n")
 }
 
-fn row(id: u32, state: EndpointState, up_since_ms: u64) -> EndpointRecord {
+fn row(id: u32, lifecycle: Lifecycle, up_since_ms: u64) -> EndpointRecord {
     let address = ([127, 0, 0, 1], 9).into();
-    EndpointRecord { id, address, state, location: 0, kind: 0, cell: 0, up_since_ms }
+    EndpointRecord { id, address, lifecycle, location: 0, kind: 0, cell: 0, up_since_ms }
 }
 
 impl Scene {
@@ -284,7 +284,7 @@
         let now = Duration::from_secs(20);
         let mut context = Context { now, ..Context::default() };
         let mut engines = EnginePool::new(world.streams, COMES_UP, IDLE, world.most_connections);
-        let engine = engines.listed(&row(7, EndpointState::Ready, 0), &mut context).engine;
+        let engine = engines.listed(&row(7, Lifecycle::Ready, 0), &mut context).engine;
         let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
         Self {
@@ -426,7 +426,7 @@
                 quiet = false;
                 if let News::Ended(ended, body, owing) = news {
                     self.owing.extend(owing.map(|connection| (ended.request as usize, connection)));
-                    self.ended(ended.request as usize, ended.attempt, ended.end, body, only);
+                    self.ended(ended.request as usize, ended.attempt, ended.outcome, body, only);
                 }
             }
             if quiet {
@@ -593,18 +593,18 @@
             Step::List { what } => {
                 next.listed = true;
                 let anew = (next.now + Duration::from_millis(1)).as_millis() as u64;
-                let (state, since) = match what {
-                    Told::Drains => (EndpointState::Draining, 0),
-                    Told::Anew => (EndpointState::Ready, anew),
-                    Told::Gone | Told::Replaced => (EndpointState::Gone, 0),
+                let (lifecycle, since) = match what {
+                    Told::Drains => (Lifecycle::Draining, 0),
+                    Told::Anew => (Lifecycle::Ready, anew),
+                    Told::Gone | Told::Replaced => (Lifecycle::Gone, 0),
                 };
-                next.ready = state == EndpointState::Ready;
-                next.engines.listed(&row(7, state, since), &mut next.context);
-                if state == EndpointState::Gone {
+                next.ready = lifecycle == Lifecycle::Ready;
+                next.engines.listed(&row(7, lifecycle, since), &mut next.context);
+                if lifecycle == Lifecycle::Gone {
                     next.engines.forget(next.engine, &mut next.context);
                 }
                 if what == Told::Replaced {
-                    let fresh = next.engines.listed(&row(8, EndpointState::Ready, anew), &mut next.context);
+                    let fresh = next.engines.listed(&row(8, Lifecycle::Ready, anew), &mut next.context);
                     (next.engine, next.ready) = (fresh.engine, true);
                 }
             }
--- a/crates/model-checker/src/house.rs
+++ b/crates/model-checker/src/house.rs
@@ -4,9 +4,10 @@
 use crate::connection_model::{Came, Far, Socket};
 use crate::search::Walk;
 use crate::witness;
+use emberflow::{EndpointUpdate, Lifecycle};
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
-use emberflow_router::discovery::{EndpointEvent, EndpointRecord, EndpointState, EventScope};
+use emberflow_router::discovery::{EndpointEvent, EndpointRecord};
 use emberflow_router::engine_pool::Ask;
 use emberflow_router::resp;
 use emberflow_router::server::{ClosedClient, Server};
@@ -280,7 +281,7 @@
         let bootstrap = Bootstrap::read(&file, None).expect("the world's configuration makes sense");
         let mut server = Server::new(bootstrap, Context { now, ..Context::default() });
         let endpoints = Self::rows(world, true);
-        server.endpoints_changed(&EndpointEvent { scope: EventScope::Snapshot, endpoints });
+        server.endpoints_changed(&EndpointEvent { update: EndpointUpdate::FullList, endpoints });
         let mut home = Self {
             now,
             server,
@@ -308,7 +309,7 @@
         let row = |id: u32| EndpointRecord {
             id,
             address: ([127, 0, 0, 1], 9 + id as u16).into(),
-            state: if ready || id > 0 { EndpointState::Ready } else { EndpointState::Draining },
+            lifecycle: if ready || id > 0 { Lifecycle::Ready } else { Lifecycle::Draining },
             location: 0,
             kind: 0,
             cell: 0,
@@ -623,7 +624,7 @@
             Step::Drain => {
                 next.drained = true;
                 let endpoints = Home::rows(self, false).into_iter().take(1).collect();
-                next.server.endpoints_changed(&EndpointEvent { scope: EventScope::Changes, endpoints });
+                next.server.endpoints_changed(&EndpointEvent { update: EndpointUpdate::Changes, endpoints });
             }
             Step::Terminate => {
                 next.terminated = true;
--- a/crates/model-checker/src/paper.rs
+++ b/crates/model-checker/src/paper.rs
@@ -3,8 +3,9 @@
 
 use crate::search::Walk;
 use crate::witness;
+use emberflow::EndpointUpdate;
 use emberflow_router::counters::Counters;
-use emberflow_router::discovery::{Discovery, EndpointRecord, EventScope};
+use emberflow_router::discovery::{Discovery, EndpointRecord};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -161,7 +162,7 @@
                     let plain = |endpoint: &EndpointRecord| (endpoint.id, endpoint.is_ready());
                     let rows = frame.event.map(|event| {
                         let rows: Vec<_> = event.endpoints.iter().map(plain).collect();
-                        (event.scope == EventScope::Snapshot, rows)
+                        (event.update == EndpointUpdate::FullList, rows)
                     });
                     self.judge(&Act::Takes { number: frame.number, rows: rows.clone() });
                     if let Some((whole, rows)) = rows {
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -45,9 +45,9 @@
     leaves: 2,
     listed: PLACES[0].listed,
     progress_notes: &[
-        emberflow::ProgressNote::Runs,
-        emberflow::ProgressNote::WaitsForLoad,
-        emberflow::ProgressNote::Done(0.1),
+        emberflow::ProgressNote::Running,
+        emberflow::ProgressNote::WaitingForLoad,
+        emberflow::ProgressNote::Fraction(0.1),
     ],
     notes: 2,
     closes: true,
@@ -144,7 +144,7 @@
     fn frames_split_anywhere_tell_the_same(bytes in frames(), at in any::<usize>()) {
         let parse = |bytes: &[u8]| {
             let parsed = discovery::parse_frame(bytes).map_err(|error| error.to_string())?;
-            let endpoints = |event: discovery::EndpointEvent| (event.scope, event.endpoints.len());
+            let endpoints = |event: discovery::EndpointEvent| (event.update, event.endpoints.len());
             Ok(parsed.map(|(frame, length)| ((frame.number, frame.event.map(endpoints)), length)))
         };
         let (server, back) = bytes.split_at(at % (bytes.len() + 1));
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -113,7 +113,7 @@
     let engine_count = engine_ids.collect::<BTreeSet<_>>().len();
     println!("{}: listen {}, discovery {}", config.name, config.listen_address, config.discovery_address);
     println!("limits: {} MB, {} descriptors", config.memory_bytes / BYTES_PER_MB, config.max_descriptors);
-    println!("fleet: {} routers, {engine_count} engines at event {last_event}", fleet.routers);
+    println!("fleet: {} routers, {engine_count} engines at event {last_event}", fleet.router_count);
     println!("{} engine kinds: {}", config.kinds.len(), config.kinds.join(", "));
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
     ignored_report_fields.iter().for_each(|fault| println!("{fault} (ignored)"));
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -4,6 +4,7 @@
 use crate::counters::Counters;
 use crate::error::DiscoveryError;
 use crate::ring::Ring;
+use emberflow::{EndpointUpdate, Lifecycle};
 use emberflow_settings::{Fault, Fields};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -21,21 +22,11 @@
 const SNAPSHOT_FRAME: u8 = 1;
 const CHANGES_FRAME: u8 = 2;
 
-/// Whether an engine takes requests, as the discovery service says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointState {
-    Ready,
-    /// It takes no new requests for now.
-    Draining,
-    /// It has left and will not come back under the same id.
-    Gone,
-}
-
 /// One engine of the list.
 pub struct EndpointRecord {
     pub id: u32,
     pub address: SocketAddr,
-    pub state: EndpointState,
+    pub lifecycle: Lifecycle,
     /// Indexes into the names that the settings list.
     pub location: usize,
     pub kind: usize,
@@ -48,22 +39,13 @@
 impl EndpointRecord {
     /// Whether the engine takes new requests.
     pub fn is_ready(&self) -> bool {
-        self.state == EndpointState::Ready
+        self.lifecycle == Lifecycle::Ready
     }
 }
 
-/// How much of the list an event holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventScope {
-    /// Every engine: those left out have gone.
-    Snapshot,
-    /// Only the engines that have changed.
-    Changes,
-}
-
 /// A change of the list of engines.
 pub struct EndpointEvent {
-    pub scope: EventScope,
+    pub update: EndpointUpdate,
     pub endpoints: Vec<EndpointRecord>,
 }
 
@@ -122,14 +104,16 @@
         self.input.consume(length);
         self.check_endpoints(&frame)?;
         let (number, last) = (frame.number, self.last_event);
-        match frame.event.as_ref().map(|event| event.scope) {
+        match frame.event.as_ref().map(|event| event.update) {
             None if number > last => Err(DiscoveryError::MissedEvents { number, last }),
             Some(_) if number <= last => {
                 counters.count("discovery_events_repeated");
                 Ok(Some(Frame { number, event: None }))
             }
             None if number < last => Ok(Some(frame)),
-            Some(EventScope::Changes) if number != last + 1 => Err(DiscoveryError::EventGap { number, last }),
+            Some(EndpointUpdate::Changes) if number != last + 1 => {
+                Err(DiscoveryError::EventGap { number, last })
+            }
             _ => {
                 self.last_event = number;
                 Ok(Some(frame))
@@ -168,21 +152,21 @@
 
 fn parse_event(kind: u8, payload: &[u8]) -> Result<Option<EndpointEvent>, DiscoveryError> {
     let is_complete = payload.len().is_multiple_of(RECORD_BYTES);
-    let scope = match kind {
+    let update = match kind {
         HEARTBEAT_FRAME if payload.is_empty() => return Ok(None),
-        SNAPSHOT_FRAME if is_complete => EventScope::Snapshot,
-        CHANGES_FRAME if is_complete => EventScope::Changes,
+        SNAPSHOT_FRAME if is_complete => EndpointUpdate::FullList,
+        CHANGES_FRAME if is_complete => EndpointUpdate::Changes,
         _ => return Err(DiscoveryError::FrameKind { kind, bytes: payload.len() }),
     };
     let endpoints = payload.chunks(RECORD_BYTES).map(parse_record).collect::<Result<_, _>>()?;
-    Ok(Some(EndpointEvent { scope, endpoints }))
+    Ok(Some(EndpointEvent { update, endpoints }))
 }
 
 fn parse_record(bytes: &[u8]) -> Result<EndpointRecord, DiscoveryError> {
-    let state = match bytes[10] {
-        0 => EndpointState::Ready,
-        1 => EndpointState::Draining,
-        2 => EndpointState::Gone,
+    let lifecycle = match bytes[10] {
+        0 => Lifecycle::Ready,
+        1 => Lifecycle::Draining,
+        2 => Lifecycle::Gone,
         unknown => return Err(DiscoveryError::EndpointState(unknown)),
     };
     let ip = Ipv4Addr::new(bytes[4], bytes[5], bytes[6], bytes[7]);
@@ -190,7 +174,7 @@
     Ok(EndpointRecord {
         id: big_endian(&bytes[..4]) as u32,
         address: (ip, port).into(),
-        state,
+        lifecycle,
         location: bytes[11].into(),
         kind: bytes[12].into(),
         cell: big_endian(&bytes[13..15]),
@@ -208,8 +192,9 @@
     let event = |item: Fields| {
         let roster = item.part("roster")?;
         let members = roster.rows("members")?.map(|row| configured_endpoint(row, locations, kinds));
-        let scope = if roster.flag("complete")? { EventScope::Snapshot } else { EventScope::Changes };
-        Ok(EndpointEvent { scope, endpoints: members.collect::<Result<_, Fault>>()? })
+        let update =
+            if roster.flag("complete")? { EndpointUpdate::FullList } else { EndpointUpdate::Changes };
+        Ok(EndpointEvent { update, endpoints: members.collect::<Result<_, Fault>>()? })
     };
     let events = known.rows("items")?.map(event).collect::<Result<_, Fault>>()?;
     Ok(InitialEvents { last_event: known.whole("no")?, events })
@@ -219,10 +204,10 @@
     let id = row.text("id")?;
     let address = row.text("host_port")?;
     let id_number = id.strip_prefix("s-").and_then(|digits| u32::from_str_radix(digits, 16).ok());
-    let state = match row.text("phase")? {
-        "ready" => EndpointState::Ready,
-        "gone" => EndpointState::Gone,
-        _ => EndpointState::Draining,
+    let lifecycle = match row.text("phase")? {
+        "ready" => Lifecycle::Ready,
+        "gone" => Lifecycle::Gone,
+        _ => Lifecycle::Draining,
     };
     let field_fault =
         |name: &str, wrong: String| row.field(name).map_or_else(|fault| fault, |field| field.fault(wrong));
@@ -231,7 +216,7 @@
         address: address
             .parse()
             .map_err(|_| field_fault("host_port", format!("is no address: {address}")))?,
-        state,
+        lifecycle,
         location: index_of_name(row, "locality", locations)?,
         kind: index_of_name(row, "flavor", kinds)?,
         cell: row.maybe_number("cell").unwrap_or(0.0) as u64,
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::whole_ms;
 use crate::context::Context;
-use crate::discovery::{EndpointRecord, EndpointState};
+use crate::discovery::EndpointRecord;
 use crate::resp;
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
@@ -188,8 +188,7 @@
             location: row.location,
             kind: row.kind,
             cell: row.cell,
-            ready: row.is_ready(),
-            gone: row.state == EndpointState::Gone,
+            lifecycle: row.lifecycle,
             launched,
         }
     }
@@ -615,11 +614,11 @@
             "INFO" => {
                 let value = figure("v")?;
                 let notice = match (text("detail"), value) {
-                    (Some("advance"), Some(done)) => ProgressNote::Done(done),
-                    (Some("disk"), Some(missing_mb)) => ProgressNote::Spills(missing_mb),
-                    (Some("stall"), Some(1.0)) => ProgressNote::WaitsForMemory,
-                    (Some("stall"), Some(2.0)) => ProgressNote::WaitsForLoad,
-                    (None, _) => ProgressNote::Runs,
+                    (Some("advance"), Some(done)) => ProgressNote::Fraction(done),
+                    (Some("disk"), Some(missing_mb)) => ProgressNote::Spilling(missing_mb),
+                    (Some("stall"), Some(1.0)) => ProgressNote::WaitingForMemory,
+                    (Some("stall"), Some(2.0)) => ProgressNote::WaitingForLoad,
+                    (None, _) => ProgressNote::Running,
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
                 context.counters.count("notes");
@@ -709,18 +708,18 @@
             request: attempt.request,
             attempt: attempt.number,
             engine: attempt.engine,
-            end,
-            took: now.saturating_sub(attempt.sent),
+            outcome: end,
+            elapsed: now.saturating_sub(attempt.sent),
             usage: usage.filter(|_| end == AttemptOutcome::Succeeded),
             load_report: load_report.or(told),
-            over: false,
+            request_done: false,
         };
         log::debug!(
             "task {} hop {} at engine {}: {end:?} after {:?}, bill {:?}, load {:?}",
             ended.request,
             ended.attempt,
             ended.engine,
-            ended.took,
+            ended.elapsed,
             ended.usage,
             ended.load_report
         );
--- a/crates/router/src/event_loop/reload.rs
+++ b/crates/router/src/event_loop/reload.rs
@@ -43,7 +43,7 @@
         self.server.context().counters.count("reloads");
         let restart_only = self.server.dispatcher.config.restart_only_changes(&config);
         if !restart_only.is_empty() {
-            log::warn!("changed in the configuration, but not before a restart: {}", restart_only.join(", "));
+            log::warn!("configuration change needs a restart: changed={}", restart_only.join(", "));
         }
         self.server.apply_teams(orders.teams);
         log::info!("configuration reloaded: discovery_address={}", config.discovery_address);
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -21,7 +21,7 @@
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::{AttemptEnded, Fingerprint, RequestClass, Scheduler};
-use shutdown::Lifecycle;
+use shutdown::ServerState;
 use std::hash::Hasher;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
     pub discovery: Discovery,
     /// Clients that were closed since the caller last took these.
     pub closed_clients: Vec<ClosedClient>,
-    lifecycle: Lifecycle,
+    state: ServerState,
     /// Whether clients may have sent what was not read yet, as the owner of the sockets knows.
     pub has_unread_input: bool,
     /// The longest deadline of any request class.
@@ -80,7 +80,7 @@
             scheduler: Scheduler::new(fleet, classes, attempt_limits),
             discovery: Discovery::resume_after(last_event, config.kinds.len(), config.locations.len()),
             closed_clients: Vec::new(),
-            lifecycle: Lifecycle::Serving,
+            state: ServerState::Serving,
             has_unread_input: false,
             admission_queue: None,
             admission_timer: None,
@@ -100,7 +100,7 @@
         let now = self.dispatcher.context.now();
         self.scheduler.fingerprint(&Fingerprint { now, more: true, alike: false, beside: &|_| 0 }, hasher);
         self.dispatcher.fingerprint(hasher);
-        self.lifecycle.fingerprint(now, hasher);
+        self.state.fingerprint(now, hasher);
     }
 
     /// The time, timers and counters of this server.
@@ -164,7 +164,7 @@
             let result = |id| jsonrpc::result(id, &body);
             self.dispatcher.answer_request(ended.request, RequestOutcome::Succeeded, result);
         }
-        ended.over = self.dispatcher.requests.get(ended.request).is_none();
+        ended.request_done = self.dispatcher.requests.get(ended.request).is_none();
         self.scheduler.attempt_ended(now, ended, &mut self.dispatcher);
     }
 
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -19,7 +19,7 @@
 
     /// Removes the admission queue after all that waits in it was passed to the scheduler.
     fn close_admission_queue(&mut self, now: Duration) {
-        log::info!("admission queue closed: no teams any more");
+        log::info!("admission queue closed");
         self.drain_admission_queue(now);
         self.admission_queue = None;
         self.dispatcher.completions = None;
--- a/crates/router/src/server/endpoints.rs
+++ b/crates/router/src/server/endpoints.rs
@@ -1,24 +1,25 @@
 //! Changes of the list of engines, from the configuration and from the discovery service.
 
 use super::Server;
-use crate::discovery::{EndpointEvent, EventScope};
+use crate::discovery::EndpointEvent;
 use crate::dispatch::Dispatcher;
 use crate::error::DiscoveryError;
+use emberflow::{EndpointUpdate, Lifecycle};
 
 impl Server {
     /// Applies a change of the list of engines.
     pub fn endpoints_changed(&mut self, event: &EndpointEvent) {
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
-        let is_snapshot = event.scope == EventScope::Snapshot;
-        if is_snapshot {
+        if event.update == EndpointUpdate::FullList {
             engines.only(&event.endpoints, context);
         }
         let endpoints: Vec<_> =
             event.endpoints.iter().map(|endpoint| engines.listed(endpoint, context)).collect();
-        self.dispatcher.had_ready_endpoint |= endpoints.iter().any(|endpoint| endpoint.ready);
+        self.dispatcher.had_ready_endpoint |=
+            endpoints.iter().any(|endpoint| endpoint.lifecycle == Lifecycle::Ready);
         self.dispatcher.context.counters.count("list_events");
         let now = self.dispatcher.context.now();
-        self.scheduler.endpoints_changed(now, is_snapshot, endpoints, &mut self.dispatcher);
+        self.scheduler.endpoints_changed(now, event.update, endpoints, &mut self.dispatcher);
         self.process_events();
     }
 
@@ -29,7 +30,7 @@
             received_any = true;
             if let Some(event) = frame.event {
                 let engines = event.endpoints.len();
-                log::info!("endpoint event {} received: engines={engines}", frame.number);
+                log::info!("endpoint event received: number={} engines={engines}", frame.number);
                 self.endpoints_changed(&event);
             }
         }
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -17,7 +17,7 @@
 
 /// Where a server stands between its start and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Lifecycle {
+pub(super) enum ServerState {
     Serving,
     /// Finishing what is open, until `deadline` at the latest.
     Draining {
@@ -29,7 +29,7 @@
     },
 }
 
-impl Lifecycle {
+impl ServerState {
     fn deadline(self) -> Option<Duration> {
         match self {
             Self::Serving => None,
@@ -54,7 +54,7 @@
         let now = context.now();
         let longest_deadline = self.longest_deadline.min(MAX_COUNTED_DEADLINE);
         let deadline = now + longest_deadline + LATE_CLIENT_WINDOW - DELIVERY_ALLOWANCE;
-        self.lifecycle = Lifecycle::Draining { deadline };
+        self.state = ServerState::Draining { deadline };
         context.timers.set(now + LATE_CLIENT_WINDOW, Timer::ShutdownCheck);
         self.drain_admission_queue(now);
         self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);
@@ -63,22 +63,22 @@
 
     /// Whether a graceful shutdown has begun.
     pub(super) fn is_shutting_down(&self) -> bool {
-        self.lifecycle != Lifecycle::Serving
+        self.state != ServerState::Serving
     }
 
     /// Whether the process may end.
     pub fn has_stopped(&self) -> bool {
-        matches!(self.lifecycle, Lifecycle::Stopped { .. })
+        matches!(self.state, ServerState::Stopped { .. })
     }
 
     /// Stops once nothing is open or the deadline has passed, else checks again a little later.
     pub(super) fn check_shutdown(&mut self) {
         let now = self.dispatcher.context.now();
         let is_drained = self.is_idle() && !self.has_unread_input;
-        if let Some(deadline) = self.lifecycle.deadline() {
+        if let Some(deadline) = self.state.deadline() {
             let stops = is_drained || now >= deadline;
-            self.lifecycle =
-                if stops { Lifecycle::Stopped { deadline } } else { Lifecycle::Draining { deadline } };
+            self.state =
+                if stops { ServerState::Stopped { deadline } } else { ServerState::Draining { deadline } };
         }
         self.dispatcher.context.timers.set(now + CHECK_INTERVAL, Timer::ShutdownCheck);
     }
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -137,19 +137,19 @@
                 .map(|r| {
                     format!(
                         "{:08x} {} {:?} {} {} {} {}",
-                        r.id, r.address, r.state, r.location, r.kind, r.cell, r.up_since_ms
+                        r.id, r.address, r.lifecycle, r.location, r.kind, r.cell, r.up_since_ms
                     )
                 })
                 .collect();
-            let scope = frame.event.as_ref().map(|event| event.scope);
-            (format!("{} {scope:?} {endpoints:?}", frame.number), length)
+            let update = frame.event.as_ref().map(|event| event.update);
+            (format!("{} {update:?} {endpoints:?}", frame.number), length)
         };
         ring.consume(length);
         Some(said)
     };
     let good = [frame(41, 1, &record), frame(42, 2, &[]), frame(42, 0, &[])].concat();
     expect![[r#"
-        41 Some(Snapshot) ["00c41f7a 10.1.0.9:9090 Draining 2 3 4 256"]
+        41 Some(FullList) ["00c41f7a 10.1.0.9:9090 Draining 2 3 4 256"]
         42 Some(Changes) []
         42 None []"#]]
     .assert_eq(&split_everywhere(&good, parse));
--- /dev/null
+++ b/crates/router/tests/sockets/harness/log_lines.rs
@@ -0,0 +1,27 @@
+//! Parts of the router's log lines that tests wait for or count.
+
+/// The line with the counters that a graceful shutdown ends with.
+pub const COUNTERS_AT_EXIT: &str = "counters at exit";
+/// The counters that are logged at a signal.
+pub const COUNTERS: &str = "counters";
+/// A reload that failed, and left everything as it was.
+pub const RELOAD_FAILED: &str = "configuration not reloaded";
+/// A reload read the configuration of another router.
+pub const CONFIGURATION_OF_ANOTHER: &str = "it is the configuration of `n1`";
+/// A reload read settings that take effect at a restart only.
+pub const SETTINGS_NEED_RESTART: &str = "configuration change needs a restart: changed=the settings";
+/// A reload removed a team whose requests were queued.
+pub const TEAM_REMOVED: &str = "posting is gone";
+/// A reload removed all teams.
+pub const TEAMS_REMOVED: &str = "admission queue closed";
+/// The connection to discovery was lost.
+pub const DISCOVERY_LOST: &str = "discovery connection lost";
+/// A line of a client that was refused.
+pub const CLIENT_INPUT_REFUSED: &str = "client line refused";
+/// The first request that the router accepted.
+pub const FIRST_REQUEST: &str = "request=0 ";
+
+/// The line at an event of the endpoint list.
+pub fn discovery_event(number: u64) -> String {
+    format!("endpoint event received: number={number} ")
+}
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -1,6 +1,7 @@
 //! Attempts and their connections to engines, without sockets.
 
 use super::*;
+use emberflow::Lifecycle;
 use expect_test::expect;
 use std::io::Cursor;
 
@@ -21,7 +22,7 @@
         let row = EndpointRecord {
             id: 7,
             address,
-            state: EndpointState::Ready,
+            lifecycle: Lifecycle::Ready,
             location,
             kind,
             cell,
@@ -105,7 +106,7 @@
         let row = EndpointRecord {
             id: 7,
             address,
-            state: EndpointState::Draining,
+            lifecycle: Lifecycle::Draining,
             location,
             kind,
             cell,
@@ -141,7 +142,7 @@
     stand.engines.overdue(stand.attempt, &mut stand.context);
     let told = match stand.engines.news.pop_front() {
         Some(News::Ended(ended, body, _)) => {
-            format!("{:?}, {:?} bytes", ended.end, body.map(|b| b.len()))
+            format!("{:?}, {:?} bytes", ended.outcome, body.map(|b| b.len()))
         }
         _ => "nothing".into(),
     };
