--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -144,7 +144,7 @@
 
     fn say(&mut self, at: usize, words: &[&[u8]]) {
         if let Some(Some(connection)) = self.connections.get_mut(at) {
-            connection.output.extend(resp::array(words));
+            connection.output.extend(resp::encode_array(words));
         }
     }
 
@@ -160,7 +160,7 @@
             Err(e) => e.kind() == ErrorKind::WouldBlock,
         };
         let mut words = Vec::new();
-        while let Ok(Some((parts, length))) = resp::parse(&connection.input) {
+        while let Ok(Some((parts, length))) = resp::parse_array(&connection.input) {
             words.push(
                 parts.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect::<Vec<_>>(),
             );
--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -26,12 +26,12 @@
     socket.set_read_timeout(Some(Duration::from_millis(time))).expect("a time-out");
     let statement = "select work_ms=20 need_mb=50";
     let words = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
-    socket.write_all(&resp::array(&words)).expect("it reads");
+    socket.write_all(&resp::encode_array(&words)).expect("it reads");
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes) {
         Ok(0) => "closed".to_owned(),
         Ok(count) => {
-            let (parts, _) = resp::parse(&bytes[..count]).expect("well formed").expect("whole");
+            let (parts, _) = resp::parse_array(&bytes[..count]).expect("well formed").expect("whole");
             parts
                 .iter()
                 .map(|part| String::from_utf8_lossy(part).trim().replace('\t', " "))
--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -7,7 +7,7 @@
 use emberflow::{AttemptOutcome, EngineId, RequestId};
 use emberflow_router::context::Context;
 use emberflow_router::discovery::Row;
-use emberflow_router::engine_pool::{Ask, Call, EnginePool, News};
+use emberflow_router::engine_pool::{Call, EnginePool, PoolCommand, PoolEvent};
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
@@ -284,7 +284,7 @@
         let now = Duration::from_secs(20);
         let mut context = Context { now, ..Context::default() };
         let mut engines = EnginePool::new(world.streams, COMES_UP, IDLE, world.most_connections);
-        let engine = engines.listed(&row(7, true, false, 0), &mut context).engine;
+        let engine = engines.update_endpoint(&row(7, true, false, 0), &mut context).engine;
         let (far, attempts, broken) = (BTreeMap::new(), Vec::new(), None);
         let owing = Vec::new();
         Self {
@@ -368,7 +368,9 @@
         let name = self.attempts.get(call).map_or_else(String::new, |attempt| id(attempt.request));
         let (request, number) =
             self.attempts.get(call).map_or((0, 0), |attempt| (attempt.request, attempt.number));
-        let say = |words: &[&str]| resp::array(&words.iter().map(|word| word.as_bytes()).collect::<Vec<_>>());
+        let say = |words: &[&str]| {
+            resp::encode_array(&words.iter().map(|word| word.as_bytes()).collect::<Vec<_>>())
+        };
         let whole = say(&[&name, "HIT", "pages=1", &page(request, number, 0)]);
         let bytes = match word {
             Word::Hit | Word::Again => whole,
@@ -408,23 +410,23 @@
     fn pump(&mut self, world: &Connections, only: Option<usize>) {
         loop {
             let mut quiet = true;
-            while let Some(ask) = self.engines.asks.pop_front() {
+            while let Some(ask) = self.engines.commands.pop_front() {
                 quiet = false;
                 match ask {
-                    Ask::Dial(connection, _) => {
+                    PoolCommand::Dial(connection, _) => {
                         let room = world.narrow;
                         self.far.insert(connection, Far::taking(room));
                     }
-                    Ask::Close(connection) => drop(self.far.remove(&connection)),
+                    PoolCommand::Close(connection) => drop(self.far.remove(&connection)),
                 }
             }
-            for connection in std::mem::take(&mut self.engines.unsent) {
+            for connection in std::mem::take(&mut self.engines.pending_writes) {
                 quiet = false;
                 self.flush(connection);
             }
-            while let Some(news) = self.engines.news.pop_front() {
+            while let Some(news) = self.engines.events.pop_front() {
                 quiet = false;
-                if let News::Ended(ended, body, owing) = news {
+                if let PoolEvent::Ended(ended, body, owing) = news {
                     self.owing.extend(owing.map(|connection| (ended.request as usize, connection)));
                     self.ended(ended.request as usize, ended.attempt, ended.end, body, only);
                 }
@@ -460,7 +462,7 @@
         self.engines.drain(connection, &mut Socket(far)).expect("a far end that only blocks");
         let new_call = far.inbox[before..].windows(3).any(|at| at == b"GET");
         let (mut taken, mut came) = (0, Vec::new());
-        while let Ok(Some((parts, length))) = resp::parse(&far.inbox[taken..]) {
+        while let Ok(Some((parts, length))) = resp::parse_array(&far.inbox[taken..]) {
             let part =
                 |at: usize| String::from_utf8_lossy(parts.get(at).copied().unwrap_or_default()).into_owned();
             let at = self.attempts.iter().position(|attempt| {
@@ -570,10 +572,10 @@
             Step::Call { request } => next.call(request),
             Step::Up { connection } => {
                 next.far.entry(connection).and_modify(|far| far.up = true);
-                next.engines.came_up(connection, &mut next.context);
+                next.engines.connection_established(connection, &mut next.context);
             }
             Step::Refuse { connection } => {
-                next.engines.refused(connection, false, "refused", &mut next.context)
+                next.engines.dial_failed(connection, false, "refused", &mut next.context)
             }
             Step::Says { connection, call, word } => {
                 next.faults += u8::from(matches!(word, Word::Half | Word::Again | Word::Stray | Word::Noise));
@@ -599,12 +601,12 @@
                     Told::Gone | Told::Replaced => (7, false, true, 0),
                 };
                 next.ready = ready;
-                next.engines.listed(&row(id, ready, gone, since), &mut next.context);
+                next.engines.update_endpoint(&row(id, ready, gone, since), &mut next.context);
                 if gone {
                     next.engines.forget(next.engine, &mut next.context);
                 }
                 if what == Told::Replaced {
-                    let fresh = next.engines.listed(&row(8, true, false, anew), &mut next.context);
+                    let fresh = next.engines.update_endpoint(&row(8, true, false, anew), &mut next.context);
                     (next.engine, next.ready) = (fresh.engine, true);
                 }
             }
@@ -616,9 +618,9 @@
                 while let Some(due) = next.context.timers.pop(next.now) {
                     let (engines, context) = (&mut next.engines, &mut next.context);
                     match due {
-                        Timer::Attempt(slot) => engines.overdue(slot, context),
-                        Timer::Connection(slot) => engines.connection_overdue(slot, next.now, context),
-                        Timer::Whole(slot) => engines.not_whole(slot, context),
+                        Timer::Attempt(slot) => engines.attempt_overdue(slot, context),
+                        Timer::Connection(slot) => engines.connection_check_due(slot, next.now, context),
+                        Timer::Whole(slot) => engines.reply_overdue(slot, context),
                         Timer::Idle(slot) => engines.connection_idle(slot, context),
                         _ => {}
                     }
--- a/crates/model-checker/src/house.rs
+++ b/crates/model-checker/src/house.rs
@@ -7,7 +7,7 @@
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
 use emberflow_router::discovery::Row;
-use emberflow_router::engine_pool::Ask;
+use emberflow_router::engine_pool::PoolCommand;
 use emberflow_router::resp;
 use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
@@ -405,7 +405,7 @@
         let name = req(self.calls[call].req);
         self.calls[call].ended = true;
         self.calls[call].ran = word != "SHED";
-        let bytes = resp::array(&[name.as_bytes(), word.as_bytes(), b"pages=1", body.as_bytes()]);
+        let bytes = resp::encode_array(&[name.as_bytes(), word.as_bytes(), b"pages=1", body.as_bytes()]);
         self.bring(connection, Came::then_silent(bytes));
     }
 
@@ -419,18 +419,18 @@
         loop {
             self.server.tell();
             let mut quiet = true;
-            while let Some(ask) = self.server.dispatcher.engines.asks.pop_front() {
+            while let Some(ask) = self.server.dispatcher.engines.commands.pop_front() {
                 quiet = false;
                 match ask {
-                    Ask::Dial(connection, _) => drop(self.far.insert(connection, Far::default())),
-                    Ask::Close(connection) => drop(self.far.remove(&connection)),
+                    PoolCommand::Dial(connection, _) => drop(self.far.insert(connection, Far::default())),
+                    PoolCommand::Close(connection) => drop(self.far.remove(&connection)),
                 }
             }
-            for connection in std::mem::take(&mut self.server.dispatcher.engines.unsent) {
+            for connection in std::mem::take(&mut self.server.dispatcher.engines.pending_writes) {
                 quiet = false;
                 self.flush(connection);
             }
-            for slot in std::mem::take(&mut self.server.dispatcher.clients.unsaid) {
+            for slot in std::mem::take(&mut self.server.dispatcher.clients.pending_writes) {
                 quiet = false;
                 self.reads(slot);
             }
@@ -470,7 +470,7 @@
             let line: Value = serde_json::from_slice(line).unwrap_or_default();
             let Some(id) = line["id"].as_u64() else { continue };
             let asked = self.asked.iter().position(|asked| (asked.client, asked.id) == (client, id));
-            let body = line["result"]["data"].as_str().and_then(emberflow_router::jsonrpc::body);
+            let body = line["result"]["data"].as_str().and_then(emberflow_router::jsonrpc::decode_body);
             self.judge(&Act::Line { asked, body: body.as_deref() });
             let Some(at) = asked else { return };
             self.asked[at].answers += 1;
@@ -482,7 +482,7 @@
         self.server.dispatcher.engines.drain(connection, &mut Socket(far)).expect("a far end that reads");
         let inbox = std::mem::take(&mut far.inbox);
         let mut taken = 0;
-        while let Ok(Some((parts, length))) = resp::parse(&inbox[taken..]) {
+        while let Ok(Some((parts, length))) = resp::parse_array(&inbox[taken..]) {
             let part = |at: usize| {
                 std::str::from_utf8(parts.get(at).copied().unwrap_or_default()).unwrap_or_default()
             };
@@ -592,12 +592,12 @@
             Step::Up { connection } => {
                 next.far.entry(connection).and_modify(|far| far.up = true);
                 let dispatcher = &mut next.server.dispatcher;
-                dispatcher.engines.came_up(connection, &mut dispatcher.context);
+                dispatcher.engines.connection_established(connection, &mut dispatcher.context);
             }
             Step::Refuse { connection } => {
                 next.faults += 1;
                 let dispatcher = &mut next.server.dispatcher;
-                dispatcher.engines.refused(connection, false, "refused", &mut dispatcher.context);
+                dispatcher.engines.dial_failed(connection, false, "refused", &mut dispatcher.context);
             }
             Step::Hit { connection, call } => {
                 let body = format!("request {}\tcall {call}\tx\n", next.calls[call].req);
@@ -608,7 +608,7 @@
             Step::Fault { connection, call } => next.answer(connection, call, "FAULT", ""),
             Step::Pong { connection } => {
                 next.far.entry(connection).and_modify(|far| far.pings -= 1);
-                next.bring(connection, Came::then_silent(resp::array(&[b"0", b"PONG", b"-", b""])));
+                next.bring(connection, Came::then_silent(resp::encode_array(&[b"0", b"PONG", b"-", b""])));
             }
             Step::Reset { connection } => {
                 next.faults += 1;
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -213,7 +213,7 @@
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
         file: FRONT,
-        from: "                .for_each(|attempt| self.dispatcher.engines.keep_back(attempt, &mut self.dispatcher.context));\n",
+        from: "                .for_each(|attempt| self.dispatcher.engines.disable_resend(attempt, &mut self.dispatcher.context));\n",
         to: "                .for_each(drop);\n",
     },
     Mutant {
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -89,7 +89,7 @@
 fn answers() -> impl Strategy<Value = Vec<u8>> {
     let part = prop::collection::vec(any::<u8>(), 0..12);
     let whole = prop::collection::vec(part, 0..10)
-        .prop_map(|parts| resp::array(&parts.iter().map(Vec::as_slice).collect::<Vec<_>>()));
+        .prop_map(|parts| resp::encode_array(&parts.iter().map(Vec::as_slice).collect::<Vec<_>>()));
     let noise = prop_oneof![
         prop::collection::vec(any::<u8>(), 0..16),
         "[*$][0-9]{0,9}\r?\n?".prop_map(String::into_bytes)
@@ -131,7 +131,7 @@
     #[test]
     fn answers_split_anywhere_tell_the_same(bytes in answers(), at in any::<usize>()) {
         let parse = |bytes: &[u8]| {
-            let parsed = resp::parse(bytes)?;
+            let parsed = resp::parse_array(bytes)?;
             Ok(parsed.map(|(parts, length)| (parts.iter().map(|part| part.to_vec()).collect::<Vec<_>>(), length)))
         };
         let (server, back) = bytes.split_at(at % (bytes.len() + 1));
@@ -153,11 +153,11 @@
 
     #[test]
     fn no_line_of_a_client_makes_the_codec_panic(line in ".{0,200}", id in any::<i64>(), method in "[a-z]{0,8}") {
-        let _ = jsonrpc::request(line.as_bytes());
+        let _ = jsonrpc::parse_request(line.as_bytes());
         let text = format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"data":"{method}"}}}}"#);
-        let known = jsonrpc::request(text.as_bytes()).map(|(id, ..)| id);
+        let known = jsonrpc::parse_request(text.as_bytes()).map(|(id, ..)| id);
         prop_assert_eq!(known.ok().flatten(), u64::try_from(id).ok().filter(|id| *id > 0));
-        let _ = jsonrpc::body(&line);
+        let _ = jsonrpc::decode_body(&line);
     }
 
     #[test]
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Open requests that a connection carries.
-pub const MOST_OPEN: usize = 32;
+pub const MAX_OPEN_REQUESTS: usize = 32;
 /// A line that has begun, and the first one, must have come whole within this; a client that has said something
 /// and waits for nothing is kept for longer. Clients close what is idle after 4 s, and are owed a close, an
 /// error or an answer within 3 s of connecting.
@@ -74,7 +74,7 @@
         let whole = rest.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
         for line in rest[..whole].split_inclusive(|byte| *byte == b'\n') {
             at += line.len() as u64;
-            if let Some(named) = jsonrpc::withdrawn(line) {
+            if let Some(named) = jsonrpc::parse_withdrawal(line) {
                 self.taken_back.push_back((at, named.clone()));
                 found.push(named);
             }
@@ -100,15 +100,17 @@
 }
 
 /// What a connection's turn at reading came to.
-pub enum Heard {
+pub enum ReadOutcome {
     /// A line, and when its last byte came at the earliest.
     Line(Vec<u8>, Duration),
     TooLong,
-    /// Read and thrown away.
-    Passed,
+    /// Input was read and discarded.
+    Discarded,
     /// It has ended its side, once all that came was heard.
-    Ended,
-    Nothing,
+    EndOfInput,
+    /// No complete line has come yet.
+    Pending,
+    /// The connection was reset or has failed.
     Closed,
 }
 
@@ -131,13 +133,13 @@
     /// Bytes that are unread among the answers to all.
     owed: usize,
     /// Those that may have nothing more to come or to be told.
-    pub ending: Vec<Slot>,
+    pub maybe_finished: Vec<Slot>,
     /// Those to whom something new was said.
-    pub unsaid: Vec<Slot>,
+    pub pending_writes: Vec<Slot>,
 }
 
 impl Clients {
-    pub fn within(most_bytes: usize, most_owed: usize) -> Self {
+    pub fn with_limits(most_bytes: usize, most_owed: usize) -> Self {
         Self { most_bytes, most_owed, ..Self::default() }
     }
 
@@ -172,21 +174,21 @@
 
     /// Of those that wait for nothing, the one that has for longest; first those that never said anything. Guards
     /// against floods of connections, which left no time to say something to those that came just before.
-    pub fn idlest(&self, now: Duration) -> Option<Slot> {
+    pub fn longest_idle(&self, now: Duration) -> Option<Slot> {
         let quiet = |client: &Client| client.active.max(client.came) + CROSSING <= now;
         let idle = self.table.iter().filter(|(_, client)| client.waits_for_nothing() && quiet(client));
         idle.min_by_key(|(_, client)| (client.heard, client.active)).map(|(slot, _)| slot)
     }
 
     /// Where more is unread among the answers than the memory bears: the client that reads least of them.
-    pub fn swollen(&self) -> Option<Slot> {
+    pub fn slowest_reader(&self) -> Option<Slot> {
         let most = || self.table.iter().max_by_key(|(_, client)| client.output.len());
         (self.owed > self.most_owed).then(most).flatten().map(|(slot, _)| slot)
     }
 
     /// Guards against clients that connect and say nothing, stop within a line, or hold what they do not use:
     /// whether one is to be closed, and whether it began to say something; else when to look again.
-    pub fn overdue(&mut self, slot: Slot, now: Duration) -> Result<bool, Duration> {
+    pub fn check_idle(&mut self, slot: Slot, now: Duration) -> Result<bool, Duration> {
         let Some(client) = self.table.get_mut(slot) else { return Ok(false) };
         let begun = !client.input.is_empty();
         let held_counts = if begun || !client.heard { STALLED } else { IDLE };
@@ -198,47 +200,47 @@
     /// The next line that comes from `from`, or has come; what is read now came at `since` at the earliest. A
     /// client that does not read its answers is not read from either; `failed` tells whether one that has shut
     /// can't be written to.
-    pub fn hear(
+    pub fn read_line(
         &mut self,
         slot: Slot,
         (now, since): (Duration, Duration),
         from: &mut impl Read,
         failed: impl Fn() -> bool,
-    ) -> Heard {
+    ) -> ReadOutcome {
         let most = self.most_bytes;
-        let Some(client) = self.table.get_mut(slot) else { return Heard::Nothing };
+        let Some(client) = self.table.get_mut(slot) else { return ReadOutcome::Pending };
         loop {
             if client.output.len() > most {
-                return Heard::Nothing;
+                return ReadOutcome::Pending;
             }
             if client.shut {
-                return if failed() { Heard::Closed } else { Heard::Nothing };
+                return if failed() { ReadOutcome::Closed } else { ReadOutcome::Pending };
             }
             if client.deaf {
                 client.pass(client.input.len());
                 match client.input.fill(from, most) {
-                    Ok(Filled::Enough) => return Heard::Passed,
-                    Ok(Filled::Drained) => return Heard::Nothing,
+                    Ok(Filled::Enough) => return ReadOutcome::Discarded,
+                    Ok(Filled::Drained) => return ReadOutcome::Pending,
                     Ok(Filled::Closed) => client.shut = true,
-                    Err(_) => return Heard::Closed,
+                    Err(_) => return ReadOutcome::Closed,
                 }
-                self.ending.push(slot);
-                return Heard::Ended;
+                self.maybe_finished.push(slot);
+                return ReadOutcome::EndOfInput;
             }
-            if let Some((line, length)) = jsonrpc::line(client.input.readable(), client.scanned) {
+            if let Some((line, length)) = jsonrpc::split_line(client.input.readable(), client.scanned) {
                 let line = line.to_vec();
                 client.pass(length);
                 (client.scanned, client.active, client.heard) = (0, now, true);
-                return Heard::Line(line, client.came);
+                return ReadOutcome::Line(line, client.came);
             }
             client.scanned = client.input.len();
             if client.scanned >= most {
                 client.deaf = true;
-                return Heard::TooLong;
+                return ReadOutcome::TooLong;
             }
             let before = client.input.len();
             match client.input.fill(from, most) {
-                Err(_) => return Heard::Closed,
+                Err(_) => return ReadOutcome::Closed,
                 Ok(_) if client.input.len() > before => {
                     client.came = since;
                     if before == 0 && client.heard {
@@ -248,10 +250,10 @@
                 // It may have shut one direction only: what is open is still owed.
                 Ok(Filled::Closed) => {
                     client.shut = true;
-                    self.ending.push(slot);
-                    return Heard::Ended;
+                    self.maybe_finished.push(slot);
+                    return ReadOutcome::EndOfInput;
                 }
-                Ok(_) => return Heard::Nothing,
+                Ok(_) => return ReadOutcome::Pending,
             }
         }
     }
@@ -259,7 +261,12 @@
     /// Looks ahead through what has come from a client with requests open or lines not heard, before its turn: whether
     /// it has stopped waiting for some, or is gone. Guards against requests that were sent on for nobody while that stood unread
     /// behind other lines, floods of others or its own unread answers.
-    pub fn peek(&mut self, slot: Slot, (now, since): (Duration, Duration), from: &mut impl Read) -> Peek {
+    pub fn scan_ahead(
+        &mut self,
+        slot: Slot,
+        (now, since): (Duration, Duration),
+        from: &mut impl Read,
+    ) -> Peek {
         let mut seen = Peek::default();
         let most = self.most_bytes;
         let Some(client) = self.table.get_mut(slot).filter(|client| !client.shut) else { return seen };
@@ -289,7 +296,7 @@
 
     /// Whether a request is taken back behind the line that was heard last: by its `req`, or by its id where no
     /// `req` is named.
-    pub fn takes_back(&self, slot: Slot, req: &str, id: u64) -> bool {
+    pub fn has_withdrawn(&self, slot: Slot, req: &str, id: u64) -> bool {
         let names = |(named, by_id): &Withdrawal| {
             if named.is_empty() { *by_id == Some(id) } else { named == req }
         };
@@ -297,18 +304,18 @@
     }
 
     /// Whether a client's input was seen to end longer ago than what crosses an end may take.
-    pub fn has_left(&self, slot: Slot, now: Duration) -> bool {
+    pub fn has_ended_input(&self, slot: Slot, now: Duration) -> bool {
         let ended = self.table.get(slot).and_then(|client| client.ended);
         ended.is_some_and(|at| at + CROSSING < now)
     }
 
-    pub fn say(&mut self, slot: Slot, line: &[u8]) {
+    pub fn send_line(&mut self, slot: Slot, line: &[u8]) {
         let Some(client) = self.table.get_mut(slot) else { return };
         self.owed += line.len();
         client.output.push(line);
-        self.unsaid.push(slot);
+        self.pending_writes.push(slot);
         if client.is_read_out() {
-            self.ending.push(slot);
+            self.maybe_finished.push(slot);
         }
     }
 
@@ -319,23 +326,23 @@
         let drained = client.output.drain(to);
         self.owed += client.output.len();
         if client.is_read_out() {
-            self.ending.push(slot);
+            self.maybe_finished.push(slot);
         }
         drained
     }
 
-    pub fn answered(&mut self, slot: Slot, id: u64, now: Duration) {
+    pub fn request_closed(&mut self, slot: Slot, id: u64, now: Duration) {
         if let Some(client) = self.table.get_mut(slot) {
             client.open.remove(&id);
             client.active = now;
             if client.is_read_out() {
-                self.ending.push(slot);
+                self.maybe_finished.push(slot);
             }
         }
     }
 
     /// Whether one can't be read on and is owed nothing more.
-    pub fn finished(&self, slot: Slot) -> bool {
+    pub fn is_finished(&self, slot: Slot) -> bool {
         self.table.get(slot).is_some_and(|client| client.is_read_out() && client.waits_for_nothing())
     }
 
@@ -357,7 +364,7 @@
     }
 
     /// Whether all that was said has left.
-    pub fn all_said(&self) -> bool {
+    pub fn all_sent(&self) -> bool {
         self.table.iter().all(|(_, client)| client.output.is_empty())
     }
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -124,7 +124,7 @@
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
             for attempt in &request.attempts {
-                self.engines.rank(*attempt, priority, &mut self.context);
+                self.engines.update_priority(*attempt, priority, &mut self.context);
             }
         }
         (request.grant_mb, request.priority) = (grant_mb, priority);
@@ -133,17 +133,18 @@
         if let Some(attempt) =
             self.requests.get(request).and_then(|request| request.attempts.get(attempt)).copied()
         {
-            self.engines.take_back(attempt, &mut self.context);
+            self.engines.cancel_before_resend(attempt, &mut self.context);
         }
     }
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let holdoff = retry_after.map(whole_ms).filter(|ms| *ms > 0);
-        let line = |id| jsonrpc::error(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", holdoff);
+        let line =
+            |id| jsonrpc::error_line(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", holdoff);
         let answered = self.answer(request, "requests_rejected", line);
         self.context.counters.must(answered, "a_second_answer");
     }
     fn fail(&mut self, request: RequestId) {
-        let line = |id| jsonrpc::error(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
+        let line = |id| jsonrpc::error_line(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
         let answered = self.answer(request, "requests_failed", line);
         self.context.counters.must(answered, "a_second_answer");
     }
@@ -162,7 +163,7 @@
 impl Dispatcher {
     /// Nothing open yet, within what the config allow.
     pub fn within(config: RouterConfig, context: Context) -> Self {
-        let clients = Clients::within(config.most_bytes(), config.most_held_bytes());
+        let clients = Clients::with_limits(config.most_bytes(), config.most_held_bytes());
         let RouterConfig { streams, comes_up, idle_close, .. } = config;
         let mut engines = EnginePool::new(streams, comes_up, idle_close, config.most_connections());
         engines.may_duplicate = config.may_duplicate;
@@ -206,11 +207,11 @@
                 request.priority,
             )
                 .hash(into);
-            request.attempts.iter().for_each(|attempt| self.engines.attempt_place(*attempt).hash(into));
+            request.attempts.iter().for_each(|attempt| self.engines.attempt_index(*attempt).hash(into));
             request
                 .owing
                 .iter()
-                .filter_map(|connection| self.engines.connection_place(*connection))
+                .filter_map(|connection| self.engines.connection_index(*connection))
                 .for_each(|at| at.hash(into));
         }
         // What else falls due is told by the connections and attempts themselves.
@@ -237,7 +238,7 @@
     /// The one final answer of a request; tells whether it was still owed.
     pub fn answer(&mut self, number: RequestId, how: &'static str, line: impl Fn(u64) -> Vec<u8>) -> bool {
         let Some(request) = self.close(number, how) else { return false };
-        self.clients.say(request.client, &line(request.id));
+        self.clients.send_line(request.client, &line(request.id));
         true
     }
 
@@ -249,7 +250,7 @@
         if let Some(closed) = &mut self.closed {
             closed.push((number, how));
         }
-        self.clients.answered(request.client, request.id, self.context.now());
+        self.clients.request_closed(request.client, request.id, self.context.now());
         for attempt in &request.attempts {
             self.engines.cancel(*attempt, &mut self.context);
         }
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -103,15 +103,15 @@
 
 /// What the decisions are to be told next.
 #[derive(Clone)]
-pub enum News {
+pub enum PoolEvent {
     /// An attempt's end, its result, and the connection that may still bring an answer to it.
     Ended(AttemptEnded, Option<Vec<u8>>, Option<Slot>),
-    Noticed(RequestId, usize, ProgressNote),
+    Progress(RequestId, usize, ProgressNote),
 }
 
 /// What the engines ask of whoever holds the sockets.
 #[derive(Clone)]
-pub enum Ask {
+pub enum PoolCommand {
     Dial(Slot, SocketAddr),
     Close(Slot),
 }
@@ -126,10 +126,10 @@
     next: EngineId,
     connections: Slots<Connection>,
     attempts: Slots<Attempt>,
-    pub news: VecDeque<News>,
-    pub asks: VecDeque<Ask>,
+    pub events: VecDeque<PoolEvent>,
+    pub commands: VecDeque<PoolCommand>,
     /// Connections with something new to be written.
-    pub unsent: Vec<Slot>,
+    pub pending_writes: Vec<Slot>,
     streams: usize,
     comes_up: Duration,
     idle_close: Duration,
@@ -147,9 +147,9 @@
             next: 0,
             connections: Slots::default(),
             attempts: Slots::default(),
-            news: VecDeque::new(),
-            asks: VecDeque::new(),
-            unsent: Vec::new(),
+            events: VecDeque::new(),
+            commands: VecDeque::new(),
+            pending_writes: Vec::new(),
             streams,
             comes_up,
             idle_close,
@@ -159,7 +159,7 @@
     }
 
     /// Takes one line of the list in. A process that ended takes its connections with it, told or not.
-    pub fn listed(&mut self, row: &Row, context: &mut Context) -> Endpoint {
+    pub fn update_endpoint(&mut self, row: &Row, context: &mut Context) -> Endpoint {
         let launched = (row.up_since_ms > 0).then(|| context.at_unix_ms(row.up_since_ms));
         let engine = *self.numbers.entry(row.id).or_insert(self.next);
         if engine == self.next {
@@ -168,7 +168,7 @@
             self.next += 1;
         }
         if !row.ready {
-            self.hold_back(engine, context);
+            self.void_unsent_attempts(engine, context);
         }
         let Some(known) = self.book.get_mut(&engine) else { unreachable!("a numbered engine") };
         (known.address, known.ready) = (row.address, row.ready);
@@ -180,7 +180,7 @@
             let old =
                 |slot: &Slot| self.connections.get(*slot).is_some_and(|connection| connection.opened < at);
             for slot in connections.into_iter().filter(old).collect::<Vec<_>>() {
-                self.lose(slot, "its engine has started anew", false, context);
+                self.close_connection(slot, "its engine has started anew", false, context);
             }
         }
         Endpoint {
@@ -195,11 +195,11 @@
     }
 
     /// A whole list leaves out what has gone: nothing is sent there any more, nor what waits for a connection.
-    pub fn only(&mut self, rows: &[Row], context: &mut Context) {
+    pub fn drain_unlisted(&mut self, rows: &[Row], context: &mut Context) {
         let left_out = |known: &Engine| known.ready && !rows.iter().any(|row| row.id == known.id);
         let left_out = self.book.iter().filter(|(_, known)| left_out(known));
         for engine in left_out.map(|(engine, _)| *engine).collect::<Vec<_>>() {
-            self.hold_back(engine, context);
+            self.void_unsent_attempts(engine, context);
             self.book.entry(engine).and_modify(|known| known.ready = false);
         }
     }
@@ -207,7 +207,7 @@
     /// An engine's number, connections and history end.
     pub fn forget(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
-            self.lose(slot, "its engine is gone", false, context);
+            self.close_connection(slot, "its engine is gone", false, context);
         }
         if let Some(known) = self.book.remove(&engine) {
             context.counters.count("engines_forgotten");
@@ -221,12 +221,12 @@
 
     /// What waits for a connection to an engine that is not to be sent to any more is never written; a call that
     /// stands in front of what its connection has to say, and of which nothing has left, is taken out again.
-    fn hold_back(&mut self, engine: EngineId, context: &mut Context) {
+    fn void_unsent_attempts(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
             let Some(connection) = self.connections.get(slot) else { continue };
             let mut unsent = connection.waiting.clone();
             let carried: Vec<Slot> = connection.attempts.values().copied().collect();
-            unsent.extend(carried.into_iter().filter(|attempt| self.take_out(*attempt)));
+            unsent.extend(carried.into_iter().filter(|attempt| self.retract_unsent_call(*attempt)));
             for attempt in unsent {
                 self.end(attempt, AttemptOutcome::Void, None, context);
             }
@@ -234,8 +234,8 @@
     }
 
     /// An attempt whose client may be gone: what was not written is never written, and what was goes nowhere else.
-    pub fn keep_back(&mut self, attempt: Slot, context: &mut Context) {
-        self.take_out(attempt);
+    pub fn disable_resend(&mut self, attempt: Slot, context: &mut Context) {
+        self.retract_unsent_call(attempt);
         let Some(row) = self.attempts.get_mut(attempt) else { return };
         row.kept_back = true;
         if row.written.is_none() {
@@ -244,7 +244,7 @@
     }
 
     /// Takes a call out again that stands in front of what its connection has to say, if nothing of it has left.
-    fn take_out(&mut self, attempt: Slot) -> bool {
+    fn retract_unsent_call(&mut self, attempt: Slot) -> bool {
         let Some(row) = self.attempts.get_mut(attempt) else { return false };
         let Some(connection) = row.connection.and_then(|connection| self.connections.get_mut(connection))
         else {
@@ -269,7 +269,7 @@
             Some(format!("prio={}", call.priority)),
         ];
         let fields = fields.into_iter().flatten().collect::<Vec<_>>().join(",");
-        let words = resp::array(&[b"GET", call.id.as_bytes(), fields.as_bytes(), call.statement]);
+        let words = resp::encode_array(&[b"GET", call.id.as_bytes(), fields.as_bytes(), call.statement]);
         let attempt = self.attempts.insert(Attempt {
             request: call.request,
             number: call.number,
@@ -288,20 +288,20 @@
         });
         context.timers.set(call.until, Timer::Attempt(attempt));
         context.counters.count("attempts_sent");
-        self.place(attempt, context);
+        self.assign_connection(attempt, context);
         attempt
     }
 
     /// Puts an attempt on a connection; none is made to an engine that is not to be sent to any more.
-    fn place(&mut self, slot: Slot, context: &mut Context) {
+    fn assign_connection(&mut self, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.written = None;
         let (engine, id, owing) = (attempt.engine, attempt.id.clone(), attempt.owing.clone());
         if attempt.kept_back || !self.book.get(&engine).is_some_and(|known| known.ready) {
             return self.end(slot, AttemptOutcome::Void, None, context);
         }
-        match self.connection_for(engine, &id, &owing, context) {
-            Some(connection) => self.put(slot, connection, context),
+        match self.select_connection(engine, &id, &owing, context) {
+            Some(connection) => self.enqueue_call(slot, connection, context),
             None => self.end(slot, AttemptOutcome::Unreachable, None, context),
         }
     }
@@ -309,7 +309,7 @@
     /// A connection with room for another attempt: one that carries none, else a new one as far as this engine's
     /// part of them goes, else the one that carries least. Guards against spoilt answers and resets, which
     /// take all that a connection carries with them.
-    fn connection_for(
+    fn select_connection(
         &mut self,
         engine: EngineId,
         id: &str,
@@ -357,12 +357,12 @@
             idle: None,
         });
         context.timers.set(due, Timer::Connection(slot));
-        self.asks.push_back(Ask::Dial(slot, address));
+        self.commands.push_back(PoolCommand::Dial(slot, address));
         self.book.entry(engine).and_modify(|known| known.connections.push(slot));
         Some(slot)
     }
 
-    fn put(&mut self, attempt: Slot, slot: Slot, context: &mut Context) {
+    fn enqueue_call(&mut self, attempt: Slot, slot: Slot, context: &mut Context) {
         let (Some(row), Some(connection)) = (self.attempts.get_mut(attempt), self.connections.get_mut(slot))
         else {
             return;
@@ -375,21 +375,21 @@
         connection.waiting.push(attempt);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
         if connection.up && !connection.asked && context.now() > connection.heard + self.comes_up {
-            self.check(slot, context);
+            self.send_ping(slot, context);
         }
-        self.go_on(slot, context);
+        self.schedule_writes(slot, context);
     }
 
     /// Has the connection show that it works.
-    fn check(&mut self, slot: Slot, context: &mut Context) {
+    fn send_ping(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        connection.output.push(&resp::array(&[b"PING", b"0"]));
+        connection.output.push(&resp::encode_array(&[b"PING", b"0"]));
         connection.asked = true;
         context.counters.count("connections_checked");
-        self.look_at(slot, context.now() + self.comes_up, context);
+        self.schedule_check(slot, context.now() + self.comes_up, context);
     }
 
-    fn look_at(&mut self, slot: Slot, at: Duration, context: &mut Context) {
+    fn schedule_check(&mut self, slot: Slot, at: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.due.inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
         connection.due = Some(at);
@@ -397,24 +397,24 @@
     }
 
     /// Writes what waits, as far as the connection is known to work.
-    fn go_on(&mut self, slot: Slot, context: &mut Context) {
+    fn schedule_writes(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.up && !connection.asked && !connection.waiting.is_empty() {
-            self.next_call(slot);
+            self.queue_next_call(slot);
             if self.connections.get(slot).is_some_and(|connection| connection.due.is_none()) {
-                self.look_at(slot, context.now() + self.comes_up * 2, context);
+                self.schedule_check(slot, context.now() + self.comes_up * 2, context);
             }
         }
         if self.connections.get(slot).is_some_and(|connection| connection.up && !connection.output.is_empty())
         {
-            self.unsent.push(slot);
+            self.pending_writes.push(slot);
         }
     }
 
     /// Puts the next call behind what a connection has to say, once all of that has left: a call that still waits
     /// can be taken back. Guards against engines that do not read: what had been told to drain got the calls
     /// that its connection had no room for.
-    fn next_call(&mut self, slot: Slot) -> bool {
+    fn queue_next_call(&mut self, slot: Slot) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
         if !connection.up
             || connection.asked
@@ -437,11 +437,11 @@
     }
 
     /// Whether a connection is up; `None` where it is no more.
-    pub fn is_up(&self, slot: Slot) -> Option<bool> {
+    pub fn is_established(&self, slot: Slot) -> Option<bool> {
         self.connections.get(slot).map(|connection| connection.up)
     }
 
-    pub fn came_up(&mut self, slot: Slot, context: &mut Context) {
+    pub fn connection_established(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.up = true;
         connection.heard = context.now();
@@ -451,15 +451,15 @@
             connection.heard - connection.opened
         );
         connection.due.take().inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
-        self.go_on(slot, context);
+        self.schedule_writes(slot, context);
     }
 
     /// A connection did not come about: refused, or reset where its engine was `there`.
-    pub fn refused(&mut self, slot: Slot, there: bool, why: &str, context: &mut Context) {
+    pub fn dial_failed(&mut self, slot: Slot, there: bool, why: &str, context: &mut Context) {
         if !there {
             context.counters.count("connections_refused");
         }
-        self.lose(slot, why, there, context);
+        self.close_connection(slot, why, there, context);
     }
 
     /// Writes what a connection has to say, as far as `to` takes it.
@@ -480,7 +480,7 @@
                     attempt.call = Vec::new();
                 }
             }
-            if !self.next_call(slot) {
+            if !self.queue_next_call(slot) {
                 return Ok(());
             }
         }
@@ -490,16 +490,16 @@
     pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
         let filled = connection.input.fill(from, TURN);
-        if let Err(malformed) = self.hear(slot, context) {
+        if let Err(malformed) = self.process_input(slot, context) {
             context.counters.count("engine_input_malformed");
             log::warn!("malformed from an engine: {malformed}");
-            self.lose(slot, &malformed, true, context);
+            self.close_connection(slot, &malformed, true, context);
             return false;
         }
         match filled {
             Ok(Filled::Drained | Filled::Enough) => {}
-            Ok(Filled::Closed) => self.lose(slot, "closed by the engine", true, context),
-            Err(ref error) => self.lose(slot, &error.to_string(), true, context),
+            Ok(Filled::Closed) => self.close_connection(slot, "closed by the engine", true, context),
+            Err(ref error) => self.close_connection(slot, &error.to_string(), true, context),
         }
         let Some(connection) = self.connections.get_mut(slot) else { return false };
         if connection.whole_by.is_none() && !connection.input.is_empty() {
@@ -511,19 +511,21 @@
     }
 
     /// Guards against answers that stop short on a connection that stays open: nothing can follow them.
-    pub fn not_whole(&mut self, slot: Slot, context: &mut Context) {
+    pub fn reply_overdue(&mut self, slot: Slot, context: &mut Context) {
         let now = context.now();
         if self.connections.get(slot).and_then(|connection| connection.whole_by).is_some_and(|by| by <= now) {
             context.counters.count("engine_input_cut_short");
-            self.lose(slot, "an answer that stopped short", true, context);
+            self.close_connection(slot, "an answer that stopped short", true, context);
         }
     }
 
     /// Takes in all answers that have come whole.
-    fn hear(&mut self, slot: Slot, context: &mut Context) -> Result<(), String> {
+    fn process_input(&mut self, slot: Slot, context: &mut Context) -> Result<(), String> {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return Ok(()) };
-            let Some((parts, length)) = resp::parse(connection.input.readable())? else { return Ok(()) };
+            let Some((parts, length)) = resp::parse_array(connection.input.readable())? else {
+                return Ok(());
+            };
             let text = |part: &[u8]| String::from_utf8(part.to_vec()).map_err(|_| "text that is no UTF-8");
             let part = |at: usize| parts.get(at).copied().unwrap_or_default();
             let (id, word, fields) = (text(part(0))?, text(part(1))?, text(part(2))?);
@@ -532,14 +534,14 @@
             connection.heard = context.now();
             connection.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
             if std::mem::take(&mut connection.asked) {
-                self.go_on(slot, context);
+                self.schedule_writes(slot, context);
             }
             if word == "PONG" {
-                self.has_heard(slot, &id, context);
+                self.cancel_acknowledged(slot, &id, context);
                 continue;
             }
             match self.connections.get(slot).and_then(|connection| connection.attempts.get(&id)).copied() {
-                Some(attempt) => self.answer(attempt, &word, &fields, body, context)?,
+                Some(attempt) => self.handle_reply(attempt, &word, &fields, body, context)?,
                 None => context.counters.count("engine_answers_for_nothing"),
             }
         }
@@ -547,7 +549,7 @@
 
     /// What comes under a request's name behind what took its attempt back shows that its engine has given that up, and
     /// that no answer to it follows.
-    fn has_heard(&mut self, slot: Slot, id: &str, context: &mut Context) {
+    fn cancel_acknowledged(&mut self, slot: Slot, id: &str, context: &mut Context) {
         let Some(attempt) =
             self.connections.get(slot).and_then(|connection| connection.attempts.get(id)).copied()
         else {
@@ -558,7 +560,7 @@
         }
     }
 
-    fn answer(
+    fn handle_reply(
         &mut self,
         slot: Slot,
         word: &str,
@@ -594,8 +596,9 @@
                 let mut got = vec![None; pages as usize];
                 got[0] = Some(body);
                 attempt.result = Some(Pages { got, usage, load_report });
-                let asks = (1..pages as usize)
-                    .map(|page| resp::array(&[b"PAGE", attempt.id.as_bytes(), page.to_string().as_bytes()]));
+                let asks = (1..pages as usize).map(|page| {
+                    resp::encode_array(&[b"PAGE", attempt.id.as_bytes(), page.to_string().as_bytes()])
+                });
                 let asks = asks.collect::<Vec<_>>().concat();
                 self.write(slot, &asks, context);
                 self.complete(slot, context)
@@ -623,7 +626,7 @@
                     (detail, value) => return Err(format!("a note {detail:?} of {value:?}")),
                 };
                 context.counters.count("notes");
-                self.news.push_back(News::Noticed(attempt.request, attempt.number, notice));
+                self.events.push_back(PoolEvent::Progress(attempt.request, attempt.number, notice));
                 Ok(())
             }
             "SHED" | "LATE" => {
@@ -726,21 +729,21 @@
         );
         let given_up =
             matches!(end, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && attempt.dropped.is_none();
-        self.news.push_back(News::Ended(ended, body, attempt.connection.filter(|_| given_up)));
+        self.events.push_back(PoolEvent::Ended(ended, body, attempt.connection.filter(|_| given_up)));
     }
 
     fn write(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
         let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.connection) else { return };
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.output.push(bytes);
-            self.go_on(slot, context);
+            self.schedule_writes(slot, context);
         }
     }
 
     /// A new priority of an attempt that is out, behind its call.
-    pub fn rank(&mut self, attempt: Slot, priority: u8, context: &mut Context) {
+    pub fn update_priority(&mut self, attempt: Slot, priority: u8, context: &mut Context) {
         let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
-        let bytes = resp::array(&[b"RANK", row.id.as_bytes(), priority.to_string().as_bytes()]);
+        let bytes = resp::encode_array(&[b"RANK", row.id.as_bytes(), priority.to_string().as_bytes()]);
         match row.written {
             Some(_) => self.write(attempt, &bytes, context),
             None => row.call.extend(bytes),
@@ -755,8 +758,8 @@
     /// the settings do not allow that: what gives one up and the next call go over different connections, and may
     /// come in either order. So its engine has to show first that it has heard, by answering what stands behind
     /// that on the same connection, or the connection is closed.
-    pub fn take_back(&mut self, attempt: Slot, context: &mut Context) {
-        self.take_out(attempt);
+    pub fn cancel_before_resend(&mut self, attempt: Slot, context: &mut Context) {
+        self.retract_unsent_call(attempt);
         let Some(row) = self.attempts.get_mut(attempt).filter(|row| row.dropped.is_none()) else { return };
         let Some(connection) =
             row.connection.filter(|_| row.written.is_some() && row.result.is_none() && !self.may_duplicate)
@@ -765,10 +768,10 @@
         };
         row.dropped = Some((AttemptOutcome::Withdrawn, context.now()));
         let id = row.id.clone().into_bytes();
-        let bytes = [resp::array(&[b"DROP", &id]), resp::array(&[b"PING", &id])].concat();
+        let bytes = [resp::encode_array(&[b"DROP", &id]), resp::encode_array(&[b"PING", &id])].concat();
         context.counters.count("attempts_taken_back");
         self.write(attempt, &bytes, context);
-        self.look_at(connection, context.now() + self.comes_up, context);
+        self.schedule_check(connection, context.now() + self.comes_up, context);
     }
 
     /// The connection that an attempt is on.
@@ -777,7 +780,7 @@
     }
 
     /// An attempt's time is over; whoever holds the sockets has read what came for it before.
-    pub fn overdue(&mut self, attempt: Slot, context: &mut Context) {
+    pub fn attempt_overdue(&mut self, attempt: Slot, context: &mut Context) {
         if self.attempts.get(attempt).is_some_and(|attempt| attempt.until <= context.now()) {
             self.abandon(attempt, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
         }
@@ -788,19 +791,19 @@
         if self.attempts.get(slot).is_some_and(|attempt| attempt.dropped.is_some()) {
             return self.end(slot, end, None, context);
         }
-        self.take_out(slot);
+        self.retract_unsent_call(slot);
         let Some(attempt) = self.attempts.get(slot) else { return };
         if attempt.written.is_none() {
             return self.end(slot, unwritten, None, context);
         }
         let word: &[u8] = if attempt.result.is_some() { b"CLOSE" } else { b"DROP" };
-        let bytes = resp::array(&[word, attempt.id.as_bytes()]);
+        let bytes = resp::encode_array(&[word, attempt.id.as_bytes()]);
         self.write(slot, &bytes, context);
         self.end(slot, end, None, context);
     }
 
     /// A connection that has not come up, or has not shown that it works, in time.
-    pub fn connection_overdue(&mut self, slot: Slot, now: Duration, context: &mut Context) {
+    pub fn connection_check_due(&mut self, slot: Slot, now: Duration, context: &mut Context) {
         let Some(connection) =
             self.connections.get_mut(slot).filter(|connection| connection.due.is_some_and(|at| at <= now))
         else {
@@ -815,18 +818,18 @@
         let next = waits.map_or(next, |at| at.min(next));
         if !connection.up {
             context.counters.count("connections_not_up_in_time");
-            self.lose(slot, "not up in time", false, context);
+            self.close_connection(slot, "not up in time", false, context);
         } else if connection.asked || unheard {
             // Nothing that it carries can be answered any more.
             context.counters.count("connections_silent");
-            self.lose(slot, "silent", true, context);
+            self.close_connection(slot, "silent", true, context);
         } else if connection.attempts.is_empty() {
             // Looked at again with its next attempt.
         } else if next <= now {
-            self.check(slot, context);
-            self.go_on(slot, context);
+            self.send_ping(slot, context);
+            self.schedule_writes(slot, context);
         } else {
-            self.look_at(slot, next, context);
+            self.schedule_check(slot, next, context);
         }
     }
 
@@ -835,16 +838,16 @@
             self.connections.get(slot).filter(|connection| connection.attempts.is_empty())
             && (connection.retired || connection.idle.is_some_and(|at| at <= context.now()))
         {
-            self.lose(slot, "idle", true, context);
+            self.close_connection(slot, "idle", true, context);
         }
     }
 
     /// Closes a connection; of what it carried, that of which nothing was written never ran. Where the engine
     /// had been `there`, that goes on to another connection once: guards against resets of new and of idle
     /// ones, which tell nothing of the engine.
-    pub fn lose(&mut self, slot: Slot, why: &str, there: bool, context: &mut Context) {
+    pub fn close_connection(&mut self, slot: Slot, why: &str, there: bool, context: &mut Context) {
         let Some(connection) = self.connections.take(slot) else { return };
-        self.asks.push_back(Ask::Close(slot));
+        self.commands.push_back(PoolCommand::Close(slot));
         log::debug!(
             "engine {}: connection {slot:?} over with {} hops: {why}",
             connection.engine,
@@ -869,7 +872,7 @@
             } else if !there || std::mem::replace(&mut row.moved, true) {
                 self.end(attempt, AttemptOutcome::Unreachable, None, context);
             } else {
-                self.place(attempt, context);
+                self.assign_connection(attempt, context);
             }
         }
     }
@@ -879,11 +882,11 @@
         (self.book.len(), self.connections.len(), self.attempts.len())
     }
 
-    pub fn attempt_place(&self, attempt: Slot) -> Option<usize> {
+    pub fn attempt_index(&self, attempt: Slot) -> Option<usize> {
         self.attempts.place(attempt)
     }
 
-    pub fn connection_place(&self, connection: Slot) -> Option<usize> {
+    pub fn connection_index(&self, connection: Slot) -> Option<usize> {
         self.connections.place(connection)
     }
 
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::context::Context;
 use crate::discovery;
-use crate::engine_pool::Ask;
+use crate::engine_pool::PoolCommand;
 use crate::ready_list::ReadyList;
 use crate::ring::Filled;
 use crate::server::Server;
@@ -227,17 +227,17 @@
         loop {
             self.server.tell();
             let Server { dispatcher, closed, .. } = &mut self.server;
-            let asks = std::mem::take(&mut dispatcher.engines.asks);
-            let unsent = std::mem::take(&mut dispatcher.engines.unsent);
-            let unsaid = std::mem::take(&mut dispatcher.clients.unsaid);
+            let asks = std::mem::take(&mut dispatcher.engines.commands);
+            let unsent = std::mem::take(&mut dispatcher.engines.pending_writes);
+            let unsaid = std::mem::take(&mut dispatcher.clients.pending_writes);
             let closed = std::mem::take(closed);
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
             }
             for ask in asks {
                 match ask {
-                    Ask::Close(slot) => drop(self.connections.remove(&slot)),
-                    Ask::Dial(slot, to) => {
+                    PoolCommand::Close(slot) => drop(self.connections.remove(&slot)),
+                    PoolCommand::Dial(slot, to) => {
                         match RegisteredSocket::dial(&self.loop_handle, to, move |router_loop: &mut Self| {
                             router_loop.connection_told(slot)
                         }) {
@@ -245,7 +245,7 @@
                             Err(error) => {
                                 log::info!("no connection to {to}: {error}");
                                 let dispatcher = &mut self.server.dispatcher;
-                                dispatcher.engines.refused(
+                                dispatcher.engines.dial_failed(
                                     slot,
                                     false,
                                     &error.to_string(),
@@ -362,9 +362,9 @@
     fn idlest(&mut self) -> Option<Slot> {
         loop {
             let now = self.server.context().now();
-            let slot = self.server.dispatcher.clients.idlest(now)?;
+            let slot = self.server.dispatcher.clients.longest_idle(now)?;
             self.hear(slot, self.since());
-            if self.server.dispatcher.clients.idlest(now) == Some(slot) {
+            if self.server.dispatcher.clients.longest_idle(now) == Some(slot) {
                 return Some(slot);
             }
         }
@@ -447,13 +447,13 @@
         self.look_at_the_clock();
         let Some(registered) = self.connections.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
-        if dispatcher.engines.is_up(slot) == Some(false) {
+        if dispatcher.engines.is_established(slot) == Some(false) {
             match registered.has_come_up() {
                 Ok(false) => return,
-                Ok(true) => dispatcher.engines.came_up(slot, &mut dispatcher.context),
+                Ok(true) => dispatcher.engines.connection_established(slot, &mut dispatcher.context),
                 Err(error) => {
                     let there = error.kind() == io::ErrorKind::ConnectionReset;
-                    dispatcher.engines.refused(slot, there, &error.to_string(), &mut dispatcher.context);
+                    dispatcher.engines.dial_failed(slot, there, &error.to_string(), &mut dispatcher.context);
                     return self.carry_out();
                 }
             }
@@ -469,7 +469,7 @@
         if let Err(error) = dispatcher.engines.drain(slot, &mut &*registered.socket) {
             // Answers may have come before the engine closed.
             dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context);
-            dispatcher.engines.lose(slot, &error.to_string(), true, &mut dispatcher.context);
+            dispatcher.engines.close_connection(slot, &error.to_string(), true, &mut dispatcher.context);
         }
     }
 
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -16,7 +16,7 @@
 pub const FAILED: i64 = -32000;
 
 /// The first whole line of `bytes` and its length with the end; `None` until that has come.
-pub fn line(bytes: &[u8], seen: usize) -> Option<(&[u8], usize)> {
+pub fn split_line(bytes: &[u8], seen: usize) -> Option<(&[u8], usize)> {
     let end = seen + bytes.get(seen..)?.iter().position(|b| *b == b'\n')?;
     Some((&bytes[..end], end + 1))
 }
@@ -25,7 +25,7 @@
 pub type Objection = (Option<u64>, i64, String);
 
 /// The id, method and parameters of a request; a notification has no id.
-pub fn request(line: &[u8]) -> Result<(Option<u64>, String, Value), Objection> {
+pub fn parse_request(line: &[u8]) -> Result<(Option<u64>, String, Value), Objection> {
     let mut value: Value =
         serde_json::from_slice(line).map_err(|e| (None, PARSE, format!("malformed JSON: {e}")))?;
     let given = value.get("id").filter(|id| !id.is_null()).cloned();
@@ -50,39 +50,39 @@
 /// What a client has stopped waiting for, by its `req` and by its id on the connection.
 pub type Withdrawal = (String, Option<u64>);
 
-pub fn withdrawal(id: Option<u64>, params: Fields) -> Withdrawal {
+pub fn withdrawal_of(id: Option<u64>, params: Fields) -> Withdrawal {
     (params.text("req").unwrap_or_default().to_owned(), params.whole("id").ok().or(id))
 }
 
 /// What a line takes back, if it does.
-pub fn withdrawn(line: &[u8]) -> Option<Withdrawal> {
+pub fn parse_withdrawal(line: &[u8]) -> Option<Withdrawal> {
     const METHOD: &str = "withdraw";
     line.windows(METHOD.len()).any(|part| part == METHOD.as_bytes()).then_some(())?;
-    let (id, _, params) = request(line).ok().filter(|(_, method, _)| method == METHOD)?;
-    Some(withdrawal(id, Fields::of(&params)))
+    let (id, _, params) = parse_request(line).ok().filter(|(_, method, _)| method == METHOD)?;
+    Some(withdrawal_of(id, Fields::of(&params)))
 }
 
-pub fn body(text: &str) -> Option<Vec<u8>> {
+pub fn decode_body(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
 
-pub fn result(id: u64, body: &[u8]) -> Vec<u8> {
+pub fn result_line(id: u64, body: &[u8]) -> Vec<u8> {
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"data\":\"{}\"}}}}\n", STANDARD.encode(body))
         .into()
 }
 
-pub fn status(id: u64, serving: bool) -> Vec<u8> {
+pub fn status_line(id: u64, serving: bool) -> Vec<u8> {
     format!("{}\n", json!({"jsonrpc": "2.0", "id": id, "result": {"serving": serving}})).into()
 }
 
 /// How long an open request will wait yet, and how many of its team stand before it.
-pub fn waiting(id: u64, wait: &Wait) -> Vec<u8> {
+pub fn waiting_line(id: u64, wait: &Wait) -> Vec<u8> {
     let [least, likely, most] = [wait.least, wait.likely, wait.most].map(whole_ms);
     let params = json!({"id": id, "place": wait.place, "leastMs": least, "likelyMs": likely, "mostMs": most});
     format!("{}\n", json!({"jsonrpc": "2.0", "method": "waiting", "params": params})).into()
 }
 
-pub fn error(id: Option<u64>, code: i64, message: &str, holdoff_ms: Option<u64>) -> Vec<u8> {
+pub fn error_line(id: Option<u64>, code: i64, message: &str, holdoff_ms: Option<u64>) -> Vec<u8> {
     let mut error = json!({"code": code, "message": message});
     if let Some(ms) = holdoff_ms {
         error["data"] = json!({"holdoff": ms});
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -12,7 +12,7 @@
 type Array<'a> = (Vec<&'a [u8]>, usize);
 
 /// The first whole array in `bytes`; `None` until it has come whole.
-pub fn parse(bytes: &[u8]) -> Result<Option<Array<'_>>, String> {
+pub fn parse_array(bytes: &[u8]) -> Result<Option<Array<'_>>, String> {
     let Some((count, mut at)) = length(bytes, b'*')? else { return Ok(None) };
     if count > MOST_PARTS {
         return Err(format!("an array of {count} parts"));
@@ -56,7 +56,7 @@
     text.is_empty() || text.strip_suffix('\n').is_some_and(|rows| rows.split('\n').all(columns))
 }
 
-pub fn array(parts: &[&[u8]]) -> Vec<u8> {
+pub fn encode_array(parts: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let written = "writing to memory";
     write!(bytes, "*{}\r\n", parts.len()).expect(written);
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -3,11 +3,11 @@
 
 use crate::admission_queue::{Admission, AdmissionQueue};
 use crate::bootstrap::Bootstrap;
-use crate::clients::{Heard, MOST_OPEN};
+use crate::clients::{MAX_OPEN_REQUESTS, ReadOutcome};
 use crate::context::Context;
 use crate::discovery::{Discovery, Row};
 use crate::dispatch::{Dispatcher, Request};
-use crate::engine_pool::News;
+use crate::engine_pool::PoolEvent;
 use crate::jsonrpc::{self, Objection, Withdrawal};
 use crate::ring::Ring;
 use crate::slots::Slot;
@@ -125,9 +125,9 @@
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         match due {
             Timer::Wake => self.scheduler.wake(now, &mut self.dispatcher),
-            Timer::Attempt(slot) => engines.overdue(slot, context),
-            Timer::Connection(slot) => engines.connection_overdue(slot, now, context),
-            Timer::Whole(slot) => engines.not_whole(slot, context),
+            Timer::Attempt(slot) => engines.attempt_overdue(slot, context),
+            Timer::Connection(slot) => engines.connection_check_due(slot, now, context),
+            Timer::Whole(slot) => engines.reply_overdue(slot, context),
             Timer::Idle(slot) => engines.connection_idle(slot, context),
             Timer::Client(slot) => self.client_overdue(slot, now),
             Timer::Leave => self.leave(),
@@ -138,12 +138,12 @@
 
     /// Lets clients go to whom nothing more is owed, and those that read too little.
     pub fn clear(&mut self) {
-        for slot in std::mem::take(&mut self.dispatcher.clients.ending) {
-            if self.dispatcher.clients.finished(slot) {
+        for slot in std::mem::take(&mut self.dispatcher.clients.maybe_finished) {
+            if self.dispatcher.clients.is_finished(slot) {
                 self.client_gone(slot, "nothing more to hear or to say");
             }
         }
-        while let Some(slot) = self.dispatcher.clients.swollen() {
+        while let Some(slot) = self.dispatcher.clients.slowest_reader() {
             self.dispatcher.context.counters.count("clients_too_slow");
             self.client_gone(slot, "it reads least of its answers");
         }
@@ -158,13 +158,13 @@
     }
 
     fn tell_news(&mut self) {
-        while let Some(news) = self.dispatcher.engines.news.pop_front() {
+        while let Some(news) = self.dispatcher.engines.events.pop_front() {
             let now = self.dispatcher.context.now();
             match news {
-                News::Noticed(request, attempt, notice) => {
+                PoolEvent::Progress(request, attempt, notice) => {
                     self.scheduler.progress_noted(now, request, attempt, notice, &mut self.dispatcher);
                 }
-                News::Ended(ended, body, owing) => {
+                PoolEvent::Ended(ended, body, owing) => {
                     if let Some((connection, request)) =
                         owing.zip(self.dispatcher.requests.get_mut(ended.request))
                     {
@@ -185,7 +185,7 @@
         }
         if let Some(body) = body {
             // Not owed where the client has withdrawn in between.
-            self.dispatcher.answer(ended.request, "requests_succeeded", |id| jsonrpc::result(id, &body));
+            self.dispatcher.answer(ended.request, "requests_succeeded", |id| jsonrpc::result_line(id, &body));
         }
         ended.over = self.dispatcher.requests.get(ended.request).is_none();
         self.scheduler.attempt_ended(now, ended, &mut self.dispatcher);
@@ -203,8 +203,8 @@
         failed: impl Fn() -> bool,
     ) -> bool {
         let now = self.dispatcher.context.now();
-        match self.dispatcher.clients.hear(slot, (now, since), from, failed) {
-            Heard::Line(line, came) => {
+        match self.dispatcher.clients.read_line(slot, (now, since), from, failed) {
+            ReadOutcome::Line(line, came) => {
                 let taken_back = self.dispatcher.clients.look_ahead(slot);
                 let open = taken_back.iter().filter_map(|named| self.named(slot, named));
                 let open: Vec<_> = open.collect();
@@ -216,16 +216,16 @@
                 }
                 self.tell();
             }
-            Heard::Passed => {}
-            Heard::TooLong => self.object(slot, None, jsonrpc::PARSE, "a line without end"),
-            Heard::Ended => {
+            ReadOutcome::Discarded => {}
+            ReadOutcome::TooLong => self.object(slot, None, jsonrpc::PARSE, "a line without end"),
+            ReadOutcome::EndOfInput => {
                 self.clients_left(Vec::new(), vec![slot]);
             }
-            Heard::Closed => {
+            ReadOutcome::Closed => {
                 self.client_gone(slot, "reset or closed by the client");
                 return false;
             }
-            Heard::Nothing => return false,
+            ReadOutcome::Pending => return false,
         }
         true
     }
@@ -233,16 +233,16 @@
     fn object(&mut self, slot: Slot, id: Option<u64>, code: i64, message: &str) {
         self.dispatcher.context.counters.count("client_input_refused");
         log::debug!("refused from client {slot:?} under id {id:?}: {message}");
-        self.dispatcher.clients.say(slot, &jsonrpc::error(id, code, message, None));
+        self.dispatcher.clients.send_line(slot, &jsonrpc::error_line(id, code, message, None));
     }
 
     /// A line that has waited to be read for so long.
     fn line(&mut self, slot: Slot, line: &[u8], waited: Duration) -> Result<(), Objection> {
-        let (id, method, params) = jsonrpc::request(line)?;
+        let (id, method, params) = jsonrpc::parse_request(line)?;
         match method.as_str() {
             "status" => self.status(slot, id),
             "withdraw" => {
-                let withdrawn = self.named(slot, &jsonrpc::withdrawal(id, Fields::of(&params)));
+                let withdrawn = self.named(slot, &jsonrpc::withdrawal_of(id, Fields::of(&params)));
                 withdrawn.into_iter().for_each(|request| self.withdraw(request));
                 Ok(())
             }
@@ -253,7 +253,7 @@
     fn status(&mut self, slot: Slot, id: Option<u64>) -> Result<(), Objection> {
         let id = id.ok_or_else(|| (id, jsonrpc::INVALID, "`status` without an id".to_owned()))?;
         let serving = self.dispatcher.serving && self.leaving.is_none();
-        self.dispatcher.clients.say(slot, &jsonrpc::status(id, serving));
+        self.dispatcher.clients.send_line(slot, &jsonrpc::status_line(id, serving));
         Ok(())
     }
 
@@ -274,7 +274,7 @@
         let now = self.dispatcher.context.now();
         let (mut withdrawn, mut ended, mut closed) = (Vec::new(), Vec::new(), Vec::new());
         for (slot, mut from) in clients {
-            let seen = self.dispatcher.clients.peek(slot, (now, since), &mut from);
+            let seen = self.dispatcher.clients.scan_ahead(slot, (now, since), &mut from);
             withdrawn.extend(seen.withdrawn.iter().filter_map(|named| self.named(slot, named)));
             ended.extend(seen.ended.then_some(slot));
             closed.extend(seen.closed.then_some(slot));
@@ -300,9 +300,9 @@
                 .get(*request)
                 .map(|request| request.attempts.clone())
                 .unwrap_or_default();
-            attempts
-                .into_iter()
-                .for_each(|attempt| self.dispatcher.engines.keep_back(attempt, &mut self.dispatcher.context));
+            attempts.into_iter().for_each(|attempt| {
+                self.dispatcher.engines.disable_resend(attempt, &mut self.dispatcher.context)
+            });
         }
         let in_admission_queue = |request: &RequestId| {
             self.admission_queue.as_ref().is_some_and(|admission_queue| admission_queue.holds(*request))
@@ -331,7 +331,7 @@
             // Under that id it would pass for the answer that the open one is owed.
             return invalid(None, "`id` is open already");
         }
-        if client.open.len() >= MOST_OPEN {
+        if client.open.len() >= MAX_OPEN_REQUESTS {
             return invalid(id, "too many open requests");
         }
         let wrong = |what: String| (id, jsonrpc::BAD_PARAMS, what);
@@ -352,11 +352,11 @@
             return Err(wrong("`req` is not 16 hex digits".into()));
         }
         // Its client ended its side before this line's turn came: nobody may wait for it any more.
-        if self.dispatcher.clients.has_left(slot, now) {
+        if self.dispatcher.clients.has_ended_input(slot, now) {
             return Err((id, jsonrpc::REJECTED, "its client has left".into()));
         }
         // Guards against requests sent on for nobody: its client had taken it back before its turn came.
-        if self.dispatcher.clients.takes_back(slot, req, number) {
+        if self.dispatcher.clients.has_withdrawn(slot, req, number) {
             self.dispatcher.context.counters.count("requests_withdrawn");
             log::debug!("task {req} of client {slot:?}: withdrawn before it was heard");
             return Ok(());
@@ -372,9 +372,9 @@
         let subject = maybe_text("subject")?;
         let deadline = positive("timeout")?.ok_or_else(|| wrong("`timeout` is not above 0".into()))?;
         let (cost, memory_mb) = (positive("ms")?.map(from_ms).filter(|c| !c.is_zero()), positive("memory")?);
-        let body = jsonrpc::body(fields.text("data").map_err(wrong)?);
+        let body = jsonrpc::decode_body(fields.text("data").map_err(wrong)?);
         let statement = body.ok_or_else(|| wrong("`data` is not base64".into()))?;
-        let group = std::str::from_utf8(&statement).map(statement::group);
+        let group = std::str::from_utf8(&statement).map(statement::table_group);
         let group = group.map_err(|_| wrong("`data` is no text".into()))?;
         let resent = match fields
             .maybe("resent")
@@ -475,7 +475,7 @@
         }
         for (request, wait) in admission_queue.to_tell(now) {
             if let Some(request) = self.dispatcher.requests.get(request) {
-                self.dispatcher.clients.say(request.client, &jsonrpc::waiting(request.id, &wait));
+                self.dispatcher.clients.send_line(request.client, &jsonrpc::waiting_line(request.id, &wait));
             }
         }
         // What opens by time alone is looked for by the decisions' own step.
@@ -535,7 +535,7 @@
         if self.dispatcher.clients.table.get(slot).is_none() {
             return;
         }
-        match self.dispatcher.clients.overdue(slot, now) {
+        match self.dispatcher.clients.check_idle(slot, now) {
             Ok(begun) => {
                 self.dispatcher.context.counters.count(if begun {
                     "clients_stalled"
@@ -573,9 +573,9 @@
     pub fn listed(&mut self, whole: bool, rows: &[Row]) {
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         if whole {
-            engines.only(rows, context);
+            engines.drain_unlisted(rows, context);
         }
-        let endpoints: Vec<_> = rows.iter().map(|row| engines.listed(row, context)).collect();
+        let endpoints: Vec<_> = rows.iter().map(|row| engines.update_endpoint(row, context)).collect();
         self.dispatcher.serving |= endpoints.iter().any(|row| row.ready);
         self.dispatcher.context.counters.count("list_events");
         let now = self.dispatcher.context.now();
@@ -624,7 +624,7 @@
     /// Whether nothing is owed, as far as clients were heard.
     pub fn is_done(&self) -> bool {
         let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
-        requests.is_empty() && clients.all_said() && engines.all_written()
+        requests.is_empty() && clients.all_sent() && engines.all_written()
     }
 }
 
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -9,7 +9,7 @@
 /// Reads the first schema with a number whose table stands where a table is named; other names with a dot,
 /// such as an alias's columns, count only where no table is named in a known way. Text in quotes that are
 /// not a name's, and comments, tell nothing, and neither does a schema without a number, such as `staging`.
-pub fn group(statement: &str) -> Option<u64> {
+pub fn table_group(statement: &str) -> Option<u64> {
     let mut rest = statement.as_bytes();
     // The first name of a chain with dots, and whether a table is due where it stands.
     let mut name: Option<(&[u8], bool)> = None;
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -25,18 +25,18 @@
 #[test]
 fn arrays_come_whole_or_not_at_all() {
     let input = [
-        resp::array(&[
+        resp::encode_array(&[
             b"9b1f",
             b"HIT",
             b"pages=2,cost=812.5,need=96,use=util:0.61;queue:0",
             b"a\tb\tc\n\r\n",
         ]),
-        resp::array(&[b"9b1f", b"INFO", b"-", b""]),
-        resp::array(&[]),
+        resp::encode_array(&[b"9b1f", b"INFO", b"-", b""]),
+        resp::encode_array(&[]),
     ];
     let parse = |ring: &mut Ring| {
         let (line, length) = {
-            let (parts, length) = resp::parse(ring.readable()).expect("well formed")?;
+            let (parts, length) = resp::parse_array(ring.readable()).expect("well formed")?;
             let parts: Vec<_> = parts.iter().map(|part| part.escape_ascii().to_string()).collect();
             (parts.join(" | "), length)
         };
@@ -63,7 +63,8 @@
         b"*1\r\n$2\r\nabcd",
         b"*\r\n",
     ];
-    let told: String = bad.iter().map(|bytes| format!("{:?}\n", resp::parse(bytes).map(|_| ()))).collect();
+    let told: String =
+        bad.iter().map(|bytes| format!("{:?}\n", resp::parse_array(bytes).map(|_| ()))).collect();
     expect![[r#"
         Err("byte 104 in place of `*`")
         Err("a length that is no number")
@@ -102,8 +103,8 @@
 "#;
     let parse = |ring: &mut Ring| {
         let (said, length) = {
-            let (line, length) = jsonrpc::line(ring.readable(), 0)?;
-            (format!("{:?}", jsonrpc::request(line)), length)
+            let (line, length) = jsonrpc::split_line(ring.readable(), 0)?;
+            (format!("{:?}", jsonrpc::parse_request(line)), length)
         };
         ring.consume(length);
         Some(said)
@@ -187,7 +188,7 @@
         "/* never closed FROM sales_1.orders",
         "SELECT * FROM sales_.orders, _4.orders, sales_99999999999999999999.orders",
     ];
-    let groups: Vec<_> = statements.iter().map(|text| statement::group(text)).collect();
+    let groups: Vec<_> = statements.iter().map(|text| statement::table_group(text)).collect();
     expect!["[Some(17), Some(4), Some(4), Some(4), Some(5), Some(3), Some(5), Some(2), None, None, Some(6), None, Some(8), None, None, None, None]"]
     .assert_eq(&format!("{groups:?}"));
 }
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -4,7 +4,7 @@
 
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
-use emberflow_router::engine_pool::Ask;
+use emberflow_router::engine_pool::PoolCommand;
 use emberflow_router::resp;
 use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
@@ -315,7 +315,7 @@
     fn admit(&mut self) {
         if self.clients.len() >= self.server.dispatcher.config.most_clients() {
             let now = self.server.dispatcher.context.now();
-            let idlest = self.server.dispatcher.clients.idlest(now);
+            let idlest = self.server.dispatcher.clients.longest_idle(now);
             return idlest.into_iter().for_each(|slot| self.server.client_gone(slot, "to make room"));
         }
         self.connection_count += 1;
@@ -490,10 +490,10 @@
         let there = self.chance.one_in(2);
         let dispatcher = &mut self.server.dispatcher;
         if refused {
-            dispatcher.engines.refused(slot, there, "refused", &mut dispatcher.context);
+            dispatcher.engines.dial_failed(slot, there, "refused", &mut dispatcher.context);
             return self.witness.count("links refused");
         }
-        dispatcher.engines.came_up(slot, &mut dispatcher.context);
+        dispatcher.engines.connection_established(slot, &mut dispatcher.context);
         self.connections.entry(slot).and_modify(|connection| connection.up = true);
         self.flush_connection(slot);
     }
@@ -532,7 +532,8 @@
             _ => ("HIT", "pages=1".into(), row, false),
         };
         self.witness.count(format!("engine says {word}"));
-        let mut bytes = resp::array(&[req.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()]);
+        let mut bytes =
+            resp::encode_array(&[req.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()]);
         if self.chance.one_in(150) {
             bytes = b"*x\r\nnoise\r\n".to_vec();
         }
@@ -576,7 +577,8 @@
     /// Notes the calls that have come whole, and answers at once what engines do.
     fn engine_reads(&mut self, slot: Slot) {
         let Some(connection) = self.connections.get_mut(&slot) else { return };
-        while let Some((parts, length)) = resp::parse(&connection.inbox).expect("the server says RESP") {
+        while let Some((parts, length)) = resp::parse_array(&connection.inbox).expect("the server says RESP")
+        {
             let texts: Vec<String> = parts.iter().map(|part| String::from_utf8_lossy(part).into()).collect();
             connection.inbox.drain(..length);
             let (word, id) = (texts[0].as_str(), &texts[1]);
@@ -592,7 +594,7 @@
                 }
                 "PAGE" if !self.chance.one_in(8) => {
                     let (fields, row) = (format!("page={}", texts[2]), format!("page\t{id}\t{}\n", texts[2]));
-                    connection.coming.extend(resp::array(&[
+                    connection.coming.extend(resp::encode_array(&[
                         id.as_bytes(),
                         b"PART",
                         fields.as_bytes(),
@@ -600,7 +602,7 @@
                     ]));
                 }
                 "PING" if !self.chance.one_in(8) => {
-                    connection.coming.extend(resp::array(&[id.as_bytes(), b"PONG", b"-", b""]));
+                    connection.coming.extend(resp::encode_array(&[id.as_bytes(), b"PONG", b"-", b""]));
                 }
                 "DROP" | "CLOSE" if !self.chance.one_in(4) => connection.calls.retain(|call| call != id),
                 _ => {}
@@ -720,9 +722,9 @@
     fn carry_out(&mut self) {
         loop {
             self.server.tell();
-            let asks = std::mem::take(&mut self.server.dispatcher.engines.asks);
-            let unsent = std::mem::take(&mut self.server.dispatcher.engines.unsent);
-            let unsaid = std::mem::take(&mut self.server.dispatcher.clients.unsaid);
+            let asks = std::mem::take(&mut self.server.dispatcher.engines.commands);
+            let unsent = std::mem::take(&mut self.server.dispatcher.engines.pending_writes);
+            let unsaid = std::mem::take(&mut self.server.dispatcher.clients.pending_writes);
             let closed = std::mem::take(&mut self.server.closed);
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
@@ -743,16 +745,16 @@
         }
     }
 
-    fn carry_out_ask(&mut self, ask: Ask) {
+    fn carry_out_ask(&mut self, ask: PoolCommand) {
         match ask {
-            Ask::Dial(slot, address) => {
+            PoolCommand::Dial(slot, address) => {
                 self.connection_count += 1;
                 let number = self.connection_count;
                 self.witness.note("dial", number, address.to_string().as_bytes());
                 self.witness.count("links dialled");
                 self.connections.insert(slot, Connection { number, ..Connection::default() });
             }
-            Ask::Close(slot) => {
+            PoolCommand::Close(slot) => {
                 if let Some(connection) = self.connections.remove(&slot) {
                     self.witness.note("close link", connection.number, &[]);
                     self.witness.count("links closed");
--- a/crates/router/tests/front.rs
+++ b/crates/router/tests/front.rs
@@ -100,8 +100,11 @@
     let mut look = |server: &mut Server, ms: u64| {
         let now = NOW + Duration::from_millis(ms);
         server.dispatcher.context.now = now;
-        let idle =
-            server.dispatcher.clients.idlest(now).map(|slot| slots.iter().position(|other| *other == slot));
+        let idle = server
+            .dispatcher
+            .clients
+            .longest_idle(now)
+            .map(|slot| slots.iter().position(|other| *other == slot));
         told += &format!("after {ms} ms: {idle:?}\n");
         idle.flatten()
     };
--- a/crates/router/tests/sockets/ending.rs
+++ b/crates/router/tests/sockets/ending.rs
@@ -426,7 +426,7 @@
     let first = engines[0].listener.local_addr().expect("an address");
     let number = addresses.iter().position(|at| *at == first).expect("one of them") as u32;
     house.meanwhile(|house| {
-        engines[0].write(0, &resp::array(&[b"half an answer"])[..6]);
+        engines[0].write(0, &resp::encode_array(&[b"half an answer"])[..6]);
         engines[0].cut(1);
         discovery.write_all(&changes(2, &[(number, first, 1, 0)])).expect("it reads");
         house.signal("-TERM");
--- a/crates/router/tests/sockets/house.rs
+++ b/crates/router/tests/sockets/house.rs
@@ -318,7 +318,7 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(_) => *socket = None,
         }
-        while let Some((parts, length)) = resp::parse(input).expect("well formed") {
+        while let Some((parts, length)) = resp::parse_array(input).expect("well formed") {
             let words: Vec<_> = parts.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect();
             input.drain(..length);
             self.came_on.insert(words[1].clone(), at);
@@ -363,7 +363,7 @@
     pub fn say_on(&mut self, at: usize, id: u64, word: &str, fields: &str, body: &str) {
         let id = format!("{id:016x}");
         let words = [id.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()];
-        self.write(at, &resp::array(&words));
+        self.write(at, &resp::encode_array(&words));
     }
 
     pub fn write(&mut self, at: usize, bytes: &[u8]) {
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -19,7 +19,7 @@
         let mut engines = EnginePool::new(1, comes_up, Duration::from_secs(20), 1);
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
         let row = Row { id: 7, address, ready: true, gone: false, location, kind, cell, up_since_ms: 0 };
-        let engine = engines.listed(&row, &mut context).engine;
+        let engine = engines.update_endpoint(&row, &mut context).engine;
         let call = Call {
             request: 0,
             number: 0,
@@ -37,12 +37,16 @@
     }
 
     fn up(&mut self) {
-        self.engines.came_up(self.connection, &mut self.context);
+        self.engines.connection_established(self.connection, &mut self.context);
         self.engines.drain(self.connection, &mut self.seen).expect("it writes");
     }
 
     fn hears(&mut self, words: &[&[u8]]) {
-        self.engines.read(self.connection, &mut Silent(Cursor::new(resp::array(words))), &mut self.context);
+        self.engines.read(
+            self.connection,
+            &mut Silent(Cursor::new(resp::encode_array(words))),
+            &mut self.context,
+        );
     }
 }
 
@@ -62,9 +66,9 @@
 fn a_new_priority_of_an_attempt_that_is_out_goes_to_its_engine() {
     let long = Duration::from_secs(20);
     let mut stand = Stand::new(long, long);
-    stand.engines.rank(stand.attempt, 3, &mut stand.context);
+    stand.engines.update_priority(stand.attempt, 3, &mut stand.context);
     stand.up();
-    stand.engines.rank(stand.attempt, 2, &mut stand.context);
+    stand.engines.update_priority(stand.attempt, 2, &mut stand.context);
     stand.engines.drain(stand.connection, &mut stand.seen).expect("it writes");
     let text = String::from_utf8(stand.seen).expect("text");
     let words: Vec<&str> = text.lines().skip(10).take(13).collect();
@@ -91,11 +95,11 @@
     let told = |room: usize| {
         let long = Duration::from_secs(20);
         let mut stand = Stand::new(long, long);
-        stand.engines.came_up(stand.connection, &mut stand.context);
+        stand.engines.connection_established(stand.connection, &mut stand.context);
         stand.engines.drain(stand.connection, &mut Narrow(room)).expect("it blocks");
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
         let row = Row { id: 7, address, ready: false, gone: false, location, kind, cell, up_since_ms: 0 };
-        stand.engines.listed(&row, &mut stand.context);
+        stand.engines.update_endpoint(&row, &mut stand.context);
         stand.engines.drain(stand.connection, &mut stand.seen).expect("it writes");
         format!("{} bytes left, {}\n", stand.seen.len() + room, stand.context.counters)
     };
@@ -113,7 +117,7 @@
     stand.up();
     let look = |stand: &mut Stand, at: Duration| {
         stand.context.now = at;
-        stand.engines.connection_overdue(stand.connection, at, &mut stand.context);
+        stand.engines.connection_check_due(stand.connection, at, &mut stand.context);
         stand.engines.connections.get(stand.connection).is_some()
     };
     let asked = look(&mut stand, soon * 2);
@@ -122,9 +126,9 @@
     let kept = look(&mut stand, soon * 3);
     stand.context.now = soon * 10;
     stand.hears(&[b"9b1f03aa5c7e2d41", b"HIT", b"pages=1", b"a\tb\tc\n"]);
-    stand.engines.overdue(stand.attempt, &mut stand.context);
-    let told = match stand.engines.news.pop_front() {
-        Some(News::Ended(ended, body, _)) => {
+    stand.engines.attempt_overdue(stand.attempt, &mut stand.context);
+    let told = match stand.engines.events.pop_front() {
+        Some(PoolEvent::Ended(ended, body, _)) => {
             format!("{:?}, {:?} bytes", ended.end, body.map(|b| b.len()))
         }
         _ => "nothing".into(),
