--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -223,7 +223,7 @@
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
         file: SERVER_CLIENTS,
-        from: "                engines.keep_back(*attempt, context);\n",
+        from: "                engines.disable_resend(*attempt, context);\n",
         to: "                let _ = (attempt, &engines, &context);\n",
     },
     Mutant {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -81,7 +81,7 @@
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
             for attempt in &request.attempts {
-                self.engines.rank(*attempt, priority, &mut self.context);
+                self.engines.update_priority(*attempt, priority, &mut self.context);
             }
         }
         request.grant_mb = grant_mb;
@@ -91,20 +91,21 @@
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         let Some(request) = self.requests.get(request) else { return };
         if let Some(attempt) = request.attempts.get(attempt) {
-            self.engines.take_back(*attempt, &mut self.context);
+            self.engines.cancel_before_resend(*attempt, &mut self.context);
         }
     }
 
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let retry_after_ms = retry_after.map(whole_ms).filter(|ms| *ms > 0);
-        let line =
-            |id| jsonrpc::error(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", retry_after_ms);
+        let line = |id| {
+            jsonrpc::error_line(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", retry_after_ms)
+        };
         let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
         self.context.counters.must(was_open, "a_second_answer");
     }
 
     fn fail(&mut self, request: RequestId) {
-        let line = |id| jsonrpc::error(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
+        let line = |id| jsonrpc::error_line(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
         let was_open = self.answer_request(request, RequestOutcome::Failed, line);
         self.context.counters.must(was_open, "a_second_answer");
     }
@@ -127,7 +128,7 @@
 impl Dispatcher {
     /// A dispatcher without clients, engines or requests, within the limits of a configuration.
     pub fn new(config: RouterConfig, context: Context) -> Self {
-        let clients = Clients::within(config.max_line_bytes(), config.max_buffered_bytes());
+        let clients = Clients::with_limits(config.max_line_bytes(), config.max_buffered_bytes());
         let mut engines = EnginePool::new(
             config.streams_per_connection,
             config.connect_timeout,
@@ -171,7 +172,7 @@
         line: impl Fn(u64) -> Vec<u8>,
     ) -> bool {
         let Some(request) = self.close_request(request, outcome) else { return false };
-        self.clients.say(request.client, &line(request.client_request_id));
+        self.clients.send_line(request.client, &line(request.client_request_id));
         true
     }
 
@@ -183,7 +184,7 @@
         if let Some(completions) = &mut self.completions {
             completions.push(Completion { request: id, outcome });
         }
-        self.clients.answered(request.client, request.client_request_id, self.context.now());
+        self.clients.request_closed(request.client, request.client_request_id, self.context.now());
         for attempt in &request.attempts {
             self.engines.cancel(*attempt, &mut self.context);
         }
@@ -209,11 +210,11 @@
         request.class.hash(hasher);
         request.priority.hash(hasher);
         for attempt in &request.attempts {
-            self.engines.attempt_place(*attempt).hash(hasher);
+            self.engines.attempt_index(*attempt).hash(hasher);
         }
         let late_connections = request.late_connections.iter();
         let open_connections =
-            late_connections.filter_map(|connection| self.engines.connection_place(*connection));
+            late_connections.filter_map(|connection| self.engines.connection_index(*connection));
         open_connections.for_each(|connection| connection.hash(hasher));
     }
 
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -215,9 +215,9 @@
         loop {
             self.server.process_events();
             let Server { dispatcher, closed_clients, .. } = &mut self.server;
-            let commands = std::mem::take(&mut dispatcher.engines.asks);
-            let connections_to_flush = std::mem::take(&mut dispatcher.engines.unsent);
-            let clients_to_flush = std::mem::take(&mut dispatcher.clients.unsaid);
+            let commands = std::mem::take(&mut dispatcher.engines.commands);
+            let connections_to_flush = std::mem::take(&mut dispatcher.engines.pending_writes);
+            let clients_to_flush = std::mem::take(&mut dispatcher.clients.pending_writes);
             let closed_clients = std::mem::take(closed_clients);
             if commands.is_empty()
                 && connections_to_flush.is_empty()
--- a/crates/router/src/event_loop/engine_sockets.rs
+++ b/crates/router/src/event_loop/engine_sockets.rs
@@ -1,7 +1,7 @@
 //! Connections to engines.
 
 use super::RouterLoop;
-use crate::engine_pool::Ask;
+use crate::engine_pool::PoolCommand;
 use crate::slots::Slot;
 use crate::sockets::RegisteredSocket;
 use std::io;
@@ -9,10 +9,10 @@
 
 impl RouterLoop {
     /// Dials or closes a connection, as the engine pool asks.
-    pub(super) fn apply_command(&mut self, command: Ask) {
+    pub(super) fn apply_command(&mut self, command: PoolCommand) {
         match command {
-            Ask::Close(slot) => drop(self.connections.remove(&slot)),
-            Ask::Dial(slot, address) => self.dial_engine(slot, address),
+            PoolCommand::Close(slot) => drop(self.connections.remove(&slot)),
+            PoolCommand::Dial(slot, address) => self.dial_engine(slot, address),
         }
     }
 
@@ -25,7 +25,7 @@
             Err(error) => {
                 log::info!("dialling an engine failed: address={address} error={error:?}");
                 let dispatcher = &mut self.server.dispatcher;
-                dispatcher.engines.refused(slot, false, &error.to_string(), &mut dispatcher.context);
+                dispatcher.engines.dial_failed(slot, false, &error.to_string(), &mut dispatcher.context);
             }
         }
     }
@@ -35,14 +35,14 @@
         self.update_time();
         let Some(registered) = self.connections.get(&slot) else { return };
         let dispatcher = &mut self.server.dispatcher;
-        if dispatcher.engines.is_up(slot) == Some(false) {
+        if dispatcher.engines.is_established(slot) == Some(false) {
             match registered.is_established() {
                 Ok(false) => return,
-                Ok(true) => dispatcher.engines.came_up(slot, &mut dispatcher.context),
+                Ok(true) => dispatcher.engines.connection_established(slot, &mut dispatcher.context),
                 Err(error) => {
                     let was_reached = error.kind() == io::ErrorKind::ConnectionReset;
                     let reason = error.to_string();
-                    dispatcher.engines.refused(slot, was_reached, &reason, &mut dispatcher.context);
+                    dispatcher.engines.dial_failed(slot, was_reached, &reason, &mut dispatcher.context);
                     return self.apply_changes();
                 }
             }
@@ -59,7 +59,7 @@
         if let Err(error) = dispatcher.engines.drain(slot, &mut &*registered.socket) {
             // Answers may have come before the engine closed.
             dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context);
-            dispatcher.engines.lose(slot, &error.to_string(), true, &mut dispatcher.context);
+            dispatcher.engines.close_connection(slot, &error.to_string(), true, &mut dispatcher.context);
         }
     }
 
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -123,9 +123,9 @@
     fn longest_idle_client(&mut self) -> Option<Slot> {
         loop {
             let now = self.server.context().now();
-            let slot = self.server.dispatcher.clients.idlest(now)?;
+            let slot = self.server.dispatcher.clients.longest_idle(now)?;
             self.read_client(slot, self.poll_times.earliest_arrival());
-            if self.server.dispatcher.clients.idlest(now) == Some(slot) {
+            if self.server.dispatcher.clients.longest_idle(now) == Some(slot) {
                 return Some(slot);
             }
         }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -15,7 +15,7 @@
 use crate::context::Context;
 use crate::discovery::Discovery;
 use crate::dispatch::{Dispatcher, RequestOutcome};
-use crate::engine_pool::News;
+use crate::engine_pool::PoolEvent;
 use crate::jsonrpc;
 use crate::ring::Ring;
 use crate::slots::Slot;
@@ -114,9 +114,9 @@
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         match timer {
             Timer::Wake => self.scheduler.wake(now, &mut self.dispatcher),
-            Timer::Attempt(slot) => engines.overdue(slot, context),
-            Timer::Connection(slot) => engines.connection_overdue(slot, now, context),
-            Timer::AnswerComplete(slot) => engines.not_whole(slot, context),
+            Timer::Attempt(slot) => engines.attempt_overdue(slot, context),
+            Timer::Connection(slot) => engines.connection_check_due(slot, now, context),
+            Timer::AnswerComplete(slot) => engines.reply_overdue(slot, context),
             Timer::ConnectionIdle(slot) => engines.connection_idle(slot, context),
             Timer::Client(slot) => self.client_timer_expired(slot, now),
             Timer::ShutdownCheck => self.check_shutdown(),
@@ -139,13 +139,13 @@
     }
 
     fn process_attempt_events(&mut self) {
-        while let Some(event) = self.dispatcher.engines.news.pop_front() {
+        while let Some(event) = self.dispatcher.engines.events.pop_front() {
             let now = self.dispatcher.context.now();
             match event {
-                News::Noticed(request, attempt, note) => {
+                PoolEvent::Progress(request, attempt, note) => {
                     self.scheduler.progress_noted(now, request, attempt, note, &mut self.dispatcher);
                 }
-                News::Ended(ended, body, late_connection) => {
+                PoolEvent::Ended(ended, body, late_connection) => {
                     if let Some(connection) = late_connection
                         && let Some(request) = self.dispatcher.requests.get_mut(ended.request)
                     {
@@ -161,7 +161,7 @@
         if let Some(body) = body {
             self.record_cost(&ended);
             // Without effect where the client has withdrawn the request since.
-            let result = |id| jsonrpc::result(id, &body);
+            let result = |id| jsonrpc::result_line(id, &body);
             self.dispatcher.answer_request(ended.request, RequestOutcome::Succeeded, result);
         }
         ended.request_done = self.dispatcher.requests.get(ended.request).is_none();
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -80,8 +80,8 @@
         let Some(admission_queue) = &mut self.admission_queue else { return };
         for notice in admission_queue.take_wait_notices(now) {
             if let Some(request) = self.dispatcher.requests.get(notice.request) {
-                let line = jsonrpc::waiting(request.client_request_id, &notice.wait);
-                self.dispatcher.clients.say(request.client, &line);
+                let line = jsonrpc::waiting_line(request.client_request_id, &notice.wait);
+                self.dispatcher.clients.send_line(request.client, &line);
             }
         }
     }
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -1,7 +1,7 @@
 //! Connections of clients: accepting and closing them, and reading their lines.
 
 use super::{ClosedClient, Server};
-use crate::clients::Heard;
+use crate::clients::ReadOutcome;
 use crate::dispatch::{Dispatcher, RequestOutcome};
 use crate::jsonrpc;
 use crate::slots::Slot;
@@ -36,16 +36,18 @@
         has_failed: impl Fn() -> bool,
     ) -> bool {
         let now = self.dispatcher.context.now();
-        match self.dispatcher.clients.hear(slot, (now, received_since), socket, has_failed) {
-            Heard::Line(line, received_at) => self.handle_line(slot, &line, now.saturating_sub(received_at)),
-            Heard::Passed => {}
-            Heard::TooLong => self.reject_line(slot, None, jsonrpc::PARSE, "a line without end"),
-            Heard::Ended => self.clients_departed(Vec::new(), vec![slot]),
-            Heard::Closed => {
+        match self.dispatcher.clients.read_line(slot, (now, received_since), socket, has_failed) {
+            ReadOutcome::Line(line, received_at) => {
+                self.handle_line(slot, &line, now.saturating_sub(received_at))
+            }
+            ReadOutcome::Discarded => {}
+            ReadOutcome::TooLong => self.reject_line(slot, None, jsonrpc::PARSE, "a line without end"),
+            ReadOutcome::EndOfInput => self.clients_departed(Vec::new(), vec![slot]),
+            ReadOutcome::Closed => {
                 self.close_client(slot, "reset or closed by the client");
                 return false;
             }
-            Heard::Nothing => return false,
+            ReadOutcome::Pending => return false,
         }
         true
     }
@@ -68,7 +70,7 @@
     pub(super) fn reject_line(&mut self, slot: Slot, id: Option<u64>, code: i64, message: &str) {
         self.dispatcher.context.counters.count("client_input_refused");
         log::debug!("client line refused: client={slot:?} id={id:?} error={message:?}");
-        self.dispatcher.clients.say(slot, &jsonrpc::error(id, code, message, None));
+        self.dispatcher.clients.send_line(slot, &jsonrpc::error_line(id, code, message, None));
     }
 
     /// Scans what clients have sent, received at `received_since` at the earliest, for withdrawals and for the end
@@ -84,7 +86,7 @@
         let mut ended = Vec::new();
         let mut closed = Vec::new();
         for (slot, mut socket) in clients {
-            let scan = self.dispatcher.clients.peek(slot, (now, received_since), &mut socket);
+            let scan = self.dispatcher.clients.scan_ahead(slot, (now, received_since), &mut socket);
             let named = scan.withdrawn.iter().filter_map(|named| self.find_open_request(slot, named));
             withdrawn.extend(named);
             ended.extend(scan.ended.then_some(slot));
@@ -123,7 +125,7 @@
         let Dispatcher { requests, engines, context, .. } = &mut self.dispatcher;
         if let Some(request) = requests.get(request) {
             for attempt in &request.attempts {
-                engines.keep_back(*attempt, context);
+                engines.disable_resend(*attempt, context);
             }
         }
     }
@@ -134,12 +136,12 @@
 
     /// Closes clients to which nothing more is owed, and those that read too little of their answers.
     pub fn close_finished_clients(&mut self) {
-        for slot in std::mem::take(&mut self.dispatcher.clients.ending) {
-            if self.dispatcher.clients.finished(slot) {
+        for slot in std::mem::take(&mut self.dispatcher.clients.maybe_finished) {
+            if self.dispatcher.clients.is_finished(slot) {
                 self.close_client(slot, "finished");
             }
         }
-        while let Some(slot) = self.dispatcher.clients.swollen() {
+        while let Some(slot) = self.dispatcher.clients.slowest_reader() {
             self.dispatcher.context.counters.count("clients_too_slow");
             self.close_client(slot, "reads its answers too slowly");
         }
@@ -151,7 +153,7 @@
         if self.dispatcher.clients.table.get(slot).is_none() {
             return;
         }
-        let stopped_within_line = match self.dispatcher.clients.overdue(slot, now) {
+        let stopped_within_line = match self.dispatcher.clients.check_idle(slot, now) {
             Ok(stopped_within_line) => stopped_within_line,
             Err(due) => return self.dispatcher.context.timers.set(due, Timer::Client(slot)),
         };
--- a/crates/router/src/server/endpoints.rs
+++ b/crates/router/src/server/endpoints.rs
@@ -11,10 +11,10 @@
     pub fn endpoints_changed(&mut self, event: &EndpointEvent) {
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         if event.update == EndpointUpdate::FullList {
-            engines.only(&event.endpoints, context);
+            engines.drain_unlisted(&event.endpoints, context);
         }
         let endpoints: Vec<_> =
-            event.endpoints.iter().map(|endpoint| engines.listed(endpoint, context)).collect();
+            event.endpoints.iter().map(|endpoint| engines.update_endpoint(endpoint, context)).collect();
         self.dispatcher.had_ready_endpoint |=
             endpoints.iter().any(|endpoint| endpoint.lifecycle == Lifecycle::Ready);
         self.dispatcher.context.counters.count("list_events");
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -73,9 +73,9 @@
         let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::Deadline)?;
         let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
         let memory_mb = positive_number(fields, "memory")?;
-        let statement = jsonrpc::body(fields.text("data")?).ok_or(ParameterError::Encoding)?;
+        let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::Encoding)?;
         let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::Statement)?;
-        let table_group = statement::group(statement_text);
+        let table_group = statement::table_group(statement_text);
         let is_resent = resent_flag(fields)?;
         Ok(Self {
             ordering_key,
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Server;
 use super::parameters::{self, RequestParameters, TeamParameters, hash_of};
-use crate::clients::MOST_OPEN;
+use crate::clients::MAX_OPEN_REQUESTS;
 use crate::dispatch::RequestOutcome;
 use crate::jsonrpc::{self, Objection, Withdrawal};
 use crate::request_table::Request;
@@ -43,12 +43,12 @@
         line: &[u8],
         waited: Duration,
     ) -> Result<(), Objection> {
-        let (id, method, params) = jsonrpc::request(line)?;
+        let (id, method, params) = jsonrpc::parse_request(line)?;
         let fields = Fields::of(&params);
         match method.as_str() {
             "status" => self.answer_status(client, id),
             "withdraw" => {
-                self.withdraw_request(client, &jsonrpc::withdrawal(id, fields));
+                self.withdraw_request(client, &jsonrpc::withdrawal_of(id, fields));
                 Ok(())
             }
             method => self.take_request(RequestMessage { client, id, method, fields, waited }),
@@ -58,7 +58,7 @@
     fn answer_status(&mut self, client: Slot, id: Option<u64>) -> Result<(), Objection> {
         let id = id.ok_or_else(|| (id, jsonrpc::INVALID, "`status` without an id".to_owned()))?;
         let is_serving = self.dispatcher.had_ready_endpoint && !self.is_shutting_down();
-        self.dispatcher.clients.say(client, &jsonrpc::status(id, is_serving));
+        self.dispatcher.clients.send_line(client, &jsonrpc::status_line(id, is_serving));
         Ok(())
     }
 
@@ -122,7 +122,7 @@
             // Under that id the error would pass for the answer to the open request.
             return invalid(None, "`id` is open already");
         }
-        if connection.open.len() >= MOST_OPEN {
+        if connection.open.len() >= MAX_OPEN_REQUESTS {
             return invalid(id, "too many open requests");
         }
         let name = parameters::request_name(fields);
@@ -141,10 +141,10 @@
     /// that nobody may wait for it. Keeps requests from being dispatched for nobody.
     fn is_withdrawn(&mut self, client: Slot, id: u64, name: &str) -> Result<bool, Objection> {
         let now = self.dispatcher.context.now();
-        if self.dispatcher.clients.has_left(client, now) {
+        if self.dispatcher.clients.has_ended_input(client, now) {
             return Err((Some(id), jsonrpc::REJECTED, "its client has left".into()));
         }
-        let is_withdrawn = self.dispatcher.clients.takes_back(client, name, id);
+        let is_withdrawn = self.dispatcher.clients.has_withdrawn(client, name, id);
         if is_withdrawn {
             self.dispatcher.context.counters.count(RequestOutcome::Withdrawn.counter());
             log::debug!("request withdrawn before it was read: name={name} client={client:?}");
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -86,6 +86,6 @@
     /// Whether no request is open and everything written has been sent, as far as clients' input was read.
     pub fn is_idle(&self) -> bool {
         let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
-        requests.is_empty() && clients.all_said() && engines.all_written()
+        requests.is_empty() && clients.all_sent() && engines.all_written()
     }
 }
