--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -155,7 +155,7 @@
     fn no_line_of_a_client_makes_the_codec_panic(line in ".{0,200}", id in any::<i64>(), method in "[a-z]{0,8}") {
         let _ = jsonrpc::parse_request(line.as_bytes());
         let text = format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"data":"{method}"}}}}"#);
-        let known = jsonrpc::parse_request(text.as_bytes()).map(|(id, ..)| id);
+        let known = jsonrpc::parse_request(text.as_bytes()).map(|request| request.id);
         prop_assert_eq!(known.ok().flatten(), u64::try_from(id).ok().filter(|id| *id > 0));
         let _ = jsonrpc::decode_body(&line);
     }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::config::RouterConfig;
 use crate::context::Context;
 use crate::engine_pool::{Call, EnginePool, PoolSize};
-use crate::jsonrpc;
+use crate::jsonrpc::{self, ErrorCode};
 use crate::request_table::{Request, RequestTable};
 use crate::timers::Timer;
 use emberflow::{Actions, EngineId, RequestId};
@@ -98,14 +98,14 @@
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let retry_after_ms = retry_after.map(whole_ms).filter(|ms| *ms > 0);
         let line = |id| {
-            jsonrpc::error_line(Some(id), jsonrpc::REJECTED, "bounced: a retry is harmless", retry_after_ms)
+            jsonrpc::error_line(Some(id), ErrorCode::Rejected, "bounced: a retry is harmless", retry_after_ms)
         };
         let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
         self.context.counters.must(was_open, "a_second_answer");
     }
 
     fn fail(&mut self, request: RequestId) {
-        let line = |id| jsonrpc::error_line(Some(id), jsonrpc::FAILED, "given up: it may have run", None);
+        let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, "given up: it may have run", None);
         let was_open = self.answer_request(request, RequestOutcome::Failed, line);
         self.context.counters.must(was_open, "a_second_answer");
     }
--- a/crates/router/src/engine_pool/health_check.rs
+++ b/crates/router/src/engine_pool/health_check.rs
@@ -35,7 +35,7 @@
     /// answered a health check or acknowledged a cancellation in time. The caller has read it before.
     pub fn connection_check_due(&mut self, slot: Slot, now: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        if !connection.check_due.is_some_and(|due| due <= now) {
+        if connection.check_due.is_none_or(|due| due > now) {
             return;
         }
         connection.check_due = None;
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -1,9 +1,9 @@
 //! Connections of clients: accepting and closing them, and reading their lines.
 
 use super::{ClosedClient, Server};
-use crate::clients::ReadOutcome;
+use crate::clients::{IdleCheck, ReadOutcome};
 use crate::dispatch::{Dispatcher, RequestOutcome};
-use crate::jsonrpc;
+use crate::jsonrpc::{self, RequestError, RequestErrorKind};
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::{Actions, RequestId};
@@ -36,12 +36,14 @@
         has_failed: impl Fn() -> bool,
     ) -> bool {
         let now = self.dispatcher.context.now();
-        match self.dispatcher.clients.read_line(slot, (now, received_since), socket, has_failed) {
-            ReadOutcome::Line(line, received_at) => {
+        match self.dispatcher.clients.read_line(slot, now, received_since, socket, has_failed) {
+            ReadOutcome::Line { line, received_at } => {
                 self.handle_line(slot, &line, now.saturating_sub(received_at))
             }
             ReadOutcome::Discarded => {}
-            ReadOutcome::TooLong => self.reject_line(slot, None, jsonrpc::PARSE, "a line without end"),
+            ReadOutcome::TooLong => {
+                self.reject_line(slot, RequestError::new(None, RequestErrorKind::LineTooLong))
+            }
             ReadOutcome::EndOfInput => self.clients_departed(Vec::new(), vec![slot]),
             ReadOutcome::Closed => {
                 self.close_client(slot, "reset or closed by the client");
@@ -60,17 +62,18 @@
         if !withdrawn.is_empty() {
             self.clients_departed(withdrawn, Vec::new());
         }
-        if let Err((id, code, message)) = self.handle_message(slot, line, waited) {
-            self.reject_line(slot, id, code, &message);
+        if let Err(error) = self.handle_message(slot, line, waited) {
+            self.reject_line(slot, error);
         }
         self.process_events();
     }
 
     /// Answers a line that is no proper request with an error.
-    pub(super) fn reject_line(&mut self, slot: Slot, id: Option<u64>, code: i64, message: &str) {
+    pub(super) fn reject_line(&mut self, slot: Slot, error: RequestError) {
+        let (id, message) = (error.id, error.to_string());
         self.dispatcher.context.counters.count("client_input_refused");
         log::debug!("client line refused: client={slot:?} id={id:?} error={message:?}");
-        self.dispatcher.clients.send_line(slot, &jsonrpc::error_line(id, code, message, None));
+        self.dispatcher.clients.send_line(slot, &jsonrpc::error_line(id, error.code(), &message, None));
     }
 
     /// Scans what clients have sent, received at `received_since` at the earliest, for withdrawals and for the end
@@ -86,7 +89,7 @@
         let mut ended = Vec::new();
         let mut closed = Vec::new();
         for (slot, mut socket) in clients {
-            let scan = self.dispatcher.clients.scan_ahead(slot, (now, received_since), &mut socket);
+            let scan = self.dispatcher.clients.scan_ahead(slot, now, received_since, &mut socket);
             let named = scan.withdrawn.iter().filter_map(|named| self.find_open_request(slot, named));
             withdrawn.extend(named);
             ended.extend(scan.ended.then_some(slot));
@@ -153,17 +156,17 @@
         if self.dispatcher.clients.table.get(slot).is_none() {
             return;
         }
-        let stopped_within_line = match self.dispatcher.clients.check_idle(slot, now) {
-            Ok(stopped_within_line) => stopped_within_line,
-            Err(due) => return self.dispatcher.context.timers.set(due, Timer::Client(slot)),
-        };
-        if stopped_within_line {
-            self.dispatcher.context.counters.count("clients_stalled");
-            self.reject_line(slot, None, jsonrpc::PARSE, "a line that stopped short");
-            self.close_client(slot, "stopped within a line");
-        } else {
-            self.dispatcher.context.counters.count("clients_idle");
-            self.close_client(slot, "idle");
+        match self.dispatcher.clients.check_idle(slot, now) {
+            IdleCheck::CheckAgain(due) => self.dispatcher.context.timers.set(due, Timer::Client(slot)),
+            IdleCheck::Stalled => {
+                self.dispatcher.context.counters.count("clients_stalled");
+                self.reject_line(slot, RequestError::new(None, RequestErrorKind::LineIncomplete));
+                self.close_client(slot, "stopped within a line");
+            }
+            IdleCheck::Idle => {
+                self.dispatcher.context.counters.count("clients_idle");
+                self.close_client(slot, "idle");
+            }
         }
     }
 
@@ -178,7 +181,7 @@
     /// Removes a client's connection; returns the requests that were open on it.
     fn remove_client(&mut self, slot: Slot, reason: &str) -> Vec<RequestId> {
         let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
-        log::debug!("client closed: client={slot:?} reason={reason:?} held={:?}", client.held());
+        log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
         self.dispatcher.context.timers.clear(client.due, Timer::Client(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
         client.open.into_values().collect()
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -1,10 +1,10 @@
 //! Messages of clients: status, withdrawals and requests.
 
 use super::Server;
-use super::parameters::{self, RequestParameters, TeamParameters, hash_of};
+use super::parameters::{self, ParameterError, RequestParameters, TeamParameters, hash_of};
 use crate::clients::MAX_OPEN_REQUESTS;
 use crate::dispatch::RequestOutcome;
-use crate::jsonrpc::{self, Objection, Withdrawal};
+use crate::jsonrpc::{self, RequestError, RequestErrorKind, RpcRequest, Withdrawal};
 use crate::request_table::Request;
 use crate::slots::Slot;
 use emberflow::{Arrival, RequestId};
@@ -42,21 +42,21 @@
         client: Slot,
         line: &[u8],
         waited: Duration,
-    ) -> Result<(), Objection> {
-        let (id, method, params) = jsonrpc::parse_request(line)?;
+    ) -> Result<(), RequestError> {
+        let RpcRequest { id, method, params } = jsonrpc::parse_request(line)?;
         let fields = Fields::of(&params);
         match method.as_str() {
             "status" => self.answer_status(client, id),
             "withdraw" => {
-                self.withdraw_request(client, &jsonrpc::withdrawal_of(id, fields));
+                self.withdraw_request(client, &Withdrawal::decode(id, fields));
                 Ok(())
             }
             method => self.take_request(RequestMessage { client, id, method, fields, waited }),
         }
     }
 
-    fn answer_status(&mut self, client: Slot, id: Option<u64>) -> Result<(), Objection> {
-        let id = id.ok_or_else(|| (id, jsonrpc::INVALID, "`status` without an id".to_owned()))?;
+    fn answer_status(&mut self, client: Slot, id: Option<u64>) -> Result<(), RequestError> {
+        let id = id.ok_or_else(|| RequestError::new(None, RequestErrorKind::StatusWithoutId))?;
         let is_serving = self.dispatcher.had_ready_endpoint && !self.is_shutting_down();
         self.dispatcher.clients.send_line(client, &jsonrpc::status_line(id, is_serving));
         Ok(())
@@ -69,22 +69,25 @@
     }
 
     /// The open request that a client names by its `req` or by its id on this connection.
-    pub(super) fn find_open_request(&self, client: Slot, (name, id): &Withdrawal) -> Option<RequestId> {
+    pub(super) fn find_open_request(&self, client: Slot, withdrawal: &Withdrawal) -> Option<RequestId> {
         let is_named = |request: &RequestId| {
             let request = self.dispatcher.requests.get(*request);
-            request.is_some_and(|request| request.name == *name || Some(request.client_request_id) == *id)
+            request.is_some_and(|request| {
+                request.name == withdrawal.name || Some(request.client_request_id) == withdrawal.id
+            })
         };
         self.dispatcher.clients.table.get(client)?.open.values().copied().find(is_named)
     }
 
     /// Checks and decodes a request, then passes it to the scheduler or into the admission queue.
-    fn take_request(&mut self, message: RequestMessage) -> Result<(), Objection> {
+    fn take_request(&mut self, message: RequestMessage) -> Result<(), RequestError> {
         let now = self.dispatcher.context.now();
         let RequestMessage { client, id, method, fields, waited } = message;
         let Some(Validated { id: client_request_id, class, name }) = self.validate(&message)? else {
             return Ok(());
         };
-        let bad_parameters = |error: parameters::ParameterError| (id, jsonrpc::BAD_PARAMS, error.to_string());
+        let bad_parameters =
+            |error: ParameterError| RequestError::new(id, RequestErrorKind::invalid_params(error));
         let parameters = RequestParameters::decode(fields).map_err(bad_parameters)?;
         let arrival = self.arrival_of(&parameters, class, waited);
         log::debug!(
@@ -101,7 +104,7 @@
             ..Request::new(client, client_request_id, name, class)
         };
         if !self.dispatcher.open_request(request) {
-            return Err((id, jsonrpc::REJECTED, "too many tasks are open".into()));
+            return Err(RequestError::new(id, RequestErrorKind::TooManyOpen));
         }
         match team {
             Some(team) => self.enqueue(now, arrival, team, identity),
@@ -111,38 +114,38 @@
     }
 
     /// Checks a request's class, id and name against what is open; `None` where no answer is owed.
-    fn validate<'a>(&mut self, message: &RequestMessage<'a>) -> Result<Option<Validated<'a>>, Objection> {
+    fn validate<'a>(&mut self, message: &RequestMessage<'a>) -> Result<Option<Validated<'a>>, RequestError> {
         let RequestMessage { client, id, method, fields, .. } = *message;
-        let invalid = |id: Option<u64>, what: &str| Err((id, jsonrpc::INVALID, what.to_owned()));
+        let error = RequestError::new;
         let class = self.dispatcher.config.classes.iter().position(|name| name == method);
-        let class = class.ok_or_else(|| (id, jsonrpc::NO_METHOD, format!("no method `{method}`")))?;
-        let Some(client_request_id) = id else { return invalid(None, "a task without an id") };
+        let class = class.ok_or_else(|| error(id, RequestErrorKind::UnknownMethod(method.to_owned())))?;
+        let Some(client_request_id) = id else { return Err(error(None, RequestErrorKind::RequestWithoutId)) };
         let Some(connection) = self.dispatcher.clients.table.get(client) else { return Ok(None) };
         if connection.open.contains_key(&client_request_id) {
             // Under that id the error would pass for the answer to the open request.
-            return invalid(None, "`id` is open already");
+            return Err(error(None, RequestErrorKind::IdOpen));
         }
         if connection.open.len() >= MAX_OPEN_REQUESTS {
-            return invalid(id, "too many open requests");
+            return Err(error(id, RequestErrorKind::TooManyOpenOnConnection));
         }
         let name = parameters::request_name(fields);
-        let name = name.map_err(|error| (id, jsonrpc::BAD_PARAMS, error.to_string()))?;
+        let name = name.map_err(|cause| error(id, RequestErrorKind::invalid_params(cause)))?;
         if self.is_withdrawn(client, client_request_id, name)? {
             return Ok(None);
         }
         // Engines tell requests apart by the name alone, whichever client sent them.
         if self.dispatcher.requests.is_open(name) {
-            return invalid(id, "`req` is open already");
+            return Err(error(id, RequestErrorKind::NameOpen));
         }
         Ok(Some(Validated { id: client_request_id, class, name }))
     }
 
     /// Whether a client has withdrawn a request before its turn came; an error if the client has left since, so
     /// that nobody may wait for it. Keeps requests from being dispatched for nobody.
-    fn is_withdrawn(&mut self, client: Slot, id: u64, name: &str) -> Result<bool, Objection> {
+    fn is_withdrawn(&mut self, client: Slot, id: u64, name: &str) -> Result<bool, RequestError> {
         let now = self.dispatcher.context.now();
         if self.dispatcher.clients.has_ended_input(client, now) {
-            return Err((Some(id), jsonrpc::REJECTED, "its client has left".into()));
+            return Err(RequestError::new(Some(id), RequestErrorKind::ClientLeft));
         }
         let is_withdrawn = self.dispatcher.clients.has_withdrawn(client, name, id);
         if is_withdrawn {
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -108,7 +108,10 @@
     let parse = |ring: &mut Ring| {
         let (said, length) = {
             let (line, length) = jsonrpc::split_line(ring.readable(), 0)?;
-            (format!("{:?}", jsonrpc::parse_request(line)), length)
+            let request = jsonrpc::parse_request(line);
+            let request = request.map(|request| (request.id, request.method, request.params));
+            let request = request.map_err(|error| (error.id, error.code().number(), error.to_string()));
+            (format!("{request:?}"), length)
         };
         ring.consume(length);
         Some(said)
