--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -204,7 +204,7 @@
                     let request = ended.request as usize;
                     let owed = owing.map(|connection| OwedAnswer { request, connection });
                     self.state.owed_answers.extend(owed);
-                    self.record_end(request, ended.attempt, ended.end, body);
+                    self.record_end(request, ended.attempt, ended.outcome, body);
                 }
             }
             if !is_active {
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -4,13 +4,12 @@
 use super::event::{Event, EventLog};
 use super::scenario::EndpointChange;
 use super::state::{
-    AttemptRecord, EndpointStatus, EngineRecord, FinalAnswer, KeyCooldown, ModuleState, RequestRecord,
-    SentWork,
+    AttemptRecord, EngineRecord, FinalAnswer, KeyCooldown, ModuleState, RequestRecord, SentWork,
 };
 use super::transition::{Transition, next_instant};
 use crate::invariants::{first_violated, record_exercised};
 use crate::search::START_TIME;
-use emberflow::{AttemptEnded, AttemptOutcome, EngineId, RequestId, Scheduler};
+use emberflow::{AttemptEnded, AttemptOutcome, EndpointUpdate, EngineId, Lifecycle, RequestId, Scheduler};
 use std::time::Duration;
 
 /// A time that is later than any deadline.
@@ -20,7 +19,7 @@
 pub fn initial_state(model: &ModuleModel) -> ModuleState {
     let (fleet, classes, attempt_limits) = model.scenario.settings();
     let engine =
-        EngineRecord { status: EndpointStatus::Ready, is_forgotten: false, launched: None, sent: Vec::new() };
+        EngineRecord { lifecycle: Lifecycle::Ready, is_forgotten: false, launched: None, sent: Vec::new() };
     let mut state = ModuleState {
         now: START_TIME,
         scheduler: Scheduler::new(fleet, classes, attempt_limits),
@@ -38,7 +37,7 @@
     };
     let endpoints = (0..model.engines.len()).map(|engine| state.endpoint(model, engine)).collect();
     let mut events = EventLog::default();
-    state.scheduler.endpoints_changed(state.now, false, endpoints, &mut events);
+    state.scheduler.endpoints_changed(state.now, EndpointUpdate::Changes, endpoints, &mut events);
     apply_events(model, &mut state, events);
     state.update_fingerprint(model);
     state
@@ -94,9 +93,9 @@
         Transition::EmptyEndpointList => {
             state.endpoint_changes += 1;
             for engine in &mut state.engine_records {
-                engine.status = EndpointStatus::Gone;
+                engine.lifecycle = Lifecycle::Gone;
             }
-            state.scheduler.endpoints_changed(now, true, Vec::new(), events);
+            state.scheduler.endpoints_changed(now, EndpointUpdate::FullList, Vec::new(), events);
         }
         Transition::FailEndpointList => {
             state.endpoint_changes += 1;
@@ -142,17 +141,17 @@
     state.endpoint_changes += 1;
     let record = &mut state.engine_records[engine];
     match change {
-        EndpointChange::Drains => record.status = EndpointStatus::Draining,
-        EndpointChange::Gone => record.status = EndpointStatus::Gone,
-        EndpointChange::Returns => record.status = EndpointStatus::Ready,
+        EndpointChange::Drains => record.lifecycle = Lifecycle::Draining,
+        EndpointChange::Gone => record.lifecycle = Lifecycle::Gone,
+        EndpointChange::Returns => record.lifecycle = Lifecycle::Ready,
         EndpointChange::Restarts => {
-            record.status = EndpointStatus::Ready;
+            record.lifecycle = Lifecycle::Ready;
             record.launched = Some(state.now);
             record.sent.clear();
         }
     }
     let endpoints = vec![state.endpoint(model, engine)];
-    state.scheduler.endpoints_changed(state.now, false, endpoints, events);
+    state.scheduler.endpoints_changed(state.now, EndpointUpdate::Changes, endpoints, events);
 }
 
 /// Ends the attempt in flight, as the scheduler's caller reports it: a result goes to the client first, if that still
@@ -169,21 +168,21 @@
         check(model, state, &Event::Serve { request: number });
         state.requests[request].answer = Some(FinalAnswer::Served);
     }
-    let over = !state.requests[request].is_open();
+    let request_done = !state.requests[request].is_open();
     let attempt = state.requests[request].attempts.len() - 1;
     let record = &mut state.requests[request].attempts[attempt];
     record.outcome = Some(outcome);
-    let (engine, took) = (record.engine, state.now - record.sent);
+    let (engine, elapsed) = (record.engine, state.now - record.sent);
     begin_key_cooldown(model, state, request, outcome);
     let ended = AttemptEnded {
         request: number,
         attempt,
         engine,
-        end: outcome,
-        took,
+        outcome,
+        elapsed,
         usage: None,
         load_report: model.load_report,
-        over,
+        request_done,
     };
     state.scheduler.attempt_ended(state.now, ended, events);
 }
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -2,9 +2,9 @@
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
-use super::state::{EndpointStatus, ModuleState};
+use super::state::ModuleState;
 use super::transition::Transition;
-use emberflow::{AttemptOutcome, EngineId, ProgressNote};
+use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressNote};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
@@ -73,11 +73,11 @@
 fn endpoint_call(state: &ModuleState, engine: EngineId, change: EndpointChange) -> String {
     let record = &state.engine_records[engine];
     let launched = record.launched.map(|at| at.as_millis());
-    let (ready, gone, launched) = match change {
-        EndpointChange::Drains => (false, record.status == EndpointStatus::Gone, launched),
-        EndpointChange::Gone => (false, true, launched),
-        EndpointChange::Returns => (true, false, launched),
-        EndpointChange::Restarts => (true, false, Some(state.now.as_millis())),
+    let (lifecycle, launched) = match change {
+        EndpointChange::Drains => (Lifecycle::Draining, launched),
+        EndpointChange::Gone => (Lifecycle::Gone, launched),
+        EndpointChange::Returns => (Lifecycle::Ready, launched),
+        EndpointChange::Restarts => (Lifecycle::Ready, Some(state.now.as_millis())),
     };
-    format!(".tell({engine}, {ready}, {gone}, {launched:?})")
+    format!(".tell({engine}, Lifecycle::{lifecycle:?}, {launched:?})")
 }
--- a/crates/model-checker/src/module_model/event.rs
+++ b/crates/model-checker/src/module_model/event.rs
@@ -51,7 +51,7 @@
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.push(Event::Send { request, engine, until });
     }
-    fn terms(&mut self, request: RequestId, grant_mb: f64, _: u8) {
+    fn set_terms(&mut self, request: RequestId, grant_mb: f64, _: u8) {
         self.push(Event::Terms { request, grant_mb });
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -2,9 +2,9 @@
 
 use super::ModuleModel;
 use super::event::{Event, EventLog};
-use super::state::{EndpointStatus, KeyCooldown, ModuleState, RequestRecord, SentWork};
+use super::state::{KeyCooldown, ModuleState, RequestRecord, SentWork};
 use crate::invariants::Invariant;
-use emberflow::{Effect, KeyId, RequestId, Scope};
+use emberflow::{Effect, EndpointUpdate, KeyId, KeyScope, Lifecycle, RequestId};
 use std::time::Duration;
 
 /// Allows for rounding where sums of work are compared.
@@ -158,9 +158,9 @@
     let (first_location, first_cell) = model.engines[first.engine];
     let (location, cell) = model.engines[*engine];
     let knows_key = match scope {
-        Scope::All => true,
-        Scope::Location => first_location == location,
-        Scope::Cell => first_cell == cell,
+        KeyScope::All => true,
+        KeyScope::Location => first_location == location,
+        KeyScope::Cell => first_cell == cell,
     };
     !knows_key || state.now >= first.sent + *window
 }
@@ -170,7 +170,7 @@
     let record = record(state, request);
     let may_be_repeated = match &model.class_of(*request).effect {
         Effect::Idempotent => true,
-        Effect::IdempotentWithKey { scope, .. } => *scope == Scope::All,
+        Effect::IdempotentWithKey { scope, .. } => *scope == KeyScope::All,
         Effect::NonIdempotent => false,
     };
     record.is_open() && !may_be_repeated && record.first_that_may_have_run().is_some()
@@ -178,7 +178,7 @@
 
 fn sends_to_draining_engine(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { engine, .. } = event else { return false };
-    state.engine_records[*engine].status != EndpointStatus::Ready
+    state.engine_records[*engine].lifecycle != Lifecycle::Ready
 }
 
 /// The budget of an engine that is warming up: its capacity by now, times the overload factor, over the overload window,
@@ -194,8 +194,8 @@
     }
     let cores = model.fleet.kinds[model.kind(*engine)].cores;
     let capacity = cores * (limits.start_capacity + (1.0 - limits.start_capacity) * warmth);
-    let budget =
-        limits.overload_factor * capacity * limits.overload_window.as_secs_f64() / model.fleet.routers as f64;
+    let budget = limits.overload_factor * capacity * limits.overload_window.as_secs_f64()
+        / model.fleet.router_count as f64;
     let seconds = model.requests[*request as usize].cost_ms as f64 / 1e3;
     let window = limits.overload_window.mul_f64((seconds / budget).max(1.0));
     let is_recent = |work: &&SentWork| work.at + window > state.now;
@@ -239,7 +239,7 @@
 fn exceeds_retry_budget(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Some(budget) = &model.attempt_limits.retry_budget else { return false };
     let is_retry = sent_request(state, event).is_some_and(|record| !record.attempts.is_empty());
-    let is_recent = |at: Duration| at + budget.over > state.now;
+    let is_recent = |at: Duration| at + budget.window > state.now;
     let retries = state.retries.iter().filter(|at| is_recent(**at)).count() as f64;
     let requests = state.requests.iter().filter(|request| is_recent(request.arrived)).count() as f64;
     is_retry && retries + 1.0 > budget.spare + budget.per_request * requests
@@ -275,7 +275,7 @@
     }
     let mut scheduler = state.scheduler.clone();
     let mut events = EventLog::default();
-    scheduler.endpoints_changed(state.now, true, Vec::new(), &mut events);
+    scheduler.endpoints_changed(state.now, EndpointUpdate::FullList, Vec::new(), &mut events);
     let only_forgets = events.0.iter().all(|event| matches!(event, Event::Forget { .. }));
     let held = scheduler.held_counts();
     only_forgets && held.requests == 0 && held.engines == 0
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -23,11 +23,11 @@
     AttemptOutcome::Broken,
 ];
 const ALL_NOTES: &[ProgressNote] = &[
-    ProgressNote::Runs,
-    ProgressNote::Done(0.1),
-    ProgressNote::Spills(200.0),
-    ProgressNote::WaitsForMemory,
-    ProgressNote::WaitsForLoad,
+    ProgressNote::Running,
+    ProgressNote::Fraction(0.1),
+    ProgressNote::Spilling(200.0),
+    ProgressNote::WaitingForMemory,
+    ProgressNote::WaitingForLoad,
 ];
 const THREE_ENGINES: &[(usize, u64)] = &[(0, 0), (0, 0), (0, 0)];
 /// Two engines in one cell, and one in another cell and location.
@@ -139,7 +139,7 @@
         engines: TWO_ENGINES,
         requests: &[request(0)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
-        progress_notes: &[ProgressNote::Runs],
+        progress_notes: &[ProgressNote::Running],
         max_notes: 3,
         stops_around_objective: true,
         wake_up_delay: ms(8),
@@ -262,8 +262,8 @@
         name: "attempt budget",
         description: "two idempotent requests, one engine, a retry budget that suffices for one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
-            let over = std::time::Duration::from_millis(400);
-            attempt_limits.retry_budget = Some(RetryBudget { spare: 1.0, per_request: 0.0, over });
+            let window = std::time::Duration::from_millis(400);
+            attempt_limits.retry_budget = Some(RetryBudget { spare: 1.0, per_request: 0.0, window });
         }),
         engines: &[(0, 0)],
         requests: &[request(0), request(0)],
@@ -275,13 +275,13 @@
         name: "attempt budget at two",
         description: "the same at two engines, with progress notes that report a wait for load",
         setup: setup!(|fleet, classes, attempt_limits| {
-            let over = std::time::Duration::from_millis(400);
-            attempt_limits.retry_budget = Some(RetryBudget { spare: 0.5, per_request: 0.5, over });
+            let window = std::time::Duration::from_millis(400);
+            attempt_limits.retry_budget = Some(RetryBudget { spare: 0.5, per_request: 0.5, window });
         }),
         engines: TWO_ENGINES,
         requests: &[request(0), request(0)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        progress_notes: &[ProgressNote::WaitsForLoad],
+        progress_notes: &[ProgressNote::WaitingForLoad],
         max_notes: 1,
         interchangeable_engines: false,
         in_short_set: false,
@@ -302,7 +302,7 @@
         name: "cold engine, small part",
         description: "the same for one of forty routers, whose part is less than one request",
         setup: setup!(|fleet, classes, attempt_limits| {
-            fleet.routers = 40;
+            fleet.router_count = 40;
             attempt_limits.warm_up = std::time::Duration::from_millis(2000);
         }),
         engines: &[(0, 0)],
@@ -339,7 +339,7 @@
         engines: TWO_ENGINES,
         requests: &[request(0)],
         outcomes: MAIN_OUTCOMES,
-        progress_notes: &[ProgressNote::Done(0.1), ProgressNote::WaitsForLoad],
+        progress_notes: &[ProgressNote::Fraction(0.1), ProgressNote::WaitingForLoad],
         max_notes: 1,
         max_departures: 1,
         ..Scenario::BASE
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -1,7 +1,7 @@
 //! The state of the module model: the scheduler, and what its environment knows to be true.
 
 use super::ModuleModel;
-use emberflow::{AttemptOutcome, Endpoint, EngineId, Fingerprint, KeyId, RequestId, Scheduler};
+use emberflow::{AttemptOutcome, Endpoint, EngineId, Fingerprint, KeyId, Lifecycle, RequestId, Scheduler};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
@@ -85,17 +85,6 @@
     }
 }
 
-/// What the endpoint list last reported of an engine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndpointStatus {
-    /// Attempts may be sent to it.
-    Ready,
-    /// It finishes what it has, and takes nothing new.
-    Draining,
-    /// It is gone.
-    Gone,
-}
-
 /// Work sent to an engine.
 #[derive(Clone, Copy)]
 pub struct SentWork {
@@ -109,7 +98,7 @@
 #[derive(Clone)]
 pub struct EngineRecord {
     /// What the endpoint list last reported.
-    pub status: EndpointStatus,
+    pub lifecycle: Lifecycle,
     /// Whether the scheduler has let its number go.
     pub is_forgotten: bool,
     /// When its process was started, if that was while the model ran.
@@ -164,16 +153,8 @@
     /// The endpoint list's row of an engine.
     pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
         let (location, cell) = model.engines[engine];
-        let EngineRecord { status, launched, .. } = self.engine_records[engine];
-        Endpoint {
-            engine,
-            location,
-            kind: model.kind(engine),
-            cell,
-            ready: status == EndpointStatus::Ready,
-            gone: status == EndpointStatus::Gone,
-            launched,
-        }
+        let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine];
+        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
     }
 
     /// Whether an open request waits for an engine, so that any input may lead to an attempt.
@@ -198,7 +179,7 @@
         };
         self.scheduler.fingerprint(&context, &mut hasher);
         for engine in self.engine_records.iter().filter(|engine| engine.is_forgotten) {
-            (engine.status as u8).hash(&mut hasher);
+            engine.lifecycle.hash(&mut hasher);
         }
         self.hash_requests(&mut hasher);
         self.hash_timers(model, &mut hasher);
@@ -211,7 +192,7 @@
     fn engine_fingerprint(&self, model: &ModuleModel, engine: EngineId) -> u64 {
         let engine = &self.engine_records[engine];
         let mut hasher = DefaultHasher::new();
-        (engine.is_forgotten, engine.status == EndpointStatus::Gone).hash(&mut hasher);
+        (engine.is_forgotten, engine.lifecycle == Lifecycle::Gone).hash(&mut hasher);
         let is_warming_up =
             engine.launched.is_some_and(|launched| launched + model.attempt_limits.warm_up > self.now);
         let recent_work = is_warming_up.then(|| {
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -2,8 +2,8 @@
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
-use super::state::{AttemptRecord, EndpointStatus, EngineRecord, ModuleState, RequestRecord};
-use emberflow::{AttemptOutcome, EngineId, ProgressNote, RequestId};
+use super::state::{AttemptRecord, EngineRecord, ModuleState, RequestRecord};
+use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressNote, RequestId};
 use std::ops::Range;
 use std::time::Duration;
 
@@ -133,7 +133,7 @@
             transitions.extend(draws.map(|draw| Transition::ChangeEndpoint { engine, change, draw }));
         }
     }
-    let any_listed = state.engine_records.iter().any(|engine| engine.status != EndpointStatus::Gone);
+    let any_listed = state.engine_records.iter().any(|engine| engine.lifecycle != Lifecycle::Gone);
     if model.list_may_fail && any_listed {
         transitions.extend([Transition::EmptyEndpointList, Transition::FailEndpointList]);
     }
@@ -141,9 +141,9 @@
 
 fn may_change(engine: &EngineRecord, change: EndpointChange) -> bool {
     match change {
-        EndpointChange::Drains => engine.status == EndpointStatus::Ready,
-        EndpointChange::Gone => engine.status != EndpointStatus::Gone,
-        EndpointChange::Returns => engine.status == EndpointStatus::Draining,
+        EndpointChange::Drains => engine.lifecycle == Lifecycle::Ready,
+        EndpointChange::Gone => engine.lifecycle != Lifecycle::Gone,
+        EndpointChange::Returns => engine.lifecycle == Lifecycle::Draining,
         EndpointChange::Restarts => engine.launched.is_none() && !engine.is_forgotten,
     }
 }
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -46,9 +46,9 @@
     max_departures: 2,
     endpoint_changes: module_model::scenarios::SCENARIOS[0].endpoint_changes,
     progress_notes: &[
-        emberflow::ProgressNote::Runs,
-        emberflow::ProgressNote::WaitsForLoad,
-        emberflow::ProgressNote::Done(0.1),
+        emberflow::ProgressNote::Running,
+        emberflow::ProgressNote::WaitingForLoad,
+        emberflow::ProgressNote::Fraction(0.1),
     ],
     max_notes: 2,
     shuts_down: true,
