--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -90,13 +90,7 @@
         Transition::ChangeEndpoint { engine, change, .. } => {
             change_endpoint(model, state, engine, change, events);
         }
-        Transition::EmptyEndpointList => {
-            state.endpoint_changes += 1;
-            for engine in &mut state.engine_records {
-                engine.lifecycle = Lifecycle::Gone;
-            }
-            state.scheduler.endpoints_changed(now, EndpointUpdate::FullList, Vec::new(), events);
-        }
+        Transition::EmptyEndpointList => empty_endpoint_list(state, events),
         Transition::FailEndpointList => {
             state.endpoint_changes += 1;
             state.is_watching = false;
@@ -154,6 +148,14 @@
     state.scheduler.endpoints_changed(state.now, EndpointUpdate::Changes, endpoints, events);
 }
 
+fn empty_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+    state.endpoint_changes += 1;
+    for engine in &mut state.engine_records {
+        engine.lifecycle = Lifecycle::Gone;
+    }
+    state.scheduler.endpoints_changed(state.now, EndpointUpdate::FullList, Vec::new(), events);
+}
+
 /// Ends the attempt in flight, as the scheduler's caller reports it: a result goes to the client first, if that still
 /// waits for one.
 fn end_attempt(
