--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -10,7 +10,7 @@
 use crate::wire::{ScriptedInput, engine_answer, open_and_close, pong, request_id, take_commands};
 use emberflow::{AttemptOutcome, RequestId};
 use emberflow_router::discovery::Row;
-use emberflow_router::engine_pool::{Call, News};
+use emberflow_router::engine_pool::{Call, PoolEvent};
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
 use std::time::Duration;
@@ -65,10 +65,10 @@
             Transition::SendCall { request } => self.send_call(request),
             Transition::Connect { connection } => {
                 state.engine_ends.entry(connection).and_modify(|end| end.peer.is_connected = true);
-                state.engines.came_up(connection, &mut state.context);
+                state.engines.connection_established(connection, &mut state.context);
             }
             Transition::Refuse { connection } => {
-                state.engines.refused(connection, false, "refused", &mut state.context);
+                state.engines.dial_failed(connection, false, "refused", &mut state.context);
             }
             Transition::EngineSends { connection, attempt, message } => {
                 self.engine_sends(connection, attempt, message);
@@ -158,13 +158,13 @@
             EndpointChange::Gone | EndpointChange::Replaced => Row { ready: false, gone: true, ..first },
         };
         state.engine_is_ready = row.ready;
-        state.engines.listed(&row, &mut state.context);
+        state.engines.update_endpoint(&row, &mut state.context);
         if row.gone {
             state.engines.forget(state.engine, &mut state.context);
         }
         if change == EndpointChange::Replaced {
             let replacement = Row { up_since_ms: restarted_ms, ..endpoint_row(REPLACEMENT) };
-            state.engine = state.engines.listed(&replacement, &mut state.context).engine;
+            state.engine = state.engines.update_endpoint(&replacement, &mut state.context).engine;
             state.engine_is_ready = true;
         }
     }
@@ -178,9 +178,9 @@
         state.context.now = to;
         while let Some(due) = state.context.timers.pop(to) {
             match due {
-                Timer::Attempt(slot) => state.engines.overdue(slot, &mut state.context),
-                Timer::Connection(slot) => state.engines.connection_overdue(slot, to, &mut state.context),
-                Timer::Whole(slot) => state.engines.not_whole(slot, &mut state.context),
+                Timer::Attempt(slot) => state.engines.attempt_overdue(slot, &mut state.context),
+                Timer::Connection(slot) => state.engines.connection_check_due(slot, to, &mut state.context),
+                Timer::Whole(slot) => state.engines.reply_overdue(slot, &mut state.context),
                 Timer::Idle(slot) => state.engines.connection_idle(slot, &mut state.context),
                 _ => {}
             }
@@ -193,14 +193,14 @@
             let state = &mut self.state;
             let capacity = self.scenario.initial_capacity;
             let new_end = || EngineEnd::with_capacity(capacity);
-            let mut is_active = open_and_close(&mut state.engines.asks, &mut state.engine_ends, new_end);
-            for connection in std::mem::take(&mut state.engines.unsent) {
+            let mut is_active = open_and_close(&mut state.engines.commands, &mut state.engine_ends, new_end);
+            for connection in std::mem::take(&mut state.engines.pending_writes) {
                 is_active = true;
                 self.drain_to_engine(connection);
             }
-            while let Some(news) = self.state.engines.news.pop_front() {
+            while let Some(event) = self.state.engines.events.pop_front() {
                 is_active = true;
-                if let News::Ended(ended, body, owing) = news {
+                if let PoolEvent::Ended(ended, body, owing) = event {
                     let request = ended.request as usize;
                     let owed = owing.map(|connection| OwedAnswer { request, connection });
                     self.state.owed_answers.extend(owed);
--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -143,7 +143,7 @@
         let mut context = Context { now: START_TIME, ..Context::default() };
         let mut engines =
             EnginePool::new(scenario.streams, CONNECT_TIMEOUT, IDLE_TIMEOUT, scenario.max_connections);
-        let engine = engines.listed(&endpoint_row(FIRST_ENGINE), &mut context).engine;
+        let engine = engines.update_endpoint(&endpoint_row(FIRST_ENGINE), &mut context).engine;
         Self {
             now: START_TIME,
             context,
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -225,8 +225,8 @@
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
         file: SERVER,
-        from: "                .for_each(|attempt| self.dispatcher.engines.keep_back(attempt, &mut self.dispatcher.context));\n",
-        to: "                .for_each(drop);\n",
+        from: "                self.dispatcher.engines.disable_resend(attempt, &mut self.dispatcher.context);\n",
+        to: "                let _ = attempt;\n",
     },
     Mutant {
         name: "the scheduler is not told of the shutdown",
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -63,7 +63,7 @@
             Transition::Refuse { connection } => {
                 self.state.faults += 1;
                 let dispatcher = &mut self.state.server.dispatcher;
-                dispatcher.engines.refused(connection, false, "refused", &mut dispatcher.context);
+                dispatcher.engines.dial_failed(connection, false, "refused", &mut dispatcher.context);
             }
             Transition::AnswerResult { connection, call } => self.answer_result(connection, call),
             Transition::AnswerShed { connection, call } => self.answer(connection, call, "SHED", ""),
@@ -163,7 +163,7 @@
     fn connect(&mut self, connection: Slot) {
         self.state.engine_peers.entry(connection).and_modify(|peer| peer.is_connected = true);
         let dispatcher = &mut self.state.server.dispatcher;
-        dispatcher.engines.came_up(connection, &mut dispatcher.context);
+        dispatcher.engines.connection_established(connection, &mut dispatcher.context);
     }
 
     fn answer_result(&mut self, connection: Slot, call: usize) {
@@ -213,12 +213,12 @@
             self.state.server.tell();
             let engines = &mut self.state.server.dispatcher.engines;
             let mut is_active =
-                open_and_close(&mut engines.asks, &mut self.state.engine_peers, Peer::default);
-            for connection in std::mem::take(&mut engines.unsent) {
+                open_and_close(&mut engines.commands, &mut self.state.engine_peers, Peer::default);
+            for connection in std::mem::take(&mut engines.pending_writes) {
                 is_active = true;
                 self.drain_to_engine(connection);
             }
-            for slot in std::mem::take(&mut self.state.server.dispatcher.clients.unsaid) {
+            for slot in std::mem::take(&mut self.state.server.dispatcher.clients.pending_writes) {
                 is_active = true;
                 self.drain_to_client(slot);
             }
@@ -270,7 +270,7 @@
             let Some(id) = line["id"].as_u64() else { continue };
             let is_meant = |request: &RequestRecord| (request.client, request.id) == (client, id);
             let request = self.state.requests.iter().position(is_meant);
-            let body = line["result"]["data"].as_str().and_then(jsonrpc::body);
+            let body = line["result"]["data"].as_str().and_then(jsonrpc::decode_body);
             self.check(&Event::ClientReads { request, body });
             let Some(request) = request else { return };
             self.state.requests[request].answers += 1;
--- a/crates/model-checker/src/wire.rs
+++ b/crates/model-checker/src/wire.rs
@@ -3,7 +3,7 @@
 //! The models of connections and of the whole router share them.
 
 use emberflow_router::discovery::Row;
-use emberflow_router::engine_pool::Ask;
+use emberflow_router::engine_pool::PoolCommand;
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
 use std::collections::{BTreeMap, VecDeque};
@@ -92,7 +92,7 @@
 pub fn take_commands(inbox: &mut Vec<u8>) -> Vec<Command> {
     let mut commands = Vec::new();
     let mut consumed = 0;
-    while let Ok(Some((parts, length))) = resp::parse(&inbox[consumed..]) {
+    while let Ok(Some((parts, length))) = resp::parse_array(&inbox[consumed..]) {
         commands.push(Command(parts.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect()));
         consumed += length;
     }
@@ -107,7 +107,7 @@
 
 /// An engine's answer: the id of the call, the kind of answer, its attributes and its body.
 pub fn engine_answer(id: &str, kind: &str, attributes: &str, body: &str) -> Vec<u8> {
-    resp::array(&[id.as_bytes(), kind.as_bytes(), attributes.as_bytes(), body.as_bytes()])
+    resp::encode_array(&[id.as_bytes(), kind.as_bytes(), attributes.as_bytes(), body.as_bytes()])
 }
 
 /// An engine's answer to a ping.
@@ -131,15 +131,15 @@
 
 /// Opens and closes the far ends that the pool of connections asks for; whether it asked for any.
 pub fn open_and_close<End>(
-    requests: &mut VecDeque<Ask>,
+    commands: &mut VecDeque<PoolCommand>,
     ends: &mut BTreeMap<Slot, End>,
     new_end: impl Fn() -> End,
 ) -> bool {
-    let any = !requests.is_empty();
-    for request in requests.drain(..) {
-        match request {
-            Ask::Dial(connection, _) => drop(ends.insert(connection, new_end())),
-            Ask::Close(connection) => drop(ends.remove(&connection)),
+    let any = !commands.is_empty();
+    for command in commands.drain(..) {
+        match command {
+            PoolCommand::Dial(connection, _) => drop(ends.insert(connection, new_end())),
+            PoolCommand::Close(connection) => drop(ends.remove(&connection)),
         }
     }
     any
