--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -1,15 +1,18 @@
-//! Faults planted on purpose: each is one small edit of the code, made in a copy, which the walk must catch.
+//! Faults planted on purpose: each is one small edit of the code, made in a copy, which the exploration must catch.
 
-use crate::{connection_model, house, paper, turns};
-use std::path::{Path, PathBuf};
-use std::process::{Command, ExitCode};
-use std::time::Instant;
+mod runner;
 
+pub use runner::{EditError, edited, run};
+
+/// One planted fault.
 pub struct Mutant {
+    /// A short name, unique among all mutants.
     pub name: &'static str,
+    /// The file of the repository that is edited.
     pub file: &'static str,
-    /// Stands in the file exactly once.
+    /// The text that is replaced; it must occur in the file exactly once.
     pub from: &'static str,
+    /// The text that takes its place.
     pub to: &'static str,
 }
 
@@ -21,14 +24,17 @@
 const SERVER_CLIENTS: &str = "crates/router/src/server/clients.rs";
 const SERVER_SHUTDOWN: &str = "crates/router/src/server/shutdown.rs";
 const CLIENTS: &str = "crates/router/src/clients.rs";
+const CLIENT: &str = "crates/router/src/clients/client.rs";
 const QUEUES: &str = "crates/teams/src/queues.rs";
 const ORDER: &str = "crates/teams/src/order.rs";
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
-const ENGINES: &str = "crates/router/src/engine_pool.rs";
-
-const fn engines(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
-    Mutant { name, file: ENGINES, from, to }
-}
+/// The folder of the engine pool.
+const ENGINE_POOL: &str = "crates/router/src/engine_pool/";
+const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt.rs";
+const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection.rs";
+const POOL_ENDPOINTS: &str = "crates/router/src/engine_pool/endpoints.rs";
+const POOL_REPLIES: &str = "crates/router/src/engine_pool/replies.rs";
+const POOL_RESULT_PAGES: &str = "crates/router/src/engine_pool/result_pages.rs";
 
 const fn discovery(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file: DISCOVERY, from, to }
@@ -38,6 +44,7 @@
     Mutant { name, file: LOGIC, from, to }
 }
 
+/// All faults.
 pub const MUTANTS: &[Mutant] = &[
     logic(
         "attempt limit off by one",
@@ -63,7 +70,7 @@
     logic(
         "placement ignored",
         "engine.lifecycle.accepts_requests() && placed && same_group",
-        "engine.ready && same_group",
+        "engine.lifecycle.accepts_requests() && same_group",
     ),
     logic(
         "non-idempotent sent again",
@@ -117,7 +124,7 @@
     logic("cancels where it may not", "self.attempt_limits.may_cancel && !self", "!self"),
     logic("answers too late", "let soon = now + scheduler.margin() * 3;", "let soon = now;"),
     logic(
-        "nobody wakes it for what is out",
+        "no wake-up for an attempt in flight",
         "if !self.requests.is_empty() && (self.wake_due",
         "if held && (self.wake_due",
     ),
@@ -136,60 +143,70 @@
     ),
     logic("a client that left is not noted", "if over { request.over = true }", "if over { let _ = id; }"),
     logic(
-        "the end of the process is not heeded",
+        "the end of the process is ignored",
         "soon >= scheduler.shutdown_at || request.held() && hopeless()",
         "request.held() && hopeless()",
     ),
-    engines(
-        "calls left in place at a drain",
-        "let whole = row.written == Some(connection.output.passed()) && ",
-        "let whole = row.written == Some(connection.output.passed() + 1) && ",
-    ),
-    engines(
-        "waiting calls left at a drain",
-        "let mut unsent = connection.waiting.clone();",
-        "let mut unsent = Vec::new();",
-    ),
-    engines(
-        "a second attempt where an answer is owed",
-        "let apart = !owing.contains(slot) && ",
-        "let apart = ",
-    ),
-    engines(
-        "a call that began to leave is sent anew",
-        "row.written.is_some_and(|from| connection.output.passed() > from)",
-        "row.written.is_some_and(|from| connection.output.passed() > from + (1 << 40))",
-    ),
-    engines(
-        "given up unwritten though it left",
-        "if attempt.written.is_none() {",
-        "if attempt.id.is_empty() || attempt.written.is_some() {",
-    ),
-    engines(
-        "idle connections are held_counts",
-        "context.timers.set(if connection.retired { now } else { idle }, Timer::ConnectionIdle(at));",
-        "",
-    ),
-    engines(
-        "a result without its last pages",
-        "if result.got.iter().any(Option::is_none) {",
-        "if result.got.iter().all(Option::is_none) {",
-    ),
-    engines(
-        "a second answer begins a result anew",
-        "\"HIT\" if attempt.result.is_some() => {",
-        "\"HIT\" if attempt.result.is_some() && attempt.number > 9 => {",
-    ),
-    engines(
-        "an answer ends whatever is there",
-        "match self.connections.get(slot).and_then(|connection| connection.attempts.get(&id)).copied() {",
-        "match self.connections.get(slot).and_then(|connection| connection.attempts.get(&id).or(connection.attempts.values().next())).copied() {",
-    ),
-    engines(
-        "an attempt without a deadline",
-        "        context.timers.set(call.until, Timer::Attempt(attempt));\n",
-        "",
-    ),
+    Mutant {
+        name: "unwritten calls kept at a drain",
+        file: POOL_ATTEMPT,
+        from: "attempt.call_offset == Some(connection.output.passed())",
+        to: "attempt.call_offset == Some(connection.output.passed() + 1)",
+    },
+    Mutant {
+        name: "waiting calls left at a drain",
+        file: POOL_ENDPOINTS,
+        from: "let mut unsent = connection.waiting.clone();",
+        to: "let mut unsent = Vec::new();",
+    },
+    Mutant {
+        name: "a second attempt where an answer is owed",
+        file: POOL_CONNECTION,
+        from: "let is_separate = !excluded.contains(slot) && ",
+        to: "let is_separate = ",
+    },
+    Mutant {
+        name: "a call that began to leave is sent anew",
+        file: POOL_CONNECTION,
+        from: "if attempt.has_begun(written) {",
+        to: "if attempt.has_begun(written.saturating_sub(1 << 40)) {",
+    },
+    Mutant {
+        name: "given up unwritten though it left",
+        file: POOL_ATTEMPT,
+        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent,",
+        to: "if attempt.id.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent,",
+    },
+    Mutant {
+        name: "idle connections are kept",
+        file: POOL_ATTEMPT,
+        from: "context.timers.set(idle_due, Timer::ConnectionIdle(connection_slot));",
+        to: "",
+    },
+    Mutant {
+        name: "a result without its last pages",
+        file: POOL_RESULT_PAGES,
+        from: "self.pages.iter().all(Option::is_some)",
+        to: "self.pages.iter().any(Option::is_some)",
+    },
+    Mutant {
+        name: "a second answer begins a result anew",
+        file: POOL_REPLIES,
+        from: "if attempt.result.is_some() {",
+        to: "if attempt.result.is_some() && attempt.number > 9 {",
+    },
+    Mutant {
+        name: "an answer ends whatever is there",
+        file: POOL_REPLIES,
+        from: "match self.attempt_named(connection, &reply.id) {",
+        to: "match self.attempt_named(connection, &reply.id).or_else(|| self.connections.get(connection)?.attempts.values().next().copied()) {",
+    },
+    Mutant {
+        name: "an attempt without a deadline",
+        file: POOL_ATTEMPT,
+        from: "        context.timers.set(call.deadline, Timer::Attempt(attempt));\n",
+        to: "",
+    },
     Mutant {
         name: "an answered request goes on",
         file: DISPATCH,
@@ -209,7 +226,7 @@
         to: "        drop(client.open);\n        Vec::new()",
     },
     Mutant {
-        name: "a withdrawal that is not told",
+        name: "a withdrawal that is not passed on",
         file: SERVER_CLIENTS,
         from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &[], &accepted, &mut self.dispatcher);\n",
@@ -227,7 +244,7 @@
         to: "                let _ = (attempt, &engines, &context);\n",
     },
     Mutant {
-        name: "the module hears of no end",
+        name: "the scheduler is not told of the shutdown",
         file: SERVER_SHUTDOWN,
         from: "        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);\n",
         to: "",
@@ -239,22 +256,22 @@
         to: "        let _ = requests;\n        clients",
     },
     Mutant {
-        name: "silent clients are held_counts",
+        name: "silent clients are kept",
         file: CLIENTS,
-        from: "if due <= now { Ok(begun) } else { Err(due) }",
-        to: "if due > now { Err(due) } else if begun { Ok(begun) } else { Err(now + IDLE) }",
+        from: "            IdleCheck::Idle\n",
+        to: "            IdleCheck::CheckAgain(now + IDLE_TIMEOUT)\n",
     },
     Mutant {
         name: "a shut client is never finished",
         file: CLIENTS,
-        from: "client.is_read_out() && client.waits_for_nothing()",
-        to: "client.is_read_out() && !client.waits_for_nothing()",
+        from: "client.takes_no_input() && client.awaits_nothing()",
+        to: "client.takes_no_input() && !client.awaits_nothing()",
     },
     Mutant {
-        name: "half a line is passed over",
-        file: CLIENTS,
-        from: "(client.scanned, client.active, client.heard) = (0, now, true);",
-        to: "(client.active, client.heard) = (now, true);",
+        name: "half a line is skipped",
+        file: CLIENT,
+        from: "        self.scanned_for_line = 0;\n",
+        to: "",
     },
     discovery("a change taken after a gap", "number != last + 1", "number == u64::MAX"),
     discovery("an event taken twice", "if number <= last =>", "if number < last =>"),
@@ -266,7 +283,7 @@
     ),
     discovery("the last event forgotten", "self.last_event = number;", ""),
     discovery(
-        "half a frame held_counts over a new connection",
+        "half a frame kept over a new connection",
         "Self { input: Ring::default(), subscribed: false, ..*self }",
         "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
@@ -295,120 +312,9 @@
         to: "row.start = start.saturating_add(stretch(work * 0.0, row.share));",
     },
     Mutant {
-        name: "ground without bound",
+        name: "priority without bound",
         file: QUEUES,
         from: "let ground = (urgency + aged).min(MOST_GROUND);",
         to: "let ground = urgency * 9 + aged;",
     },
 ];
-
-/// Plants the named ones, or all; fails unless each is caught.
-pub fn run(names: &[String]) -> ExitCode {
-    if let Some(name) = names.iter().find(|name| MUTANTS.iter().all(|mutant| mutant.name != name.as_str())) {
-        eprintln!("emberflow-model-checker: no mutant `{name}`; there are:");
-        MUTANTS.iter().for_each(|mutant| eprintln!("  {}", mutant.name));
-        return ExitCode::from(2);
-    }
-    let wanted = |mutant: &&Mutant| names.is_empty() || names.iter().any(|name| name == mutant.name);
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let (mut caught, mut all) = (0, 0);
-    println!("{:40} {:24} {:>8} {:>8}  in", "mutant", "caught by", "build s", "walk s");
-    for mutant in MUTANTS.iter().filter(wanted) {
-        all += 1;
-        match plant(&root, mutant) {
-            Ok(Caught { law: Some(law), world, built, walked }) => {
-                caught += 1;
-                println!("{:40} {law:24} {built:>8.1} {walked:>8.1}  {world}", mutant.name);
-            }
-            Ok(Caught { law: None, built, walked, .. }) => {
-                println!("{:40} {:24} {built:>8.1} {walked:>8.1}", mutant.name, "NOT CAUGHT");
-            }
-            Err(error) => println!("{:40} error: {error}", mutant.name),
-        }
-    }
-    println!("\n{caught} of {all} mutants caught");
-    if caught == all { ExitCode::SUCCESS } else { ExitCode::FAILURE }
-}
-
-struct Caught {
-    law: Option<String>,
-    world: String,
-    built: f64,
-    walked: f64,
-}
-
-fn plant(root: &Path, mutant: &Mutant) -> Result<Caught, String> {
-    let fault = |what: &str, e: std::io::Error| format!("{what}: {e}");
-    let copy = root.join("target/mutants/tree");
-    for part in ["src", "crates", "tests", "Cargo.toml", "Cargo.lock"] {
-        mirror(&root.join(part), &copy.join(part)).map_err(|e| fault(part, e))?;
-    }
-    let file = copy.join(mutant.file);
-    let text = std::fs::read_to_string(&file).map_err(|e| fault(mutant.file, e))?;
-    std::fs::write(&file, edited(&text, mutant)?).map_err(|e| fault(mutant.file, e))?;
-    let begun = Instant::now();
-    let built = Command::new("cargo")
-        .args(["build", "--release", "--offline", "--quiet", "--package", "emberflow-model-checker"])
-        .env("CARGO_TARGET_DIR", root.join("target/mutants/built"))
-        .current_dir(&copy)
-        .output()
-        .map_err(|e| fault("cargo", e))?;
-    if !built.status.success() {
-        return Err(format!("it does not build: {}", String::from_utf8_lossy(&built.stderr)));
-    }
-    let (took, begun) = (begun.elapsed().as_secs_f64(), Instant::now());
-    let program = root.join("target/mutants/built/release/emberflow-model-checker");
-    let walk =
-        |options: &[&str]| Command::new(&program).args(options).output().map_err(|e| fault("the walk", e));
-    // Most are caught close to where they stand; all worlds are for those that are not.
-    let connections = connection_model::WORLDS.iter().map(|world| world.name);
-    let house = house::WORLDS.iter().map(|world| world.name);
-    let near: Vec<&str> = match mutant.file {
-        QUEUES | ORDER => turns::WORLDS.iter().map(|world| world.name).collect(),
-        DISCOVERY => paper::WORLDS.iter().map(|world| world.name).collect(),
-        LOGIC | STATE => vec!["--short"],
-        ENGINES => connections.chain(house).collect(),
-        _ => house.collect(),
-    };
-    let mut walked = walk(&near)?;
-    if walked.status.success() {
-        walked = walk(&[])?;
-    }
-    let text = String::from_utf8_lossy(&walked.stdout);
-    let told = |start: &str| text.lines().find_map(|line| line.strip_prefix(start));
-    let law = told("broken law: ").and_then(|rest| rest.split(':').next()).map(str::to_owned);
-    // A mutant that trips over one of the module's own assertions has been noticed as well.
-    let law = law.or_else(|| (walked.status.code() == Some(101)).then(|| "a panic".to_owned()));
-    let world = text.split('`').nth(1).unwrap_or_default().to_owned();
-    Ok(Caught { law, world, built: took, walked: begun.elapsed().as_secs_f64() })
-}
-
-/// The text with the fault in it; an edit that does not apply exactly once is an error.
-pub fn edited(text: &str, mutant: &Mutant) -> Result<String, String> {
-    match text.matches(mutant.from).count() {
-        1 => Ok(text.replace(mutant.from, mutant.to)),
-        count => Err(format!("the edit applies {count} times in {}: {}", mutant.file, mutant.from)),
-    }
-}
-
-/// Makes `to` the same as `from`; files that are the same already stay untouched.
-fn mirror(from: &Path, to: &Path) -> std::io::Result<()> {
-    if !from.is_dir() {
-        let bytes = std::fs::read(from)?;
-        return if std::fs::read(to).is_ok_and(|there| there == bytes) {
-            Ok(())
-        } else {
-            std::fs::write(to, bytes)
-        };
-    }
-    std::fs::create_dir_all(to)?;
-    let names = |dir: &Path| -> std::io::Result<Vec<PathBuf>> {
-        std::fs::read_dir(dir)?.map(|entry| Ok(entry?.file_name().into())).collect()
-    };
-    let held_counts = names(from)?;
-    for name in names(to)?.into_iter().filter(|name| !held_counts.contains(name)) {
-        let stale = to.join(name);
-        if stale.is_dir() { std::fs::remove_dir_all(stale)? } else { std::fs::remove_file(stale)? }
-    }
-    held_counts.iter().try_for_each(|name| mirror(&from.join(name), &to.join(name)))
-}
