--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -1,95 +1,185 @@
-//! The group of tables of a statement: the number behind the underscore in the name of its schema.
+//! The table group that a statement reads: the number behind the underscore in the name of a schema.
 
-/// Words that the name of a table stands behind.
-const TABLE_FOLLOWS: [&[u8]; 8] =
+/// Keywords that the name of a table follows.
+const TABLE_KEYWORDS: [&[u8]; 8] =
     [b"from", b"join", b"into", b"update", b"using", b"table", b"only", b"copy"];
-/// Words that begin a part of a statement, of those that hold commas.
-const BEGINS: [&[u8]; 8] = [b"select", b"from", b"where", b"group", b"order", b"set", b"values", b"on"];
+/// Keywords that begin a clause in which commas may separate names.
+const CLAUSE_KEYWORDS: [&[u8]; 8] =
+    [b"select", b"from", b"where", b"group", b"order", b"set", b"values", b"on"];
 
-/// Reads the first schema with a number whose table stands where a table is named; other names with a dot,
-/// such as an alias's columns, count only where no table is named in a known way. Text in quotes that are
-/// not a name's, and comments, tell nothing, and neither does a schema without a number, such as `staging`.
+/// Finds the group of the first table whose schema has a number. Schemas without a number, such as `staging`, are
+/// skipped, as are comments and quoted text that is no name. Other names with a dot, such as an alias's columns, count
+/// only where no table is named behind a keyword or in the list of a `FROM` clause.
 pub fn table_group(statement: &str) -> Option<u64> {
+    let mut scanner = Scanner::default();
     let mut rest = statement.as_bytes();
-    // The first name of a chain with dots, and whether a table is due where it stands.
-    let mut name: Option<(&[u8], bool)> = None;
-    let (mut dotted, mut due, mut listing) = (false, false, false);
-    let (mut tables, mut other) = (false, None);
-    while let Some(first) = rest.first() {
-        let length = match first {
-            b'\'' => quoted(rest, b'\''),
-            b'-' if rest.starts_with(b"--") => rest.iter().position(|b| *b == b'\n').unwrap_or(rest.len()),
-            b'/' if rest.starts_with(b"/*") => comment(rest),
-            b'"' | b'`' => quoted(rest, *first),
-            b if named(*b) => rest.iter().position(|b| !named(*b)).unwrap_or(rest.len()),
-            _ => 1,
-        };
-        let (token, after) = rest.split_at(length);
+    while !rest.is_empty() {
+        let (token, after) = split_token(rest);
         rest = after;
-        match first {
-            b'.' => {
-                if let Some((schema, placed)) = name.take() {
-                    match number(schema) {
-                        Some(group) if placed => return Some(group),
-                        group => other = other.or(group),
-                    }
-                    tables |= placed;
-                }
-                dotted = true;
-            }
-            b if b.is_ascii_whitespace() => {}
-            b'-' | b'/' if length > 1 => {}
-            b'"' | b'`' => {
-                let inner = token.get(1..length.saturating_sub(1)).unwrap_or_default();
-                name = (!std::mem::take(&mut dotted)).then_some((inner, std::mem::take(&mut due)));
-            }
-            b if named(*b) => {
-                let among = |words: &[&[u8]]| words.iter().any(|word| token.eq_ignore_ascii_case(word));
-                name = (!std::mem::take(&mut dotted)).then_some((token, std::mem::take(&mut due)));
-                due = among(&TABLE_FOLLOWS);
-                if among(&BEGINS) {
-                    listing = token.eq_ignore_ascii_case(b"from");
-                }
+        if let Some(group) = scanner.accept(token) {
+            return Some(group);
+        }
+    }
+    scanner.group_without_table()
+}
+
+/// A token of a statement.
+enum Token<'a> {
+    /// White space or a comment.
+    Blank,
+    Dot,
+    Word(&'a [u8]),
+    /// A name in quotes, without them.
+    QuotedName(&'a [u8]),
+    /// Quoted text, or any other byte.
+    Other(u8),
+}
+
+/// The first name of a chain such as `schema.table.column`.
+struct FirstName<'a> {
+    text: &'a [u8],
+    /// Whether it stands where a table is named.
+    is_table: bool,
+}
+
+/// What is known of a statement up to some token.
+#[derive(Default)]
+struct Scanner<'a> {
+    /// The name that the next dot would qualify.
+    first_name: Option<FirstName<'a>>,
+    follows_dot: bool,
+    expects_table: bool,
+    /// Within a `FROM` clause, a table follows each comma.
+    in_from_clause: bool,
+    has_table: bool,
+    /// The first group of a name that is not known to be a table's.
+    other_group: Option<u64>,
+}
+
+impl<'a> Scanner<'a> {
+    /// Takes the next token; returns the group once a table's schema has one.
+    fn accept(&mut self, token: Token<'a>) -> Option<u64> {
+        match token {
+            Token::Blank => {}
+            Token::Dot => return self.accept_dot(),
+            Token::QuotedName(name) => self.accept_name(name),
+            Token::Word(word) => self.accept_word(word),
+            Token::Other(byte) => {
+                self.first_name = None;
+                self.follows_dot = false;
+                self.expects_table = byte == b',' && self.in_from_clause;
             }
-            _ => (name, dotted, due) = (None, false, *first == b',' && listing),
         }
+        None
+    }
+
+    /// A dot makes the name before it a schema's, or an alias.
+    fn accept_dot(&mut self) -> Option<u64> {
+        self.follows_dot = true;
+        let name = self.first_name.take()?;
+        let group = schema_number(name.text);
+        if name.is_table && group.is_some() {
+            return group;
+        }
+        self.other_group = self.other_group.or(group);
+        self.has_table |= name.is_table;
+        None
+    }
+
+    fn accept_name(&mut self, name: &'a [u8]) {
+        let follows_dot = std::mem::take(&mut self.follows_dot);
+        let is_table = std::mem::take(&mut self.expects_table);
+        let name = FirstName { text: name, is_table };
+        self.first_name = (!follows_dot).then_some(name);
+    }
+
+    fn accept_word(&mut self, word: &'a [u8]) {
+        self.accept_name(word);
+        let is_among = |keywords: &[&[u8]]| keywords.iter().any(|keyword| word.eq_ignore_ascii_case(keyword));
+        self.expects_table = is_among(&TABLE_KEYWORDS);
+        if is_among(&CLAUSE_KEYWORDS) {
+            self.in_from_clause = word.eq_ignore_ascii_case(b"from");
+        }
+    }
+
+    fn group_without_table(&self) -> Option<u64> {
+        self.other_group.filter(|_| !self.has_table)
     }
-    other.filter(|_| !tables)
 }
 
-fn named(byte: u8) -> bool {
+/// Splits the first token off `bytes`, which are not empty.
+fn split_token(bytes: &[u8]) -> (Token<'_>, &[u8]) {
+    let first = bytes[0];
+    let is_comment = bytes.starts_with(b"--") || bytes.starts_with(b"/*");
+    let length = match first {
+        b'\'' | b'"' | b'`' => quoted_length(bytes, first),
+        b'-' if is_comment => bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len()),
+        b'/' if is_comment => comment_length(bytes),
+        byte if is_name_byte(byte) => {
+            bytes.iter().position(|byte| !is_name_byte(*byte)).unwrap_or(bytes.len())
+        }
+        _ => 1,
+    };
+    let (text, rest) = bytes.split_at(length);
+    let token = match first {
+        _ if is_comment => Token::Blank,
+        byte if byte.is_ascii_whitespace() => Token::Blank,
+        b'.' => Token::Dot,
+        b'"' | b'`' => Token::QuotedName(text.get(1..length.saturating_sub(1)).unwrap_or_default()),
+        byte if is_name_byte(byte) => Token::Word(text),
+        byte => Token::Other(byte),
+    };
+    (token, rest)
+}
+
+fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
 
-/// The length of a text in quotes, in which a doubled quote stands for one.
-fn quoted(bytes: &[u8], quote: u8) -> usize {
+/// The length of quoted text, in which a doubled quote stands for one.
+fn quoted_length(bytes: &[u8], quote: u8) -> usize {
     let mut at = 1;
     while at < bytes.len() {
-        match (bytes[at] == quote, bytes.get(at + 1) == Some(&quote)) {
-            (true, true) => at += 2,
-            (true, false) => return at + 1,
-            _ => at += 1,
+        let is_quote = bytes[at] == quote;
+        let is_doubled = is_quote && bytes.get(at + 1) == Some(&quote);
+        if is_doubled {
+            at += 2;
+        } else if is_quote {
+            return at + 1;
+        } else {
+            at += 1;
         }
     }
     bytes.len()
 }
 
 /// The length of a comment, which may hold others.
-fn comment(bytes: &[u8]) -> usize {
-    let (mut depth, mut at) = (0, 0);
+fn comment_length(bytes: &[u8]) -> usize {
+    let mut depth = 0;
+    let mut at = 0;
     while at < bytes.len() {
         match bytes.get(at..at + 2) {
-            Some(b"/*") => (depth, at) = (depth + 1, at + 2),
+            Some(b"/*") => {
+                depth += 1;
+                at += 2;
+            }
             Some(b"*/") if depth == 1 => return at + 2,
-            Some(b"*/") => (depth, at) = (depth - 1, at + 2),
+            Some(b"*/") => {
+                depth -= 1;
+                at += 2;
+            }
             _ => at += 1,
         }
     }
     bytes.len()
 }
 
-fn number(schema: &[u8]) -> Option<u64> {
+/// The number behind the last underscore of a schema's name.
+fn schema_number(schema: &[u8]) -> Option<u64> {
     let (name, digits) = std::str::from_utf8(schema).ok()?.rsplit_once('_')?;
-    let plain = !name.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    digits.parse().ok().filter(|_| plain)
+    let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
+    if name.is_empty() || !is_number {
+        return None;
+    }
+    digits.parse().ok()
 }
