--- a/crates/emulator/src/demo.rs
+++ b/crates/emulator/src/demo.rs
@@ -1,41 +1,68 @@
-//! A first try: engines, a discovery service and a router on loopback, mixed work of three teams, an engine lost half-way,
-//! and a table of what became of it.
+//! The demo: engines, a discovery service and a router on loopback, the mixed work of three teams, and an engine that
+//! is lost half-way.
 
-use crate::clients::{Client, Fate, Habit, How};
-use crate::discovery::{Discovery, Row};
-use crate::engine::{Engine, Runs};
+use crate::client::Client;
+use crate::discovery::{Discovery, Endpoint, EngineState};
+use crate::engine::{Engine, RunLog};
+use crate::outcome::RequestOutcome;
+use crate::workload::RequestProfile;
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::event_loop::RouterLoop;
-use hdrhistogram::Histogram;
 use serde_json::{Value, json};
-use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+/// Of each engine.
 const CORES: f64 = 4.0;
 const MEMORY_MB: f64 = 4096.0;
+/// How long discovery takes to announce that an engine is gone.
+const LOSS_ANNOUNCED_AFTER: Duration = Duration::from_millis(500);
+/// Between two lines of progress at the least.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
+/// How often, and with which pause, the demo tries to connect to the router that it started.
+const CONNECT_ATTEMPTS: u32 = 200;
+const CONNECT_PAUSE: Duration = Duration::from_millis(25);
 
+/// What a run of the demo consists of.
 pub struct Demo {
-    pub lasts: Duration,
+    pub duration: Duration,
     pub seed: u64,
-    pub engines: u32,
-    /// The operator's file, as text; none for a router without teams.
-    pub orders: Option<String>,
+    pub engine_count: u32,
+    /// The text of the operator's file; none for a router without teams.
+    pub operator_text: Option<String>,
+    /// Makes the clients from the seed.
     pub clients: fn(u64) -> Vec<Client>,
     /// Whether an engine is lost half-way.
-    pub loses: bool,
+    pub loses_engine: bool,
 }
 
-fn settings(listen: SocketAddr, discovery: SocketAddr) -> Value {
-    let kind = |name: &str, latency_objective: u64, deadline: u64, repeat: &str| json!({"name": name, "onTimeMs": latency_objective, "deadlineMs": deadline, "gain": 1, "lateShare": 0.1, "repeat": repeat});
+/// Why a demo could not run.
+#[derive(Debug, thiserror::Error)]
+pub enum DemoError {
+    #[error("starting an engine: {0}")]
+    StartEngine(#[source] std::io::Error),
+    #[error("starting the discovery service: {0}")]
+    StartDiscovery(#[source] std::io::Error),
+    #[error("finding a free port for the router: {0}")]
+    FindPort(#[source] std::io::Error),
+    #[error("the router does not listen on {address}")]
+    RouterNotListening { address: SocketAddr },
+    #[error("running a client: {0}")]
+    Client(#[source] std::io::Error),
+    #[error("a client's thread panicked")]
+    ClientPanicked,
+}
+
+fn configuration(listen: SocketAddr, discovery: SocketAddr) -> Value {
     json!({"name": "demo", "listen": listen.to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "bulletin": discovery.to_string(),
         "known": {"no": 0, "items": []},
         "settings": {"instances": 1, "myZone": 0, "zones": ["hall-a"], "kinds": ["std-4"], "discovery": "push",
             "tickMs": 5,
-            "categories": [kind("lookup", 600, 4000, "repeatable"), kind("report", 4000, 12000, "repeatable"),
-                kind("post", 1500, 6000, "once")],
+            "categories": [request_class("lookup", 600, 4000, "repeatable"),
+                request_class("report", 4000, 12_000, "repeatable"), request_class("post", 1500, 6000, "once")],
             "caps": {"cancel": true, "connectTimeoutMs": 250, "idleCloseMs": 15000, "maxRetryAfterMs": 2000,
                 "mostTries": 3, "retryAfter": true, "streamsPerConn": 32},
             "domain": {"kindCores": [CORES], "largestShare": 0.4, "lanesCount": false, "sizeMb": [MEMORY_MB],
@@ -44,146 +71,166 @@
             "rules": {"fallMs": 1000, "overloadFactor": 2.5, "startCapacity": 0.33, "warmUpMs": 3000}}})
 }
 
-fn habit(class: &'static str, rate: f64, work_ms: f64, need_mb: f64, urgency: u8, deadline_ms: u64) -> Habit {
-    Habit { class, rate, work_ms, need_mb, urgency, deadline_ms }
+fn request_class(name: &str, latency_objective_ms: u64, deadline_ms: u64, repeat: &str) -> Value {
+    json!({"name": name, "onTimeMs": latency_objective_ms, "deadlineMs": deadline_ms, "gain": 1, "lateShare": 0.1,
+        "repeat": repeat})
 }
 
-/// Three teams that look up, report and post.
-pub fn mixed(seed: u64) -> Vec<Client> {
-    let lookup = |rate, urgency| habit("lookup", rate, 20.0, 40.0, urgency, 4000);
-    let report = |rate| habit("report", rate, 600.0, 700.0, 0, 12_000);
-    let client =
-        |team, habits, at| Client { team, asks: None, habits, seed: seed.wrapping_add(at), tries: 2 };
+/// Three teams that send lookups, reports and posts.
+pub fn mixed_clients(seed: u64) -> Vec<Client> {
+    let lookup = |rate, urgency| RequestProfile {
+        class: "lookup",
+        rate,
+        work_ms: 20.0,
+        memory_mb: 40.0,
+        urgency,
+        deadline_ms: 4000,
+    };
+    let report = |rate| RequestProfile {
+        class: "report",
+        rate,
+        work_ms: 600.0,
+        memory_mb: 700.0,
+        urgency: 0,
+        deadline_ms: 12_000,
+    };
+    let post = RequestProfile {
+        class: "post",
+        rate: 10.0,
+        work_ms: 80.0,
+        memory_mb: 200.0,
+        urgency: 0,
+        deadline_ms: 6000,
+    };
+    let client = |team, profiles, index| Client {
+        team,
+        wait_field: None,
+        profiles,
+        seed: seed.wrapping_add(index),
+        most_retries: 2,
+    };
     vec![
         client("audit", vec![lookup(25.0, 2), report(1.0)], 1),
-        client("posting", vec![report(10.0), habit("post", 10.0, 80.0, 200.0, 0, 6000)], 2),
+        client("posting", vec![report(10.0), post], 2),
         client("payroll", vec![lookup(10.0, 0), report(2.0)], 3),
     ]
 }
 
-fn fault(what: &'static str) -> impl Fn(std::io::Error) -> String {
-    move |e| format!("{what}: {e}")
+type ClientThread = JoinHandle<std::io::Result<Vec<RequestOutcome>>>;
+
+/// The engines of a running demo and the service that lists them.
+struct Fleet {
+    engines: Vec<Engine>,
+    endpoints: Vec<Endpoint>,
+    discovery: Discovery,
 }
 
-impl Demo {
-    /// Runs it, with a line of progress a second; the fates of all that was sent.
-    pub fn run(&self, mut progress: impl Write) -> Result<Vec<Fate>, String> {
-        let runs = Runs::default();
-        let mut engines: Vec<Engine> = (0..self.engines)
-            .map(|_| Engine::start(CORES, MEMORY_MB, runs.clone()))
-            .collect::<Result<_, _>>()
-            .map_err(fault("an engine"))?;
-        let row = |(id, engine): (u32, &Engine)| Row {
+impl Fleet {
+    fn start(engine_count: u32, runs: &RunLog) -> Result<Self, DemoError> {
+        let engines = (0..engine_count).map(|_| Engine::start(CORES, MEMORY_MB, runs.clone()));
+        let engines: Vec<Engine> = engines.collect::<Result<_, _>>().map_err(DemoError::StartEngine)?;
+        let endpoint = |(id, engine): (u32, &Engine)| Endpoint {
             id,
             address: engine.address,
-            state: 0,
+            state: EngineState::Ready,
             cell: 0,
             up_since_ms: 0,
         };
-        let rows: Vec<Row> = (1..).zip(&engines).map(row).collect();
-        let discovery = Discovery::start(rows.clone()).map_err(fault("the bulletin"))?;
-        let router = Self::free_port().map_err(fault("a port"))?;
-        let (file, orders) = (settings(router, discovery.address), self.orders.clone());
-        std::thread::spawn(move || {
-            let read = move || {
-                let mut bootstrap = Bootstrap::read(&file, None)?;
-                if let Some(orders) = &orders {
-                    bootstrap.order(orders)?;
-                }
-                Ok(bootstrap)
-            };
-            if let Err(error) = RouterLoop::run(read) {
-                eprintln!("the router: {error}");
-            }
-        });
-        Self::until_it_serves(router)?;
-        let (begun, lasts) = (Instant::now(), self.lasts);
-        let clients: Vec<_> = (self.clients)(self.seed)
-            .into_iter()
-            .map(|client| {
-                let runs = runs.clone();
-                std::thread::spawn(move || client.run(router, lasts, &runs))
-            })
-            .collect();
-        let (mut lost, mut told) = (false, 0);
-        while clients.iter().any(|client| !client.is_finished()) {
-            std::thread::sleep(Duration::from_millis(50));
-            let seconds = begun.elapsed().as_secs();
-            if seconds > told {
-                told = seconds;
-                let now = if lost { ", an engine is lost" } else { "" };
-                let _ = write!(progress, "\r{seconds:3} s{now}").and_then(|()| progress.flush());
-            }
-            if self.loses && !lost && begun.elapsed() >= lasts / 2 && engines.len() > 1 {
-                // It resets everything, and the list tells half a second later.
-                lost = true;
-                drop(engines.remove(0));
-                std::thread::sleep(Duration::from_millis(500));
-                discovery.change(Row { state: 2, ..rows[0] });
-            }
-        }
-        let _ = writeln!(progress);
-        let mut fates = Vec::new();
+        let endpoints: Vec<Endpoint> = (1..).zip(&engines).map(endpoint).collect();
+        let discovery = Discovery::start(endpoints.clone()).map_err(DemoError::StartDiscovery)?;
+        Ok(Self { engines, endpoints, discovery })
+    }
+
+    /// Stops the first engine, which closes all its connections; discovery announces it a little later.
+    fn lose_first_engine(&mut self) {
+        drop(self.engines.remove(0));
+        std::thread::sleep(LOSS_ANNOUNCED_AFTER);
+        self.discovery.change(Endpoint { state: EngineState::Gone, ..self.endpoints[0] });
+    }
+}
+
+impl Demo {
+    /// Runs the demo and prints a line of progress a second; returns the outcomes of all requests that were sent.
+    pub fn run(&self, progress: impl Write) -> Result<Vec<RequestOutcome>, DemoError> {
+        let runs = RunLog::default();
+        let mut fleet = Fleet::start(self.engine_count, &runs)?;
+        let router = free_address().map_err(DemoError::FindPort)?;
+        start_router(configuration(router, fleet.discovery.address), self.operator_text.clone());
+        wait_until_listening(router)?;
+        let started_at = Instant::now();
+        let clients = self.start_clients(router, &runs);
+        self.watch(&clients, &mut fleet, started_at, progress);
+        let mut outcomes = Vec::new();
         for client in clients {
-            fates.extend(client.join().map_err(|_| "a client failed")?.map_err(fault("a client"))?);
+            let result = client.join().map_err(|_| DemoError::ClientPanicked)?;
+            outcomes.extend(result.map_err(DemoError::Client)?);
         }
-        Ok(fates)
+        Ok(outcomes)
     }
 
-    fn free_port() -> std::io::Result<SocketAddr> {
-        TcpListener::bind("127.0.0.1:0")?.local_addr()
+    fn start_clients(&self, router: SocketAddr, runs: &RunLog) -> Vec<ClientThread> {
+        let duration = self.duration;
+        let start = |client: Client| {
+            let runs = runs.clone();
+            std::thread::spawn(move || client.run(router, duration, &runs))
+        };
+        (self.clients)(self.seed).into_iter().map(start).collect()
     }
 
-    fn until_it_serves(router: SocketAddr) -> Result<(), String> {
-        for _ in 0..200 {
-            if TcpStream::connect(router).is_ok() {
-                return Ok(());
+    /// Prints progress and loses an engine half-way, until all clients are done.
+    fn watch(
+        &self,
+        clients: &[ClientThread],
+        fleet: &mut Fleet,
+        started_at: Instant,
+        mut progress: impl Write,
+    ) {
+        let mut has_lost_engine = false;
+        let mut printed_seconds = 0;
+        while clients.iter().any(|client| !client.is_finished()) {
+            std::thread::sleep(PROGRESS_INTERVAL);
+            let seconds = started_at.elapsed().as_secs();
+            if seconds > printed_seconds {
+                printed_seconds = seconds;
+                let event = if has_lost_engine { ", an engine is lost" } else { "" };
+                let _ = write!(progress, "\r{seconds:3} s{event}").and_then(|()| progress.flush());
+            }
+            let is_half_way = started_at.elapsed() >= self.duration / 2;
+            if self.loses_engine && !has_lost_engine && is_half_way && fleet.engines.len() > 1 {
+                has_lost_engine = true;
+                fleet.lose_first_engine();
             }
-            std::thread::sleep(Duration::from_millis(25));
         }
-        Err("the router does not listen".into())
+        let _ = writeln!(progress);
     }
 }
 
-/// The table by team and request class: how many came to what, and quantiles of wait and run in milliseconds.
-pub fn table(fates: &[Fate]) -> String {
-    let mut rows: BTreeMap<(&str, &str), Vec<&Fate>> = BTreeMap::new();
-    for fate in fates {
-        rows.entry((fate.team, fate.class)).or_default().push(fate);
-    }
-    let mut text = format!(
-        "{:8} {:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>7} {:>8} {:>8} {:>8} {:>8}\n",
-        "team",
-        "class",
-        "asked",
-        "succeeded",
-        "bounced",
-        "given up",
-        "refused",
-        "no word",
-        "wait p50",
-        "wait p99",
-        "run p50",
-        "run p99"
-    );
-    for ((team, class), fates) in rows {
-        let count = |how| fates.iter().filter(|fate| fate.how == how).count();
-        let quantiles = |of: fn(&Fate) -> Option<Duration>| {
-            let mut all = Histogram::<u64>::new(3).expect("three digits");
-            let done = fates.iter().filter(|fate| fate.how == How::Succeeded);
-            done.filter_map(|fate| of(fate)).for_each(|time| all.saturating_record(time.as_millis() as u64));
-            [0.5, 0.99].map(|part| all.value_at_quantile(part))
+/// Runs a router in a thread of its own, which ends with the process.
+fn start_router(configuration: Value, operator_text: Option<String>) {
+    std::thread::spawn(move || {
+        let read = move || {
+            let mut bootstrap = Bootstrap::read(&configuration, None)?;
+            if let Some(text) = &operator_text {
+                bootstrap.order(text)?;
+            }
+            Ok(bootstrap)
         };
-        let ([wait, longest], [run, slowest]) = (quantiles(|fate| fate.wait), quantiles(|fate| fate.run));
-        text += &format!(
-            "{team:8} {class:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>7} {wait:>8} {longest:>8} {run:>8} {slowest:>8}\n",
-            fates.len(),
-            count(How::Succeeded),
-            count(How::Rejected),
-            count(How::Failed),
-            count(How::Refused),
-            count(How::Unanswered),
-        );
+        if let Err(error) = RouterLoop::run(read) {
+            eprintln!("the router: {error}");
+        }
+    });
+}
+
+fn free_address() -> std::io::Result<SocketAddr> {
+    TcpListener::bind("127.0.0.1:0")?.local_addr()
+}
+
+fn wait_until_listening(address: SocketAddr) -> Result<(), DemoError> {
+    for _ in 0..CONNECT_ATTEMPTS {
+        if TcpStream::connect(address).is_ok() {
+            return Ok(());
+        }
+        std::thread::sleep(CONNECT_PAUSE);
     }
-    text
+    Err(DemoError::RouterNotListening { address })
 }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,89 +1,144 @@
-//! A stand-in discovery service: it tells the whole list to whoever connects, each change, and a sign of life each second.
+//! An emulated discovery service: it sends the complete endpoint list to whoever connects, each change of it, and a
+//! heartbeat each second.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// One engine of the list.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Bytes of a frame's event number and kind.
+const FRAME_HEADER_BYTES: u32 = 9;
+/// Bytes of the event number that a router sends first.
+const RESUME_BYTES: usize = 8;
+/// What each engine says of its size; its zone and kind are the first of the settings.
+const SIZE_PERMILLE: u32 = 1000;
+const ZONE: u8 = 0;
+const KIND: u8 = 0;
+
+/// The state of an engine, as frames number them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EngineState {
+    Ready = 0,
+    Draining = 1,
+    Gone = 2,
+}
+
+/// One engine of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Row {
+pub struct Endpoint {
     pub id: u32,
     pub address: SocketAddr,
-    /// 0 ready, 1 draining, 2 gone.
-    pub state: u8,
+    pub state: EngineState,
     pub cell: u16,
+    /// Milliseconds since the epoch; 0 for long ago.
     pub up_since_ms: u64,
 }
 
+impl Endpoint {
+    /// Its record in a frame; none for an address that the protocol can't name.
+    fn encode(&self) -> Option<Vec<u8>> {
+        let SocketAddr::V4(address) = self.address else { return None };
+        let mut record = Vec::new();
+        record.extend(self.id.to_be_bytes());
+        record.extend(address.ip().octets());
+        record.extend(address.port().to_be_bytes());
+        record.extend([self.state as u8, ZONE, KIND]);
+        record.extend(self.cell.to_be_bytes());
+        record.extend(SIZE_PERMILLE.to_be_bytes());
+        record.extend(self.up_since_ms.to_be_bytes());
+        Some(record)
+    }
+}
+
+/// What a frame holds, as the protocol numbers it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FrameKind {
+    Heartbeat = 0,
+    CompleteList = 1,
+    Changes = 2,
+}
+
+/// A frame: its length, the number of the last event, its kind and the endpoints.
+pub fn frame(event: u64, kind: FrameKind, endpoints: &[Endpoint]) -> Vec<u8> {
+    let payload: Vec<u8> = endpoints.iter().filter_map(Endpoint::encode).flatten().collect();
+    let length = FRAME_HEADER_BYTES + payload.len() as u32;
+    [&length.to_be_bytes()[..], &event.to_be_bytes(), &[kind as u8], &payload].concat()
+}
+
 #[derive(Default)]
-struct List {
-    number: u64,
-    rows: Vec<Row>,
-    readers: Vec<TcpStream>,
+struct EndpointList {
+    /// The number of the last event.
+    event: u64,
+    endpoints: Vec<Endpoint>,
+    /// Connections of routers.
+    watchers: Vec<TcpStream>,
+}
+
+impl EndpointList {
+    fn send_to_watchers(&mut self, frame: &[u8]) {
+        self.watchers.retain_mut(|watcher| watcher.write_all(frame).is_ok());
+    }
 }
 
+/// A running discovery service; its threads end with the process.
 #[derive(Clone)]
 pub struct Discovery {
+    /// Where routers connect.
     pub address: SocketAddr,
-    list: Arc<Mutex<List>>,
-}
-
-/// A frame: its number, 1 for the whole list, 2 for changes, 0 for a sign of life.
-pub fn frame(number: u64, kind: u8, rows: &[Row]) -> Vec<u8> {
-    let mut payload = Vec::new();
-    for row in rows {
-        let SocketAddr::V4(address) = row.address else { continue };
-        payload.extend(row.id.to_be_bytes());
-        payload.extend(address.ip().octets());
-        payload.extend(address.port().to_be_bytes());
-        payload.extend([row.state, 0, 0]);
-        payload.extend(row.cell.to_be_bytes());
-        payload.extend(1000u32.to_be_bytes());
-        payload.extend(row.up_since_ms.to_be_bytes());
-    }
-    let length = 9 + payload.len() as u32;
-    [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], &payload].concat()
+    list: Arc<Mutex<EndpointList>>,
 }
 
 impl Discovery {
-    pub fn start(rows: Vec<Row>) -> std::io::Result<Self> {
+    /// Serves a list of endpoints on a loopback port.
+    pub fn start(endpoints: Vec<Endpoint>) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let list = Arc::new(Mutex::new(List { number: 1, rows, readers: Vec::new() }));
-        let (told, beat) = (Arc::clone(&list), Arc::clone(&list));
-        std::thread::spawn(move || {
-            for mut reader in listener.incoming().flatten() {
-                // It says which event it knows, and is told everything.
-                if reader.read_exact(&mut [0; 8]).is_err() {
-                    continue;
-                }
-                let mut list = told.lock().expect("nobody panics with it");
-                if reader.write_all(&frame(list.number, 1, &list.rows)).is_ok() {
-                    list.readers.push(reader);
-                }
+        let list = Arc::new(Mutex::new(EndpointList { event: 1, endpoints, watchers: Vec::new() }));
+        let discovery = Self { address, list };
+        let (accepting, beating) = (discovery.clone(), discovery.clone());
+        std::thread::spawn(move || accepting.accept_watchers(&listener));
+        std::thread::spawn(move || beating.send_heartbeats());
+        Ok(discovery)
+    }
+
+    /// Replaces the endpoint with the same id.
+    pub fn change(&self, endpoint: Endpoint) {
+        let mut list = self.list();
+        list.event += 1;
+        list.endpoints.retain(|other| other.id != endpoint.id);
+        if endpoint.state != EngineState::Gone {
+            list.endpoints.push(endpoint);
+        }
+        let change = frame(list.event, FrameKind::Changes, &[endpoint]);
+        list.send_to_watchers(&change);
+    }
+
+    /// Each change of the list is complete once its lock is released, whatever panicked since.
+    fn list(&self) -> MutexGuard<'_, EndpointList> {
+        self.list.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// A router first sends which event it knows, and always gets the complete list.
+    fn accept_watchers(&self, listener: &TcpListener) {
+        for mut watcher in listener.incoming().flatten() {
+            if watcher.read_exact(&mut [0; RESUME_BYTES]).is_err() {
+                continue;
             }
-        });
-        std::thread::spawn(move || {
-            loop {
-                std::thread::sleep(Duration::from_secs(1));
-                let mut list = beat.lock().expect("nobody panics with it");
-                let sign = frame(list.number, 0, &[]);
-                list.readers.retain_mut(|reader| reader.write_all(&sign).is_ok());
+            let mut list = self.list();
+            let complete_list = frame(list.event, FrameKind::CompleteList, &list.endpoints);
+            if watcher.write_all(&complete_list).is_ok() {
+                list.watchers.push(watcher);
             }
-        });
-        Ok(Self { address, list })
+        }
     }
 
-    /// An engine's row is another from now on.
-    pub fn change(&self, row: Row) {
-        let mut list = self.list.lock().expect("nobody panics with it");
-        list.number += 1;
-        list.rows.retain(|other| other.id != row.id);
-        if row.state < 2 {
-            list.rows.push(row);
+    fn send_heartbeats(&self) {
+        loop {
+            std::thread::sleep(HEARTBEAT_INTERVAL);
+            let mut list = self.list();
+            let heartbeat = frame(list.event, FrameKind::Heartbeat, &[]);
+            list.send_to_watchers(&heartbeat);
         }
-        let change = frame(list.number, 2, &[row]);
-        list.readers.retain_mut(|reader| reader.write_all(&change).is_ok());
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,7 +1,8 @@
-//! `emberflow-emulator demo`: a first try on loopback.
+//! `emberflow-emulator demo` and `skewed`: a router between emulated peers on loopback.
 
-use emberflow_emulator::demo::{Demo, mixed, table};
+use emberflow_emulator::demo::{Demo, mixed_clients};
 use emberflow_emulator::skewed;
+use emberflow_emulator::table::table;
 use lexopt::prelude::*;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,68 +10,84 @@
 const USAGE: &str = "\
 usage: emberflow-emulator demo [--seconds N] [--seed N] [--engines N] [--operator FILE]
        emberflow-emulator skewed [--seconds N] [--seed N]
-starts stand-in engines, a bulletin and a router on loopback, sends the mixed work of three teams,
-loses an engine half-way, and prints what became of it (20 seconds, seed 1, 3 engines);
+starts emulated engines, a discovery service and a router on loopback, sends the mixed work of three teams,
+loses an engine half-way, and prints the outcomes (20 seconds, seed 1, 3 engines);
 skewed has one of four teams send ten times its share, without and with a file of teams, and compares";
 
+/// Exit codes.
+const FAILURE: u8 = 1;
+const WRONG_ARGUMENTS: u8 = 2;
+const LONGEST_SECONDS: u64 = 3600;
+const MOST_ENGINES: u32 = 64;
+
 enum Command {
     Demo(Demo),
-    Skewed(Duration, u64),
+    Skewed { duration: Duration, seed: u64 },
     Help,
 }
 
-fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
-    let mut demo = Demo {
-        lasts: Duration::from_secs(20),
+fn default_demo() -> Demo {
+    Demo {
+        duration: Duration::from_secs(20),
         seed: 1,
-        engines: 3,
-        orders: None,
-        clients: mixed,
-        loses: true,
-    };
-    let mut word = None;
+        engine_count: 3,
+        operator_text: None,
+        clients: mixed_clients,
+        loses_engine: true,
+    }
+}
+
+fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
+    let mut demo = default_demo();
+    let mut command = None;
     while let Some(argument) = arguments.next()? {
         match argument {
             Long("seconds") => {
-                demo.lasts = Duration::from_secs(arguments.value()?.parse::<u64>()?.clamp(1, 3600))
+                let seconds = arguments.value()?.parse::<u64>()?.clamp(1, LONGEST_SECONDS);
+                demo.duration = Duration::from_secs(seconds);
             }
             Long("seed") => demo.seed = arguments.value()?.parse()?,
-            Long("engines") => demo.engines = arguments.value()?.parse::<u32>()?.clamp(1, 64),
-            Long("operator") => {
-                let path = arguments.value()?;
-                let text = std::fs::read_to_string(&path);
-                demo.orders = Some(text.map_err(|e| format!("{}: {e}", path.to_string_lossy()))?);
+            Long("engines") => {
+                demo.engine_count = arguments.value()?.parse::<u32>()?.clamp(1, MOST_ENGINES);
             }
+            Long("operator") => demo.operator_text = Some(read_operator_file(&arguments.value()?)?),
             Short('h') | Long("help") => return Ok(Command::Help),
-            Value(told) if word.is_none() => word = Some(told),
+            Value(word) if command.is_none() => command = Some(word),
             other => return Err(other.unexpected()),
         }
     }
-    match word {
+    match command {
         Some(word) if word == "demo" => Ok(Command::Demo(demo)),
-        Some(word) if word == "skewed" => Ok(Command::Skewed(demo.lasts, demo.seed)),
+        Some(word) if word == "skewed" => Ok(Command::Skewed { duration: demo.duration, seed: demo.seed }),
         Some(word) if word == "help" => Ok(Command::Help),
         Some(word) => Err(format!("no such command: {}", word.to_string_lossy()).into()),
         None => Err("a command is missing".into()),
     }
 }
 
+fn read_operator_file(path: &std::ffi::OsStr) -> Result<String, lexopt::Error> {
+    std::fs::read_to_string(path)
+        .map_err(|error| format!("reading {}: {error}", path.to_string_lossy()).into())
+}
+
+fn fail(error: &dyn std::fmt::Display, code: u8) -> ExitCode {
+    eprintln!("emberflow-emulator: {error}\n{USAGE}");
+    ExitCode::from(code)
+}
+
 fn main() -> ExitCode {
-    let refuse = |error: String, code| {
-        eprintln!("emberflow-emulator: {error}\n{USAGE}");
-        ExitCode::from(code)
+    let command = match parse(lexopt::Parser::from_env()) {
+        Ok(command) => command,
+        Err(error) => return fail(&error, WRONG_ARGUMENTS),
+    };
+    let output = match command {
+        Command::Help => Ok(format!("{USAGE}\n")),
+        Command::Demo(demo) => demo.run(std::io::stderr()).map(|outcomes| table(&outcomes)),
+        Command::Skewed { duration, seed } => skewed::compare(duration, seed),
     };
-    match parse(lexopt::Parser::from_env()) {
-        Ok(Command::Help) => println!("{USAGE}"),
-        Ok(Command::Demo(demo)) => match demo.run(std::io::stderr()) {
-            Ok(fates) => print!("{}", table(&fates)),
-            Err(error) => return refuse(error, 1),
-        },
-        Ok(Command::Skewed(lasts, seed)) => match skewed::run(lasts, seed) {
-            Ok(text) => print!("{text}"),
-            Err(error) => return refuse(error, 1),
-        },
-        Err(error) => return refuse(error.to_string(), 2),
+    match output {
+        Ok(text) => print!("{text}"),
+        Err(error) => return fail(&error, FAILURE),
     }
     ExitCode::SUCCESS
 }
--- a/crates/emulator/src/skewed.rs
+++ b/crates/emulator/src/skewed.rs
@@ -1,95 +1,166 @@
-//! Teams at their hardest on sockets: one of four sends ten times its share. The same is sent to a router without
-//! teams and to one with them, and what became of it is compared.
+//! A skewed load: one of four teams sends ten times its share. The same is sent to a router without teams and to one
+//! with them, and the outcomes are compared.
 
-use crate::clients::{Client, Fate, Habit, How};
-use crate::demo::{Demo, table};
+use crate::client::Client;
+use crate::demo::{Demo, DemoError};
+use crate::outcome::{RequestOutcome, WaitEstimate};
+use crate::table::table;
+use crate::workload::RequestProfile;
 use std::time::{Duration, Instant};
 
 const TEAMS: [&str; 4] = ["audit", "payroll", "posting", "tax"];
-const ORDERS: &str = "{teams: {
+const OPERATOR_TEXT: &str = "{teams: {
     list: [{name: 'audit'}, {name: 'payroll'}, {name: 'posting'}, {name: 'tax'}],
     waits: {field: 'tell_wait', every_s: 3600},
 }}";
 const ENGINES: u32 = 3;
+/// The flooding team sends on several connections, since one carries only so many open requests.
+const FLOODING_CONNECTIONS: usize = 4;
+/// What a connection of a flooding or another team sends, in multiples of the profiles.
+const FLOOD_FACTOR: f64 = 2.5;
+const ORDINARY_FACTOR: f64 = 1.2;
+/// Seconds of each window in which the teams' shares are compared.
+const WINDOW_S: u64 = 10;
+/// Announced waits below this, in seconds, are not compared with the actual ones.
+const SHORT_WAIT_S: f64 = 0.1;
+/// Guards the divisions by sums that may be 0.
+const SMALLEST_SUM: f64 = 1e-9;
 
-/// Three engines of four cores do some 12 seconds of work in one: a share is 3. The flood sends 30, the others a
-/// little more than theirs; a tenth of a team's requests are urgent look-ups.
+/// Three engines of four cores do some 12 seconds of work in one: a share is 3. The flooding team sends 30, the others
+/// a little more than theirs; a tenth of a team's requests are urgent lookups.
 fn clients(seed: u64) -> Vec<Client> {
-    // The flood comes on four connections, since one carries only so many open requests.
-    let sends = [("audit", 2.5); 4].into_iter().chain(TEAMS[1..].iter().map(|team| (*team, 1.2)));
-    let client = |(at, (team, times)): (usize, (&'static str, f64))| {
-        let habit = |class, rate: f64, work_ms, need_mb, urgency| Habit {
-            class,
-            rate: rate * times,
-            work_ms,
-            need_mb,
-            urgency,
-            deadline_ms: 12_000,
-        };
-        let habits = vec![habit("report", 8.0, 300.0, 300.0, 0), habit("lookup", 1.0, 20.0, 40.0, 2)];
-        Client { team, asks: Some("tell_wait"), habits, seed: seed.wrapping_add(at as u64), tries: 0 }
+    let flooding = [(TEAMS[0], FLOOD_FACTOR); FLOODING_CONNECTIONS];
+    let ordinary = TEAMS[1..].iter().map(|team| (*team, ORDINARY_FACTOR));
+    let connections = flooding.into_iter().chain(ordinary);
+    let client = |(index, (team, factor)): (usize, (&'static str, f64))| Client {
+        team,
+        wait_field: Some("tell_wait"),
+        profiles: profiles(factor),
+        seed: seed.wrapping_add(index as u64),
+        most_retries: 0,
     };
-    sends.enumerate().map(client).collect()
+    connections.enumerate().map(client).collect()
 }
 
+fn profiles(factor: f64) -> Vec<RequestProfile> {
+    let report = RequestProfile {
+        class: "report",
+        rate: 8.0 * factor,
+        work_ms: 300.0,
+        memory_mb: 300.0,
+        urgency: 0,
+        deadline_ms: 12_000,
+    };
+    let urgent_lookup = RequestProfile {
+        class: "lookup",
+        rate: factor,
+        work_ms: 20.0,
+        memory_mb: 40.0,
+        urgency: 2,
+        deadline_ms: 12_000,
+    };
+    vec![report, urgent_lookup]
+}
+
+/// The value below which `part` of the values are; 0 for none.
 fn quantile(values: &mut [f64], part: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
-    values.get(((values.len() as f64 - 1.0) * part).round() as usize).copied().unwrap_or(0.0)
+    let index = ((values.len() as f64 - 1.0) * part).round() as usize;
+    values.get(index).copied().unwrap_or(0.0)
+}
+
+/// How evenly the teams were served.
+struct Fairness {
+    /// The largest part by which a team's share of a window was off an equal one.
+    worst_deviation: f64,
+    /// Jain's index over the shares of all windows: 1 for equal ones.
+    jain_index: f64,
+}
+
+/// A request that an engine began to run.
+struct StartedRequest {
+    at: Instant,
+    team: &'static str,
+    work_s: f64,
 }
 
-/// Each team's work that began in each window of ten seconds, against an equal share; the worst, and Jain's
-/// index over all. The first window fills the queues, and the last one may be cut short.
-fn fairness(fates: &[Fate], lasts: Duration) -> (f64, f64) {
-    let begun: Vec<(Instant, &str, f64)> =
-        fates.iter().filter_map(|fate| Some((fate.began?, fate.team, fate.work))).collect();
-    let Some(first) = begun.iter().map(|(at, ..)| *at).min() else { return (1.0, 0.0) };
-    let (mut worst, mut sum, mut squares, mut count): (f64, f64, f64, f64) = (0.0, 0.0, 0.0, 0.0);
-    for window in 1..lasts.as_secs() / 10 {
-        let within = |at: Instant| (at - first).as_secs() / 10 == window;
-        let of = |team: &str| -> f64 {
-            begun.iter().filter(|(at, by, _)| *by == team && within(*at)).map(|(.., work)| work).sum()
-        };
-        let all: f64 = TEAMS.iter().map(|team| of(team)).sum();
-        for team in TEAMS {
-            let had = of(team) / all.max(1e-9) * TEAMS.len() as f64;
-            worst = worst.max((had - 1.0).abs());
-            (sum, squares, count) = (sum + had, squares + had * had, count + 1.0);
-        }
+/// Compares the teams' work that began in each window with an equal share. The first window, which fills the queues, is
+/// left out, and so is one that is cut short.
+fn fairness(outcomes: &[RequestOutcome], duration: Duration) -> Fairness {
+    let started = outcomes.iter().filter_map(|outcome| {
+        let at = outcome.started_at?;
+        Some(StartedRequest { at, team: outcome.team, work_s: outcome.work_s })
+    });
+    let started: Vec<StartedRequest> = started.collect();
+    let Some(first) = started.iter().map(|request| request.at).min() else {
+        return Fairness { worst_deviation: 1.0, jain_index: 0.0 };
+    };
+    let windows = 1..duration.as_secs() / WINDOW_S;
+    let shares: Vec<f64> = windows.flat_map(|window| shares_of_window(&started, first, window)).collect();
+    let sum: f64 = shares.iter().sum();
+    let sum_of_squares: f64 = shares.iter().map(|share| share * share).sum();
+    Fairness {
+        worst_deviation: shares.iter().map(|share| (share - 1.0).abs()).fold(0.0, f64::max),
+        jain_index: sum * sum / (shares.len() as f64 * sum_of_squares).max(SMALLEST_SUM),
     }
-    (worst, sum * sum / (count * squares).max(1e-9))
 }
 
-/// Runs both and tells the figures.
-pub fn run(lasts: Duration, seed: u64) -> Result<String, String> {
+/// Each team's share of the work that began in a window, as a multiple of an equal share.
+fn shares_of_window(started: &[StartedRequest], first: Instant, window: u64) -> [f64; TEAMS.len()] {
+    let is_within = |request: &&StartedRequest| (request.at - first).as_secs() / WINDOW_S == window;
+    let work = TEAMS.map(|team| -> f64 {
+        let of_team = started.iter().filter(|request| request.team == team);
+        of_team.filter(is_within).map(|request| request.work_s).sum()
+    });
+    let total: f64 = work.iter().sum();
+    work.map(|work| work / total.max(SMALLEST_SUM) * TEAMS.len() as f64)
+}
+
+/// Runs the load without and with teams; returns the tables and figures of both.
+pub fn compare(duration: Duration, seed: u64) -> Result<String, DemoError> {
     let mut text = String::new();
-    for (name, orders) in [("without teams", None), ("with teams", Some(ORDERS.to_owned()))] {
-        let demo = Demo { lasts, seed, engines: ENGINES, orders, clients, loses: false };
-        let fates = demo.run(std::io::stderr())?;
-        let done = |fate: &&Fate| fate.how == How::Succeeded;
-        let seconds = |fate: &Fate| fate.wait.map(|wait| wait.as_secs_f64());
-        let mut urgent: Vec<f64> =
-            fates.iter().filter(done).filter(|fate| fate.urgent).filter_map(seconds).collect();
-        let told: Vec<_> =
-            fates.iter().filter(done).filter_map(|fate| fate.told).filter(|told| told.likely > 0.1).collect();
-        let mut errors: Vec<f64> = told.iter().map(|told| (told.had / told.likely - 1.0).abs()).collect();
-        let within = told.iter().filter(|told| (told.least..=told.most).contains(&told.had)).count();
-        let (worst, jain) = fairness(&fates, lasts);
-        text += &format!("{name}, seed {seed}, {} s, {ENGINES} engines\n{}", lasts.as_secs(), table(&fates));
-        text += &format!(
-            "served {}, worst share of ten seconds {:.1} % off, Jain {jain:.3}, urgent wait p99 {:.3} s\n",
-            fates.iter().filter(done).count(),
-            worst * 100.0,
-            quantile(&mut urgent, 0.99)
-        );
-        if !told.is_empty() {
-            text += &format!(
-                "{} waits told over 0.1 s: {:.0} % off in the median, {:.0} % within the range\n",
-                told.len(),
-                quantile(&mut errors, 0.5) * 100.0,
-                within as f64 / told.len() as f64 * 100.0
-            );
-        }
+    for (name, operator_text) in [("without teams", None), ("with teams", Some(OPERATOR_TEXT.to_owned()))] {
+        let demo =
+            Demo { duration, seed, engine_count: ENGINES, operator_text, clients, loses_engine: false };
+        let outcomes = demo.run(std::io::stderr())?;
+        text += &format!("{name}, seed {seed}, {} s, {ENGINES} engines\n", duration.as_secs());
+        text += &table(&outcomes);
+        text += &summary(&outcomes, duration);
+        text += &wait_summary(&outcomes);
         text.push('\n');
     }
     Ok(text)
 }
+
+fn summary(outcomes: &[RequestOutcome], duration: Duration) -> String {
+    let successes: Vec<&RequestOutcome> = outcomes.iter().filter(|outcome| outcome.is_success()).collect();
+    let urgent = successes.iter().filter(|outcome| outcome.is_urgent);
+    let mut urgent_waits: Vec<f64> = urgent.filter_map(|outcome| Some(outcome.wait?.as_secs_f64())).collect();
+    let Fairness { worst_deviation, jain_index } = fairness(outcomes, duration);
+    format!(
+        "succeeded {}, worst share of {WINDOW_S} s {:.1} % off, Jain {jain_index:.3}, urgent wait p99 {:.3} s\n",
+        successes.len(),
+        worst_deviation * 100.0,
+        quantile(&mut urgent_waits, 0.99)
+    )
+}
+
+/// How well announced waits met the actual ones; empty where none was announced.
+fn wait_summary(outcomes: &[RequestOutcome]) -> String {
+    let successes = outcomes.iter().filter(|outcome| outcome.is_success());
+    let estimates: Vec<WaitEstimate> = successes
+        .filter_map(|outcome| outcome.wait_estimate)
+        .filter(|estimate| estimate.likely_s > SHORT_WAIT_S)
+        .collect();
+    if estimates.is_empty() {
+        return String::new();
+    }
+    let mut errors: Vec<f64> = estimates.iter().map(WaitEstimate::relative_error).collect();
+    let within_range = estimates.iter().filter(|estimate| estimate.is_within_range()).count();
+    format!(
+        "{} waits announced over {SHORT_WAIT_S} s: {:.0} % off in the median, {:.0} % within the range\n",
+        estimates.len(),
+        quantile(&mut errors, 0.5) * 100.0,
+        within_range as f64 / estimates.len() as f64 * 100.0
+    )
+}
--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -1,57 +1,67 @@
-//! The first try, shortened: whatever is lost, everything that was asked has its one answer.
+//! The demo, shortened: whatever is lost, every request has its one answer. And the faults of its engines.
 
-use emberflow_emulator::clients::How;
-use emberflow_emulator::demo::{Demo, mixed, table};
-use emberflow_emulator::engine::{Engine, Fault, Runs};
+use emberflow_emulator::demo::{Demo, mixed_clients};
+use emberflow_emulator::engine::{Engine, EngineFault, RunLog};
+use emberflow_emulator::outcome::OutcomeKind;
+use emberflow_emulator::table::table;
 use emberflow_router::resp;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
+const OPERATOR_TEXT: &str = "{teams: {list: [{name: 'audit'}, {name: 'posting'}]}}";
+
 #[test]
-fn everything_asked_is_answered_though_an_engine_is_lost() {
-    for orders in [None, Some("{teams: {list: [{name: 'audit'}, {name: 'posting'}]}}".to_owned())] {
-        let demo =
-            Demo { lasts: Duration::from_secs(2), seed: 1, engines: 2, orders, clients: mixed, loses: true };
-        let fates = demo.run(std::io::sink()).expect("it runs");
-        let count = |how| fates.iter().filter(|fate| fate.how == how).count();
-        assert_eq!((count(How::Unanswered), count(How::Refused)), (0, 0), "{}", table(&fates));
-        assert!(count(How::Succeeded) > 20, "{}", table(&fates));
+fn every_request_is_answered_though_an_engine_is_lost() {
+    for operator_text in [None, Some(OPERATOR_TEXT.to_owned())] {
+        let demo = Demo {
+            duration: Duration::from_secs(2),
+            seed: 1,
+            engine_count: 2,
+            operator_text,
+            clients: mixed_clients,
+            loses_engine: true,
+        };
+        let outcomes = demo.run(std::io::sink()).expect("the demo runs on loopback");
+        let count = |kind| outcomes.iter().filter(|outcome| outcome.kind == kind).count();
+        let without_answer = (count(OutcomeKind::Unanswered), count(OutcomeKind::Invalid));
+        assert_eq!(without_answer, (0, 0), "{}", table(&outcomes));
+        assert!(count(OutcomeKind::Succeeded) > 20, "{}", table(&outcomes));
     }
 }
 
-/// What an engine says to a call within the time, as words.
-fn call(engine: &Engine, id: &str, time: u64) -> String {
-    let mut socket = TcpStream::connect(engine.address).expect("it listens");
-    socket.set_read_timeout(Some(Duration::from_millis(time))).expect("a time-out");
+/// Sends a call to an engine; returns the words that it answers within a time.
+fn call(engine: &Engine, id: &str, timeout_ms: u64) -> String {
+    let mut socket = TcpStream::connect(engine.address).expect("the engine listens");
+    let timeout = Duration::from_millis(timeout_ms);
+    socket.set_read_timeout(Some(timeout)).expect("a socket takes a read timeout");
     let statement = "select work_ms=20 need_mb=50";
     let words = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
-    socket.write_all(&resp::array(&words)).expect("it reads");
+    socket.write_all(&resp::array(&words)).expect("the engine reads");
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes) {
         Ok(0) => "closed".to_owned(),
-        Ok(count) => {
-            let (parts, _) = resp::parse(&bytes[..count]).expect("well formed").expect("whole");
-            parts
-                .iter()
-                .map(|part| String::from_utf8_lossy(part).trim().replace('\t', " "))
-                .collect::<Vec<_>>()
-                .join(", ")
-        }
+        Ok(count) => words_of(&bytes[..count]),
         Err(_) => "nothing".to_owned(),
     }
 }
 
+fn words_of(message: &[u8]) -> String {
+    let (words, _) = resp::parse(message).expect("a well-formed message").expect("a complete message");
+    let words = words.iter().map(|word| String::from_utf8_lossy(word).trim().replace('\t', " "));
+    words.collect::<Vec<_>>().join(", ")
+}
+
 #[test]
-fn an_engine_answers_and_fails_as_told() {
-    let engine = Engine::start(4.0, 100.0, Runs::default()).expect("a port");
-    let mut seen = vec![call(&engine, "a", 2000)];
-    engine.fails(Fault { spoils: 1, ..Fault::default() });
-    seen.push(call(&engine, "b", 2000));
-    engine.fails(Fault { silent: true, ..Fault::default() });
-    seen.push(call(&engine, "c", 200));
-    engine.fails(Fault { pace: 0.01, ..Fault::default() });
-    seen.push(call(&engine, "d", 200));
+fn an_engine_answers_and_fails_by_its_fault() {
+    let engine = Engine::start(4.0, 100.0, RunLog::default()).expect("a loopback port is free");
+    let mut answers = vec![call(&engine, "a", 2000)];
+    engine.set_fault(EngineFault { truncates_every: Some(1), ..EngineFault::default() });
+    answers.push(call(&engine, "b", 2000));
+    engine.set_fault(EngineFault { is_silent: true, ..EngineFault::default() });
+    answers.push(call(&engine, "c", 200));
+    engine.set_fault(EngineFault { speed: Some(0.01), ..EngineFault::default() });
+    answers.push(call(&engine, "d", 200));
     expect_test::expect![["a, HIT, pages=1,cost=20.0,need=50.0, 1 2 3 | b, HIT, pages=1,cost=20.0,need=50.0, 1 2 | nothing | nothing"]]
-        .assert_eq(&seen.join(" | "));
+        .assert_eq(&answers.join(" | "));
 }
--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -1,36 +1,40 @@
-//! What `emberflow check` and `serve` say of a configuration: the one in the README, and with faults.
+//! What `emberflow check` and `serve` print about a configuration: the one in the README, and with faults.
 
 use expect_test::expect;
 use std::process::Command;
 
-fn readme() -> String {
+/// The configuration that the README shows.
+fn readme_configuration() -> String {
     let text = include_str!("../../../README.md");
     let lines = text.lines().skip_while(|line| !line.starts_with("    {\"name\":"));
     lines.take_while(|line| !line.is_empty()).collect()
 }
 
-fn run(command: &[&str], name: &str, text: &str) -> String {
+/// Runs the binary on a configuration file; returns its exit code and all that it prints, with `FILE` for the path.
+/// `name` tells the files of tests apart.
+fn run(arguments: &[&str], name: &str, configuration: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
-    std::fs::write(&path, text).expect("a file");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_emberflow"));
-    let done = program.args(command).arg(&path).env_remove("EDGE_LISTEN").output().expect("it ends");
-    let said = String::from_utf8([done.stdout, done.stderr].concat()).expect("UTF-8");
-    format!("{:?} {}", done.status.code(), said.replace(&*path.to_string_lossy(), "FILE"))
+    std::fs::write(&path, configuration).expect("the test directory is writable");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_emberflow"));
+    command.args(arguments).arg(&path).env_remove("EDGE_LISTEN");
+    let output = command.output().expect("the binary starts");
+    let printed = String::from_utf8([output.stdout, output.stderr].concat()).expect("the output is UTF-8");
+    format!("{:?} {}", output.status.code(), printed.replace(&*path.to_string_lossy(), "FILE"))
 }
 
 #[test]
-fn the_configuration_of_the_readme_is_taken() {
+fn the_configuration_of_the_readme_is_valid() {
     expect![[r#"
         Some(0) n0 listens on 127.0.0.1:9090, bulletin at 127.0.0.1:9092
         limits: 192 MB, 1024 descriptors
         one of 1 routers; 1 engines of 1 kinds by event 1
         1 request classes: lookup
     "#]]
-    .assert_eq(&run(&["check"], "readme", &readme()));
+    .assert_eq(&run(&["check"], "readme", &readme_configuration()));
 }
 
 #[test]
-fn a_report_field_of_unknown_name_is_told_and_ignored() {
+fn an_unknown_report_field_is_warned_about_and_ignored() {
     expect![[r#"
         Some(0) n0 listens on 127.0.0.1:9090, bulletin at 127.0.0.1:9092
         limits: 192 MB, 1024 descriptors
@@ -38,11 +42,11 @@
         1 request classes: lookup
         `settings.report.names[2]` is unknown: moon, so it goes unread
     "#]]
-    .assert_eq(&run(&["check"], "moon", &readme().replace("\"x1\"", "\"moon\"")));
+    .assert_eq(&run(&["check"], "moon", &readme_configuration().replace("\"x1\"", "\"moon\"")));
 }
 
 #[test]
-fn faults_are_told_by_their_path_and_nothing_starts() {
+fn faults_are_reported_by_their_path_and_nothing_starts() {
     let faults = [
         ("\"repeatable\"", "\"by_key\""),
         ("\"repeatable\"", "\"by_key\",\"keyScope\":\"galaxy\",\"windowMs\":100"),
@@ -58,13 +62,13 @@
         ("\"streamsPerConn\":32", "\"mayDuplicate\":\"no\",\"streamsPerConn\":32"),
         ("\"warmUpMs\":15000", "\"spareAttempts\":3,\"warmUpMs\":15000"),
     ];
-    let mut said = String::new();
-    for (from, to) in faults {
-        let text = readme().replace(from, to);
-        assert_ne!(text, readme(), "{from}");
-        let told = run(&["check"], "fault", &text);
-        assert_eq!(told, run(&["serve", "--config"], "fault", &text));
-        said += &told;
+    let mut reports = String::new();
+    for (valid, faulty) in faults {
+        let configuration = readme_configuration().replace(valid, faulty);
+        assert_ne!(configuration, readme_configuration(), "the README does not hold {valid}");
+        let report = run(&["check"], "fault", &configuration);
+        assert_eq!(report, run(&["serve", "--config"], "fault", &configuration));
+        reports += &report;
     }
     expect![[r#"
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is missing
@@ -81,5 +85,5 @@
         Some(1) emberflow: FILE: `settings.caps.mayDuplicate` is not true or false
         Some(1) emberflow: FILE: `settings.rules.spareAttempts` stands without `countedOverMs`
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&reports);
 }
--- /dev/null
+++ b/crates/router/tests/server.rs
@@ -0,0 +1,133 @@
+//! The router's server without sockets or clock: deadlines of requests and the limits of idle clients.
+
+use emberflow_router::bootstrap::Bootstrap;
+use emberflow_router::context::Context;
+use emberflow_router::server::Server;
+use emberflow_router::slots::Slot;
+use emberflow_router::timers::Timer;
+use expect_test::expect;
+use std::io::{ErrorKind, Read, Result};
+use std::time::Duration;
+
+const CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:1","seed":"1",
+"limits":{"memory_mb":64,"sockets":16},"bulletin":"127.0.0.1:1","known":{"no":0,"items":[]},
+"settings":{"caps":{"cancel":true,"connectTimeoutMs":250,"idleCloseMs":15000,"mostTries":3,"retryAfter":false,
+"streamsPerConn":32},"categories":[{"deadlineMs":8000,"gain":1,"lateShare":0,"name":"lookup","onTimeMs":2000.0,
+"repeat":"repeatable"}],"discovery":"push","domain":{"kindCores":[8],"largestShare":0.4,"lanesCount":true,
+"sizeMb":[16384]},"instances":1,"kinds":["std-8"],"myZone":0,"report":{"how":"none"},"rules":{"fallMs":1000,
+"overloadFactor":2.5,"startCapacity":0.3,"warmUpMs":9000},"tickMs":5,"zones":["hall-a"]}}"#;
+
+const NOW: Duration = Duration::from_secs(20);
+
+fn server() -> Server {
+    let file = serde_json::from_str(CONFIGURATION).expect("the configuration is JSON");
+    let bootstrap = Bootstrap::read(&file, None).expect("the configuration is valid");
+    Server::new(bootstrap, Context { now: NOW, ..Context::default() })
+}
+
+/// A socket that holds some bytes and would block after them.
+struct ReceivedBytes<'a>(&'a [u8]);
+
+impl Read for ReceivedBytes<'_> {
+    fn read(&mut self, into: &mut [u8]) -> Result<usize> {
+        match self.0.read(into)? {
+            0 => Err(ErrorKind::WouldBlock.into()),
+            count => Ok(count),
+        }
+    }
+}
+
+/// Has the server read a line of a client that came some milliseconds ago; returns what it answers at once.
+fn read_line(server: &mut Server, slot: Slot, line: &str, age_ms: u64) -> String {
+    let received_at = server.dispatcher.context.now() - Duration::from_millis(age_ms);
+    server.hear(slot, received_at, &mut ReceivedBytes(line.as_bytes()), || false);
+    let mut answer = Vec::new();
+    server.dispatcher.clients.drain(slot, &mut answer).expect("writing to memory");
+    if answer.is_empty() {
+        return "no answer yet\n".into();
+    }
+    String::from_utf8(answer).expect("answers are UTF-8")
+}
+
+fn request_line(id: u64, deadline_ms: u64) -> String {
+    format!(
+        r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{"req":"{id:016x}","timeout":{deadline_ms},"data":"c2VsZWN0IDE="}}}}"#
+    ) + "\n"
+}
+
+/// A deadline counts from the last byte of a request, however late the router reads it.
+#[test]
+fn a_deadline_counts_from_when_the_line_came() {
+    let mut server = server();
+    let slot = server.admit();
+    let answers = [(1, 0), (2, 300), (3, 900)]
+        .map(|(id, age_ms)| read_line(&mut server, slot, &request_line(id, 1000), age_ms));
+    expect![[r#"
+        no answer yet
+        no answer yet
+        {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":3,"jsonrpc":"2.0"}
+    "#]]
+    .assert_eq(&answers.concat());
+}
+
+/// An answer that leaves just before its client's deadline would arrive after it.
+#[test]
+fn an_answer_leaves_before_the_deadline_by_its_transmission_time() {
+    let mut server = server();
+    let slot = server.admit();
+    let answers = [(1, 100), (2, 200)]
+        .map(|(id, deadline_ms)| read_line(&mut server, slot, &request_line(id, deadline_ms), 0));
+    expect![[r#"
+        {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
+        no answer yet
+    "#]]
+    .assert_eq(&answers.concat());
+}
+
+#[test]
+fn a_client_that_left_as_it_timed_out_is_not_counted_as_idle() {
+    let mut server = server();
+    let slots = [server.admit(), server.admit()];
+    server.dispatcher.context.now = NOW + Duration::from_secs(2);
+    server.client_gone(slots[0], "closed by the client");
+    slots.into_iter().for_each(|slot| server.due(Timer::Client(slot)));
+    expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
+}
+
+/// Which client would be closed to make room at a time after the start, by its index.
+fn idlest_after(server: &mut Server, slots: &[Slot], ms: u64) -> Option<usize> {
+    let now = NOW + Duration::from_millis(ms);
+    server.dispatcher.context.now = now;
+    let idlest = server.dispatcher.clients.idlest(now)?;
+    Some(slots.iter().position(|slot| *slot == idlest).expect("one of the admitted clients"))
+}
+
+#[test]
+fn silent_clients_and_then_the_longest_idle_make_room() {
+    let mut server = server();
+    let slots: Vec<Slot> = (0..4).map(|_| server.admit()).collect();
+    let status = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
+    read_line(&mut server, slots[0], status, 0);
+    read_line(&mut server, slots[1], &request_line(1, 8000), 0);
+    let mut idlest =
+        vec![(49, idlest_after(&mut server, &slots, 49)), (50, idlest_after(&mut server, &slots, 50))];
+    let part_of_a_line = "{";
+    read_line(&mut server, slots[2], part_of_a_line, 0);
+    for ms in [51, 99] {
+        let index = idlest_after(&mut server, &slots, ms);
+        idlest.push((ms, index));
+        if let Some(index) = index {
+            server.client_gone(slots[index], "to make room");
+        }
+    }
+    idlest.push((100, idlest_after(&mut server, &slots, 100)));
+    let lines: String = idlest.iter().map(|(ms, index)| format!("after {ms} ms: {index:?}\n")).collect();
+    expect![[r#"
+        after 49 ms: None
+        after 50 ms: Some(2)
+        after 51 ms: Some(3)
+        after 99 ms: Some(0)
+        after 100 ms: Some(2)
+    "#]]
+    .assert_eq(&lines);
+}
