--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -160,7 +160,7 @@
     /// Takes the complete commands out of the input.
     fn take_commands(&mut self) -> Vec<Vec<String>> {
         let mut commands = Vec::new();
-        while let Ok(Some((words, length))) = resp::parse(&self.input) {
+        while let Ok(Some((words, length))) = resp::parse_array(&self.input) {
             commands.push(words.iter().map(|word| String::from_utf8_lossy(word).into_owned()).collect());
             self.input.drain(..length);
         }
@@ -248,7 +248,7 @@
 
     fn send(&mut self, connection: usize, words: &[&[u8]]) {
         if let Some(Some(connection)) = self.connections.get_mut(connection) {
-            connection.output.extend(resp::array(words));
+            connection.output.extend(resp::encode_array(words));
         }
     }
 
--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -37,7 +37,7 @@
     socket.set_read_timeout(Some(timeout)).expect("a socket takes a read timeout");
     let statement = "select work_ms=20 need_mb=50";
     let words = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
-    socket.write_all(&resp::array(&words)).expect("the engine reads");
+    socket.write_all(&resp::encode_array(&words)).expect("the engine reads");
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes) {
         Ok(0) => "closed".to_owned(),
@@ -47,7 +47,7 @@
 }
 
 fn words_of(message: &[u8]) -> String {
-    let (words, _) = resp::parse(message).expect("a well-formed message").expect("a complete message");
+    let (words, _) = resp::parse_array(message).expect("a well-formed message").expect("a complete message");
     let words = words.iter().map(|word| String::from_utf8_lossy(word).trim().replace('\t', " "));
     words.collect::<Vec<_>>().join(", ")
 }
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -98,7 +98,7 @@
 fn idlest_after(server: &mut Server, slots: &[Slot], ms: u64) -> Option<usize> {
     let now = NOW + Duration::from_millis(ms);
     server.dispatcher.context.now = now;
-    let idlest = server.dispatcher.clients.idlest(now)?;
+    let idlest = server.dispatcher.clients.longest_idle(now)?;
     Some(slots.iter().position(|slot| *slot == idlest).expect("one of the admitted clients"))
 }
 
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -97,7 +97,9 @@
             Err(_) => *socket = None,
         }
         let was_closed = socket.is_none();
-        while let Some((parts, length)) = resp::parse(input).expect("the router sends well-formed commands") {
+        while let Some((parts, length)) =
+            resp::parse_array(input).expect("the router sends well-formed commands")
+        {
             let words: Vec<_> = parts.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect();
             input.drain(..length);
             self.connection_by_request.insert(words[1].clone(), index);
@@ -178,7 +180,7 @@
     pub fn send_on(&mut self, connection: usize, request: u64, word: &str, fields: &str, body: &str) {
         let id = format!("{request:016x}");
         let words = [id.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()];
-        self.send_bytes(connection, &resp::array(&words));
+        self.send_bytes(connection, &resp::encode_array(&words));
     }
 
     /// Sends bytes that may be a part of a message, or none.
