--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -1,6 +1,6 @@
-//! Guards a change of words that is to change no behaviour: seeded lives of the server, without sockets or clock, and
-//! one digest over all that its peers would see of them: the bytes on each connection, what is dialled and closed,
-//! and when it wants to be looked at next. Log lines are not in it.
+//! Guards refactorings that must not change behaviour: random scenarios from seeds, run on the server without sockets or
+//! clock, and one digest over all that its peers would observe: the bytes on each connection, what is dialled and
+//! closed, and when the next timer is due. Log lines are not in it.
 
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
@@ -16,8 +16,8 @@
 use std::io::{ErrorKind, Read, Result, Write};
 use std::time::Duration;
 
-const LIVES: u64 = 160;
-const STEPS: u64 = 500;
+const SCENARIOS: u64 = 160;
+const STEPS_PER_SCENARIO: u64 = 500;
 const START: Duration = Duration::from_secs(20);
 const CLASSES: [&str; 4] = ["lookup", "post", "book", "ingest"];
 
@@ -29,36 +29,37 @@
     most_waiting: 2}], others: {share: 0.5, most_waiting: 4}}}"#,
 ];
 
-/// What has to have happened to the lives, or their digest would say little: seen by their peers, or counted.
-const NEEDED: [(&str, u64); 40] = [
+/// How often something must have happened in the scenarios, or their digest would cover little: as observed by peers, or
+/// as the server counts it.
+const MINIMUM_COUNTS: [(&str, u64); 40] = [
     ("results", 1000),
     ("status", 200),
-    ("told to wait", 200),
-    ("held off", 200),
+    ("wait announced", 200),
+    ("retry-after named", 200),
     ("error -32000", 200),
     ("error -32011", 1000),
     ("error -32600", 100),
     ("error -32601", 50),
     ("error -32602", 100),
     ("error -32700", 50),
-    ("engine is told GET", 2000),
-    ("engine is told PAGE", 200),
-    ("engine is told DROP", 500),
-    ("engine is told CLOSE", 30),
-    ("engine is told PING", 300),
-    ("hops sent again", 300),
-    ("links dialled", 500),
-    ("links refused", 50),
-    ("links closed", 200),
+    ("engine receives GET", 2000),
+    ("engine receives PAGE", 200),
+    ("engine receives DROP", 500),
+    ("engine receives CLOSE", 30),
+    ("engine receives PING", 300),
+    ("attempts retried", 300),
+    ("connections dialled", 500),
+    ("connections refused", 50),
+    ("connections closed", 200),
     ("clients closed", 300),
     ("clients_idle", 20),
     ("clients_stalled", 10),
-    ("whole lists", 100),
+    ("complete lists", 100),
     ("list changes", 100),
     ("lists refused", 10),
     ("reloads", 50),
-    ("planned ends", 30),
-    ("lives left", 10),
+    ("graceful shutdowns", 30),
+    ("processes ended", 10),
     ("requests_withdrawn", 500),
     ("requests_refused_at_the_door", 200),
     ("attempts_overloaded", 200),
@@ -73,10 +74,10 @@
     ("engine_input_cut_short", 50),
 ];
 
-/// A source of chances that is the same everywhere: SplitMix64.
-struct Chance(u64);
+/// A source of random numbers that is the same on every platform: SplitMix64.
+struct RandomSource(u64);
 
-impl Chance {
+impl RandomSource {
     fn number(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -97,17 +98,17 @@
     }
 }
 
-/// What the peers of all lives have seen.
+/// What the peers have observed in all scenarios.
 #[derive(Default)]
-struct Witness {
+struct Recorder {
     digest: Sha256,
-    seen: BTreeMap<String, u64>,
-    /// The fronts' own counters, which show what the lives were made of and are not in the digest.
-    counted: BTreeMap<String, u64>,
+    observed: BTreeMap<String, u64>,
+    /// The servers' own counters, which show what the scenarios consist of and are not in the digest.
+    server_counters: BTreeMap<String, u64>,
 }
 
-impl Witness {
-    fn note(&mut self, what: &str, connection: u64, bytes: &[u8]) {
+impl Recorder {
+    fn record(&mut self, what: &str, connection: u64, bytes: &[u8]) {
         for part in [what.as_bytes(), &connection.to_le_bytes(), bytes] {
             self.digest.update((part.len() as u64).to_le_bytes());
             self.digest.update(part);
@@ -115,44 +116,44 @@
     }
 
     fn count(&mut self, kind: impl Into<String>) {
-        *self.seen.entry(kind.into()).or_default() += 1;
+        *self.observed.entry(kind.into()).or_default() += 1;
     }
 }
 
-/// What a connection brings, and what follows: nothing for now, its end, or a reset.
+/// What follows the bytes that a connection has received: nothing for now, its end, or a reset.
 #[derive(Clone, Copy)]
-enum After {
-    Silence,
-    End,
+enum StreamEnd {
+    WouldBlock,
+    EndOfStream,
     Reset,
 }
 
-struct Came<'a>(&'a [u8], After);
+struct ReceivedBytes<'a>(&'a [u8], StreamEnd);
 
-impl Read for Came<'_> {
+impl Read for ReceivedBytes<'_> {
     fn read(&mut self, into: &mut [u8]) -> Result<usize> {
         match (self.0.read(into)?, self.1) {
-            (0, After::Silence) => Err(ErrorKind::WouldBlock.into()),
-            (0, After::Reset) => Err(ErrorKind::ConnectionReset.into()),
+            (0, StreamEnd::WouldBlock) => Err(ErrorKind::WouldBlock.into()),
+            (0, StreamEnd::Reset) => Err(ErrorKind::ConnectionReset.into()),
             (count, _) => Ok(count),
         }
     }
 }
 
-/// A connection's far end, which takes so many bytes and then no more for now.
-struct Takes {
-    room: usize,
-    taken: Vec<u8>,
+/// The other end of a connection, which accepts some bytes and then would block.
+struct LimitedSink {
+    capacity: usize,
+    written: Vec<u8>,
 }
 
-impl Write for Takes {
+impl Write for LimitedSink {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
-        let count = bytes.len().min(self.room);
+        let count = bytes.len().min(self.capacity);
         if count == 0 && !bytes.is_empty() {
             return Err(ErrorKind::WouldBlock.into());
         }
-        self.room -= count;
-        self.taken.extend_from_slice(&bytes[..count]);
+        self.capacity -= count;
+        self.written.extend_from_slice(&bytes[..count]);
         Ok(count)
     }
 
@@ -164,60 +165,60 @@
 struct Client {
     number: u64,
     slot: Slot,
-    /// What it has said and what has not come yet; whether it has ended its side.
-    coming: Vec<u8>,
-    ended: bool,
+    /// What it has sent and the server has not received yet; whether it has shut down its sending side.
+    pending_input: Vec<u8>,
+    has_ended: bool,
     /// Bytes that it will still read.
-    room: usize,
-    unread: Vec<u8>,
+    capacity: usize,
+    received: Vec<u8>,
     next_id: u64,
-    /// The last few that it asked: `id` and `req`.
-    asked: Vec<(u64, String)>,
+    /// Its requests: `id` and `req`.
+    requests: Vec<(u64, String)>,
 }
 
 #[derive(Default)]
 struct Connection {
     number: u64,
-    up: bool,
-    coming: Vec<u8>,
-    inbox: Vec<u8>,
-    /// Requests that this engine has been sent.
+    is_up: bool,
+    pending_input: Vec<u8>,
+    received: Vec<u8>,
+    /// Requests that run on this engine.
     calls: Vec<String>,
 }
 
-struct Life<'a> {
-    chance: Chance,
-    witness: &'a mut Witness,
+struct Scenario<'a> {
+    random: RandomSource,
+    recorder: &'a mut Recorder,
     server: Server,
     clients: Vec<Client>,
     connections: BTreeMap<Slot, Connection>,
     connection_count: u64,
     next_req: u64,
-    sent_before: BTreeMap<String, u64>,
-    /// What the discovery service has to bring yet.
-    frames: Vec<u8>,
+    calls_by_request: BTreeMap<String, u64>,
+    /// What the discovery service has sent and the server has not received yet.
+    discovery_input: Vec<u8>,
     frame: u64,
     up_since: [u64; 4],
-    closing: bool,
+    is_shutting_down: bool,
 }
 
-fn configuration(chance: &mut Chance, kind: u64) -> Value {
+fn configuration(random: &mut RandomSource, kind: u64) -> Value {
     let strict = kind.is_multiple_of(2);
     let class = |name: &str, repeat: &str, on_time: u64| {
         json!({"name": name, "onTimeMs": on_time, "deadlineMs": on_time * 4, "gain": 1, "lateShare": 0.2,
             "repeat": repeat, "keyScope": "cell", "windowMs": 400, "keepOrder": strict && name == "book"})
     };
     json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "bulletin": "127.0.0.1:1",
-        "limits": {"cores": 1.0, "memory_mb": 1, "sockets": chance.pick(&[24, 60])},
+        "limits": {"cores": 1.0, "memory_mb": 1, "sockets": random.pick(&[24, 60])},
         "known": {"no": 0, "items": []},
-        "settings": {"instances": 1 + chance.below(3), "myZone": 0, "zones": ["hall-a", "hall-b"],
+        "settings": {"instances": 1 + random.below(3), "myZone": 0, "zones": ["hall-a", "hall-b"],
             "kinds": ["std-8", "big-32"], "discovery": "push", "tickMs": 8,
             "clientHabits": {"marksRetry": kind.is_multiple_of(3)},
             "categories": [class("lookup", "repeatable", 160), class("post", "once", 240),
                 class("book", "by_key", 200), class("ingest", "repeatable", 400)],
             "caps": {"cancel": !kind.is_multiple_of(5), "connectTimeoutMs": 100, "idleCloseMs": 1000,
-                "mostTries": 2 + chance.below(2), "retryAfter": kind.is_multiple_of(2), "maxRetryAfterMs": 500,
-                "streamsPerConn": 1 + chance.below(6), "mayDuplicate": !strict, "maxOpen": 48},
+                "mostTries": 2 + random.below(2), "retryAfter": kind.is_multiple_of(2), "maxRetryAfterMs": 500,
+                "streamsPerConn": 1 + random.below(6), "mayDuplicate": !strict, "maxOpen": 48},
             "domain": {"kindCores": [8, 32], "largestShare": 0.4, "lanesCount": strict,
                 "sizeMb": [4096, 16384], "tellsEveryMs": 40, "whenShort": "line_up",
                 "parallelism": [1, 1, 2, 4], "writesTables": [false, false, false, true],
@@ -234,79 +235,80 @@
     bootstrap
 }
 
-impl<'a> Life<'a> {
-    fn new(seed: u64, witness: &'a mut Witness) -> Self {
-        let mut chance = Chance(seed);
-        let file = configuration(&mut chance, seed);
+impl<'a> Scenario<'a> {
+    fn new(seed: u64, recorder: &'a mut Recorder) -> Self {
+        let mut random = RandomSource(seed);
+        let file = configuration(&mut random, seed);
         let operators_file = (seed % 4 >= 2).then(|| OPERATORS_FILES[seed as usize % 2]);
         let context = Context { now: START, ..Context::default() };
-        let mut life = Self {
+        let mut scenario = Self {
             server: Server::new(bootstrap(&file, operators_file), context),
-            chance,
-            witness,
+            random,
+            recorder,
             clients: Vec::new(),
             connections: BTreeMap::new(),
             connection_count: 0,
             next_req: 1,
-            sent_before: BTreeMap::new(),
-            frames: Vec::new(),
+            calls_by_request: BTreeMap::new(),
+            discovery_input: Vec::new(),
             frame: 1,
             up_since: [0; 4],
-            closing: false,
+            is_shutting_down: false,
         };
-        life.tell_list(true);
-        life.discovery_brings(usize::MAX);
-        life
+        scenario.send_endpoint_list(true);
+        scenario.deliver_from_discovery(usize::MAX);
+        scenario
     }
 
-    fn live(mut self) {
-        for step in 0..STEPS {
-            self.witness.note("step", step, &[]);
+    fn run(mut self) {
+        for step in 0..STEPS_PER_SCENARIO {
+            self.recorder.record("step", step, &[]);
             self.step();
             self.carry_out();
             self.server.clear();
             self.carry_out();
-            self.note_when_due();
+            self.record_next_timer();
             if self.server.left {
-                self.witness.count("lives left");
+                self.recorder.count("processes ended");
                 break;
             }
-            if step == STEPS * 3 / 5 && self.chance.one_in(2) {
-                self.close();
+            if step == STEPS_PER_SCENARIO * 3 / 5 && self.random.one_in(2) {
+                self.shut_down();
             }
         }
-        let owes = !self.server.dispatcher.requests.is_empty();
-        self.witness.note("end", u64::from(self.server.left), &[u8::from(owes)]);
+        let has_open_requests = !self.server.dispatcher.requests.is_empty();
+        self.recorder.record("end", u64::from(self.server.left), &[u8::from(has_open_requests)]);
         let counters = self.server.dispatcher.context.counters.to_string();
         for (name, count) in counters.split(' ').filter_map(|counter| counter.split_once('=')) {
-            *self.witness.counted.entry(name.into()).or_default() += count.parse::<u64>().expect("a count");
+            *self.recorder.server_counters.entry(name.into()).or_default() +=
+                count.parse::<u64>().expect("a count");
         }
     }
 
     fn step(&mut self) {
-        match self.chance.below(100) {
+        match self.random.below(100) {
             0..4 => self.admit(),
-            4..22 => self.client_asks(),
-            22..26 => self.client_says_something_else(),
-            26..44 => self.client_is_heard(After::Silence),
-            44..46 => self.client_reads(),
-            46 => self.client_is_heard(After::End),
-            47 => self.client_is_heard(After::Reset),
-            48..58 => self.connection_comes_up(),
-            58..74 => self.engine_says(),
-            74..83 => self.connection_is_read(After::Silence),
-            83 if self.chance.one_in(3) => self.connection_is_read(After::Reset),
-            84 if self.chance.one_in(3) => self.connection_is_read(After::End),
-            85 => self.list_changes(),
+            4..22 => self.client_sends_requests(),
+            22..26 => self.client_sends_other_line(),
+            26..44 => self.client_input_arrives(StreamEnd::WouldBlock),
+            44..46 => self.client_reads_on(),
+            46 => self.client_input_arrives(StreamEnd::EndOfStream),
+            47 => self.client_input_arrives(StreamEnd::Reset),
+            48..58 => self.connection_is_established(),
+            58..74 => self.engine_responds(),
+            74..83 => self.connection_input_arrives(StreamEnd::WouldBlock),
+            83 if self.random.one_in(3) => self.connection_input_arrives(StreamEnd::Reset),
+            84 if self.random.one_in(3) => self.connection_input_arrives(StreamEnd::EndOfStream),
+            85 => self.endpoint_list_changes(),
             86 => {
-                let count = self.chance.below(120) as usize;
-                self.discovery_brings(count);
+                let count = self.random.below(120) as usize;
+                self.deliver_from_discovery(count);
             }
-            87 if self.chance.one_in(4) => self.reload(),
-            88..98 => self.time_passes(30),
-            98 => self.time_passes(250),
-            99 if self.chance.one_in(4) => self.time_passes(2500),
-            _ => self.time_passes(8),
+            87 if self.random.one_in(4) => self.reload(),
+            88..98 => self.advance_time(30),
+            98 => self.advance_time(250),
+            99 if self.random.one_in(4) => self.advance_time(2500),
+            _ => self.advance_time(8),
         }
     }
 
@@ -319,65 +321,65 @@
             return idlest.into_iter().for_each(|slot| self.server.client_gone(slot, "to make room"));
         }
         self.connection_count += 1;
-        let room = if self.chance.one_in(6) { 40 } else { usize::MAX };
+        let capacity = if self.random.one_in(6) { 40 } else { usize::MAX };
         self.clients.push(Client {
             number: self.connection_count,
             slot: self.server.admit(),
-            coming: Vec::new(),
-            ended: false,
-            room,
-            unread: Vec::new(),
+            pending_input: Vec::new(),
+            has_ended: false,
+            capacity,
+            received: Vec::new(),
             next_id: 1,
-            asked: Vec::new(),
+            requests: Vec::new(),
         });
     }
 
     fn any_client(&mut self) -> Option<usize> {
         let speaking: Vec<usize> =
-            (0..self.clients.len()).filter(|client| !self.clients[*client].ended).collect();
-        (!speaking.is_empty()).then(|| self.chance.pick(&speaking))
+            (0..self.clients.len()).filter(|client| !self.clients[*client].has_ended).collect();
+        (!speaking.is_empty()).then(|| self.random.pick(&speaking))
     }
 
-    /// One request, now and then many at once, and now and then one with something wrong in it.
-    fn client_asks(&mut self) {
+    /// One request, sometimes many at once, and sometimes one with an invalid field.
+    fn client_sends_requests(&mut self) {
         let Some(client) = self.any_client() else { return self.admit() };
-        let count = if self.chance.one_in(12) { 12 } else { 1 };
+        let count = if self.random.one_in(12) { 12 } else { 1 };
         for _ in 0..count {
             let line = self.request(client);
-            self.clients[client].coming.extend(line);
+            self.clients[client].pending_input.extend(line);
         }
-        self.witness.count("tasks asked");
+        self.recorder.count("requests sent");
     }
 
     fn request(&mut self, client: usize) -> Vec<u8> {
-        let class = self.chance.pick(&CLASSES);
+        let class = self.random.pick(&CLASSES);
         let req = format!("{:016x}", self.next_req);
         self.next_req += 1;
-        let asking = &mut self.clients[client];
-        let id = asking.next_id;
-        asking.next_id += 1;
-        asking.asked.push((id, req.clone()));
+        let sender = &mut self.clients[client];
+        let id = sender.next_id;
+        sender.next_id += 1;
+        sender.requests.push((id, req.clone()));
         let statement =
-            self.chance.pick(&["c2VsZWN0IDE=", "c2VsZWN0IGEgZnJvbSB0MQ==", "Y29weSB0MiBmcm9tIHg="]);
-        let deadline = self.chance.pick(&[90, 320, 320, 640, 1600]);
+            self.random.pick(&["c2VsZWN0IDE=", "c2VsZWN0IGEgZnJvbSB0MQ==", "Y29weSB0MiBmcm9tIHg="]);
+        let deadline = self.random.pick(&[90, 320, 320, 640, 1600]);
         let mut params = json!({"req": req, "timeout": deadline, "data": statement});
-        if self.chance.one_in(2) {
-            params["ms"] = json!(self.chance.pick(&[1, 10, 20, 60, 200]));
-            params["memory"] = json!(self.chance.pick(&[20, 300, 900, 3000]));
+        if self.random.one_in(2) {
+            params["ms"] = json!(self.random.pick(&[1, 10, 20, 60, 200]));
+            params["memory"] = json!(self.random.pick(&[20, 300, 900, 3000]));
         }
-        if self.chance.one_in(3) {
-            params["subject"] = json!(self.chance.pick(&["s1", "s2", "s3"]));
+        if self.random.one_in(3) {
+            params["subject"] = json!(self.random.pick(&["s1", "s2", "s3"]));
         }
         if class == "book" {
-            params["opkey"] = json!(format!("k{}", self.chance.below(1000)));
+            params["opkey"] = json!(format!("k{}", self.random.below(1000)));
         }
-        if self.chance.one_in(4) {
-            params["resent"] = json!(self.chance.below(2));
+        if self.random.one_in(4) {
+            params["resent"] = json!(self.random.below(2));
         }
-        params["team"] = json!(self.chance.pick(&["audit", "posting", "payroll", "nobody"]));
-        params["urgency"] = json!(self.chance.below(4));
-        params["tell_wait"] = json!(self.chance.one_in(2));
-        if self.chance.one_in(25) {
+        params["team"] = json!(self.random.pick(&["audit", "posting", "payroll", "nobody"]));
+        params["urgency"] = json!(self.random.below(4));
+        params["tell_wait"] = json!(self.random.one_in(2));
+        if self.random.one_in(25) {
             let wrong = [
                 ("req", json!("short")),
                 ("timeout", json!(0)),
@@ -389,22 +391,22 @@
                 ("opkey", json!("a-b")),
                 ("urgency", json!(9)),
             ];
-            let (name, value) = self.chance.pick(&wrong);
+            let (name, value) = self.random.pick(&wrong);
             params[name] = value;
         }
-        let id = if self.chance.one_in(60) { 1 } else { id };
+        let id = if self.random.one_in(60) { 1 } else { id };
         format!("{}\n", json!({"jsonrpc": "2.0", "id": id, "method": class, "params": params})).into()
     }
 
-    fn client_says_something_else(&mut self) {
+    fn client_sends_other_line(&mut self) {
         let Some(client) = self.any_client() else { return };
-        let asked = &self.clients[client].asked;
-        let last = asked[asked.len().saturating_sub(4)..].to_vec();
+        let requests = &self.clients[client].requests;
+        let last = requests[requests.len().saturating_sub(4)..].to_vec();
         let most_bytes = self.server.dispatcher.config.most_bytes();
-        let line = match (self.chance.below(12), last.is_empty()) {
+        let line = match (self.random.below(12), last.is_empty()) {
             (0..5, false) => {
-                let (id, req) = self.chance.pick(&last);
-                let named = if self.chance.one_in(3) { json!({"id": id}) } else { json!({"req": req}) };
+                let (id, req) = self.random.pick(&last);
+                let named = if self.random.one_in(3) { json!({"id": id}) } else { json!({"req": req}) };
                 format!("{}\n", json!({"jsonrpc": "2.0", "method": "withdraw", "params": named}))
             }
             (5, _) => "{\"jsonrpc\":\"2.0\",\"method\":\"status\"}\n".into(),
@@ -414,283 +416,288 @@
                 "{\"jsonrpc\":\"2.0\",\"id\":77,\"method\":\"dance\"}\n{\"jsonrpc\":\"2.0\",\"id\":6}\n"
                     .into()
             }
-            (9, _) if self.chance.one_in(6) => " ".repeat(most_bytes + 9),
+            (9, _) if self.random.one_in(6) => " ".repeat(most_bytes + 9),
             _ => "{\"jsonrpc\":\"2.0\",\"id\":900,\"method\":\"status\"}\n".into(),
         };
-        self.clients[client].coming.extend(line.into_bytes());
+        self.clients[client].pending_input.extend(line.into_bytes());
     }
 
-    /// All that a client has said comes, or a part of it.
-    fn client_is_heard(&mut self, after: After) {
+    /// All that a client has sent arrives, or a part of it.
+    fn client_input_arrives(&mut self, stream_end: StreamEnd) {
         let Some(client) = self.any_client() else { return };
-        let all = self.clients[client].coming.len();
-        let count = if self.chance.one_in(4) { self.chance.below(all as u64) as usize } else { all };
+        let all = self.clients[client].pending_input.len();
+        let count = if self.random.one_in(4) { self.random.below(all as u64) as usize } else { all };
         let client = &mut self.clients[client];
-        client.ended = !matches!(after, After::Silence);
-        let bytes: Vec<u8> = client.coming.drain(..count).collect();
+        client.has_ended = !matches!(stream_end, StreamEnd::WouldBlock);
+        let bytes: Vec<u8> = client.pending_input.drain(..count).collect();
         let slot = client.slot;
-        self.hear(slot, &bytes, after);
+        self.read_client(slot, &bytes, stream_end);
     }
 
-    fn hear(&mut self, slot: Slot, bytes: &[u8], after: After) {
-        let since = self.server.dispatcher.context.now() - Duration::from_millis(self.chance.below(3));
-        let mut came = Came(bytes, after);
-        self.server.peek(since, [(slot, &mut came)]);
+    fn read_client(&mut self, slot: Slot, bytes: &[u8], stream_end: StreamEnd) {
+        let since = self.server.dispatcher.context.now() - Duration::from_millis(self.random.below(3));
+        let mut received = ReceivedBytes(bytes, stream_end);
+        self.server.peek(since, [(slot, &mut received)]);
         self.carry_out();
-        while self.server.hear(slot, since, &mut came, || false) {
+        while self.server.hear(slot, since, &mut received, || false) {
             self.carry_out();
         }
     }
 
-    fn client_reads(&mut self) {
+    fn client_reads_on(&mut self) {
         let Some(client) = self.any_client() else { return };
-        self.clients[client].room = usize::MAX;
+        self.clients[client].capacity = usize::MAX;
         let slot = self.clients[client].slot;
         self.flush_client(slot);
     }
 
     fn flush_client(&mut self, slot: Slot) {
         let Some(client) = self.clients.iter_mut().find(|client| client.slot == slot) else { return };
-        let mut far = Takes { room: client.room, taken: Vec::new() };
-        self.server.dispatcher.clients.drain(slot, &mut far).expect("a client that only blocks");
-        client.room = far.room;
+        let mut sink = LimitedSink { capacity: client.capacity, written: Vec::new() };
+        self.server.dispatcher.clients.drain(slot, &mut sink).expect("a client that only blocks");
+        client.capacity = sink.capacity;
         let number = client.number;
-        self.client_read(number, &far.taken);
+        self.record_client_bytes(number, &sink.written);
     }
 
-    fn client_read(&mut self, number: u64, bytes: &[u8]) {
+    fn record_client_bytes(&mut self, number: u64, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
-        self.witness.note("to client", number, bytes);
+        self.recorder.record("to client", number, bytes);
         let Some(client) = self.clients.iter_mut().find(|client| client.number == number) else { return };
-        client.unread.extend_from_slice(bytes);
-        while let Some(end) = client.unread.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = client.unread.drain(..=end).collect();
+        client.received.extend_from_slice(bytes);
+        while let Some(end) = client.received.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = client.received.drain(..=end).collect();
             let line: Value = serde_json::from_slice(&line).expect("the server says JSON");
-            self.witness.count(kind_of_line(&line));
+            self.recorder.count(answer_kind(&line));
             if !line["error"]["data"]["holdoff"].is_null() {
-                self.witness.count("held off");
+                self.recorder.count("retry-after named");
             }
         }
     }
 
     // ---- engines ----
 
-    fn any_connection(&mut self, up: bool) -> Option<Slot> {
-        let connections =
-            self.connections.iter().filter(|(_, connection)| connection.up == up).map(|(slot, _)| *slot);
+    fn any_connection(&mut self, is_up: bool) -> Option<Slot> {
+        let connections = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_up == is_up)
+            .map(|(slot, _)| *slot);
         let connections: Vec<Slot> = connections.collect();
-        (!connections.is_empty()).then(|| self.chance.pick(&connections))
+        (!connections.is_empty()).then(|| self.random.pick(&connections))
     }
 
-    fn connection_comes_up(&mut self) {
+    fn connection_is_established(&mut self) {
         let Some(slot) = self.any_connection(false) else { return };
-        let refused = self.chance.one_in(8);
-        let there = self.chance.one_in(2);
+        let refused = self.random.one_in(8);
+        let is_reachable = self.random.one_in(2);
         let dispatcher = &mut self.server.dispatcher;
         if refused {
-            dispatcher.engines.dial_failed(slot, there, "refused", &mut dispatcher.context);
-            return self.witness.count("links refused");
+            dispatcher.engines.dial_failed(slot, is_reachable, "refused", &mut dispatcher.context);
+            return self.recorder.count("connections refused");
         }
         dispatcher.engines.connection_established(slot, &mut dispatcher.context);
-        self.connections.entry(slot).and_modify(|connection| connection.up = true);
+        self.connections.entry(slot).and_modify(|connection| connection.is_up = true);
         self.flush_connection(slot);
     }
 
-    /// An engine answers one of its calls in some way, and most often all of it comes at once.
-    fn engine_says(&mut self) {
+    /// An engine responds to one of its calls, and most often all of it arrives at once.
+    fn engine_responds(&mut self) {
         let Some(slot) = self.any_connection(true) else { return };
         let calls = self.connections[&slot].calls.clone();
         if calls.is_empty() {
             return;
         }
-        let req = self.chance.pick(&calls);
+        let req = self.random.pick(&calls);
         let load = format!(
             "use=util:0.{};inflight:{};queue:{}",
-            self.chance.below(10),
+            self.random.below(10),
             calls.len(),
-            self.chance.below(4)
+            self.random.below(4)
         );
-        let usage = format!("cost={},need={}", self.chance.below(40), self.chance.below(600));
-        let row = format!("row\t{req}\t{}\n", self.chance.below(100));
-        let (word, fields, body, over) = match self.chance.below(40) {
+        let usage = format!("cost={},need={}", self.random.below(40), self.random.below(600));
+        let row = format!("row\t{req}\t{}\n", self.random.below(100));
+        let (word, fields, body, ends_call) = match self.random.below(40) {
             0..18 => ("HIT", format!("pages=1,{usage},{load}"), row, true),
             18..21 => ("HIT", format!("pages=3,{usage}"), row, false),
             21..25 => ("SHED", load, String::new(), true),
             25 => ("LATE", load, String::new(), true),
             26..28 => ("FAULT", load, String::new(), true),
-            28..31 => ("INFO", format!("detail=advance,v=0.{}", self.chance.below(10)), String::new(), false),
+            28..31 => ("INFO", format!("detail=advance,v=0.{}", self.random.below(10)), String::new(), false),
             31 => ("INFO", "detail=disk,v=120".into(), String::new(), false),
             32 => ("INFO", "detail=stall,v=1".into(), String::new(), false),
             33 => ("INFO", "detail=stall,v=2".into(), String::new(), false),
             34..36 => ("INFO", String::new(), String::new(), false),
-            36 if self.chance.one_in(4) => ("HIT", "pages=1".into(), "no columns".into(), true),
-            37 if self.chance.one_in(4) => ("DANCE", String::new(), String::new(), true),
-            38 if self.chance.one_in(4) => ("HIT", "pages=9999".into(), row, true),
-            39 if self.chance.one_in(4) => ("INFO", "detail=moon,v=1".into(), String::new(), false),
+            36 if self.random.one_in(4) => ("HIT", "pages=1".into(), "no columns".into(), true),
+            37 if self.random.one_in(4) => ("DANCE", String::new(), String::new(), true),
+            38 if self.random.one_in(4) => ("HIT", "pages=9999".into(), row, true),
+            39 if self.random.one_in(4) => ("INFO", "detail=moon,v=1".into(), String::new(), false),
             _ => ("HIT", "pages=1".into(), row, false),
         };
-        self.witness.count(format!("engine says {word}"));
+        self.recorder.count(format!("engine sends {word}"));
         let mut bytes =
             resp::encode_array(&[req.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()]);
-        if self.chance.one_in(150) {
+        if self.random.one_in(150) {
             bytes = b"*x\r\nnoise\r\n".to_vec();
         }
         if let Some(connection) = self.connections.get_mut(&slot) {
-            connection.coming.extend(bytes);
-            connection.calls.retain(|call| !over || *call != req);
+            connection.pending_input.extend(bytes);
+            connection.calls.retain(|call| !ends_call || *call != req);
         }
-        let part = self.chance.one_in(4);
-        self.connection_brings(slot, part, After::Silence);
+        let part = self.random.one_in(4);
+        self.deliver_to_connection(slot, part, StreamEnd::WouldBlock);
     }
 
-    fn connection_is_read(&mut self, after: After) {
+    fn connection_input_arrives(&mut self, stream_end: StreamEnd) {
         let Some(slot) = self.any_connection(true) else { return };
-        let part = self.chance.one_in(4);
-        self.connection_brings(slot, part, after);
+        let part = self.random.one_in(4);
+        self.deliver_to_connection(slot, part, stream_end);
     }
 
-    fn connection_brings(&mut self, slot: Slot, part: bool, after: After) {
+    fn deliver_to_connection(&mut self, slot: Slot, part: bool, stream_end: StreamEnd) {
         let Some(connection) = self.connections.get_mut(&slot) else { return };
-        let all = connection.coming.len();
-        let count = if part { self.chance.below(all as u64) as usize } else { all };
-        let bytes: Vec<u8> = connection.coming.drain(..count).collect();
+        let all = connection.pending_input.len();
+        let count = if part { self.random.below(all as u64) as usize } else { all };
+        let bytes: Vec<u8> = connection.pending_input.drain(..count).collect();
         let dispatcher = &mut self.server.dispatcher;
-        dispatcher.engines.read(slot, &mut Came(&bytes, after), &mut dispatcher.context);
+        dispatcher.engines.read(slot, &mut ReceivedBytes(&bytes, stream_end), &mut dispatcher.context);
     }
 
     fn flush_connection(&mut self, slot: Slot) {
-        let Some(connection) = self.connections.get_mut(&slot).filter(|connection| connection.up) else {
+        let Some(connection) = self.connections.get_mut(&slot).filter(|connection| connection.is_up) else {
             return;
         };
-        let narrow = self.chance.one_in(10);
-        let mut far = Takes { room: if narrow { 30 } else { usize::MAX }, taken: Vec::new() };
-        self.server.dispatcher.engines.drain(slot, &mut far).expect("an engine that only blocks");
-        if !far.taken.is_empty() {
-            self.witness.note("to engine", connection.number, &far.taken);
+        let is_nearly_full = self.random.one_in(10);
+        let mut sink =
+            LimitedSink { capacity: if is_nearly_full { 30 } else { usize::MAX }, written: Vec::new() };
+        self.server.dispatcher.engines.drain(slot, &mut sink).expect("an engine that only blocks");
+        if !sink.written.is_empty() {
+            self.recorder.record("to engine", connection.number, &sink.written);
         }
-        connection.inbox.extend(far.taken);
-        self.engine_reads(slot);
+        connection.received.extend(sink.written);
+        self.engine_reads_commands(slot);
     }
 
-    /// Notes the calls that have come whole, and answers at once what engines do.
-    fn engine_reads(&mut self, slot: Slot) {
+    /// Takes in the commands that have arrived completely, and responds to those that engines answer at once.
+    fn engine_reads_commands(&mut self, slot: Slot) {
         let Some(connection) = self.connections.get_mut(&slot) else { return };
-        while let Some((parts, length)) = resp::parse_array(&connection.inbox).expect("the server says RESP")
+        while let Some((parts, length)) =
+            resp::parse_array(&connection.received).expect("the server says RESP")
         {
             let texts: Vec<String> = parts.iter().map(|part| String::from_utf8_lossy(part).into()).collect();
-            connection.inbox.drain(..length);
+            connection.received.drain(..length);
             let (word, id) = (texts[0].as_str(), &texts[1]);
-            self.witness.count(format!("engine is told {word}"));
+            self.recorder.count(format!("engine receives {word}"));
             match word {
                 "GET" => {
-                    let sent = self.sent_before.entry(id.clone()).or_default();
+                    let sent = self.calls_by_request.entry(id.clone()).or_default();
                     *sent += 1;
                     if *sent > 1 {
-                        self.witness.count("hops sent again");
+                        self.recorder.count("attempts retried");
                     }
                     connection.calls.push(id.clone());
                 }
-                "PAGE" if !self.chance.one_in(8) => {
+                "PAGE" if !self.random.one_in(8) => {
                     let (fields, row) = (format!("page={}", texts[2]), format!("page\t{id}\t{}\n", texts[2]));
-                    connection.coming.extend(resp::encode_array(&[
+                    connection.pending_input.extend(resp::encode_array(&[
                         id.as_bytes(),
                         b"PART",
                         fields.as_bytes(),
                         row.as_bytes(),
                     ]));
                 }
-                "PING" if !self.chance.one_in(8) => {
-                    connection.coming.extend(resp::encode_array(&[id.as_bytes(), b"PONG", b"-", b""]));
+                "PING" if !self.random.one_in(8) => {
+                    connection.pending_input.extend(resp::encode_array(&[id.as_bytes(), b"PONG", b"-", b""]));
                 }
-                "DROP" | "CLOSE" if !self.chance.one_in(4) => connection.calls.retain(|call| call != id),
+                "DROP" | "CLOSE" if !self.random.one_in(4) => connection.calls.retain(|call| call != id),
                 _ => {}
             }
         }
     }
 
-    // ---- the list, the operator's file, time and the end ----
+    // ---- endpoint list, operator's file, time and shutdown ----
 
-    fn list_changes(&mut self) {
-        let whole = self.chance.one_in(3);
-        self.tell_list(whole);
-        if self.chance.one_in(20) {
-            self.frames.extend([0, 0, 0, 1]);
+    fn endpoint_list_changes(&mut self) {
+        let is_complete = self.random.one_in(3);
+        self.send_endpoint_list(is_complete);
+        if self.random.one_in(20) {
+            self.discovery_input.extend([0, 0, 0, 1]);
         }
-        if !self.chance.one_in(3) {
-            self.discovery_brings(usize::MAX);
+        if !self.random.one_in(3) {
+            self.deliver_from_discovery(usize::MAX);
         }
     }
 
-    /// A frame with the whole list or a change of one engine: it drains, is gone, started anew or moved.
-    fn tell_list(&mut self, whole: bool) {
-        let changed = self.chance.below(4) as usize;
-        if self.frame > 1 && self.chance.one_in(3) {
+    /// A frame with the complete list or a change of one engine: it drains, is gone, was restarted or moved.
+    fn send_endpoint_list(&mut self, is_complete: bool) {
+        let changed = self.random.below(4) as usize;
+        if self.frame > 1 && self.random.one_in(3) {
             self.up_since[changed] = self.server.dispatcher.context.now().as_millis() as u64;
         }
         let mut records = Vec::new();
         for engine in 0..4 {
-            let listed = if whole { !self.chance.one_in(5) } else { engine == changed };
+            let listed = if is_complete { !self.random.one_in(5) } else { engine == changed };
             if listed {
-                let state = if self.frame == 1 { 0 } else { self.chance.pick(&[0, 0, 0, 0, 1, 2]) };
-                let moved = self.chance.below(2) as u8;
-                records.extend(record(engine, state, moved, self.up_since[engine]));
+                let state = if self.frame == 1 { 0 } else { self.random.pick(&[0, 0, 0, 0, 1, 2]) };
+                let port_offset = self.random.below(2) as u8;
+                records.extend(record(engine, state, port_offset, self.up_since[engine]));
             }
         }
         let mut frame = Vec::from((9 + records.len() as u32).to_be_bytes());
         frame.extend(self.frame.to_be_bytes());
-        frame.push(if whole { 1 } else { 2 });
+        frame.push(if is_complete { 1 } else { 2 });
         frame.extend(records);
         self.frame += 1;
-        self.frames.extend(frame);
-        self.witness.count(if whole { "whole lists" } else { "list changes" });
+        self.discovery_input.extend(frame);
+        self.recorder.count(if is_complete { "complete lists" } else { "list changes" });
     }
 
-    fn discovery_brings(&mut self, count: usize) {
-        let count = count.min(self.frames.len());
-        let bytes: Vec<u8> = self.frames.drain(..count).collect();
+    fn deliver_from_discovery(&mut self, count: usize) {
+        let count = count.min(self.discovery_input.len());
+        let bytes: Vec<u8> = self.discovery_input.drain(..count).collect();
         self.server.discovery.input.push(&bytes);
-        let heard = self.server.discovery_heard();
-        self.witness.note("bulletin", self.server.discovery.last, &[u8::from(heard.is_ok())]);
-        if heard.is_err() {
-            // The connection is made anew, and begins with the whole list.
-            self.witness.count("lists refused");
+        let result = self.server.discovery_heard();
+        self.recorder.record("bulletin", self.server.discovery.last, &[u8::from(result.is_ok())]);
+        if result.is_err() {
+            // The connection is dialled again, and starts with the complete list.
+            self.recorder.count("lists refused");
             self.server.discovery = self.server.discovery.anew();
-            self.frames.clear();
+            self.discovery_input.clear();
             self.frame = self.server.discovery.last + 1;
-            self.tell_list(true);
+            self.send_endpoint_list(true);
         }
     }
 
     fn reload(&mut self) {
         let texts = [None, Some(OPERATORS_FILES[0]), Some(OPERATORS_FILES[1])];
-        let text = self.chance.pick(&texts);
-        let file = configuration(&mut Chance(1), 1);
+        let text = self.random.pick(&texts);
+        let file = configuration(&mut RandomSource(1), 1);
         self.server.reorder(bootstrap(&file, text).orders.teams);
-        self.witness.count("reloads");
+        self.recorder.count("reloads");
     }
 
-    /// Time passes, and what falls due is done when it does, or a little late.
-    fn time_passes(&mut self, most_ms: u64) {
+    /// Advances the time and fires each timer when it is due, or a little late.
+    fn advance_time(&mut self, most_ms: u64) {
         let to =
-            self.server.dispatcher.context.now() + Duration::from_micros(self.chance.below(most_ms * 1000));
+            self.server.dispatcher.context.now() + Duration::from_micros(self.random.below(most_ms * 1000));
         while let Some(at) = self.server.dispatcher.context.timers.first().filter(|at| *at <= to) {
-            let late = Duration::from_micros(self.chance.pick(&[0, 0, 0, 700]));
+            let late = Duration::from_micros(self.random.pick(&[0, 0, 0, 700]));
             let now = self.server.dispatcher.context.now().max(at + late);
             self.server.dispatcher.context.now = now;
             while let Some(due) = self.server.dispatcher.context.timers.pop(now) {
-                self.falls_due(due);
+                self.fire_timer(due);
             }
-            self.note_when_due();
+            self.record_next_timer();
         }
         self.server.dispatcher.context.now = self.server.dispatcher.context.now().max(to);
     }
 
-    /// As whoever holds the sockets does: what came before is heard before.
-    fn falls_due(&mut self, due: Timer) {
+    /// As the event loop does: what arrived before a timer is read before it fires.
+    fn fire_timer(&mut self, due: Timer) {
         match due {
-            Timer::Client(slot) => self.hear(slot, &[], After::Silence),
+            Timer::Client(slot) => self.read_client(slot, &[], StreamEnd::WouldBlock),
             Timer::Attempt(attempt) => {
                 if let Some(connection) = self.server.dispatcher.engines.connection_of(attempt) {
                     self.flush_connection(connection);
@@ -702,21 +709,21 @@
         self.carry_out();
     }
 
-    fn close(&mut self) {
-        if !self.closing {
-            self.closing = true;
+    fn shut_down(&mut self) {
+        if !self.is_shutting_down {
+            self.is_shutting_down = true;
             self.server.close();
             self.carry_out();
-            self.witness.count("planned ends");
+            self.recorder.count("graceful shutdowns");
         }
     }
 
-    // ---- what the server asks for ----
+    // ---- actions of the server ----
 
-    fn note_when_due(&mut self) {
+    fn record_next_timer(&mut self) {
         let first = self.server.dispatcher.context.timers.first();
         let first = first.map_or(u64::MAX, |at| at.as_micros() as u64);
-        self.witness.note("due", first, &[]);
+        self.recorder.record("due", first, &[]);
     }
 
     fn carry_out(&mut self) {
@@ -729,7 +736,7 @@
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
             }
-            asks.into_iter().for_each(|ask| self.carry_out_ask(ask));
+            asks.into_iter().for_each(|ask| self.carry_out_action(ask));
             unsent.into_iter().for_each(|slot| self.flush_connection(slot));
             unsaid.into_iter().for_each(|slot| self.flush_client(slot));
             for (slot, mut last) in closed {
@@ -737,39 +744,39 @@
                 let mut words = Vec::new();
                 last.drain(&mut words).expect("writing to memory");
                 let number = self.clients[at].number;
-                self.client_read(number, &words);
-                self.witness.note("close client", number, &[]);
-                self.witness.count("clients closed");
+                self.record_client_bytes(number, &words);
+                self.recorder.record("close client", number, &[]);
+                self.recorder.count("clients closed");
                 self.clients.remove(at);
             }
         }
     }
 
-    fn carry_out_ask(&mut self, ask: PoolCommand) {
+    fn carry_out_action(&mut self, ask: PoolCommand) {
         match ask {
             PoolCommand::Dial(slot, address) => {
                 self.connection_count += 1;
                 let number = self.connection_count;
-                self.witness.note("dial", number, address.to_string().as_bytes());
-                self.witness.count("links dialled");
+                self.recorder.record("dial", number, address.to_string().as_bytes());
+                self.recorder.count("connections dialled");
                 self.connections.insert(slot, Connection { number, ..Connection::default() });
             }
             PoolCommand::Close(slot) => {
                 if let Some(connection) = self.connections.remove(&slot) {
-                    self.witness.note("close link", connection.number, &[]);
-                    self.witness.count("links closed");
+                    self.recorder.record("close link", connection.number, &[]);
+                    self.recorder.count("connections closed");
                 }
             }
         }
     }
 }
 
-/// A line of the list, as the discovery service's frames hold it.
-fn record(engine: usize, state: u8, moved: u8, up_since: u64) -> [u8; 27] {
+/// A record of the endpoint list in a frame of the discovery service.
+fn record(engine: usize, state: u8, port_offset: u8, up_since: u64) -> [u8; 27] {
     let mut record = [0; 27];
     record[3] = engine as u8 + 1;
     record[4..8].copy_from_slice(&[127, 0, 0, engine as u8 + 1]);
-    record[9] = 9 + moved;
+    record[9] = 9 + port_offset;
     record[10] = state;
     record[11] = engine as u8 % 2;
     record[12] = engine as u8 / 2;
@@ -778,9 +785,9 @@
     record
 }
 
-fn kind_of_line(line: &Value) -> String {
+fn answer_kind(line: &Value) -> String {
     if line["method"] == "waiting" {
-        return "told to wait".into();
+        return "wait announced".into();
     }
     if let Some(code) = line["error"]["code"].as_i64() {
         return format!("error {code}");
@@ -789,51 +796,51 @@
 }
 
 #[test]
-fn what_peers_see_of_seeded_lives_is_as_it_was() {
-    let mut witness = Witness::default();
-    (0..LIVES).for_each(|seed| Life::new(seed, &mut witness).live());
-    let Witness { digest, seen, counted } = witness;
-    for (kind, least) in NEEDED {
-        let times = seen.get(kind).or(counted.get(kind)).copied().unwrap_or_default();
-        assert!(times >= least, "only {times} times: {kind}");
-    }
-    let seen: String = seen.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect();
+fn the_digest_of_what_peers_observe_is_unchanged() {
+    let mut recorder = Recorder::default();
+    (0..SCENARIOS).for_each(|seed| Scenario::new(seed, &mut recorder).run());
+    let Recorder { digest, observed, server_counters } = recorder;
+    for (kind, minimum) in MINIMUM_COUNTS {
+        let times = observed.get(kind).or(server_counters.get(kind)).copied().unwrap_or_default();
+        assert!(times >= minimum, "only {times} times: {kind}");
+    }
+    let observed: String = observed.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect();
     let digest: String = digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect![[r#"
+        attempts retried: 873
         clients closed: 1727
-        engine is told CLOSE: 139
-        engine is told DROP: 2970
-        engine is told GET: 8278
-        engine is told PAGE: 683
-        engine is told PING: 2822
-        engine says DANCE: 36
-        engine says FAULT: 320
-        engine says HIT: 3719
-        engine says INFO: 1237
-        engine says LATE: 141
-        engine says SHED: 581
+        complete lists: 463
+        connections closed: 6526
+        connections dialled: 7493
+        connections refused: 539
+        engine receives CLOSE: 139
+        engine receives DROP: 2970
+        engine receives GET: 8278
+        engine receives PAGE: 683
+        engine receives PING: 2822
+        engine sends DANCE: 36
+        engine sends FAULT: 320
+        engine sends HIT: 3719
+        engine sends INFO: 1237
+        engine sends LATE: 141
+        engine sends SHED: 581
         error -32000: 1540
         error -32011: 11974
         error -32600: 1049
         error -32601: 191
         error -32602: 741
         error -32700: 448
-        held off: 5737
-        hops sent again: 873
-        links closed: 6526
-        links dialled: 7493
-        links refused: 539
+        graceful shutdowns: 89
         list changes: 526
         lists refused: 34
-        lives left: 24
-        planned ends: 89
+        processes ended: 24
         reloads: 190
+        requests sent: 13659
         results: 2373
+        retry-after named: 5737
         status: 759
-        tasks asked: 13659
-        told to wait: 1968
-        whole lists: 463
+        wait announced: 1968
         7ce69cad92c6462b11b5ce4a9313051c4818151e536bf6e09ef07ec987b137fa
     "#]]
-    .assert_eq(&format!("{seen}{digest}\n"));
+    .assert_eq(&format!("{observed}{digest}\n"));
 }
