--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -27,7 +27,7 @@
 }
 
 impl Bootstrap {
-    pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, Fault> {
+    pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, String> {
         let config = RouterConfig::read(file, listen)?;
         let settings = Fields::of(file).part("settings")?;
         let (last, events) = known(Fields::of(file), &config.locations, &config.kinds)?;
@@ -37,7 +37,7 @@
             classes,
             // On sockets a probe tells only that a connection works.
             attempt_limits: AttemptLimits { may_probe: false, ..attempt_limits(settings)? },
-            unread: unknown_reports(settings)?,
+            unread: unknown_reports(settings)?.into_iter().map(String::from).collect(),
             last,
             events,
             config,
@@ -48,7 +48,7 @@
 
 impl Bootstrap {
     /// Takes the operator's own file in, or tells its first fault.
-    pub fn order(&mut self, text: &str) -> Result<(), Fault> {
+    pub fn order(&mut self, text: &str) -> Result<(), String> {
         self.orders = Orders::read(text)?;
         Ok(())
     }
@@ -79,7 +79,7 @@
 }
 
 impl RouterConfig {
-    fn read(file: &Value, listen: Option<&str>) -> Result<Self, Fault> {
+    fn read(file: &Value, listen: Option<&str>) -> Result<Self, String> {
         let file = Fields::of(file);
         let (limits, settings) = (file.part("limits")?, file.part("settings")?);
         let caps = settings.part("caps")?;
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -16,7 +16,7 @@
 use emberflow::{Actions, Arrival, AttemptEnded, Fingerprint, KeyId, RequestId, Scheduler};
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
-use emberflow_settings::{Fields, from_ms};
+use emberflow_settings::{Fields, SettingsError, from_ms};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Read;
 use std::time::Duration;
@@ -335,11 +335,11 @@
             return invalid(id, "too many open requests");
         }
         let wrong = |what: String| (id, jsonrpc::BAD_PARAMS, what);
-        let maybe_text =
-            |name: &str| fields.maybe(name).map(|_| fields.text(name)).transpose().map_err(wrong);
+        let undecoded = |error: SettingsError| wrong(error.to_string());
+        let maybe_text = |name: &str| fields.optional(name, Fields::text).map_err(undecoded);
         // A figure that can't be true is not learned from: none is below 0 or beyond years or petabytes.
         let positive = |name: &str| {
-            let value = fields.maybe(name).map(|_| fields.number(name)).transpose().map_err(wrong)?;
+            let value = fields.optional(name, Fields::number).map_err(undecoded)?;
             match value {
                 Some(value) if !(0.0..=MOST_FIGURE).contains(&value) => {
                     Err(wrong(format!("`{name}` is out of range")))
@@ -347,7 +347,7 @@
                 value => Ok(value.filter(|v| *v > 0.0)),
             }
         };
-        let req = fields.text("req").map_err(wrong)?;
+        let req = fields.text("req").map_err(undecoded)?;
         if req.len() != 16 || !req.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err(wrong("`req` is not 16 hex digits".into()));
         }
@@ -372,7 +372,7 @@
         let subject = maybe_text("subject")?;
         let deadline = positive("timeout")?.ok_or_else(|| wrong("`timeout` is not above 0".into()))?;
         let (cost, memory_mb) = (positive("ms")?.map(from_ms).filter(|c| !c.is_zero()), positive("memory")?);
-        let body = jsonrpc::body(fields.text("data").map_err(wrong)?);
+        let body = jsonrpc::body(fields.text("data").map_err(undecoded)?);
         let statement = body.ok_or_else(|| wrong("`data` is not base64".into()))?;
         let group = std::str::from_utf8(&statement).map(statement::group);
         let group = group.map_err(|_| wrong("`data` is no text".into()))?;
--- /dev/null
+++ b/crates/settings/src/attempt_limits.rs
@@ -0,0 +1,44 @@
+//! Limits of attempts and retries.
+
+use crate::{Fields, Problem, SettingsError};
+use emberflow::{AttemptLimits, RetryBudget};
+
+/// The window over which retries are counted; a retry budget needs it.
+const RETRY_WINDOW: &str = "countedOverMs";
+
+/// Decodes the limits that hold for every attempt.
+pub fn attempt_limits(params: Fields) -> Result<AttemptLimits, SettingsError> {
+    let caps = params.part("caps")?;
+    let rules = params.part("rules")?;
+    let retry_budget = retry_budget(rules)?;
+    let max_retry_after = caps.optional("maxRetryAfterMs", Fields::time)?;
+    Ok(AttemptLimits {
+        max_attempts: caps.count("mostTries")?,
+        may_cancel: caps.flag("cancel")?,
+        may_probe: caps.optional("probes", Fields::flag)?.unwrap_or(false),
+        start_capacity: rules.share("startCapacity")?,
+        warm_up: rules.positive_time("warmUpMs")?,
+        overload_factor: rules.positive("overloadFactor")?,
+        overload_window: rules.positive_time("fallMs")?,
+        key_cooldown: rules.optional("keyQuietMs", Fields::time)?,
+        retry_budget,
+        max_retry_after: caps.flag("retryAfter")?.then_some(max_retry_after).flatten(),
+    })
+}
+
+fn retry_budget(rules: Fields) -> Result<Option<RetryBudget>, SettingsError> {
+    let window = rules.optional(RETRY_WINDOW, Fields::positive_time)?;
+    let amount = |name: &str| match (rules.optional(name, Fields::not_negative)?, window) {
+        (Some(_), None) => Err(rules.field(name)?.error(Problem::Incomplete { required: RETRY_WINDOW })),
+        (amount, _) => Ok(amount.unwrap_or(0.0)),
+    };
+    let spare = amount("spareAttempts")?;
+    let per_request = amount("extraPerRequest")?;
+    Ok(window.map(|over| RetryBudget { spare, per_request, over }))
+}
+
+/// Whether clients mark their retries.
+pub fn marks_retries(params: Fields) -> Result<bool, SettingsError> {
+    let Some(habits) = params.optional("clientHabits", Fields::part)? else { return Ok(false) };
+    Ok(habits.optional("marksRetry", Fields::flag)?.unwrap_or(false))
+}
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,170 +1,244 @@
-//! Reading single fields of a wire line or of a file.
+//! Reading single fields of a message or of a file.
 
+use crate::{Problem, SettingsError, from_ms};
 use serde_json::Value;
 use std::fmt::Display;
 use std::time::Duration;
 
-pub type Fault = String;
-
+/// A JSON value that knows the way to it from the message or the file that it belongs to.
+///
+/// Methods that take a `name` read that field of an object; an absent field and null are the same. Methods that
+/// start with `as_` read the value itself. Both fail with the path and with what was expected, except for those
+/// that start with `maybe`, which return nothing for a value of another type.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
     value: &'a Value,
-    /// What it was reached from; the path between is worked out only for a fault.
+    /// Where paths start; the path to the value is worked out only for an error.
     root: &'a Value,
 }
 
 impl<'a> Fields<'a> {
+    /// A whole message or file: paths start here.
     pub fn of(value: &'a Value) -> Self {
         Self { value, root: value }
     }
 
+    /// The JSON value itself.
     pub fn value(self) -> &'a Value {
         self.value
     }
 
-    /// Says what is wrong with this value.
-    pub fn fault(self, wrong: impl Display) -> Fault {
-        format!("`{}` {wrong}", self.path().trim_start_matches('.'))
+    /// An error about this value.
+    pub fn error(self, problem: Problem) -> SettingsError {
+        SettingsError { path: self.path(), problem }
+    }
+
+    /// An error about this value, in words that follow its path.
+    pub fn fault(self, problem: impl Display) -> SettingsError {
+        self.error(Problem::Other(problem.to_string()))
     }
 
     fn path(self) -> String {
-        path(self.root, self.value).unwrap_or_default()
+        path(self.root, self.value).unwrap_or_default().trim_start_matches('.').to_owned()
     }
 
+    /// A field, unless it is absent or null.
     pub fn maybe(self, name: &str) -> Option<&'a Value> {
-        self.value.get(name).filter(|v| !v.is_null())
+        self.value.get(name).filter(|value| !value.is_null())
     }
 
-    pub fn field(self, name: &str) -> Result<Self, Fault> {
-        let missing =
-            || format!("`{}` is missing", format!("{}.{name}", self.path()).trim_start_matches('.'));
+    /// A field that must be there, of any type.
+    pub fn field(self, name: &str) -> Result<Self, SettingsError> {
+        let missing = || {
+            let path = format!("{}.{name}", self.path());
+            let path = path.trim_start_matches('.').to_owned();
+            SettingsError { path, problem: Problem::Missing }
+        };
         self.maybe(name).map(|value| Self { value, ..self }).ok_or_else(missing)
     }
 
-    /// Reads a field that may be absent.
+    /// Reads a field if it is there and not null.
     pub fn optional<T>(
         self,
         name: &str,
-        read: impl FnOnce(Self, &str) -> Result<T, Fault>,
-    ) -> Result<Option<T>, Fault> {
+        read: impl FnOnce(Self, &str) -> Result<T, SettingsError>,
+    ) -> Result<Option<T>, SettingsError> {
         self.maybe(name).map(|_| read(self, name)).transpose()
     }
 
-    fn read<T>(self, kind: &str, read: impl FnOnce(&'a Value) -> Option<T>) -> Result<T, Fault> {
-        read(self.value).ok_or_else(|| self.fault(format_args!("is not {kind}")))
+    fn read<T>(
+        self,
+        expected: &'static str,
+        read: impl FnOnce(&'a Value) -> Option<T>,
+    ) -> Result<T, SettingsError> {
+        read(self.value).ok_or_else(|| self.error(Problem::Unexpected { expected }))
     }
 
-    pub fn text(self, name: &str) -> Result<&'a str, Fault> {
+    /// A string.
+    pub fn text(self, name: &str) -> Result<&'a str, SettingsError> {
         self.field(name)?.as_text()
     }
 
-    pub fn whole(self, name: &str) -> Result<u64, Fault> {
+    /// An integer from 0 up.
+    pub fn whole(self, name: &str) -> Result<u64, SettingsError> {
         self.field(name)?.read("a whole number", Value::as_u64)
     }
 
-    pub fn index(self, name: &str) -> Result<usize, Fault> {
-        self.field(name)?.read("an index", |v| v.as_u64()?.try_into().ok())
+    /// An integer from 0 up that fits an index.
+    pub fn index(self, name: &str) -> Result<usize, SettingsError> {
+        self.field(name)?.read("an index", as_index)
     }
 
-    pub fn count(self, name: &str) -> Result<usize, Fault> {
-        let kind = "a whole number from 1 up";
-        self.field(name)?.read(kind, |v| v.as_u64()?.try_into().ok().filter(|count| *count > 0))
+    /// An integer from 1 up.
+    pub fn count(self, name: &str) -> Result<usize, SettingsError> {
+        let positive = |value| as_index(value).filter(|count| *count > 0);
+        self.field(name)?.read("a whole number from 1 up", positive)
     }
 
-    pub fn number(self, name: &str) -> Result<f64, Fault> {
+    /// Any number.
+    pub fn number(self, name: &str) -> Result<f64, SettingsError> {
         self.field(name)?.read("a number", Value::as_f64)
     }
 
-    pub fn positive(self, name: &str) -> Result<f64, Fault> {
+    /// A finite number above 0.
+    pub fn positive(self, name: &str) -> Result<f64, SettingsError> {
         self.field(name)?.as_positive()
     }
 
-    pub fn not_negative(self, name: &str) -> Result<f64, Fault> {
-        self.field(name)?.read("a number from 0 up", |v| figure(v).filter(|number| *number >= 0.0))
+    /// A finite number from 0 up.
+    pub fn not_negative(self, name: &str) -> Result<f64, SettingsError> {
+        self.field(name)?.read("a number from 0 up", |value| finite(value).filter(|number| *number >= 0.0))
     }
 
-    /// A part of a whole.
-    pub fn share(self, name: &str) -> Result<f64, Fault> {
+    /// A number from 0 to 1.
+    pub fn share(self, name: &str) -> Result<f64, SettingsError> {
         let within = |number: &f64| (0.0..=1.0).contains(number);
-        self.field(name)?.read("a number from 0 to 1", |v| figure(v).filter(within))
+        self.field(name)?.read("a number from 0 to 1", |value| finite(value).filter(within))
     }
 
-    pub fn flag(self, name: &str) -> Result<bool, Fault> {
+    /// A boolean.
+    pub fn flag(self, name: &str) -> Result<bool, SettingsError> {
         self.field(name)?.as_flag()
     }
 
-    pub fn time(self, name: &str) -> Result<Duration, Fault> {
-        let time = |v| figure(v).filter(|ms| *ms >= 0.0).map(from_ms);
+    /// A time in milliseconds from 0 up.
+    pub fn time(self, name: &str) -> Result<Duration, SettingsError> {
+        let time = |value| finite(value).filter(|ms| *ms >= 0.0).map(from_ms);
         self.field(name)?.read("a time in milliseconds", time)
     }
 
-    pub fn positive_time(self, name: &str) -> Result<Duration, Fault> {
-        let time = |v| figure(v).map(from_ms).filter(|time| !time.is_zero());
+    /// A time in milliseconds that is above 0 when rounded to microseconds.
+    pub fn positive_time(self, name: &str) -> Result<Duration, SettingsError> {
+        let time = |value| finite(value).map(from_ms).filter(|time| !time.is_zero());
         self.field(name)?.read("a time in milliseconds above 0", time)
     }
 
-    pub fn rows(self, name: &str) -> Result<impl ExactSizeIterator<Item = Fields<'a>>, Fault> {
+    /// The elements of a list.
+    pub fn rows(
+        self,
+        name: &str,
+    ) -> Result<impl ExactSizeIterator<Item = Fields<'a>> + use<'a>, SettingsError> {
         Ok(self.list(name)?.iter().map(move |value| Self { value, ..self }))
     }
 
-    pub fn list(self, name: &str) -> Result<&'a [Value], Fault> {
-        self.field(name)?.read("a list", |v| v.as_array().map(Vec::as_slice))
+    /// The elements of a list that has one for each of `count` elements, such as one a request class.
+    pub(crate) fn rows_for_each(
+        self,
+        name: &str,
+        count: usize,
+        element: &'static str,
+    ) -> Result<impl ExactSizeIterator<Item = Fields<'a>> + use<'a>, SettingsError> {
+        let rows = self.rows(name)?;
+        if rows.len() != count {
+            let problem = Problem::WrongLength { found: rows.len(), expected: count, element };
+            return Err(self.field(name)?.error(problem));
+        }
+        Ok(rows)
+    }
+
+    /// The elements of a list, as plain JSON values without a path.
+    pub fn list(self, name: &str) -> Result<&'a [Value], SettingsError> {
+        self.field(name)?.read("a list", |value| value.as_array().map(Vec::as_slice))
     }
 
-    pub fn texts(self, name: &str) -> Result<Vec<String>, Fault> {
+    /// A list of strings.
+    pub fn texts(self, name: &str) -> Result<Vec<String>, SettingsError> {
         self.rows(name)?.map(|row| row.as_text().map(str::to_owned)).collect()
     }
 
-    /// Places in a list of that length, where it is known.
-    pub fn places(self, name: &str, length: Option<usize>) -> Result<Vec<usize>, Fault> {
+    /// A list of indices into another list of that length, where the length is known.
+    pub fn places(self, name: &str, length: Option<usize>) -> Result<Vec<usize>, SettingsError> {
         self.rows(name)?.map(|row| row.as_place(length)).collect()
     }
 
-    pub fn part(self, name: &str) -> Result<Fields<'a>, Fault> {
+    /// An object.
+    pub fn part(self, name: &str) -> Result<Fields<'a>, SettingsError> {
         let part = self.field(name)?;
-        part.read("an object", |v| v.is_object().then_some(part))
+        part.read("an object", |value| value.is_object().then_some(part))
     }
 
-    pub fn as_text(self) -> Result<&'a str, Fault> {
+    /// The value as a string.
+    pub fn as_text(self) -> Result<&'a str, SettingsError> {
         self.read("text", Value::as_str)
     }
 
-    pub fn as_flag(self) -> Result<bool, Fault> {
+    /// A name, as the value that it stands for.
+    pub(crate) fn one_of<T, const COUNT: usize>(
+        self,
+        name: &str,
+        known: [(&str, T); COUNT],
+    ) -> Result<T, SettingsError> {
+        let field = self.field(name)?;
+        let found = field.as_text()?;
+        let matching = known.into_iter().find(|(known, _)| *known == found);
+        let unknown = || field.error(Problem::Unknown { found: found.to_owned() });
+        matching.map(|(_, value)| value).ok_or_else(unknown)
+    }
+
+    /// The value as a boolean.
+    pub fn as_flag(self) -> Result<bool, SettingsError> {
         self.read("true or false", Value::as_bool)
     }
 
-    pub fn as_positive(self) -> Result<f64, Fault> {
-        self.read("a number above 0", |v| figure(v).filter(|number| *number > 0.0))
+    /// The value as a finite number above 0.
+    pub fn as_positive(self) -> Result<f64, SettingsError> {
+        self.read("a number above 0", |value| finite(value).filter(|number| *number > 0.0))
     }
 
-    pub fn as_place(self, length: Option<usize>) -> Result<usize, Fault> {
-        let place = self.read("an index", |v| v.as_u64()?.try_into().ok())?;
+    /// The value as an index into a list of that length, where the length is known.
+    pub fn as_place(self, length: Option<usize>) -> Result<usize, SettingsError> {
+        let index = self.read("an index", as_index)?;
         match length {
-            Some(length) if place >= length => {
-                Err(self.fault(format_args!("is {place}, past the end of a list of {length}")))
-            }
-            _ => Ok(place),
+            Some(length) if index >= length => Err(self.error(Problem::IndexOutOfRange { index, length })),
+            _ => Ok(index),
         }
     }
 
+    /// A field's number; nothing if it is absent or of another type.
     pub fn maybe_number(self, name: &str) -> Option<f64> {
         self.maybe(name)?.as_f64()
     }
 
+    /// A field's time in milliseconds; nothing if it is absent or of another type, zero if it is negative.
     pub fn maybe_time(self, name: &str) -> Option<Duration> {
         self.maybe_number(name).map(from_ms)
     }
 
+    /// Whether a field is true; an absent one and one of another type are false.
     pub fn maybe_flag(self, name: &str) -> bool {
         self.maybe(name).and_then(Value::as_bool).unwrap_or(false)
     }
 }
 
-fn figure(value: &Value) -> Option<f64> {
+fn as_index(value: &Value) -> Option<usize> {
+    value.as_u64()?.try_into().ok()
+}
+
+fn finite(value: &Value) -> Option<f64> {
     value.as_f64().filter(|number| number.is_finite())
 }
 
-/// The way to a value, as in `.categories[1].name`.
+/// The way from one value to another within it, as in `.categories[1].name`.
 fn path(from: &Value, to: &Value) -> Option<String> {
     if std::ptr::eq(from, to) {
         return Some(String::new());
@@ -174,17 +248,8 @@
             fields.iter().find_map(|(name, value)| Some(format!(".{name}{}", path(value, to)?)))
         }
         Value::Array(rows) => {
-            rows.iter().enumerate().find_map(|(at, value)| Some(format!("[{at}]{}", path(value, to)?)))
+            rows.iter().enumerate().find_map(|(index, value)| Some(format!("[{index}]{}", path(value, to)?)))
         }
         _ => None,
     }
 }
-
-/// A negative time is none.
-pub fn from_ms(ms: f64) -> Duration {
-    Duration::from_micros((ms * 1e3).round() as u64)
-}
-
-pub fn to_ms(time: Duration) -> f64 {
-    time.as_micros() as f64 / 1e3
-}
--- /dev/null
+++ b/crates/settings/src/fleet.rs
@@ -0,0 +1,44 @@
+//! The fleet: routers, kinds of engines, and what holds for all of them.
+
+use crate::load_report::ReportMode;
+use crate::{Fields, Problem, SettingsError};
+use emberflow::{EngineKind, Fleet};
+
+/// Decodes what the scheduler knows of the fleet. `seed` is the seed of its random choices.
+pub fn fleet(seed: u64, params: Fields) -> Result<Fleet, SettingsError> {
+    let domain = params.part("domain")?;
+    let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
+    let progress_interval = domain.optional("tellsEveryMs", Fields::time)?;
+    Ok(Fleet {
+        seed,
+        routers: params.count("instances")?,
+        home_location: params.field("myZone")?.as_place(zone_count)?,
+        kinds: engine_kinds(params, domain)?,
+        max_grant_share: domain.share("largestShare")?,
+        shrinks_grants: domain.optional("whenShort", shrinks_grants)?.unwrap_or(false),
+        honors_priorities: domain.flag("lanesCount")?,
+        progress_interval: progress_interval.filter(|interval| !interval.is_zero()),
+        reports_only_on_probe: ReportMode::read(params)? == ReportMode::OnProbe,
+        polls_endpoint_list: params.one_of("discovery", [("push", false), ("ask", true)])?,
+        tick: params.positive_time("tickMs")?,
+    })
+}
+
+/// Whether an engine that is short of memory grants less than was requested.
+fn shrinks_grants(domain: Fields, name: &str) -> Result<bool, SettingsError> {
+    domain.one_of(name, [("line_up", false), ("cut", true), ("overcommit", false)])
+}
+
+fn engine_kinds(params: Fields, domain: Fields) -> Result<Vec<EngineKind>, SettingsError> {
+    let cores = domain.rows("kindCores")?;
+    if cores.len() == 0 {
+        return Err(domain.field("kindCores")?.error(Problem::Empty { element: "kind" }));
+    }
+    let count = cores.len();
+    let memory = domain.rows_for_each("sizeMb", count, "kind")?;
+    params.optional("kinds", |params, name| params.rows_for_each(name, count, "kind").map(drop))?;
+    let engine_kind = |(cores, memory): (Fields, Fields)| {
+        Ok(EngineKind { cores: cores.as_positive()?, memory_mb: memory.as_positive()? })
+    };
+    cores.zip(memory).map(engine_kind).collect()
+}
--- /dev/null
+++ b/crates/settings/src/request_classes.rs
@@ -0,0 +1,83 @@
+//! Request classes: their latency objectives, deadlines and weights, and whether their requests may be retried.
+
+use crate::{Fields, Problem, SettingsError};
+use emberflow::{Effect, RequestClass, Scope};
+
+/// Decodes all request classes, in the settings' order.
+pub fn request_classes(params: Fields) -> Result<Vec<RequestClass>, SettingsError> {
+    let domain = params.part("domain")?;
+    let kind_count = domain.list("kindCores")?.len();
+    let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
+    let rows = params.rows("categories")?;
+    let class_count = rows.len();
+    if class_count == 0 {
+        return Err(params.field("categories")?.error(Problem::Empty { element: "class" }));
+    }
+    let context = Context {
+        kind_count,
+        zone_count,
+        threads: for_each_class(domain, "parallelism", class_count)?,
+        holds_group: for_each_class(domain, "writesTables", class_count)?,
+        waits_for_loads: for_each_class(domain, "blockedByLoads", class_count)?,
+    };
+    rows.enumerate().map(|(index, row)| context.request_class(index, row)).collect()
+}
+
+/// What the classes refer to, and lists with one value for each class that stand apart from the classes' own rows.
+struct Context<'a> {
+    kind_count: usize,
+    zone_count: Option<usize>,
+    threads: Vec<Option<Fields<'a>>>,
+    holds_group: Vec<Option<Fields<'a>>>,
+    waits_for_loads: Vec<Option<Fields<'a>>>,
+}
+
+impl Context<'_> {
+    fn request_class(&self, index: usize, row: Fields) -> Result<RequestClass, SettingsError> {
+        Ok(RequestClass {
+            latency_objective: row.positive_time("onTimeMs")?,
+            objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
+            deadline: row.positive_time("deadlineMs")?,
+            priority_weight: row.not_negative("gain")?,
+            late_share: row.share("lateShare")?,
+            effect: effect(row)?,
+            keeps_order: row.optional("keepOrder", Fields::flag)?.unwrap_or(false),
+            kinds: row.optional("allowedOn", |row, name| row.places(name, Some(self.kind_count)))?,
+            locations: row.optional("zonesOpen", |row, name| row.places(name, self.zone_count))?,
+            threads: self.threads[index].map_or(Ok(1.0), Fields::as_positive)?,
+            holds_group: self.holds_group[index].map_or(Ok(false), Fields::as_flag)?,
+            waits_for_loads: self.waits_for_loads[index].map_or(Ok(false), Fields::as_flag)?,
+        })
+    }
+}
+
+/// The values of an optional list with one element for each class.
+fn for_each_class<'a>(
+    domain: Fields<'a>,
+    name: &str,
+    class_count: usize,
+) -> Result<Vec<Option<Fields<'a>>>, SettingsError> {
+    let values = domain.optional(name, |domain, name| domain.rows_for_each(name, class_count, "class"))?;
+    Ok(values.map_or_else(|| vec![None; class_count], |values| values.map(Some).collect()))
+}
+
+enum Repeat {
+    Repeatable,
+    Once,
+    ByKey,
+}
+
+/// Whether a request of the class may run more than once.
+fn effect(row: Fields) -> Result<Effect, SettingsError> {
+    let repeat = [("repeatable", Repeat::Repeatable), ("once", Repeat::Once), ("by_key", Repeat::ByKey)];
+    Ok(match row.one_of("repeat", repeat)? {
+        Repeat::Repeatable => Effect::Idempotent,
+        Repeat::Once => Effect::NonIdempotent,
+        Repeat::ByKey => Effect::IdempotentWithKey { scope: scope(row)?, window: row.time("windowMs")? },
+    })
+}
+
+/// Among which engines an idempotency key is known.
+fn scope(row: Fields) -> Result<Scope, SettingsError> {
+    row.one_of("keyScope", [("all", Scope::All), ("zone", Scope::Location), ("cell", Scope::Cell)])
+}
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings that contradict each other, name what is not known, or lack what a rule needs.
 
 use emberflow_settings::{
-    Fields, attempt_limits, fleet, marks_retries, reported, request_classes, unknown_reports,
+    Fields, SettingsError, attempt_limits, fleet, marks_retries, reported, request_classes, unknown_reports,
 };
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -46,7 +46,7 @@
     file
 }
 
-fn read(file: &Value) -> Result<(), String> {
+fn read(file: &Value) -> Result<(), SettingsError> {
     let settings = Fields::of(file).part("settings")?;
     fleet(1, settings)?;
     request_classes(settings)?;
@@ -58,7 +58,8 @@
 
 fn faults(table: &[(&str, Value)]) -> String {
     let fault = |(path, value): &(&str, Value)| {
-        let said = read(&with(&[(path, value.clone())])).err().unwrap_or("NO FAULT".into());
+        let said = read(&with(&[(path, value.clone())])).err();
+        let said = said.map_or("NO FAULT".into(), |error| error.to_string());
         format!("{path} {value}: {said}\n")
     };
     table.iter().map(fault).collect()
@@ -256,7 +257,9 @@
 fn report_fields_that_nothing_reads_are_told_unless_their_names_are_known() {
     let told = |how: &str, names: &[&str]| {
         let file = with(&[("report", json!({"how": how, "names": names}))]);
-        unknown_reports(Fields::of(&file).part("settings").expect("settings")).expect("it reads")
+        let unknown =
+            unknown_reports(Fields::of(&file).part("settings").expect("settings")).expect("it reads");
+        unknown.iter().map(ToString::to_string).collect::<Vec<_>>()
     };
     for known in ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1", "inflight", "queue", "util"]
     {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,7 +5,7 @@
     RequestId, Scheduler, Usage,
 };
 use emberflow_settings::{
-    Fault, Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
+    Fields, attempt_limits, fleet, from_ms, load, marks_retries, reported, request_classes, to_ms,
 };
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -97,7 +97,7 @@
 }
 
 impl Instance {
-    pub fn new(who: u64, line: Fields) -> Result<Self, Fault> {
+    pub fn new(who: u64, line: Fields) -> Result<Self, String> {
         let params = line.part("params")?;
         let reported = reported(params)?;
         let scheduler = Scheduler::new(
@@ -116,11 +116,11 @@
         now: Duration,
         tables: &HashMap<u64, Vec<Value>>,
         reply: &mut Vec<u8>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), String> {
         let Self { who, scheduler, reported, marks_retries, names } = self;
         let known = |name| {
             let name: &str = line.text(name)?;
-            Ok::<_, Fault>(names.requests.numbers.get(name).map(|t| *t as RequestId))
+            Ok::<_, String>(names.requests.numbers.get(name).map(|t| *t as RequestId))
         };
         match op {
             "ANNOUNCE" => {
@@ -131,7 +131,7 @@
                 }
                 let rows = tables.get(&line.whole("ref")?).ok_or("`ref` names no table")?;
                 let endpoints = rows.iter().map(|row| endpoint(Fields::of(row), &mut names.engines));
-                let endpoints = endpoints.collect::<Result<Vec<_>, Fault>>()?;
+                let endpoints = endpoints.collect::<Result<Vec<_>, String>>()?;
                 let out = &mut Writer { who: *who, now, names, reply };
                 scheduler.endpoints_changed(now, mode != "patch", endpoints, out);
             }
@@ -216,7 +216,7 @@
     }
 }
 
-fn endpoint(row: Fields, engines: &mut Index) -> Result<Endpoint, Fault> {
+fn endpoint(row: Fields, engines: &mut Index) -> Result<Endpoint, String> {
     Ok(Endpoint {
         engine: engines.number(row.text("engine")?),
         location: row.index("site")?,
@@ -228,7 +228,7 @@
     })
 }
 
-fn attempt_outcome(result: &str) -> Result<AttemptOutcome, Fault> {
+fn attempt_outcome(result: &str) -> Result<AttemptOutcome, String> {
     Ok(match result {
         "success" => AttemptOutcome::Succeeded,
         "failure" => AttemptOutcome::Failed,
@@ -246,7 +246,7 @@
     let row = line.maybe("stats")?.as_array()?;
     let value = |names: &[&str]| {
         let at = reported.iter().position(|told| names.contains(&told.as_str()));
-        Ok::<_, Fault>(at.and_then(|at| row.get(at)?.as_f64()))
+        Ok::<_, String>(at.and_then(|at| row.get(at)?.as_f64()))
     };
     load(value).ok()
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 
 mod instance;
 
-use emberflow_settings::{Fault, Fields, unknown_reports};
+use emberflow_settings::{Fields, unknown_reports};
 use instance::Instance;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, Write};
@@ -25,7 +25,7 @@
 }
 
 impl Host {
-    fn line(&mut self, text: &str, output: &mut impl Write) -> Result<(), Fault> {
+    fn line(&mut self, text: &str, output: &mut impl Write) -> Result<(), String> {
         let value = serde_json::from_str(text).map_err(|e| format!("malformed JSON: {e}"))?;
         let line = Fields::of(&value);
         match (line.text("op")?, self.batch) {
@@ -44,13 +44,14 @@
         }
     }
 
-    fn event(&mut self, op: &str, line: Fields, now: Duration) -> Result<(), Fault> {
+    fn event(&mut self, op: &str, line: Fields, now: Duration) -> Result<(), String> {
         let who = line.whole("who")?;
         if self.fault.is_some() {
             return Ok(());
         }
         if op == "NEW_INSTANCE" {
             for unread in unknown_reports(line.part("params")?)? {
+                let unread = unread.to_string();
                 if self.told.insert(unread.clone()) {
                     eprintln!("emberflow-simulator-adapter: {unread}, so it goes unread");
                 }
@@ -71,7 +72,7 @@
         })
     }
 
-    fn finish(&mut self, frame: u64, output: &mut impl Write) -> Result<(), Fault> {
+    fn finish(&mut self, frame: u64, output: &mut impl Write) -> Result<(), String> {
         if let Some(who) = self.fault.take() {
             let text = LAST_PANIC.lock().map(|t| t.clone()).unwrap_or_default();
             self.reply =
@@ -86,7 +87,7 @@
     }
 }
 
-fn unknown(who: u64) -> Fault {
+fn unknown(who: u64) -> String {
     format!("event for the unknown instance {who}")
 }
 
