--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -34,7 +34,7 @@
     };
     let spare = amount("spareAttempts")?;
     let per_request = amount("extraPerRequest")?;
-    Ok(window.map(|over| RetryBudget { spare, per_request, over }))
+    Ok(window.map(|window| RetryBudget { spare, per_request, window }))
 }
 
 /// Whether clients mark their retries.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -11,7 +11,7 @@
     let progress_interval = domain.optional("tellsEveryMs", Fields::time)?;
     Ok(Fleet {
         seed,
-        routers: params.count("instances")?,
+        router_count: params.count("instances")?,
         home_location: params.field("myZone")?.as_place(zone_count)?,
         kinds: engine_kinds(params, domain)?,
         max_grant_share: domain.share("largestShare")?,
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -1,7 +1,7 @@
 //! Request classes: their latency objectives, deadlines and weights, and whether their requests may be retried.
 
 use crate::{Fields, Problem, SettingsError};
-use emberflow::{Effect, RequestClass, Scope};
+use emberflow::{Effect, KeyScope, RequestClass};
 
 /// Decodes all request classes, in the settings' order.
 pub fn request_classes(params: Fields) -> Result<Vec<RequestClass>, SettingsError> {
@@ -78,6 +78,6 @@
 }
 
 /// Among which engines an idempotency key is known.
-fn scope(row: Fields) -> Result<Scope, SettingsError> {
-    row.one_of("keyScope", [("all", Scope::All), ("zone", Scope::Location), ("cell", Scope::Cell)])
+fn scope(row: Fields) -> Result<KeyScope, SettingsError> {
+    row.one_of("keyScope", [("all", KeyScope::All), ("zone", KeyScope::Location), ("cell", KeyScope::Cell)])
 }
