--- /dev/null
+++ b/crates/teams/tests/digest.rs
@@ -0,0 +1,336 @@
+//! Guards the queues' behaviour while their code changes: seeded runs of random inputs, and one digest over all that
+//! comes out: turns, rejections, waits, times, and the bits of every figure.
+
+use emberflow_teams::{Allowance, Asking, Charter, Firm, Outcome, Queues, Reason, Refusal, Team, Ticket};
+use expect_test::expect;
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+const RUNS: u64 = 200;
+const STEPS: u64 = 600;
+/// Turns that are recorded after each step.
+const RECORDED_TURNS: usize = 6;
+
+/// What has to have happened that often, or the digest would say little.
+const REQUIRED: [(&str, u64); 14] = [
+    ("accepted", 10_000),
+    ("rejected: queue full", 500),
+    ("rejected: deadline too short", 500),
+    ("dispatched in turn", 5_000),
+    ("dispatched by fit", 1_000),
+    ("dispatched out of turn", 500),
+    ("dispatched by key order", 100),
+    ("left", 500),
+    ("billed", 1_000),
+    ("unknown", 1_000),
+    ("returned", 1_000),
+    ("taken back", 500),
+    ("wait estimated", 2_000),
+    ("reconfigured", 500),
+];
+
+/// A random source that is the same on every platform: SplitMix64.
+struct SplitMix64(u64);
+
+impl SplitMix64 {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn below(&mut self, end: u64) -> u64 {
+        self.next() % end.max(1)
+    }
+
+    fn one_in(&mut self, count: u64) -> bool {
+        self.below(count) == 0
+    }
+
+    fn millis(&mut self, end: u64) -> Duration {
+        Duration::from_micros(self.below(end * 1000))
+    }
+
+    fn pick<T: Copy>(&mut self, from: &[T]) -> Option<T> {
+        let index = self.below(from.len() as u64) as usize;
+        from.get(index).copied()
+    }
+}
+
+/// What came out of all runs.
+#[derive(Default)]
+struct Record {
+    digest: Sha256,
+    counts: BTreeMap<&'static str, u64>,
+}
+
+impl Record {
+    fn number(&mut self, number: u64) {
+        self.digest.update(number.to_le_bytes());
+    }
+
+    fn time(&mut self, time: Option<Duration>) {
+        let nanos = time.map_or(u128::MAX, |time| time.as_nanos());
+        self.digest.update(nanos.to_le_bytes());
+    }
+
+    fn float(&mut self, float: Option<f64>) {
+        self.digest.update([u8::from(float.is_some())]);
+        self.number(float.unwrap_or_default().to_bits());
+    }
+
+    fn event(&mut self, name: &'static str, request: Ticket) {
+        self.digest.update(name.as_bytes());
+        self.number(request.into());
+        *self.counts.entry(name).or_default() += 1;
+    }
+}
+
+/// One run: queues, their clock, and the requests that they hold.
+struct Run<'a> {
+    random: SplitMix64,
+    record: &'a mut Record,
+    queues: Queues,
+    now: Duration,
+    team_count: usize,
+    next_request: Ticket,
+    waiting: Vec<Ticket>,
+    dispatched: Vec<Ticket>,
+}
+
+fn team(organization: usize, share: f64, max_waiting: usize, allowance_ms: Option<[u64; 3]>) -> Team {
+    let allowance = allowance_ms.map(|[work, over, burst]| Allowance {
+        work: Duration::from_millis(work),
+        over: Duration::from_millis(over),
+        burst: Duration::from_millis(burst),
+    });
+    Team { firm: organization, share, allowance, most_waiting: max_waiting }
+}
+
+/// Quotas of three to six teams in one to three organizations.
+fn quotas(kind: u64) -> Charter {
+    let (shares, teams): (&[f64], Vec<Team>) = match kind % 4 {
+        0 => (&[1.0], vec![team(0, 1.0, 12, None), team(0, 2.0, 8, None), team(0, 0.5, 20, None)]),
+        1 => (
+            &[1.0, 2.0],
+            vec![
+                team(0, 1.0, 10, None),
+                team(1, 1.0, 10, Some([500, 1000, 800])),
+                team(1, 3.0, 10, Some([100, 1000, 100])),
+                team(0, 0.3, 10, None),
+            ],
+        ),
+        2 => (
+            &[0.7, 1.0, 5.5],
+            vec![
+                team(2, 1.0, 6, Some([50, 2000, 100])),
+                team(1, 1.0, 30, Some([2000, 1000, 5000])),
+                team(0, 1.0, 30, None),
+                team(0, 1.0, 5, Some([1000, 1000, 1000])),
+                team(2, 4.0, 30, None),
+                team(1, 0.01, 30, None),
+            ],
+        ),
+        _ => (
+            &[3.0, 1.0],
+            vec![team(0, 1.0, 15, Some([300, 500, 900])), team(1, 1.0, 15, None), team(1, 1.0, 3, None)],
+        ),
+    };
+    Charter { firms: shares.iter().map(|share| Firm { share: *share }).collect(), teams }
+}
+
+impl<'a> Run<'a> {
+    fn new(seed: u64, record: &'a mut Record) -> Self {
+        let quotas = quotas(seed);
+        let team_count = quotas.teams.len();
+        Self {
+            random: SplitMix64(seed),
+            record,
+            queues: Queues::new(quotas, Duration::ZERO),
+            now: Duration::ZERO,
+            team_count,
+            next_request: 0,
+            waiting: Vec::new(),
+            dispatched: Vec::new(),
+        }
+    }
+
+    fn execute(mut self) {
+        for step in 0..STEPS {
+            self.record.number(step);
+            self.step();
+            self.record_state();
+        }
+    }
+
+    fn step(&mut self) {
+        match self.random.below(100) {
+            0..38 => self.arrive(),
+            38..56 => self.dispatch_in_turn(),
+            56..62 => self.dispatch_by_fit(),
+            62..65 => self.dispatch_out_of_turn(),
+            65..68 => self.leave(),
+            68..82 => self.settle(),
+            82..84 => self.take_back(),
+            84..86 if self.random.one_in(2) => self.reconfigure(),
+            86..90 => self.pass_to_due(),
+            _ => {
+                let time = self.random.millis(400);
+                self.pass(time);
+            }
+        }
+    }
+
+    fn arrive(&mut self) {
+        let random = &mut self.random;
+        let request = self.next_request;
+        let max_deadline_ms = if random.one_in(3) { 500 } else { 20_000 };
+        let arrival = Asking {
+            request,
+            team: random.below(self.team_count as u64) as usize,
+            urgency: if random.one_in(3) { random.below(6) as u8 } else { 0 },
+            class: random.below(3) as u16,
+            work: random.millis(300),
+            latency_objective: if random.one_in(40) { Duration::ZERO } else { random.millis(2000) },
+            deadline: random.millis(max_deadline_ms),
+            identity: random.one_in(2).then(|| random.below(40)),
+            key: random.one_in(4).then(|| random.below(5)),
+        };
+        self.next_request += 1;
+        match self.queues.arrive(self.now, arrival) {
+            Ok(()) => {
+                self.record.event("accepted", request);
+                self.waiting.push(request);
+            }
+            Err(Refusal { reason, retry_after }) => {
+                let reason = match reason {
+                    Reason::Full => "rejected: queue full",
+                    Reason::Hopeless => "rejected: deadline too short",
+                };
+                self.record.event(reason, request);
+                self.record.time(Some(retry_after));
+            }
+        }
+    }
+
+    fn dispatch(&mut self, how: &'static str, request: Ticket) {
+        let dispatched = self.queues.let_go(self.now, request);
+        assert!(dispatched, "request {request} waits");
+        self.record.event(how, request);
+        self.waiting.retain(|other| *other != request);
+        self.dispatched.push(request);
+    }
+
+    fn dispatch_in_turn(&mut self) {
+        let first = self.queues.turns().next();
+        if let Some(request) = first {
+            self.dispatch("dispatched in turn", request);
+        }
+    }
+
+    /// Some requests don't fit now, so that a later turn comes first; of a key the first one goes.
+    fn dispatch_by_fit(&mut self) {
+        let modulus = 2 + self.random.below(3) as Ticket;
+        let next = self.queues.next(|request| request % modulus == 0);
+        if let Some(request) = next {
+            self.dispatch("dispatched by fit", request);
+        }
+    }
+
+    fn dispatch_out_of_turn(&mut self) {
+        let Some(request) = self.random.pick(&self.waiting) else { return };
+        let first = self.queues.first_of_key(request);
+        let how = if first == request { "dispatched out of turn" } else { "dispatched by key order" };
+        self.dispatch(how, first);
+    }
+
+    fn leave(&mut self) {
+        let Some(request) = self.random.pick(&self.waiting) else { return };
+        let left = self.queues.leave(self.now, request);
+        assert!(left, "request {request} waits");
+        self.record.event("left", request);
+        self.waiting.retain(|other| *other != request);
+    }
+
+    fn settle(&mut self) {
+        let Some(request) = self.random.pick(&self.dispatched) else { return };
+        let (name, outcome) = match self.random.below(3) {
+            0 => ("billed", Outcome::Billed(self.random.millis(600))),
+            1 => ("unknown", Outcome::Unknown),
+            _ => ("returned", Outcome::Back),
+        };
+        self.queues.settle(self.now, request, outcome);
+        self.record.event(name, request);
+        self.dispatched.retain(|other| *other != request);
+    }
+
+    fn take_back(&mut self) {
+        let Some(request) = self.random.pick(&self.dispatched) else { return };
+        let taken_back = self.queues.take_back(self.now, request);
+        assert!(taken_back, "request {request} was dispatched");
+        self.record.event("taken back", request);
+        self.dispatched.retain(|other| *other != request);
+        self.waiting.push(request);
+    }
+
+    /// Other quotas: each team gets another number, or is gone.
+    fn reconfigure(&mut self) {
+        let quotas = quotas(self.random.next());
+        let old_count = self.team_count;
+        self.team_count = quotas.teams.len();
+        let shift = self.random.below(2) as usize;
+        let moved = |team: usize| Some(team + shift).filter(|moved| *moved < quotas.teams.len());
+        let new_numbers: Vec<Option<usize>> = (0..old_count).map(moved).collect();
+        self.queues.change(self.now, quotas, &new_numbers);
+        self.record.event("reconfigured", shift as Ticket);
+    }
+
+    fn pass(&mut self, time: Duration) {
+        self.now += time;
+        self.queues.pass(self.now);
+    }
+
+    fn pass_to_due(&mut self) {
+        let due = self.queues.due().unwrap_or(self.now);
+        // Not beyond what a run may take: a budget can be years in debt.
+        let limit = self.now + Duration::from_secs(5);
+        self.now = due.max(self.now).min(limit);
+        self.queues.pass(self.now);
+    }
+
+    fn record_state(&mut self) {
+        self.record.time(self.queues.due());
+        self.record.number(self.queues.len() as u64);
+        self.record.number(u64::from(self.queues.is_empty()));
+        for team in 0..self.team_count {
+            self.record.float(Some(self.queues.charged(team)));
+            self.record.float(self.queues.left(team));
+        }
+        let turns: Vec<Ticket> = self.queues.turns().take(RECORDED_TURNS).collect();
+        turns.iter().for_each(|request| self.record.number((*request).into()));
+        if let Some(request) = self.random.pick(&self.waiting) {
+            self.record_wait(request);
+        }
+    }
+
+    fn record_wait(&mut self, request: Ticket) {
+        let Some(wait) = self.queues.wait(self.now, request) else { return };
+        self.record.event("wait estimated", request);
+        [wait.least, wait.likely, wait.most].into_iter().for_each(|time| self.record.time(Some(time)));
+        self.record.number(wait.place as u64);
+    }
+}
+
+#[test]
+fn the_queues_answer_as_before() {
+    let mut record = Record::default();
+    (0..RUNS).for_each(|seed| Run::new(seed, &mut record).execute());
+    for (name, least) in REQUIRED {
+        let count = record.counts.get(name).copied().unwrap_or(0);
+        assert!(count >= least, "{name} happened {count} times, not {least}: {:?}", record.counts);
+    }
+    let digest: String = record.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    expect!["3fc5aec5b3785c49825e58a416cbe51fe14afb38a404f5e9944e075d0b7218ce"].assert_eq(&digest);
+}
