--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -253,7 +253,7 @@
     engines[0].next_call();
     let drain = EngineChange::draining(router.number_of(&engines[0]), engines[0].address());
     router.while_stopped(|router| {
-        engines[0].send_bytes(0, &resp::array(&[b"half an answer"])[..6]);
+        engines[0].send_bytes(0, &resp::encode_array(&[b"half an answer"])[..6]);
         engines[0].close_connection_of(1);
         discovery.send_changes(2, &[drain]);
         router.signal("-TERM");
