--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -5,7 +5,7 @@
 use crate::error::ConfigError;
 use emberflow::{AttemptLimits, Fleet, RequestClass};
 use emberflow_operator::Orders;
-use emberflow_settings::{Fields, attempt_limits, fleet, request_classes, unknown_reports};
+use emberflow_settings::{Fields, SettingsError, attempt_limits, fleet, request_classes, unknown_reports};
 use serde_json::Value;
 
 /// Everything that is known at the start, before the discovery service or any client is connected.
@@ -17,8 +17,8 @@
     /// Number of the last event in `events`: the discovery service resumes after it.
     pub last_event: u64,
     pub events: Vec<EndpointEvent>,
-    /// One message for each field of the load report that is unknown and ignored.
-    pub ignored_report_fields: Vec<String>,
+    /// The fields of the load report that are unknown and ignored.
+    pub ignored_report_fields: Vec<SettingsError>,
     /// The operator's own file; empty without one.
     pub orders: Orders,
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::error::DiscoveryError;
 use crate::ring::Ring;
 use emberflow::{EndpointUpdate, Lifecycle};
-use emberflow_settings::{Fault, Fields};
+use emberflow_settings::{Fields, SettingsError};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -187,20 +187,28 @@
 }
 
 /// Decodes the events that the configuration file holds.
-pub fn initial_events(file: Fields, locations: &[String], kinds: &[String]) -> Result<InitialEvents, Fault> {
+pub fn initial_events(
+    file: Fields,
+    locations: &[String],
+    kinds: &[String],
+) -> Result<InitialEvents, SettingsError> {
     let known = file.part("known")?;
     let event = |item: Fields| {
         let roster = item.part("roster")?;
         let members = roster.rows("members")?.map(|row| configured_endpoint(row, locations, kinds));
         let update =
             if roster.flag("complete")? { EndpointUpdate::FullList } else { EndpointUpdate::Changes };
-        Ok(EndpointEvent { update, endpoints: members.collect::<Result<_, Fault>>()? })
+        Ok(EndpointEvent { update, endpoints: members.collect::<Result<_, SettingsError>>()? })
     };
-    let events = known.rows("items")?.map(event).collect::<Result<_, Fault>>()?;
+    let events = known.rows("items")?.map(event).collect::<Result<_, SettingsError>>()?;
     Ok(InitialEvents { last_event: known.whole("no")?, events })
 }
 
-fn configured_endpoint(row: Fields, locations: &[String], kinds: &[String]) -> Result<EndpointRecord, Fault> {
+fn configured_endpoint(
+    row: Fields,
+    locations: &[String],
+    kinds: &[String],
+) -> Result<EndpointRecord, SettingsError> {
     let id = row.text("id")?;
     let address = row.text("host_port")?;
     let id_number = id.strip_prefix("s-").and_then(|digits| u32::from_str_radix(digits, 16).ok());
@@ -225,7 +233,7 @@
 }
 
 /// The index in `names` of the text of a field.
-fn index_of_name(row: Fields, field_name: &str, names: &[String]) -> Result<usize, Fault> {
+fn index_of_name(row: Fields, field_name: &str, names: &[String]) -> Result<usize, SettingsError> {
     let name = row.text(field_name)?;
     let index = names.iter().position(|known| known == name);
     match index {
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of reading the configuration and of serving.
 
-use emberflow_settings::Fault;
+use emberflow_settings::SettingsError;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 use std::path::PathBuf;
@@ -17,8 +17,8 @@
     /// What is wrong within a file.
     #[error("{}: {source}", path.display())]
     InFile { path: PathBuf, source: Box<ConfigError> },
-    #[error("{0}")]
-    Settings(Fault),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     #[error("{0}")]
     OperatorFile(String),
     #[error("`{field}` is not an address with a port: {text}")]
@@ -30,12 +30,6 @@
     OtherRouter { name: String },
 }
 
-impl From<Fault> for ConfigError {
-    fn from(fault: Fault) -> Self {
-        Self::Settings(fault)
-    }
-}
-
 /// Why a router could not start, or stopped before it was told to.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -4,7 +4,7 @@
 use emberflow::KeyId;
 use emberflow_operator::Roll;
 use emberflow_operator::roll::LONGEST_NAME;
-use emberflow_settings::{Fault, Fields, from_ms};
+use emberflow_settings::{Fields, SettingsError, from_ms};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -19,8 +19,8 @@
 /// What is wrong with a request's parameters, as its client is told.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParameterError {
-    #[error("{0}")]
-    Field(Fault),
+    #[error(transparent)]
+    Field(#[from] SettingsError),
     #[error("`{0}` is out of range")]
     OutOfRange(&'static str),
     #[error("`req` is not 16 hex digits")]
@@ -41,12 +41,6 @@
     Urgency { field: String },
 }
 
-impl From<Fault> for ParameterError {
-    fn from(fault: Fault) -> Self {
-        Self::Field(fault)
-    }
-}
-
 /// What a request says of itself, apart from its class, id and name.
 pub(super) struct RequestParameters {
     /// Requests of one key may have to be run in order.
@@ -139,7 +133,7 @@
     hasher.finish() as KeyId
 }
 
-fn optional_text<'a>(fields: Fields<'a>, name: &str) -> Result<Option<&'a str>, Fault> {
+fn optional_text<'a>(fields: Fields<'a>, name: &str) -> Result<Option<&'a str>, SettingsError> {
     fields.optional(name, Fields::text)
 }
 
