--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -207,9 +207,9 @@
             }
             while let Some(event) = self.state.engines.events.pop_front() {
                 is_active = true;
-                if let PoolEvent::Ended(ended, body, owing) = event {
+                if let PoolEvent::Ended { ended, body, late_connection } = event {
                     let request = ended.request as usize;
-                    let owed = owing.map(|connection| OwedAnswer { request, connection });
+                    let owed = late_connection.map(|connection| OwedAnswer { request, connection });
                     self.state.owed_answers.extend(owed);
                     self.record_end(request, ended.attempt, ended.outcome, body);
                 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,7 +1,7 @@
 //! The router's own configuration: addresses, limits and the names that its settings list.
 
 use crate::error::ConfigError;
-use emberflow_settings::{Fault, Fields, marks_retries};
+use emberflow_settings::{Fields, SettingsError, marks_retries};
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -118,7 +118,9 @@
 }
 
 /// The texts of a list in which no two may be the same.
-fn unique_names<'a>(fields: impl Iterator<Item = Result<Fields<'a>, Fault>>) -> Result<Vec<String>, Fault> {
+fn unique_names<'a>(
+    fields: impl Iterator<Item = Result<Fields<'a>, SettingsError>>,
+) -> Result<Vec<String>, SettingsError> {
     let mut names = Vec::new();
     for field in fields {
         let field = field?;
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -29,10 +29,16 @@
 /// What happened to an attempt, to be passed on to the scheduler.
 #[derive(Clone)]
 pub enum PoolEvent {
-    /// An attempt has ended: its body, if it succeeded, and the connection on which its engine may still answer it.
-    Ended(AttemptEnded, Option<Vec<u8>>, Option<Slot>),
-    /// An engine reported the progress of a request's attempt, given by its number.
-    Progress(RequestId, usize, ProgressNote),
+    /// An attempt has ended.
+    Ended {
+        ended: AttemptEnded,
+        /// The result, if it succeeded.
+        body: Option<Vec<u8>>,
+        /// The connection on which its engine may still answer it.
+        late_connection: Option<Slot>,
+    },
+    /// An engine reported the progress of an attempt, given by its number within its request.
+    Progress { request: RequestId, attempt: usize, note: ProgressNote },
 }
 
 /// What the owner of the sockets has to do for the pool, in order.
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -244,7 +244,7 @@
         context.timers.clear(attempt.deadline, Timer::Attempt(slot));
         context.counters.count(counter_of(outcome));
         self.release_connection(slot, &attempt, context);
-        let is_awaited = attempt.is_cancelled();
+        let was_cancelled = attempt.is_cancelled();
         let (usage, reported) =
             attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
         let ended = AttemptEnded {
@@ -267,9 +267,9 @@
             ended.load_report
         );
         let was_abandoned =
-            matches!(outcome, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && !is_awaited;
-        let owes_reply = attempt.connection.filter(|_| was_abandoned);
-        self.events.push_back(PoolEvent::Ended(ended, body, owes_reply));
+            matches!(outcome, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && !was_cancelled;
+        let late_connection = attempt.connection.filter(|_| was_abandoned);
+        self.events.push_back(PoolEvent::Ended { ended, body, late_connection });
     }
 
     /// Takes an attempt off its connection, which is idle from now on if it carries no other.
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -190,7 +190,8 @@
         let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
         let note = fields.progress()?;
         context.counters.count("notes");
-        self.events.push_back(PoolEvent::Progress(attempt.request, attempt.number, note));
+        let (request, attempt) = (attempt.request, attempt.number);
+        self.events.push_back(PoolEvent::Progress { request, attempt, note });
         Ok(())
     }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -142,10 +142,10 @@
         while let Some(event) = self.dispatcher.engines.events.pop_front() {
             let now = self.dispatcher.context.now();
             match event {
-                PoolEvent::Progress(request, attempt, note) => {
+                PoolEvent::Progress { request, attempt, note } => {
                     self.scheduler.progress_noted(now, request, attempt, note, &mut self.dispatcher);
                 }
-                PoolEvent::Ended(ended, body, late_connection) => {
+                PoolEvent::Ended { ended, body, late_connection } => {
                     if let Some(connection) = late_connection
                         && let Some(request) = self.dispatcher.requests.get_mut(ended.request)
                     {
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -1,12 +1,13 @@
-//! The codecs alone: bytes in, messages out, however the bytes are split.
+//! The codecs alone: the same messages are decoded however their bytes are split.
 
 use emberflow_router::{discovery, jsonrpc, resp, ring::Ring, statement};
 use expect_test::expect;
 
-/// What `parse` makes of input that comes in two parts, cut at every place; all must come to the same.
+/// What `parse` decodes from input that arrives in two parts, split at every offset; all must be the same.
 fn split_everywhere(input: &[u8], parse: impl Fn(&mut Ring) -> Option<String>) -> String {
-    let whole = |first: &[u8], second: &[u8]| {
-        let (mut ring, mut lines) = (Ring::default(), Vec::new());
+    let parse_parts = |first: &[u8], second: &[u8]| {
+        let mut ring = Ring::default();
+        let mut lines = Vec::new();
         for part in [first, second] {
             ring.push(part);
             while let Some(line) = parse(&mut ring) {
@@ -15,15 +16,15 @@
         }
         lines.join("\n")
     };
-    let expected = whole(input, b"");
+    let expected = parse_parts(input, b"");
     for at in 0..input.len() {
-        assert_eq!(whole(&input[..at], &input[at..]), expected, "cut at {at}");
+        assert_eq!(parse_parts(&input[..at], &input[at..]), expected, "split at {at}");
     }
     expected
 }
 
 #[test]
-fn arrays_come_whole_or_not_at_all() {
+fn arrays_are_decoded_once_they_are_complete() {
     let input = [
         resp::encode_array(&[
             b"9b1f",
@@ -52,7 +53,7 @@
 
 #[test]
 fn malformed_arrays_are_refused_with_their_error() {
-    let bad: [&[u8]; 9] = [
+    let malformed: [&[u8]; 9] = [
         b"hello",
         b"*x\r\n",
         b"*9\r\n",
@@ -63,7 +64,7 @@
         b"*1\r\n$2\r\nabcd",
         b"*\r\n",
     ];
-    let told: String = bad
+    let errors: String = malformed
         .iter()
         .map(|bytes| {
             format!("{:?}\n", resp::parse_array(bytes).map(|_| ()).map_err(|error| error.to_string()))
@@ -80,11 +81,11 @@
         Err("part without its terminator")
         Err("length that is not a number")
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&errors);
 }
 
 #[test]
-fn fields_are_found_by_their_whole_name() {
+fn fields_are_found_by_their_exact_name() {
     let fields = "pages=2,page=1,use=util:0.61;queue:0";
     let load = resp::field(fields, "use", (',', '=')).unwrap_or("none");
     let found = ["page", "pages", "age", "-"].map(|name| resp::field(fields, name, (',', '=')));
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn requests_are_read_line_by_line_and_refused_by_the_standard() {
+fn requests_are_decoded_line_by_line_and_refused_with_the_standard_codes() {
     let lines = r#"{"jsonrpc":"2.0","id":7,"method":"report","params":{"req":"9b1f03aa5c7e2d41"}}
 {"jsonrpc":"2.0","method":"withdraw","params":{"req":"9b1f03aa5c7e2d41"}}
 {"jsonrpc":"2.0","id":7,"method
@@ -106,7 +107,7 @@
 
 "#;
     let parse = |ring: &mut Ring| {
-        let (said, length) = {
+        let (text, length) = {
             let (line, length) = jsonrpc::split_line(ring.readable(), 0)?;
             let request = jsonrpc::parse_request(line);
             let request = request.map(|request| (request.id, request.method, request.params));
@@ -114,7 +115,7 @@
             (format!("{request:?}"), length)
         };
         ring.consume(length);
-        Some(said)
+        Some(text)
     };
     expect![[r#"
         Ok((Some(7), "report", Object {"req": String("9b1f03aa5c7e2d41")}))
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn frames_come_whole_and_bad_ones_are_named() {
+fn frames_are_decoded_once_complete_and_malformed_ones_refused() {
     let record =
         [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x23, 0x82, 1, 2, 3, 0, 4, 0, 0, 15, 160, 0, 0, 0, 0, 0, 0, 1, 0];
     let frame = |number: u64, kind: u8, payload: &[u8]| {
@@ -138,7 +139,7 @@
         [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
     };
     let parse = |ring: &mut Ring| {
-        let (said, length) = {
+        let (text, length) = {
             let (frame, length) = discovery::parse_frame(ring.readable()).expect("well formed")?;
             let endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
             let endpoints: Vec<_> = endpoints
@@ -153,7 +154,7 @@
             (format!("{} {update:?} {endpoints:?}", frame.number), length)
         };
         ring.consume(length);
-        Some(said)
+        Some(text)
     };
     let good = [frame(41, 1, &record), frame(42, 2, &[]), frame(42, 0, &[])].concat();
     expect![[r#"
@@ -161,10 +162,11 @@
         42 Some(Changes) []
         42 None []"#]]
     .assert_eq(&split_everywhere(&good, parse));
-    let mut strange = record;
-    strange[10] = 7;
-    let bad = [frame(1, 3, &[]), frame(1, 2, &record[1..]), frame(1, 1, &strange), vec![255; 4], vec![0; 4]];
-    let told: String = bad
+    let mut unknown_state = record;
+    unknown_state[10] = 7;
+    let malformed =
+        [frame(1, 3, &[]), frame(1, 2, &record[1..]), frame(1, 1, &unknown_state), vec![255; 4], vec![0; 4]];
+    let errors: String = malformed
         .iter()
         .map(|bytes| format!("{:?}\n", discovery::parse_frame(bytes).err().map(|error| error.to_string())))
         .collect();
@@ -175,11 +177,11 @@
         Some("a frame of 4294967295 bytes")
         Some("a frame of 0 bytes")
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&errors);
 }
 
 #[test]
-fn the_group_is_the_number_of_a_schema_that_a_table_stands_behind() {
+fn the_table_group_is_the_number_of_the_schema_of_a_table() {
     let statements = [
         "SELECT day, count(*) FROM sales_17.orders WHERE tag = 'x' GROUP BY day",
         "select a.id, 'from lake_0.decoy' as note\n from mart_4.visits a where a.tag = '1'",
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -148,7 +148,7 @@
     fixture.receive(&[REQUEST_ID_BYTES, b"HIT", b"pages=1", b"a\tb\tc\n"]);
     fixture.pool.attempt_overdue(fixture.attempt, &mut fixture.context);
     let event = match fixture.pool.events.pop_front() {
-        Some(PoolEvent::Ended(ended, body, _)) => {
+        Some(PoolEvent::Ended { ended, body, .. }) => {
             format!("{:?}, {:?} bytes", ended.outcome, body.map(|body| body.len()))
         }
         _ => "nothing".into(),
