--- a/crates/model-checker/src/life.rs
+++ b/crates/model-checker/src/life.rs
@@ -245,7 +245,12 @@
             .hash(&mut digest);
             digest.finish()
         };
-        let with = Fingerprint { now: self.now, more, alike: world.alike, beside: &beside };
+        let with = Fingerprint {
+            now: self.now,
+            more_arrivals: more,
+            engines_interchangeable: world.alike,
+            engine_state: &beside,
+        };
         self.scheduler.fingerprint(&with, &mut digest);
         for site in self.sites.iter().filter(|site| site.forgotten) {
             site.lifecycle.hash(&mut digest);
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -13,8 +13,15 @@
     pub to: &'static str,
 }
 
-const LOGIC: &str = "src/logic.rs";
-const STATE: &str = "src/state.rs";
+const DEADLINES: &str = "src/policy/deadlines.rs";
+const ESTIMATES: &str = "src/policy/estimates.rs";
+const ORDERING: &str = "src/policy/ordering.rs";
+const PLACEMENT: &str = "src/policy/placement.rs";
+const RETRIES: &str = "src/policy/retries.rs";
+const SLOW_START: &str = "src/policy/slow_start.rs";
+const ENGINE_STATE: &str = "src/state/engine.rs";
+const RECORDING: &str = "src/state/recording.rs";
+const REQUEST_STATE: &str = "src/state/request.rs";
 
 const FLOOR: &str = "crates/router/src/dispatch.rs";
 const FRONT: &str = "crates/router/src/server.rs";
@@ -32,111 +39,147 @@
     Mutant { name, file: DISCOVERY, from, to }
 }
 
-const fn logic(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
-    Mutant { name, file: LOGIC, from, to }
+const fn scheduler(name: &'static str, file: &'static str, from: &'static str, to: &'static str) -> Mutant {
+    Mutant { name, file, from, to }
 }
 
 pub const MUTANTS: &[Mutant] = &[
-    logic(
+    scheduler(
         "attempt limit off by one",
+        RETRIES,
         "request.attempts.len() < self.attempt_limits.max_attempts",
         "request.attempts.len() <= self.attempt_limits.max_attempts",
     ),
-    logic("window doubled", "< attempt.sent + *window", "< attempt.sent + *window * 2"),
-    logic(
+    scheduler("window doubled", RETRIES, "< first.sent_at + *window", "< first.sent_at + *window * 2"),
+    scheduler(
         "cell ignored",
+        PLACEMENT,
         "KeyScope::Cell => first.cell == engine.cell",
         "KeyScope::Cell => first.cell == first.cell",
     ),
-    logic(
+    scheduler(
         "location ignored",
+        PLACEMENT,
         "KeyScope::Location => first.location == engine.location",
         "KeyScope::Location => true",
     ),
-    logic(
+    scheduler(
         "drained engine allowed",
-        "engine.lifecycle.accepts_requests() && placed && same_group",
-        "placed && same_group",
+        PLACEMENT,
+        "engine.lifecycle.accepts_requests() && is_placed && in_scope",
+        "is_placed && in_scope",
     ),
-    logic(
+    scheduler(
         "placement ignored",
-        "engine.lifecycle.accepts_requests() && placed && same_group",
-        "engine.ready && same_group",
+        PLACEMENT,
+        "engine.lifecycle.accepts_requests() && is_placed && in_scope",
+        "engine.lifecycle.accepts_requests() && in_scope",
     ),
-    logic(
+    scheduler(
         "non-idempotent sent again",
+        RETRIES,
         "(Effect::NonIdempotent, Some(_)) => false",
         "(Effect::NonIdempotent, Some(_)) => true",
     ),
-    logic("reject for anything", "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
-    logic(
+    scheduler(
+        "reject for anything",
+        RETRIES,
+        "_ => request.first_that_may_have_run().is_none(),",
+        "_ => true,",
+    ),
+    scheduler(
         "a broken attempt never ran",
+        REQUEST_STATE,
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void]",
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Broken]",
     ),
-    logic(
+    scheduler(
         "key order ignored",
-        "key_queue.requests.front() == Some(&id)\n            && key_queue.rest",
-        "key_queue.rest",
+        ORDERING,
+        "key_queue.requests.front() == Some(&id)\n            && key_queue.cooldown",
+        "key_queue.cooldown",
+    ),
+    scheduler(
+        "key cooldown ignored",
+        ORDERING,
+        "cooldown.after == id || cooldown.until <= now",
+        "cooldown.after == id || cooldown.until > Duration::ZERO",
     ),
-    logic("key rest ignored", "by == id || until <= now", "by == id || until > Duration::ZERO"),
-    logic(
-        "key rest after breaks forgotten",
-        "AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Withdrawn);\n        if let (Some(key)",
-        "AttemptOutcome::TimedOut | AttemptOutcome::Withdrawn);\n        if let (Some(key)",
+    scheduler(
+        "key cooldown after breaks forgotten",
+        ORDERING,
+        "matches!(ended.outcome, TimedOut | Broken | Withdrawn)",
+        "matches!(ended.outcome, TimedOut | Withdrawn)",
     ),
-    logic(
-        "attempt budget off by one",
+    scheduler(
+        "retry budget off by one",
+        RETRIES,
         "budget.spare + budget.per_request",
         "1.0 + budget.spare + budget.per_request",
     ),
-    logic(
-        "further attempts not counted",
-        "self.further.extend((!request.attempts.is_empty()).then_some(now));",
-        "",
+    scheduler("retries not counted", RECORDING, "self.retried_at.push_back(now);", ""),
+    scheduler(
+        "two in a warming engine's window",
+        SLOW_START,
+        "sent + usual <= budget.max(usual)",
+        "sent <= budget.max(usual)",
     ),
-    logic("two in a cold engine's window", "sent + usual <= budget.max(usual)", "sent <= budget.max(usual)"),
-    logic(
-        "cold window halved",
+    scheduler(
+        "slow start window halved",
+        SLOW_START,
         "let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6));",
         "let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6) / 2.0);",
     ),
-    Mutant {
-        name: "a start is not cold",
-        file: STATE,
-        from: "cold_since: row.launched,",
-        to: "cold_since: None,",
-    },
-    logic(
+    scheduler(
+        "no slow start after a launch",
+        ENGINE_STATE,
+        "warming_since: row.launched,",
+        "warming_since: None,",
+    ),
+    scheduler(
         "cancelled again",
-        "self.attempt_limits.may_cancel && !self.requests[id].attempts[*attempt].cancelled",
-        "self.attempt_limits.may_cancel",
+        RETRIES,
+        "may_cancel && !self.requests[&id.request].attempts[id.attempt].cancelled",
+        "may_cancel",
     ),
-    logic("cancels where it may not", "self.attempt_limits.may_cancel && !self", "!self"),
-    logic("answers too late", "let soon = now + scheduler.margin() * 3;", "let soon = now;"),
-    logic(
-        "nobody wakes it for what is out",
+    scheduler("cancels where it may not", RETRIES, "may_cancel && !self", "!self"),
+    scheduler("answers too late", DEADLINES, "let soon = now + self.final_answer_lead();", "let soon = now;"),
+    scheduler(
+        "nobody wakes it for what is in flight",
+        DEADLINES,
         "if !self.requests.is_empty() && (self.wake_due",
-        "if held && (self.wake_due",
+        "if any_queued && (self.wake_due",
     ),
-    logic("answered again", "self.requests.entry(*id).and_modify(|request| request.over = true);", ""),
-    Mutant {
-        name: "sent while an attempt is out",
-        file: STATE,
-        from: "!self.over && !self.out()",
-        to: "!self.over",
-    },
-    logic("grant without limit", "* GRANT).min(most)", "* GRANT).min(most * 2.0)"),
-    logic(
+    scheduler("answered again", DEADLINES, "self.record_done(*id);", ""),
+    scheduler(
+        "sent while an attempt is in flight",
+        REQUEST_STATE,
+        "!self.is_done() && !self.is_in_flight()",
+        "!self.is_done()",
+    ),
+    scheduler(
+        "grant without limit",
+        ESTIMATES,
+        "map_or_else(unestimated, estimated).min(limit)",
+        "map_or_else(unestimated, estimated).min(limit * 2.0)",
+    ),
+    scheduler(
         "engines never forgotten",
-        "engine.lifecycle.is_deregistered() && !seen(**id)",
-        "engine.lifecycle.is_deregistered() && !seen(**id) && seen(**id)",
+        DEADLINES,
+        "find(|(id, _)| !in_use(**id))",
+        "find(|(id, _)| !in_use(**id) && in_use(**id))",
+    ),
+    scheduler(
+        "a client that left is not noted",
+        RECORDING,
+        "for id in withdrawn {\n            self.record_done(*id);\n        }",
+        "let _ = withdrawn;",
     ),
-    logic("a client that left is not noted", "if over { request.over = true }", "if over { let _ = id; }"),
-    logic(
+    scheduler(
         "the end of the process is not heeded",
-        "soon >= scheduler.shutdown_at || request.held() && hopeless()",
-        "request.held() && hopeless()",
+        DEADLINES,
+        "soon >= self.shutdown_at || r.is_queued() && is_hopeless(r)",
+        "r.is_queued() && is_hopeless(r)",
     ),
     engines(
         "calls left in place at a drain",
@@ -360,7 +403,7 @@
     let near: Vec<&str> = match mutant.file {
         QUEUES | ORDER => turns::WORLDS.iter().map(|world| world.name).collect(),
         DISCOVERY => paper::WORLDS.iter().map(|world| world.name).collect(),
-        LOGIC | STATE => vec!["--short"],
+        file if file.starts_with("src/") => vec!["--short"],
         ENGINES => connections.chain(house).collect(),
         _ => house.collect(),
     };
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -112,7 +112,10 @@
     pub fn fingerprint(&self, into: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
         let since = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        self.scheduler.fingerprint(&Fingerprint { now, more: true, alike: false, beside: &|_| 0 }, into);
+        self.scheduler.fingerprint(
+            &Fingerprint { now, more_arrivals: true, engines_interchangeable: false, engine_state: &|_| 0 },
+            into,
+        );
         self.dispatcher.fingerprint(into);
         (self.leaving.map(since), self.left).hash(into);
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,18 +6,23 @@
 //!
 //! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller gives out.
 
+#![warn(missing_docs)]
+
 mod actions;
 mod fingerprint;
+mod handlers;
 mod input;
-mod logic;
+mod policy;
 mod samples;
+mod scheduler;
 mod state;
 
 pub use actions::Actions;
 pub use fingerprint::{Fingerprint, HeldCounts};
+pub use handlers::Capacity;
 pub use input::{
     Arrival, AttemptEnded, AttemptLimits, AttemptOutcome, Effect, Endpoint, EndpointUpdate, EngineId,
     EngineKind, Fleet, KeyId, KeyScope, Lifecycle, LoadReport, ProgressNote, RequestClass, RequestId,
     RetryBudget, Usage,
 };
-pub use logic::{Capacity, Scheduler};
+pub use scheduler::Scheduler;
--- /dev/null
+++ b/src/state/recording.rs
@@ -0,0 +1,227 @@
+//! Entering what happened: nothing here chooses.
+
+use super::{
+    Attempt, AttemptId, Cooldown, Engine, InFlight, ReceivedReport, Request, RequestPhase, SchedulerState,
+    Tier,
+};
+use crate::samples::{duration, mean, seconds};
+use crate::{
+    Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, Lifecycle, LoadReport, ProgressNote, RequestId,
+};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+impl SchedulerState {
+    /// Enters a request that was accepted.
+    pub fn record_accepted(&mut self, now: Duration, id: RequestId, request: Request) {
+        if let Some(key) = request.key {
+            self.key_queues.entry(key).or_default().requests.push_back(id);
+        }
+        self.requests.insert(id, request);
+        self.accepted_at.push_back(now);
+    }
+
+    /// A request as it arrives, with the work in seconds and the memory in MB that are expected of it. So much of
+    /// the way to its objective is spent.
+    pub fn new_request(
+        &self,
+        now: Duration,
+        arrival: &Arrival,
+        (work, memory_mb): (f64, f64),
+        spent: Duration,
+    ) -> Request {
+        let class = &self.classes[arrival.class];
+        let ideal_run = work / class.threads.max(1.0);
+        let arrived_at = now.saturating_sub(arrival.waited);
+        let deadline = (arrived_at + arrival.deadline).min(self.shutdown_at);
+        let objective = arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run);
+        Request {
+            class: arrival.class,
+            key: arrival.key.filter(|_| class.keeps_order),
+            estimated_work: arrival.cost.map(seconds),
+            estimated_memory_mb: arrival.memory_mb,
+            ideal_run,
+            memory_mb,
+            group: arrival.group,
+            arrived_at,
+            objective_at: objective.saturating_sub(spent).min(deadline),
+            deadline,
+            phase: RequestPhase::Open,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// Enters an attempt that is being sent.
+    pub fn record_sent(
+        &mut self,
+        now: Duration,
+        id: RequestId,
+        to: EngineId,
+        tier: Tier,
+        grant_mb: f64,
+    ) -> InFlight {
+        let class = self.requests[&id].class;
+        let usual_work = self.usual_work(class);
+        let request = self.requests.get_mut(&id).expect("a queued request");
+        if !request.attempts.is_empty() {
+            self.retried_at.push_back(now);
+        }
+        let (attempt, threads) = (request.attempts.len(), self.classes[class].threads);
+        let sent = InFlight { request: id, attempt, sent_at: now, tier, grant_mb, threads };
+        request.attempts.push(Attempt::new(now, to, grant_mb));
+        let engine = self.engines.get_mut(&to).expect("a listed engine");
+        engine.in_flight.push(sent.clone());
+        engine.sent_work.push(now, usual_work);
+        engine.note_group(request.group, self.window_sizes.outcomes);
+        sent
+    }
+
+    /// Enters that an attempt is being cancelled.
+    pub fn record_cancelled(&mut self, id: AttemptId) {
+        let request = self.requests.get_mut(&id.request).expect("a request in flight");
+        request.attempts[id.attempt].cancelled = true;
+    }
+
+    /// Enters a load report, and returns it with the part of the cores that is busy, as far as that can be told:
+    /// else by the requests in flight, with the mean of this router's threads.
+    pub fn record_report(&mut self, now: Duration, id: EngineId, mut load: LoadReport) -> Option<LoadReport> {
+        let kind = self.engines.get(&id)?.kind;
+        load.in_flight = load.in_flight.filter(|_| load.busy.is_none());
+        if let Some(in_flight) = load.in_flight {
+            let threads = mean(self.in_flight().map(|(_, request)| self.classes[request.class].threads));
+            load.busy = Some(in_flight * threads.unwrap_or(1.0) / self.fleet.kinds[kind].cores);
+        }
+        self.engines.entry(id).and_modify(|engine| engine.report = Some(ReceivedReport { at: now, load }));
+        Some(load)
+    }
+
+    /// Enters a sample of this router's share: what its attempts hold, but for the one that ended, over what the
+    /// fleet does with as much granted everywhere. At one engine alone, those with an own attempt would count too
+    /// often.
+    pub fn record_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
+        let others = self.in_flight().filter(|(request, _)| Some(*request) != ended);
+        let own: f64 = others.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant_mb).sum();
+        let ready = self.engines.values().filter(|engine| engine.lifecycle.accepts_requests());
+        let all: f64 = ready.map(|engine| self.fleet.kinds[engine.kind].memory_mb).sum();
+        self.shares.push(now, (own / (granted * all.max(1.0))).min(1.0));
+    }
+
+    /// Enters the end of an attempt and returns the attempt, unless nothing is known of it.
+    pub fn record_ended(&mut self, ended: &AttemptEnded) -> Option<Attempt> {
+        let request = self.requests.get_mut(&ended.request)?;
+        if ended.request_done {
+            request.phase = RequestPhase::Done;
+        }
+        let attempt = request.attempts.get_mut(ended.attempt)?;
+        attempt.outcome = Some(ended.outcome);
+        let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
+        engine.in_flight.retain(|other| (other.request, other.attempt) != (ended.request, ended.attempt));
+        Some(attempt.clone())
+    }
+
+    /// Enters that a key's other requests wait after an attempt of this one.
+    pub fn record_cooldown(&mut self, now: Duration, id: RequestId) {
+        let key = self.requests.get(&id).and_then(|request| request.key);
+        if let (Some(key), Some(cooldown)) = (key, self.attempt_limits.key_cooldown) {
+            let until = now + cooldown;
+            self.key_queues.entry(key).or_default().cooldown = Some(Cooldown { after: id, until });
+        }
+    }
+
+    /// Enters what an engine told of an attempt, and whether that shows a shortage of memory.
+    pub fn record_progress(
+        &mut self,
+        now: Duration,
+        id: RequestId,
+        attempt: usize,
+        note: ProgressNote,
+        is_short: bool,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = request.attempts.get_mut(attempt) else { return };
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        engine.last_sign_at = now;
+        attempt.last_sign_at = now;
+        match note {
+            ProgressNote::Fraction(done) if done > 0.0 => attempt.expect_finish(now, done),
+            ProgressNote::Spilling(missing_mb) => attempt.spilled_mb = attempt.spilled_mb.max(missing_mb),
+            ProgressNote::WaitingForMemory => attempt.is_stalled = true,
+            ProgressNote::WaitingForLoad => {
+                attempt.is_stalled = true;
+                engine.loads_noted.extend(request.group.map(|group| (group, now)));
+            }
+            ProgressNote::Running | ProgressNote::Fraction(_) => {}
+        }
+        if is_short {
+            engine.short_at = Some(now);
+        }
+    }
+
+    /// Enters that clients stopped waiting for some requests, and that those of others may be gone.
+    pub fn record_clients_left(&mut self, withdrawn: &[RequestId], half_closed: &[RequestId]) {
+        for id in withdrawn {
+            self.record_done(*id);
+        }
+        for id in half_closed {
+            if let Some(request) = self.requests.get_mut(id)
+                && request.phase == RequestPhase::Open
+            {
+                request.phase = RequestPhase::Abandoned;
+            }
+        }
+    }
+
+    /// Enters that a request needs no answer any more.
+    pub fn record_done(&mut self, id: RequestId) {
+        self.requests.entry(id).and_modify(|request| request.phase = RequestPhase::Done);
+    }
+
+    /// Enters rows of the endpoint list. An engine that started anew keeps only what is still in flight there.
+    pub fn record_endpoints(&mut self, now: Duration, update: EndpointUpdate, rows: Vec<Endpoint>) {
+        if update == EndpointUpdate::FullList {
+            self.engines.values_mut().for_each(|engine| engine.lifecycle = Lifecycle::Gone);
+        }
+        for row in rows {
+            let new = || Engine::new(&row, now, self.window_sizes);
+            let engine = self.engines.entry(row.engine).or_insert_with(new);
+            engine.lifecycle = row.lifecycle;
+            if row.launched.is_some() && row.launched != engine.launched {
+                let before = std::mem::replace(engine, new());
+                engine.in_flight = before.in_flight;
+                engine.sent_work = before.sent_work;
+            }
+        }
+    }
+
+    /// Enters when the process ends: nobody waits longer than that.
+    pub fn record_shutdown(&mut self, by: Duration) {
+        self.shutdown_at = by;
+        for request in self.requests.values_mut() {
+            request.deadline = request.deadline.min(by);
+            request.objective_at = request.objective_at.min(by);
+        }
+    }
+
+    /// Removes requests that are done and have nothing in flight; tells whether there were any.
+    pub fn remove_finished_requests(&mut self, now: Duration) -> bool {
+        let finished = self.requests.extract_if(.., |_, request| request.is_finished());
+        let finished: BTreeSet<RequestId> = finished.map(|(id, _)| id).collect();
+        if finished.is_empty() {
+            return false;
+        }
+        for key_queue in self.key_queues.values_mut() {
+            key_queue.requests.retain(|id| !finished.contains(id));
+        }
+        self.key_queues
+            .retain(|_, key_queue| !key_queue.requests.is_empty() || key_queue.is_cooling_down(now));
+        true
+    }
+
+    /// Drops times that the retry budget does not count any more.
+    pub fn prune_retry_budget(&mut self, now: Duration) {
+        let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.window);
+        for times in [&mut self.accepted_at, &mut self.retried_at] {
+            while times.pop_front_if(|at| *at + window < now).is_some() {}
+        }
+    }
+}
