--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -86,7 +86,7 @@
 }
 
 fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
-    let mut words: Vec<String> = Vec::new();
+    let mut operands: Vec<String> = Vec::new();
     let mut options = Options::default();
     let mut has_options = false;
     while let Some(argument) = arguments.next()? {
@@ -97,18 +97,18 @@
             Long("memory") => options.memory_mb = arguments.value()?.parse()?,
             Long("threads") => options.threads = arguments.value()?.parse()?,
             Short('h') | Long("help") => return Ok(Command::Help),
-            Value(word) => words.push(word.string()?),
+            Value(operand) => operands.push(operand.string()?),
             other => return Err(other.unexpected()),
         }
     }
-    match words.first().map(String::as_str) {
+    match operands.first().map(String::as_str) {
         Some("mutants" | "scenarios" | "worlds" | "help") if has_options => {
             Err("options belong to an exploration".into())
         }
-        Some("mutants") => Ok(Command::PlantMutants { names: words.split_off(1) }),
-        Some("scenarios" | "worlds") if words.len() == 1 => Ok(Command::ListScenarios),
+        Some("mutants") => Ok(Command::PlantMutants { names: operands.split_off(1) }),
+        Some("scenarios" | "worlds") if operands.len() == 1 => Ok(Command::ListScenarios),
         Some("help") => Ok(Command::Help),
-        _ => Ok(Command::Explore { names: words, options }),
+        _ => Ok(Command::Explore { names: operands, options }),
     }
 }
 
--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -34,8 +34,8 @@
     run.state
 }
 
-/// What the attempts that end with a transition end by: malformed bytes may end all attempts of the connection, and so
-/// may anything that is no message.
+/// The cause of every attempt that ends in a transition: a well-formed message is bound to one attempt or to none.
+/// Malformed bytes may end any attempt, and the second half of an answer is not attributed to one.
 fn cause_of(transition: Transition) -> Cause {
     match transition {
         Transition::EngineSends { message: EngineMessage::Malformed | EngineMessage::SecondHalf, .. } => {
@@ -46,7 +46,7 @@
     }
 }
 
-/// What is called with an attempt, by which the engine tells calls apart.
+/// The statement of an attempt, by which the engine in the model recognises its call.
 fn statement(request: usize, number: usize) -> String {
     format!("request {request} attempt {number}")
 }
--- a/crates/model-checker/src/connection_model/scenario.rs
+++ b/crates/model-checker/src/connection_model/scenario.rs
@@ -36,9 +36,9 @@
     Drains,
     /// Its process was started anew at its address.
     Restarts,
-    /// It is gone, and its number is let go.
+    /// It is no longer listed, and its number may be reused.
     Gone,
-    /// It is gone, and another one took its address under an id of its own.
+    /// It is no longer listed, and another engine has its address under an id of its own.
     Replaced,
 }
 
@@ -69,3 +69,21 @@
     /// Whether it belongs to the short set.
     pub in_short_set: bool,
 }
+
+impl ConnectionScenario {
+    /// One request of two attempts on at most two connections, to an engine that sends nothing.
+    pub const BASE: ConnectionScenario = ConnectionScenario {
+        name: "base",
+        description: "one request of two attempts to an engine that sends nothing",
+        requests: 1,
+        max_attempts: 2,
+        messages: &[],
+        max_faults: 0,
+        endpoint_changes: &[],
+        max_connections: 2,
+        streams: 2,
+        initial_capacity: None,
+        cancels: true,
+        in_short_set: true,
+    };
+}
--- a/crates/model-checker/src/connection_model/scenarios.rs
+++ b/crates/model-checker/src/connection_model/scenarios.rs
@@ -18,27 +18,18 @@
     ConnectionScenario {
         name: "a connection's answers",
         description: "one request of two attempts, every message, cancelled calls, the engine draining, restarted, gone or replaced",
-        requests: 1,
-        max_attempts: 2,
         messages: WELL_FORMED,
-        max_faults: 0,
         endpoint_changes: &[
             EndpointChange::Drains,
             EndpointChange::Restarts,
             EndpointChange::Gone,
             EndpointChange::Replaced,
         ],
-        max_connections: 2,
-        streams: 2,
-        initial_capacity: None,
-        cancels: true,
-        in_short_set: true,
+        ..ConnectionScenario::BASE
     },
     ConnectionScenario {
         name: "a connection's faults",
         description: "one request of two attempts, split, repeated, unknown or malformed answers, resets, twice in all",
-        requests: 1,
-        max_attempts: 2,
         messages: &[
             EngineMessage::Result,
             EngineMessage::FirstOfTwoPages,
@@ -51,12 +42,7 @@
             EngineMessage::Malformed,
         ],
         max_faults: 2,
-        endpoint_changes: &[],
-        max_connections: 2,
-        streams: 2,
-        initial_capacity: None,
-        cancels: true,
-        in_short_set: true,
+        ..ConnectionScenario::BASE
     },
     ConnectionScenario {
         name: "a shared connection",
@@ -73,26 +59,18 @@
             EngineMessage::Malformed,
         ],
         max_faults: 1,
-        endpoint_changes: &[],
         max_connections: 1,
-        streams: 2,
-        initial_capacity: None,
-        cancels: true,
         in_short_set: false,
+        ..ConnectionScenario::BASE
     },
     ConnectionScenario {
         name: "a narrow connection",
         description: "one request of two attempts on sockets that take ten bytes at first, a drain or a restart, one reset",
-        requests: 1,
-        max_attempts: 2,
         messages: &[EngineMessage::Result, EngineMessage::Pong],
         max_faults: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Restarts],
-        max_connections: 2,
-        streams: 2,
         initial_capacity: Some(10),
-        cancels: true,
-        in_short_set: true,
+        ..ConnectionScenario::BASE
     },
     ConnectionScenario {
         name: "two on a narrow connection",
@@ -100,12 +78,9 @@
         requests: 2,
         max_attempts: 1,
         messages: &[EngineMessage::Result, EngineMessage::Pong],
-        max_faults: 0,
         endpoint_changes: &[EndpointChange::Drains],
         max_connections: 1,
-        streams: 2,
         initial_capacity: Some(0),
-        cancels: true,
-        in_short_set: true,
+        ..ConnectionScenario::BASE
     },
 ];
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Changes the environment and tells the scheduler.
+/// Changes the environment and passes the input to the scheduler.
 fn give_input(model: &ModuleModel, state: &mut ModuleState, transition: Transition, events: &mut EventLog) {
     let now = state.now;
     match transition {
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -46,7 +46,7 @@
 pub enum EndpointChange {
     /// It drains: no new attempt may be sent to it.
     Drains,
-    /// It is gone.
+    /// It is no longer listed.
     Gone,
     /// It is ready again after draining.
     Returns,
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -1,6 +1,6 @@
 //! The scenarios of the module model. Each is small enough to be explored completely, unless it names a `max_depth`.
 
-use super::scenario::{EndpointChange, RequestSpec, Scenario, keyed_request, request};
+use super::scenario::{EndpointChange, RequestSpec, Scenario, Setup, keyed_request, request};
 use crate::setup;
 use emberflow::{AttemptOutcome, LoadReport, ProgressNote, RetryBudget};
 use std::time::Duration;
@@ -36,6 +36,14 @@
 const FULL_ENGINE: LoadReport =
     LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
 
+/// Two classes whose requests of one key run in order, a cooldown of keys, and no cancellation.
+const KEYS_IN_ORDER_WITHOUT_CANCEL: Setup = setup!(|fleet, classes, attempt_limits| {
+    classes[0].keeps_order = true;
+    classes[4].keeps_order = true;
+    attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
+    attempt_limits.may_cancel = false;
+});
+
 /// All scenarios of the module model.
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
@@ -231,12 +239,7 @@
     Scenario {
         name: "one key, two effects",
         description: "an idempotent request, whose retries need no cooldown, and a non-idempotent one of its key that does",
-        setup: setup!(|fleet, classes, attempt_limits| {
-            classes[0].keeps_order = true;
-            classes[4].keeps_order = true;
-            attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
-            attempt_limits.may_cancel = false;
-        }),
+        setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[(0, 0)],
         requests: &[keyed_request(0, 1), keyed_request(4, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
@@ -246,12 +249,7 @@
     Scenario {
         name: "three of one key",
         description: "a non-idempotent request between two idempotent ones of its key: one cooldown after another",
-        setup: setup!(|fleet, classes, attempt_limits| {
-            classes[0].keeps_order = true;
-            classes[4].keeps_order = true;
-            attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
-            attempt_limits.may_cancel = false;
-        }),
+        setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[(0, 0)],
         requests: &[keyed_request(0, 1), keyed_request(4, 1), keyed_request(0, 1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The smallest difference between two times that is told apart.
+/// The smallest difference between two times that matters.
 const SMALLEST_TIME_STEP: Duration = Duration::from_millis(1);
 /// Ways in which chance may order engines: enough for two attempts in a row among three engines.
 const CHANCE_DRAWS: u64 = 6;
@@ -52,7 +52,7 @@
     append_time_transitions(model, state, transitions);
 }
 
-/// The draws to be told apart before an input; one where no engine can be chosen.
+/// The draws to explore before an input; one where no engine can be chosen.
 fn draws(model: &ModuleModel, may_send: bool) -> Range<u64> {
     if may_send && model.engines.len() > 1 { 0..CHANCE_DRAWS } else { 0..1 }
 }
--- a/crates/model-checker/src/router_model/scenario.rs
+++ b/crates/model-checker/src/router_model/scenario.rs
@@ -43,7 +43,7 @@
     pub max_faults: u8,
     /// Whether the first engine may drain.
     pub drains: bool,
-    /// Whether the process may be told to terminate.
+    /// Whether the process may be asked to terminate.
     pub restarts: bool,
     /// Whether clients read only a few bytes at first, and the rest later.
     pub slow_readers: bool,
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -115,7 +115,7 @@
     pub faults: u8,
     /// Whether the first engine drains.
     pub is_draining: bool,
-    /// Whether the process was told to terminate.
+    /// Whether the process was asked to terminate.
     pub is_terminating: bool,
     /// The first invariant that was violated.
     pub violated: Option<&'static str>,
--- a/crates/model-checker/src/router_model/transition.rs
+++ b/crates/model-checker/src/router_model/transition.rs
@@ -33,7 +33,7 @@
     ResetConnection { connection: Slot },
     /// The first engine drains.
     DrainEngine,
-    /// The process is told to terminate.
+    /// The process is asked to terminate.
     Terminate,
     /// Time passes to the next timer.
     PassTime,
