--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -173,9 +173,9 @@
         let engine_fingerprint = |engine| self.engine_fingerprint(model, engine);
         let context = Fingerprint {
             now: self.now,
-            more: self.expects_arrival(model),
-            alike: model.interchangeable_engines,
-            beside: &engine_fingerprint,
+            more_arrivals: self.expects_arrival(model),
+            engines_interchangeable: model.interchangeable_engines,
+            engine_state: &engine_fingerprint,
         };
         self.scheduler.fingerprint(&context, &mut hasher);
         for engine in self.engine_records.iter().filter(|engine| engine.is_forgotten) {
