--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -98,7 +98,9 @@
     /// Feeds the state to `hasher`: two servers with the same fingerprint behave the same, whatever follows.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
-        self.scheduler.fingerprint(&Fingerprint { now, more: true, alike: false, beside: &|_| 0 }, hasher);
+        let fingerprint =
+            Fingerprint { now, more_arrivals: true, engines_interchangeable: false, engine_state: &|_| 0 };
+        self.scheduler.fingerprint(&fingerprint, hasher);
         self.dispatcher.fingerprint(hasher);
         self.state.fingerprint(now, hasher);
     }
