--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -1,6 +1,6 @@
 //! What the operator's file says, and what is said of one that is wrong.
 
-use emberflow_operator::Orders;
+use emberflow_operator::OperatorConfig;
 use expect_test::expect;
 
 fn example() -> String {
@@ -10,19 +10,22 @@
 
 #[test]
 fn the_example_says_what_its_comments_tell() {
-    let roll = Orders::read(&example()).expect("it makes sense").teams.expect("a roll");
-    let parts: Vec<String> =
-        roll.names.iter().map(|name| format!("{name} {:.3}", roll.charter.part(roll.team(name)))).collect();
+    let team_config = OperatorConfig::parse(&example()).expect("it makes sense").teams.expect("a roll");
+    let parts: Vec<String> = team_config
+        .names
+        .iter()
+        .map(|name| format!("{name} {:.3}", team_config.quotas.overall_share(team_config.team_index(name))))
+        .collect();
     expect![[r#"(others) 0.143, audit 0.429, posting 0.143, payroll 0.286 | 3 [0, 2] team urgency Some("tell_wait") 1s"#]]
         .assert_eq(&format!(
             "{} | {} {:?} {} {} {:?} {:?}",
             parts.join(", "),
-            roll.team("payroll"),
-            [roll.team("nobody"), roll.team("posting")],
-            roll.team_field,
-            roll.urgency_field,
-            roll.waits_field,
-            roll.told_every
+            team_config.team_index("payroll"),
+            [team_config.team_index("nobody"), team_config.team_index("posting")],
+            team_config.team_field,
+            team_config.urgency_field,
+            team_config.wait_notice_field,
+            team_config.wait_notice_interval
         ));
 }
 
@@ -49,8 +52,10 @@
     ];
     let told: String = told
         .iter()
-        .map(|text| match Orders::read(text) {
-            Ok(orders) => format!("{} teams\n", orders.teams.map_or(0, |roll| roll.names.len())),
+        .map(|text| match OperatorConfig::parse(text) {
+            Ok(config) => {
+                format!("{} teams\n", config.teams.map_or(0, |team_config| team_config.names.len()))
+            }
             Err(fault) => format!("{fault}\n"),
         })
         .collect();
@@ -78,9 +83,9 @@
 
 #[test]
 fn a_changed_roll_tells_what_changed_and_where_its_teams_stand() {
-    let read = |text: &str| Orders::read(text).expect("it makes sense").teams.expect("a roll");
+    let read = |text: &str| OperatorConfig::parse(text).expect("it makes sense").teams.expect("a roll");
     let old = read("{teams: {list: [{name: 'a'}, {name: 'b'}, {name: 'c', budget: {work_s: 1, per_s: 2}}]}}");
     let new = read("{teams: {list: [{name: 'd'}, {name: 'c'}, {name: 'a'}]}}");
     expect![[r#"[Some(0), Some(3), None, Some(2)] ["b is gone", "c has another share, budget or bound", "d is new"]"#]]
-        .assert_eq(&format!("{:?} {:?}", old.on(&new), old.changes(&new)));
+        .assert_eq(&format!("{:?} {:?}", old.indices_in(&new), old.describe_changes(&new)));
 }
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -2,8 +2,8 @@
 //! and not yet accepted. Whose turn it is and what a wait will be is decided by `emberflow-teams`.
 
 use emberflow::{Arrival, Capacity, RequestId};
-use emberflow_operator::Roll;
-use emberflow_teams::{Asking, Outcome, Queues, Refusal, Wait};
+use emberflow_operator::TeamConfig;
+use emberflow_teams::{NewRequest, Outcome, Queues, Rejection, WaitEstimate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 
 #[derive(Clone)]
 pub struct AdmissionQueue {
-    pub roll: Roll,
+    pub team_config: TeamConfig,
     queues: Queues,
     waiting: BTreeMap<RequestId, Waiting>,
     due: BTreeSet<(Duration, Call, RequestId)>,
@@ -56,24 +56,29 @@
 }
 
 impl AdmissionQueue {
-    pub fn new(roll: Roll, now: Duration) -> Self {
-        let queues = Queues::new(roll.charter.clone(), now);
+    pub fn new(team_config: TeamConfig, now: Duration) -> Self {
+        let queues = Queues::new(team_config.quotas.clone(), now);
         let (waiting, due, usages) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
-        Self { roll, queues, waiting, due, usages }
+        Self { team_config, queues, waiting, due, usages }
     }
 
     /// Takes a request in, or tells after what time such a one would be taken.
-    pub fn enqueue(&mut self, now: Duration, arrival: Arrival, admission: Admission) -> Result<(), Refusal> {
+    pub fn enqueue(
+        &mut self,
+        now: Duration,
+        arrival: Arrival,
+        admission: Admission,
+    ) -> Result<(), Rejection> {
         let Admission { team, urgency, identity, key, work, latency_objective, margin, asks_to_be_told } =
             admission;
         let (request, since) = (arrival.request, now.saturating_sub(arrival.waited));
         let deadline = arrival.deadline.saturating_sub(arrival.waited);
         let (class, identity) = (arrival.class as u16, Some(identity));
-        let asking =
-            Asking { request, team, urgency, class, work, latency_objective, deadline, identity, key };
-        self.queues.arrive(now, asking)?;
+        let new_request =
+            NewRequest { request, team, urgency, class, work, latency_objective, deadline, identity, key };
+        self.queues.enqueue(now, new_request)?;
         let by = now + deadline.saturating_sub(margin);
-        let told = (asks_to_be_told && self.roll.waits_field.is_some()).then_some(now);
+        let told = (asks_to_be_told && self.team_config.wait_notice_field.is_some()).then_some(now);
         self.due.insert((by, Call::HandOn, request));
         self.due.extend(told.map(|at| (at, Call::Tell, request)));
         self.waiting.insert(request, Waiting { arrival, since, by, told });
@@ -85,14 +90,14 @@
         if self.waiting.is_empty() {
             return None;
         }
-        self.queues.pass(now);
+        self.queues.advance(now);
         let late =
             self.due.iter().take_while(|(at, ..)| *at <= now).find(|(_, call, _)| *call == Call::HandOn);
         // Guards the order of keys: those that came before it are handed on before it.
         let late = late.map(|(.., request)| self.queues.first_of_key(*request));
         let its_turn = || {
             let mut capacity = capacity();
-            self.queues.next(|request| {
+            self.queues.next_fitting(|request| {
                 let waiting = self.waiting.get(&request);
                 waiting.is_some_and(|waiting| capacity.admits(&waiting.arrival(now)))
             })
@@ -107,7 +112,7 @@
     }
 
     fn hand(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
-        self.queues.let_go(now, request);
+        self.queues.dispatch(now, request);
         self.forget(request).map(|waiting| waiting.arrival(now))
     }
 
@@ -132,38 +137,42 @@
     pub fn closed(&mut self, now: Duration, request: RequestId, how: &str) {
         let usage = self.usages.remove(&request);
         if self.forget(request).is_some() {
-            self.queues.leave(now, request);
+            self.queues.remove(now, request);
             return;
         }
         let outcome = match (how, usage) {
-            ("requests_succeeded", Some(work)) => Outcome::Billed(work),
+            ("requests_succeeded", Some(work)) => Outcome::Measured(work),
             ("requests_succeeded" | "requests_failed", _) => Outcome::Unknown,
-            _ => Outcome::Back,
+            _ => Outcome::Refunded,
         };
         self.queues.settle(now, request, outcome);
     }
 
     /// Another roll: what waits moves with its team, by name.
-    pub fn change(&mut self, now: Duration, roll: Roll) {
-        self.queues.change(now, roll.charter.clone(), &self.roll.on(&roll));
-        self.roll = roll;
+    pub fn change(&mut self, now: Duration, team_config: TeamConfig) {
+        self.queues.reconfigure(now, team_config.quotas.clone(), &self.team_config.indices_in(&team_config));
+        self.team_config = team_config;
     }
 
     /// Requests that are to be told of their wait now, and those waits where anything can be said.
-    pub fn to_tell(&mut self, now: Duration) -> Vec<(RequestId, Wait)> {
+    pub fn to_tell(&mut self, now: Duration) -> Vec<(RequestId, WaitEstimate)> {
         let due = self.due.iter().take_while(|(at, ..)| *at <= now);
         let due: Vec<_> = due.filter(|(_, call, _)| *call == Call::Tell).copied().collect();
         let mut told = Vec::new();
         for (at, call, request) in due {
             self.due.remove(&(at, call, request));
             // A roll that was read anew may have it that nobody is told any more.
-            let again = self.roll.waits_field.as_ref().map(|_| now + self.roll.told_every);
+            let again = self
+                .team_config
+                .wait_notice_field
+                .as_ref()
+                .map(|_| now + self.team_config.wait_notice_interval);
             self.due.extend(again.map(|at| (at, Call::Tell, request)));
             self.waiting.entry(request).and_modify(|waiting| waiting.told = again);
             if again.is_none() {
                 continue;
             }
-            told.extend(self.queues.wait(now, request).map(|wait| (request, wait)));
+            told.extend(self.queues.estimate_wait(now, request).map(|wait| (request, wait)));
         }
         told
     }
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::{Event, known};
 use emberflow::{AttemptLimits, Fleet, RequestClass};
-use emberflow_operator::Orders;
+use emberflow_operator::OperatorConfig;
 use emberflow_settings::{
     Fault, Fields, attempt_limits, fleet, marks_retries, request_classes, unknown_reports,
 };
@@ -23,7 +23,7 @@
     /// Fields of the load report that go unread, in words.
     pub unread: Vec<String>,
     /// The operator's own file; nothing without one.
-    pub orders: Orders,
+    pub orders: OperatorConfig,
 }
 
 impl Bootstrap {
@@ -41,7 +41,7 @@
             last,
             events,
             config,
-            orders: Orders::default(),
+            orders: OperatorConfig::default(),
         })
     }
 }
@@ -49,7 +49,7 @@
 impl Bootstrap {
     /// Takes the operator's own file in, or tells its first fault.
     pub fn order(&mut self, text: &str) -> Result<(), String> {
-        self.orders = Orders::read(text)?;
+        self.orders = OperatorConfig::parse(text).map_err(|error| error.to_string())?;
         Ok(())
     }
 }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -96,7 +96,8 @@
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
     unread.iter().for_each(|unread| println!("{unread}, so it goes unread"));
     if let Some(roll) = orders.teams {
-        let part = |(at, name): (usize, &String)| format!("{name} {:.1} %", roll.charter.part(at) * 100.0);
+        let part =
+            |(at, name): (usize, &String)| format!("{name} {:.1} %", roll.quotas.overall_share(at) * 100.0);
         let parts: Vec<String> = roll.names.iter().enumerate().map(part).collect();
         println!("{} teams: {}", roll.names.len(), parts.join(", "));
     }
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -4,7 +4,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use emberflow_settings::Fields;
-use emberflow_teams::Wait;
+use emberflow_teams::WaitEstimate;
 use serde_json::{Value, json};
 
 /// The standard's codes, and those of the two answers that are no result.
@@ -76,9 +76,10 @@
 }
 
 /// How long an open request will wait yet, and how many of its team stand before it.
-pub fn waiting(id: u64, wait: &Wait) -> Vec<u8> {
-    let [least, likely, most] = [wait.least, wait.likely, wait.most].map(whole_ms);
-    let params = json!({"id": id, "place": wait.place, "leastMs": least, "likelyMs": likely, "mostMs": most});
+pub fn waiting(id: u64, wait: &WaitEstimate) -> Vec<u8> {
+    let [least, likely, most] = [wait.low, wait.median, wait.high].map(whole_ms);
+    let params =
+        json!({"id": id, "place": wait.position, "leastMs": least, "likelyMs": likely, "mostMs": most});
     format!("{}\n", json!({"jsonrpc": "2.0", "method": "waiting", "params": params})).into()
 }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -16,8 +16,8 @@
 use emberflow::{
     Actions, Arrival, AttemptEnded, EndpointUpdate, Fingerprint, KeyId, Lifecycle, RequestId, Scheduler,
 };
-use emberflow_operator::Roll;
-use emberflow_operator::roll::LONGEST_NAME;
+use emberflow_operator::MAX_NAME_BYTES;
+use emberflow_operator::TeamConfig;
 use emberflow_settings::{Fields, SettingsError, from_ms};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Read;
@@ -407,7 +407,7 @@
         let asks = self
             .admission_queue
             .as_ref()
-            .map(|admission_queue| team_and_urgency(&admission_queue.roll, fields))
+            .map(|admission_queue| team_and_urgency(&admission_queue.team_config, fields))
             .transpose()
             .map_err(wrong)?;
         let dispatcher = &mut self.dispatcher;
@@ -425,7 +425,7 @@
 
     // ---- teams ----
 
-    fn open_admission_queue(&mut self, roll: Roll, now: Duration) {
+    fn open_admission_queue(&mut self, roll: TeamConfig, now: Duration) {
         self.admission_queue = Some(AdmissionQueue::new(roll, now));
         self.dispatcher.closed = Some(Vec::new());
     }
@@ -503,11 +503,15 @@
 
     /// The operator's file, read anew: what waits moves with its team; where there are no teams any more, it is
     /// handed on.
-    pub fn reorder(&mut self, roll: Option<Roll>) {
+    pub fn reorder(&mut self, roll: Option<TeamConfig>) {
         let now = self.dispatcher.context.now();
         match (&mut self.admission_queue, roll) {
             (Some(admission_queue), Some(roll)) => {
-                admission_queue.roll.changes(&roll).iter().for_each(|what| log::info!("teams: {what}"));
+                admission_queue
+                    .team_config
+                    .describe_changes(&roll)
+                    .iter()
+                    .for_each(|what| log::info!("teams: {what}"));
                 admission_queue.change(now, roll);
             }
             (Some(_), None) => {
@@ -632,19 +636,19 @@
 }
 
 /// What a request says of its team, its urgency and whether its client wants to be told of its wait.
-fn team_and_urgency(roll: &Roll, fields: Fields) -> Result<(usize, u8, bool), String> {
+fn team_and_urgency(roll: &TeamConfig, fields: Fields) -> Result<(usize, u8, bool), String> {
     let (team, urgency) = (roll.team_field.as_str(), roll.urgency_field.as_str());
     let name = fields.maybe(team).map(|_| fields.text(team)).transpose()?.unwrap_or_default();
-    if name.len() > LONGEST_NAME {
-        return Err(format!("`{team}` is over {LONGEST_NAME} bytes"));
+    if name.len() > MAX_NAME_BYTES {
+        return Err(format!("`{team}` is over {MAX_NAME_BYTES} bytes"));
     }
     let urgency = match fields.maybe(urgency).map(|value| value.as_u64()) {
         None => 0,
         Some(Some(told @ 0..=3)) => told as u8,
         Some(_) => return Err(format!("`{urgency}` is not 0, 1, 2 or 3")),
     };
-    let told = roll.waits_field.as_ref().is_some_and(|field| fields.maybe_flag(field));
-    Ok((roll.team(name), urgency, told))
+    let told = roll.wait_notice_field.as_ref().is_some_and(|field| fields.maybe_flag(field));
+    Ok((roll.team_index(name), urgency, told))
 }
 
 /// The index of what a request's order goes by. Two names that came to one would only wait for each other.
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -2,15 +2,15 @@
 //! and what each waiting request holds in memory.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use emberflow_teams::{Allowance, Asking, Charter, Firm, Outcome, Queues, Team};
+use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, Team};
 use std::hint::black_box;
 use std::time::Duration;
 
 const TEAMS: usize = 1000;
 const REQUESTS: u32 = 100_000;
 
-fn asking(request: u32) -> Asking {
-    Asking {
+fn new_request(request: u32) -> NewRequest {
+    NewRequest {
         request,
         team: (request as usize * 7919) % TEAMS,
         urgency: request.is_multiple_of(11).into(),
@@ -26,19 +26,22 @@
 fn filled() -> Queues {
     let allowance = Allowance {
         work: Duration::from_secs(10),
-        over: Duration::from_secs(60),
+        period: Duration::from_secs(60),
         burst: Duration::from_secs(30),
     };
     let team = |at: usize| Team {
-        firm: at % 20,
+        organization: at % 20,
         share: 1.0 + (at % 3) as f64,
         allowance: at.is_multiple_of(2).then_some(allowance),
-        most_waiting: 10_000,
+        max_waiting: 10_000,
     };
-    let charter = Charter { firms: vec![Firm { share: 1.0 }; 20], teams: (0..TEAMS).map(team).collect() };
-    let mut queues = Queues::new(charter, Duration::ZERO);
+    let quotas = Quotas {
+        organizations: vec![Organization { share: 1.0 }; 20],
+        teams: (0..TEAMS).map(team).collect(),
+    };
+    let mut queues = Queues::new(quotas, Duration::ZERO);
     for request in 0..REQUESTS {
-        queues.arrive(Duration::from_micros(request.into()), asking(request)).expect("there is room");
+        queues.enqueue(Duration::from_micros(request.into()), new_request(request)).expect("there is room");
     }
     queues
 }
@@ -58,9 +61,9 @@
         bencher.iter(|| {
             now += Duration::from_micros(50);
             let request = queues.turns().next().expect("something waits");
-            queues.let_go(now, request);
-            queues.settle(now, request, Outcome::Billed(Duration::from_millis(50)));
-            queues.arrive(now, asking(next)).expect("there is room");
+            queues.dispatch(now, request);
+            queues.settle(now, request, Outcome::Measured(Duration::from_millis(50)));
+            queues.enqueue(now, new_request(next)).expect("there is room");
             next += 1;
         });
     });
@@ -69,18 +72,18 @@
         bencher.iter(|| {
             now += Duration::from_micros(50);
             let request = queues.turns().next().expect("something waits");
-            queues.let_go(now, request);
+            queues.dispatch(now, request);
             out.push(request);
             if queues.len() < REQUESTS as usize / 2 {
                 for request in out.drain(..) {
-                    queues.take_back(now, request);
+                    queues.requeue(now, request);
                 }
             }
         });
     });
     criterion.bench_function("an estimate", |bencher| {
         let request = queues.turns().nth(500).expect("something waits");
-        bencher.iter(|| black_box(queues.wait(now, request)));
+        bencher.iter(|| black_box(queues.estimate_wait(now, request)));
     });
 }
 
--- a/crates/teams/examples/compare.rs
+++ b/crates/teams/examples/compare.rs
@@ -4,7 +4,7 @@
 mod day;
 
 use day::*;
-use emberflow_teams::{Asking, Queues, Ticket};
+use emberflow_teams::{NewRequest, Queues, RequestId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -12,7 +12,7 @@
 
 /// Deficit round robin: each team in turn may have work up to what it has been granted by rounds.
 pub struct Rounds {
-    pub lines: Vec<VecDeque<(Ticket, f64)>>,
+    pub lines: Vec<VecDeque<(RequestId, f64)>>,
     pub shares: Vec<f64>,
     pub credit: Vec<f64>,
     pub at: usize,
@@ -20,11 +20,11 @@
 }
 
 impl Policy for Rounds {
-    fn arrive(&mut self, _: Duration, asking: Asking) -> bool {
-        self.lines[asking.team].push_back((asking.request, asking.work.as_secs_f64()));
+    fn enqueue(&mut self, _: Duration, new_request: NewRequest) -> bool {
+        self.lines[new_request.team].push_back((new_request.request, new_request.work.as_secs_f64()));
         true
     }
-    fn next(&mut self, _: Duration) -> Option<Ticket> {
+    fn next(&mut self, _: Duration) -> Option<RequestId> {
         if self.lines.iter().all(VecDeque::is_empty) {
             return None;
         }
@@ -43,25 +43,25 @@
             self.credit[self.at] += self.quantum * self.shares[self.at];
         }
     }
-    fn left(&mut self, _: Duration, request: Ticket) {
+    fn left(&mut self, _: Duration, request: RequestId) {
         self.lines.iter_mut().for_each(|line| line.retain(|(other, _)| *other != request));
     }
-    fn ended(&mut self, _: Duration, _: Ticket, _: Duration) {}
+    fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
 /// A draw among teams that have something waiting, by their shares.
 pub struct Lottery {
-    pub lines: Vec<VecDeque<Ticket>>,
+    pub lines: Vec<VecDeque<RequestId>>,
     pub shares: Vec<f64>,
     pub chance: StdRng,
 }
 
 impl Policy for Lottery {
-    fn arrive(&mut self, _: Duration, asking: Asking) -> bool {
-        self.lines[asking.team].push_back(asking.request);
+    fn enqueue(&mut self, _: Duration, new_request: NewRequest) -> bool {
+        self.lines[new_request.team].push_back(new_request.request);
         true
     }
-    fn next(&mut self, _: Duration) -> Option<Ticket> {
+    fn next(&mut self, _: Duration) -> Option<RequestId> {
         let wants = |at: &usize| !self.lines[*at].is_empty();
         let all: f64 = (0..self.lines.len()).filter(wants).map(|at| self.shares[at]).sum();
         let mut draw = self.chance.random::<f64>() * all;
@@ -71,10 +71,10 @@
         });
         drawn.and_then(|at| self.lines[at].pop_front())
     }
-    fn left(&mut self, _: Duration, request: Ticket) {
+    fn left(&mut self, _: Duration, request: RequestId) {
         self.lines.iter_mut().for_each(|line| line.retain(|other| *other != request));
     }
-    fn ended(&mut self, _: Duration, _: Ticket, _: Duration) {}
+    fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
 fn row(name: &str, day: &Day, policy: &mut impl Policy) {
@@ -127,6 +127,6 @@
     );
     let chance = StdRng::seed_from_u64(seed);
     row("lottery", &day, &mut Lottery { lines: vec![VecDeque::new(); day.teams.len()], shares, chance });
-    let mut queues = Queues::new(charter(&day), Duration::ZERO);
+    let mut queues = Queues::new(quotas(&day), Duration::ZERO);
     row("virtual time, ageing", &day, &mut queues);
 }
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -1,13 +1,24 @@
-//! Whose turn it is among teams that share engines: each has a share, a budget and a bound on what waits. What
-//! waits long gains ground, what is urgent passes what is less so, and every wait can be told honestly. It holds
-//! no socket, clock or name: teams and requests are numbers, times are since the start.
+//! Fair queueing of requests among teams that share engines.
+//!
+//! Organizations share the engines by weights, and teams share what their organization has. Each team may have a
+//! budget and a bound on its waiting requests. A request gains priority by urgency and by age, so that none waits
+//! for ever, and the wait of each one can be estimated.
+//!
+//! The crate holds no socket, clock or name: teams and requests are numbers, and every call is passed the time since
+//! the start. The router's admission queue is built on it.
 
 pub mod budget;
-pub mod charter;
-pub mod order;
+pub mod fair_order;
 pub mod queues;
-pub mod waits;
+pub mod quotas;
+pub mod request;
+pub mod service_rate;
 
-pub use charter::{Allowance, Charter, Firm, Team};
-pub use queues::{Asking, Outcome, Queues, Reason, Refusal, Ticket};
-pub use waits::Wait;
+mod identity_charges;
+mod key_order;
+mod team_queue;
+
+pub use queues::Queues;
+pub use quotas::{Allowance, Organization, QuotaError, Quotas, Team};
+pub use request::{NewRequest, Outcome, RejectReason, Rejection, RequestId};
+pub use service_rate::WaitEstimate;
--- /dev/null
+++ b/crates/teams/src/queues/reconfigure.rs
@@ -0,0 +1,70 @@
+//! Replacing the quotas while requests wait and are in flight.
+
+use super::Queues;
+use crate::quotas::Quotas;
+use crate::request::{DispatchedRequest, RequestId, WaitingRequest};
+use crate::team_queue::TeamQueue;
+use indexmap::IndexMap;
+use std::time::Duration;
+
+/// The team that takes the requests of a team that is gone.
+const DEFAULT_TEAM: usize = 0;
+
+impl Queues {
+    /// Replaces the quotas. Team `index` becomes `new_indices[index]`, or its requests go to the first team. No
+    /// request is lost: waiting ones keep their age, and spent budget stays spent. The quotas must be valid.
+    pub fn reconfigure(&mut self, now: Duration, quotas: Quotas, new_indices: &[Option<usize>]) {
+        debug_assert_eq!(quotas.validate(), Ok(()));
+        let former = std::mem::replace(self, Self::new(quotas, now));
+        self.service_rate = former.service_rate;
+        self.next_sequence = former.next_sequence;
+        self.identity_charges = former.identity_charges;
+        self.key_order = former.key_order;
+        self.key_order.clear_waiting();
+        self.move_budgets(now, &former.team_queues, new_indices);
+        self.move_dispatched(former.dispatched, new_indices);
+        self.move_waiting(now, former.waiting, new_indices);
+    }
+
+    fn move_budgets(&mut self, now: Duration, former: &[TeamQueue], new_indices: &[Option<usize>]) {
+        for (queue, new_index) in former.iter().zip(new_indices) {
+            let Some(team) = *new_index else { continue };
+            let Some(allowance) = self.quotas.teams[team].allowance else { continue };
+            let Some(mut budget) = queue.budget.clone() else { continue };
+            budget.set_allowance(allowance, now);
+            self.team_queues[team].budget = Some(budget);
+        }
+    }
+
+    fn move_dispatched(
+        &mut self,
+        former: IndexMap<RequestId, DispatchedRequest>,
+        new_indices: &[Option<usize>],
+    ) {
+        for (id, mut dispatched) in former {
+            let team = new_team(dispatched.request.team(), new_indices);
+            dispatched.request.team = team as u32;
+            self.team_queues[team].begin_charge(dispatched.charged);
+            self.dispatched.insert(id, dispatched);
+        }
+    }
+
+    fn move_waiting(
+        &mut self,
+        now: Duration,
+        former: IndexMap<RequestId, WaitingRequest>,
+        new_indices: &[Option<usize>],
+    ) {
+        let mut waiting: Vec<(RequestId, WaitingRequest)> = former.into_iter().collect();
+        // In the order of arrival, whatever the table's.
+        waiting.sort_unstable_by_key(|(_, request)| request.arrival);
+        for (id, mut request) in waiting {
+            request.team = new_team(request.team(), new_indices) as u32;
+            self.insert_waiting(now, id, request);
+        }
+    }
+}
+
+fn new_team(former: usize, new_indices: &[Option<usize>]) -> usize {
+    new_indices.get(former).copied().flatten().unwrap_or(DEFAULT_TEAM)
+}
--- a/crates/teams/tests/day/mod.rs
+++ b/crates/teams/tests/day/mod.rs
@@ -33,50 +33,50 @@
 
 /// Who decides whose turn it is.
 pub trait Policy {
-    fn arrive(&mut self, now: Duration, asking: Asking) -> bool;
-    fn next(&mut self, now: Duration) -> Option<Ticket>;
-    fn left(&mut self, now: Duration, request: Ticket);
-    fn ended(&mut self, now: Duration, request: Ticket, work: Duration);
-    fn told(&self, _: Duration, _: Ticket) -> Option<Wait> {
+    fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> bool;
+    fn next(&mut self, now: Duration) -> Option<RequestId>;
+    fn left(&mut self, now: Duration, request: RequestId);
+    fn ended(&mut self, now: Duration, request: RequestId, work: Duration);
+    fn told(&self, _: Duration, _: RequestId) -> Option<WaitEstimate> {
         None
     }
 }
 
 impl Policy for Queues {
-    fn arrive(&mut self, now: Duration, asking: Asking) -> bool {
-        Queues::arrive(self, now, asking).is_ok()
+    fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> bool {
+        Queues::enqueue(self, now, new_request).is_ok()
     }
-    fn next(&mut self, now: Duration) -> Option<Ticket> {
+    fn next(&mut self, now: Duration) -> Option<RequestId> {
         let next = self.turns().next()?;
-        self.let_go(now, next).then_some(next)
+        self.dispatch(now, next).then_some(next)
     }
-    fn left(&mut self, now: Duration, request: Ticket) {
-        self.leave(now, request);
+    fn left(&mut self, now: Duration, request: RequestId) {
+        self.remove(now, request);
     }
-    fn ended(&mut self, now: Duration, request: Ticket, work: Duration) {
-        self.settle(now, request, Outcome::Billed(work));
+    fn ended(&mut self, now: Duration, request: RequestId, work: Duration) {
+        self.settle(now, request, Outcome::Measured(work));
     }
-    fn told(&self, now: Duration, request: Ticket) -> Option<Wait> {
-        self.wait(now, request)
+    fn told(&self, now: Duration, request: RequestId) -> Option<WaitEstimate> {
+        self.estimate_wait(now, request)
     }
 }
 
 /// The order of arrival, whoever asks.
 #[derive(Default)]
-pub struct Fifo(VecDeque<Ticket>);
+pub struct Fifo(VecDeque<RequestId>);
 
 impl Policy for Fifo {
-    fn arrive(&mut self, _: Duration, asking: Asking) -> bool {
-        self.0.push_back(asking.request);
+    fn enqueue(&mut self, _: Duration, new_request: NewRequest) -> bool {
+        self.0.push_back(new_request.request);
         true
     }
-    fn next(&mut self, _: Duration) -> Option<Ticket> {
+    fn next(&mut self, _: Duration) -> Option<RequestId> {
         self.0.pop_front()
     }
-    fn left(&mut self, _: Duration, request: Ticket) {
+    fn left(&mut self, _: Duration, request: RequestId) {
         self.0.retain(|other| *other != request);
     }
-    fn ended(&mut self, _: Duration, _: Ticket, _: Duration) {}
+    fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
 #[derive(Debug, Default)]
@@ -101,10 +101,10 @@
 const WINDOW: f64 = 10.0;
 
 struct Asked {
-    asking: Asking,
+    new_request: NewRequest,
     arrived: Duration,
     work: f64,
-    told: Option<Wait>,
+    told: Option<WaitEstimate>,
     sent: bool,
 }
 
@@ -129,9 +129,9 @@
         }
     }
     sent.sort_by_key(|(at, team, ..)| (*at, *team));
-    let mut requests: BTreeMap<Ticket, Asked> = BTreeMap::new();
-    let mut running: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
-    let mut deadline: BTreeSet<(Duration, Ticket)> = BTreeSet::new();
+    let mut requests: BTreeMap<RequestId, Asked> = BTreeMap::new();
+    let mut running: BTreeSet<(Duration, RequestId)> = BTreeSet::new();
+    let mut deadline: BTreeSet<(Duration, RequestId)> = BTreeSet::new();
     let teams = day.teams.len();
     let windows = (day.lasts / WINDOW).ceil() as usize;
     let mut service = vec![vec![0.0; teams]; windows];
@@ -154,7 +154,7 @@
             running.remove(&(at, request));
             let asked = &requests[&request];
             figures.served += 1;
-            figures.in_time += usize::from(now - asked.arrived <= asked.asking.latency_objective);
+            figures.in_time += usize::from(now - asked.arrived <= asked.new_request.latency_objective);
             policy.ended(now, request, secs(asked.work));
         }
         while let Some((at, request)) = deadline.first().copied().filter(|(at, _)| *at <= now) {
@@ -162,11 +162,11 @@
             if !requests[&request].sent {
                 policy.left(now, request);
                 figures.left += 1;
-                waiting[requests[&request].asking.team] -= 1;
+                waiting[requests[&request].new_request.team] -= 1;
             }
         }
         while let Some(((at, team, work, is_urgent), request)) = ahead.next_if(|((at, ..), _)| *at <= now) {
-            let asking = Asking {
+            let new_request = NewRequest {
                 request,
                 team,
                 urgency: if is_urgent { 2 } else { 0 },
@@ -177,14 +177,14 @@
                 identity: None,
                 key: None,
             };
-            if !policy.arrive(at, asking) {
+            if !policy.enqueue(at, new_request) {
                 figures.refused += 1;
                 continue;
             }
             waiting[team] += 1;
             let told = policy.told(at, request);
-            requests.insert(request, Asked { asking, arrived: at, work, told, sent: false });
-            deadline.insert((at + asking.deadline, request));
+            requests.insert(request, Asked { new_request, arrived: at, work, told, sent: false });
+            deadline.insert((at + new_request.deadline, request));
             if waiting[team] == 1 {
                 last_turn[team] = at;
             }
@@ -193,18 +193,18 @@
             let Some(request) = policy.next(now) else { break };
             let asked = requests.get_mut(&request).expect("a task that came");
             asked.sent = true;
-            let (team, had) = (asked.asking.team, (now - asked.arrived).as_secs_f64());
+            let (team, had) = (asked.new_request.team, (now - asked.arrived).as_secs_f64());
             waiting[team] -= 1;
             let without = (now - last_turn[team]).as_secs_f64();
             figures.longest_without = figures.longest_without.max(without);
             last_turn[team] = now;
             service[window][team] += asked.work;
-            if asked.asking.urgency > 0 {
+            if asked.new_request.urgency > 0 {
                 urgent.push(had);
             }
-            if let Some(told) = asked.told.filter(|told| told.likely > secs(0.1)) {
-                errors.push((had / told.likely.as_secs_f64() - 1.0).abs());
-                within += usize::from(told.least.as_secs_f64() <= had && had <= told.most.as_secs_f64());
+            if let Some(told) = asked.told.filter(|told| told.median > secs(0.1)) {
+                errors.push((had / told.median.as_secs_f64() - 1.0).abs());
+                within += usize::from(told.low.as_secs_f64() <= had && had <= told.high.as_secs_f64());
             }
             running.insert((now + secs(asked.work), request));
         }
@@ -240,8 +240,12 @@
     Day { teams, servers: 16, lasts: 60.0, latency_objective: 4.0, deadline: 20.0, off: 1.0, seed }
 }
 
-pub fn charter(day: &Day) -> Charter {
-    let team =
-        |(share, _): &(f64, Habit)| Team { firm: 0, share: *share, allowance: None, most_waiting: 400 };
-    Charter { firms: vec![Firm { share: 1.0 }], teams: day.teams.iter().map(team).collect() }
+pub fn quotas(day: &Day) -> Quotas {
+    let team = |(share, _): &(f64, Habit)| Team {
+        organization: 0,
+        share: *share,
+        allowance: None,
+        max_waiting: 400,
+    };
+    Quotas { organizations: vec![Organization { share: 1.0 }], teams: day.teams.iter().map(team).collect() }
 }
--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -1,7 +1,9 @@
 //! Guards the queues' behaviour while their code changes: seeded runs of random inputs, and one digest over all that
 //! comes out: turns, rejections, waits, times, and the bits of every figure.
 
-use emberflow_teams::{Allowance, Asking, Charter, Firm, Outcome, Queues, Reason, Refusal, Team, Ticket};
+use emberflow_teams::{
+    Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RejectReason, Rejection, RequestId, Team,
+};
 use expect_test::expect;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -81,7 +83,7 @@
         self.number(float.unwrap_or_default().to_bits());
     }
 
-    fn event(&mut self, name: &'static str, request: Ticket) {
+    fn event(&mut self, name: &'static str, request: RequestId) {
         self.digest.update(name.as_bytes());
         self.number(request.into());
         *self.counts.entry(name).or_default() += 1;
@@ -95,22 +97,22 @@
     queues: Queues,
     now: Duration,
     team_count: usize,
-    next_request: Ticket,
-    waiting: Vec<Ticket>,
-    dispatched: Vec<Ticket>,
+    next_request: RequestId,
+    waiting: Vec<RequestId>,
+    dispatched: Vec<RequestId>,
 }
 
 fn team(organization: usize, share: f64, max_waiting: usize, allowance_ms: Option<[u64; 3]>) -> Team {
-    let allowance = allowance_ms.map(|[work, over, burst]| Allowance {
+    let allowance = allowance_ms.map(|[work, period, burst]| Allowance {
         work: Duration::from_millis(work),
-        over: Duration::from_millis(over),
+        period: Duration::from_millis(period),
         burst: Duration::from_millis(burst),
     });
-    Team { firm: organization, share, allowance, most_waiting: max_waiting }
+    Team { organization: organization, share, allowance, max_waiting: max_waiting }
 }
 
 /// Quotas of three to six teams in one to three organizations.
-fn quotas(kind: u64) -> Charter {
+fn quotas(kind: u64) -> Quotas {
     let (shares, teams): (&[f64], Vec<Team>) = match kind % 4 {
         0 => (&[1.0], vec![team(0, 1.0, 12, None), team(0, 2.0, 8, None), team(0, 0.5, 20, None)]),
         1 => (
@@ -138,7 +140,7 @@
             vec![team(0, 1.0, 15, Some([300, 500, 900])), team(1, 1.0, 15, None), team(1, 1.0, 3, None)],
         ),
     };
-    Charter { firms: shares.iter().map(|share| Firm { share: *share }).collect(), teams }
+    Quotas { organizations: shares.iter().map(|share| Organization { share: *share }).collect(), teams }
 }
 
 impl<'a> Run<'a> {
@@ -167,13 +169,13 @@
 
     fn step(&mut self) {
         match self.random.below(100) {
-            0..38 => self.arrive(),
+            0..38 => self.enqueue(),
             38..56 => self.dispatch_in_turn(),
             56..62 => self.dispatch_by_fit(),
             62..65 => self.dispatch_out_of_turn(),
             65..68 => self.leave(),
             68..82 => self.settle(),
-            82..84 => self.take_back(),
+            82..84 => self.requeue(),
             84..86 if self.random.one_in(2) => self.reconfigure(),
             86..90 => self.pass_to_due(),
             _ => {
@@ -183,11 +185,11 @@
         }
     }
 
-    fn arrive(&mut self) {
+    fn enqueue(&mut self) {
         let random = &mut self.random;
         let request = self.next_request;
         let max_deadline_ms = if random.one_in(3) { 500 } else { 20_000 };
-        let arrival = Asking {
+        let arrival = NewRequest {
             request,
             team: random.below(self.team_count as u64) as usize,
             urgency: if random.one_in(3) { random.below(6) as u8 } else { 0 },
@@ -199,15 +201,15 @@
             key: random.one_in(4).then(|| random.below(5)),
         };
         self.next_request += 1;
-        match self.queues.arrive(self.now, arrival) {
+        match self.queues.enqueue(self.now, arrival) {
             Ok(()) => {
                 self.record.event("accepted", request);
                 self.waiting.push(request);
             }
-            Err(Refusal { reason, retry_after }) => {
+            Err(Rejection { reason, retry_after }) => {
                 let reason = match reason {
-                    Reason::Full => "rejected: queue full",
-                    Reason::Hopeless => "rejected: deadline too short",
+                    RejectReason::QueueFull => "rejected: queue full",
+                    RejectReason::DeadlineTooShort => "rejected: deadline too short",
                 };
                 self.record.event(reason, request);
                 self.record.time(Some(retry_after));
@@ -215,8 +217,8 @@
         }
     }
 
-    fn dispatch(&mut self, how: &'static str, request: Ticket) {
-        let dispatched = self.queues.let_go(self.now, request);
+    fn dispatch(&mut self, how: &'static str, request: RequestId) {
+        let dispatched = self.queues.dispatch(self.now, request);
         assert!(dispatched, "request {request} waits");
         self.record.event(how, request);
         self.waiting.retain(|other| *other != request);
@@ -232,8 +234,8 @@
 
     /// Some requests don't fit now, so that a later turn comes first; of a key the first one goes.
     fn dispatch_by_fit(&mut self) {
-        let modulus = 2 + self.random.below(3) as Ticket;
-        let next = self.queues.next(|request| request % modulus == 0);
+        let modulus = 2 + self.random.below(3) as RequestId;
+        let next = self.queues.next_fitting(|request| request % modulus == 0);
         if let Some(request) = next {
             self.dispatch("dispatched by fit", request);
         }
@@ -248,7 +250,7 @@
 
     fn leave(&mut self) {
         let Some(request) = self.random.pick(&self.waiting) else { return };
-        let left = self.queues.leave(self.now, request);
+        let left = self.queues.remove(self.now, request);
         assert!(left, "request {request} waits");
         self.record.event("left", request);
         self.waiting.retain(|other| *other != request);
@@ -257,18 +259,18 @@
     fn settle(&mut self) {
         let Some(request) = self.random.pick(&self.dispatched) else { return };
         let (name, outcome) = match self.random.below(3) {
-            0 => ("billed", Outcome::Billed(self.random.millis(600))),
+            0 => ("billed", Outcome::Measured(self.random.millis(600))),
             1 => ("unknown", Outcome::Unknown),
-            _ => ("returned", Outcome::Back),
+            _ => ("returned", Outcome::Refunded),
         };
         self.queues.settle(self.now, request, outcome);
         self.record.event(name, request);
         self.dispatched.retain(|other| *other != request);
     }
 
-    fn take_back(&mut self) {
+    fn requeue(&mut self) {
         let Some(request) = self.random.pick(&self.dispatched) else { return };
-        let taken_back = self.queues.take_back(self.now, request);
+        let taken_back = self.queues.requeue(self.now, request);
         assert!(taken_back, "request {request} was dispatched");
         self.record.event("taken back", request);
         self.dispatched.retain(|other| *other != request);
@@ -283,13 +285,13 @@
         let shift = self.random.below(2) as usize;
         let moved = |team: usize| Some(team + shift).filter(|moved| *moved < quotas.teams.len());
         let new_numbers: Vec<Option<usize>> = (0..old_count).map(moved).collect();
-        self.queues.change(self.now, quotas, &new_numbers);
-        self.record.event("reconfigured", shift as Ticket);
+        self.queues.reconfigure(self.now, quotas, &new_numbers);
+        self.record.event("reconfigured", shift as RequestId);
     }
 
     fn pass(&mut self, time: Duration) {
         self.now += time;
-        self.queues.pass(self.now);
+        self.queues.advance(self.now);
     }
 
     fn pass_to_due(&mut self) {
@@ -297,7 +299,7 @@
         // Not beyond what a run may take: a budget can be years in debt.
         let limit = self.now + Duration::from_secs(5);
         self.now = due.max(self.now).min(limit);
-        self.queues.pass(self.now);
+        self.queues.advance(self.now);
     }
 
     fn record_state(&mut self) {
@@ -305,21 +307,21 @@
         self.record.number(self.queues.len() as u64);
         self.record.number(u64::from(self.queues.is_empty()));
         for team in 0..self.team_count {
-            self.record.float(Some(self.queues.charged(team)));
-            self.record.float(self.queues.left(team));
+            self.record.float(Some(self.queues.in_flight_charge(team)));
+            self.record.float(self.queues.budget_left(team));
         }
-        let turns: Vec<Ticket> = self.queues.turns().take(RECORDED_TURNS).collect();
+        let turns: Vec<RequestId> = self.queues.turns().take(RECORDED_TURNS).collect();
         turns.iter().for_each(|request| self.record.number((*request).into()));
         if let Some(request) = self.random.pick(&self.waiting) {
             self.record_wait(request);
         }
     }
 
-    fn record_wait(&mut self, request: Ticket) {
-        let Some(wait) = self.queues.wait(self.now, request) else { return };
+    fn record_wait(&mut self, request: RequestId) {
+        let Some(wait) = self.queues.estimate_wait(self.now, request) else { return };
         self.record.event("wait estimated", request);
-        [wait.least, wait.likely, wait.most].into_iter().for_each(|time| self.record.time(Some(time)));
-        self.record.number(wait.place as u64);
+        [wait.low, wait.median, wait.high].into_iter().for_each(|time| self.record.time(Some(time)));
+        self.record.number(wait.position as u64);
     }
 }
 
@@ -327,9 +329,9 @@
 fn the_queues_answer_as_before() {
     let mut record = Record::default();
     (0..RUNS).for_each(|seed| Run::new(seed, &mut record).execute());
-    for (name, least) in REQUIRED {
+    for (name, low) in REQUIRED {
         let count = record.counts.get(name).copied().unwrap_or(0);
-        assert!(count >= least, "{name} happened {count} times, not {least}: {:?}", record.counts);
+        assert!(count >= low, "{name} happened {count} times, not {low}: {:?}", record.counts);
     }
     let digest: String = record.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect!["3fc5aec5b3785c49825e58a416cbe51fe14afb38a404f5e9944e075d0b7218ce"].assert_eq(&digest);
