--- /dev/null
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -0,0 +1,80 @@
+//! The scheduler's actions as lines of the simulator's wire.
+
+use crate::names::Names;
+use emberflow::{Actions, EngineId, RequestId};
+use emberflow_settings::to_ms;
+use serde_json::{Value, json};
+use std::io::Write;
+use std::time::Duration;
+
+/// Writes one instance's actions, a line each.
+pub struct ActionWriter<'a> {
+    pub instance: u64,
+    pub now: Duration,
+    pub names: &'a Names,
+    pub reply: &'a mut Vec<u8>,
+}
+
+impl ActionWriter<'_> {
+    fn write(&mut self, mut action: Value) {
+        action["who"] = self.instance.into();
+        writeln!(self.reply, "{action}").expect("writing to memory does not fail");
+    }
+
+    fn request(&self, request: RequestId) -> &str {
+        self.names.requests.name(request as usize)
+    }
+
+    fn engine(&self, engine: EngineId) -> &str {
+        self.names.engines.name(engine)
+    }
+}
+
+impl Actions for ActionWriter<'_> {
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        let abandon_at = to_ms(until.max(self.now));
+        self.write(json!({
+            "op": "PASS_ON",
+            "ref": self.request(request),
+            "engine": self.engine(engine),
+            "abandonAtMs": abandon_at,
+        }));
+    }
+
+    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        self.write(json!({
+            "op": "PROVIDE",
+            "ref": self.request(request),
+            "memoryGrant": grant_mb,
+            "importance": priority,
+        }));
+    }
+
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.write(json!({"op": "ABORT_ATTEMPT", "ref": self.request(request), "hop": attempt}));
+    }
+
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
+        let retry_after_ms = retry_after.map_or(0.0, to_ms);
+        self.write(json!({"op": "TURN_AWAY", "ref": self.request(request), "retryAfterMs": retry_after_ms}));
+    }
+
+    fn fail(&mut self, request: RequestId) {
+        self.write(json!({"op": "ABORT", "ref": self.request(request)}));
+    }
+
+    fn probe(&mut self, engine: EngineId) {
+        self.write(json!({"op": "TOUCH", "engine": self.engine(engine)}));
+    }
+
+    fn wake_after(&mut self, wait: Duration) {
+        self.write(json!({"op": "AFTER", "offsetMs": to_ms(wait), "keyBack": 0}));
+    }
+
+    fn watch(&mut self) {
+        self.write(json!({"op": "SUBSCRIBE", "on": true}));
+    }
+
+    /// Nothing to do: the numbers of engines are used for as long as their instance runs.
+    fn forget(&mut self, _: EngineId) {}
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/host.rs
@@ -0,0 +1,134 @@
+//! The host of all instances: reads batches of messages, and replies to each batch at its end.
+
+use crate::error::AdapterError;
+use crate::instance::{Instance, Tables};
+use emberflow_settings::{Fields, unknown_reports};
+use serde_json::json;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io::Write;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::Mutex;
+use std::time::Duration;
+
+/// The message of the last panic, which is reported to the simulator.
+static LAST_PANIC: Mutex<String> = Mutex::new(String::new());
+
+/// Keeps the message of each panic, and prints it.
+pub fn install_panic_hook() {
+    std::panic::set_hook(Box::new(|panic| {
+        eprintln!("{panic}");
+        if let Ok(mut message) = LAST_PANIC.lock() {
+            *message = panic.to_string();
+        }
+    }));
+}
+
+/// A batch of messages that has begun.
+#[derive(Clone, Copy)]
+struct Batch {
+    now: Duration,
+    frame: u64,
+}
+
+/// All instances, and what was said in the batch so far.
+#[derive(Default)]
+pub struct Host {
+    instances: BTreeMap<u64, Instance>,
+    tables: Tables,
+    batch: Option<Batch>,
+    reply: Vec<u8>,
+    /// The instance that has panicked in this batch.
+    panicked: Option<u64>,
+    /// Warnings that were printed, each once.
+    warnings: BTreeSet<String>,
+}
+
+impl Host {
+    /// Handles a line of input; the reply to a batch goes to `output` at the batch's end.
+    pub fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<(), AdapterError> {
+        let value = serde_json::from_str(text)?;
+        let line = Fields::of(&value);
+        match (line.text("op")?, self.batch) {
+            ("BEGIN_BATCH", None) => {
+                let now = line.time("atTimeMs")?;
+                self.batch = Some(Batch { now, frame: line.whole("frame")? });
+                Ok(())
+            }
+            ("BEGIN_BATCH", Some(_)) => Err(AdapterError::NestedBatch),
+            (operation, None) => Err(AdapterError::OutsideBatch { operation: operation.to_owned() }),
+            ("END", Some(batch)) => self.end_batch(batch.frame, output),
+            ("TABLE", Some(_)) => {
+                self.tables.insert(line.whole("ref")?, line.list("items")?.to_vec());
+                Ok(())
+            }
+            (operation, Some(batch)) => self.handle_event(operation, line, batch.now),
+        }
+    }
+
+    /// Fails if the input has ended inside a batch.
+    pub fn finish(&self) -> Result<(), AdapterError> {
+        if self.batch.is_some() { Err(AdapterError::UnfinishedBatch) } else { Ok(()) }
+    }
+
+    /// Passes a message on to its instance. After a panic the rest of the batch is skipped.
+    fn handle_event(&mut self, operation: &str, line: Fields, now: Duration) -> Result<(), AdapterError> {
+        let number = line.whole("who")?;
+        if self.panicked.is_some() {
+            return Ok(());
+        }
+        if operation == "NEW_INSTANCE" {
+            self.warn_of_unknown_figures(line)?;
+        }
+        let handled = catch_unwind(AssertUnwindSafe(|| self.dispatch(operation, number, line, now)));
+        handled.unwrap_or_else(|_| {
+            self.panicked = Some(number);
+            Ok(())
+        })
+    }
+
+    fn dispatch(
+        &mut self,
+        operation: &str,
+        number: u64,
+        line: Fields,
+        now: Duration,
+    ) -> Result<(), AdapterError> {
+        let unknown = || AdapterError::UnknownInstance(number);
+        match operation {
+            "NEW_INSTANCE" => {
+                self.instances.insert(number, Instance::new(number, line)?);
+                Ok(())
+            }
+            "KILLED" => self.instances.remove(&number).map(drop).ok_or_else(unknown),
+            _ => {
+                let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
+                instance.handle(operation, line, now, &self.tables, &mut self.reply)
+            }
+        }
+    }
+
+    fn warn_of_unknown_figures(&mut self, line: Fields) -> Result<(), AdapterError> {
+        for unknown in unknown_reports(line.part("params")?)? {
+            let unknown = unknown.to_string();
+            if self.warnings.insert(unknown.clone()) {
+                eprintln!("emberflow-simulator-adapter: {unknown}, so it goes unread");
+            }
+        }
+        Ok(())
+    }
+
+    /// Writes the reply: all actions of the batch, or the panic of an instance in place of them.
+    fn end_batch(&mut self, frame: u64, output: &mut impl Write) -> Result<(), AdapterError> {
+        if let Some(number) = self.panicked.take() {
+            let message = LAST_PANIC.lock().map(|message| message.clone()).unwrap_or_default();
+            let fault = json!({"op": "FAULT", "who": number, "noteText": message});
+            self.reply = format!("{fault}\n").into();
+        }
+        let ready = json!({"op": "READY", "frame": frame});
+        writeln!(self.reply, "{ready}").expect("writing to memory does not fail");
+        output.write_all(&self.reply).and_then(|()| output.flush()).map_err(AdapterError::Output)?;
+        self.reply.clear();
+        self.batch = None;
+        Ok(())
+    }
+}
