--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -108,7 +108,7 @@
         period: Duration::from_millis(period),
         burst: Duration::from_millis(burst),
     });
-    Team { organization: organization, share, allowance, max_waiting: max_waiting }
+    Team { organization, share, allowance, max_waiting }
 }
 
 /// Quotas of three to six teams in one to three organizations.
