--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -1,4 +1,4 @@
-//! What the operator's file says, and what is said of one that is wrong.
+//! What the operator's file means, and the errors of a wrong one.
 
 use emberflow_operator::OperatorConfig;
 use expect_test::expect;
@@ -9,8 +9,9 @@
 }
 
 #[test]
-fn the_example_says_what_its_comments_tell() {
-    let team_config = OperatorConfig::parse(&example()).expect("it makes sense").teams.expect("a roll");
+fn the_example_means_what_its_comments_say() {
+    let team_config =
+        OperatorConfig::parse(&example()).expect("it makes sense").teams.expect("a configuration of teams");
     let parts: Vec<String> = team_config
         .names
         .iter()
@@ -30,8 +31,8 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_line_its_path_and_what_was_expected() {
-    let told = [
+fn errors_name_the_line_the_path_and_what_was_expected() {
+    let texts = [
         "{}",
         "{teams: {}}",
         "{\n  tems: {}\n}",
@@ -50,13 +51,13 @@
         "{teams: {\n",
         "",
     ];
-    let told: String = told
+    let printed: String = texts
         .iter()
         .map(|text| match OperatorConfig::parse(text) {
             Ok(config) => {
                 format!("{} teams\n", config.teams.map_or(0, |team_config| team_config.names.len()))
             }
-            Err(fault) => format!("{fault}\n"),
+            Err(error) => format!("{error}\n"),
         })
         .collect();
     expect![[r#"
@@ -78,12 +79,14 @@
         line 1, teams.?: EOF parsing object
         .: EOF parsing object
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&printed);
 }
 
 #[test]
-fn a_changed_roll_tells_what_changed_and_where_its_teams_stand() {
-    let read = |text: &str| OperatorConfig::parse(text).expect("it makes sense").teams.expect("a roll");
+fn changes_of_the_teams_are_described_and_their_new_indices_are_known() {
+    let read = |text: &str| {
+        OperatorConfig::parse(text).expect("it makes sense").teams.expect("a configuration of teams")
+    };
     let old = read("{teams: {list: [{name: 'a'}, {name: 'b'}, {name: 'c', budget: {work_s: 1, per_s: 2}}]}}");
     let new = read("{teams: {list: [{name: 'd'}, {name: 'c'}, {name: 'a'}]}}");
     expect![[r#"[Some(0), Some(3), None, Some(2)] ["b is gone", "c has another share, budget or bound", "d is new"]"#]]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that contradict each other, name what is not known, or lack what a rule needs.
+//! Errors of settings that contradict each other, hold unknown names, or lack what a rule needs.
 
 use emberflow_settings::{
     Fields, SettingsError, attempt_limits, fleet, marks_retries, reported, request_classes, unknown_reports,
@@ -56,17 +56,17 @@
     Ok(())
 }
 
-fn faults(table: &[(&str, Value)]) -> String {
-    let fault = |(path, value): &(&str, Value)| {
-        let said = read(&with(&[(path, value.clone())])).err();
-        let said = said.map_or("NO FAULT".into(), |error| error.to_string());
-        format!("{path} {value}: {said}\n")
+fn errors(table: &[(&str, Value)]) -> String {
+    let error = |(path, value): &(&str, Value)| {
+        let printed = read(&with(&[(path, value.clone())])).err();
+        let printed = printed.map_or("NO ERROR".into(), |error| error.to_string());
+        format!("{path} {value}: {printed}\n")
     };
-    table.iter().map(fault).collect()
+    table.iter().map(error).collect()
 }
 
 #[test]
-fn figures_out_of_range_are_told_by_their_path() {
+fn values_out_of_range_are_reported_by_their_path() {
     let positive = ["domain/kindCores/1", "domain/sizeMb/0", "domain/parallelism/1", "rules/overloadFactor"];
     let times =
         ["categories/0/onTimeMs", "categories/1/deadlineMs", "rules/fallMs", "tickMs", "rules/warmUpMs"];
@@ -135,11 +135,11 @@
         caps/mostTries 1.5: `settings.caps.mostTries` is not a whole number from 1 up
         instances 0: `settings.instances` is not a whole number from 1 up
     "#]]
-    .assert_eq(&faults(&table));
+    .assert_eq(&errors(&table));
 }
 
 #[test]
-fn what_is_not_known_is_told_by_its_path() {
+fn unknown_names_are_reported_by_their_path() {
     expect![[r#"
         categories/0/repeat "maybe": `settings.categories[0].repeat` is unknown: maybe
         categories/1/keyScope "galaxy": `settings.categories[1].keyScope` is unknown: galaxy
@@ -153,7 +153,7 @@
         categories/1/zonesOpen [5]: `settings.categories[1].zonesOpen[0]` is 5, past the end of a list of 2
         categories/1/zonesOpen [1,-1]: `settings.categories[1].zonesOpen[1]` is not an index
     "#]]
-    .assert_eq(&faults(&[
+    .assert_eq(&errors(&[
         ("categories/0/repeat", json!("maybe")),
         ("categories/1/keyScope", json!("galaxy")),
         ("discovery", json!("pull")),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn what_is_missing_or_of_another_kind_is_told_by_its_path() {
+fn missing_values_and_other_types_are_reported_by_their_path() {
     expect![[r#"
         categories []: `settings.categories` holds no class
         categories/1 "load": `settings.categories[1].onTimeMs` is missing
@@ -185,7 +185,7 @@
         report/how null: `settings.report.how` is missing
         rules/fallMs null: `settings.rules.fallMs` is missing
     "#]]
-    .assert_eq(&faults(&[
+    .assert_eq(&errors(&[
         ("categories", json!([])),
         ("categories/1", json!("load")),
         ("categories/1/keyScope", json!(null)),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn lists_that_do_not_fit_together_and_rules_by_half_are_told_by_their_path() {
+fn lists_of_different_lengths_and_incomplete_rules_are_reported_by_their_path() {
     expect![[r#"
         domain/kindCores []: `settings.domain.kindCores` holds no kind
         domain/sizeMb [16384.0]: `settings.domain.sizeMb` has 1 rows, not 2, one a kind
@@ -214,7 +214,7 @@
         domain/blockedByLoads/1 1: `settings.domain.blockedByLoads[1]` is not true or false
         rules/countedOverMs null: `settings.rules.spareAttempts` stands without `countedOverMs`
         rules {"extraPerRequest":0,"fallMs":1,"overloadFactor":2,"startCapacity":0,"warmUpMs":1}: `settings.rules.extraPerRequest` stands without `countedOverMs`
-    "#]].assert_eq(&faults(&[
+    "#]].assert_eq(&errors(&[
         ("domain/kindCores", json!([])),
         ("domain/sizeMb", json!([16384.0])),
         ("kinds", json!(["std-8"])),
@@ -228,8 +228,8 @@
 }
 
 #[test]
-fn what_only_looks_odd_is_taken() {
-    let taken = [
+fn unusual_but_valid_settings_are_accepted() {
+    let accepted = [
         vec![],
         vec![("categories/0/keepOrder", json!(true))],
         vec![("rules/keyQuietMs", json!(300))],
@@ -248,14 +248,14 @@
         vec![("rules/startCapacity", json!(1)), ("categories/0/lateShare", json!(0))],
         vec![("unheard", json!({"of": 1})), ("rules/unheard", json!("of"))],
     ];
-    for changes in taken {
+    for changes in accepted {
         assert_eq!(read(&with(&changes)), Ok(()), "{changes:?}");
     }
 }
 
 #[test]
-fn report_fields_that_nothing_reads_are_told_unless_their_names_are_known() {
-    let told = |how: &str, names: &[&str]| {
+fn unknown_figures_of_load_reports_are_reported() {
+    let unknown_figures = |how: &str, names: &[&str]| {
         let file = with(&[("report", json!({"how": how, "names": names}))]);
         let unknown =
             unknown_reports(Fields::of(&file).part("settings").expect("settings")).expect("it reads");
@@ -263,8 +263,8 @@
     };
     for known in ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1", "inflight", "queue", "util"]
     {
-        assert_eq!(told("answers", &[known]), [] as [&str; 0], "{known}");
+        assert_eq!(unknown_figures("answers", &[known]), [] as [&str; 0], "{known}");
     }
-    assert_eq!(told("none", &["moon"]), [] as [&str; 0]);
-    assert_eq!(told("probe", &["q", "moon"]), ["`settings.report.names[1]` is unknown: moon"]);
+    assert_eq!(unknown_figures("none", &["moon"]), [] as [&str; 0]);
+    assert_eq!(unknown_figures("probe", &["q", "moon"]), ["`settings.report.names[1]` is unknown: moon"]);
 }
--- a/crates/simulator-adapter/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -1,6 +1,5 @@
-//! Guards a change of words that is to change no behaviour: seeded days of valid input to the adapter, and one digest
-//! over all bytes that it writes. What the input tells goes by what was written before, so that attempts end and requests
-//! are sent again.
+//! Guards the adapter's behaviour while its code changes: seeded runs of valid input, and one digest over all bytes that
+//! it writes. The input follows what was written before, so that attempts end and requests are retried.
 
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -9,16 +8,16 @@
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-const DAYS: u64 = 40;
+const RUNS: u64 = 40;
 const BATCHES: u64 = 160;
 const INSTANCES: u64 = 2;
 const ENGINES: u64 = 5;
-/// An engine that ends nothing by itself.
+/// An engine whose attempts end only when they are cancelled or time out.
 const SILENT: &str = "e:1";
 const REPORTED: [&str; 6] = ["busy", "rif", "q", "x0", "x1", "qps"];
 
-/// What has to have been written that often, or the digest would say little.
-const NEEDED: [(&str, u64); 24] = [
+/// Messages and actions that have to occur that often, or the digest would say little.
+const REQUIRED: [(&str, u64); 24] = [
     ("ACCEPT", 1000),
     ("ANNOUNCE broken", 50),
     ("ANNOUNCE patch", 100),
@@ -45,10 +44,10 @@
     ("sent again", 200),
 ];
 
-/// A source of chances that is the same everywhere: SplitMix64.
-struct Chance(u64);
+/// A random source that is the same on every platform.
+struct SplitMix64(u64);
 
-impl Chance {
+impl SplitMix64 {
     fn number(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -56,8 +55,8 @@
         mixed ^ (mixed >> 31)
     }
 
-    fn below(&mut self, end: u64) -> u64 {
-        self.number() % end.max(1)
+    fn below(&mut self, end_attempt: u64) -> u64 {
+        self.number() % end_attempt.max(1)
     }
 
     fn one_in(&mut self, count: u64) -> bool {
@@ -69,17 +68,17 @@
     }
 }
 
-/// What all days have written and, by kind, what stood in their input and output.
+/// The digest of all runs' output, and the lines of their input and output by kind.
 #[derive(Default)]
-struct Witness {
+struct Record {
     digest: Sha256,
-    told: BTreeMap<String, u64>,
-    written: BTreeMap<String, u64>,
+    messages: BTreeMap<String, u64>,
+    actions: BTreeMap<String, u64>,
 }
 
-/// An attempt that is out.
+/// An attempt that has not ended.
 struct Attempt {
-    who: u64,
+    instance: u64,
     request: String,
     number: u64,
     engine: String,
@@ -88,37 +87,38 @@
     cancelled: bool,
 }
 
-struct Day<'a> {
-    chance: Chance,
-    witness: &'a mut Witness,
-    host: Child,
+struct Simulation<'a> {
+    random: SplitMix64,
+    record: &'a mut Record,
+    adapter: Child,
     input: ChildStdin,
     output: BufReader<ChildStdout>,
     now_ms: f64,
-    /// Lines of the batch that is being told.
+    /// Lines of the batch that is being built.
     batch: String,
     attempts: Vec<Attempt>,
     /// By instance and request, its attempts so far.
-    sent: BTreeMap<(u64, String), u64>,
-    /// Requests that are owed an answer.
-    open: Vec<(u64, String)>,
-    /// When instances are to be woken, and engines that they asked about.
-    bells: Vec<(f64, u64)>,
+    attempt_counts: BTreeMap<(u64, String), u64>,
+    /// Requests without a final answer.
+    unanswered: Vec<(u64, String)>,
+    /// When instances are to be woken.
+    wakes: Vec<(f64, u64)>,
+    /// Engines that instances want a health check of.
     probes: Vec<(u64, String)>,
-    asked_for_the_list: Vec<u64>,
+    subscribers: Vec<u64>,
     requests: u64,
     tables: u64,
 }
 
-fn settings(chance: &mut Chance, seed: u64) -> Value {
+fn settings(random: &mut SplitMix64, seed: u64) -> Value {
     let class = |repeat: &str, latency_objective: f64| {
         json!({"deadlineMs": latency_objective * 4.0, "gain": 1, "lateShare": 0.1, "onTimeMs": latency_objective, "repeat": repeat,
             "keyScope": "cell", "windowMs": 300.0, "keepOrder": repeat == "by_key" && seed.is_multiple_of(2)})
     };
-    let caps = json!({"cancel": !seed.is_multiple_of(5), "maxRetryAfterMs": 100.0, "mostTries": 1 + chance.below(3),
+    let caps = json!({"cancel": !seed.is_multiple_of(5), "maxRetryAfterMs": 100.0, "mostTries": 1 + random.below(3),
         "probes": seed.is_multiple_of(3), "retryAfter": !seed.is_multiple_of(4)});
     let domain = json!({"kindCores": [8, 32], "largestShare": 0.4, "lanesCount": seed.is_multiple_of(2),
-        "sizeMb": [4096.0, 16384.0], "tellsEveryMs": 30.0, "whenShort": chance.pick(&["line_up", "cut", "overcommit"]),
+        "sizeMb": [4096.0, 16384.0], "tellsEveryMs": 30.0, "whenShort": random.pick(&["line_up", "cut", "overcommit"]),
         "parallelism": [1.0, 1.0, 2.0, 4.0], "writesTables": [false, false, false, true],
         "blockedByLoads": [true, false, true, false]});
     let how = if seed.is_multiple_of(3) { "probe" } else { "answers" };
@@ -133,77 +133,79 @@
         "tenants": [], "tickMs": 5.0, "zones": ["a", "b"], "unheard": {"of": 1}})
 }
 
-impl<'a> Day<'a> {
-    fn new(seed: u64, witness: &'a mut Witness) -> Self {
-        let host = Command::new(env!("CARGO_BIN_EXE_emberflow-simulator-adapter"))
+impl<'a> Simulation<'a> {
+    fn new(seed: u64, record: &'a mut Record) -> Self {
+        let adapter = Command::new(env!("CARGO_BIN_EXE_emberflow-simulator-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn();
-        let mut host = host.expect("the adapter starts");
-        let input = host.stdin.take().expect("its input");
-        let output = BufReader::new(host.stdout.take().expect("its output"));
+        let mut adapter = adapter.expect("the adapter starts");
+        let input = adapter.stdin.take().expect("its input");
+        let output = BufReader::new(adapter.stdout.take().expect("its output"));
         Self {
-            chance: Chance(seed),
-            witness,
-            host,
+            random: SplitMix64(seed),
+            record,
+            adapter,
             input,
             output,
             now_ms: 10.0,
             batch: String::new(),
             attempts: Vec::new(),
-            sent: BTreeMap::new(),
-            open: Vec::new(),
-            bells: Vec::new(),
+            attempt_counts: BTreeMap::new(),
+            unanswered: Vec::new(),
+            wakes: Vec::new(),
             probes: Vec::new(),
-            asked_for_the_list: Vec::new(),
+            subscribers: Vec::new(),
             requests: 0,
             tables: 0,
         }
     }
 
-    fn live(mut self, seed: u64) {
-        (0..INSTANCES).for_each(|who| self.start(who, seed));
+    fn run(mut self, seed: u64) {
+        (0..INSTANCES).for_each(|instance| self.start(instance, seed));
         for batch in 0..BATCHES {
             self.finish_batch(batch);
-            self.now_ms += self.chance.below(12_000) as f64 / 1000.0;
-            self.ring_bells();
+            self.now_ms += self.random.below(12_000) as f64 / 1000.0;
+            self.deliver_due();
             self.answer_probes();
-            if self.chance.one_in(80) {
-                let who = self.chance.below(INSTANCES);
-                self.start_anew(who, seed);
+            if self.random.one_in(80) {
+                let instance = self.random.below(INSTANCES);
+                self.restart(instance, seed);
             }
-            for _ in 0..self.chance.below(5) {
-                self.event();
+            for _ in 0..self.random.below(5) {
+                self.send_random_event();
             }
         }
         drop(self.input);
-        assert!(self.host.wait().expect("it ends").success());
+        assert!(self.adapter.wait().expect("it ends").success());
     }
 
-    fn start(&mut self, who: u64, seed: u64) {
-        let params = settings(&mut self.chance, seed);
-        self.tell(json!({"op": "NEW_INSTANCE", "who": who, "rngSeed": seed + who, "params": params}));
-        self.announce(who);
+    fn start(&mut self, instance: u64, seed: u64) {
+        let params = settings(&mut self.random, seed);
+        self.send(
+            json!({"op": "NEW_INSTANCE", "who": instance, "rngSeed": seed + instance, "params": params}),
+        );
+        self.announce(instance);
     }
 
-    /// An instance ends with all that it had out, and another takes its place.
-    fn start_anew(&mut self, who: u64, seed: u64) {
-        self.tell(json!({"op": "KILLED", "who": who}));
-        self.attempts.retain(|attempt| attempt.who != who);
-        self.sent.retain(|(of, _), _| *of != who);
-        self.open.retain(|(of, _)| *of != who);
-        self.bells.retain(|(_, of)| *of != who);
-        self.probes.retain(|(of, _)| *of != who);
-        self.start(who, seed);
+    /// Kills an instance with all its attempts, and starts another in its place.
+    fn restart(&mut self, instance: u64, seed: u64) {
+        self.send(json!({"op": "KILLED", "who": instance}));
+        self.attempts.retain(|attempt| attempt.instance != instance);
+        self.attempt_counts.retain(|(of, _), _| *of != instance);
+        self.unanswered.retain(|(of, _)| *of != instance);
+        self.wakes.retain(|(_, of)| *of != instance);
+        self.probes.retain(|(of, _)| *of != instance);
+        self.start(instance, seed);
     }
 
-    fn tell(&mut self, line: Value) {
-        *self.witness.told.entry(kind_of(&line)).or_default() += 1;
+    fn send(&mut self, line: Value) {
+        *self.record.messages.entry(kind_of(&line)).or_default() += 1;
         self.batch += &format!("{line}\n");
     }
 
-    /// Tells the batch and takes in all that is written for it.
+    /// Sends the batch and handles all actions of the reply.
     fn finish_batch(&mut self, frame: u64) {
         let begin = json!({"op": "BEGIN_BATCH", "atTimeMs": self.now_ms, "frame": frame});
         let lines = format!("{begin}\n{}{{\"op\":\"END\"}}\n", std::mem::take(&mut self.batch));
@@ -211,33 +213,33 @@
         loop {
             let mut line = String::new();
             assert!(self.output.read_line(&mut line).expect("it writes") > 0, "it ended early after {lines}");
-            self.witness.digest.update(&line);
+            self.record.digest.update(&line);
             let action: Value = serde_json::from_str(&line).expect("it writes JSON");
             assert_ne!(action["op"], "FAULT", "{action} after {lines}");
-            *self.witness.written.entry(kind_of(&action)).or_default() += 1;
+            *self.record.actions.entry(kind_of(&action)).or_default() += 1;
             if action["op"] == "READY" {
                 return;
             }
-            self.take_in(&action);
+            self.handle_action(&action);
         }
     }
 
-    /// What an action changes out there.
-    fn take_in(&mut self, action: &Value) {
-        let who = action["who"].as_u64().expect("an instance");
+    /// Applies an action to the simulated engines and clients.
+    fn handle_action(&mut self, action: &Value) {
+        let instance = action["who"].as_u64().expect("an instance");
         let text = |name: &str| action[name].as_str().unwrap_or_default().to_owned();
         let request = text("ref");
         match action["op"].as_str().unwrap_or_default() {
             "PASS_ON" => {
-                let sent = self.sent.entry((who, request.clone())).or_default();
-                let (number, abandon_ms) = (*sent, action["abandonAtMs"].as_f64().expect("a time"));
-                *sent += 1;
+                let attempt_counts = self.attempt_counts.entry((instance, request.clone())).or_default();
+                let (number, abandon_ms) = (*attempt_counts, action["abandonAtMs"].as_f64().expect("a time"));
+                *attempt_counts += 1;
                 if number > 0 {
-                    *self.witness.written.entry("sent again".into()).or_default() += 1;
+                    *self.record.actions.entry("sent again".into()).or_default() += 1;
                 }
                 let (engine, sent_ms) = (text("engine"), self.now_ms);
                 self.attempts.push(Attempt {
-                    who,
+                    instance,
                     request,
                     number,
                     engine,
@@ -249,171 +251,175 @@
             "ABORT_ATTEMPT" => {
                 let number = action["hop"].as_u64();
                 let its = |attempt: &&mut Attempt| {
-                    attempt.who == who && attempt.request == request && Some(attempt.number) == number
+                    attempt.instance == instance
+                        && attempt.request == request
+                        && Some(attempt.number) == number
                 };
                 self.attempts.iter_mut().filter(its).for_each(|attempt| attempt.cancelled = true);
             }
-            "TURN_AWAY" | "ABORT" => self.open.retain(|open| *open != (who, request.clone())),
-            "TOUCH" => self.probes.push((who, text("engine"))),
+            "TURN_AWAY" | "ABORT" => {
+                self.unanswered.retain(|unanswered| *unanswered != (instance, request.clone()))
+            }
+            "TOUCH" => self.probes.push((instance, text("engine"))),
             "AFTER" => {
                 let at = self.now_ms + action["offsetMs"].as_f64().expect("a time");
-                self.bells.push((at, who));
+                self.wakes.push((at, instance));
             }
-            "SUBSCRIBE" => self.asked_for_the_list.push(who),
+            "SUBSCRIBE" => self.subscribers.push(instance),
             _ => {}
         }
     }
 
-    fn ring_bells(&mut self) {
-        for who in std::mem::take(&mut self.asked_for_the_list) {
-            self.announce(who);
+    fn deliver_due(&mut self) {
+        for instance in std::mem::take(&mut self.subscribers) {
+            self.announce(instance);
         }
         let now_ms = self.now_ms;
-        let due: Vec<u64> = self.bells.extract_if(.., |(at, _)| *at <= now_ms).map(|(_, who)| who).collect();
-        due.into_iter().for_each(|who| self.tell(json!({"op": "BELL", "who": who, "keyBack": 0})));
-        // What is out for too long is over.
+        let due: Vec<u64> =
+            self.wakes.extract_if(.., |(at, _)| *at <= now_ms).map(|(_, instance)| instance).collect();
+        due.into_iter().for_each(|instance| self.send(json!({"op": "BELL", "who": instance, "keyBack": 0})));
+        // Attempts end at the time after which the router abandons them.
         while let Some(at) = self.attempts.iter().position(|attempt| attempt.abandon_ms <= now_ms) {
-            self.end(at, "timed_out");
+            self.end_attempt(at, "timed_out");
         }
     }
 
     fn answer_probes(&mut self) {
-        for (who, engine) in std::mem::take(&mut self.probes) {
+        for (instance, engine) in std::mem::take(&mut self.probes) {
             let stats = self.stats();
-            self.tell(json!({"op": "PROBE_DONE", "who": who, "engine": engine, "stats": stats}));
+            self.send(json!({"op": "PROBE_DONE", "who": instance, "engine": engine, "stats": stats}));
         }
     }
 
-    fn event(&mut self) {
-        match self.chance.below(40) {
+    fn send_random_event(&mut self) {
+        match self.random.below(40) {
             0..12 => self.accept(),
-            12..28 => self.end_any(),
-            28..32 => self.progress_noted(),
-            32..34 => self.withdraw(),
+            12..28 => self.end_random_attempt(),
+            28..32 => self.send_progress_note(),
+            32..34 => self.cancel_request(),
             34..36 => {
-                let who = self.chance.below(INSTANCES);
-                self.announce(who);
+                let instance = self.random.below(INSTANCES);
+                self.announce(instance);
             }
             36 => {
-                let who = self.chance.below(INSTANCES);
-                let op = self.chance.pick(&["INBOX", "STARTED"]);
-                self.tell(json!({"op": op, "who": who}));
+                let instance = self.random.below(INSTANCES);
+                let op = self.random.pick(&["INBOX", "STARTED"]);
+                self.send(json!({"op": op, "who": instance}));
             }
             _ => {}
         }
     }
 
     fn accept(&mut self) {
-        let who = self.chance.below(INSTANCES);
+        let instance = self.random.below(INSTANCES);
         let request = format!("t/{}", self.requests);
         self.requests += 1;
-        let mut line = json!({"op": "ACCEPT", "who": who, "ref": request, "qos": self.chance.below(4),
-            "graceMs": self.chance.pick(&[60.0, 240.0, 400.0, 1200.0]), "repeat": self.chance.one_in(4)});
-        if !self.chance.one_in(4) {
-            line["estimateMs"] = json!(self.chance.pick(&[2.0, 12.0, 40.0, 200.0]));
-            line["needMb"] = json!(self.chance.pick(&[10, 384, 1500, 6000]));
+        let mut line = json!({"op": "ACCEPT", "who": instance, "ref": request, "qos": self.random.below(4),
+            "graceMs": self.random.pick(&[60.0, 240.0, 400.0, 1200.0]), "repeat": self.random.one_in(4)});
+        if !self.random.one_in(4) {
+            line["estimateMs"] = json!(self.random.pick(&[2.0, 12.0, 40.0, 200.0]));
+            line["needMb"] = json!(self.random.pick(&[10, 384, 1500, 6000]));
         }
-        if self.chance.one_in(3) {
-            line["table"] = json!(self.chance.pick(&["orders", "people"]));
-            line["tableGroup"] = json!(self.chance.below(3));
+        if self.random.one_in(3) {
+            line["table"] = json!(self.random.pick(&["orders", "people"]));
+            line["tableGroup"] = json!(self.random.below(3));
         }
-        self.tell(line);
-        self.open.push((who, request));
+        self.send(line);
+        self.unanswered.push((instance, request));
     }
 
-    fn end_any(&mut self) {
+    fn end_random_attempt(&mut self) {
         if self.attempts.is_empty() {
             return;
         }
-        let at = self.chance.below(self.attempts.len() as u64) as usize;
+        let at = self.random.below(self.attempts.len() as u64) as usize;
         let common = ["success"; 9];
         let rare = ["failure", "overloaded", "overloaded", "unreachable", "broken", "void"];
-        let result = self.chance.pick(&[&common[..], &rare].concat());
+        let result = self.random.pick(&[&common[..], &rare].concat());
         if self.attempts[at].engine == SILENT && !self.attempts[at].cancelled {
             return;
         }
-        let result = if self.attempts[at].cancelled && !self.chance.one_in(4) { "withdrawn" } else { result };
-        self.end(at, result);
+        let result = if self.attempts[at].cancelled && !self.random.one_in(4) { "withdrawn" } else { result };
+        self.end_attempt(at, result);
     }
 
-    fn end(&mut self, at: usize, result: &str) {
-        let Attempt { who, request, number, engine, sent_ms, .. } = self.attempts.remove(at);
-        let open = (who, request.clone());
-        let over = !self.open.contains(&open);
-        let mut line = json!({"op": "ENDED", "who": who, "ref": request, "hop": number, "engine": engine,
-            "result": result, "delaySeenMs": self.now_ms - sent_ms, "noMore": over});
+    fn end_attempt(&mut self, at: usize, result: &str) {
+        let Attempt { instance, request, number, engine, sent_ms, .. } = self.attempts.remove(at);
+        let unanswered = (instance, request.clone());
+        let request_done = !self.unanswered.contains(&unanswered);
+        let mut line = json!({"op": "ENDED", "who": instance, "ref": request, "hop": number, "engine": engine,
+            "result": result, "delaySeenMs": self.now_ms - sent_ms, "noMore": request_done});
         if result == "success" {
-            self.open.retain(|other| *other != open);
-            line["usedUp"] = json!(self.chance.below(60) * 4096 + self.chance.below(400));
+            self.unanswered.retain(|other| *other != unanswered);
+            line["usedUp"] = json!(self.random.below(60) * 4096 + self.random.below(400));
         }
-        if !self.chance.one_in(3) {
+        if !self.random.one_in(3) {
             line["stats"] = self.stats();
         }
-        self.tell(line);
+        self.send(line);
     }
 
     fn stats(&mut self) -> Value {
-        let busy = self.chance.below(100) as f64 / 100.0;
-        let memory = self.chance.below(100) as f64 / 100.0;
-        json!([busy, self.chance.below(9), self.chance.below(5), memory, 0.25, 17])
+        let busy = self.random.below(100) as f64 / 100.0;
+        let memory = self.random.below(100) as f64 / 100.0;
+        json!([busy, self.random.below(9), self.random.below(5), memory, 0.25, 17])
     }
 
-    fn progress_noted(&mut self) {
+    fn send_progress_note(&mut self) {
         if self.attempts.is_empty() {
             return;
         }
-        let at = self.chance.below(self.attempts.len() as u64) as usize;
-        let (sort, value) = self.chance.pick(&[(1, 0.25), (1, 0.75), (2, 120.0), (3, 1.0), (3, 2.0)]);
-        let Attempt { who, request, number, .. } = &self.attempts[at];
-        let line =
-            json!({"op": "NOTICE", "who": who, "ref": request, "hop": number, "sort": sort, "value": value});
-        self.tell(line);
+        let at = self.random.below(self.attempts.len() as u64) as usize;
+        let (sort, value) = self.random.pick(&[(1, 0.25), (1, 0.75), (2, 120.0), (3, 1.0), (3, 2.0)]);
+        let Attempt { instance, request, number, .. } = &self.attempts[at];
+        let line = json!({"op": "NOTICE", "who": instance, "ref": request, "hop": number, "sort": sort, "value": value});
+        self.send(line);
     }
 
-    fn withdraw(&mut self) {
-        if self.open.is_empty() {
+    fn cancel_request(&mut self) {
+        if self.unanswered.is_empty() {
             return;
         }
-        let at = self.chance.below(self.open.len() as u64) as usize;
-        let (who, request) = self.open.remove(at);
-        self.tell(json!({"op": "CANCELLED_BY_CLIENT", "who": who, "ref": request}));
+        let at = self.random.below(self.unanswered.len() as u64) as usize;
+        let (instance, request) = self.unanswered.remove(at);
+        self.send(json!({"op": "CANCELLED_BY_CLIENT", "who": instance, "ref": request}));
     }
 
-    /// The whole list, a change of some engines, or word that it can't be had.
-    fn announce(&mut self, who: u64) {
+    /// Announces the whole endpoint list, changes of it, or that it can't be read.
+    fn announce(&mut self, instance: u64) {
         let first = self.tables < INSTANCES;
         let mode =
-            if first { "stale_copy" } else { self.chance.pick(&["stale_copy", "patch", "patch", "broken"]) };
+            if first { "stale_copy" } else { self.random.pick(&["stale_copy", "patch", "patch", "broken"]) };
         let table = self.tables;
         self.tables += 1;
         let mut rows = Vec::new();
         for engine in 0..ENGINES {
-            if first || !self.chance.one_in(3) {
+            if first || !self.random.one_in(3) {
                 let common = ["healthy"; 6];
-                let condition = self.chance.pick(&[&common[..], &["draining", "deregistered"]].concat());
-                let launched = if self.chance.one_in(5) { json!(self.now_ms) } else { Value::Null };
+                let condition = self.random.pick(&[&common[..], &["draining", "deregistered"]].concat());
+                let launched = if self.random.one_in(5) { json!(self.now_ms) } else { Value::Null };
                 rows.push(json!({"engine": format!("e:{engine}"), "site": engine % 2, "flavor": engine / 3,
                     "cohort": engine, "condition": if first { "healthy" } else { condition }, "launchedMs": launched}));
             }
         }
-        self.tell(json!({"op": "TABLE", "ref": table, "items": rows}));
-        self.tell(json!({"op": "ANNOUNCE", "who": who, "mode": mode, "epoch": table, "ref": table}));
+        self.send(json!({"op": "TABLE", "ref": table, "items": rows}));
+        self.send(json!({"op": "ANNOUNCE", "who": instance, "mode": mode, "epoch": table, "ref": table}));
     }
 }
 
-/// The kind of a line, by what tells it from others.
+/// The kind of a line.
 fn kind_of(line: &Value) -> String {
     let words = ["op", "result", "mode"].iter().filter_map(|name| line[name].as_str());
     words.collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn what_the_adapter_writes_on_seeded_days_is_as_it_was() {
-    let mut witness = Witness::default();
-    (0..DAYS).for_each(|seed| Day::new(seed, &mut witness).live(seed));
-    let Witness { digest, told, written } = witness;
-    for (kind, least) in NEEDED {
-        let times = written.get(kind).or(told.get(kind)).copied().unwrap_or_default();
+fn the_adapter_writes_as_before() {
+    let mut record = Record::default();
+    (0..RUNS).for_each(|seed| Simulation::new(seed, &mut record).run(seed));
+    let Record { digest, messages, actions } = record;
+    for (kind, least) in REQUIRED {
+        let times = actions.get(kind).or(messages.get(kind)).copied().unwrap_or_default();
         assert!(times >= least, "only {times} times: {kind}");
     }
     let lines = |kinds: BTreeMap<String, u64>| -> String {
@@ -455,5 +461,5 @@
         sent again: 807
         ea7c33236761dac4772577de124cbb1654efa65205b4b0b9d83910491fb3f054
     "#]]
-    .assert_eq(&format!("{}\n{}{digest}\n", lines(told), lines(written)));
+    .assert_eq(&format!("{}\n{}{digest}\n", lines(messages), lines(actions)));
 }
