--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -4,7 +4,8 @@
 use emberflow::{AttemptLimits, Fleet, RequestClass};
 use emberflow_operator::OperatorConfig;
 use emberflow_settings::{
-    Fault, Fields, attempt_limits, fleet, marks_retries, request_classes, unknown_reports,
+    Fault, Fields, clients_mark_retries, decode_attempt_limits, decode_fleet, decode_request_classes,
+    unknown_load_report_names,
 };
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -29,15 +30,15 @@
 impl Bootstrap {
     pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, String> {
         let config = RouterConfig::read(file, listen)?;
-        let settings = Fields::of(file).part("settings")?;
+        let settings = Fields::of(file).object("settings")?;
         let (last, events) = known(Fields::of(file), &config.locations, &config.kinds)?;
-        let (fleet, classes) = (fleet(config.seed, settings)?, request_classes(settings)?);
+        let (fleet, classes) = (decode_fleet(config.seed, settings)?, decode_request_classes(settings)?);
         Ok(Self {
             fleet,
             classes,
             // On sockets a probe tells only that a connection works.
-            attempt_limits: AttemptLimits { may_probe: false, ..attempt_limits(settings)? },
-            unread: unknown_reports(settings)?.into_iter().map(String::from).collect(),
+            attempt_limits: AttemptLimits { may_probe: false, ..decode_attempt_limits(settings)? },
+            unread: unknown_load_report_names(settings)?.into_iter().map(String::from).collect(),
             last,
             events,
             config,
@@ -81,8 +82,8 @@
 impl RouterConfig {
     fn read(file: &Value, listen: Option<&str>) -> Result<Self, String> {
         let file = Fields::of(file);
-        let (limits, settings) = (file.part("limits")?, file.part("settings")?);
-        let caps = settings.part("caps")?;
+        let (limits, settings) = (file.object("limits")?, file.object("settings")?);
+        let caps = settings.object("caps")?;
         let address = |name: &str, text: &str| {
             text.parse().map_err(|_| format!("`{name}` is not an address with a port: {text}"))
         };
@@ -97,7 +98,7 @@
             locations: told_apart(settings.rows("zones")?.map(Ok))?,
             kinds: told_apart(settings.rows("kinds")?.map(Ok))?,
             classes: told_apart(settings.rows("categories")?.map(|row| row.field("name")))?,
-            marks_retries: marks_retries(settings)?,
+            marks_retries: clients_mark_retries(settings)?,
             most_open: caps
                 .optional("maxOpen", Fields::not_negative)?
                 .map_or(usize::MAX, |most| most as usize)
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -123,14 +123,14 @@
 
 /// The number of the last event of the start, and all of them.
 pub fn known(file: Fields, locations: &[String], kinds: &[String]) -> Result<(u64, Vec<Event>), Fault> {
-    let known = file.part("known")?;
+    let known = file.object("known")?;
     let event = |item: Fields| {
-        let roster = item.part("roster")?;
+        let roster = item.object("roster")?;
         let rows = roster.rows("members")?.map(|row| member(row, locations, kinds));
         Ok((roster.flag("complete")?, rows.collect::<Result<_, Fault>>()?))
     };
     let events = known.rows("items")?.map(event).collect::<Result<_, Fault>>()?;
-    Ok((known.whole("no")?, events))
+    Ok((known.unsigned("no")?, events))
 }
 
 fn member(row: Fields, locations: &[String], kinds: &[String]) -> Result<Row, Fault> {
@@ -150,7 +150,7 @@
         gone: phase == "gone",
         location: place(locations, "locality")?,
         kind: place(kinds, "flavor")?,
-        cell: row.maybe_number("cell").unwrap_or(0.0) as u64,
-        up_since_ms: row.maybe_number("up_since_ms").unwrap_or(0.0) as u64,
+        cell: row.get_number("cell").unwrap_or(0.0) as u64,
+        up_since_ms: row.get_number("up_since_ms").unwrap_or(0.0) as u64,
     })
 }
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -10,7 +10,7 @@
 use emberflow::{
     AttemptEnded, AttemptOutcome, Endpoint, EngineId, Lifecycle, LoadReport, ProgressNote, RequestId, Usage,
 };
-use emberflow_settings::{from_ms, load};
+use emberflow_settings::{build_load_report, from_ms};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -949,7 +949,7 @@
 
 /// The load that an answer reports.
 fn load_report(text: &str) -> Result<LoadReport, String> {
-    load(|names| {
+    build_load_report(|names| {
         let found = names.iter().find_map(|name| Some((*name, resp::field(text, name, (';', ':'))?)));
         found.map(|(name, value)| number(name, value)).transpose()
     })
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -51,7 +51,7 @@
 pub type Withdrawal = (String, Option<u64>);
 
 pub fn withdrawal_of(id: Option<u64>, params: Fields) -> Withdrawal {
-    (params.text("req").unwrap_or_default().to_owned(), params.whole("id").ok().or(id))
+    (params.text("req").unwrap_or_default().to_owned(), params.unsigned("id").ok().or(id))
 }
 
 /// What a line takes back, if it does.
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -382,7 +382,7 @@
         let group = std::str::from_utf8(&statement).map(statement::table_group);
         let group = group.map_err(|_| wrong("`data` is no text".into()))?;
         let resent = match fields
-            .maybe("resent")
+            .get("resent")
             .map(|value| value.as_bool().map_or(value.as_u64(), |b| Some(b.into())))
         {
             None => false,
@@ -641,16 +641,16 @@
 /// What a request says of its team, its urgency and whether its client wants to be told of its wait.
 fn team_and_urgency(roll: &TeamConfig, fields: Fields) -> Result<(usize, u8, bool), String> {
     let (team, urgency) = (roll.team_field.as_str(), roll.urgency_field.as_str());
-    let name = fields.maybe(team).map(|_| fields.text(team)).transpose()?.unwrap_or_default();
+    let name = fields.get(team).map(|_| fields.text(team)).transpose()?.unwrap_or_default();
     if name.len() > MAX_NAME_BYTES {
         return Err(format!("`{team}` is over {MAX_NAME_BYTES} bytes"));
     }
-    let urgency = match fields.maybe(urgency).map(|value| value.as_u64()) {
+    let urgency = match fields.get(urgency).map(|value| value.as_u64()) {
         None => 0,
         Some(Some(told @ 0..=3)) => told as u8,
         Some(_) => return Err(format!("`{urgency}` is not 0, 1, 2 or 3")),
     };
-    let told = roll.wait_notice_field.as_ref().is_some_and(|field| fields.maybe_flag(field));
+    let told = roll.wait_notice_field.as_ref().is_some_and(|field| fields.get_flag(field));
     Ok((roll.team_index(name), urgency, told))
 }
 
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -7,16 +7,16 @@
 const RETRY_WINDOW: &str = "countedOverMs";
 
 /// Decodes the limits that hold for every attempt.
-pub fn attempt_limits(params: Fields) -> Result<AttemptLimits, SettingsError> {
-    let caps = params.part("caps")?;
-    let rules = params.part("rules")?;
+pub fn decode_attempt_limits(params: Fields) -> Result<AttemptLimits, SettingsError> {
+    let caps = params.object("caps")?;
+    let rules = params.object("rules")?;
     let retry_budget = retry_budget(rules)?;
     let max_retry_after = caps.optional("maxRetryAfterMs", Fields::time)?;
     Ok(AttemptLimits {
         max_attempts: caps.count("mostTries")?,
         may_cancel: caps.flag("cancel")?,
         may_probe: caps.optional("probes", Fields::flag)?.unwrap_or(false),
-        start_capacity: rules.share("startCapacity")?,
+        start_capacity: rules.fraction("startCapacity")?,
         warm_up: rules.positive_time("warmUpMs")?,
         overload_factor: rules.positive("overloadFactor")?,
         overload_window: rules.positive_time("fallMs")?,
@@ -38,7 +38,7 @@
 }
 
 /// Whether clients mark their retries.
-pub fn marks_retries(params: Fields) -> Result<bool, SettingsError> {
-    let Some(habits) = params.optional("clientHabits", Fields::part)? else { return Ok(false) };
+pub fn clients_mark_retries(params: Fields) -> Result<bool, SettingsError> {
+    let Some(habits) = params.optional("clientHabits", Fields::object)? else { return Ok(false) };
     Ok(habits.optional("marksRetry", Fields::flag)?.unwrap_or(false))
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -9,7 +9,7 @@
 ///
 /// Methods that take a `name` read that field of an object; an absent field and null are the same. Methods that
 /// start with `as_` read the value itself. Both fail with the path and with what was expected, except for those
-/// that start with `maybe`, which return nothing for a value of another type.
+/// that start with `get`, which return nothing for an absent value or one of another type.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
     value: &'a Value,
@@ -43,7 +43,7 @@
     }
 
     /// A field, unless it is absent or null.
-    pub fn maybe(self, name: &str) -> Option<&'a Value> {
+    pub fn get(self, name: &str) -> Option<&'a Value> {
         self.value.get(name).filter(|value| !value.is_null())
     }
 
@@ -54,7 +54,7 @@
             let path = path.trim_start_matches('.').to_owned();
             SettingsError { path, problem: Problem::Missing }
         };
-        self.maybe(name).map(|value| Self { value, ..self }).ok_or_else(missing)
+        self.get(name).map(|value| Self { value, ..self }).ok_or_else(missing)
     }
 
     /// Reads a field if it is there and not null.
@@ -63,7 +63,7 @@
         name: &str,
         read: impl FnOnce(Self, &str) -> Result<T, SettingsError>,
     ) -> Result<Option<T>, SettingsError> {
-        self.maybe(name).map(|_| read(self, name)).transpose()
+        self.get(name).map(|_| read(self, name)).transpose()
     }
 
     fn read<T>(
@@ -80,7 +80,7 @@
     }
 
     /// An integer from 0 up.
-    pub fn whole(self, name: &str) -> Result<u64, SettingsError> {
+    pub fn unsigned(self, name: &str) -> Result<u64, SettingsError> {
         self.field(name)?.read("a whole number", Value::as_u64)
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// A number from 0 to 1.
-    pub fn share(self, name: &str) -> Result<f64, SettingsError> {
+    pub fn fraction(self, name: &str) -> Result<f64, SettingsError> {
         let within = |number: &f64| (0.0..=1.0).contains(number);
         self.field(name)?.read("a number from 0 to 1", |value| finite(value).filter(within))
     }
@@ -162,17 +162,17 @@
     }
 
     /// A list of strings.
-    pub fn texts(self, name: &str) -> Result<Vec<String>, SettingsError> {
+    pub fn text_list(self, name: &str) -> Result<Vec<String>, SettingsError> {
         self.rows(name)?.map(|row| row.as_text().map(str::to_owned)).collect()
     }
 
     /// A list of indices into another list of that length, where the length is known.
-    pub fn places(self, name: &str, length: Option<usize>) -> Result<Vec<usize>, SettingsError> {
-        self.rows(name)?.map(|row| row.as_place(length)).collect()
+    pub fn indices(self, name: &str, length: Option<usize>) -> Result<Vec<usize>, SettingsError> {
+        self.rows(name)?.map(|row| row.as_index(length)).collect()
     }
 
     /// An object.
-    pub fn part(self, name: &str) -> Result<Fields<'a>, SettingsError> {
+    pub fn object(self, name: &str) -> Result<Fields<'a>, SettingsError> {
         let part = self.field(name)?;
         part.read("an object", |value| value.is_object().then_some(part))
     }
@@ -206,7 +206,7 @@
     }
 
     /// The value as an index into a list of that length, where the length is known.
-    pub fn as_place(self, length: Option<usize>) -> Result<usize, SettingsError> {
+    pub fn as_index(self, length: Option<usize>) -> Result<usize, SettingsError> {
         let index = self.read("an index", as_index)?;
         match length {
             Some(length) if index >= length => Err(self.error(Problem::IndexOutOfRange { index, length })),
@@ -215,18 +215,18 @@
     }
 
     /// A field's number; nothing if it is absent or of another type.
-    pub fn maybe_number(self, name: &str) -> Option<f64> {
-        self.maybe(name)?.as_f64()
+    pub fn get_number(self, name: &str) -> Option<f64> {
+        self.get(name)?.as_f64()
     }
 
     /// A field's time in milliseconds; nothing if it is absent or of another type, zero if it is negative.
-    pub fn maybe_time(self, name: &str) -> Option<Duration> {
-        self.maybe_number(name).map(from_ms)
+    pub fn get_time(self, name: &str) -> Option<Duration> {
+        self.get_number(name).map(from_ms)
     }
 
     /// Whether a field is true; an absent one and one of another type are false.
-    pub fn maybe_flag(self, name: &str) -> bool {
-        self.maybe(name).and_then(Value::as_bool).unwrap_or(false)
+    pub fn get_flag(self, name: &str) -> bool {
+        self.get(name).and_then(Value::as_bool).unwrap_or(false)
     }
 }
 
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -5,16 +5,16 @@
 use emberflow::{EngineKind, Fleet};
 
 /// Decodes what the scheduler knows of the fleet. `seed` is the seed of its random choices.
-pub fn fleet(seed: u64, params: Fields) -> Result<Fleet, SettingsError> {
-    let domain = params.part("domain")?;
+pub fn decode_fleet(seed: u64, params: Fields) -> Result<Fleet, SettingsError> {
+    let domain = params.object("domain")?;
     let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
     let progress_interval = domain.optional("tellsEveryMs", Fields::time)?;
     Ok(Fleet {
         seed,
         router_count: params.count("instances")?,
-        home_location: params.field("myZone")?.as_place(zone_count)?,
+        home_location: params.field("myZone")?.as_index(zone_count)?,
         kinds: engine_kinds(params, domain)?,
-        max_grant_share: domain.share("largestShare")?,
+        max_grant_share: domain.fraction("largestShare")?,
         shrinks_grants: domain.optional("whenShort", shrinks_grants)?.unwrap_or(false),
         honors_priorities: domain.flag("lanesCount")?,
         progress_interval: progress_interval.filter(|interval| !interval.is_zero()),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,12 +12,12 @@
 mod request_classes;
 mod time;
 
-pub use attempt_limits::{attempt_limits, marks_retries};
+pub use attempt_limits::{clients_mark_retries, decode_attempt_limits};
 pub use error::{Problem, SettingsError};
 pub use fields::Fields;
-pub use fleet::fleet;
-pub use load_report::{load, reported, unknown_reports};
-pub use request_classes::request_classes;
+pub use fleet::decode_fleet;
+pub use load_report::{build_load_report, load_report_names, unknown_load_report_names};
+pub use request_classes::decode_request_classes;
 pub use time::{from_ms, to_ms};
 
 /// The former name of [`SettingsError`].
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -20,26 +20,26 @@
 impl ReportMode {
     /// Decodes the settings' `report.how`.
     pub(crate) fn read(params: Fields) -> Result<Self, SettingsError> {
-        let report = params.part("report")?;
+        let report = params.object("report")?;
         report
             .one_of("how", [("answers", Self::WithAnswers), ("probe", Self::OnProbe), ("none", Self::Never)])
     }
 }
 
 /// The names of the figures in a load report, in their order; none where engines report nothing.
-pub fn reported(params: Fields) -> Result<Vec<String>, SettingsError> {
+pub fn load_report_names(params: Fields) -> Result<Vec<String>, SettingsError> {
     match ReportMode::read(params)? {
         ReportMode::Never => Ok(Vec::new()),
-        ReportMode::WithAnswers | ReportMode::OnProbe => params.part("report")?.texts("names"),
+        ReportMode::WithAnswers | ReportMode::OnProbe => params.object("report")?.text_list("names"),
     }
 }
 
 /// One error for each figure of a load report whose name is unknown, so that it is ignored.
-pub fn unknown_reports(params: Fields) -> Result<Vec<SettingsError>, SettingsError> {
-    if reported(params)?.is_empty() {
+pub fn unknown_load_report_names(params: Fields) -> Result<Vec<SettingsError>, SettingsError> {
+    if load_report_names(params)?.is_empty() {
         return Ok(Vec::new());
     }
-    let names = params.part("report")?.rows("names")?;
+    let names = params.object("report")?.rows("names")?;
     let unknown = |field: Fields| {
         let name = field.as_text().ok().filter(|name| !is_known(name))?;
         Some(field.error(Problem::Unknown { found: name.to_owned() }))
@@ -54,13 +54,15 @@
         known |= names.contains(&name);
         Ok::<_, SettingsError>(None)
     };
-    let _ = load(lookup);
+    let _ = build_load_report(lookup);
     known
 }
 
 /// Builds a load report from single figures. `figure` is called once for each, with all names that it may have
 /// (the settings' and the wire's), and returns its value or `None` where the report lacks it.
-pub fn load<E>(mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>) -> Result<LoadReport, E> {
+pub fn build_load_report<E>(
+    mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>,
+) -> Result<LoadReport, E> {
     Ok(LoadReport {
         busy: figure(&["busy", "util"])?,
         in_flight: figure(&["rif", "inflight"])?,
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -4,8 +4,8 @@
 use emberflow::{Effect, KeyScope, RequestClass};
 
 /// Decodes all request classes, in the settings' order.
-pub fn request_classes(params: Fields) -> Result<Vec<RequestClass>, SettingsError> {
-    let domain = params.part("domain")?;
+pub fn decode_request_classes(params: Fields) -> Result<Vec<RequestClass>, SettingsError> {
+    let domain = params.object("domain")?;
     let kind_count = domain.list("kindCores")?.len();
     let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
     let rows = params.rows("categories")?;
@@ -39,11 +39,11 @@
             objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
             deadline: row.positive_time("deadlineMs")?,
             priority_weight: row.not_negative("gain")?,
-            late_share: row.share("lateShare")?,
+            late_share: row.fraction("lateShare")?,
             effect: effect(row)?,
             keeps_order: row.optional("keepOrder", Fields::flag)?.unwrap_or(false),
-            kinds: row.optional("allowedOn", |row, name| row.places(name, Some(self.kind_count)))?,
-            locations: row.optional("zonesOpen", |row, name| row.places(name, self.zone_count))?,
+            kinds: row.optional("allowedOn", |row, name| row.indices(name, Some(self.kind_count)))?,
+            locations: row.optional("zonesOpen", |row, name| row.indices(name, self.zone_count))?,
             threads: self.threads[index].map_or(Ok(1.0), Fields::as_positive)?,
             holds_group: self.holds_group[index].map_or(Ok(false), Fields::as_flag)?,
             waits_for_loads: self.waits_for_loads[index].map_or(Ok(false), Fields::as_flag)?,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,8 @@
 //! Errors of settings that contradict each other, hold unknown names, or lack what a rule needs.
 
 use emberflow_settings::{
-    Fields, SettingsError, attempt_limits, fleet, marks_retries, reported, request_classes, unknown_reports,
+    Fields, SettingsError, clients_mark_retries, decode_attempt_limits, decode_fleet, decode_request_classes,
+    load_report_names, unknown_load_report_names,
 };
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -47,12 +48,12 @@
 }
 
 fn read(file: &Value) -> Result<(), SettingsError> {
-    let settings = Fields::of(file).part("settings")?;
-    fleet(1, settings)?;
-    request_classes(settings)?;
-    attempt_limits(settings)?;
-    marks_retries(settings)?;
-    reported(settings)?;
+    let settings = Fields::of(file).object("settings")?;
+    decode_fleet(1, settings)?;
+    decode_request_classes(settings)?;
+    decode_attempt_limits(settings)?;
+    clients_mark_retries(settings)?;
+    load_report_names(settings)?;
     Ok(())
 }
 
@@ -257,8 +258,8 @@
 fn unknown_figures_of_load_reports_are_reported() {
     let unknown_figures = |how: &str, names: &[&str]| {
         let file = with(&[("report", json!({"how": how, "names": names}))]);
-        let unknown =
-            unknown_reports(Fields::of(&file).part("settings").expect("settings")).expect("it reads");
+        let unknown = unknown_load_report_names(Fields::of(&file).object("settings").expect("settings"))
+            .expect("it reads");
         unknown.iter().map(ToString::to_string).collect::<Vec<_>>()
     };
     for known in ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1", "inflight", "queue", "util"]
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -89,14 +89,14 @@
             "patch" => EndpointUpdate::Changes,
             _ => EndpointUpdate::FullList,
         };
-        Ok(Self::EndpointsChanged { update, table: line.whole("ref")? })
+        Ok(Self::EndpointsChanged { update, table: line.unsigned("ref")? })
     }
 
     fn decode_progress(line: Fields<'a>) -> Result<Self, AdapterError> {
         let request = line.text("ref")?;
         let attempt = line.index("hop")?;
         let value = line.number("value")?;
-        let note = match (line.whole("sort")?, value) {
+        let note = match (line.unsigned("sort")?, value) {
             (1, fraction) => ProgressNote::Fraction(fraction),
             (2, missing_mb) => ProgressNote::Spilling(missing_mb),
             (3, 1.0) => ProgressNote::WaitingForMemory,
@@ -113,11 +113,11 @@
             request: line.text("ref")?,
             class: line.index("qos")?,
             key: line.optional("table", Fields::text)?,
-            cost: line.maybe_time("estimateMs").filter(|cost| !cost.is_zero()),
-            memory_mb: line.maybe_number("needMb").filter(|memory| *memory > 0.0),
+            cost: line.get_time("estimateMs").filter(|cost| !cost.is_zero()),
+            memory_mb: line.get_number("needMb").filter(|memory| *memory > 0.0),
             deadline: from_ms(line.number("graceMs")?),
-            is_retry: line.maybe_flag("repeat"),
-            group: line.maybe_number("tableGroup").map(|group| group as u64),
+            is_retry: line.get_flag("repeat"),
+            group: line.get_number("tableGroup").map(|group| group as u64),
         })
     }
 }
@@ -145,13 +145,13 @@
             engine: row.text("engine")?,
             location: row.index("site")?,
             kind: row.index("flavor")?,
-            cell: row.whole("cohort")?,
+            cell: row.unsigned("cohort")?,
             lifecycle: match row.text("condition")? {
                 "healthy" => Lifecycle::Ready,
                 "deregistered" => Lifecycle::Gone,
                 _ => Lifecycle::Draining,
             },
-            launched: row.maybe_time("launchedMs").filter(|at| !at.is_zero()),
+            launched: row.get_time("launchedMs").filter(|at| !at.is_zero()),
         })
     }
 }
@@ -160,7 +160,7 @@
 fn usage(line: Fields) -> Option<Usage> {
     const MEMORY_STEPS: u64 = 4096;
     const STEP_MB: u64 = 4;
-    let used = line.maybe_number("usedUp").unwrap_or(0.0) as u64;
+    let used = line.get_number("usedUp").unwrap_or(0.0) as u64;
     (used > 0).then(|| Usage {
         cost: Duration::from_millis(used / MEMORY_STEPS),
         memory_mb: (used % MEMORY_STEPS * STEP_MB) as f64,
@@ -169,7 +169,7 @@
 
 /// The figures of a load report, in the order that the settings name.
 fn stats(line: Fields<'_>) -> Option<&[Value]> {
-    line.maybe("stats")?.as_array().map(Vec::as_slice)
+    line.get("stats")?.as_array().map(Vec::as_slice)
 }
 
 fn attempt_outcome(result: &str) -> Result<AttemptOutcome, AdapterError> {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::error::AdapterError;
 use crate::instance::{Instance, Tables};
-use emberflow_settings::{Fields, unknown_reports};
+use emberflow_settings::{Fields, unknown_load_report_names};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -51,14 +51,14 @@
         match (line.text("op")?, self.batch) {
             ("BEGIN_BATCH", None) => {
                 let now = line.time("atTimeMs")?;
-                self.batch = Some(Batch { now, frame: line.whole("frame")? });
+                self.batch = Some(Batch { now, frame: line.unsigned("frame")? });
                 Ok(())
             }
             ("BEGIN_BATCH", Some(_)) => Err(AdapterError::NestedBatch),
             (operation, None) => Err(AdapterError::OutsideBatch { operation: operation.to_owned() }),
             ("END", Some(batch)) => self.end_batch(batch.frame, output),
             ("TABLE", Some(_)) => {
-                self.tables.insert(line.whole("ref")?, line.list("items")?.to_vec());
+                self.tables.insert(line.unsigned("ref")?, line.list("items")?.to_vec());
                 Ok(())
             }
             (operation, Some(batch)) => self.handle_event(operation, line, batch.now),
@@ -72,7 +72,7 @@
 
     /// Passes a message on to its instance. After a panic the rest of the batch is skipped.
     fn handle_event(&mut self, operation: &str, line: Fields, now: Duration) -> Result<(), AdapterError> {
-        let number = line.whole("who")?;
+        let number = line.unsigned("who")?;
         if self.panicked.is_some() {
             return Ok(());
         }
@@ -108,7 +108,7 @@
     }
 
     fn warn_of_unknown_figures(&mut self, line: Fields) -> Result<(), AdapterError> {
-        for unknown in unknown_reports(line.part("params")?)? {
+        for unknown in unknown_load_report_names(line.object("params")?)? {
             let unknown = unknown.to_string();
             if self.warnings.insert(unknown.clone()) {
                 eprintln!("emberflow-simulator-adapter: {unknown}, so it goes unread");
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,7 +5,10 @@
 use crate::event::{Accept, AttemptEnd, EndpointRow, Event};
 use crate::names::{NameTable, Names};
 use emberflow::{Arrival, AttemptEnded, Endpoint, KeyId, LoadReport, RequestId, Scheduler};
-use emberflow_settings::{Fields, attempt_limits, fleet, load, marks_retries, reported, request_classes};
+use emberflow_settings::{
+    Fields, build_load_report, clients_mark_retries, decode_attempt_limits, decode_fleet,
+    decode_request_classes, load_report_names,
+};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -27,12 +30,13 @@
 impl Instance {
     /// Starts an instance with the settings of a `NEW_INSTANCE` message.
     pub fn new(number: u64, line: Fields) -> Result<Self, AdapterError> {
-        let params = line.part("params")?;
-        let reported = reported(params)?;
-        let seed = line.whole("rngSeed")?;
-        let fleet = fleet(seed, params)?;
-        let scheduler = Scheduler::new(fleet, request_classes(params)?, attempt_limits(params)?);
-        let marks_retries = marks_retries(params)?;
+        let params = line.object("params")?;
+        let reported = load_report_names(params)?;
+        let seed = line.unsigned("rngSeed")?;
+        let fleet = decode_fleet(seed, params)?;
+        let scheduler =
+            Scheduler::new(fleet, decode_request_classes(params)?, decode_attempt_limits(params)?);
+        let marks_retries = clients_mark_retries(params)?;
         Ok(Self { number, scheduler, reported, marks_retries, names: Names::default() })
     }
 
@@ -154,6 +158,6 @@
         let index = reported.iter().position(|name| names.contains(&name.as_str()));
         Ok::<_, Infallible>(index.and_then(|index| stats.get(index)?.as_f64()))
     };
-    let Ok(report) = load(figure);
+    let Ok(report) = build_load_report(figure);
     Some(report)
 }
