--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -6,8 +6,9 @@
 use crate::invariants::{Invariant, ObservedModel, first_violated, record_exercised};
 use crate::search::Model;
 use crate::witness;
+use emberflow::EndpointUpdate;
 use emberflow_router::counters::Counters;
-use emberflow_router::discovery::{Discovery, Row};
+use emberflow_router::discovery::{Discovery, EndpointEvent, Frame};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -215,7 +216,7 @@
 
 impl DiscoveryState {
     fn last_accepted(&self) -> u64 {
-        self.reader.last
+        self.reader.last_event
     }
 
     fn check(&mut self, scenario: &DiscoveryScenario, event: &Event) {
@@ -237,10 +238,10 @@
         loop {
             // The invariants compare with what the reader had before this frame.
             let mut reader = self.reader.clone();
-            match reader.take(&mut Counters::default()) {
+            match reader.next_frame(&mut Counters::default()) {
                 Ok(None) => return,
-                Ok(Some((number, rows))) => {
-                    self.accept(scenario, number, rows);
+                Ok(Some(frame)) => {
+                    self.accept(scenario, frame);
                     self.reader = reader;
                 }
                 Err(_) => {
@@ -253,10 +254,10 @@
         }
     }
 
-    fn accept(&mut self, scenario: &DiscoveryScenario, number: u64, rows: Option<(bool, Vec<Row>)>) {
-        let accepted = rows.map(|(is_snapshot, rows)| AcceptedRows {
-            is_snapshot,
-            rows: rows.iter().map(|row| (row.id, row.ready)).collect(),
+    fn accept(&mut self, scenario: &DiscoveryScenario, Frame { number, event }: Frame) {
+        let accepted = event.map(|EndpointEvent { update, endpoints }| AcceptedRows {
+            is_snapshot: update == EndpointUpdate::FullList,
+            rows: endpoints.iter().map(|endpoint| (endpoint.id, endpoint.is_ready())).collect(),
         });
         let event = Event::Accepts { number, rows: accepted };
         self.check(scenario, &event);
@@ -280,8 +281,8 @@
     fn reconnect(&mut self) {
         self.disconnects += u8::from(!self.must_reconnect);
         self.must_reconnect = false;
-        self.reader = self.reader.anew();
-        self.sent = self.reader.last;
+        self.reader = self.reader.for_new_connection();
+        self.sent = self.reader.last_event;
         self.unsent_rest.clear();
     }
 }
@@ -292,7 +293,7 @@
 
     fn initial_state(&self) -> DiscoveryState {
         DiscoveryState {
-            reader: Discovery::after(0, 1, 1),
+            reader: Discovery::resume_after(0, 1, 1),
             received: endpoint_list(0),
             last: 0,
             sent: 0,
@@ -356,7 +357,7 @@
 
     fn fingerprint(&self, state: &DiscoveryState) -> u64 {
         let mut hasher = DefaultHasher::new();
-        (state.reader.input.len(), state.reader.last, &state.received).hash(&mut hasher);
+        (state.reader.input.len(), state.reader.last_event, &state.received).hash(&mut hasher);
         (state.last, state.sent, &state.unsent_rest, state.must_reconnect).hash(&mut hasher);
         (state.faults, state.disconnects, state.violated).hash(&mut hasher);
         hasher.finish()
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -27,7 +27,9 @@
 const REQUEST_STATE: &str = "src/state/request.rs";
 
 const DISPATCH: &str = "crates/router/src/dispatch.rs";
-const SERVER: &str = "crates/router/src/server.rs";
+const REQUEST_TABLE: &str = "crates/router/src/request_table.rs";
+const SERVER_CLIENTS: &str = "crates/router/src/server/clients.rs";
+const SERVER_SHUTDOWN: &str = "crates/router/src/server/shutdown.rs";
 const CLIENTS: &str = "crates/router/src/clients.rs";
 const TEAM_QUEUE: &str = "crates/teams/src/team_queue.rs";
 const TEAM_CHARGING: &str = "crates/teams/src/queues/charging.rs";
@@ -215,7 +217,7 @@
     ),
     engines(
         "idle connections are kept",
-        "context.timers.set(if connection.retired { now } else { idle }, Timer::Idle(at));",
+        "context.timers.set(if connection.retired { now } else { idle }, Timer::ConnectionIdle(at));",
         "",
     ),
     engines(
@@ -246,43 +248,43 @@
     },
     Mutant {
         name: "an open request is taken again",
-        file: DISPATCH,
-        from: "self.reqs.contains(req)",
-        to: "self.reqs.contains(req) && req.is_empty()",
+        file: REQUEST_TABLE,
+        from: "self.names.contains(name)",
+        to: "self.names.contains(name) && name.is_empty()",
     },
     Mutant {
         name: "a client that left is still waited for",
-        file: SERVER,
+        file: SERVER_CLIENTS,
         from: "        client.open.into_values().collect()",
         to: "        drop(client.open);\n        Vec::new()",
     },
     Mutant {
         name: "a withdrawal that is not passed on",
-        file: SERVER,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);\n",
-        to: "        self.scheduler.clients_left(now, &[], &left, &mut self.dispatcher);\n",
+        file: SERVER_CLIENTS,
+        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
+        to: "        self.scheduler.clients_left(now, &[], &accepted, &mut self.dispatcher);\n",
     },
     Mutant {
         name: "a client that ended its side is sent for",
-        file: SERVER,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &left, &mut self.dispatcher);\n",
+        file: SERVER_CLIENTS,
+        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.dispatcher);\n",
     },
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
-        file: SERVER,
-        from: "                self.dispatcher.engines.disable_resend(attempt, &mut self.dispatcher.context);\n",
-        to: "                let _ = attempt;\n",
+        file: SERVER_CLIENTS,
+        from: "                engines.disable_resend(*attempt, context);\n",
+        to: "                let _ = (attempt, &engines, &context);\n",
     },
     Mutant {
         name: "the scheduler is not told of the shutdown",
-        file: SERVER,
-        from: "        self.scheduler.shutting_down(now, by, &mut self.dispatcher);\n",
+        file: SERVER_SHUTDOWN,
+        from: "        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);\n",
         to: "",
     },
     Mutant {
         name: "leaves with requests open",
-        file: SERVER,
+        file: SERVER_SHUTDOWN,
         from: "        requests.is_empty() && clients",
         to: "        let _ = requests;\n        clients",
     },
@@ -304,15 +306,19 @@
         from: "(client.scanned, client.active, client.heard) = (0, now, true);",
         to: "(client.active, client.heard) = (now, true);",
     },
-    discovery("a change taken after a gap", "*number != self.last + 1", "*number == u64::MAX"),
-    discovery("an event taken twice", "if *number <= self.last =>", "if *number < self.last =>"),
-    discovery("a lost event not noticed", "if *number > self.last =>", "if *number == u64::MAX =>"),
-    discovery("an unknown kind listed", "row.kind >= self.kinds", "row.kind > self.kinds"),
-    discovery("the last event forgotten", "self.last = frame.0;", ""),
+    discovery("a change taken after a gap", "number != last + 1", "number == u64::MAX"),
+    discovery("an event taken twice", "if number <= last =>", "if number < last =>"),
+    discovery("a lost event not noticed", "if number > last =>", "if number == u64::MAX =>"),
+    discovery(
+        "an unknown kind listed",
+        "endpoint.kind >= self.kind_count",
+        "endpoint.kind > self.kind_count",
+    ),
+    discovery("the last event forgotten", "self.last_event = number;", ""),
     discovery(
         "half a frame kept over a new connection",
-        "Self { input: Ring::default(), greeted: false, ..*self }",
-        "Self { input: self.input.clone(), greeted: false, ..*self }",
+        "Self { input: Ring::default(), subscribed: false, ..*self }",
+        "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
         name: "urgency does not count",
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -7,8 +7,10 @@
 use crate::wire::{
     Command, Peer, ScriptedInput, engine_answer, open_and_close, pong, request_id, take_commands,
 };
-use emberflow_router::discovery::Row;
+use emberflow::{EndpointUpdate, Lifecycle};
+use emberflow_router::discovery::{EndpointEvent, EndpointRecord};
 use emberflow_router::jsonrpc;
+use emberflow_router::server::ClosedClient;
 use emberflow_router::slots::Slot;
 use serde_json::Value;
 use std::time::Duration;
@@ -18,7 +20,7 @@
     let mut run = Run { scenario, state: state.clone(), actor: actor_of(transition) };
     run.make(transition);
     run.run_until_quiet();
-    run.state.server.clear();
+    run.state.server.close_finished_clients();
     run.run_until_quiet();
     run.state
 }
@@ -75,11 +77,13 @@
             Transition::ResetConnection { connection } => self.reset_connection(connection),
             Transition::DrainEngine => {
                 self.state.is_draining = true;
-                self.state.server.listed(false, &[Row { ready: false, ..endpoint_row(0) }]);
+                let draining = EndpointRecord { lifecycle: Lifecycle::Draining, ..endpoint_row(0) };
+                let event = EndpointEvent { update: EndpointUpdate::Changes, endpoints: vec![draining] };
+                self.state.server.endpoints_changed(&event);
             }
             Transition::Terminate => {
                 self.state.is_terminating = true;
-                self.state.server.close();
+                self.state.server.begin_shutdown();
             }
             Transition::PassTime => self.pass_time(),
         }
@@ -120,7 +124,7 @@
             }
             ClientLine::Malformed => "{".to_owned(),
             ClientLine::Endless => {
-                return " ".repeat(self.state.server.dispatcher.config.most_bytes()).into_bytes();
+                return " ".repeat(self.state.server.dispatcher.config.max_line_bytes()).into_bytes();
             }
         };
         (text + "\n").into_bytes()
@@ -156,8 +160,8 @@
         let slot = self.state.clients[client].slot;
         let server = &mut self.state.server;
         let now = server.dispatcher.context.now();
-        server.peek(now, [(slot, &mut input)]);
-        while server.hear(slot, now, &mut input, || false) {}
+        server.scan_clients(now, [(slot, &mut input)]);
+        while server.read_client_line(slot, now, &mut input, || false) {}
     }
 
     fn connect(&mut self, connection: Slot) {
@@ -202,7 +206,7 @@
         self.state.now = to;
         self.state.server.context().now = to;
         while let Some(due) = self.state.server.context().timers.pop(to) {
-            self.state.server.due(due);
+            self.state.server.timer_expired(due);
             self.run_until_quiet();
         }
     }
@@ -210,7 +214,7 @@
     /// Does what the server asks for, as the event loop would, until it asks for nothing more.
     fn run_until_quiet(&mut self) {
         loop {
-            self.state.server.tell();
+            self.state.server.process_events();
             let engines = &mut self.state.server.dispatcher.engines;
             let mut is_active =
                 open_and_close(&mut engines.commands, &mut self.state.engine_peers, Peer::default);
@@ -222,7 +226,9 @@
                 is_active = true;
                 self.drain_to_client(slot);
             }
-            for (slot, mut unread) in std::mem::take(&mut self.state.server.closed) {
+            for ClosedClient { slot, output: mut unread } in
+                std::mem::take(&mut self.state.server.closed_clients)
+            {
                 is_active = true;
                 let mut bytes = Vec::new();
                 unread.drain(&mut bytes).expect("a vector takes any number of bytes");
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -2,13 +2,13 @@
 
 use crate::clock::whole_ms;
 use crate::context::Context;
-use crate::discovery::Row;
+use crate::discovery::EndpointRecord;
 use crate::resp;
 use crate::ring::{Filled, Ring};
 use crate::slots::{Slot, Slots};
 use crate::timers::Timer;
 use emberflow::{
-    AttemptEnded, AttemptOutcome, Endpoint, EngineId, Lifecycle, LoadReport, ProgressNote, RequestId, Usage,
+    AttemptEnded, AttemptOutcome, Endpoint, EngineId, LoadReport, ProgressNote, RequestId, Usage,
 };
 use emberflow_settings::{build_load_report, from_ms};
 use std::cmp::Reverse;
@@ -159,19 +159,19 @@
     }
 
     /// Takes one line of the list in. A process that ended takes its connections with it, told or not.
-    pub fn update_endpoint(&mut self, row: &Row, context: &mut Context) -> Endpoint {
+    pub fn update_endpoint(&mut self, row: &EndpointRecord, context: &mut Context) -> Endpoint {
         let launched = (row.up_since_ms > 0).then(|| context.at_unix_ms(row.up_since_ms));
         let engine = *self.numbers.entry(row.id).or_insert(self.next);
         if engine == self.next {
-            let (id, address, ready) = (row.id, row.address, row.ready);
+            let (id, address, ready) = (row.id, row.address, row.is_ready());
             self.book.insert(engine, Engine { id, address, ready, launched, connections: Vec::new() });
             self.next += 1;
         }
-        if !row.ready {
+        if !row.is_ready() {
             self.void_unsent_attempts(engine, context);
         }
         let Some(known) = self.book.get_mut(&engine) else { unreachable!("a numbered engine") };
-        (known.address, known.ready) = (row.address, row.ready);
+        (known.address, known.ready) = (row.address, row.is_ready());
         if known.launched != launched
             && let Some(at) = launched
         {
@@ -183,16 +183,18 @@
                 self.close_connection(slot, "its engine has started anew", false, context);
             }
         }
-        let lifecycle = match row {
-            Row { gone: true, .. } => Lifecycle::Gone,
-            Row { ready: true, .. } => Lifecycle::Ready,
-            _ => Lifecycle::Draining,
-        };
-        Endpoint { engine, location: row.location, kind: row.kind, cell: row.cell, lifecycle, launched }
+        Endpoint {
+            engine,
+            location: row.location,
+            kind: row.kind,
+            cell: row.cell,
+            lifecycle: row.lifecycle,
+            launched,
+        }
     }
 
     /// A whole list leaves out what has gone: nothing is sent there any more, nor what waits for a connection.
-    pub fn drain_unlisted(&mut self, rows: &[Row], context: &mut Context) {
+    pub fn drain_unlisted(&mut self, rows: &[EndpointRecord], context: &mut Context) {
         let left_out = |known: &Engine| known.ready && !rows.iter().any(|row| row.id == known.id);
         let left_out = self.book.iter().filter(|(_, known)| left_out(known));
         for engine in left_out.map(|(engine, _)| *engine).collect::<Vec<_>>() {
@@ -367,7 +369,7 @@
         row.connection = Some(slot);
         connection.attempts.insert(row.id.clone(), attempt);
         if let Some(at) = connection.idle.take() {
-            context.timers.clear(at, Timer::Idle(slot));
+            context.timers.clear(at, Timer::ConnectionIdle(slot));
         }
         connection.waiting.push(attempt);
         // A silent connection may lead to a machine that is no more: it has to answer before it is used.
@@ -502,7 +504,7 @@
         if connection.whole_by.is_none() && !connection.input.is_empty() {
             let by = context.now() + self.comes_up * 2;
             connection.whole_by = Some(by);
-            context.timers.set(by, Timer::Whole(slot));
+            context.timers.set(by, Timer::AnswerComplete(slot));
         }
         matches!(filled, Ok(Filled::Enough))
     }
@@ -529,7 +531,7 @@
             let body = part(3).to_vec();
             connection.input.consume(length);
             connection.heard = context.now();
-            connection.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
+            connection.whole_by.take().inspect(|at| context.timers.clear(*at, Timer::AnswerComplete(slot)));
             if std::mem::take(&mut connection.asked) {
                 self.schedule_writes(slot, context);
             }
@@ -701,7 +703,7 @@
             if connection.attempts.is_empty() {
                 let idle = now + self.idle_close.mul_f64(RETIRED);
                 connection.idle = Some(idle);
-                context.timers.set(if connection.retired { now } else { idle }, Timer::Idle(at));
+                context.timers.set(if connection.retired { now } else { idle }, Timer::ConnectionIdle(at));
             }
         }
         let (usage, told) = attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
@@ -854,8 +856,8 @@
             .entry(connection.engine)
             .and_modify(|known| known.connections.retain(|other| *other != slot));
         connection.due.inspect(|at| context.timers.clear(*at, Timer::Connection(slot)));
-        connection.whole_by.inspect(|at| context.timers.clear(*at, Timer::Whole(slot)));
-        connection.idle.inspect(|at| context.timers.clear(*at, Timer::Idle(slot)));
+        connection.whole_by.inspect(|at| context.timers.clear(*at, Timer::AnswerComplete(slot)));
+        connection.idle.inspect(|at| context.timers.clear(*at, Timer::ConnectionIdle(slot)));
         if there && !connection.attempts.is_empty() {
             context.counters.count("connections_lost");
         }
--- a/crates/router/tests/sockets/harness/mod.rs
+++ b/crates/router/tests/sockets/harness/mod.rs
@@ -426,6 +426,6 @@
 fn read_listen_address(log: &mut impl BufRead) -> SocketAddr {
     let mut line = String::new();
     log.read_line(&mut line).expect("the log is UTF-8");
-    let address = line.trim().rsplit(' ').next().and_then(|word| word.parse().ok());
+    let address = line.trim().rsplit('=').next().and_then(|word| word.parse().ok());
     address.unwrap_or_else(|| panic!("the first line of the log holds no address: {line}"))
 }
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -1,6 +1,7 @@
 //! Attempts and their connections to engines, without sockets.
 
 use super::*;
+use emberflow::Lifecycle;
 use expect_test::expect;
 use std::io::Cursor;
 
@@ -18,7 +19,15 @@
         let mut context = Context::default();
         let mut engines = EnginePool::new(1, comes_up, Duration::from_secs(20), 1);
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
-        let row = Row { id: 7, address, ready: true, gone: false, location, kind, cell, up_since_ms: 0 };
+        let row = EndpointRecord {
+            id: 7,
+            address,
+            lifecycle: Lifecycle::Ready,
+            location,
+            kind,
+            cell,
+            up_since_ms: 0,
+        };
         let engine = engines.update_endpoint(&row, &mut context).engine;
         let call = Call {
             request: 0,
@@ -98,7 +107,15 @@
         stand.engines.connection_established(stand.connection, &mut stand.context);
         stand.engines.drain(stand.connection, &mut Narrow(room)).expect("it blocks");
         let (location, kind, cell, address) = (0, 0, 0, ([127, 0, 0, 1], 9).into());
-        let row = Row { id: 7, address, ready: false, gone: false, location, kind, cell, up_since_ms: 0 };
+        let row = EndpointRecord {
+            id: 7,
+            address,
+            lifecycle: Lifecycle::Draining,
+            location,
+            kind,
+            cell,
+            up_since_ms: 0,
+        };
         stand.engines.update_endpoint(&row, &mut stand.context);
         stand.engines.drain(stand.connection, &mut stand.seen).expect("it writes");
         format!("{} bytes left, {}\n", stand.seen.len() + room, stand.context.counters)
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -62,13 +62,24 @@
         /// Name of the missing field.
         required: &'static str,
     },
-    /// Anything else, in words.
-    #[error("{0}")]
-    Other(String),
-}
-
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> Self {
-        error.to_string()
-    }
+    /// The list may hold each name once.
+    #[error("is listed twice: {name}")]
+    Duplicate {
+        /// The name that was found again.
+        name: String,
+    },
+    /// The name refers to nothing that the settings list.
+    #[error("is not in the settings: {name}")]
+    NotInSettings {
+        /// The name.
+        name: String,
+    },
+    /// The text does not have the form that is expected.
+    #[error("is no {expected}: {found}")]
+    Malformed {
+        /// What the text should be.
+        expected: &'static str,
+        /// The text.
+        found: String,
+    },
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -2,7 +2,6 @@
 
 use crate::{Problem, SettingsError, from_ms};
 use serde_json::Value;
-use std::fmt::Display;
 use std::time::Duration;
 
 /// A JSON value that knows the way to it from the message or the file that it belongs to.
@@ -33,11 +32,6 @@
         SettingsError { path: self.path(), problem }
     }
 
-    /// An error about this value, in words that follow its path.
-    pub fn fault(self, problem: impl Display) -> SettingsError {
-        self.error(Problem::Other(problem.to_string()))
-    }
-
     fn path(self) -> String {
         path(self.root, self.value).unwrap_or_default().trim_start_matches('.').to_owned()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -19,6 +19,3 @@
 pub use load_report::{build_load_report, load_report_names, unknown_load_report_names};
 pub use request_classes::decode_request_classes;
 pub use time::{from_ms, to_ms};
-
-/// The former name of [`SettingsError`].
-pub type Fault = SettingsError;
