--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -1,4 +1,4 @@
-//! Prints a path of the module model as a trace in the style of `tests/traces.rs`.
+//! Prints a path of the module model as a trace in the style of `tests/traces/`.
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
@@ -24,7 +24,7 @@
         let moved = if clock.replace(now) == Some(now) { String::new() } else { format!(".at({now})") };
         let _ = writeln!(text, "    trace{moved}{call};");
     }
-    text + "    expect![[\"\"]].assert_eq(&trace.decided());\n}\n"
+    text + "    expect![[\"\"]].assert_eq(&trace.decisions());\n}\n"
 }
 
 /// The call of the trace that makes a transition, with the draw before it where chance matters; `None` for time that
@@ -35,17 +35,17 @@
         Transition::EndAttempt { request, outcome, draw } => (draw, end_call(state, request, outcome)),
         Transition::NoteProgress { request, note, draw } => (draw, note_call(state, request, note)),
         Transition::ChangeEndpoint { engine, change, draw } => (draw, endpoint_call(state, engine, change)),
-        Transition::EmptyEndpointList => (0, ".list_lost()".to_owned()),
+        Transition::EmptyEndpointList => (0, ".list_emptied()".to_owned()),
         Transition::FailEndpointList => (0, ".endpoint_list_failed()".to_owned()),
-        Transition::ClientLeaves { request, draw } => (draw, format!(".left({request})")),
-        Transition::WakeUp { draw } => (draw, ".woken()".to_owned()),
+        Transition::ClientLeaves { request, draw } => (draw, format!(".withdrawn({request})")),
+        Transition::WakeUp { draw } => (draw, ".wake_now()".to_owned()),
         Transition::ShutDown => {
             let by = state.now + model.classes[0].deadline;
             (0, format!(".shutting_down({})", by.as_millis()))
         }
         Transition::PassTime => return None,
     };
-    Some(if draw > 0 { format!(".draw({draw}){call}") } else { call })
+    Some(if draw > 0 { format!(".draw_from({draw}){call}") } else { call })
 }
 
 fn arrival_call(model: &ModuleModel, state: &ModuleState) -> String {
@@ -61,7 +61,7 @@
     let attempt = record.attempts.len() - 1;
     let engine = record.attempts[attempt].engine;
     let is_over = !record.is_open() && outcome != AttemptOutcome::Succeeded;
-    let method = if is_over { "ended_over" } else { "ended" };
+    let method = if is_over { "ended_after_answer" } else { "ended" };
     format!(".{method}({request}, {attempt}, {engine}, AttemptOutcome::{outcome:?})")
 }
 
@@ -79,5 +79,5 @@
         EndpointChange::Returns => (Lifecycle::Ready, launched),
         EndpointChange::Restarts => (Lifecycle::Ready, Some(state.now.as_millis())),
     };
-    format!(".tell({engine}, Lifecycle::{lifecycle:?}, {launched:?})")
+    format!(".list_engine({engine}, Lifecycle::{lifecycle:?}, {launched:?})")
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,6 +1,6 @@
-//! The scheduler's state as a number, for those who walk through many states and must know one again. It leaves out
-//! what can't influence a later action: times are relative to now, chance is left to the caller, and engines are
-//! known by what is in flight there and not by their numbers.
+//! The scheduler's state as a number, for those who walk through many states and must know one again. It
+//! leaves out what can't influence a later action: times are relative to now, chance is left to the caller,
+//! and engines are known by what is in flight there and not by their numbers.
 
 use crate::samples::SampleWindow;
 use crate::state::{Attempt, Engine, InFlight, Request, SchedulerState};
@@ -50,8 +50,8 @@
         self.state.draws = draws;
     }
 
-    /// Feeds the state to `into`; two states with the same fingerprint act alike from here on, whatever comes, but
-    /// for chance and, if engines may change places, their numbers.
+    /// Feeds the state to `into`; two states with the same fingerprint act alike from here on, whatever
+    /// comes, but for chance and, if engines may change places, their numbers.
     pub fn fingerprint(&self, with: &Fingerprint, into: &mut impl Hasher) {
         self.state.fingerprint(with, into);
     }
@@ -122,7 +122,7 @@
         for at in [request.arrived_at, request.objective_at, request.deadline] {
             since(now, at).hash(into);
         }
-        // Of an attempt that has ended only whether it may have run counts, and of the first of these when it left.
+        // Of an attempt that has ended it counts whether it may have run, and when the first such one was sent.
         let has_window = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
         let first = request.first_that_may_have_run().filter(|_| has_window);
         first.map(|attempt| since(now, attempt.sent_at)).hash(into);
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -55,7 +55,7 @@
     }
 
     /// Clients have withdrawn some requests, which need no answer any more. Those of `half_closed` ones have
-    /// ended their side and may be gone: their requests are not sent again, and what is in flight is waited for.
+    /// ended their side and may be gone: their requests are not sent again, and what is in flight is awaited.
     pub fn clients_left(
         &mut self,
         now: Duration,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,14 @@
 //! emberflow: the front for query engines with limited memory, as a library without I/O, clock or JSON.
 //!
-//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`], and
-//! reports everything that happens by a method call that takes the time and an [`Actions`] sink. The scheduler
-//! answers through that sink before the call returns, and keeps the requests and engines itself.
+//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`].
+//! It reports everything that happens by a method call that takes the time and an [`Actions`] sink. The
+//! scheduler answers through that sink before the call returns, and keeps the requests and engines itself.
 //!
-//! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller gives out.
+//! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller
+//! gives out.
+//!
+//! `handlers` has the inputs, `state` what is remembered, `policy` the decisions, and `scheduler` the order
+//! in which they run.
 
 #![warn(missing_docs)]
 
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -68,8 +68,8 @@
         let guessed_busy = gateway.reported_busy.map_or(alone.threads, |mean| mean + fresh.threads);
         let tells = |load: &LoadReport| load.memory.is_some() || gateway.reports_in_flight;
         let Some(report) = engine.report.filter(|report| tells(&report.load)) else {
-            // Only own attempts tell them apart: others like what this router likes, or the mean of those that
-            // report. Free cores tell little of an engine's memory, and draw all routers there at once.
+            // Only own attempts tell them apart: others like what this router likes, or the mean of those
+            // that report. Free cores tell little of an engine's memory, and draw all routers there at once.
             let new = parts_with_request(Resources::NONE);
             let alike = (own.memory / kind.memory_mb + own.threads / kind.cores) / share;
             let new = (new.memory + new.threads) / if gateway.reports_in_flight { 1.0 } else { share };
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -18,6 +18,7 @@
 }
 
 impl InFlight {
+    /// Names the attempt.
     pub fn id(&self) -> AttemptId {
         AttemptId { request: self.request, attempt: self.attempt }
     }
@@ -66,6 +67,7 @@
 }
 
 impl Engine {
+    /// An engine as it is first listed, or starts anew.
     pub fn new(row: &Endpoint, now: Duration, sizes: WindowSizes) -> Self {
         Self {
             location: row.location,
--- a/src/state/estimates.rs
+++ b/src/state/estimates.rs
@@ -22,6 +22,7 @@
 }
 
 impl ClassEstimates {
+    /// Empty windows of so many samples.
     pub fn new(samples: usize) -> Self {
         let window = || SampleWindow::with_capacity(samples);
         Self {
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -20,6 +20,7 @@
 }
 
 impl KeyQueue {
+    /// Whether the cooldown, if any, still lasts.
     pub fn is_cooling_down(&self, now: Duration) -> bool {
         self.cooldown.is_some_and(|cooldown| cooldown.until > now)
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -63,6 +63,7 @@
 }
 
 impl SchedulerState {
+    /// The state of a scheduler that knows of no engine and no request.
     pub fn new(
         fleet: Fleet,
         classes: Vec<RequestClass>,
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -21,8 +21,8 @@
         self.accepted_at.push_back(now);
     }
 
-    /// A request as it arrives, with the work in seconds and the memory in MB that are expected of it. So much of
-    /// the way to its objective is spent.
+    /// A request as it arrives, with the work in seconds and the memory in MB that are expected of it;
+    /// `spent` of the way to its objective is gone.
     pub fn new_request(
         &self,
         now: Duration,
@@ -82,8 +82,8 @@
         request.attempts[id.attempt].cancelled = true;
     }
 
-    /// Enters a load report, and returns it with the part of the cores that is busy, as far as that can be told:
-    /// else by the requests in flight, with the mean of this router's threads.
+    /// Enters a load report and returns it. Where it does not tell the part of the cores that is busy, the
+    /// requests in flight do, by the mean threads of this router's own.
     pub fn record_report(&mut self, now: Duration, id: EngineId, mut load: LoadReport) -> Option<LoadReport> {
         let kind = self.engines.get(&id)?.kind;
         load.in_flight = load.in_flight.filter(|_| load.busy.is_none());
@@ -95,9 +95,9 @@
         Some(load)
     }
 
-    /// Enters a sample of this router's share: what its attempts hold, but for the one that ended, over what the
-    /// fleet does with as much granted everywhere. At one engine alone, those with an own attempt would count too
-    /// often.
+    /// Enters a sample of this router's share: what its attempts hold, but for the one that ended, over what
+    /// the fleet does with as much granted everywhere. At one engine alone, those with an own attempt would
+    /// count too often.
     pub fn record_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
         let others = self.in_flight().filter(|(request, _)| Some(*request) != ended);
         let own: f64 = others.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant_mb).sum();
@@ -176,7 +176,7 @@
         self.requests.entry(id).and_modify(|request| request.phase = RequestPhase::Done);
     }
 
-    /// Enters rows of the endpoint list. An engine that started anew keeps only what is still in flight there.
+    /// Enters rows of the endpoint list. An engine that started anew keeps what is still in flight there.
     pub fn record_endpoints(&mut self, now: Duration, update: EndpointUpdate, rows: Vec<Endpoint>) {
         if update == EndpointUpdate::FullList {
             self.engines.values_mut().for_each(|engine| engine.lifecycle = Lifecycle::Gone);
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -41,6 +41,7 @@
         self.objective_at.saturating_sub(self.arrived_at)
     }
 
+    /// Whether nothing is owed to its client any more.
     pub fn is_done(&self) -> bool {
         self.phase == RequestPhase::Done
     }
@@ -50,10 +51,12 @@
         self.phase == RequestPhase::Open
     }
 
+    /// Whether one of its attempts was sent to an engine.
     pub fn was_sent_to(&self, engine: EngineId) -> bool {
         self.attempts.iter().any(|attempt| attempt.engine == engine)
     }
 
+    /// Whether an attempt has not ended yet.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.last().is_some_and(|attempt| attempt.outcome.is_none())
     }
@@ -107,6 +110,7 @@
 }
 
 impl Attempt {
+    /// An attempt that is sent now.
     pub fn new(now: Duration, engine: EngineId, grant_mb: f64) -> Self {
         Self {
             engine,
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -8,6 +8,7 @@
 }
 
 impl Resources {
+    /// Nothing of either.
     pub const NONE: Self = Self { memory: 0.0, threads: 0.0 };
 
     /// The sum of both.
--- /dev/null
+++ b/tests/digest/log.rs
@@ -0,0 +1,87 @@
+//! All actions of all runs, digested and counted.
+
+use emberflow::*;
+use sha2::{Digest, Sha256};
+use std::time::Duration;
+
+/// Kinds of action, as they are written into the digest and counted.
+pub const SEND: usize = 0;
+pub const SET_TERMS: usize = 1;
+pub const CANCEL: usize = 2;
+pub const REJECT: usize = 3;
+pub const FAIL: usize = 4;
+pub const PROBE: usize = 5;
+pub const WAKE_AFTER: usize = 6;
+pub const WATCH: usize = 7;
+pub const FORGET: usize = 8;
+pub const ADMITS: usize = 9;
+pub const EXPECTED_WORK: usize = 10;
+pub const INPUT: usize = 11;
+pub const HELD_COUNTS: usize = 12;
+
+/// An action that is carried out after the call that it came from.
+pub enum PendingAction {
+    Attempt { request: RequestId, engine: EngineId, until: Duration },
+    Cancel { request: RequestId, attempt: usize },
+    Answered(RequestId),
+    Probe(EngineId),
+    Wake(Duration),
+    Forget(EngineId),
+}
+
+/// All actions of all runs so far.
+#[derive(Default)]
+pub struct Log {
+    pub digest: Sha256,
+    pub counts: [u64; 13],
+    pub pending: Vec<PendingAction>,
+}
+
+impl Log {
+    pub fn add(&mut self, kind: usize, numbers: &[u64]) {
+        self.counts[kind] += 1;
+        self.digest.update([kind as u8]);
+        numbers.iter().for_each(|number| self.digest.update(number.to_le_bytes()));
+    }
+}
+
+pub fn nanoseconds(time: Duration) -> u64 {
+    time.as_nanos() as u64
+}
+
+impl Actions for Log {
+    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+        self.add(SEND, &[request.into(), engine as u64, nanoseconds(until)]);
+        self.pending.push(PendingAction::Attempt { request, engine, until });
+    }
+    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        self.add(SET_TERMS, &[request.into(), grant_mb.to_bits(), priority.into()]);
+    }
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.add(CANCEL, &[request.into(), attempt as u64]);
+        self.pending.push(PendingAction::Cancel { request, attempt });
+    }
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
+        self.add(REJECT, &[request.into(), retry_after.map_or(u64::MAX, nanoseconds)]);
+        self.pending.push(PendingAction::Answered(request));
+    }
+    fn fail(&mut self, request: RequestId) {
+        self.add(FAIL, &[request.into()]);
+        self.pending.push(PendingAction::Answered(request));
+    }
+    fn probe(&mut self, engine: EngineId) {
+        self.add(PROBE, &[engine as u64]);
+        self.pending.push(PendingAction::Probe(engine));
+    }
+    fn wake_after(&mut self, wait: Duration) {
+        self.add(WAKE_AFTER, &[nanoseconds(wait)]);
+        self.pending.push(PendingAction::Wake(wait));
+    }
+    fn watch(&mut self) {
+        self.add(WATCH, &[]);
+    }
+    fn forget(&mut self, engine: EngineId) {
+        self.add(FORGET, &[engine as u64]);
+        self.pending.push(PendingAction::Forget(engine));
+    }
+}
--- /dev/null
+++ b/tests/digest/random.rs
@@ -0,0 +1,60 @@
+//! Random numbers that are the same everywhere.
+
+use std::time::Duration;
+
+/// SplitMix64: the same numbers on every machine and with every version of every crate.
+///
+/// Half of the runs go in whole milliseconds, so that events fall due at the same time and edges are covered.
+pub struct Random {
+    pub state: u64,
+    pub coarse: bool,
+}
+
+impl Random {
+    pub fn next(&mut self) -> u64 {
+        self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.state ^ (self.state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    pub fn below(&mut self, end: usize) -> usize {
+        (self.next() % end as u64) as usize
+    }
+
+    /// From the first to the last, both included.
+    pub fn inclusive(&mut self, first: u64, last: u64) -> u64 {
+        first + self.next() % (last - first + 1)
+    }
+
+    /// At least 0 and under 1.
+    pub fn part(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    pub fn between(&mut self, least: f64, most: f64) -> f64 {
+        least + self.part() * (most - least)
+    }
+
+    pub fn percent(&mut self, percent: u64) -> bool {
+        self.next() % 100 < percent
+    }
+
+    pub fn one_of<T: Copy>(&mut self, values: &[T]) -> T {
+        values[self.below(values.len())]
+    }
+
+    pub fn time(&mut self, first_ms: u64, last_ms: u64) -> Duration {
+        let time = Duration::from_micros(self.inclusive(first_ms * 1000, last_ms * 1000));
+        self.rounded(time)
+    }
+
+    /// The time in the steps of this run.
+    pub fn rounded(&self, time: Duration) -> Duration {
+        if self.coarse { Duration::from_millis(time.as_millis() as u64) } else { time }
+    }
+
+    pub fn maybe<T>(&mut self, percent: u64, value: impl FnOnce(&mut Self) -> T) -> Option<T> {
+        self.percent(percent).then(|| value(self))
+    }
+}
--- /dev/null
+++ b/tests/digest/settings.rs
@@ -0,0 +1,147 @@
+//! Random settings of one run: of the scheduler, and of the clients and engines round it.
+
+use crate::random::Random;
+use emberflow::*;
+use std::time::Duration;
+
+/// How clients and engines act in one run, beside the scheduler's own settings; numbers are percentages.
+pub struct Environment {
+    pub estimates: u64,
+    pub usages: u64,
+    pub load_report: u64,
+    pub reports_busy: bool,
+    pub reports_in_flight: bool,
+    pub reports_memory: bool,
+    pub marks_retries: bool,
+    pub faults: u64,
+    pub longest_gap: u64,
+    pub requests: usize,
+    pub shuts_down: bool,
+    pub progress_interval: Option<Duration>,
+}
+
+/// An engine as it really is.
+#[derive(Clone)]
+pub struct Machine {
+    pub location: usize,
+    pub kind: usize,
+    pub cell: u64,
+    pub ready: bool,
+    pub gone: bool,
+    pub launched: Option<Duration>,
+    /// Times as long as a run should take.
+    pub slowness: f64,
+    pub silent: bool,
+    pub fails: bool,
+}
+
+pub fn effect(random: &mut Random) -> Effect {
+    let window = random.time(100, 800);
+    match random.below(6) {
+        0 | 1 => Effect::Idempotent,
+        2 => Effect::IdempotentWithKey { scope: KeyScope::All, window },
+        3 => Effect::IdempotentWithKey { scope: KeyScope::Location, window },
+        4 => Effect::IdempotentWithKey { scope: KeyScope::Cell, window },
+        _ => Effect::NonIdempotent,
+    }
+}
+
+pub fn request_class(random: &mut Random, kinds: usize) -> RequestClass {
+    let latency_objective = random.time(100, 800);
+    RequestClass {
+        latency_objective,
+        objective_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
+        deadline: latency_objective * random.inclusive(1, 8) as u32,
+        priority_weight: random.between(0.5, 8.0),
+        late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
+        effect: effect(random),
+        keeps_order: random.percent(25),
+        kinds: random.maybe(15, |random| vec![random.below(kinds)]),
+        locations: random.maybe(15, |random| vec![random.below(2), 2]),
+        threads: random.one_of(&[0.5, 1.0, 1.0, 2.0, 4.0]),
+        holds_group: random.percent(20),
+        waits_for_loads: random.percent(30),
+    }
+}
+
+pub fn fleet(random: &mut Random) -> Fleet {
+    let kind = |random: &mut Random| EngineKind {
+        cores: random.one_of(&[2.0, 4.0, 8.0]),
+        memory_mb: random.one_of(&[2000.0, 8000.0, 16000.0]),
+    };
+    Fleet {
+        seed: random.next(),
+        router_count: random.one_of(&[1, 1, 1, 2, 8, 40]),
+        home_location: random.below(3),
+        kinds: (0..=random.below(3)).map(|_| kind(random)).collect(),
+        max_grant_share: random.one_of(&[0.25, 0.5, 0.9]),
+        honors_priorities: random.percent(50),
+        shrinks_grants: random.percent(40),
+        progress_interval: random.maybe(60, |random| random.time(20, 120)),
+        reports_only_on_probe: random.percent(35),
+        polls_endpoint_list: random.percent(50),
+        tick: random.time(2, 8),
+    }
+}
+
+pub fn attempt_limits(random: &mut Random) -> AttemptLimits {
+    AttemptLimits {
+        max_attempts: random.one_of(&[1, 2, 3, 3, 5]),
+        may_cancel: random.percent(80),
+        may_probe: random.percent(80),
+        start_capacity: random.one_of(&[0.1, 0.3, 1.0]),
+        warm_up: random.time(100, 3000),
+        overload_factor: random.one_of(&[0.5, 1.0, 2.0]),
+        overload_window: random.time(50, 500),
+        key_cooldown: random.maybe(50, |random| random.time(20, 300)),
+        retry_budget: random.maybe(50, |random| RetryBudget {
+            spare: random.one_of(&[0.0, 1.0, 4.0]),
+            per_request: random.one_of(&[0.0, 0.1, 0.5]),
+            window: random.time(200, 2000),
+        }),
+        max_retry_after: random.maybe(70, |random| random.time(20, 500)),
+    }
+}
+
+pub fn environment(random: &mut Random, fleet: &Fleet) -> Environment {
+    Environment {
+        estimates: random.one_of(&[0, 50, 95, 100, 100]),
+        usages: random.one_of(&[0, 60, 100]),
+        load_report: random.one_of(&[0, 50, 100]),
+        reports_busy: random.percent(60),
+        reports_in_flight: random.percent(60),
+        reports_memory: random.percent(70),
+        marks_retries: random.percent(50),
+        faults: random.one_of(&[0, 3, 10, 30]),
+        longest_gap: random.one_of(&[3, 8, 20, 60]),
+        requests: random.one_of(&[20, 30, 50, 70]),
+        shuts_down: random.percent(25),
+        progress_interval: fleet.progress_interval,
+    }
+}
+
+pub fn machine(random: &mut Random, kinds: usize, launched: Option<Duration>) -> Machine {
+    let location = random.below(3);
+    Machine {
+        location,
+        kind: random.below(kinds),
+        cell: (location * 2 + random.below(2)) as u64,
+        ready: random.percent(92),
+        gone: false,
+        launched,
+        slowness: random.one_of(&[1.0, 1.0, 1.0, 1.5, 4.0, 12.0]),
+        silent: random.percent(5),
+        fails: random.percent(5),
+    }
+}
+
+pub fn endpoint(engine: EngineId, machine: &Machine) -> Endpoint {
+    let Machine { location, kind, cell, ready, gone, launched, .. } = *machine;
+    let lifecycle = match (ready, gone) {
+        (true, false) => Lifecycle::Ready,
+        (true, true) => Lifecycle::Retiring,
+        (false, true) => Lifecycle::Gone,
+        (false, false) => Lifecycle::Draining,
+    };
+    Endpoint { engine, location, kind, cell, lifecycle, launched }
+}
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -1,23 +1,40 @@
-//! A router whose decisions are written down, and short ways to tell it what happens.
+//! A scheduler whose decisions are written down, and short ways to tell it what happens.
 
 use emberflow::*;
 use std::fmt::Write;
 use std::time::Duration;
 
+/// Request classes of [`base`]: short and idempotent; long on three threads and idempotent; non-idempotent, and
+/// loading its group.
+pub const SHORT: usize = 0;
+pub const LONG: usize = 1;
+pub const LOAD: usize = 2;
+
+/// When a small trace starts: later than any span that is looked back over.
+pub const START: u64 = 20_000;
+/// How often [`Trace::wake_until`] wakes the scheduler.
+const WAKE_STEP: u64 = 40;
+
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
+/// Writes actions down, one a line, each with its time in milliseconds.
 #[derive(Default)]
-struct Lines(String, u64, Duration);
+struct ActionLog {
+    text: String,
+    now_ms: u64,
+    /// The wait that was requested last.
+    wake_after: Duration,
+}
 
-impl Lines {
+impl ActionLog {
     fn add(&mut self, line: std::fmt::Arguments) {
-        writeln!(self.0, "{:<5} {line}", self.1).unwrap();
+        writeln!(self.text, "{:<5} {line}", self.now_ms).expect("a string takes all");
     }
 }
 
-impl Actions for Lines {
+impl Actions for ActionLog {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.add(format_args!("request {request} to engine {engine} until {}", until.as_millis()));
     }
@@ -29,28 +46,28 @@
     }
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let after = retry_after.map_or(0, |after| after.as_millis());
-        self.add(format_args!("reject request {request}, back after {after}"));
+        self.add(format_args!("reject request {request}, retry after {after}"));
     }
     fn fail(&mut self, request: RequestId) {
-        self.add(format_args!("give up request {request}"));
+        self.add(format_args!("fail request {request}"));
     }
     fn probe(&mut self, engine: EngineId) {
         self.add(format_args!("probe engine {engine}"));
     }
     fn wake_after(&mut self, wait: Duration) {
-        self.2 = wait;
+        self.wake_after = wait;
     }
     fn watch(&mut self) {
-        self.add(format_args!("watch the list"));
+        self.add(format_args!("watch the endpoint list"));
     }
     fn forget(&mut self, engine: EngineId) {
         self.add(format_args!("forget engine {engine}"));
     }
 }
 
-/// Request classes 0 to 2: short idempotent, long idempotent on three threads, non-idempotent holding its group.
+/// The request classes [`SHORT`], [`LONG`] and [`LOAD`].
 pub fn classes() -> Vec<RequestClass> {
-    let short = |effect, priority_weight, latency_objective, threads| RequestClass {
+    let class = |effect, priority_weight, latency_objective, threads| RequestClass {
         latency_objective: ms(latency_objective),
         objective_stretch: 2.0,
         deadline: ms(latency_objective * 8),
@@ -64,9 +81,10 @@
         holds_group: false,
         waits_for_loads: false,
     };
-    let mut load = short(Effect::NonIdempotent, 5.0, 3000, 2.0);
-    load.holds_group = true;
-    vec![short(Effect::Idempotent, 1.0, 1000, 1.0), short(Effect::Idempotent, 6.0, 2000, 3.0), load]
+    let short = class(Effect::Idempotent, 1.0, 1000, 1.0);
+    let long = class(Effect::Idempotent, 6.0, 2000, 3.0);
+    let load = RequestClass { holds_group: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
+    vec![short, long, load]
 }
 
 /// What the traces start from: engines of one kind with 8 cores and 16,000 MB, one router.
@@ -99,8 +117,8 @@
     (fleet, classes(), attempt_limits)
 }
 
-/// The same with short times, so that a whole life takes few steps. Request classes: 0 idempotent, 1 to 3
-/// keyed within a cell, a location and everywhere, 4 non-idempotent.
+/// The same with short times, so that a request's whole way takes few steps. Request classes: 0 idempotent, 1 to 3
+/// with an idempotency key in a cell, a location and everywhere, 4 non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
     let window = ms(120);
@@ -111,8 +129,8 @@
         Effect::IdempotentWithKey { scope: KeyScope::All, window },
         Effect::NonIdempotent,
     ];
-    let plain = classes.swap_remove(0);
-    let short = |effect| RequestClass {
+    let plain = classes.swap_remove(SHORT);
+    let with_effect = |effect| RequestClass {
         latency_objective: ms(160),
         deadline: ms(320),
         effect,
@@ -120,35 +138,43 @@
         locations: None,
         ..plain
     };
-    classes = effects.into_iter().map(short).collect();
-    (fleet.progress_interval, fleet.tick) = (Some(ms(80)), ms(8));
-    (attempt_limits.warm_up, attempt_limits.overload_window) = (ms(400), ms(100));
+    classes = effects.into_iter().map(with_effect).collect();
+    fleet.progress_interval = Some(ms(80));
+    fleet.tick = ms(8);
+    attempt_limits.warm_up = ms(400);
+    attempt_limits.overload_window = ms(100);
     (fleet, classes, attempt_limits)
 }
 
-/// When a small trace starts: later than any span that is looked back over.
-pub const START: u64 = 20_000;
-
+/// A scheduler, the time, and what it has decided so far.
 pub struct Trace {
     scheduler: Scheduler,
-    lines: Lines,
-    requests: RequestId,
-    deadline: Vec<Duration>,
-    /// Location and cell of each engine.
+    log: ActionLog,
+    /// The number of the next request.
+    next_request: RequestId,
+    /// By request class.
+    deadlines: Vec<Duration>,
+    /// Location and cell of each engine of a small trace.
     places: Vec<(usize, u64)>,
 }
 
+// The model checker, which prints its paths as traces, uses the settings alone.
 #[allow(dead_code)]
 impl Trace {
-    /// One router of one, on engines of one kind with 8 cores and 16,000 MB, unless `change` says otherwise.
+    /// The scheduler of one router, with so many engines of one kind.
+    pub fn with_engines(engines: usize) -> Self {
+        Self::new(engines, |_, _, _| ())
+    }
+
+    /// The same with what `change` makes of the settings.
     pub fn new(
         engines: usize,
         change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
     ) -> Self {
         let (mut fleet, mut classes, mut attempt_limits) = base();
         change(&mut fleet, &mut classes, &mut attempt_limits);
-        let mut trace = Self::round(fleet, classes, attempt_limits, Vec::new());
-        trace.list((0..engines).map(|engine| endpoint(engine, Lifecycle::Ready, None)).collect());
+        let mut trace = Self::from_settings(fleet, classes, attempt_limits, Vec::new());
+        trace.list_engines((0..engines).map(|engine| endpoint(engine, Lifecycle::Ready, None)).collect());
         trace
     }
 
@@ -159,238 +185,233 @@
     ) -> Self {
         let (mut fleet, mut classes, mut attempt_limits) = small();
         change(&mut fleet, &mut classes, &mut attempt_limits);
-        let mut trace = Self::round(fleet, classes, attempt_limits, places.to_vec());
+        let mut trace = Self::from_settings(fleet, classes, attempt_limits, places.to_vec());
         let rows = (0..places.len()).map(|engine| trace.row(engine, Lifecycle::Ready, None)).collect();
-        trace.at(START).list(rows);
+        trace.at(START).list_engines(rows);
         trace
     }
 
-    fn round(
+    fn from_settings(
         fleet: Fleet,
         classes: Vec<RequestClass>,
         attempt_limits: AttemptLimits,
         places: Vec<(usize, u64)>,
     ) -> Self {
-        let deadline = classes.iter().map(|class| class.deadline).collect();
-        let (scheduler, lines) = (Scheduler::new(fleet, classes, attempt_limits), Lines::default());
-        Self { scheduler, lines, requests: 0, deadline, places }
+        let deadlines = classes.iter().map(|class| class.deadline).collect();
+        let scheduler = Scheduler::new(fleet, classes, attempt_limits);
+        Self { scheduler, log: ActionLog::default(), next_request: 0, deadlines, places }
     }
 
-    fn row(&self, engine: EngineId, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
-        let (location, cell) = self.places[engine];
-        Endpoint { location, cell, ..endpoint(engine, lifecycle, launched) }
+    fn now(&self) -> Duration {
+        ms(self.log.now_ms)
+    }
+
+    // ---- time ----
+
+    /// Goes on at this time.
+    pub fn at(&mut self, ms: u64) -> &mut Self {
+        self.log.now_ms = ms;
+        self
     }
 
-    /// The list's word on one engine of a small trace.
-    pub fn tell(&mut self, engine: EngineId, lifecycle: Lifecycle, launched: Option<u64>) -> &mut Self {
-        let row = self.row(engine, lifecycle, launched);
-        self.list(vec![row])
+    /// Wakes the scheduler now.
+    pub fn wake_now(&mut self) -> &mut Self {
+        self.scheduler.wake(self.now(), &mut self.log);
+        self
+    }
+
+    /// Wakes the scheduler when it last asked for it.
+    pub fn wake_when_due(&mut self) -> &mut Self {
+        self.log.now_ms += self.log.wake_after.as_millis() as u64;
+        self.wake_now()
     }
 
-    /// A whole list that names nobody.
-    pub fn list_lost(&mut self) -> &mut Self {
-        self.scheduler.endpoints_changed(
-            ms(self.lines.1),
-            EndpointUpdate::FullList,
-            Vec::new(),
-            &mut self.lines,
-        );
+    /// Wakes the scheduler again and again up to a time.
+    pub fn wake_until(&mut self, until: u64) -> &mut Self {
+        while self.log.now_ms + WAKE_STEP <= until {
+            self.log.now_ms += WAKE_STEP;
+            self.wake_now();
+        }
         self
     }
 
-    /// Where chance goes on from.
-    pub fn draw(&mut self, draws: u64) -> &mut Self {
+    /// Sets where chance goes on from.
+    pub fn draw_from(&mut self, draws: u64) -> &mut Self {
         self.scheduler.draw_from(draws);
         self
     }
 
-    pub fn woken(&mut self) -> &mut Self {
-        self.scheduler.wake(ms(self.lines.1), &mut self.lines);
+    /// The process ends at this time.
+    pub fn shutting_down(&mut self, by: u64) -> &mut Self {
+        self.scheduler.shutting_down(self.now(), ms(by), &mut self.log);
         self
     }
 
-    /// The end of an attempt of a request that is over.
-    pub fn ended_over(
+    // ---- engines ----
+
+    fn row(&self, engine: EngineId, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
+        let (location, cell) = self.places[engine];
+        Endpoint { location, cell, ..endpoint(engine, lifecycle, launched) }
+    }
+
+    fn change_endpoints(&mut self, update: EndpointUpdate, rows: Vec<Endpoint>) -> &mut Self {
+        self.scheduler.endpoints_changed(self.now(), update, rows, &mut self.log);
+        self
+    }
+
+    /// Some rows of the endpoint list have changed.
+    pub fn list_engines(&mut self, rows: Vec<Endpoint>) -> &mut Self {
+        self.change_endpoints(EndpointUpdate::Changes, rows)
+    }
+
+    /// The row of one engine of a small trace has changed.
+    pub fn list_engine(
         &mut self,
-        request: RequestId,
-        attempt: usize,
         engine: EngineId,
-        end: AttemptOutcome,
+        lifecycle: Lifecycle,
+        launched: Option<u64>,
     ) -> &mut Self {
-        self.attempt_ended(AttemptEnded {
-            request,
-            attempt,
-            engine,
-            outcome: end,
-            elapsed: ms(1),
-            usage: None,
-            load_report: None,
-            request_done: true,
-        })
+        self.list_engines(vec![self.row(engine, lifecycle, launched)])
     }
 
-    fn attempt_ended(&mut self, ended: AttemptEnded) -> &mut Self {
-        self.scheduler.attempt_ended(ms(self.lines.1), ended, &mut self.lines);
-        self
+    /// A full endpoint list without rows.
+    pub fn list_emptied(&mut self) -> &mut Self {
+        self.change_endpoints(EndpointUpdate::FullList, Vec::new())
     }
 
-    pub fn at(&mut self, ms: u64) -> &mut Self {
-        self.lines.1 = ms;
+    /// The endpoint list can't be had.
+    pub fn endpoint_list_failed(&mut self) -> &mut Self {
+        self.scheduler.endpoint_list_failed(self.now(), &mut self.log);
         self
     }
 
-    pub fn list(&mut self, rows: Vec<Endpoint>) -> &mut Self {
-        self.scheduler.endpoints_changed(ms(self.lines.1), EndpointUpdate::Changes, rows, &mut self.lines);
+    /// An engine answers a probe, or does not.
+    pub fn probed(&mut self, engine: EngineId, load_report: Option<LoadReport>) -> &mut Self {
+        self.scheduler.probed(self.now(), engine, load_report, &mut self.log);
         self
     }
 
+    // ---- requests ----
+
+    /// A request with these estimates; 0 for none.
     pub fn accept(&mut self, class: usize, cost: u64, memory_mb: f64) -> &mut Self {
         self.accept_keyed(class, cost, memory_mb, None)
     }
 
-    /// A request whose client says whether it tried before.
-    pub fn accept_marked(&mut self, deadline: u64, is_retry: Option<bool>) -> &mut Self {
-        let arrival = Arrival { deadline: ms(deadline), is_retry, ..arrival(0, 100, 300.0) };
-        self.arrive(arrival)
+    /// So many requests with the same estimates.
+    pub fn accept_many(&mut self, count: usize, class: usize, cost: u64, memory_mb: f64) -> &mut Self {
+        for _ in 0..count {
+            self.accept(class, cost, memory_mb);
+        }
+        self
+    }
+
+    /// A request of a key.
+    pub fn accept_keyed(&mut self, class: usize, cost: u64, memory: f64, key: Option<KeyId>) -> &mut Self {
+        self.arrive(Arrival { key, ..arrival(class, cost, memory) })
     }
 
-    /// A small request on a table group.
-    pub fn accept_in(&mut self, class: usize, group: u64) -> &mut Self {
+    /// A short request on a group of data.
+    pub fn accept_in_group(&mut self, class: usize, group: u64) -> &mut Self {
         self.arrive(Arrival { group: Some(group), ..arrival(class, 100, 300.0) })
     }
 
-    pub fn accept_keyed(&mut self, class: usize, cost: u64, memory: f64, key: Option<KeyId>) -> &mut Self {
-        self.arrive(Arrival { key, ..arrival(class, cost, memory) })
+    /// A short request whose client may tell whether it is a retry.
+    pub fn accept_retry_mark(&mut self, deadline: u64, is_retry: Option<bool>) -> &mut Self {
+        self.arrive(Arrival { deadline: ms(deadline), is_retry, ..arrival(SHORT, 100, 300.0) })
     }
 
     fn arrive(&mut self, arrival: Arrival) -> &mut Self {
-        let deadline = arrival.deadline.min(self.deadline[arrival.class]);
-        let arrival = Arrival { request: self.requests, deadline, ..arrival };
-        self.requests += 1;
-        self.scheduler.accept(ms(self.lines.1), arrival, &mut self.lines);
+        let deadline = arrival.deadline.min(self.deadlines[arrival.class]);
+        let arrival = Arrival { request: self.next_request, deadline, ..arrival };
+        self.next_request += 1;
+        self.scheduler.accept(self.now(), arrival, &mut self.log);
+        self
+    }
+
+    /// A client withdraws its request.
+    pub fn withdrawn(&mut self, request: RequestId) -> &mut Self {
+        self.scheduler.clients_left(self.now(), &[request], &[], &mut self.log);
         self
     }
 
+    // ---- attempts ----
+
+    fn attempt_ended(&mut self, ended: AttemptEnded) -> &mut Self {
+        self.scheduler.attempt_ended(self.now(), ended, &mut self.log);
+        self
+    }
+
+    /// An attempt ends; its request is answered if it succeeded.
     pub fn ended(
         &mut self,
         request: RequestId,
         attempt: usize,
         engine: EngineId,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) -> &mut Self {
-        self.reported(request, attempt, engine, end, None)
+        self.attempt_ended(attempt_ended(request, attempt, engine, outcome))
     }
 
-    pub fn reported(
+    /// An attempt ends whose request was answered before.
+    pub fn ended_after_answer(
         &mut self,
         request: RequestId,
         attempt: usize,
         engine: EngineId,
-        end: AttemptOutcome,
-        load_report: Option<LoadReport>,
+        outcome: AttemptOutcome,
     ) -> &mut Self {
-        let over = end == AttemptOutcome::Succeeded;
-        self.attempt_ended(AttemptEnded {
-            request,
-            attempt,
-            engine,
-            outcome: end,
-            elapsed: ms(1),
-            usage: None,
-            load_report,
-            request_done: over,
-        })
-    }
-
-    /// Its first attempt has succeeded after so many ms.
-    pub fn answered(
+        let ended = attempt_ended(request, attempt, engine, outcome);
+        self.attempt_ended(AttemptEnded { request_done: true, ..ended })
+    }
+
+    /// An attempt ends with a load report.
+    pub fn reported(
         &mut self,
         request: RequestId,
+        attempt: usize,
         engine: EngineId,
-        took: u64,
-        told: Option<LoadReport>,
+        outcome: AttemptOutcome,
+        load_report: Option<LoadReport>,
     ) -> &mut Self {
-        let (attempt, end, took) = (0, AttemptOutcome::Succeeded, ms(took));
-        self.attempt_ended(AttemptEnded {
-            request,
-            attempt,
-            engine,
-            outcome: end,
-            elapsed: took,
-            usage: None,
-            load_report: told,
-            request_done: true,
-        })
-    }
-
-    /// A success with its bill; what is told of load is left out.
-    pub fn billed(&mut self, request: RequestId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
-        let (end, usage) = (AttemptOutcome::Succeeded, Some(Usage { cost: ms(cost), memory_mb }));
-        self.attempt_ended(AttemptEnded {
-            request,
-            attempt: 0,
-            engine,
-            outcome: end,
-            elapsed: ms(cost),
-            usage,
-            load_report: None,
-            request_done: true,
-        })
-    }
-
-    pub fn progress_noted(&mut self, request: RequestId, attempt: usize, notice: ProgressNote) -> &mut Self {
-        self.scheduler.progress_noted(ms(self.lines.1), request, attempt, notice, &mut self.lines);
-        self
-    }
-
-    pub fn probed(&mut self, engine: EngineId, load_report: Option<LoadReport>) -> &mut Self {
-        self.scheduler.probed(ms(self.lines.1), engine, load_report, &mut self.lines);
-        self
+        let ended = attempt_ended(request, attempt, engine, outcome);
+        self.attempt_ended(AttemptEnded { load_report, ..ended })
     }
 
-    pub fn left(&mut self, request: RequestId) -> &mut Self {
-        self.scheduler.clients_left(ms(self.lines.1), &[request], &[], &mut self.lines);
-        self
-    }
-
-    /// Their clients have ended their side.
-    pub fn shut(&mut self, requests: &[RequestId]) -> &mut Self {
-        self.scheduler.clients_left(ms(self.lines.1), &[], requests, &mut self.lines);
-        self
-    }
-
-    pub fn shutting_down(&mut self, by: u64) -> &mut Self {
-        self.scheduler.shutting_down(ms(self.lines.1), ms(by), &mut self.lines);
-        self
+    /// A first attempt has succeeded after so many ms.
+    pub fn succeeded_after(
+        &mut self,
+        request: RequestId,
+        engine: EngineId,
+        elapsed: u64,
+        load_report: Option<LoadReport>,
+    ) -> &mut Self {
+        let ended = attempt_ended(request, 0, engine, AttemptOutcome::Succeeded);
+        self.attempt_ended(AttemptEnded { elapsed: ms(elapsed), load_report, ..ended })
     }
 
-    /// Wakes the router when it last asked for it.
-    pub fn wake(&mut self) -> &mut Self {
-        self.lines.1 += self.lines.2.as_millis() as u64;
-        self.scheduler.wake(ms(self.lines.1), &mut self.lines);
-        self
+    /// A first attempt has succeeded and was billed; no load is reported.
+    pub fn billed(&mut self, request: RequestId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
+        let usage = Some(Usage { cost: ms(cost), memory_mb });
+        let ended = attempt_ended(request, 0, engine, AttemptOutcome::Succeeded);
+        self.attempt_ended(AttemptEnded { elapsed: ms(cost), usage, ..ended })
     }
 
-    pub fn endpoint_list_failed(&mut self) -> &mut Self {
-        self.scheduler.endpoint_list_failed(ms(self.lines.1), &mut self.lines);
+    /// An engine tells of an attempt that goes on.
+    pub fn progress_noted(&mut self, request: RequestId, attempt: usize, note: ProgressNote) -> &mut Self {
+        self.scheduler.progress_noted(self.now(), request, attempt, note, &mut self.log);
         self
     }
 
-    /// Wakes the router every 40 ms up to `until`.
-    pub fn wait(&mut self, until: u64) -> &mut Self {
-        while self.lines.1 + 40 <= until {
-            self.lines.1 += 40;
-            self.scheduler.wake(ms(self.lines.1), &mut self.lines);
-        }
-        self
-    }
+    // ---- decisions ----
 
-    /// What was decided so far; each line starts with its time in milliseconds.
-    pub fn decided(&mut self) -> String {
-        std::mem::take(&mut self.lines.0)
+    /// What was decided since the last call; each line starts with its time in milliseconds.
+    pub fn decisions(&mut self) -> String {
+        std::mem::take(&mut self.log.text)
     }
 }
 
+/// A row of the endpoint list: engines alternate between two locations, and each two share a cell.
 pub fn endpoint(engine: EngineId, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
     Endpoint {
         engine,
@@ -402,6 +423,25 @@
     }
 }
 
+/// An attempt that ended after 1 ms, with nothing told of load and usage.
+fn attempt_ended(
+    request: RequestId,
+    attempt: usize,
+    engine: EngineId,
+    outcome: AttemptOutcome,
+) -> AttemptEnded {
+    AttemptEnded {
+        request,
+        attempt,
+        engine,
+        outcome,
+        elapsed: ms(1),
+        usage: None,
+        load_report: None,
+        request_done: outcome == AttemptOutcome::Succeeded,
+    }
+}
+
 fn arrival(class: usize, cost: u64, memory_mb: f64) -> Arrival {
     Arrival {
         request: 0,
--- /dev/null
+++ b/tests/traces/estimates.rs
@@ -0,0 +1,96 @@
+//! What requests are expected to need.
+
+use crate::in_flight;
+use crate::trace::*;
+use emberflow::AttemptOutcome::*;
+use emberflow::*;
+use expect_test::expect;
+
+#[test]
+fn spills_raise_the_grant_where_usage_is_not_billed() {
+    let mut trace = Trace::with_engines(1);
+    trace.accept(LONG, 300, 400.0).at(90).progress_noted(0, 0, ProgressNote::Spilling(300.0));
+    trace.at(100).ended(0, 0, 0, Succeeded).accept(LONG, 300, 400.0);
+    expect![[r#"
+        0     request 0 gets 500 MB, priority 1
+        0     request 0 to engine 0 until 15980
+        100   request 1 gets 1000 MB, priority 1
+        100   request 1 to engine 0 until 16080
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn the_first_requests_without_estimates_make_none_after_them_look_hopeless() {
+    let mut trace = Trace::with_engines(1);
+    trace.accept_many(2, SHORT, 0, 0.0).at(100).succeeded_after(0, 0, 100, None).accept(SHORT, 0, 0.0);
+    expect![[r#"
+        0     request 0 gets 0 MB, priority 1
+        0     request 0 to engine 0 until 7980
+        0     request 1 gets 0 MB, priority 1
+        0     request 1 to engine 0 until 7980
+        100   request 2 gets 0 MB, priority 1
+        100   request 2 to engine 0 until 8080
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_crowded_engine_is_not_taken_for_costly_requests() {
+    let mut trace = Trace::with_engines(1);
+    trace.accept_many(2, SHORT, 0, 0.0).at(1500).succeeded_after(0, 0, 1500, in_flight(24.0)).decisions();
+    trace.at(3000).succeeded_after(1, 0, 3000, in_flight(24.0)).at(3500).accept_many(2, SHORT, 0, 0.0);
+    expect![[r#"
+        3500  request 2 gets 0 MB, priority 1
+        3500  request 2 to engine 0 until 11480
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_billed_request_that_was_costly_does_not_make_its_engine_look_slow() {
+    let mut trace = Trace::with_engines(1);
+    trace.accept(SHORT, 0, 0.0).at(50).billed(0, 0, 50, 100.0);
+    trace.at(5000).accept(SHORT, 0, 0.0).at(7000).billed(1, 0, 2000, 100.0);
+    trace.accept_many(2, SHORT, 0, 0.0).wake_until(7100);
+    expect![[r#"
+        0     request 0 gets 0 MB, priority 1
+        0     request 0 to engine 0 until 7980
+        5000  request 1 gets 150 MB, priority 1
+        5000  request 1 to engine 0 until 12980
+        7000  request 2 gets 150 MB, priority 1
+        7000  request 2 to engine 0 until 14980
+        7000  request 3 gets 150 MB, priority 1
+        7000  request 3 to engine 0 until 14980
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_grant_without_an_estimate_is_no_less_than_an_engine_would_choose() {
+    let mut trace = Trace::with_engines(1);
+    trace.accept(SHORT, 0, 0.0).at(50).billed(0, 0, 50, 100.0).accept(SHORT, 0, 0.0);
+    expect![[r#"
+        0     request 0 gets 0 MB, priority 1
+        0     request 0 to engine 0 until 7980
+        50    request 1 gets 150 MB, priority 1
+        50    request 1 to engine 0 until 8030
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_grant_without_an_estimate_covers_what_its_class_was_mostly_billed() {
+    let mut trace = Trace::with_engines(1);
+    trace.accept(SHORT, 0, 0.0).at(50).billed(0, 0, 50, 100.0).accept(SHORT, 0, 0.0);
+    trace.at(100).billed(1, 0, 50, 400.0).accept(SHORT, 0, 0.0);
+    expect![[r#"
+        0     request 0 gets 0 MB, priority 1
+        0     request 0 to engine 0 until 7980
+        50    request 1 gets 150 MB, priority 1
+        50    request 1 to engine 0 until 8030
+        100   request 2 gets 400 MB, priority 1
+        100   request 2 to engine 0 until 8080
+    "#]]
+    .assert_eq(&trace.decisions());
+}
--- /dev/null
+++ b/tests/traces/retries.rs
@@ -0,0 +1,124 @@
+//! When another attempt is allowed, and when one is cancelled for it.
+
+use crate::trace::*;
+use emberflow::AttemptOutcome::*;
+use emberflow::*;
+use expect_test::expect;
+
+#[test]
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
+    let mut trace = Trace::with_engines(3);
+    trace.accept_many(2, LOAD, 100, 300.0);
+    trace.at(50).ended(0, 0, 0, Unreachable).ended(1, 0, 1, Broken);
+    expect![[r#"
+        0     request 0 gets 375 MB, priority 1
+        0     request 0 to engine 2 until 23980
+        0     request 1 gets 375 MB, priority 1
+        0     request 1 to engine 0 until 23980
+        50    request 0 gets 375 MB, priority 1
+        50    request 0 to engine 1 until 23980
+        50    fail request 1
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_request_with_an_idempotency_key_is_retried_in_its_cell_and_window() {
+    let cell = Effect::IdempotentWithKey { scope: KeyScope::Cell, window: ms(700) };
+    let mut trace = Trace::new(4, |_, classes, _| classes[SHORT].effect = cell);
+    trace.list_engines(
+        (1..4).map(|engine| Endpoint { location: 0, ..endpoint(engine, Lifecycle::Ready, None) }).collect(),
+    );
+    trace.accept(SHORT, 100, 300.0).at(50).ended(0, 0, 0, Broken).at(690).ended(0, 1, 1, Broken);
+    trace.wake_until(1400);
+    expect![[r#"
+        0     request 0 gets 375 MB, priority 1
+        0     request 0 to engine 2 until 7980
+        50    request 0 gets 375 MB, priority 1
+        50    request 0 to engine 3 until 7980
+        690   fail request 0
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn requests_of_a_key_run_in_turn_and_wait_after_an_attempt_that_may_still_run() {
+    let mut trace = Trace::new(3, |_, classes, attempt_limits| {
+        classes[LOAD].keeps_order = true;
+        attempt_limits.key_cooldown = Some(ms(300));
+    });
+    trace.accept_keyed(LOAD, 100, 300.0, Some(4)).accept_keyed(LOAD, 100, 300.0, Some(4));
+    trace.accept_keyed(LOAD, 100, 300.0, Some(5)).accept(LOAD, 100, 300.0);
+    trace.at(100).ended(0, 0, 0, Broken).wake_until(500);
+    expect![[r#"
+        0     request 0 gets 375 MB, priority 1
+        0     request 0 to engine 2 until 23980
+        0     request 2 gets 375 MB, priority 1
+        0     request 2 to engine 0 until 23980
+        0     request 3 gets 375 MB, priority 1
+        0     request 3 to engine 1 until 23980
+        100   fail request 0
+        420   request 1 gets 375 MB, priority 1
+        420   request 1 to engine 2 until 23980
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn retries_stay_within_the_budget() {
+    let budget = RetryBudget { spare: 1.0, per_request: 0.1, window: ms(5000) };
+    let mut trace = Trace::new(4, |_, _, attempt_limits| attempt_limits.retry_budget = Some(budget));
+    trace.accept_many(2, SHORT, 100, 300.0).decisions();
+    trace.at(50).ended(0, 0, 0, Overloaded).ended(1, 0, 1, Overloaded).wake_until(600);
+    expect![[r#"
+        50    request 0 gets 375 MB, priority 1
+        50    request 0 to engine 0 until 7980
+        330   reject request 1, retry after 400
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_slow_attempt_is_cancelled_once() {
+    let mut trace = Trace::with_engines(2);
+    trace.accept(LONG, 900, 300.0).at(500).progress_noted(0, 0, ProgressNote::Fraction(0.05)).at(510);
+    trace.ended(0, 0, 0, Withdrawn).at(1010).progress_noted(0, 1, ProgressNote::Fraction(0.05));
+    expect![[r#"
+        0     request 0 gets 375 MB, priority 1
+        0     request 0 to engine 0 until 15980
+        500   cancel request 0 attempt 0
+        510   request 0 gets 375 MB, priority 1
+        510   request 0 to engine 1 until 15980
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn an_attempt_that_waits_for_a_load_is_migrated() {
+    let mut trace = Trace::with_engines(2);
+    trace.accept(SHORT, 900, 300.0).at(500).progress_noted(0, 0, ProgressNote::WaitingForLoad).at(505);
+    trace.ended(0, 0, 0, Withdrawn);
+    expect![[r#"
+        0     request 0 gets 375 MB, priority 1
+        0     request 0 to engine 0 until 7980
+        500   cancel request 0 attempt 0
+        505   request 0 gets 375 MB, priority 1
+        505   request 0 to engine 1 until 7980
+    "#]]
+    .assert_eq(&trace.decisions());
+}
+
+#[test]
+fn a_request_behind_others_of_its_key_waits_for_its_turn_past_the_longest_wait_of_its_tier() {
+    let mut trace =
+        Trace::new(1, |_, classes, _| (classes[LOAD].keeps_order, classes[LOAD].late_share) = (true, 0.5));
+    trace.accept_keyed(LOAD, 0, 0.0, Some(1)).accept_keyed(LOAD, 0, 0.0, Some(1)).at(3500).wake_now();
+    trace.at(3600).billed(0, 0, 3600, 100.0);
+    expect![[r#"
+        0     request 0 gets 0 MB, priority 1
+        0     request 0 to engine 0 until 23980
+        3600  request 1 gets 100 MB, priority 1
+        3600  request 1 to engine 0 until 23980
+    "#]]
+    .assert_eq(&trace.decisions());
+}
