--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -5,7 +5,7 @@
 use crate::wire::{Peer, ready_endpoint};
 use emberflow::{AttemptOutcome, EngineId};
 use emberflow_router::context::Context;
-use emberflow_router::discovery::Row;
+use emberflow_router::discovery::EndpointRecord;
 use emberflow_router::engine_pool::EnginePool;
 use emberflow_router::slots::Slot;
 use std::collections::BTreeMap;
@@ -128,7 +128,7 @@
 }
 
 /// The endpoint list's row of an engine that is ready.
-pub fn endpoint_row(id: u32) -> Row {
+pub fn endpoint_row(id: u32) -> EndpointRecord {
     ready_endpoint(id, ENGINE_PORT)
 }
 
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -3,9 +3,10 @@
 use super::scenario::{CONFIGURATION, RouterScenario};
 use crate::search::START_TIME;
 use crate::wire::{Peer, ready_endpoint};
+use emberflow::EndpointUpdate;
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::context::Context;
-use emberflow_router::discovery::Row;
+use emberflow_router::discovery::{EndpointEvent, EndpointRecord};
 use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
 use serde_json::Value;
@@ -128,9 +129,10 @@
         let bootstrap = Bootstrap::read(&file, None).expect("the model's configuration is valid");
         let context = Context { now: START_TIME, ..Context::default() };
         let mut server = Server::new(bootstrap, context);
-        server.listed(true, &endpoint_rows(scenario));
+        let endpoints = endpoint_rows(scenario);
+        server.endpoints_changed(&EndpointEvent { update: EndpointUpdate::FullList, endpoints });
         let connect = |_| ClientRecord {
-            slot: server.admit(),
+            slot: server.accept_client(),
             is_connected: true,
             is_write_closed: false,
             sent_lines: 0,
@@ -157,7 +159,8 @@
     /// Whether an answer to a request is still owed. Of an answer that its client reads slowly none is owed any more.
     pub fn is_open(&self, request: &RequestRecord) -> bool {
         let client = &self.clients[request.client];
-        let is_being_read = client.capacity.is_some() && !self.server.owes(client.slot, request.id);
+        let is_being_read =
+            client.capacity.is_some() && !self.server.has_open_request(client.slot, request.id);
         request.answers == 0 && !request.is_withdrawn && client.is_connected && !is_being_read
     }
 
@@ -203,18 +206,18 @@
             let connection = connection.filter(|_| !call.has_ended);
             (call.req, call.request, call.has_ended, call.may_have_run, connection).hash(&mut hasher);
         }
-        (self.faults, self.is_draining, self.is_terminating, self.server.left).hash(&mut hasher);
+        (self.faults, self.is_draining, self.is_terminating, self.server.has_stopped()).hash(&mut hasher);
         self.violated.hash(&mut hasher);
         hasher.finish()
     }
 }
 
 /// The endpoint list's rows of all engines, ready.
-fn endpoint_rows(scenario: &RouterScenario) -> Vec<Row> {
+fn endpoint_rows(scenario: &RouterScenario) -> Vec<EndpointRecord> {
     (0..scenario.engines).map(endpoint_row).collect()
 }
 
 /// The endpoint list's row of an engine that is ready.
-pub fn endpoint_row(engine: u32) -> Row {
+pub fn endpoint_row(engine: u32) -> EndpointRecord {
     ready_endpoint(engine, FIRST_ENGINE_PORT + engine as u16)
 }
