--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -224,8 +224,8 @@
     fn accept_connections(&mut self) {
         while let Ok((socket, _)) = self.listener.accept() {
             let Ok(connection) = Connection::new(socket) else { continue };
-            match self.connections.iter_mut().find(|place| place.is_none()) {
-                Some(place) => *place = Some(connection),
+            match self.connections.iter_mut().find(|entry| entry.is_none()) {
+                Some(entry) => *entry = Some(connection),
                 None => self.connections.push(Some(connection)),
             }
         }
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -67,6 +67,7 @@
     engine.send_result(1, "x\t\t\n");
     router.record_answer(&mut client);
     std::thread::sleep(Duration::from_millis(2100));
+    discovery.send_heartbeat(1);
     client.send_request(2, "post", 8000);
     router.record_command(&mut engine);
     discovery.send_changes(2, &[EngineChange::draining(0, address)]);
@@ -169,6 +170,7 @@
     let address = router.engine_address(0);
     serve_first_request(&mut client, &mut engine, "lookup");
     std::thread::sleep(LONGER_THAN_A_SECOND);
+    discovery.send_heartbeat(1);
     client.send_request(2, "post", 8000);
     assert_eq!(engine.next_command(), "PING 0");
     let remaining = router.while_stopped(|_| {
--- a/crates/router/tests/sockets/harness/client.rs
+++ b/crates/router/tests/sockets/harness/client.rs
@@ -34,18 +34,22 @@
 pub struct TestClient(BufReader<TcpStream>);
 
 impl TestClient {
+    /// Takes over a connected socket.
     pub fn new(socket: TcpStream) -> Self {
         Self(BufReader::new(socket))
     }
 
+    /// The socket, for what has no method here.
     pub fn socket(&self) -> &TcpStream {
         self.0.get_ref()
     }
 
+    /// Sends bytes that may be a part of a line, or many lines.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("the router reads from its client");
     }
 
+    /// Sends a line, or several with line ends between them.
     pub fn send_line(&mut self, line: &str) {
         self.send_bytes(format!("{line}\n").as_bytes());
     }
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -44,6 +44,7 @@
 }
 
 impl TestEngine {
+    /// An engine whose connections come to a listener.
     pub fn new(listener: &TcpListener) -> Self {
         listener.set_nonblocking(true).expect("a listener can be non-blocking");
         Self {
