--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::error::DiscoveryError;
 use crate::ring::Ring;
 use emberflow::{EndpointUpdate, Lifecycle};
-use emberflow_settings::{Fields, SettingsError};
+use emberflow_settings::{Fields, Problem, SettingsError};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -192,16 +192,16 @@
     locations: &[String],
     kinds: &[String],
 ) -> Result<InitialEvents, SettingsError> {
-    let known = file.part("known")?;
+    let known = file.object("known")?;
     let event = |item: Fields| {
-        let roster = item.part("roster")?;
+        let roster = item.object("roster")?;
         let members = roster.rows("members")?.map(|row| configured_endpoint(row, locations, kinds));
         let update =
             if roster.flag("complete")? { EndpointUpdate::FullList } else { EndpointUpdate::Changes };
         Ok(EndpointEvent { update, endpoints: members.collect::<Result<_, SettingsError>>()? })
     };
     let events = known.rows("items")?.map(event).collect::<Result<_, SettingsError>>()?;
-    Ok(InitialEvents { last_event: known.whole("no")?, events })
+    Ok(InitialEvents { last_event: known.unsigned("no")?, events })
 }
 
 fn configured_endpoint(
@@ -217,18 +217,18 @@
         "gone" => Lifecycle::Gone,
         _ => Lifecycle::Draining,
     };
-    let field_fault =
-        |name: &str, wrong: String| row.field(name).map_or_else(|fault| fault, |field| field.fault(wrong));
+    let malformed = |name: &str, expected: &'static str, found: &str| {
+        let problem = Problem::Malformed { expected, found: found.to_owned() };
+        row.field(name).map_or_else(|error| error, |field| field.error(problem))
+    };
     Ok(EndpointRecord {
-        id: id_number.ok_or_else(|| field_fault("id", format!("is no engine's id: {id}")))?,
-        address: address
-            .parse()
-            .map_err(|_| field_fault("host_port", format!("is no address: {address}")))?,
+        id: id_number.ok_or_else(|| malformed("id", "engine's id", id))?,
+        address: address.parse().map_err(|_| malformed("host_port", "address", address))?,
         lifecycle,
         location: index_of_name(row, "locality", locations)?,
         kind: index_of_name(row, "flavor", kinds)?,
-        cell: row.maybe_number("cell").unwrap_or(0.0) as u64,
-        up_since_ms: row.maybe_number("up_since_ms").unwrap_or(0.0) as u64,
+        cell: row.get_number("cell").unwrap_or(0.0) as u64,
+        up_since_ms: row.get_number("up_since_ms").unwrap_or(0.0) as u64,
     })
 }
 
@@ -238,6 +238,6 @@
     let index = names.iter().position(|known| known == name);
     match index {
         Some(index) => Ok(index),
-        None => Err(row.field(field_name)?.fault(format_args!("is not in the settings: {name}"))),
+        None => Err(row.field(field_name)?.error(Problem::NotInSettings { name: name.to_owned() })),
     }
 }
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::resp::{self, RespError};
 use emberflow::{LoadReport, ProgressNote, Usage};
-use emberflow_settings::{from_ms, load};
+use emberflow_settings::{build_load_report, from_ms};
 use std::str::Utf8Error;
 use thiserror::Error;
 
@@ -197,7 +197,7 @@
 
 /// Decodes a load report, in which a figure may stand under any of its names.
 fn parse_load_report(text: &str) -> Result<LoadReport, EngineProtocolError> {
-    load(|names| {
+    build_load_report(|names| {
         let found = names.iter().find_map(|name| Some((*name, resp::field(text, name, LOAD_SEPARATORS)?)));
         found.map(|(name, value)| parse_number(name, value)).transpose()
     })
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -4,7 +4,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use emberflow_settings::Fields;
-use emberflow_teams::Wait;
+use emberflow_teams::WaitEstimate;
 use serde::Serialize;
 use serde_json::Value;
 use std::error::Error as StdError;
@@ -149,7 +149,7 @@
     /// Decodes the parameters of a withdrawal. A message's own id counts where the parameters hold none.
     pub fn decode(message_id: Option<u64>, params: Fields) -> Self {
         let name = params.text("req").unwrap_or_default().to_owned();
-        let id = params.whole("id").ok().or(message_id);
+        let id = params.unsigned("id").ok().or(message_id);
         Self { name, id }
     }
 
@@ -254,13 +254,13 @@
 }
 
 /// The notification of how long an open request may still be queued, and how many of its team are ahead of it.
-pub fn waiting_line(id: u64, wait: &Wait) -> Vec<u8> {
+pub fn waiting_line(id: u64, wait: &WaitEstimate) -> Vec<u8> {
     let params = WaitingParams {
         id,
-        least_ms: whole_ms(wait.least),
-        likely_ms: whole_ms(wait.likely),
-        most_ms: whole_ms(wait.most),
-        place: wait.place,
+        least_ms: whole_ms(wait.low),
+        likely_ms: whole_ms(wait.median),
+        most_ms: whole_ms(wait.high),
+        place: wait.position,
     };
     encode_line(&WaitingNotification { jsonrpc: VERSION, method: "waiting", params })
 }
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -2,8 +2,8 @@
 
 use crate::{jsonrpc, statement};
 use emberflow::KeyId;
-use emberflow_operator::Roll;
-use emberflow_operator::roll::LONGEST_NAME;
+use emberflow_operator::MAX_NAME_BYTES;
+use emberflow_operator::TeamConfig;
 use emberflow_settings::{Fields, SettingsError, from_ms};
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -35,7 +35,7 @@
     Statement,
     #[error("`resent` is not 0 or 1")]
     Resent,
-    #[error("`{field}` is over {LONGEST_NAME} bytes")]
+    #[error("`{field}` is over {MAX_NAME_BYTES} bytes")]
     TeamName { field: String },
     #[error("`{field}` is not 0, 1, 2 or 3")]
     Urgency { field: String },
@@ -103,19 +103,19 @@
 
 impl TeamParameters {
     /// Reads the fields that the operator's file names.
-    pub fn decode(teams: &Roll, fields: Fields) -> Result<Self, ParameterError> {
+    pub fn decode(teams: &TeamConfig, fields: Fields) -> Result<Self, ParameterError> {
         let name = optional_text(fields, &teams.team_field)?.unwrap_or_default();
-        if name.len() > LONGEST_NAME {
+        if name.len() > MAX_NAME_BYTES {
             return Err(ParameterError::TeamName { field: teams.team_field.clone() });
         }
-        let urgency = match fields.maybe(&teams.urgency_field).map(|value| value.as_u64()) {
+        let urgency = match fields.get(&teams.urgency_field).map(|value| value.as_u64()) {
             None => ORDINARY_URGENCY,
             Some(Some(urgency @ 0..=3)) => urgency as u8,
             Some(_) => return Err(ParameterError::Urgency { field: teams.urgency_field.clone() }),
         };
-        let waits_field = teams.waits_field.as_ref();
-        let wants_wait_notices = waits_field.is_some_and(|field| fields.maybe_flag(field));
-        Ok(Self { team: teams.team(name), urgency, wants_wait_notices })
+        let wait_notice_field = teams.wait_notice_field.as_ref();
+        let wants_wait_notices = wait_notice_field.is_some_and(|field| fields.get_flag(field));
+        Ok(Self { team: teams.team_index(name), urgency, wants_wait_notices })
     }
 }
 
@@ -148,7 +148,7 @@
 
 /// Whether the client has sent the request before, as a boolean or as 0 or 1.
 fn resent_flag(fields: Fields) -> Result<bool, ParameterError> {
-    let Some(value) = fields.maybe("resent") else { return Ok(false) };
+    let Some(value) = fields.get("resent") else { return Ok(false) };
     if let Some(flag) = value.as_bool() {
         return Ok(flag);
     }
