--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -37,7 +37,9 @@
 
 /// What admission goes by for a request, beside what the scheduler is given.
 pub struct Admission {
+    /// The team's index.
     pub team: usize,
+    /// From 0 for ordinary work to 3.
     pub urgency: u8,
     /// The same for a request and its retries.
     pub identity: u64,
@@ -45,21 +47,26 @@
     pub key: Option<u64>,
     /// Expected time on one core.
     pub work: Duration,
+    /// Its class's latency objective.
     pub latency_objective: Duration,
     /// How long before the end of its deadline it is passed on at the latest.
     pub margin: Duration,
+    /// Whether its client wants to be notified of its wait.
     pub wants_wait_notices: bool,
 }
 
 /// An estimate of how long a request will still be queued, for its client.
 pub struct WaitNotice {
+    /// The request that waits.
     pub request: RequestId,
+    /// How long it will wait yet, and how many of its team are before it.
     pub wait: Wait,
 }
 
 /// The requests that wait for their team's turn.
 #[derive(Clone)]
 pub struct AdmissionQueue {
+    /// The teams as the operator has configured them.
     pub teams: Roll,
     queues: Queues,
     queued: BTreeMap<RequestId, QueuedRequest>,
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -10,12 +10,17 @@
 
 /// Everything that is known at the start, before the discovery service or any client is connected.
 pub struct Bootstrap {
+    /// The router's own configuration.
     pub config: RouterConfig,
+    /// What the scheduler knows of engines and fellow routers.
     pub fleet: Fleet,
+    /// The request classes, in the order of the settings.
     pub classes: Vec<RequestClass>,
+    /// What binds every attempt.
     pub attempt_limits: AttemptLimits,
     /// Number of the last event in `events`: the discovery service resumes after it.
     pub last_event: u64,
+    /// The events of the endpoint list so far.
     pub events: Vec<EndpointEvent>,
     /// The fields of the load report that are unknown and ignored.
     pub ignored_report_fields: Vec<SettingsError>,
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -12,19 +12,27 @@
 /// What a router is configured with, apart from what the scheduler itself is built from.
 #[derive(Clone)]
 pub struct RouterConfig {
+    /// The router's name, which a reloaded configuration must have too.
     pub name: String,
+    /// Where clients connect.
     pub listen_address: SocketAddr,
+    /// Where the discovery service listens.
     pub discovery_address: SocketAddr,
+    /// Seed of the scheduler's random choices.
     pub seed: u64,
     /// File descriptors that the process may have open.
     pub max_descriptors: usize,
+    /// Memory that the process may use; a part of it bounds the buffers.
     pub memory_bytes: usize,
-    /// Names by their index, which is how the scheduler and the discovery service refer to them.
+    /// Names of the locations, by the index that the scheduler and the discovery service use.
     pub locations: Vec<String>,
+    /// Names of the engine kinds, by their index.
     pub kinds: Vec<String>,
+    /// Names of the request classes, by their index: the methods that clients call.
     pub classes: Vec<String>,
     /// Whether clients mark the requests that they send again.
     pub clients_mark_retries: bool,
+    /// Requests that may be open at once, over all clients.
     pub max_open_requests: usize,
     /// Concurrent attempts on one connection to an engine.
     pub streams_per_connection: usize,
--- a/crates/router/src/context.rs
+++ b/crates/router/src/context.rs
@@ -11,7 +11,9 @@
     pub now: Duration,
     /// The clock's zero, as a span since the Unix epoch.
     pub clock_zero: Duration,
+    /// The pending timers.
     pub timers: Timers,
+    /// Counters of events and of violated invariants.
     pub counters: Counters,
 }
 
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -24,11 +24,15 @@
 
 /// One engine of the list.
 pub struct EndpointRecord {
+    /// The engine's id in the endpoint list.
     pub id: u32,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Whether it takes requests.
     pub lifecycle: Lifecycle,
-    /// Indexes into the names that the settings list.
+    /// Its location's index in the settings.
     pub location: usize,
+    /// Its kind's index in the settings.
     pub kind: usize,
     /// The failure domain within its location.
     pub cell: u64,
@@ -45,7 +49,9 @@
 
 /// A change of the list of engines.
 pub struct EndpointEvent {
+    /// Whether the event holds the whole list or only what has changed.
     pub update: EndpointUpdate,
+    /// The engines that the event is about.
     pub endpoints: Vec<EndpointRecord>,
 }
 
@@ -59,7 +65,9 @@
 
 /// The events of the configuration, and the number of the last one.
 pub struct InitialEvents {
+    /// The number of the last event, which the discovery service resumes after.
     pub last_event: u64,
+    /// The events, the oldest first.
     pub events: Vec<EndpointEvent>,
 }
 
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -39,17 +39,24 @@
 /// A request that was closed, as the admission queue is notified.
 #[derive(Clone, Copy)]
 pub struct Completion {
+    /// The request.
     pub request: RequestId,
+    /// How it was closed.
     pub outcome: RequestOutcome,
 }
 
 /// What the scheduler acts on: open requests, clients and engines.
 #[derive(Clone)]
 pub struct Dispatcher {
+    /// The router's configuration.
     pub config: RouterConfig,
+    /// The time, timers and counters of the whole router.
     pub context: Context,
+    /// Connections of clients.
     pub clients: Clients,
+    /// Connections to engines, and the attempts on them.
     pub engines: EnginePool,
+    /// The open requests.
     pub requests: RequestTable,
     /// Whether any engine was ever ready.
     pub had_ready_endpoint: bool,
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -15,7 +15,9 @@
 
 /// The listening socket and its place in the loop.
 pub(super) struct Listener {
+    /// The listening socket, which also its event source holds.
     pub socket: Rc<TcpListener>,
+    /// By which the loop pauses and resumes it.
     pub token: RegistrationToken,
 }
 
--- a/crates/router/src/event_loop/reload.rs
+++ b/crates/router/src/event_loop/reload.rs
@@ -13,6 +13,7 @@
 
 /// A reload that failed and is tried again.
 pub(super) struct ReloadRetry {
+    /// When the configuration is read again.
     pub next_attempt: Duration,
     /// No more attempts after this time.
     give_up_at: Duration,
--- a/crates/router/src/ready_list.rs
+++ b/crates/router/src/ready_list.rs
@@ -8,6 +8,7 @@
 /// A client whose turn it is.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyClient {
+    /// Its slot in the table of clients.
     pub slot: Slot,
     /// What it has sent was received at this time at the earliest.
     pub received_since: Duration,
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -10,16 +10,21 @@
 /// A request until it has been answered.
 #[derive(Clone)]
 pub struct Request {
-    /// The connection that it came on, and its id there.
+    /// The connection that it came on.
     pub client: Slot,
+    /// Its id on that connection.
     pub client_request_id: u64,
     /// The name that engines know it by.
     pub name: String,
+    /// Its class's index in the settings.
     pub class: usize,
+    /// The key by which engines recognize a repeated request.
     pub idempotency_key: Option<String>,
+    /// The statement that engines run.
     pub statement: Vec<u8>,
-    /// Memory granted to it, and its priority on an engine.
+    /// Memory granted to it.
     pub grant_mb: f64,
+    /// Its priority on an engine.
     pub priority: u8,
     /// Its attempts so far, by their number.
     pub attempts: Vec<Slot>,
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -28,7 +28,9 @@
 /// A client's connection that is to be closed, and what is still to be written to it.
 #[derive(Clone)]
 pub struct ClosedClient {
+    /// Its slot in the table of clients, which is free again.
     pub slot: Slot,
+    /// Bytes that were not written yet.
     pub output: Ring,
 }
 
@@ -50,7 +52,9 @@
 #[derive(Clone)]
 pub struct Server {
     scheduler: Scheduler,
+    /// Carries out what the scheduler decides.
     pub dispatcher: Dispatcher,
+    /// The receiving side of the discovery service's connection.
     pub discovery: Discovery,
     /// Clients that were closed since the caller last took these.
     pub closed_clients: Vec<ClosedClient>,
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -47,9 +47,13 @@
     pub ordering_key: Option<KeyId>,
     /// Expected time on one core.
     pub cost: Option<Duration>,
+    /// Expected memory.
     pub memory_mb: Option<f64>,
+    /// How long the client waits for the answer, in milliseconds.
     pub deadline_ms: f64,
+    /// The key by which engines recognize a repeated request.
     pub idempotency_key: Option<String>,
+    /// The statement that engines run.
     pub statement: Vec<u8>,
     /// Which tables the statement reads, as far as its text shows.
     pub table_group: Option<u64>,
@@ -58,6 +62,7 @@
 }
 
 impl RequestParameters {
+    /// Decodes a request's parameters; the error names the first wrong one.
     pub fn decode(fields: Fields) -> Result<Self, ParameterError> {
         let idempotency_key = optional_text(fields, "opkey")?;
         if idempotency_key.is_some_and(|key| key.bytes().any(|byte| !byte.is_ascii_alphanumeric())) {
@@ -94,6 +99,7 @@
 
 /// What a request says of its team, where the operator has configured teams.
 pub(super) struct TeamParameters {
+    /// The team's index.
     pub team: usize,
     /// From 0 for ordinary work to 3.
     pub urgency: u8,
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -9,6 +9,7 @@
 
 /// A connection's socket and its registration with the loop, which ends when it is dropped.
 pub struct RegisteredSocket<T: 'static> {
+    /// The socket, which also its event source holds.
     pub socket: Rc<TcpStream>,
     token: RegistrationToken,
     loop_handle: LoopHandle<'static, T>,
