--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -31,8 +31,11 @@
 const SERVER_CLIENTS: &str = "crates/router/src/server/clients.rs";
 const SERVER_SHUTDOWN: &str = "crates/router/src/server/shutdown.rs";
 const CLIENTS: &str = "crates/router/src/clients.rs";
-const QUEUES: &str = "crates/teams/src/queues.rs";
-const ORDER: &str = "crates/teams/src/order.rs";
+const TEAM_QUEUE: &str = "crates/teams/src/team_queue.rs";
+const TEAM_CHARGING: &str = "crates/teams/src/queues/charging.rs";
+const TEAM_RECONFIGURE: &str = "crates/teams/src/queues/reconfigure.rs";
+const TEAM_REQUEST: &str = "crates/teams/src/request.rs";
+const FAIR_ORDER: &str = "crates/teams/src/fair_order.rs";
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
 const ENGINES: &str = "crates/router/src/engine_pool.rs";
 
@@ -319,32 +322,32 @@
     ),
     Mutant {
         name: "urgency does not count",
-        file: QUEUES,
-        from: "let urgency = if for_all { 0 } else { waiting.urgency };",
+        file: TEAM_QUEUE,
+        from: "let urgency = if ignores_urgency { 0 } else { request.urgency };",
         to: "let urgency = 0;",
     },
     Mutant {
         name: "what is given back stays charged",
-        file: QUEUES,
-        from: "self.put_down(team, charged);",
-        to: "let _ = charged;",
+        file: TEAM_CHARGING,
+        from: "self.key_order.forget(request);\n        self.team_queues[team].end_charge(charged);",
+        to: "self.key_order.forget(request);",
     },
     Mutant {
         name: "a request of a team that is gone is lost",
-        file: QUEUES,
-        from: "            self.enter(now, request, waiting);\n        }",
-        to: "            if to.get(waiting.team()).is_some() { self.enter(now, request, waiting) }\n        }",
+        file: TEAM_RECONFIGURE,
+        from: "            self.insert_waiting(now, id, request);\n        }",
+        to: "            if new_indices.get(request.team()).is_some() { self.insert_waiting(now, id, request) }\n        }",
     },
     Mutant {
         name: "turns are not charged",
-        file: ORDER,
-        from: "row.start = start.saturating_add(stretch(work, row.share));",
-        to: "row.start = start.saturating_add(stretch(work * 0.0, row.share));",
+        file: FAIR_ORDER,
+        from: "flow.start = former_start.saturating_add(virtual_time(work, flow.share));",
+        to: "flow.start = former_start.saturating_add(virtual_time(work * 0.0, flow.share));",
     },
     Mutant {
         name: "priority without bound",
-        file: QUEUES,
-        from: "let ground = (urgency + aged).min(MOST_GROUND);",
-        to: "let ground = urgency * 9 + aged;",
+        file: TEAM_REQUEST,
+        from: "let gain = (urgency + by_age).min(MAX_PRIORITY_GAIN);",
+        to: "let gain = urgency * 9 + by_age;",
     },
 ];
--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -6,7 +6,7 @@
 use crate::invariants::{Invariant, ObservedModel, first_violated, record_exercised};
 use crate::search::Model;
 use crate::witness;
-use emberflow_teams::{Allowance, Asking, Charter, Firm, Outcome, Queues, Team, Ticket};
+use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RequestId, Team};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 /// The budget of the second team, in the scenarios that have one.
 const BUDGET: Allowance = Allowance {
     work: Duration::from_millis(100),
-    over: Duration::from_millis(1000),
+    period: Duration::from_millis(1000),
     burst: Duration::from_millis(150),
 };
 
@@ -116,7 +116,7 @@
 /// What the queues do.
 pub enum Event {
     /// They release this request, or nothing.
-    Releases(Option<Ticket>),
+    Releases(Option<RequestId>),
     /// They hold so many requests, and have charged each team for so much work, in seconds.
     Holds { count: usize, charged: [f64; TEAMS] },
 }
@@ -193,14 +193,14 @@
 }
 
 /// The configuration of so many teams of one firm, of which the second may have a budget.
-fn configuration(second_team_has_budget: bool, teams: usize) -> Charter {
+fn configuration(second_team_has_budget: bool, teams: usize) -> Quotas {
     let team = |position: usize| Team {
-        firm: 0,
+        organization: 0,
         share: 1.0,
         allowance: (second_team_has_budget && position == 1).then_some(BUDGET),
-        most_waiting: MAX_WAITING,
+        max_waiting: MAX_WAITING,
     };
-    Charter { firms: vec![Firm { share: 1.0 }], teams: (0..teams).map(team).collect() }
+    Quotas { organizations: vec![Organization { share: 1.0 }], teams: (0..teams).map(team).collect() }
 }
 
 impl QueueState {
@@ -221,7 +221,8 @@
     /// Events that faulty queues could emit in this state.
     fn hypothetical_events(&self) -> Vec<Event> {
         let requests = 0..self.statuses.len();
-        let mut events: Vec<_> = requests.map(|request| Event::Releases(Some(request as Ticket))).collect();
+        let mut events: Vec<_> =
+            requests.map(|request| Event::Releases(Some(request as RequestId))).collect();
         events.push(Event::Releases(None));
         events.push(Event::Holds { count: usize::MAX, charged: [0.0; TEAMS] });
         events
@@ -231,8 +232,8 @@
         let is_next = |status: &RequestStatus| *status == RequestStatus::NotArrived;
         let position = self.statuses.iter().position(is_next).unwrap_or_default();
         let request = &scenario.requests[position];
-        let asking = Asking {
-            request: position as Ticket,
+        let new_request = NewRequest {
+            request: position as RequestId,
             team: self.current_team(request),
             urgency: request.urgency,
             class: 0,
@@ -242,7 +243,7 @@
             identity: None,
             key: None,
         };
-        let is_queued = self.queues.arrive(self.now, asking).is_ok();
+        let is_queued = self.queues.enqueue(self.now, new_request).is_ok();
         self.statuses[position] = if is_queued { RequestStatus::Queued } else { RequestStatus::Finished };
     }
 
@@ -252,7 +253,7 @@
         let Some(request) = released else { return };
         let team = scenario.requests[request as usize].team;
         let other_team = 1 - team;
-        self.queues.let_go(self.now, request);
+        self.queues.dispatch(self.now, request);
         self.statuses[request as usize] = RequestStatus::Running;
         self.passed_over[team] = 0;
         self.turns_taken[team] += 1;
@@ -261,12 +262,9 @@
 
     /// Checks what the queues hold and have charged.
     fn check_held(&mut self, scenario: &QueueScenario) {
-        let charged =
-            std::array::from_fn(
-                |team| {
-                    if self.team_removed && team == 1 { 0.0 } else { self.queues.charged(team) }
-                },
-            );
+        let charged = std::array::from_fn(|team| {
+            if self.team_removed && team == 1 { 0.0 } else { self.queues.in_flight_charge(team) }
+        });
         let held = Event::Holds { count: self.queues.len(), charged };
         self.check(scenario, &held);
     }
@@ -277,10 +275,10 @@
     type Transition = Transition;
 
     fn initial_state(&self) -> QueueState {
-        let charter = configuration(self.second_team_has_budget, TEAMS);
+        let quotas = configuration(self.second_team_has_budget, TEAMS);
         QueueState {
             now: Duration::ZERO,
-            queues: Queues::new(charter, Duration::ZERO),
+            queues: Queues::new(quotas, Duration::ZERO),
             statuses: vec![RequestStatus::NotArrived; self.requests.len()],
             passed_over: [0; TEAMS],
             turns_taken: [0; TEAMS],
@@ -326,26 +324,26 @@
             Transition::Arrive => next.arrive(self),
             Transition::Release => next.release(self),
             Transition::Settle { request, outcome } => {
-                next.queues.settle(now, request as Ticket, outcome);
+                next.queues.settle(now, request as RequestId, outcome);
                 next.statuses[request] = RequestStatus::Finished;
             }
             Transition::TakeBack { request } => {
                 next.take_backs += 1;
-                next.queues.take_back(now, request as Ticket);
+                next.queues.requeue(now, request as RequestId);
                 next.statuses[request] = RequestStatus::Queued;
             }
             Transition::Leave { request } => {
-                next.queues.leave(now, request as Ticket);
+                next.queues.remove(now, request as RequestId);
                 next.statuses[request] = RequestStatus::Finished;
             }
             Transition::RemoveTeam => {
                 next.team_removed = true;
-                next.queues.change(now, configuration(false, 1), &[Some(0), None]);
+                next.queues.reconfigure(now, configuration(false, 1), &[Some(0), None]);
             }
             Transition::PassTime => {
                 next.time_steps += 1;
                 next.now = next.queues.due().map_or(now, |due| due.max(now));
-                next.queues.pass(next.now);
+                next.queues.advance(next.now);
             }
         }
         next.check_held(self);
@@ -372,7 +370,7 @@
     const FIRST_WITNESS_BIT: usize = witness::QUEUES;
 }
 
-const BILLED: Outcome = Outcome::Billed(Duration::from_millis(250));
+const MEASURED: Outcome = Outcome::Measured(Duration::from_millis(250));
 
 /// A request of this team and urgency.
 const fn request(team: usize, urgency: u8) -> RequestSpec {
@@ -386,7 +384,7 @@
         description: "three requests of two teams, one urgent, one with a budget, every outcome, taken back, withdrawn, a team removed",
         requests: &[request(0, 0), request(1, 0), request(1, 2)],
         second_team_has_budget: true,
-        outcomes: &[Outcome::Back, Outcome::Unknown, BILLED],
+        outcomes: &[Outcome::Refunded, Outcome::Unknown, MEASURED],
         max_take_backs: 1,
         clients_leave: true,
         removes_team: true,
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -3,8 +3,8 @@
 
 use crate::dispatch::{Completion, RequestOutcome};
 use emberflow::{Arrival, Capacity, RequestId};
-use emberflow_operator::Roll;
-use emberflow_teams::{Asking, Outcome, Queues, Refusal, Wait};
+use emberflow_operator::TeamConfig;
+use emberflow_teams::{NewRequest, Outcome, Queues, Rejection, WaitEstimate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -60,14 +60,14 @@
     /// The request that waits.
     pub request: RequestId,
     /// How long it will wait yet, and how many of its team are before it.
-    pub wait: Wait,
+    pub wait: WaitEstimate,
 }
 
 /// The requests that wait for their team's turn.
 #[derive(Clone)]
 pub struct AdmissionQueue {
     /// The teams as the operator has configured them.
-    pub teams: Roll,
+    pub teams: TeamConfig,
     queues: Queues,
     queued: BTreeMap<RequestId, QueuedRequest>,
     due: BTreeSet<(Duration, Due, RequestId)>,
@@ -77,9 +77,9 @@
 
 impl AdmissionQueue {
     /// An empty queue, each team's budget full.
-    pub fn new(teams: Roll, now: Duration) -> Self {
+    pub fn new(teams: TeamConfig, now: Duration) -> Self {
         Self {
-            queues: Queues::new(teams.charter.clone(), now),
+            queues: Queues::new(teams.quotas.clone(), now),
             teams,
             queued: BTreeMap::new(),
             due: BTreeSet::new(),
@@ -88,12 +88,17 @@
     }
 
     /// Queues a request, or refuses it with the time after which it would be admitted.
-    pub fn enqueue(&mut self, now: Duration, arrival: Arrival, admission: Admission) -> Result<(), Refusal> {
+    pub fn enqueue(
+        &mut self,
+        now: Duration,
+        arrival: Arrival,
+        admission: Admission,
+    ) -> Result<(), Rejection> {
         let request = arrival.request;
         let remaining = arrival.deadline.saturating_sub(arrival.waited);
-        self.queues.arrive(
+        self.queues.enqueue(
             now,
-            Asking {
+            NewRequest {
                 request,
                 team: admission.team,
                 urgency: admission.urgency,
@@ -105,7 +110,7 @@
                 key: admission.key,
             },
         )?;
-        let wants_notices = admission.wants_wait_notices && self.teams.waits_field.is_some();
+        let wants_notices = admission.wants_wait_notices && self.teams.wait_notice_field.is_some();
         let queued = QueuedRequest {
             arrived_at: now.saturating_sub(arrival.waited),
             arrival,
@@ -128,7 +133,7 @@
         if self.queued.is_empty() {
             return None;
         }
-        self.queues.pass(now);
+        self.queues.advance(now);
         let next = self.next_overdue(now).or_else(|| self.next_by_turn(now, capacity()))?;
         self.release(now, next)
     }
@@ -141,7 +146,7 @@
     }
 
     fn next_by_turn(&self, now: Duration, mut capacity: Capacity) -> Option<RequestId> {
-        self.queues.next(|request| {
+        self.queues.next_fitting(|request| {
             let queued = self.queued.get(&request);
             queued.is_some_and(|queued| capacity.admits(&queued.arrival(now)))
         })
@@ -154,7 +159,7 @@
     }
 
     fn release(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
-        self.queues.let_go(now, request);
+        self.queues.dispatch(now, request);
         self.remove(request).map(|queued| queued.arrival(now))
     }
 
@@ -181,20 +186,20 @@
     pub fn request_closed(&mut self, now: Duration, Completion { request, outcome }: Completion) {
         let cost = self.costs.remove(&request);
         if self.remove(request).is_some() {
-            self.queues.leave(now, request);
+            self.queues.remove(now, request);
             return;
         }
         let charge = match (outcome, cost) {
-            (RequestOutcome::Succeeded, Some(cost)) => Outcome::Billed(cost),
+            (RequestOutcome::Succeeded, Some(cost)) => Outcome::Measured(cost),
             (RequestOutcome::Succeeded | RequestOutcome::Failed, _) => Outcome::Unknown,
-            (RequestOutcome::Rejected | RequestOutcome::Withdrawn, _) => Outcome::Back,
+            (RequestOutcome::Rejected | RequestOutcome::Withdrawn, _) => Outcome::Refunded,
         };
         self.queues.settle(now, request, charge);
     }
 
     /// Replaces the teams; queued requests move to the team of the same name.
-    pub fn apply_teams(&mut self, now: Duration, teams: Roll) {
-        self.queues.change(now, teams.charter.clone(), &self.teams.on(&teams));
+    pub fn apply_teams(&mut self, now: Duration, teams: TeamConfig) {
+        self.queues.reconfigure(now, teams.quotas.clone(), &self.teams.indices_in(&teams));
         self.teams = teams;
     }
 
@@ -204,7 +209,8 @@
         let notices = due_now.filter(|(_, due, _)| *due == Due::WaitNotice);
         let due_requests: Vec<_> = notices.map(|(at, _, request)| (*at, *request)).collect();
         // Teams that were reloaded may say that clients are not notified any more.
-        let next_notice = self.teams.waits_field.as_ref().map(|_| now + self.teams.told_every);
+        let next_notice =
+            self.teams.wait_notice_field.as_ref().map(|_| now + self.teams.wait_notice_interval);
         for (at, request) in &due_requests {
             self.due.remove(&(*at, Due::WaitNotice, *request));
             self.due.extend(next_notice.map(|at| (at, Due::WaitNotice, *request)));
@@ -213,7 +219,8 @@
         if next_notice.is_none() {
             return Vec::new();
         }
-        let notice = |(_, request)| Some(WaitNotice { request, wait: self.queues.wait(now, request)? });
+        let notice =
+            |(_, request)| Some(WaitNotice { request, wait: self.queues.estimate_wait(now, request)? });
         due_requests.into_iter().filter_map(notice).collect()
     }
 
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -4,8 +4,11 @@
 use crate::discovery::{EndpointEvent, initial_events};
 use crate::error::ConfigError;
 use emberflow::{AttemptLimits, Fleet, RequestClass};
-use emberflow_operator::Orders;
-use emberflow_settings::{Fields, SettingsError, attempt_limits, fleet, request_classes, unknown_reports};
+use emberflow_operator::OperatorConfig;
+use emberflow_settings::{
+    Fields, SettingsError, decode_attempt_limits, decode_fleet, decode_request_classes,
+    unknown_load_report_names,
+};
 use serde_json::Value;
 
 /// Everything that is known at the start, before the discovery service or any client is connected.
@@ -25,7 +28,7 @@
     /// The fields of the load report that are unknown and ignored.
     pub ignored_report_fields: Vec<SettingsError>,
     /// The operator's own file; empty without one.
-    pub orders: Orders,
+    pub orders: OperatorConfig,
 }
 
 impl Bootstrap {
@@ -33,13 +36,13 @@
     pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, ConfigError> {
         let config = RouterConfig::read(file, listen)?;
         let file = Fields::of(file);
-        let settings = file.part("settings")?;
+        let settings = file.object("settings")?;
         let initial = initial_events(file, &config.locations, &config.kinds)?;
-        let fleet = fleet(config.seed, settings)?;
-        let classes = request_classes(settings)?;
+        let fleet = decode_fleet(config.seed, settings)?;
+        let classes = decode_request_classes(settings)?;
         // On sockets a health check only shows that a connection works.
-        let attempt_limits = AttemptLimits { may_probe: false, ..attempt_limits(settings)? };
-        let ignored_report_fields = unknown_reports(settings)?;
+        let attempt_limits = AttemptLimits { may_probe: false, ..decode_attempt_limits(settings)? };
+        let ignored_report_fields = unknown_load_report_names(settings)?;
         Ok(Self {
             config,
             fleet,
@@ -48,14 +51,13 @@
             last_event: initial.last_event,
             events: initial.events,
             ignored_report_fields,
-            orders: Orders::default(),
+            orders: OperatorConfig::default(),
         })
     }
 
     /// Decodes the operator's own file, which replaces the orders so far; unchanged on an error.
     pub fn read_operator_file(&mut self, text: &str) -> Result<(), ConfigError> {
-        let orders = Orders::read(text);
-        self.orders = orders.map_err(|error| ConfigError::OperatorFile(error.to_string()))?;
+        self.orders = OperatorConfig::parse(text)?;
         Ok(())
     }
 }
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -6,12 +6,12 @@
 use crate::jsonrpc;
 use crate::timers::Timer;
 use emberflow::{Actions, Arrival};
-use emberflow_operator::Roll;
-use emberflow_teams::Refusal;
+use emberflow_operator::TeamConfig;
+use emberflow_teams::Rejection;
 use std::time::Duration;
 
 impl Server {
-    pub(super) fn open_admission_queue(&mut self, teams: Roll, now: Duration) {
+    pub(super) fn open_admission_queue(&mut self, teams: TeamConfig, now: Duration) {
         log::info!("admission queue opened: teams={} budgets=full", teams.names.len());
         self.admission_queue = Some(AdmissionQueue::new(teams, now));
         self.dispatcher.completions = Some(Vec::new());
@@ -33,7 +33,7 @@
         let admission = self.admission_of(&arrival, team, identity);
         let request = arrival.request;
         let Some(admission_queue) = &mut self.admission_queue else { return };
-        if let Err(Refusal { reason, retry_after }) = admission_queue.enqueue(now, arrival, admission) {
+        if let Err(Rejection { reason, retry_after }) = admission_queue.enqueue(now, arrival, admission) {
             self.dispatcher.context.counters.count("requests_refused_at_the_door");
             log::debug!(
                 "request not admitted: request={request} reason={reason:?} retry_after={retry_after:?}"
@@ -112,11 +112,11 @@
 
     /// Applies the teams of a reloaded operator's file. Queued requests move with their team; where there are no
     /// teams any more, they are passed to the scheduler.
-    pub fn apply_teams(&mut self, teams: Option<Roll>) {
+    pub fn apply_teams(&mut self, teams: Option<TeamConfig>) {
         let now = self.dispatcher.context.now();
         match (&mut self.admission_queue, teams) {
             (Some(admission_queue), Some(teams)) => {
-                let changes = admission_queue.teams.changes(&teams);
+                let changes = admission_queue.teams.describe_changes(&teams);
                 changes.iter().for_each(|change| log::info!("teams changed: {change}"));
                 admission_queue.apply_teams(now, teams);
             }
