--- /dev/null
+++ b/crates/model-checker/src/connection_model/scenarios.rs
@@ -0,0 +1,86 @@
+//! The scenarios of the connection model.
+
+use super::scenario::{ConnectionScenario, EndpointChange, EngineMessage};
+
+/// What an engine sends that keeps to the protocol.
+const WELL_FORMED: &[EngineMessage] = &[
+    EngineMessage::Result,
+    EngineMessage::FirstOfTwoPages,
+    EngineMessage::SecondPage,
+    EngineMessage::Shed,
+    EngineMessage::Fault,
+    EngineMessage::ProgressNote,
+    EngineMessage::Pong,
+];
+
+/// All scenarios of the connection model.
+pub const SCENARIOS: &[ConnectionScenario] = &[
+    ConnectionScenario {
+        name: "a connection's answers",
+        description: "one request of two attempts, every message, cancelled calls, the engine draining, restarted, gone or replaced",
+        messages: WELL_FORMED,
+        endpoint_changes: &[
+            EndpointChange::Drains,
+            EndpointChange::Restarts,
+            EndpointChange::Gone,
+            EndpointChange::Replaced,
+        ],
+        ..ConnectionScenario::BASE
+    },
+    ConnectionScenario {
+        name: "a connection's faults",
+        description: "one request of two attempts, split, repeated, unknown or malformed answers, resets, twice in all",
+        messages: &[
+            EngineMessage::Result,
+            EngineMessage::FirstOfTwoPages,
+            EngineMessage::SecondPage,
+            EngineMessage::Pong,
+            EngineMessage::RepeatedResult,
+            EngineMessage::UnknownId,
+            EngineMessage::FirstHalf,
+            EngineMessage::SecondHalf,
+            EngineMessage::Malformed,
+        ],
+        max_faults: 2,
+        ..ConnectionScenario::BASE
+    },
+    ConnectionScenario {
+        name: "a shared connection",
+        description: "two requests on one connection, one of which is cancelled, one fault",
+        requests: 2,
+        max_attempts: 1,
+        messages: &[
+            EngineMessage::Result,
+            EngineMessage::FirstOfTwoPages,
+            EngineMessage::SecondPage,
+            EngineMessage::Pong,
+            EngineMessage::RepeatedResult,
+            EngineMessage::UnknownId,
+            EngineMessage::Malformed,
+        ],
+        max_faults: 1,
+        max_connections: 1,
+        in_short_set: false,
+        ..ConnectionScenario::BASE
+    },
+    ConnectionScenario {
+        name: "a narrow connection",
+        description: "one request of two attempts on sockets that take ten bytes at first, a drain or a restart, one reset",
+        messages: &[EngineMessage::Result, EngineMessage::Pong],
+        max_faults: 1,
+        endpoint_changes: &[EndpointChange::Drains, EndpointChange::Restarts],
+        initial_capacity: Some(10),
+        ..ConnectionScenario::BASE
+    },
+    ConnectionScenario {
+        name: "two on a narrow connection",
+        description: "two requests on one connection that takes nothing at first, a drain",
+        requests: 2,
+        max_attempts: 1,
+        messages: &[EngineMessage::Result, EngineMessage::Pong],
+        endpoint_changes: &[EndpointChange::Drains],
+        max_connections: 1,
+        initial_capacity: Some(0),
+        ..ConnectionScenario::BASE
+    },
+];
