--- a/crates/model-checker/src/router_model/invariants.rs
+++ b/crates/model-checker/src/router_model/invariants.rs
@@ -100,5 +100,5 @@
     let clients = dispatcher.clients.table.len();
     let is_empty = connections + attempts + timers + clients + state.engine_peers.len() == 0
         && dispatcher.requests.is_empty();
-    matches!(event, Event::Terminal) && !state.server.left && !is_empty
+    matches!(event, Event::Terminal) && !state.server.has_stopped() && !is_empty
 }
--- a/crates/model-checker/src/wire.rs
+++ b/crates/model-checker/src/wire.rs
@@ -2,7 +2,8 @@
 //!
 //! The models of connections and of the whole router share them.
 
-use emberflow_router::discovery::Row;
+use emberflow::Lifecycle;
+use emberflow_router::discovery::EndpointRecord;
 use emberflow_router::engine_pool::PoolCommand;
 use emberflow_router::resp;
 use emberflow_router::slots::Slot;
@@ -116,12 +117,11 @@
 }
 
 /// The endpoint list's row of an engine that is ready, on a port of the loopback address.
-pub fn ready_endpoint(id: u32, port: u16) -> Row {
-    Row {
+pub fn ready_endpoint(id: u32, port: u16) -> EndpointRecord {
+    EndpointRecord {
         id,
         address: ([127, 0, 0, 1], port).into(),
-        ready: true,
-        gone: false,
+        lifecycle: Lifecycle::Ready,
         location: 0,
         kind: 0,
         cell: 0,
