--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -4,11 +4,12 @@
 use super::scenario::EndpointChange;
 use super::state::ModuleState;
 use super::transition::Transition;
+use crate::search::Step;
 use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressNote};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
-pub fn test(model: &ModuleModel, path: &[(ModuleState, Transition)]) -> String {
+pub fn test(model: &ModuleModel, path: &[Step<ModuleModel>]) -> String {
     let name = model.name.replace([' ', '-'], "_");
     let setup = match model.setup.text {
         "{}" => "|_, _, _| ()".to_owned(),
@@ -16,9 +17,10 @@
     };
     let mut text = String::new();
     let _ = writeln!(text, "#[test]\nfn {name}() {{");
-    let _ = writeln!(text, "    let mut trace = Trace::small(&{:?}, {setup});", model.engines);
+    let engines: Vec<_> = model.engines.iter().map(|engine| (engine.location, engine.cell)).collect();
+    let _ = writeln!(text, "    let mut trace = Trace::small(&{engines:?}, {setup});");
     let mut clock = None;
-    for (state, transition) in path {
+    for Step { state, transition } in path {
         let Some(call) = trace_call(model, state, *transition) else { continue };
         let now = state.now.as_millis() as u64;
         let moved = if clock.replace(now) == Some(now) { String::new() } else { format!(".at({now})") };
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -155,12 +155,11 @@
         return false;
     };
     let Effect::IdempotentWithKey { scope, window } = &model.class_of(*request).effect else { return false };
-    let (first_location, first_cell) = model.engines[first.engine];
-    let (location, cell) = model.engines[*engine];
+    let (first_engine, engine) = (model.engines[first.engine], model.engines[*engine]);
     let knows_key = match scope {
         KeyScope::All => true,
-        KeyScope::Location => first_location == location,
-        KeyScope::Cell => first_cell == cell,
+        KeyScope::Location => first_engine.location == engine.location,
+        KeyScope::Cell => first_engine.cell == engine.cell,
     };
     !knows_key || state.now >= first.sent + *window
 }
@@ -226,7 +225,7 @@
     let Event::Send { request, engine, .. } = event else { return false };
     let class = model.class_of(*request);
     let kind = model.kind(*engine);
-    let (location, _) = model.engines[*engine];
+    let location = model.engines[*engine].location;
     let is_wrong_kind = class.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&kind));
     is_wrong_kind || class.locations.as_ref().is_some_and(|locations| !locations.contains(&location))
 }
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -28,6 +28,15 @@
     };
 }
 
+/// Where an engine is.
+#[derive(Clone, Copy)]
+pub struct EngineSpec {
+    /// Its location.
+    pub location: usize,
+    /// Its cell, within which idempotency keys are known.
+    pub cell: u64,
+}
+
 /// A request that may arrive.
 #[derive(Clone, Copy)]
 pub struct RequestSpec {
@@ -62,8 +71,8 @@
     pub description: &'static str,
     /// How the settings differ from those of the traces.
     pub setup: Setup,
-    /// Location and cell of each engine.
-    pub engines: &'static [(usize, u64)],
+    /// Where each engine is.
+    pub engines: &'static [EngineSpec],
     /// The kind of each engine; the first kind for those that are not named.
     pub kinds: &'static [usize],
     /// The requests in the order in which they arrive, each at any time.
@@ -115,7 +124,7 @@
         name: "base",
         description: "one idempotent request at one engine",
         setup: setup!(|fleet, classes, attempt_limits| {}),
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         kinds: &[0],
         requests: &[request(0)],
         outcomes: ALL_OUTCOMES,
@@ -142,6 +151,11 @@
     }
 }
 
+/// An engine in a location and cell.
+pub const fn engine(location: usize, cell: u64) -> EngineSpec {
+    EngineSpec { location, cell }
+}
+
 /// A request of a class, without a key.
 pub const fn request(class: usize) -> RequestSpec {
     RequestSpec { class, key: None, cost_ms: 20, memory_mb: 300.0 }
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -1,6 +1,8 @@
 //! The scenarios of the module model. Each is small enough to be explored completely, unless it names a `max_depth`.
 
-use super::scenario::{EndpointChange, RequestSpec, Scenario, Setup, keyed_request, request};
+use super::scenario::{
+    EndpointChange, EngineSpec, RequestSpec, Scenario, Setup, engine, keyed_request, request,
+};
 use crate::setup;
 use emberflow::{AttemptOutcome, LoadReport, ProgressNote, RetryBudget};
 use std::time::Duration;
@@ -29,10 +31,10 @@
     ProgressNote::WaitingForMemory,
     ProgressNote::WaitingForLoad,
 ];
-const THREE_ENGINES: &[(usize, u64)] = &[(0, 0), (0, 0), (0, 0)];
+const THREE_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(0, 0)];
 /// Two engines in one cell, and one in another cell and location.
-const ENGINES_IN_TWO_CELLS: &[(usize, u64)] = &[(0, 0), (0, 0), (1, 1)];
-const TWO_ENGINES: &[(usize, u64)] = &[(0, 0), (0, 0)];
+const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
+const TWO_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0)];
 const FULL_ENGINE: LoadReport =
     LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
 
@@ -123,7 +125,7 @@
             classes[0].kinds = Some(vec![1]);
             classes[0].locations = Some(vec![1]);
         }),
-        engines: &[(1, 0), (0, 0), (1, 0)],
+        engines: &[engine(1, 0), engine(0, 0), engine(1, 0)],
         kinds: &[1, 1, 0],
         requests: &[request(0)],
         max_endpoint_changes: 1,
@@ -165,7 +167,7 @@
     Scenario {
         name: "no engine",
         description: "no engine until the endpoint list reports one, which may be lost again",
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[request(4)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 3,
@@ -216,7 +218,7 @@
             classes[0].keeps_order = true;
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
         }),
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[keyed_request(0, 1), keyed_request(0, 1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Broken],
         max_departures: 1,
@@ -230,7 +232,7 @@
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
             attempt_limits.may_cancel = false;
         }),
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[keyed_request(4, 1), keyed_request(4, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
         max_departures: 1,
@@ -240,7 +242,7 @@
         name: "one key, two effects",
         description: "an idempotent request, whose retries need no cooldown, and a non-idempotent one of its key that does",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[keyed_request(0, 1), keyed_request(4, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
         max_departures: 1,
@@ -250,7 +252,7 @@
         name: "three of one key",
         description: "a non-idempotent request between two idempotent ones of its key: one cooldown after another",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[keyed_request(0, 1), keyed_request(4, 1), keyed_request(0, 1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
@@ -263,7 +265,7 @@
             let window = std::time::Duration::from_millis(400);
             attempt_limits.retry_budget = Some(RetryBudget { spare: 1.0, per_request: 0.0, window });
         }),
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[request(0), request(0)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Failed],
         interchangeable_engines: false,
@@ -288,7 +290,7 @@
     Scenario {
         name: "cold engine",
         description: "an engine that restarts while two requests arrive, a window with capacity for one at first",
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[RequestSpec { cost_ms: 210, ..request(0) }, RequestSpec { cost_ms: 210, ..request(0) }],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         max_endpoint_changes: 1,
@@ -303,7 +305,7 @@
             fleet.router_count = 40;
             attempt_limits.warm_up = std::time::Duration::from_millis(2000);
         }),
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[request(0), request(0)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         max_endpoint_changes: 1,
@@ -313,7 +315,7 @@
     Scenario {
         name: "pressed engine",
         description: "answers that report a full engine, large and small requests",
-        engines: &[(0, 0)],
+        engines: &[engine(0, 0)],
         requests: &[request(0), RequestSpec { memory_mb: 12000.0, ..request(0) }],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         load_report: Some(FULL_ENGINE),
@@ -356,7 +358,7 @@
     Scenario {
         name: "two keyed",
         description: "two requests with idempotency keys known within a cell at two engines of two cells",
-        engines: &[(0, 0), (1, 1)],
+        engines: &[engine(0, 0), engine(1, 1)],
         requests: &[request(1), request(1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -1,6 +1,7 @@
 //! The state of the module model: the scheduler, and what its environment knows to be true.
 
 use super::ModuleModel;
+use super::scenario::EngineSpec;
 use emberflow::{AttemptOutcome, Endpoint, EngineId, Fingerprint, KeyId, Lifecycle, RequestId, Scheduler};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -152,7 +153,7 @@
 impl ModuleState {
     /// The endpoint list's row of an engine.
     pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
-        let (location, cell) = model.engines[engine];
+        let EngineSpec { location, cell } = model.engines[engine];
         let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine];
         Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
     }
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -6,7 +6,7 @@
 use crate::module_model::{self, ModuleModel, counterexample, scenario::Scenario};
 use crate::queue_model::{self, QueueScenario};
 use crate::router_model::{self, scenario::RouterScenario};
-use crate::search::{Bounds, Extent, Model, explore};
+use crate::search::{Bounds, Extent, Model, Step, explore};
 use crate::witness;
 use std::fmt::Debug;
 use std::time::Duration;
@@ -178,11 +178,7 @@
     }
 }
 
-fn check<M: Model>(
-    model: &M,
-    bounds: Bounds,
-    test: impl Fn(&[(M::State, M::Transition)]) -> String,
-) -> CheckReport {
+fn check<M: Model>(model: &M, bounds: Bounds, test: impl Fn(&[Step<M>]) -> String) -> CheckReport {
     let report = explore(model, bounds);
     let violation = report.violation.map(|violation| Counterexample {
         invariant: violation.invariant,
@@ -193,9 +189,12 @@
 }
 
 /// A path as a test, ready to be pasted into `tests/walk.rs`: one transition a line.
-fn recorded_path_test<S, T: Debug>(scenario: &str, path: &[(S, T)]) -> String {
+fn recorded_path_test<M: Model>(scenario: &str, path: &[Step<M>]) -> String
+where
+    M::Transition: Debug,
+{
     let name: String = scenario.chars().map(|c| if c.is_alphanumeric() { c } else { '_' }).collect();
-    let lines: String = path.iter().map(|(_, transition)| format!("        {transition:?}\n")).collect();
+    let lines: String = path.iter().map(|step| format!("        {:?}\n", step.transition)).collect();
     format!("#[test]\nfn {name}_holds() {{\n    follow({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
 }
 
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -62,12 +62,20 @@
     OutOfMemory,
 }
 
-/// A violated invariant, and a shortest path to it: each state with the transition taken from it.
+/// A violated invariant, and a shortest path to it.
 pub struct Violation<M: Model> {
     /// The name of the invariant.
     pub invariant: &'static str,
     /// The path from the initial state.
-    pub path: Vec<(M::State, M::Transition)>,
+    pub path: Vec<Step<M>>,
+}
+
+/// One step of a path.
+pub struct Step<M: Model> {
+    /// The state in which the transition is taken.
+    pub state: M::State,
+    /// The transition.
+    pub transition: M::Transition,
 }
 
 /// Figures of a search.
@@ -256,7 +264,7 @@
     }
 
     /// The path by which a state was first reached, computed anew from the initial state.
-    fn path_to(&self, fingerprint: u64) -> Vec<(M::State, M::Transition)> {
+    fn path_to(&self, fingerprint: u64) -> Vec<Step<M>> {
         let mut positions = Vec::new();
         let mut at = fingerprint;
         while let Some((from, position)) = self.origins.get(&at).filter(|origin| origin.1 != NO_TRANSITION) {
@@ -270,7 +278,7 @@
             self.model.transitions(&state, &mut transitions);
             let transition = transitions[position];
             let next = self.model.apply(&state, &transition);
-            path.push((std::mem::replace(&mut state, next), transition));
+            path.push(Step { state: std::mem::replace(&mut state, next), transition });
         }
         path
     }
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -187,7 +187,7 @@
 #[test]
 fn the_first_violation_is_reported_with_a_shortest_path() {
     let violation = explore(&Numbers, WIDE).violation.expect("it is violated at 77");
-    let path: Vec<u64> = violation.path.iter().map(|(_, transition)| *transition).collect();
+    let path: Vec<u64> = violation.path.iter().map(|step| step.transition).collect();
     expect![["odd by [2, 4, 8, 9, 18, 19, 38, 76, 77]"]]
         .assert_eq(&format!("{} by {path:?}", violation.invariant));
 }
