--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -6,7 +6,7 @@
 use emberflow_router::context::Context;
 use emberflow_router::engine_pool::PoolCommand;
 use emberflow_router::resp;
-use emberflow_router::server::Server;
+use emberflow_router::server::{ClosedClient, Server};
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
 use expect_test::expect;
@@ -231,7 +231,7 @@
     let mut bootstrap = Bootstrap::read(file, None).expect("the configuration makes sense");
     operators_file
         .into_iter()
-        .for_each(|text| bootstrap.order(text).expect("the operator's file makes sense"));
+        .for_each(|text| bootstrap.read_operator_file(text).expect("the operator's file makes sense"));
     bootstrap
 }
 
@@ -265,10 +265,10 @@
             self.recorder.record("step", step, &[]);
             self.step();
             self.carry_out();
-            self.server.clear();
+            self.server.close_finished_clients();
             self.carry_out();
             self.record_next_timer();
-            if self.server.left {
+            if self.server.has_stopped() {
                 self.recorder.count("processes ended");
                 break;
             }
@@ -277,7 +277,7 @@
             }
         }
         let has_open_requests = !self.server.dispatcher.requests.is_empty();
-        self.recorder.record("end", u64::from(self.server.left), &[u8::from(has_open_requests)]);
+        self.recorder.record("end", u64::from(self.server.has_stopped()), &[u8::from(has_open_requests)]);
         let counters = self.server.dispatcher.context.counters.to_string();
         for (name, count) in counters.split(' ').filter_map(|counter| counter.split_once('=')) {
             *self.recorder.server_counters.entry(name.into()).or_default() +=
@@ -315,16 +315,16 @@
     // ---- clients ----
 
     fn admit(&mut self) {
-        if self.clients.len() >= self.server.dispatcher.config.most_clients() {
+        if self.clients.len() >= self.server.dispatcher.config.max_clients() {
             let now = self.server.dispatcher.context.now();
             let idlest = self.server.dispatcher.clients.longest_idle(now);
-            return idlest.into_iter().for_each(|slot| self.server.client_gone(slot, "to make room"));
+            return idlest.into_iter().for_each(|slot| self.server.close_client(slot, "to make room"));
         }
         self.connection_count += 1;
         let capacity = if self.random.one_in(6) { 40 } else { usize::MAX };
         self.clients.push(Client {
             number: self.connection_count,
-            slot: self.server.admit(),
+            slot: self.server.accept_client(),
             pending_input: Vec::new(),
             has_ended: false,
             capacity,
@@ -402,7 +402,7 @@
         let Some(client) = self.any_client() else { return };
         let requests = &self.clients[client].requests;
         let last = requests[requests.len().saturating_sub(4)..].to_vec();
-        let most_bytes = self.server.dispatcher.config.most_bytes();
+        let most_bytes = self.server.dispatcher.config.max_line_bytes();
         let line = match (self.random.below(12), last.is_empty()) {
             (0..5, false) => {
                 let (id, req) = self.random.pick(&last);
@@ -437,9 +437,9 @@
     fn read_client(&mut self, slot: Slot, bytes: &[u8], stream_end: StreamEnd) {
         let since = self.server.dispatcher.context.now() - Duration::from_millis(self.random.below(3));
         let mut received = ReceivedBytes(bytes, stream_end);
-        self.server.peek(since, [(slot, &mut received)]);
+        self.server.scan_clients(since, [(slot, &mut received)]);
         self.carry_out();
-        while self.server.hear(slot, since, &mut received, || false) {
+        while self.server.read_client_line(slot, since, &mut received, || false) {
             self.carry_out();
         }
     }
@@ -658,14 +658,14 @@
         let count = count.min(self.discovery_input.len());
         let bytes: Vec<u8> = self.discovery_input.drain(..count).collect();
         self.server.discovery.input.push(&bytes);
-        let result = self.server.discovery_heard();
-        self.recorder.record("bulletin", self.server.discovery.last, &[u8::from(result.is_ok())]);
+        let result = self.server.receive_endpoint_events();
+        self.recorder.record("bulletin", self.server.discovery.last_event, &[u8::from(result.is_ok())]);
         if result.is_err() {
             // The connection is dialled again, and starts with the complete list.
             self.recorder.count("lists refused");
-            self.server.discovery = self.server.discovery.anew();
+            self.server.discovery = self.server.discovery.for_new_connection();
             self.discovery_input.clear();
-            self.frame = self.server.discovery.last + 1;
+            self.frame = self.server.discovery.last_event + 1;
             self.send_endpoint_list(true);
         }
     }
@@ -674,7 +674,7 @@
         let texts = [None, Some(OPERATORS_FILES[0]), Some(OPERATORS_FILES[1])];
         let text = self.random.pick(&texts);
         let file = configuration(&mut RandomSource(1), 1);
-        self.server.reorder(bootstrap(&file, text).orders.teams);
+        self.server.apply_teams(bootstrap(&file, text).orders.teams);
         self.recorder.count("reloads");
     }
 
@@ -705,14 +705,14 @@
             }
             _ => {}
         }
-        self.server.due(due);
+        self.server.timer_expired(due);
         self.carry_out();
     }
 
     fn shut_down(&mut self) {
         if !self.is_shutting_down {
             self.is_shutting_down = true;
-            self.server.close();
+            self.server.begin_shutdown();
             self.carry_out();
             self.recorder.count("graceful shutdowns");
         }
@@ -728,18 +728,18 @@
 
     fn carry_out(&mut self) {
         loop {
-            self.server.tell();
+            self.server.process_events();
             let asks = std::mem::take(&mut self.server.dispatcher.engines.commands);
             let unsent = std::mem::take(&mut self.server.dispatcher.engines.pending_writes);
             let unsaid = std::mem::take(&mut self.server.dispatcher.clients.pending_writes);
-            let closed = std::mem::take(&mut self.server.closed);
+            let closed = std::mem::take(&mut self.server.closed_clients);
             if asks.is_empty() && unsent.is_empty() && unsaid.is_empty() && closed.is_empty() {
                 return;
             }
             asks.into_iter().for_each(|ask| self.carry_out_action(ask));
             unsent.into_iter().for_each(|slot| self.flush_connection(slot));
             unsaid.into_iter().for_each(|slot| self.flush_client(slot));
-            for (slot, mut last) in closed {
+            for ClosedClient { slot, output: mut last } in closed {
                 let Some(at) = self.clients.iter().position(|client| client.slot == slot) else { continue };
                 let mut words = Vec::new();
                 last.drain(&mut words).expect("writing to memory");
