--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,7 +1,7 @@
 //! The router's own configuration: addresses, limits and the names that its settings list.
 
 use crate::error::ConfigError;
-use emberflow_settings::{Fields, SettingsError, marks_retries};
+use emberflow_settings::{Fields, Problem, SettingsError, clients_mark_retries};
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -42,9 +42,9 @@
     /// Decodes the configuration file; `listen` replaces the address that the file says to listen on.
     pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, ConfigError> {
         let file = Fields::of(file);
-        let limits = file.part("limits")?;
-        let settings = file.part("settings")?;
-        let caps = settings.part("caps")?;
+        let limits = file.object("limits")?;
+        let settings = file.object("settings")?;
+        let caps = settings.object("caps")?;
         let seed = file.text("seed")?;
         let max_open = |field, name: &str| Fields::not_negative(field, name).map(|most| most as usize);
         Ok(Self {
@@ -57,7 +57,7 @@
             locations: unique_names(settings.rows("zones")?.map(Ok))?,
             kinds: unique_names(settings.rows("kinds")?.map(Ok))?,
             classes: unique_names(settings.rows("categories")?.map(|row| row.field("name")))?,
-            clients_mark_retries: marks_retries(settings)?,
+            clients_mark_retries: clients_mark_retries(settings)?,
             max_open_requests: caps.optional("maxOpen", max_open)?.unwrap_or(usize::MAX).max(1),
             streams_per_connection: caps.index("streamsPerConn")?.max(1),
             connect_timeout: caps.time("connectTimeoutMs")?,
@@ -126,7 +126,7 @@
         let field = field?;
         let name = field.as_text()?.to_owned();
         if names.contains(&name) {
-            return Err(field.fault(format_args!("is listed twice: {name}")));
+            return Err(field.error(Problem::Duplicate { name }));
         }
         names.push(name);
     }
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,5 +1,6 @@
 //! Errors of reading the configuration and of serving.
 
+use emberflow_operator::OperatorConfigError;
 use emberflow_settings::SettingsError;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
@@ -19,8 +20,8 @@
     InFile { path: PathBuf, source: Box<ConfigError> },
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("{0}")]
-    OperatorFile(String),
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorConfigError),
     #[error("`{field}` is not an address with a port: {text}")]
     Address { field: &'static str, text: String },
     #[error("`seed` is not hexadecimal: {text}")]
