--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -265,6 +265,8 @@
     }
     let mut client = router.connect_client();
     client.status(1);
+    // Nothing that comes next may fall into a turn of the router's loop that has begun.
+    router.wait_until_asleep();
     router.stop();
     for client in &mut other_clients {
         client.send_line(&vec![status_line(2); 2].join("\n"));
