--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -39,6 +39,6 @@
 
 /// Whether clients mark their retries.
 pub fn clients_mark_retries(params: Fields) -> Result<bool, SettingsError> {
-    let Some(habits) = params.optional("clientHabits", Fields::object)? else { return Ok(false) };
-    Ok(habits.optional("marksRetry", Fields::flag)?.unwrap_or(false))
+    let Some(client_habits) = params.optional("clientHabits", Fields::object)? else { return Ok(false) };
+    Ok(client_habits.optional("marksRetry", Fields::flag)?.unwrap_or(false))
 }
