--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,7 +4,7 @@
 use crate::error::AdapterError;
 use crate::event::{Accept, AttemptEnd, EndpointRow, Event};
 use crate::names::{NameTable, Names};
-use emberflow::{Arrival, AttemptEnded, Endpoint, KeyId, LoadReport, RequestId, Scheduler};
+use emberflow::{Arrival, AttemptEnded, Endpoint, EndpointUpdate, KeyId, LoadReport, RequestId, Scheduler};
 use emberflow_settings::{
     Fields, build_load_report, clients_mark_retries, decode_attempt_limits, decode_fleet,
     decode_request_classes, load_report_names,
@@ -56,9 +56,7 @@
             }
             Event::EndpointsChanged { update, table } => {
                 let rows = tables.get(&table).ok_or(AdapterError::UnknownTable)?;
-                let endpoints = endpoints(rows, &mut self.names.engines)?;
-                let (scheduler, mut actions) = self.split(now, reply);
-                scheduler.endpoints_changed(now, update, endpoints, &mut actions);
+                self.endpoints_changed(update, rows, now, reply)?;
             }
             Event::Accept(accept) => self.accept(accept, now, reply),
             Event::AttemptEnded(end) => self.attempt_ended(end, now, reply),
@@ -76,12 +74,7 @@
                 let (scheduler, mut actions) = self.split(now, reply);
                 scheduler.wake(now, &mut actions);
             }
-            Event::Probed { engine, stats } => {
-                let engine = self.names.engines.number(engine);
-                let load_report = load_report(&self.reported, stats);
-                let (scheduler, mut actions) = self.split(now, reply);
-                scheduler.probed(now, engine, load_report, &mut actions);
-            }
+            Event::Probed { engine, stats } => self.probed(engine, stats, now, reply),
             Event::Ignored => {}
         }
         Ok(())
@@ -101,6 +94,26 @@
         self.names.requests.known(name).map(|number| number as RequestId)
     }
 
+    fn endpoints_changed(
+        &mut self,
+        update: EndpointUpdate,
+        rows: &[Value],
+        now: Duration,
+        reply: &mut Vec<u8>,
+    ) -> Result<(), AdapterError> {
+        let endpoints = endpoints(rows, &mut self.names.engines)?;
+        let (scheduler, mut actions) = self.split(now, reply);
+        scheduler.endpoints_changed(now, update, endpoints, &mut actions);
+        Ok(())
+    }
+
+    fn probed(&mut self, engine: &str, stats: Option<&[Value]>, now: Duration, reply: &mut Vec<u8>) {
+        let engine = self.names.engines.number(engine);
+        let load_report = load_report(&self.reported, stats);
+        let (scheduler, mut actions) = self.split(now, reply);
+        scheduler.probed(now, engine, load_report, &mut actions);
+    }
+
     fn accept(&mut self, accept: Accept, now: Duration, reply: &mut Vec<u8>) {
         let arrival = Arrival {
             request: self.names.requests.number(accept.request) as RequestId,
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What one decision costs with many teams and very many requests: a request that comes and one that goes, an estimate,
-//! and what each waiting request holds in memory.
+//! The cost of dispatch, settling, enqueueing and wait estimates with many teams and very many requests, and the
+//! memory of a waiting request.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, Team};
@@ -41,7 +41,9 @@
     };
     let mut queues = Queues::new(quotas, Duration::ZERO);
     for request in 0..REQUESTS {
-        queues.enqueue(Duration::from_micros(request.into()), new_request(request)).expect("there is room");
+        queues
+            .enqueue(Duration::from_micros(request.into()), new_request(request))
+            .expect("the queue has capacity");
     }
     queues
 }
@@ -55,34 +57,34 @@
 fn decisions(criterion: &mut Criterion) {
     let before = resident_kb();
     let mut queues = filled();
-    println!("a waiting task holds {} bytes", (resident_kb() - before) * 1024 / u64::from(REQUESTS));
+    println!("a waiting request holds {} bytes", (resident_kb() - before) * 1024 / u64::from(REQUESTS));
     let (mut now, mut next) = (Duration::from_secs(1), REQUESTS);
-    criterion.bench_function("three decisions: one comes, one goes, one ends", |bencher| {
+    criterion.bench_function("dispatch, settle and enqueue", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
-            let request = queues.turns().next().expect("something waits");
+            let request = queues.turns().next().expect("requests wait");
             queues.dispatch(now, request);
             queues.settle(now, request, Outcome::Measured(Duration::from_millis(50)));
-            queues.enqueue(now, new_request(next)).expect("there is room");
+            queues.enqueue(now, new_request(next)).expect("the queue has capacity");
             next += 1;
         });
     });
-    let mut out = Vec::new();
-    criterion.bench_function("one goes", |bencher| {
+    let mut dispatched = Vec::new();
+    criterion.bench_function("dispatch", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
-            let request = queues.turns().next().expect("something waits");
+            let request = queues.turns().next().expect("requests wait");
             queues.dispatch(now, request);
-            out.push(request);
+            dispatched.push(request);
             if queues.len() < REQUESTS as usize / 2 {
-                for request in out.drain(..) {
+                for request in dispatched.drain(..) {
                     queues.requeue(now, request);
                 }
             }
         });
     });
-    criterion.bench_function("an estimate", |bencher| {
-        let request = queues.turns().nth(500).expect("something waits");
+    criterion.bench_function("estimate a wait", |bencher| {
+        let request = queues.turns().nth(500).expect("requests wait");
         bencher.iter(|| black_box(queues.estimate_wait(now, request)));
     });
 }
--- a/crates/teams/tests/scenarios.rs
+++ b/crates/teams/tests/scenarios.rs
@@ -199,11 +199,11 @@
         .enqueue(1, 900)
         .enqueue(1, 900)
         .turns(1);
-    // 100 ms before it is borne, and the first moment after.
+    // 100 ms before the budget covers it, and at the first moment after.
     let due = scenario.queues.due().map(|at| at.as_millis());
     scenario.note(format!("due at {due:?}")).at(900).turns(1).at(1000).log_budget(0);
     scenario.at(1001).turns(2);
-    // What nobody else wants is its own.
+    // Without competition a team may exceed its budget.
     scenario.enqueue(0, 100).turns(1).log_budget(0);
     expect![[r#"
         0     request 0 is dispatched
@@ -301,7 +301,7 @@
         .log_budget(0);
     let charged = scenario.queues.in_flight_charge(0);
     scenario.note(format!("{charged:?} charged"));
-    // A team whose requests are all cancelled while they wait leaves nothing in anybody's way.
+    // A team whose waiting requests are all cancelled does not hold up the others.
     scenario.enqueue(0, 100).enqueue(0, 100).enqueue(1, 100);
     let removed = [
         scenario.queues.remove(ms(0), 3),
@@ -401,7 +401,7 @@
     let mut scenario =
         Scenario::of(one_organization(&[(1.0, None), (1.0, allowance(100, 1000, 300)), (1.0, None)]));
     scenario.enqueue(1, 200).turns(1).log_budget(1).enqueue(1, 100).enqueue(2, 100).enqueue(0, 100);
-    // The second team's budget changes, the third team is no more.
+    // The second team's budget changes, the third team is removed.
     let quotas = one_organization(&[(1.0, None), (1.0, allowance(100, 1000, 150))]);
     scenario.queues.reconfigure(ms(0), quotas, &[Some(0), Some(1), None]);
     let (waiting, charged) =
@@ -454,7 +454,7 @@
         }
     };
     scenario.enqueue_with(keyed(1, 0)).enqueue_with(keyed(0, 3)).enqueue(0, 100).enqueue_with(keyed(0, 3));
-    // The third of the key is called for, as its deadline ends: the first goes, then the second, then itself.
+    // The third request of the key is overdue: the first is dispatched, then the second, then itself.
     for _ in 0..3 {
         let first = scenario.queues.first_of_key(3);
         scenario.queues.dispatch(ms(0), first);
