--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -1,6 +1,6 @@
 //! Plants mutants in a copy of the repository, builds each, and runs the exploration on it.
 
-use super::{DISCOVERY, ENGINES, MUTANTS, Mutant, ORDER, QUEUES};
+use super::{DISCOVERY, ENGINES, MUTANTS, Mutant};
 use crate::command::VIOLATION_PREFIX;
 use crate::{connection_model, discovery_model, queue_model, router_model};
 use std::path::{Path, PathBuf};
@@ -143,7 +143,9 @@
     let connections = connection_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
     let router = router_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
     match mutant.file {
-        QUEUES | ORDER => queue_model::SCENARIOS.iter().map(|scenario| scenario.name).collect(),
+        file if file.starts_with("crates/teams/src/") => {
+            queue_model::SCENARIOS.iter().map(|scenario| scenario.name).collect()
+        }
         DISCOVERY => discovery_model::SCENARIOS.iter().map(|scenario| scenario.name).collect(),
         file if file.starts_with("src/") => vec!["--short"],
         ENGINES => connections.chain(router).collect(),
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -3,7 +3,7 @@
 use crate::bootstrap::Bootstrap;
 use crate::error::{ConfigError, ServeError};
 use crate::event_loop::RouterLoop;
-use emberflow_operator::Roll;
+use emberflow_operator::TeamConfig;
 use lexopt::prelude::*;
 use std::collections::BTreeSet;
 use std::ffi::{OsStr, OsString};
@@ -124,8 +124,9 @@
 }
 
 /// Each team's name with its share of the engines.
-fn team_shares(teams: &Roll) -> String {
-    let share = |(team, name): (usize, &String)| format!("{name} {:.1} %", teams.charter.part(team) * 100.0);
+fn team_shares(teams: &TeamConfig) -> String {
+    let share =
+        |(team, name): (usize, &String)| format!("{name} {:.1} %", teams.quotas.overall_share(team) * 100.0);
     let shares: Vec<String> = teams.names.iter().enumerate().map(share).collect();
     shares.join(", ")
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,7 +1,7 @@
 //! The router's own configuration: addresses, limits and the names that its settings list.
 
 use crate::error::ConfigError;
-use emberflow_settings::{Fields, SettingsError, marks_retries};
+use emberflow_settings::{Fields, Problem, SettingsError, clients_mark_retries};
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -12,19 +12,27 @@
 /// What a router is configured with, apart from what the scheduler itself is built from.
 #[derive(Clone)]
 pub struct RouterConfig {
+    /// The router's name, which a reloaded configuration must have too.
     pub name: String,
+    /// Where clients connect.
     pub listen_address: SocketAddr,
+    /// Where the discovery service listens.
     pub discovery_address: SocketAddr,
+    /// Seed of the scheduler's random choices.
     pub seed: u64,
     /// File descriptors that the process may have open.
     pub max_descriptors: usize,
+    /// Memory that the process may use; a part of it bounds the buffers.
     pub memory_bytes: usize,
-    /// Names by their index, which is how the scheduler and the discovery service refer to them.
+    /// Names of the locations, by the index that the scheduler and the discovery service use.
     pub locations: Vec<String>,
+    /// Names of the engine kinds, by their index.
     pub kinds: Vec<String>,
+    /// Names of the request classes, by their index: the methods that clients call.
     pub classes: Vec<String>,
     /// Whether clients mark the requests that they send again.
     pub clients_mark_retries: bool,
+    /// Requests that may be open at once, over all clients.
     pub max_open_requests: usize,
     /// Concurrent attempts on one connection to an engine.
     pub streams_per_connection: usize,
@@ -42,9 +50,9 @@
     /// Decodes the configuration file; `listen` replaces the address that the file says to listen on.
     pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, ConfigError> {
         let file = Fields::of(file);
-        let limits = file.part("limits")?;
-        let settings = file.part("settings")?;
-        let caps = settings.part("caps")?;
+        let limits = file.object("limits")?;
+        let settings = file.object("settings")?;
+        let caps = settings.object("caps")?;
         let seed = file.text("seed")?;
         let max_open = |field, name: &str| Fields::not_negative(field, name).map(|most| most as usize);
         Ok(Self {
@@ -57,7 +65,7 @@
             locations: unique_names(settings.rows("zones")?.map(Ok))?,
             kinds: unique_names(settings.rows("kinds")?.map(Ok))?,
             classes: unique_names(settings.rows("categories")?.map(|row| row.field("name")))?,
-            clients_mark_retries: marks_retries(settings)?,
+            clients_mark_retries: clients_mark_retries(settings)?,
             max_open_requests: caps.optional("maxOpen", max_open)?.unwrap_or(usize::MAX).max(1),
             streams_per_connection: caps.index("streamsPerConn")?.max(1),
             connect_timeout: caps.time("connectTimeoutMs")?,
@@ -126,7 +134,7 @@
         let field = field?;
         let name = field.as_text()?.to_owned();
         if names.contains(&name) {
-            return Err(field.fault(format_args!("is listed twice: {name}")));
+            return Err(field.error(Problem::Duplicate { name }));
         }
         names.push(name);
     }
