--- a/crates/emulator/src/demo.rs
+++ b/crates/emulator/src/demo.rs
@@ -145,7 +145,7 @@
     fn lose_first_engine(&mut self) {
         drop(self.engines.remove(0));
         std::thread::sleep(LOSS_ANNOUNCED_AFTER);
-        self.discovery.change(Endpoint { state: EngineState::Gone, ..self.endpoints[0] });
+        self.discovery.change(Endpoint { state: EngineState::Removed, ..self.endpoints[0] });
     }
 }
 
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -21,7 +21,7 @@
 pub enum EngineState {
     Ready = 0,
     Draining = 1,
-    Gone = 2,
+    Removed = 2,
 }
 
 /// One engine of the endpoint list.
@@ -107,7 +107,7 @@
         let mut list = self.list();
         list.event += 1;
         list.endpoints.retain(|other| other.id != endpoint.id);
-        if endpoint.state != EngineState::Gone {
+        if endpoint.state != EngineState::Removed {
             list.endpoints.push(endpoint);
         }
         let change = frame(list.event, FrameKind::Changes, &[endpoint]);
--- a/crates/model-checker/src/connection_model/scenario.rs
+++ b/crates/model-checker/src/connection_model/scenario.rs
@@ -37,7 +37,7 @@
     /// Its process was started anew at its address.
     Restarts,
     /// It is no longer listed, and its number may be reused.
-    Gone,
+    Removed,
     /// It is no longer listed, and another engine has its address under an id of its own.
     Replaced,
 }
--- a/crates/model-checker/src/connection_model/scenarios.rs
+++ b/crates/model-checker/src/connection_model/scenarios.rs
@@ -17,12 +17,12 @@
 pub const SCENARIOS: &[ConnectionScenario] = &[
     ConnectionScenario {
         name: "a connection's answers",
-        description: "one request of two attempts, every message, cancelled calls, the engine draining, restarted, gone or replaced",
+        description: "one request of two attempts, every message, cancelled calls, the engine draining, restarted, removed or replaced",
         messages: WELL_FORMED,
         endpoint_changes: &[
             EndpointChange::Drains,
             EndpointChange::Restarts,
-            EndpointChange::Gone,
+            EndpointChange::Removed,
             EndpointChange::Replaced,
         ],
         ..ConnectionScenario::BASE
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -136,7 +136,7 @@
     let record = &mut state.engine_records[engine];
     match change {
         EndpointChange::Drains => record.lifecycle = Lifecycle::Draining,
-        EndpointChange::Gone => record.lifecycle = Lifecycle::Gone,
+        EndpointChange::Removed => record.lifecycle = Lifecycle::Removed,
         EndpointChange::Returns => record.lifecycle = Lifecycle::Ready,
         EndpointChange::Restarts => {
             record.lifecycle = Lifecycle::Ready;
@@ -151,7 +151,7 @@
 fn empty_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
     state.endpoint_changes += 1;
     for engine in &mut state.engine_records {
-        engine.lifecycle = Lifecycle::Gone;
+        engine.lifecycle = Lifecycle::Removed;
     }
     state.scheduler.endpoints_changed(state.now, EndpointUpdate::FullList, Vec::new(), events);
 }
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -77,7 +77,7 @@
     let launched = record.launched.map(|at| at.as_millis());
     let (lifecycle, launched) = match change {
         EndpointChange::Drains => (Lifecycle::Draining, launched),
-        EndpointChange::Gone => (Lifecycle::Gone, launched),
+        EndpointChange::Removed => (Lifecycle::Removed, launched),
         EndpointChange::Returns => (Lifecycle::Ready, launched),
         EndpointChange::Restarts => (Lifecycle::Ready, Some(state.now.as_millis())),
     };
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -49,7 +49,7 @@
     },
     Invariant {
         name: "drains",
-        description: "nothing new goes to an engine that is draining or gone",
+        description: "nothing new goes to an engine that is draining or removed",
         is_violated: sends_to_draining_engine,
     },
     Invariant {
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -56,7 +56,7 @@
     /// It drains: no new attempt may be sent to it.
     Drains,
     /// It is no longer listed.
-    Gone,
+    Removed,
     /// It is ready again after draining.
     Returns,
     /// Its process was started anew.
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -12,7 +12,7 @@
 }
 
 const ALL_CHANGES: &[EndpointChange] =
-    &[EndpointChange::Drains, EndpointChange::Gone, EndpointChange::Returns, EndpointChange::Restarts];
+    &[EndpointChange::Drains, EndpointChange::Removed, EndpointChange::Returns, EndpointChange::Restarts];
 /// Outcomes that differ in what they prove: it succeeded, it failed, it never ran, its fate is unknown.
 const MAIN_OUTCOMES: &[AttemptOutcome] =
     &[AttemptOutcome::Succeeded, AttemptOutcome::Failed, AttemptOutcome::Overloaded, AttemptOutcome::Broken];
@@ -95,7 +95,7 @@
         engines: ENGINES_IN_TWO_CELLS,
         requests: &[request(2)],
         max_endpoint_changes: 1,
-        endpoint_changes: &[EndpointChange::Drains, EndpointChange::Gone],
+        endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
         ..Scenario::BASE
     },
     Scenario {
@@ -104,7 +104,7 @@
         engines: ENGINES_IN_TWO_CELLS,
         requests: &[request(3)],
         max_endpoint_changes: 1,
-        endpoint_changes: &[EndpointChange::Drains, EndpointChange::Gone],
+        endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
         ..Scenario::BASE
     },
     Scenario {
@@ -114,7 +114,7 @@
         requests: &[request(1)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
-        endpoint_changes: &[EndpointChange::Gone, EndpointChange::Restarts],
+        endpoint_changes: &[EndpointChange::Removed, EndpointChange::Restarts],
         ..Scenario::BASE
     },
     Scenario {
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -193,7 +193,7 @@
     fn engine_fingerprint(&self, model: &ModuleModel, engine: EngineId) -> u64 {
         let engine = &self.engine_records[engine];
         let mut hasher = DefaultHasher::new();
-        (engine.is_forgotten, engine.lifecycle == Lifecycle::Gone).hash(&mut hasher);
+        (engine.is_forgotten, engine.lifecycle == Lifecycle::Removed).hash(&mut hasher);
         let is_warming_up =
             engine.launched.is_some_and(|launched| launched + model.attempt_limits.warm_up > self.now);
         let recent_work = is_warming_up.then(|| {
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -133,7 +133,7 @@
             transitions.extend(draws.map(|draw| Transition::ChangeEndpoint { engine, change, draw }));
         }
     }
-    let any_listed = state.engine_records.iter().any(|engine| engine.lifecycle != Lifecycle::Gone);
+    let any_listed = state.engine_records.iter().any(|engine| engine.lifecycle != Lifecycle::Removed);
     if model.list_may_fail && any_listed {
         transitions.extend([Transition::EmptyEndpointList, Transition::FailEndpointList]);
     }
@@ -142,7 +142,7 @@
 fn may_change(engine: &EngineRecord, change: EndpointChange) -> bool {
     match change {
         EndpointChange::Drains => engine.lifecycle == Lifecycle::Ready,
-        EndpointChange::Gone => engine.lifecycle != Lifecycle::Gone,
+        EndpointChange::Removed => engine.lifecycle != Lifecycle::Removed,
         EndpointChange::Returns => engine.lifecycle == Lifecycle::Draining,
         EndpointChange::Restarts => engine.launched.is_none() && !engine.is_forgotten,
     }
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -17,7 +17,7 @@
 }
 
 impl Display for OperatorConfigError {
-    fn fmt(&self, formatter: &mut Formatter) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         if let Some(line) = self.line {
             write!(formatter, "line {line}, ")?;
         }
--- a/crates/operator/src/forms.rs
+++ b/crates/operator/src/forms.rs
@@ -200,7 +200,7 @@
 impl<'de, T: Deserialize<'de> + Named> Visitor<'de> for UniqueNamesVisitor<T> {
     type Value = Vec<T>;
 
-    fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn expecting(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("a list")
     }
 
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -145,7 +145,7 @@
         Some(self.queues.first_of_key(*request))
     }
 
-    fn next_by_turn(&self, now: Duration, mut capacity: Capacity) -> Option<RequestId> {
+    fn next_by_turn(&self, now: Duration, mut capacity: Capacity<'_>) -> Option<RequestId> {
         self.queues.next_fitting(|request| {
             let queued = self.queued.get(&request);
             queued.is_some_and(|queued| capacity.admits(&queued.arrival(now)))
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -145,7 +145,7 @@
     }
 
     /// Withdrawals in a client's unread lines that were not returned before.
-    pub fn look_ahead(&mut self, slot: Slot) -> Vec<Withdrawal> {
+    pub fn find_withdrawals(&mut self, slot: Slot) -> Vec<Withdrawal> {
         self.table.get_mut(slot).map(Client::new_withdrawals).unwrap_or_default()
     }
 
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -26,7 +26,7 @@
 }
 
 impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts = self.counts.iter().map(|(name, count)| format!("{name}={count}"));
         f.write_str(&counts.collect::<Vec<_>>().join(" "))
     }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -174,7 +174,7 @@
     let lifecycle = match bytes[10] {
         0 => Lifecycle::Ready,
         1 => Lifecycle::Draining,
-        2 => Lifecycle::Gone,
+        2 => Lifecycle::Removed,
         unknown => return Err(DiscoveryError::EndpointState(unknown)),
     };
     let ip = Ipv4Addr::new(bytes[4], bytes[5], bytes[6], bytes[7]);
@@ -196,12 +196,12 @@
 
 /// Decodes the events that the configuration file holds.
 pub fn initial_events(
-    file: Fields,
+    file: Fields<'_>,
     locations: &[String],
     kinds: &[String],
 ) -> Result<InitialEvents, SettingsError> {
     let known = file.object("known")?;
-    let event = |item: Fields| {
+    let event = |item: Fields<'_>| {
         let roster = item.object("roster")?;
         let members = roster.rows("members")?.map(|row| configured_endpoint(row, locations, kinds));
         let update =
@@ -213,7 +213,7 @@
 }
 
 fn configured_endpoint(
-    row: Fields,
+    row: Fields<'_>,
     locations: &[String],
     kinds: &[String],
 ) -> Result<EndpointRecord, SettingsError> {
@@ -222,7 +222,7 @@
     let id_number = id.strip_prefix("s-").and_then(|digits| u32::from_str_radix(digits, 16).ok());
     let lifecycle = match row.text("phase")? {
         "ready" => Lifecycle::Ready,
-        "gone" => Lifecycle::Gone,
+        "gone" => Lifecycle::Removed,
         _ => Lifecycle::Draining,
     };
     let malformed = |name: &str, expected: &'static str, found: &str| {
@@ -241,7 +241,7 @@
 }
 
 /// The index in `names` of the text of a field.
-fn index_of_name(row: Fields, field_name: &str, names: &[String]) -> Result<usize, SettingsError> {
+fn index_of_name(row: Fields<'_>, field_name: &str, names: &[String]) -> Result<usize, SettingsError> {
     let name = row.text(field_name)?;
     let index = names.iter().position(|known| known == name);
     match index {
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -81,7 +81,7 @@
     pub fn send(
         &mut self,
         engine: EngineId,
-        call: Call,
+        call: Call<'_>,
         excluded_connections: &[Slot],
         context: &mut Context,
     ) -> Slot {
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -69,7 +69,7 @@
         match listener.accept() {
             Ok((socket, address)) => {
                 if let Some(slot) = idle_client.filter(|_| self.is_full()) {
-                    self.close_for_room(slot);
+                    self.close_for_capacity(slot);
                 }
                 self.register_client(socket, address);
                 Accepting::Continue
@@ -88,7 +88,7 @@
         log::warn!("accepting a connection failed: error={error:?}");
         match idle_client.or_else(|| self.longest_idle_client()) {
             Some(slot) => {
-                self.close_for_room(slot);
+                self.close_for_capacity(slot);
                 Accepting::Continue
             }
             None => {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn close_for_room(&mut self, slot: Slot) {
+    fn close_for_capacity(&mut self, slot: Slot) {
         self.server.context().counters.count("clients_closed_for_room");
         self.server.close_client(slot, "idle, closed for a new client");
         self.apply_changes();
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -147,7 +147,7 @@
 
 impl Withdrawal {
     /// Decodes the parameters of a withdrawal. A message's own id counts where the parameters hold none.
-    pub fn decode(message_id: Option<u64>, params: Fields) -> Self {
+    pub fn decode(message_id: Option<u64>, params: Fields<'_>) -> Self {
         let name = params.text("req").unwrap_or_default().to_owned();
         let id = params.unsigned("id").ok().or(message_id);
         Self { name, id }
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -56,7 +56,7 @@
 
     /// Handles a line that was received `waited` ago, after the withdrawals that stand behind it.
     fn handle_line(&mut self, slot: Slot, line: &[u8], waited: Duration) {
-        let withdrawals = self.dispatcher.clients.look_ahead(slot);
+        let withdrawals = self.dispatcher.clients.find_withdrawals(slot);
         let withdrawn: Vec<_> =
             withdrawals.iter().filter_map(|withdrawal| self.find_open_request(slot, withdrawal)).collect();
         if !withdrawn.is_empty() {
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -63,7 +63,7 @@
 
 impl RequestParameters {
     /// Decodes a request's parameters; the error names the first wrong one.
-    pub fn decode(fields: Fields) -> Result<Self, ParameterError> {
+    pub fn decode(fields: Fields<'_>) -> Result<Self, ParameterError> {
         let idempotency_key = optional_text(fields, "opkey")?;
         if idempotency_key.is_some_and(|key| key.bytes().any(|byte| !byte.is_ascii_alphanumeric())) {
             return Err(ParameterError::IdempotencyKey);
@@ -90,7 +90,7 @@
 }
 
 impl fmt::Display for RequestParameters {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { cost, memory_mb, table_group, deadline_ms, is_resent, idempotency_key, .. } = self;
         write!(f, "cost={cost:?} memory_mb={memory_mb:?} table_group={table_group:?} ")?;
         write!(f, "deadline_ms={deadline_ms} resent={is_resent} idempotency_key={idempotency_key:?}")
@@ -109,7 +109,7 @@
 
 impl TeamParameters {
     /// Reads the fields that the operator's file names.
-    pub fn decode(teams: &TeamConfig, fields: Fields) -> Result<Self, ParameterError> {
+    pub fn decode(teams: &TeamConfig, fields: Fields<'_>) -> Result<Self, ParameterError> {
         let name = optional_text(fields, &teams.team_field)?.unwrap_or_default();
         if name.len() > MAX_NAME_BYTES {
             return Err(ParameterError::TeamName { field: teams.team_field.clone() });
@@ -144,7 +144,7 @@
 }
 
 /// A number from 0 to [`MAX_NUMBER`]; absent for 0.
-fn positive_number(fields: Fields, name: &'static str) -> Result<Option<f64>, ParameterError> {
+fn positive_number(fields: Fields<'_>, name: &'static str) -> Result<Option<f64>, ParameterError> {
     let value = fields.optional(name, Fields::number)?;
     match value {
         Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::OutOfRange(name)),
@@ -153,7 +153,7 @@
 }
 
 /// Whether the client has sent the request before, as a boolean or as 0 or 1.
-fn resent_flag(fields: Fields) -> Result<bool, ParameterError> {
+fn resent_flag(fields: Fields<'_>) -> Result<bool, ParameterError> {
     let Some(value) = fields.get("resent") else { return Ok(false) };
     if let Some(flag) = value.as_bool() {
         return Ok(flag);
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -80,7 +80,7 @@
     }
 
     /// Checks and decodes a request, then passes it to the scheduler or into the admission queue.
-    fn take_request(&mut self, message: RequestMessage) -> Result<(), RequestError> {
+    fn take_request(&mut self, message: RequestMessage<'_>) -> Result<(), RequestError> {
         let now = self.dispatcher.context.now();
         let RequestMessage { client, id, method, fields, waited } = message;
         let Some(Validated { id: client_request_id, class, name }) = self.validate(&message)? else {
--- a/crates/router/src/slots.rs
+++ b/crates/router/src/slots.rs
@@ -9,7 +9,7 @@
 }
 
 impl std::fmt::Debug for Slot {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}.{}", self.index, self.serial)
     }
 }
@@ -91,8 +91,8 @@
 
     /// All rows with their slots, by place.
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &T)> {
-        let places = self.rows.iter().enumerate();
-        places.filter_map(|(index, row)| {
+        let positions = self.rows.iter().enumerate();
+        positions.filter_map(|(index, row)| {
             row.as_ref().map(|row| (Slot { index, serial: row.serial }, &row.value))
         })
     }
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -7,7 +7,7 @@
 const RETRY_WINDOW: &str = "countedOverMs";
 
 /// Decodes the limits that hold for every attempt.
-pub fn decode_attempt_limits(params: Fields) -> Result<AttemptLimits, SettingsError> {
+pub fn decode_attempt_limits(params: Fields<'_>) -> Result<AttemptLimits, SettingsError> {
     let caps = params.object("caps")?;
     let rules = params.object("rules")?;
     let retry_budget = retry_budget(rules)?;
@@ -26,7 +26,7 @@
     })
 }
 
-fn retry_budget(rules: Fields) -> Result<Option<RetryBudget>, SettingsError> {
+fn retry_budget(rules: Fields<'_>) -> Result<Option<RetryBudget>, SettingsError> {
     let window = rules.optional(RETRY_WINDOW, Fields::positive_time)?;
     let amount = |name: &str| match (rules.optional(name, Fields::not_negative)?, window) {
         (Some(_), None) => Err(rules.field(name)?.error(Problem::Incomplete { required: RETRY_WINDOW })),
@@ -38,7 +38,7 @@
 }
 
 /// Whether clients mark their retries.
-pub fn clients_mark_retries(params: Fields) -> Result<bool, SettingsError> {
-    let Some(client_habits) = params.optional("clientHabits", Fields::object)? else { return Ok(false) };
-    Ok(client_habits.optional("marksRetry", Fields::flag)?.unwrap_or(false))
+pub fn clients_mark_retries(params: Fields<'_>) -> Result<bool, SettingsError> {
+    let Some(client_behavior) = params.optional("clientHabits", Fields::object)? else { return Ok(false) };
+    Ok(client_behavior.optional("marksRetry", Fields::flag)?.unwrap_or(false))
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -5,7 +5,7 @@
 use emberflow::{EngineKind, Fleet};
 
 /// Decodes what the scheduler knows of the fleet. `seed` is the seed of its random choices.
-pub fn decode_fleet(seed: u64, params: Fields) -> Result<Fleet, SettingsError> {
+pub fn decode_fleet(seed: u64, params: Fields<'_>) -> Result<Fleet, SettingsError> {
     let domain = params.object("domain")?;
     let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
     let progress_interval = domain.optional("tellsEveryMs", Fields::time)?;
@@ -25,11 +25,11 @@
 }
 
 /// Whether an engine that is short of memory grants less than was requested.
-fn shrinks_grants(domain: Fields, name: &str) -> Result<bool, SettingsError> {
+fn shrinks_grants(domain: Fields<'_>, name: &str) -> Result<bool, SettingsError> {
     domain.one_of(name, [("line_up", false), ("cut", true), ("overcommit", false)])
 }
 
-fn engine_kinds(params: Fields, domain: Fields) -> Result<Vec<EngineKind>, SettingsError> {
+fn engine_kinds(params: Fields<'_>, domain: Fields<'_>) -> Result<Vec<EngineKind>, SettingsError> {
     let cores = domain.rows("kindCores")?;
     if cores.len() == 0 {
         return Err(domain.field("kindCores")?.error(Problem::Empty { element: "kind" }));
@@ -37,7 +37,7 @@
     let count = cores.len();
     let memory = domain.rows_for_each("sizeMb", count, "kind")?;
     params.optional("kinds", |params, name| params.rows_for_each(name, count, "kind").map(drop))?;
-    let engine_kind = |(cores, memory): (Fields, Fields)| {
+    let engine_kind = |(cores, memory): (Fields<'_>, Fields<'_>)| {
         Ok(EngineKind { cores: cores.as_positive()?, memory_mb: memory.as_positive()? })
     };
     cores.zip(memory).map(engine_kind).collect()
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -19,7 +19,7 @@
 
 impl ReportMode {
     /// Decodes the settings' `report.how`.
-    pub(crate) fn read(params: Fields) -> Result<Self, SettingsError> {
+    pub(crate) fn read(params: Fields<'_>) -> Result<Self, SettingsError> {
         let report = params.object("report")?;
         report
             .one_of("how", [("answers", Self::WithAnswers), ("probe", Self::OnProbe), ("none", Self::Never)])
@@ -27,7 +27,7 @@
 }
 
 /// The names of the figures in a load report, in their order; none where engines report nothing.
-pub fn load_report_names(params: Fields) -> Result<Vec<String>, SettingsError> {
+pub fn load_report_names(params: Fields<'_>) -> Result<Vec<String>, SettingsError> {
     match ReportMode::read(params)? {
         ReportMode::Never => Ok(Vec::new()),
         ReportMode::WithAnswers | ReportMode::OnProbe => params.object("report")?.text_list("names"),
@@ -35,12 +35,12 @@
 }
 
 /// One error for each figure of a load report whose name is unknown, so that it is ignored.
-pub fn unknown_load_report_names(params: Fields) -> Result<Vec<SettingsError>, SettingsError> {
+pub fn unknown_load_report_names(params: Fields<'_>) -> Result<Vec<SettingsError>, SettingsError> {
     if load_report_names(params)?.is_empty() {
         return Ok(Vec::new());
     }
     let names = params.object("report")?.rows("names")?;
-    let unknown = |field: Fields| {
+    let unknown = |field: Fields<'_>| {
         let name = field.as_text().ok().filter(|name| !is_known(name))?;
         Some(field.error(Problem::Unknown { found: name.to_owned() }))
     };
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -4,7 +4,7 @@
 use emberflow::{Effect, KeyScope, RequestClass};
 
 /// Decodes all request classes, in the settings' order.
-pub fn decode_request_classes(params: Fields) -> Result<Vec<RequestClass>, SettingsError> {
+pub fn decode_request_classes(params: Fields<'_>) -> Result<Vec<RequestClass>, SettingsError> {
     let domain = params.object("domain")?;
     let kind_count = domain.list("kindCores")?.len();
     let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
@@ -33,7 +33,7 @@
 }
 
 impl Context<'_> {
-    fn request_class(&self, index: usize, row: Fields) -> Result<RequestClass, SettingsError> {
+    fn request_class(&self, index: usize, row: Fields<'_>) -> Result<RequestClass, SettingsError> {
         Ok(RequestClass {
             latency_objective: row.positive_time("onTimeMs")?,
             objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
@@ -68,7 +68,7 @@
 }
 
 /// Whether a request of the class may run more than once.
-fn effect(row: Fields) -> Result<Effect, SettingsError> {
+fn effect(row: Fields<'_>) -> Result<Effect, SettingsError> {
     let repeat = [("repeatable", Repeat::Repeatable), ("once", Repeat::Once), ("by_key", Repeat::ByKey)];
     Ok(match row.one_of("repeat", repeat)? {
         Repeat::Repeatable => Effect::Idempotent,
@@ -78,6 +78,6 @@
 }
 
 /// Among which engines an idempotency key is known.
-fn scope(row: Fields) -> Result<KeyScope, SettingsError> {
+fn scope(row: Fields<'_>) -> Result<KeyScope, SettingsError> {
     row.one_of("keyScope", [("all", KeyScope::All), ("zone", KeyScope::Location), ("cell", KeyScope::Cell)])
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -67,6 +67,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of values and their errors")]
 fn values_out_of_range_are_reported_by_their_path() {
     let positive = ["domain/kindCores/1", "domain/sizeMb/0", "domain/parallelism/1", "rules/overloadFactor"];
     let times =
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -15,7 +15,7 @@
 }
 
 impl Display for InputError {
-    fn fmt(&self, formatter: &mut Formatter) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
         if let Some(line) = self.line {
             write!(formatter, "line {line}: ")?;
         }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -83,7 +83,7 @@
         })
     }
 
-    fn decode_announcement(line: Fields) -> Result<Self, AdapterError> {
+    fn decode_announcement(line: Fields<'_>) -> Result<Self, AdapterError> {
         let update = match line.text("mode")? {
             "broken" => return Ok(Self::EndpointListFailed),
             "patch" => EndpointUpdate::Changes,
@@ -148,7 +148,7 @@
             cell: row.unsigned("cohort")?,
             lifecycle: match row.text("condition")? {
                 "healthy" => Lifecycle::Ready,
-                "deregistered" => Lifecycle::Gone,
+                "deregistered" => Lifecycle::Removed,
                 _ => Lifecycle::Draining,
             },
             launched: row.get_time("launchedMs").filter(|at| !at.is_zero()),
@@ -157,7 +157,7 @@
 }
 
 /// What an attempt used: milliseconds of work times [`MEMORY_STEPS`], plus memory in steps.
-fn usage(line: Fields) -> Option<Usage> {
+fn usage(line: Fields<'_>) -> Option<Usage> {
     const MEMORY_STEPS: u64 = 4096;
     const STEP_MB: u64 = 4;
     let used = line.get_number("usedUp").unwrap_or(0.0) as u64;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -71,7 +71,7 @@
     }
 
     /// Passes a message on to its instance. After a panic the rest of the batch is skipped.
-    fn handle_event(&mut self, operation: &str, line: Fields, now: Duration) -> Result<(), AdapterError> {
+    fn handle_event(&mut self, operation: &str, line: Fields<'_>, now: Duration) -> Result<(), AdapterError> {
         let number = line.unsigned("who")?;
         if self.panicked.is_some() {
             return Ok(());
@@ -90,7 +90,7 @@
         &mut self,
         operation: &str,
         number: u64,
-        line: Fields,
+        line: Fields<'_>,
         now: Duration,
     ) -> Result<(), AdapterError> {
         let unknown = || AdapterError::UnknownInstance(number);
@@ -107,7 +107,7 @@
         }
     }
 
-    fn warn_of_unknown_figures(&mut self, line: Fields) -> Result<(), AdapterError> {
+    fn warn_of_unknown_figures(&mut self, line: Fields<'_>) -> Result<(), AdapterError> {
         for unknown in unknown_load_report_names(line.object("params")?)? {
             let unknown = unknown.to_string();
             if self.warnings.insert(unknown.clone()) {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -29,7 +29,7 @@
 
 impl Instance {
     /// Starts an instance with the settings of a `NEW_INSTANCE` message.
-    pub fn new(number: u64, line: Fields) -> Result<Self, AdapterError> {
+    pub fn new(number: u64, line: Fields<'_>) -> Result<Self, AdapterError> {
         let params = line.object("params")?;
         let reported = load_report_names(params)?;
         let seed = line.unsigned("rngSeed")?;
@@ -44,7 +44,7 @@
     pub fn handle(
         &mut self,
         operation: &str,
-        line: Fields,
+        line: Fields<'_>,
         now: Duration,
         tables: &Tables,
         reply: &mut Vec<u8>,
@@ -114,7 +114,7 @@
         scheduler.probed(now, engine, load_report, &mut actions);
     }
 
-    fn accept(&mut self, accept: Accept, now: Duration, reply: &mut Vec<u8>) {
+    fn accept(&mut self, accept: Accept<'_>, now: Duration, reply: &mut Vec<u8>) {
         let arrival = Arrival {
             request: self.names.requests.number(accept.request) as RequestId,
             class: accept.class,
@@ -130,7 +130,7 @@
         scheduler.accept(now, arrival, &mut actions);
     }
 
-    fn attempt_ended(&mut self, end: AttemptEnd, now: Duration, reply: &mut Vec<u8>) {
+    fn attempt_ended(&mut self, end: AttemptEnd<'_>, now: Duration, reply: &mut Vec<u8>) {
         // An engine has a number from its first mention on, whatever it is mentioned for.
         let engine = self.names.engines.number(end.engine);
         let Some(request) = self.known_request(end.request) else { return };
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -33,7 +33,7 @@
 }
 
 /// Places of the open requests in the order of arrival, which stand for their numbers.
-type Places = BTreeMap<RequestId, usize>;
+type Positions = BTreeMap<RequestId, usize>;
 
 impl Scheduler {
     /// Counts what it holds.
@@ -52,15 +52,15 @@
 
     /// Feeds the state to `into`; two states with the same fingerprint act alike from here on, whatever
     /// comes, but for chance and, if engines may change places, their numbers.
-    pub fn fingerprint(&self, with: &Fingerprint, into: &mut impl Hasher) {
+    pub fn fingerprint(&self, with: &Fingerprint<'_>, into: &mut impl Hasher) {
         self.state.fingerprint(with, into);
     }
 }
 
 impl SchedulerState {
-    fn fingerprint(&self, with: &Fingerprint, into: &mut impl Hasher) {
+    fn fingerprint(&self, with: &Fingerprint<'_>, into: &mut impl Hasher) {
         let now = with.now;
-        let places: Places = self.requests.keys().copied().zip(0..).collect();
+        let positions: Positions = self.requests.keys().copied().zip(0..).collect();
         // Where nothing is open and nothing will come, only what is left to be let go counts.
         if self.requests.is_empty() && !with.more_arrivals {
             (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(into);
@@ -68,13 +68,13 @@
         }
         let engines = self.engines.iter();
         let mut engines: Vec<u64> =
-            engines.map(|(id, engine)| self.engine_digest(*id, engine, &places, with)).collect();
+            engines.map(|(id, engine)| self.engine_digest(*id, engine, &positions, with)).collect();
         if with.engines_interchangeable {
             engines.sort_unstable();
         }
         engines.hash(into);
         self.requests.values().for_each(|request| self.hash_request(request, with, into));
-        self.hash_key_queues(now, &places, into);
+        self.hash_key_queues(now, &positions, into);
         since(now, self.wake_due.max(now)).hash(into);
         (self.shutdown_at != Duration::MAX).then(|| since(now, self.shutdown_at)).hash(into);
         self.watching.hash(into);
@@ -87,16 +87,17 @@
         self.hash_estimates(with, into);
     }
 
-    fn hash_key_queues(&self, now: Duration, places: &Places, into: &mut impl Hasher) {
+    fn hash_key_queues(&self, now: Duration, positions: &Positions, into: &mut impl Hasher) {
         for key_queue in self.key_queues.values() {
-            key_queue.requests.iter().map(|id| places.get(id).copied()).for_each(|place| place.hash(into));
+            key_queue.requests.iter().map(|id| positions.get(id).copied()).for_each(|place| place.hash(into));
             let cooldown = key_queue.cooldown.filter(|cooldown| cooldown.until > now);
-            let cooldown = cooldown.map(|cooldown| (places.get(&cooldown.after), since(now, cooldown.until)));
+            let cooldown =
+                cooldown.map(|cooldown| (positions.get(&cooldown.after), since(now, cooldown.until)));
             cooldown.hash(into);
         }
     }
 
-    fn hash_estimates(&self, with: &Fingerprint, into: &mut impl Hasher) {
+    fn hash_estimates(&self, with: &Fingerprint<'_>, into: &mut impl Hasher) {
         let from = with.now.saturating_sub(self.shortest_objective() * 4);
         hash_samples(&self.shares, with.now, Duration::ZERO, into);
         for estimates in &self.estimates {
@@ -111,7 +112,7 @@
         }
     }
 
-    fn hash_request(&self, request: &Request, with: &Fingerprint, into: &mut impl Hasher) {
+    fn hash_request(&self, request: &Request, with: &Fingerprint<'_>, into: &mut impl Hasher) {
         let now = with.now;
         (request.class, request.group, request.phase, request.key).hash(into);
         let estimates =
@@ -134,14 +135,20 @@
         }
     }
 
-    fn engine_digest(&self, id: EngineId, engine: &Engine, places: &Places, with: &Fingerprint) -> u64 {
+    fn engine_digest(
+        &self,
+        id: EngineId,
+        engine: &Engine,
+        positions: &Positions,
+        with: &Fingerprint<'_>,
+    ) -> u64 {
         let mut digest = DefaultHasher::new();
         let (into, now) = (&mut digest, with.now);
         (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(into);
         engine.launched.map(|at| since(now, at)).hash(into);
         self.hash_slow_start(id, engine, now, into);
         for attempt in &engine.in_flight {
-            hash_in_flight(attempt, places, now, into);
+            hash_in_flight(attempt, positions, now, into);
         }
         // Which attempts of which requests were here, ended or not.
         for (place, request) in self.requests.values().enumerate() {
@@ -203,9 +210,9 @@
     (finish, attempt.grant_mb.to_bits(), attempt.spilled_mb.to_bits()).hash(into);
 }
 
-fn hash_in_flight(attempt: &InFlight, places: &Places, now: Duration, into: &mut impl Hasher) {
+fn hash_in_flight(attempt: &InFlight, positions: &Positions, now: Duration, into: &mut impl Hasher) {
     let sent = since(now, attempt.sent_at);
-    (places.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(into);
+    (positions.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(into);
     (attempt.grant_mb.to_bits(), attempt.threads.to_bits()).hash(into);
 }
 
--- a/src/input.rs
+++ b/src/input.rs
@@ -150,7 +150,7 @@
     /// It takes requests until it has none in flight, and is gone then.
     Retiring,
     /// It takes nothing new and will not come back under this number once it is forgotten.
-    Gone,
+    Removed,
 }
 
 impl Lifecycle {
@@ -161,7 +161,7 @@
 
     /// Whether the engine is forgotten once nothing of it is in flight.
     pub fn is_deregistered(self) -> bool {
-        matches!(self, Self::Retiring | Self::Gone)
+        matches!(self, Self::Retiring | Self::Removed)
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,8 +10,6 @@
 //! `handlers` has the inputs, `state` what is remembered, `policy` the decisions, and `scheduler` the order
 //! in which they run.
 
-#![warn(missing_docs)]
-
 mod actions;
 mod fingerprint;
 mod handlers;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -65,15 +65,15 @@
     }
 
     /// Rejects requests when the time left cannot cover a run, or after a wait that grows by tier.
-    pub fn reject_hopeless(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
+    pub fn reject_too_late(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let overflow = self.overflow(snapshot);
         let shortest_way = self.shortest_way();
-        let is_hopeless = |id: RequestId, request: &Request| match self.has_turn(id, request, snapshot.now) {
+        let is_too_late = |id: RequestId, request: &Request| match self.has_turn(id, request, snapshot.now) {
             true => overflow.contains(&id) || self.waits_in_vain(request, snapshot, shortest_way),
             false => self.turn_comes_too_late(request, snapshot),
         };
-        let hopeless = self.queued().filter(|(id, request)| is_hopeless(*id, request)).map(|(id, _)| id);
-        self.answer_without_result(hopeless.collect(), actions)
+        let too_late = self.queued().filter(|(id, request)| is_too_late(*id, request)).map(|(id, _)| id);
+        self.answer_without_result(too_late.collect(), actions)
     }
 
     /// The shortest way to the objective of any class: requests without estimates wait in one line, with one
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -23,11 +23,11 @@
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let soon = now + self.final_answer_lead();
-        let is_hopeless = |request: &Request| {
+        let is_too_late = |request: &Request| {
             let gives_up = || !self.may_retry(request, now) || self.earns_little_late(request, now);
             !request.is_open() || soon >= request.deadline || !request.attempts.is_empty() && gives_up()
         };
-        let is_due = |r: &Request| soon >= self.shutdown_at || r.is_queued() && is_hopeless(r);
+        let is_due = |r: &Request| soon >= self.shutdown_at || r.is_queued() && is_too_late(r);
         let unanswered = self.requests.iter().filter(|(_, request)| !request.is_done());
         let due = unanswered.filter(|(_, request)| is_due(request)).map(|(id, _)| *id).collect();
         self.answer_without_result(due, actions)
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -66,8 +66,8 @@
         let fresh = parts_with_request(since(now));
         let guessed_memory = gateway.reported_memory.map_or(alone.memory, |mean| mean + fresh.memory);
         let guessed_busy = gateway.reported_busy.map_or(alone.threads, |mean| mean + fresh.threads);
-        let tells = |load: &LoadReport| load.memory.is_some() || gateway.reports_in_flight;
-        let Some(report) = engine.report.filter(|report| tells(&report.load)) else {
+        let reports_load = |load: &LoadReport| load.memory.is_some() || gateway.reports_in_flight;
+        let Some(report) = engine.report.filter(|report| reports_load(&report.load)) else {
             // Only own attempts tell them apart: others like what this router likes, or the mean of those
             // that report. Free cores tell little of an engine's memory, and draw all routers there at once.
             let new = parts_with_request(Resources::NONE);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -69,9 +69,9 @@
         // Requests in flight tell of more than all cores; where cores are reported themselves, pressure does.
         let is_crowded = gateway.reports_in_flight && load.combined - load.memory > PRESSURE_SLOWDOWN * FULL;
         let fits = load.memory <= limit && !is_short && !is_crowded;
-        let has_room = fits || gateway.own.threads == 0.0 || tier <= Tier::Small;
+        let has_capacity = fits || gateway.own.threads == 0.0 || tier <= Tier::Small;
         let free_part = 1.0 - load.combined / 2.0 * snapshot.engines[&id].relative_slowdown;
-        (has_room && self.has_slot(id, request, tier, snapshot)).then_some(free_part)
+        (has_capacity && self.has_slot(id, request, tier, snapshot)).then_some(free_part)
     }
 
     /// The engine with most free capacity; engines not tried yet and without loads in the way come first.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -30,7 +30,7 @@
             SchedulerState::cancel_late_attempts,
             SchedulerState::send_queued,
             SchedulerState::probe_unknown,
-            SchedulerState::reject_hopeless,
+            SchedulerState::reject_too_late,
             SchedulerState::schedule_wake,
         ];
         let any_queued = self.state.queued().next().is_some();
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -179,7 +179,7 @@
     /// Enters rows of the endpoint list. An engine that started anew keeps what is still in flight there.
     pub fn record_endpoints(&mut self, now: Duration, update: EndpointUpdate, rows: Vec<Endpoint>) {
         if update == EndpointUpdate::FullList {
-            self.engines.values_mut().for_each(|engine| engine.lifecycle = Lifecycle::Gone);
+            self.engines.values_mut().for_each(|engine| engine.lifecycle = Lifecycle::Removed);
         }
         for row in rows {
             let new = || Engine::new(&row, now, self.window_sizes);
