--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// What an attempt used: milliseconds of work times [`MEMORY_STEPS`], plus memory in steps.
+/// What an attempt used: milliseconds of work times `MEMORY_STEPS`, plus memory in steps.
 fn usage(line: Fields<'_>) -> Option<Usage> {
     const MEMORY_STEPS: u64 = 4096;
     const STEP_MB: u64 = 4;
