--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,7 +1,7 @@
 //! Emulated clients: connections to the routers, requests with answers to them, and clients that leave.
 
-use crate::config::profile;
-use crate::records::{Answer, AnswerKind, Class, Departure, Records, RequestRecord};
+use crate::classes::RequestClass;
+use crate::records::{Answer, AnswerKind, Departure, Records, RequestRecord};
 use crate::sockets::{Stream, StreamState};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use mio::net::TcpStream;
@@ -122,7 +122,7 @@
         &mut self,
         router: usize,
         address: SocketAddr,
-        class: Class,
+        class: RequestClass,
         now: Duration,
         registry: &Registry,
         records: &mut Records,
@@ -158,7 +158,7 @@
         if let Some(Some(connection)) = self.connections.get_mut(place) {
             connection.open.retain(|_, open| open != name);
         }
-        depart(name, now, Departure::Withdrew, records);
+        depart(name, now, Departure::Cancelled, records);
     }
 
     /// Closes the connection of a request that is open, or half of all connections of a router.
@@ -188,7 +188,7 @@
             connection.stream.reset_on_close();
         }
         for name in connection.open.values() {
-            depart(name, now, Departure::Closed, records);
+            depart(name, now, Departure::ConnectionClosed, records);
         }
     }
 
@@ -245,7 +245,7 @@
     fn handle_line(&mut self, place: usize, line: &[u8], now: Duration, records: &mut Records) {
         let Some(Some(connection)) = self.connections.get_mut(place) else { return };
         let Ok(answer) = serde_json::from_slice::<Value>(line) else {
-            records.stray_answers += 1;
+            records.unexpected_answers += 1;
             return;
         };
         let Some(id) = answer["id"].as_u64() else { return };
@@ -264,19 +264,19 @@
             }
             // A withdrawn request may be answered still; one that was answered must not be again.
             None if connection.answered.contains(&id) || id >= connection.next_id => {
-                records.stray_answers += 1
+                records.unexpected_answers += 1
             }
             None => {}
         }
     }
 }
 
-fn request_line(id: u64, name: &str, class: Class) -> Value {
-    let profile = profile(class);
+fn request_line(id: u64, name: &str, class: RequestClass) -> Value {
+    let profile = class.profile();
     let work_ms = profile.work.as_secs_f64() * 1e3;
     let mut params = json!({"req": name, "timeout": profile.deadline.as_millis() as u64,
         "data": BASE64_STANDARD.encode(format!("work_ms={work_ms}")), "ms": work_ms, "memory": 16});
-    if class == Class::Load {
+    if class == RequestClass::Load {
         params["opkey"] = json!(format!("{name}{name}"));
     }
     json!({"jsonrpc": "2.0", "id": id, "method": class.name(), "params": params})
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,132 +1,138 @@
 //! The settings of a soak, and the configuration file of each router.
 
-use crate::records::Class;
+use crate::classes::RequestClass;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Part of an engine's cores that is busy at its capacity.
-const BUSY_AT_CAPACITY: f64 = 0.85;
-/// How often an engine reports the progress of an attempt.
-pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
-/// Zones and cells of the engines.
+/// The zones of the engines, in the order of the settings.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
-pub const CELLS: usize = 8;
+/// The kinds of engines, in the order of the settings.
+pub const KINDS: [&str; 1] = ["std"];
+/// Cells of the engines in each zone.
+pub const CELLS_PER_ZONE: usize = 8;
+/// Cores of each engine.
+pub const CORES_PER_ENGINE: f64 = 2.0;
+/// Memory of each engine, in MB.
+const ENGINE_MEMORY_MB: f64 = 4096.0;
+/// Fraction of an engine's cores that is busy at its capacity.
+const UTILIZATION_AT_CAPACITY: f64 = 0.85;
+/// Interval between the progress replies of a running attempt.
+pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
+/// Cores that a router may use.
+const ROUTER_CORES: f64 = 1.0;
+/// Interval of the routers' timer.
+const ROUTER_TICK: Duration = Duration::from_millis(5);
+/// How long a router waits for a connection to an engine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Idle time after which engines' connections are closed.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(4000);
+/// The longest Retry-After of a rejection.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Attempts of one request at most.
+pub const MAX_ATTEMPTS: usize = 3;
+/// Open calls of one connection to an engine at most.
+const MAX_CALLS_PER_CONNECTION: u32 = 32;
+/// Fraction of an engine's memory that one request may use.
+const MAX_MEMORY_SHARE: f64 = 0.4;
+/// Value of a late answer, as a fraction of that of an answer in time.
+const LATE_VALUE_SHARE: f64 = 0.1;
+/// How long an idempotency key is remembered.
+const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(5000);
 
-/// What a starting engine bears.
+/// The slow start of an engine: the load that it may get while it is warming up.
 #[derive(Clone, Copy)]
 pub struct SlowStart {
+    /// Time from the start of the engine to its full capacity.
     pub warm_up: Duration,
+    /// Capacity at the start, as a fraction of the full one.
     pub start_capacity: f64,
+    /// Load at which the engine fails, as a multiple of its capacity.
     pub overload_factor: f64,
+    /// The window in which load is summed.
     pub window: Duration,
+    /// Cores of the engine.
     pub cores: f64,
 }
 
+/// The slow start of each engine.
+pub const SLOW_START: SlowStart = SlowStart {
+    warm_up: Duration::from_secs(6),
+    start_capacity: 0.3,
+    overload_factor: 2.5,
+    window: Duration::from_secs(1),
+    cores: CORES_PER_ENGINE,
+};
+
 impl SlowStart {
-    /// Requests of mean work that the settings allow in a window that ends at this age.
-    pub fn allowed(&self, age: Duration, mean_work: Duration) -> f64 {
-        let warmth = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
-        let part = self.start_capacity + (1.0 - self.start_capacity) * warmth;
-        let work = self.overload_factor * self.cores * BUSY_AT_CAPACITY * part * self.window.as_secs_f64();
-        work / mean_work.as_secs_f64()
+    /// Returns how many requests of `mean_work` the engine may get in a window that ends `age` after its start.
+    pub fn allowed_requests(&self, age: Duration, mean_work: Duration) -> f64 {
+        let warm_fraction = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
+        let capacity = self.start_capacity + (1.0 - self.start_capacity) * warm_fraction;
+        let busy_cores = self.overload_factor * self.cores * UTILIZATION_AT_CAPACITY * capacity;
+        busy_cores * self.window.as_secs_f64() / mean_work.as_secs_f64()
     }
 }
 
-/// What a router may use.
+/// Limits of a router's process.
 #[derive(Clone, Copy)]
-pub struct Limits {
+pub struct ProcessLimits {
+    /// Resident memory in MB.
     pub memory_mb: u64,
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
-impl Default for Limits {
-    fn default() -> Self {
-        Self { memory_mb: 192, descriptors: 1024 }
-    }
-}
-
-/// Of a class: its share of the requests, mean work, latency objective and deadline, all in milliseconds.
-pub struct ClassProfile {
-    pub share: f64,
-    pub work: Duration,
-    pub objective_ms: u64,
-    pub deadline: Duration,
-}
-
-/// The profile of a class.
-pub fn profile(class: Class) -> ClassProfile {
-    let (share, work_ms, objective_ms, deadline_ms) = match class {
-        Class::Lookup => (0.6, 20, 300, 1200),
-        Class::Report => (0.15, 250, 1200, 2500),
-        Class::Post => (0.15, 60, 600, 2000),
-        Class::Load => (0.1, 80, 800, 2000),
-    };
-    let deadline = Duration::from_millis(deadline_ms);
-    ClassProfile { share, work: Duration::from_millis(work_ms), objective_ms, deadline }
-}
+/// The limits of each router's process.
+pub const PROCESS_LIMITS: ProcessLimits = ProcessLimits { memory_mb: 192, descriptors: 1024 };
 
-/// The longest deadline of any class.
-pub fn longest_deadline() -> Duration {
-    Class::ALL.into_iter().map(|class| profile(class).deadline).max().unwrap_or_default()
-}
-
-/// Mean work of a request.
-pub fn mean_work() -> Duration {
-    Class::ALL.into_iter().map(|class| profile(class).work.mul_f64(profile(class).share)).sum()
-}
-
-/// The slow start of an engine with so many cores.
-pub fn slow_start(cores: f64) -> SlowStart {
-    SlowStart {
-        warm_up: Duration::from_secs(6),
-        start_capacity: 0.3,
-        overload_factor: 2.5,
-        window: Duration::from_secs(1),
-        cores,
-    }
-}
-
-/// Where one router's peers are.
+/// The addresses of one router and of its discovery service.
 pub struct RouterAddresses {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
 }
 
-/// The configuration file of a router.
+/// Returns the configuration file of a router.
 pub fn router_config(
     name: &str,
     seed: u64,
     addresses: &RouterAddresses,
-    known: &Value,
+    known_endpoints: &Value,
     router_count: usize,
-    cores: f64,
 ) -> Value {
-    let limits = Limits::default();
-    let SlowStart { warm_up, start_capacity, overload_factor, window, .. } = slow_start(cores);
     json!({"name": name, "listen": addresses.listen.to_string(), "seed": format!("{seed:x}"),
-        "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.descriptors},
-        "bulletin": addresses.discovery.to_string(), "known": known,
-        "settings": {"instances": router_count, "myZone": 0, "zones": ZONES, "kinds": ["std"],
-            "discovery": "push", "tickMs": 5,
-            "categories": Class::ALL.map(class_settings),
-            "caps": {"cancel": true, "connectTimeoutMs": 250, "idleCloseMs": 4000, "maxRetryAfterMs": 400,
-                "mostTries": 3, "retryAfter": true, "streamsPerConn": 32, "mayDuplicate": true},
-            "domain": {"kindCores": [cores], "largestShare": 0.4, "lanesCount": true, "sizeMb": [4096.0],
-                "tellsEveryMs": PROGRESS_INTERVAL.as_millis() as u64, "whenShort": "line_up"},
+        "limits": {"cores": ROUTER_CORES, "memory_mb": PROCESS_LIMITS.memory_mb,
+            "sockets": PROCESS_LIMITS.descriptors},
+        "bulletin": addresses.discovery.to_string(), "known": known_endpoints,
+        "settings": {"instances": router_count, "myZone": 0, "zones": ZONES, "kinds": KINDS,
+            "discovery": "push", "tickMs": milliseconds(ROUTER_TICK),
+            "categories": RequestClass::ALL.map(class_settings),
+            "caps": {"cancel": true, "connectTimeoutMs": milliseconds(CONNECT_TIMEOUT),
+                "idleCloseMs": milliseconds(IDLE_TIMEOUT), "maxRetryAfterMs": milliseconds(MAX_RETRY_AFTER),
+                "mostTries": MAX_ATTEMPTS, "retryAfter": true, "streamsPerConn": MAX_CALLS_PER_CONNECTION,
+                "mayDuplicate": true},
+            "domain": {"kindCores": [CORES_PER_ENGINE], "largestShare": MAX_MEMORY_SHARE, "lanesCount": true,
+                "sizeMb": [ENGINE_MEMORY_MB], "tellsEveryMs": milliseconds(PROGRESS_INTERVAL),
+                "whenShort": "line_up"},
             "report": {"how": "none", "names": []},
-            "rules": {"fallMs": window.as_millis() as u64, "overloadFactor": overload_factor,
-                "startCapacity": start_capacity, "warmUpMs": warm_up.as_millis() as u64}}})
+            "rules": {"fallMs": milliseconds(SLOW_START.window), "overloadFactor": SLOW_START.overload_factor,
+                "startCapacity": SLOW_START.start_capacity, "warmUpMs": milliseconds(SLOW_START.warm_up)}}})
 }
 
-fn class_settings(class: Class) -> Value {
-    let repeat = match class {
-        Class::Lookup | Class::Report => "repeatable",
-        Class::Post => "once",
-        Class::Load => "by_key",
+/// Returns the settings of a request class.
+fn class_settings(class: RequestClass) -> Value {
+    let idempotency = match class {
+        RequestClass::Lookup | RequestClass::Report => "repeatable",
+        RequestClass::Post => "once",
+        RequestClass::Load => "by_key",
     };
-    let profile = profile(class);
-    json!({"name": class.name(), "onTimeMs": profile.objective_ms,
-        "deadlineMs": profile.deadline.as_millis() as u64, "gain": 1, "lateShare": 0.1, "repeat": repeat,
-        "keyScope": "all", "windowMs": 5000})
+    let profile = class.profile();
+    json!({"name": class.name(), "onTimeMs": milliseconds(profile.latency_objective),
+        "deadlineMs": milliseconds(profile.deadline), "gain": 1, "lateShare": LATE_VALUE_SHARE,
+        "repeat": idempotency, "keyScope": "all", "windowMs": milliseconds(IDEMPOTENCY_WINDOW)})
+}
+
+/// Returns a duration as the settings write it.
+fn milliseconds(duration: Duration) -> u64 {
+    duration.as_millis() as u64
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,7 +1,7 @@
 //! An emulated discovery service: numbered changes of the endpoint list, sent to each router that connects, and the
 //! faults of such a service.
 
-use crate::config::{CELLS, ZONES};
+use crate::config::{CELLS_PER_ZONE, ZONES};
 use crate::sockets::{Stream, StreamState};
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
@@ -56,7 +56,7 @@
     }
 
     fn cell(&self) -> usize {
-        self.engine / ZONES.len() % CELLS
+        self.engine / ZONES.len() % CELLS_PER_ZONE
     }
 
     fn encode(&self) -> Vec<u8> {
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -269,8 +269,8 @@
         let is_failing = engine.fault == EngineFault::Failing;
         let has_capacity = engine.running.len() < most;
         let started = has_capacity && !is_failing;
-        let budget = Duration::from_millis(field(terms, "budget").unwrap_or(0.0) as u64);
-        let attempt = Attempt { at: arrived_at, engine: engine_index, budget, started, ended_at: None };
+        let time_left = Duration::from_millis(field(terms, "budget").unwrap_or(0.0) as u64);
+        let attempt = Attempt { at: arrived_at, engine: engine_index, time_left, started, ended_at: None };
         let Some(request) = records.requests.get_mut(id) else { return };
         request.attempts.push(attempt);
         if !started {
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,7 +1,8 @@
 //! What must hold of a run, judged by the records of clients and engines alone.
 
-use crate::config::{Limits, SlowStart, profile};
-use crate::records::{AnswerKind, Class, ColdStart, Departure, OutageKind, Records, RequestRecord, Usage};
+use crate::classes::RequestClass;
+use crate::config::{MAX_ATTEMPTS, ProcessLimits, SlowStart};
+use crate::records::{AnswerKind, Departure, EngineStart, OutageKind, Records, RequestRecord, Usage};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,8 +19,6 @@
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 /// Below so many requests that a starting engine bears, its sum may spread wider.
 const FEW_REQUESTS: f64 = 30.0;
-/// Attempts of one request.
-const MOST_ATTEMPTS: usize = 3;
 /// Below this part of all requests, routers serve nobody although engines stand ready.
 const LEAST_SERVED: f64 = 0.2;
 
@@ -70,7 +69,7 @@
 /// What the settings say that the judgement needs.
 pub struct Terms {
     pub slow_start: SlowStart,
-    pub limits: Limits,
+    pub limits: ProcessLimits,
     /// The end of the run: what was due after it is not judged.
     pub end: Duration,
     /// Mean work of a request.
@@ -84,14 +83,15 @@
         violations.extend(judge_request(id, request, records, terms));
     }
     violations.extend(judge_drains(records));
-    violations.extend(records.cold_starts.iter().filter_map(|start| judge_cold_start(start, records, terms)));
+    violations
+        .extend(records.engine_starts.iter().filter_map(|start| judge_cold_start(start, records, terms)));
     violations.extend(judge_routers(records, terms));
-    if records.stray_answers > 0 {
-        let what = format!("{} answers to nothing that was asked", records.stray_answers);
+    if records.unexpected_answers > 0 {
+        let what = format!("{} answers to nothing that was asked", records.unexpected_answers);
         violations.push(Violation::new(Rule::SecondAnswer, None, what));
     }
-    if records.served() < LEAST_SERVED {
-        let what = format!("only {:.3} of all requests were served in time", records.served());
+    if records.fraction_served() < LEAST_SERVED {
+        let what = format!("only {:.3} of all requests were served in time", records.fraction_served());
         violations.push(Violation::new(Rule::Idle, None, what));
     }
     violations
@@ -127,13 +127,13 @@
     if let Some(what) = run_twice(request) {
         add(Rule::RunTwice, what);
     }
-    if request.attempts.len() > MOST_ATTEMPTS {
+    if request.attempts.len() > MAX_ATTEMPTS {
         add(Rule::TooManyAttempts, format!("{} attempts", request.attempts.len()));
     }
     for attempt in &request.attempts {
         let left = (request.sent_at + request.deadline).saturating_sub(attempt.at);
-        if attempt.budget > left + DEADLINE_SLACK + slack {
-            add(Rule::Deadline, format!("{:?} passed on, the client has {left:?} left", attempt.budget));
+        if attempt.time_left > left + DEADLINE_SLACK + slack {
+            add(Rule::Deadline, format!("{:?} passed on, the client has {left:?} left", attempt.time_left));
         }
     }
     found
@@ -178,8 +178,8 @@
         (
             at,
             match how {
-                Departure::Withdrew => "its client withdrew it",
-                Departure::Closed => "its client closed",
+                Departure::Cancelled => "its client withdrew it",
+                Departure::ConnectionClosed => "its client closed",
             },
         )
     });
@@ -197,7 +197,7 @@
 /// Whether a request that must not run twice was sent again after an attempt that ran.
 fn run_twice(request: &RequestRecord) -> Option<String> {
     let starts = request.attempts.iter().filter(|attempt| attempt.started).count();
-    (request.class == Class::Post && starts > 1).then(|| format!("it was started {starts} times"))
+    (request.class == RequestClass::Post && starts > 1).then(|| format!("it was started {starts} times"))
 }
 
 fn judge_drains(records: &Records) -> Vec<Violation> {
@@ -210,7 +210,7 @@
         for attempt in &request.attempts {
             for drain in drains.get(&attempt.engine).into_iter().flatten() {
                 let from = drain.delivered_at + DRAIN_GRACE + slack(request, records);
-                if attempt.at > from && drain.until.is_none_or(|until| attempt.at < until) {
+                if attempt.at > from && drain.ended_at.is_none_or(|until| attempt.at < until) {
                     let what =
                         format!("an attempt {:?} after its drain was listed", attempt.at - drain.listed_at);
                     found.push(Violation::new(Rule::Drain, Some(id), what));
@@ -222,9 +222,9 @@
 }
 
 /// Whether a starting engine got more work in any window than it bears, counted in requests of mean work.
-fn judge_cold_start(start: &ColdStart, records: &Records, terms: &Terms) -> Option<Violation> {
-    let until = start.at + terms.slow_start.warm_up;
-    let weight = |class| profile(class).work.as_secs_f64() / terms.mean_work.as_secs_f64();
+fn judge_cold_start(start: &EngineStart, records: &Records, terms: &Terms) -> Option<Violation> {
+    let until = start.started_at + terms.slow_start.warm_up;
+    let weight = |class: RequestClass| class.profile().work.as_secs_f64() / terms.mean_work.as_secs_f64();
     let attempts = records
         .requests
         .values()
@@ -240,7 +240,7 @@
         let window_begin = at.saturating_sub(terms.slow_start.window);
         let in_window = received[..=index].iter().filter(|(other, _)| *other > window_begin);
         let sum: f64 = in_window.map(|(_, weight)| *weight).sum();
-        let allowed = terms.slow_start.allowed(*at - start.at, terms.mean_work);
+        let allowed = terms.slow_start.allowed_requests(*at - start.started_at, terms.mean_work);
         let spread = if allowed < FEW_REQUESTS { 3.0 } else { 2.0 };
         if sum > allowed + spread * allowed.sqrt() + spread {
             let what = format!("engine {} got {sum:.1} where it bears {allowed:.1}", start.engine);
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,6 +1,7 @@
 //! Real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed. What is judged
 //! is what clients and engines saw, not what a router says of itself.
 
+pub mod classes;
 pub mod clients;
 pub mod config;
 pub mod discovery;
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -1,47 +1,21 @@
-//! What clients and engines saw of each request: the facts that a run is judged by.
+//! The record of a run: the events that clients and engines have seen of each request, by which the run is checked.
+//! All times count from the start of the run.
 
-use crate::config::profile;
+use crate::classes::RequestClass;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A request class of the soak's settings.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Class {
-    /// Short, and may run any number of times.
-    Lookup,
-    /// Long, and may run any number of times.
-    Report,
-    /// Must not run twice.
-    Post,
-    /// May run again under its key, anywhere.
-    Load,
-}
-
-impl Class {
-    /// All classes, in the order of the settings.
-    pub const ALL: [Self; 4] = [Self::Lookup, Self::Report, Self::Post, Self::Load];
-
-    /// The method that clients call.
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Lookup => "lookup",
-            Self::Report => "report",
-            Self::Post => "post",
-            Self::Load => "load",
-        }
-    }
-}
-
-/// What an answer says.
+/// The kind of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum AnswerKind {
     /// A result that an engine made for this request.
     Succeeded,
-    /// A result that no engine made for it.
+    /// A result that no engine made for this request.
     WrongResult,
+    /// The router has rejected the request.
     Rejected,
+    /// The request has failed.
     Failed,
 }
 
@@ -55,75 +29,86 @@
 /// An attempt as its engine read it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Attempt {
+    /// When the last byte of the call arrived at the engine.
     pub at: Duration,
     pub engine: usize,
-    /// How long the router says that it will wait.
-    pub budget: Duration,
-    /// Whether the engine began to run it.
+    /// How long the router waits for the reply, as it says in the call.
+    pub time_left: Duration,
+    /// Whether the engine began to run the attempt.
     pub started: bool,
-    /// When the engine wrote its end or was notified that it is given up.
+    /// When the engine sent the final reply or read the cancellation.
     pub ended_at: Option<Duration>,
 }
 
-/// Why a request's client no longer waits.
+/// Why a request's client no longer waits for the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Departure {
-    Withdrew,
-    Closed,
+    /// The client has cancelled the request.
+    Cancelled,
+    /// The client has closed the connection.
+    ConnectionClosed,
 }
 
-/// One request and all that was seen of it.
+/// The history of one request.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
-    pub class: Class,
+    pub class: RequestClass,
     pub router: usize,
-    /// When its last byte was written.
+    /// When the client wrote the last byte of the request.
     pub sent_at: Duration,
+    /// How long the client waits for the answer.
     pub deadline: Duration,
+    /// When and why the client stopped waiting.
     pub departure: Option<(Duration, Departure)>,
     pub answers: Vec<Answer>,
     pub attempts: Vec<Attempt>,
-    /// When its client saw the end of the connection.
+    /// When the client read the end of the connection.
     pub connection_ended_at: Option<Duration>,
 }
 
 impl RequestRecord {
-    /// A request that is sent now, of which nothing was seen yet.
-    pub fn sent(class: Class, router: usize, now: Duration) -> Self {
+    /// Returns the record of a request that is sent now and has no events yet.
+    pub fn sent(class: RequestClass, router: usize, now: Duration) -> Self {
         Self {
             class,
             router,
             sent_at: now,
-            deadline: profile(class).deadline,
+            deadline: class.profile().deadline,
             departure: None,
             answers: Vec::new(),
             attempts: Vec::new(),
             connection_ended_at: None,
         }
     }
+
+    /// Returns the time at which the client's deadline passes.
+    pub fn due_at(&self) -> Duration {
+        self.sent_at + self.deadline
+    }
 }
 
-/// A cold engine: what it may take, and since when.
+/// A start of an engine, which begins its slow start.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct ColdStart {
+pub struct EngineStart {
     pub engine: usize,
-    pub at: Duration,
-    /// When the service listed it.
+    pub started_at: Duration,
+    /// When discovery listed the engine as ready.
     pub listed_at: Duration,
 }
 
-/// An engine that takes nothing new any more.
+/// A period in which an engine is draining.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Drain {
     pub engine: usize,
+    /// When discovery listed the engine as draining.
     pub listed_at: Duration,
-    /// When that counts as delivered to all routers.
+    /// When the watch event counts as delivered to all routers.
     pub delivered_at: Duration,
-    /// When it was listed as ready again.
-    pub until: Option<Duration>,
+    /// When discovery listed the engine as ready again.
+    pub ended_at: Option<Duration>,
 }
 
-/// A span in which a router's process was killed, stopped, or not ready.
+/// A period in which a router's process was killed, stopped or not ready.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Outage {
     pub router: usize,
@@ -132,22 +117,22 @@
     pub kind: OutageKind,
 }
 
-/// What happened to a router's process.
+/// The cause of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum OutageKind {
-    /// Killed at `from`; what it held is lost by the protocol.
+    /// SIGKILL at `from` without a SIGTERM before it; the protocol frees the router of its open requests.
     Killed,
-    /// Notified to end at `from`, gone at `until`.
-    Ended,
-    /// Stopped by a signal from `from` to `until`.
+    /// SIGTERM at `from`, SIGKILL at `until`.
+    Terminated,
+    /// SIGSTOP at `from`, SIGCONT at `until`.
     Stopped,
-    /// It ended by itself.
+    /// The process ended without a signal from the soak.
     Crashed,
-    /// Not ready within the time that it has.
+    /// The router was not ready in time after its start.
     NotReady,
 }
 
-/// The most that a router's process was seen to use.
+/// The highest resource usage of a router's process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Usage {
     pub memory_kb: u64,
@@ -155,46 +140,58 @@
     pub cpu: Duration,
 }
 
-/// All facts of a run.
+/// A period in which the emulation did not serve its own sockets.
+#[derive(Clone, Copy, Debug)]
+pub struct Stall {
+    pub from: Duration,
+    pub until: Duration,
+}
+
+impl Stall {
+    fn length(&self) -> Duration {
+        self.until - self.from
+    }
+}
+
+/// All events of a run.
 #[derive(Default)]
 pub struct Records {
+    /// The requests by their ids.
     pub requests: BTreeMap<String, RequestRecord>,
-    pub cold_starts: Vec<ColdStart>,
+    pub engine_starts: Vec<EngineStart>,
     pub drains: Vec<Drain>,
     pub outages: Vec<Outage>,
-    /// By router.
+    /// Usage by router.
     pub usage: Vec<Usage>,
     /// Connections that engines accepted.
     pub engine_connections: u64,
     /// Bytes of lists and changes that discovery sent to all routers.
     pub list_bytes: u64,
-    /// Answers to requests that no client has sent on that connection.
-    pub stray_answers: u64,
-    /// Spans in which the emulation itself did not look at its sockets.
-    pub stalls: Vec<(Duration, Duration)>,
+    /// Answers without a request that is open on their connection, and lines that are not JSON.
+    pub unexpected_answers: u64,
+    pub stalls: Vec<Stall>,
 }
 
 impl Records {
-    /// The longest span in which the emulation did not look at its sockets.
+    /// Returns the longest stall of the emulation.
     pub fn longest_stall(&self) -> Duration {
-        self.stalls.iter().map(|(from, until)| *until - *from).max().unwrap_or_default()
+        self.stalls.iter().map(Stall::length).max().unwrap_or_default()
     }
 
-    /// For how long in all it did not look within a span.
+    /// Returns the sum of all stalls that overlap a period.
     pub fn stalled_within(&self, from: Duration, until: Duration) -> Duration {
-        let overlapping = self.stalls.iter().filter(|(begin, end)| *begin <= until && *end >= from);
-        overlapping.map(|(begin, end)| *end - *begin).sum()
+        let overlapping = self.stalls.iter().filter(|stall| stall.from <= until && stall.until >= from);
+        overlapping.map(Stall::length).sum()
     }
 
-    /// Parts of the requests whose clients stayed that succeeded in time.
-    pub fn served(&self) -> f64 {
-        let waited = self.requests.values().filter(|request| request.departure.is_none());
-        let (mut count, mut served) = (0, 0);
-        for request in waited {
+    /// Returns the fraction of requests that succeeded in time, among those whose clients kept waiting.
+    pub fn fraction_served(&self) -> f64 {
+        let mut count = 0;
+        let mut served = 0;
+        for request in self.requests.values().filter(|request| request.departure.is_none()) {
+            let is_in_time =
+                |answer: &Answer| answer.kind == AnswerKind::Succeeded && answer.at <= request.due_at();
             count += 1;
-            let is_in_time = |answer: &Answer| {
-                answer.kind == AnswerKind::Succeeded && answer.at <= request.sent_at + request.deadline
-            };
             served += usize::from(request.answers.first().is_some_and(is_in_time));
         }
         served as f64 / f64::from(count.max(1))
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -104,7 +104,7 @@
         Self {
             seed,
             requests: records.requests.len(),
-            served: records.served(),
+            served: records.fraction_served(),
             rejected: answers(AnswerKind::Rejected),
             failed: answers(AnswerKind::Failed),
             attempts: records.requests.values().map(|request| request.attempts.len()).sum(),
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -3,14 +3,15 @@
 mod processes;
 mod strikes;
 
+use crate::classes::{self, RequestClass, longest_deadline};
 use crate::clients::Clients;
-use crate::config::{self, longest_deadline, profile};
+use crate::config::{self, CORES_PER_ENGINE};
 use crate::discovery::{Discovery, DiscoveryFault, Endpoint, EngineState};
 use crate::engines::{Engine, EngineFault, EngineTimer, Engines};
 use crate::faults::{self, Fault};
 use crate::invariants::Terms;
 use crate::options::RunOptions;
-use crate::records::{Class, Records};
+use crate::records::{Records, Stall};
 use crate::routers::{ProcessFaults, Router, RouterPhase};
 use mio::{Events, Poll, Registry, Token};
 use rand::rngs::StdRng;
@@ -30,8 +31,6 @@
 const ROUTER_PORT: u16 = 8080;
 const DISCOVERY_HOST: u8 = 250;
 const DISCOVERY_PORT: u16 = 9092;
-/// Of each engine.
-pub const CORES: f64 = 2.0;
 /// A router must be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 /// How often routers that start are asked whether they serve.
@@ -157,10 +156,10 @@
     /// What the settings say that the judgement needs.
     pub fn terms(&self) -> Terms {
         Terms {
-            slow_start: config::slow_start(CORES),
-            limits: config::Limits::default(),
+            slow_start: config::SLOW_START,
+            limits: config::PROCESS_LIMITS,
             end: self.now(),
-            mean_work: config::mean_work(),
+            mean_work: classes::mean_work(),
         }
     }
 
@@ -297,7 +296,7 @@
             Timer::AskStatus => self.ask_status(now),
             Timer::Tick => {
                 if now - due >= SHORTEST_STALL {
-                    self.records.stalls.push((due, now));
+                    self.records.stalls.push(Stall { from: due, until: now });
                 }
                 self.set(now + TICK, Timer::Tick);
             }
@@ -323,7 +322,7 @@
         let registry = self.poll.registry();
         let sent = self.clients.send_request(router, address, class, now, registry, &mut self.records);
         let Some(name) = sent else { return };
-        let leave_at = now + profile(class).deadline.mul_f64(self.rng.random_range(0.0..0.8));
+        let leave_at = now + class.profile().deadline.mul_f64(self.rng.random_range(0.0..0.8));
         let chance: f64 = self.rng.random();
         if chance < WITHDRAW_PART {
             self.set(leave_at, Timer::Withdraw(name));
@@ -332,15 +331,15 @@
         }
     }
 
-    fn draw_class(&mut self) -> Class {
+    fn draw_class(&mut self) -> RequestClass {
         let mut chance: f64 = self.rng.random();
-        for class in Class::ALL {
-            chance -= profile(class).share;
+        for class in RequestClass::ALL {
+            chance -= class.profile().traffic_share;
             if chance <= 0.0 {
                 return class;
             }
         }
-        Class::Lookup
+        RequestClass::Lookup
     }
 }
 
@@ -350,7 +349,7 @@
     const HOST_BLOCKS: std::ops::Range<u8> = 64..128;
     let mut error = io::Error::from(io::ErrorKind::AddrInUse);
     for host_block in HOST_BLOCKS {
-        match Engines::start(count, CORES, host_block, ENGINE_TOKENS, registry) {
+        match Engines::start(count, CORES_PER_ENGINE, host_block, ENGINE_TOKENS, registry) {
             Ok(engines) => return Ok(engines),
             Err(cause) => error = cause,
         }
--- a/crates/soak/src/world/processes.rs
+++ b/crates/soak/src/world/processes.rs
@@ -1,10 +1,10 @@
 //! The routers' processes: their starts, their ends, and what they use.
 
 use super::{
-    CORES, DOWN_FOR, KILL_AFTER_DEADLINE, Programs, READY_WITHIN, SAMPLE_INTERVAL, STATUS_INTERVAL, Timer,
-    World,
+    DOWN_FOR, KILL_AFTER_DEADLINE, Programs, READY_WITHIN, SAMPLE_INTERVAL, STATUS_INTERVAL, Timer, World,
 };
-use crate::config::{self, RouterAddresses, longest_deadline};
+use crate::classes::longest_deadline;
+use crate::config::{self, RouterAddresses};
 use crate::faults::Fault;
 use crate::records::{Outage, OutageKind};
 use crate::routers::{Router, RouterPhase};
@@ -19,7 +19,7 @@
             RouterAddresses { listen: self.routers[router].address, discovery: self.discovery.address };
         let fleet = self.options.fleet.unwrap_or(self.routers.len());
         let (name, seed) = (format!("n{router}"), self.rng.random());
-        let config = config::router_config(&name, seed, &addresses, &self.discovery.known(), fleet, CORES);
+        let config = config::router_config(&name, seed, &addresses, &self.discovery.known(), fleet);
         let Programs { router: program, shim } = &self.programs;
         self.routers[router].start(program, shim, &config.to_string(), now)
     }
@@ -39,7 +39,7 @@
         }
         let from = now - longest_deadline() - KILL_AFTER_DEADLINE;
         self.routers[router].kill();
-        self.records.outages.push(Outage { router, from, until: now, kind: OutageKind::Ended });
+        self.records.outages.push(Outage { router, from, until: now, kind: OutageKind::Terminated });
         self.set(now + DOWN_FOR, Timer::RouterStarts { router });
     }
 
--- a/crates/soak/src/world/strikes.rs
+++ b/crates/soak/src/world/strikes.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{DiscoveryFault, Endpoint, EngineState};
 use crate::engines::EngineFault;
 use crate::faults::{Fault, FaultKind};
-use crate::records::{ColdStart, Drain};
+use crate::records::{Drain, EngineStart};
 use rand::Rng;
 use std::io;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -105,9 +105,10 @@
             match state {
                 EngineState::Ready => {
                     let drains = self.records.drains.iter_mut();
-                    let mut drains = drains.filter(|drain| drain.engine == *engine && drain.until.is_none());
+                    let mut drains =
+                        drains.filter(|drain| drain.engine == *engine && drain.ended_at.is_none());
                     if let Some(drain) = drains.next() {
-                        drain.until = Some(now);
+                        drain.ended_at = Some(now);
                     }
                 }
                 EngineState::Draining => {
@@ -116,7 +117,7 @@
                         engine: *engine,
                         listed_at: now,
                         delivered_at,
-                        until: None,
+                        ended_at: None,
                     });
                 }
                 EngineState::Removed => {}
@@ -160,7 +161,7 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         for engine in engines {
             self.engines.restart(*engine, self.poll.registry())?;
-            self.records.cold_starts.push(ColdStart { engine: *engine, at: now, listed_at: now });
+            self.records.engine_starts.push(EngineStart { engine: *engine, started_at: now, listed_at: now });
         }
         self.list(engines, EngineState::Ready, unix.as_millis() as u64, now);
         Ok(())
--- a/crates/soak/tests/unit/invariants.rs
+++ b/crates/soak/tests/unit/invariants.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::config;
+use crate::classes::mean_work;
+use crate::config::{PROCESS_LIMITS, SLOW_START};
 use crate::records::{Answer, Attempt, Drain, Outage};
 
 fn ms(ms: u64) -> Duration {
@@ -9,7 +10,7 @@
 /// A post that was sent at 1 s, attempted once and answered.
 fn served_request() -> RequestRecord {
     RequestRecord {
-        class: Class::Post,
+        class: RequestClass::Post,
         router: 0,
         sent_at: ms(1000),
         deadline: ms(2000),
@@ -21,7 +22,7 @@
 }
 
 fn attempt(at: u64) -> Attempt {
-    Attempt { at: ms(at), engine: 0, budget: ms(1500), started: true, ended_at: None }
+    Attempt { at: ms(at), engine: 0, time_left: ms(1500), started: true, ended_at: None }
 }
 
 fn rules_broken_by(request: RequestRecord, change: impl FnOnce(&mut Records)) -> Vec<Rule> {
@@ -34,12 +35,8 @@
     }
     records.requests.insert("judged".to_owned(), request);
     change(&mut records);
-    let terms = Terms {
-        slow_start: config::slow_start(2.0),
-        limits: Limits::default(),
-        end: ms(60_000),
-        mean_work: config::mean_work(),
-    };
+    let terms =
+        Terms { slow_start: SLOW_START, limits: PROCESS_LIMITS, end: ms(60_000), mean_work: mean_work() };
     let mut rules: Vec<Rule> = judge(&records, &terms).into_iter().map(|violation| violation.rule).collect();
     rules.dedup();
     rules
@@ -65,18 +62,18 @@
         [Rule::SecondAnswer]
     );
     assert_eq!(broken_by(|request| request.answers[0].kind = AnswerKind::WrongResult), [Rule::WrongResult]);
-    assert_eq!(broken_by(|request| request.departure = Some((ms(1005), Departure::Closed))), []);
+    assert_eq!(broken_by(|request| request.departure = Some((ms(1005), Departure::ConnectionClosed))), []);
     assert_eq!(
-        broken_by(|request| request.departure = Some((ms(900), Departure::Withdrew))),
+        broken_by(|request| request.departure = Some((ms(900), Departure::Cancelled))),
         [Rule::ForwardedAfterEnd]
     );
     assert_eq!(
         broken_by(|request| request.attempts.push(attempt(1300))),
         [Rule::ForwardedAfterEnd, Rule::RunTwice]
     );
-    assert_eq!(broken_by(|request| request.attempts[0].budget = ms(2141)), [Rule::Deadline]);
+    assert_eq!(broken_by(|request| request.attempts[0].time_left = ms(2141)), [Rule::Deadline]);
     let many = |request: &mut RequestRecord| {
-        request.class = Class::Lookup;
+        request.class = RequestClass::Lookup;
         request.attempts = vec![attempt(1010); 4];
     };
     assert_eq!(broken_by(many), [Rule::TooManyAttempts]);
@@ -101,7 +98,7 @@
     let outage = |kind| Outage { router: 0, from: ms(1050), until: ms(1050), kind };
     assert_eq!(rules_broken_by(unanswered(), |records| records.outages.push(outage(OutageKind::Killed))), []);
     assert_eq!(
-        rules_broken_by(unanswered(), |records| records.outages.push(outage(OutageKind::Ended))),
+        rules_broken_by(unanswered(), |records| records.outages.push(outage(OutageKind::Terminated))),
         [Rule::Lost]
     );
     let crash = |records: &mut Records| records.outages.push(outage(OutageKind::Crashed));
@@ -115,7 +112,7 @@
             engine: 0,
             listed_at: Duration::ZERO,
             delivered_at: ms(9_900),
-            until: None,
+            ended_at: None,
         });
     };
     let late = RequestRecord {
@@ -126,7 +123,7 @@
     };
     assert_eq!(rules_broken_by(late, drained), [Rule::Drain]);
     let cold = |records: &mut Records| {
-        records.cold_starts.push(ColdStart { engine: 0, at: ms(500), listed_at: ms(500) });
+        records.engine_starts.push(EngineStart { engine: 0, started_at: ms(500), listed_at: ms(500) });
         for number in 0..200 {
             records.requests.insert(format!("crowd-{number}"), served_request());
         }
