--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,308 +1,322 @@
-//! Emulated clients: connections to the routers, requests with answers to them, and clients that leave.
+//! Emulated clients: connections to the routers, requests with the answers to them, and clients that stop waiting.
 
 use crate::classes::RequestClass;
+use crate::connections::ConnectionTable;
 use crate::records::{Answer, AnswerKind, Departure, Records, RequestRecord};
 use crate::sockets::{Stream, StreamState};
-use base64::prelude::{BASE64_STANDARD, Engine as _};
+use crate::statements::{result_rows, statement, work_ms};
+use emberflow_peer_protocol::client::{
+    ClientRequest, Outcome, Response, RouterMessage, encode_cancellation, encode_status_request, take_line,
+};
+use emberflow_peer_protocol::request_id;
 use mio::net::TcpStream;
 use mio::{Registry, Token};
 use rand::Rng;
 use rand::rngs::StdRng;
-use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const REJECTED: i64 = -32011;
-/// Requests that a client opens on one connection before it makes another.
-const MOST_OPEN: usize = 8;
-/// The id of a status request, which no other request has.
+/// Open requests of a connection, above which a client opens another connection.
+const MAX_OPEN_REQUESTS: usize = 8;
+/// The id of a status request; ids of other requests count up from 1 and do not reach it.
 const STATUS_ID: u64 = 0x5747_5553;
-/// A client closes a connection that it has not used for so long.
-const IDLE_CLOSE: Duration = Duration::from_secs(4);
+/// Idle time after which a client closes its connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// The memory estimate of each request, in MB.
+const REQUEST_MEMORY_MB: f64 = 16.0;
+/// Fraction of a router's connections that close at a departure of its clients.
+const DEPARTURE_FRACTION: f64 = 0.5;
+/// Fraction of the closed connections that are reset.
+const RESET_FRACTION: f64 = 0.3;
+
+/// A router that clients connect to.
+#[derive(Clone, Copy, Debug)]
+pub struct Destination {
+    pub router: usize,
+    pub address: SocketAddr,
+}
 
 /// A client's connection to a router.
-struct Connection {
+struct ClientConnection {
     router: usize,
     stream: Stream,
-    /// Names of the open requests by their ids on this connection.
+    /// Open requests by their ids on this connection.
     open: BTreeMap<u64, String>,
-    /// Requests that were not written to their last byte.
+    /// Requests whose last byte has not been written.
     unwritten: Vec<String>,
-    /// Ids that were answered.
+    /// Ids of the requests that were answered.
     answered: BTreeSet<u64>,
     next_id: u64,
-    last_used: Duration,
-    /// Whether it only asks for the router's status, or only occupies a descriptor.
+    last_used_at: Duration,
+    /// False for connections that ask for the router's status or stay idle.
     is_for_requests: bool,
 }
 
+impl ClientConnection {
+    fn has_open_request(&self, request_id: &str) -> bool {
+        self.open.values().any(|open| open == request_id)
+    }
+
+    fn accepts_request_to(&self, router: usize) -> bool {
+        self.router == router && self.is_for_requests && self.open.len() < MAX_OPEN_REQUESTS
+    }
+}
+
 /// All clients of all routers.
 pub struct Clients {
-    connections: Vec<Option<Connection>>,
-    /// Routers that have answered that they serve, since this was last taken.
-    pub serving: Vec<usize>,
+    connections: ConnectionTable<ClientConnection>,
+    /// Routers that have answered that they serve; the event loop empties the list.
+    pub serving_routers: Vec<usize>,
     first_token: usize,
     token_limit: usize,
     rng: StdRng,
 }
 
 impl Clients {
-    /// No clients yet; their connections get tokens in this range.
+    /// Returns clients without connections; their tokens will be in `first_token..token_limit`.
     pub fn new(first_token: usize, token_limit: usize, rng: StdRng) -> Self {
-        Self { connections: Vec::new(), serving: Vec::new(), first_token, token_limit, rng }
+        Self {
+            connections: ConnectionTable::default(),
+            serving_routers: Vec::new(),
+            first_token,
+            token_limit,
+            rng,
+        }
     }
 
     fn connect(
         &mut self,
-        router: usize,
-        address: SocketAddr,
+        destination: Destination,
+        is_for_requests: bool,
         now: Duration,
         registry: &Registry,
-        is_for_requests: bool,
     ) -> Option<usize> {
-        let free = self.connections.iter().position(Option::is_none);
-        let place = free.unwrap_or(self.connections.len());
-        if self.first_token + place >= self.token_limit {
+        let index = self.connections.free_index();
+        if self.first_token + index >= self.token_limit {
             return None;
         }
-        let socket = TcpStream::connect(address).ok()?;
-        let stream = Stream::register(socket, Token(self.first_token + place), registry).ok()?;
-        let connection = Connection {
-            router,
+        let socket = TcpStream::connect(destination.address).ok()?;
+        let stream = Stream::register(socket, Token(self.first_token + index), registry).ok()?;
+        let connection = ClientConnection {
+            router: destination.router,
             stream,
             open: BTreeMap::new(),
             unwritten: Vec::new(),
             answered: BTreeSet::new(),
             next_id: 1,
-            last_used: now,
+            last_used_at: now,
             is_for_requests,
         };
-        if place == self.connections.len() {
-            self.connections.push(Some(connection));
-        } else {
-            self.connections[place] = Some(connection);
-        }
-        Some(place)
+        self.connections.insert(index, connection);
+        Some(index)
     }
 
-    /// Asks a router whether it serves.
-    pub fn ask_status(&mut self, router: usize, address: SocketAddr, now: Duration, registry: &Registry) {
-        let Some(place) = self.connect(router, address, now, registry, false) else { return };
-        let line = json!({"jsonrpc": "2.0", "id": STATUS_ID, "method": "status", "params": {}});
-        self.send_line(place, &line);
+    /// Sends a router a status request on a new connection.
+    pub fn request_status(&mut self, destination: Destination, now: Duration, registry: &Registry) {
+        let Some(index) = self.connect(destination, false, now, registry) else { return };
+        self.send(index, &encode_status_request(STATUS_ID));
     }
 
-    /// Connects and sends nothing.
-    pub fn idle_connection(
-        &mut self,
-        router: usize,
-        address: SocketAddr,
-        now: Duration,
-        registry: &Registry,
-    ) {
-        self.connect(router, address, now, registry, false);
+    /// Opens a connection and sends nothing.
+    pub fn open_idle_connection(&mut self, destination: Destination, now: Duration, registry: &Registry) {
+        self.connect(destination, false, now, registry);
     }
 
-    fn send_line(&mut self, place: usize, line: &Value) {
-        if let Some(Some(connection)) = self.connections.get_mut(place) {
-            connection.stream.send(format!("{line}\n").as_bytes());
+    fn send(&mut self, index: usize, line: &[u8]) {
+        if let Some(connection) = self.connections.get_mut(index) {
+            connection.stream.send(line);
         }
     }
 
-    fn connection_with_room(&self, router: usize) -> Option<usize> {
-        let has_room = |connection: &Connection| {
-            connection.router == router && connection.is_for_requests && connection.open.len() < MOST_OPEN
-        };
-        self.connections.iter().position(|entry| entry.as_ref().is_some_and(has_room))
-    }
-
-    /// Sends a request to a router, on a connection that has room or a new one; returns its name.
+    /// Sends a request to a router, on a connection with capacity or a new one. Returns the request's id, or `None` if
+    /// no connection could be made.
     pub fn send_request(
         &mut self,
-        router: usize,
-        address: SocketAddr,
+        destination: Destination,
         class: RequestClass,
         now: Duration,
         registry: &Registry,
         records: &mut Records,
     ) -> Option<String> {
-        let place = match self.connection_with_room(router) {
-            Some(place) => place,
-            None => self.connect(router, address, now, registry, true)?,
+        let router = destination.router;
+        let index = match self.connections.position(|connection| connection.accepts_request_to(router)) {
+            Some(index) => index,
+            None => self.connect(destination, true, now, registry)?,
         };
-        let name = format!("{:016x}", self.rng.random::<u64>());
-        let connection = self.connections.get_mut(place)?.as_mut()?;
+        let request_id = request_id(self.rng.random());
+        let connection = self.connections.get_mut(index)?;
         let id = connection.next_id;
         connection.next_id += 1;
-        connection.last_used = now;
-        connection.open.insert(id, name.clone());
-        records.requests.insert(name.clone(), RequestRecord::sent(class, router, now));
-        self.send_line(place, &request_line(id, &name, class));
-        if let Some(Some(connection)) = self.connections.get_mut(place)
-            && !connection.stream.is_flushed()
-        {
-            connection.unwritten.push(name.clone());
+        connection.last_used_at = now;
+        connection.open.insert(id, request_id.clone());
+        records.requests.insert(request_id.clone(), RequestRecord::sent(class, router, now));
+        connection.stream.send(&client_request(id, &request_id, class).encode());
+        if !connection.stream.is_flushed() {
+            connection.unwritten.push(request_id.clone());
         }
-        Some(name)
+        Some(request_id)
     }
 
-    /// Withdraws a request that is open.
-    pub fn withdraw(&mut self, name: &str, now: Duration, records: &mut Records) {
-        let holds = |entry: &Option<Connection>| {
-            entry.as_ref().is_some_and(|connection| connection.open.values().any(|open| open == name))
-        };
-        let Some(place) = self.connections.iter().position(holds) else { return };
-        let line = json!({"jsonrpc": "2.0", "method": "withdraw", "params": {"req": name}});
-        self.send_line(place, &line);
-        if let Some(Some(connection)) = self.connections.get_mut(place) {
-            connection.open.retain(|_, open| open != name);
+    /// Cancels an open request.
+    pub fn cancel(&mut self, request_id: &str, now: Duration, records: &mut Records) {
+        let holder = self.connections.position(|connection| connection.has_open_request(request_id));
+        let Some(index) = holder else { return };
+        self.send(index, &encode_cancellation(request_id));
+        if let Some(connection) = self.connections.get_mut(index) {
+            connection.open.retain(|_, open| open != request_id);
         }
-        depart(name, now, Departure::Cancelled, records);
+        record_departure(request_id, now, Departure::Cancelled, records);
     }
 
-    /// Closes the connection of a request that is open, or half of all connections of a router.
-    pub fn close_connection_of(&mut self, name: &str, now: Duration, records: &mut Records) {
-        for place in 0..self.connections.len() {
-            let Some(connection) = &self.connections[place] else { continue };
-            if connection.open.values().any(|open| open == name) {
-                self.leave(place, now, records);
-            }
+    /// Closes the connection of an open request.
+    pub fn close_connection_of(&mut self, request_id: &str, now: Duration, records: &mut Records) {
+        for index in self.connections.positions(|connection| connection.has_open_request(request_id)) {
+            self.disconnect(index, now, records);
         }
     }
 
-    /// Half of a router's clients close their connections.
-    pub fn leave_in_a_burst(&mut self, router: usize, now: Duration, records: &mut Records) {
-        for place in 0..self.connections.len() {
-            let is_of_router =
-                self.connections[place].as_ref().is_some_and(|connection| connection.router == router);
-            if is_of_router && self.rng.random_bool(0.5) {
-                self.leave(place, now, records);
+    /// Closes about half of the connections to a router.
+    pub fn close_half_of_connections(&mut self, router: usize, now: Duration, records: &mut Records) {
+        for index in self.connections.positions(|connection| connection.router == router) {
+            if self.rng.random_bool(DEPARTURE_FRACTION) {
+                self.disconnect(index, now, records);
             }
         }
     }
 
-    fn leave(&mut self, place: usize, now: Duration, records: &mut Records) {
-        let Some(connection) = self.connections[place].take() else { return };
-        if self.rng.random_bool(0.3) {
+    fn disconnect(&mut self, index: usize, now: Duration, records: &mut Records) {
+        let Some(connection) = self.connections.remove(index) else { return };
+        if self.rng.random_bool(RESET_FRACTION) {
             connection.stream.reset_on_close();
         }
-        for name in connection.open.values() {
-            depart(name, now, Departure::ConnectionClosed, records);
+        for request_id in connection.open.values() {
+            record_departure(request_id, now, Departure::ConnectionClosed, records);
         }
     }
 
-    /// Closes connections that were not used for long.
-    pub fn close_idle(&mut self, now: Duration) {
-        for entry in &mut self.connections {
-            let is_idle = |connection: &Connection| {
-                connection.open.is_empty() && connection.last_used + IDLE_CLOSE < now
-            };
-            if entry.as_ref().is_some_and(is_idle) {
-                *entry = None;
-            }
-        }
+    /// Closes the connections that have been idle for [`IDLE_TIMEOUT`].
+    pub fn close_idle_connections(&mut self, now: Duration) {
+        self.connections.retain(|connection| {
+            !connection.open.is_empty() || connection.last_used_at + IDLE_TIMEOUT >= now
+        });
     }
 
-    /// Whether a token belongs to a client.
+    /// Whether a token belongs to a client's connection.
     pub fn owns(&self, token: Token) -> bool {
         (self.first_token..self.token_limit).contains(&token.0)
     }
 
-    /// Handles a socket that has become ready.
-    pub fn ready(&mut self, token: Token, now: Duration, records: &mut Records) {
-        let place = token.0 - self.first_token;
-        let Some(Some(connection)) = self.connections.get_mut(place) else { return };
+    /// Serves a connection that has become readable or writable.
+    pub fn serve_socket(&mut self, token: Token, now: Duration, records: &mut Records) {
+        let index = token.0 - self.first_token;
+        let Some(connection) = self.connections.get_mut(index) else { return };
         connection.stream.flush();
         if connection.stream.is_flushed() {
-            for name in std::mem::take(&mut connection.unwritten) {
-                if let Some(request) = records.requests.get_mut(&name) {
-                    request.sent_at = now;
-                }
-            }
+            record_written(std::mem::take(&mut connection.unwritten), now, records);
         }
         let state = connection.stream.fill(now);
-        while let Some(line) = self.take_line(place) {
-            self.handle_line(place, &line, now, records);
+        while let Some(line) = self.take_line(index) {
+            self.handle_line(index, &line, now, records);
         }
         if state == StreamState::Ended
-            && let Some(connection) = self.connections[place].take()
+            && let Some(connection) = self.connections.remove(index)
         {
-            for name in connection.open.values() {
-                if let Some(request) = records.requests.get_mut(name) {
-                    request.connection_ended_at.get_or_insert(now);
-                }
-            }
+            record_connection_end(connection.open.values(), now, records);
         }
     }
 
-    fn take_line(&mut self, place: usize) -> Option<Vec<u8>> {
-        let input = &mut self.connections.get_mut(place)?.as_mut()?.stream.input;
-        let end = input.iter().position(|byte| *byte == b'\n')?;
-        Some(input.drain(..=end).collect())
+    fn take_line(&mut self, index: usize) -> Option<Vec<u8>> {
+        take_line(&mut self.connections.get_mut(index)?.stream.input)
     }
 
-    fn handle_line(&mut self, place: usize, line: &[u8], now: Duration, records: &mut Records) {
-        let Some(Some(connection)) = self.connections.get_mut(place) else { return };
-        let Ok(answer) = serde_json::from_slice::<Value>(line) else {
-            records.unexpected_answers += 1;
-            return;
-        };
-        let Some(id) = answer["id"].as_u64() else { return };
-        if id == STATUS_ID {
-            if answer["result"]["serving"] == json!(true) {
-                self.serving.push(connection.router);
+    fn handle_line(&mut self, index: usize, line: &[u8], now: Duration, records: &mut Records) {
+        match RouterMessage::decode(line) {
+            Ok(RouterMessage::Response(Response { id: STATUS_ID, outcome })) => {
+                let connection = self.connections.remove(index);
+                if outcome == (Outcome::Status { is_serving: true }) {
+                    self.serving_routers.extend(connection.map(|connection| connection.router));
+                }
             }
-            self.connections[place] = None;
-            return;
+            Ok(RouterMessage::Response(response)) => self.handle_response(index, &response, now, records),
+            Ok(RouterMessage::WaitAnnouncement(_) | RouterMessage::Other) => {}
+            Err(_) => records.unexpected_answers += 1,
         }
-        connection.last_used = now;
+    }
+
+    fn handle_response(&mut self, index: usize, response: &Response, now: Duration, records: &mut Records) {
+        let Some(connection) = self.connections.get_mut(index) else { return };
+        let id = response.id;
+        connection.last_used_at = now;
         match connection.open.remove(&id) {
-            Some(name) => {
+            Some(request_id) => {
                 connection.answered.insert(id);
-                record_answer(&name, &answer, now, records);
+                record_answer(&request_id, &response.outcome, now, records);
             }
-            // A withdrawn request may be answered still; one that was answered must not be again.
             None if connection.answered.contains(&id) || id >= connection.next_id => {
-                records.unexpected_answers += 1
+                records.unexpected_answers += 1;
             }
+            // A cancelled request may still be answered.
             None => {}
         }
     }
 }
 
-fn request_line(id: u64, name: &str, class: RequestClass) -> Value {
+fn client_request(id: u64, request_id: &str, class: RequestClass) -> ClientRequest {
     let profile = class.profile();
-    let work_ms = profile.work.as_secs_f64() * 1e3;
-    let mut params = json!({"req": name, "timeout": profile.deadline.as_millis() as u64,
-        "data": BASE64_STANDARD.encode(format!("work_ms={work_ms}")), "ms": work_ms, "memory": 16});
-    if class == RequestClass::Load {
-        params["opkey"] = json!(format!("{name}{name}"));
+    let statement = statement(profile.work);
+    let idempotency_key = (class == RequestClass::Load).then(|| format!("{request_id}{request_id}"));
+    ClientRequest {
+        work_ms: work_ms(profile.work),
+        memory_mb: REQUEST_MEMORY_MB,
+        idempotency_key,
+        ..ClientRequest::new(id, class.name(), request_id, profile.deadline, statement.as_bytes())
     }
-    json!({"jsonrpc": "2.0", "id": id, "method": class.name(), "params": params})
 }
 
-fn depart(name: &str, now: Duration, how: Departure, records: &mut Records) {
-    if let Some(request) = records.requests.get_mut(name) {
-        request.departure.get_or_insert((now, how));
+/// Records that the last byte of some requests has been written.
+fn record_written(request_ids: Vec<String>, now: Duration, records: &mut Records) {
+    for request_id in request_ids {
+        if let Some(request) = records.requests.get_mut(&request_id) {
+            request.sent_at = now;
+        }
     }
 }
 
-fn record_answer(name: &str, answer: &Value, now: Duration, records: &mut Records) {
-    let Some(request) = records.requests.get_mut(name) else { return };
-    let kind = match answer["error"]["code"].as_i64() {
-        Some(REJECTED) => AnswerKind::Rejected,
-        Some(_) => AnswerKind::Failed,
-        None if is_result_of(name, answer, request) => AnswerKind::Succeeded,
-        None => AnswerKind::WrongResult,
+fn record_departure(request_id: &str, now: Duration, departure: Departure, records: &mut Records) {
+    if let Some(request) = records.requests.get_mut(request_id) {
+        request.departure.get_or_insert((now, departure));
+    }
+}
+
+/// Records that the router has ended the connection of some open requests.
+fn record_connection_end<'a>(
+    request_ids: impl Iterator<Item = &'a String>,
+    now: Duration,
+    records: &mut Records,
+) {
+    for request_id in request_ids {
+        if let Some(request) = records.requests.get_mut(request_id) {
+            request.connection_ended_at.get_or_insert(now);
+        }
+    }
+}
+
+fn record_answer(request_id: &str, outcome: &Outcome, now: Duration, records: &mut Records) {
+    let Some(request) = records.requests.get_mut(request_id) else { return };
+    let kind = match outcome {
+        Outcome::Rejected { .. } => AnswerKind::Rejected,
+        Outcome::Failed | Outcome::Invalid { .. } => AnswerKind::Failed,
+        Outcome::Result { rows: Some(rows) } if is_result_of(request_id, rows, request) => {
+            AnswerKind::Succeeded
+        }
+        Outcome::Result { .. } | Outcome::Status { .. } => AnswerKind::WrongResult,
     };
     request.answers.push(Answer { at: now, kind });
 }
 
-/// Whether a result is what the engine of one of the request's attempts made for it.
-fn is_result_of(name: &str, answer: &Value, request: &RequestRecord) -> bool {
-    let data = answer["result"]["data"].as_str().and_then(|data| BASE64_STANDARD.decode(data).ok());
-    let text = data.and_then(|data| String::from_utf8(data).ok()).unwrap_or_default();
+/// Whether the rows are those that the engine of one of the request's attempts made for that attempt.
+fn is_result_of(request_id: &str, rows: &[u8], request: &RequestRecord) -> bool {
     let mut attempts = request.attempts.iter().enumerate();
-    attempts.any(|(number, attempt)| text == format!("{name}\t{}\t{number}\n", attempt.engine))
+    attempts.any(|(number, attempt)| rows == result_rows(request_id, attempt.engine, number).as_bytes())
 }
--- /dev/null
+++ b/crates/soak/src/connections.rs
@@ -0,0 +1,76 @@
+//! A table of connections that are addressed by small numbers, from which their tokens follow.
+
+/// Connections by index. The index of a connection that has been removed is used again.
+pub struct ConnectionTable<C> {
+    entries: Vec<Option<C>>,
+}
+
+impl<C> Default for ConnectionTable<C> {
+    fn default() -> Self {
+        Self { entries: Vec::new() }
+    }
+}
+
+impl<C> ConnectionTable<C> {
+    /// Returns the lowest index without a connection.
+    pub fn free_index(&self) -> usize {
+        self.entries.iter().position(Option::is_none).unwrap_or(self.entries.len())
+    }
+
+    /// Adds a connection at [`free_index`](Self::free_index).
+    pub fn insert(&mut self, index: usize, connection: C) {
+        if index == self.entries.len() {
+            self.entries.push(Some(connection));
+        } else {
+            self.entries[index] = Some(connection);
+        }
+    }
+
+    pub fn get(&self, index: usize) -> Option<&C> {
+        self.entries.get(index)?.as_ref()
+    }
+
+    pub fn get_mut(&mut self, index: usize) -> Option<&mut C> {
+        self.entries.get_mut(index)?.as_mut()
+    }
+
+    /// Removes a connection and returns it.
+    pub fn remove(&mut self, index: usize) -> Option<C> {
+        self.entries.get_mut(index)?.take()
+    }
+
+    /// Removes all connections.
+    pub fn clear(&mut self) {
+        self.entries.clear();
+    }
+
+    /// Removes the connections for which `is_kept` returns false.
+    pub fn retain(&mut self, is_kept: impl Fn(&C) -> bool) {
+        for entry in &mut self.entries {
+            if entry.as_ref().is_some_and(|connection| !is_kept(connection)) {
+                *entry = None;
+            }
+        }
+    }
+
+    /// Returns the index of the first connection for which `is_meant` returns true.
+    pub fn position(&self, is_meant: impl Fn(&C) -> bool) -> Option<usize> {
+        self.entries.iter().position(|entry| entry.as_ref().is_some_and(&is_meant))
+    }
+
+    /// Returns the indices of the connections for which `is_meant` returns true, in ascending order.
+    pub fn positions(&self, is_meant: impl Fn(&C) -> bool) -> Vec<usize> {
+        let is_meant_at = |index: &usize| self.get(*index).is_some_and(&is_meant);
+        (0..self.entries.len()).filter(is_meant_at).collect()
+    }
+
+    /// Returns the connections in ascending order of their indices.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut C> {
+        self.entries.iter_mut().flatten()
+    }
+
+    /// Returns an index above that of each connection.
+    pub fn index_limit(&self) -> usize {
+        self.entries.len()
+    }
+}
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,119 +1,54 @@
 //! An emulated discovery service: numbered changes of the endpoint list, sent to each router that connects, and the
 //! faults of such a service.
 
-use crate::config::{CELLS_PER_ZONE, ZONES};
+use crate::config::{CELLS_PER_ZONE, KINDS, ZONES};
+use crate::connections::ConnectionTable;
 use crate::sockets::{Stream, StreamState};
+use emberflow_peer_protocol::discovery::{
+    Endpoint, FrameKind, SettingNames, decode_resume_event, encode_frame, encode_heartbeat, known_list,
+};
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-const FRAME_HEADER_BYTES: usize = 9;
-const RESUME_BYTES: usize = 8;
-const SIZE_PERMILLE: u32 = 1000;
-const HEARTBEAT: u8 = 0;
-const COMPLETE_LIST: u8 = 1;
-const CHANGES: u8 = 2;
-
-/// Whether an engine takes requests, as frames number it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EngineState {
-    Ready = 0,
-    Draining = 1,
-    Removed = 2,
-}
-
-impl EngineState {
-    fn name(self) -> &'static str {
-        match self {
-            Self::Ready => "ready",
-            Self::Draining => "draining",
-            Self::Removed => "gone",
-        }
+/// Returns the endpoint of an engine that has been ready for long. Its id, zone and cell follow from its number.
+pub fn engine_endpoint(engine: usize, address: SocketAddrV4) -> Endpoint {
+    Endpoint {
+        zone: (engine % ZONES.len()) as u8,
+        cell: (engine / ZONES.len() % CELLS_PER_ZONE) as u16,
+        ..Endpoint::ready(engine as u32, address)
     }
 }
 
-/// A row of the endpoint list.
-#[derive(Clone, Copy, Debug)]
-pub struct Endpoint {
-    pub engine: usize,
-    pub address: SocketAddr,
-    pub state: EngineState,
-    /// Unix milliseconds of a late start, or 0.
-    pub up_since_ms: u64,
-}
-
-impl Endpoint {
-    fn id(&self) -> u32 {
-        self.engine as u32
-    }
-
-    /// Its zone, which follows from its number.
-    pub fn zone(&self) -> usize {
-        self.engine % ZONES.len()
-    }
-
-    fn cell(&self) -> usize {
-        self.engine / ZONES.len() % CELLS_PER_ZONE
-    }
-
-    fn encode(&self) -> Vec<u8> {
-        let SocketAddr::V4(address) = self.address else { return Vec::new() };
-        let mut record = Vec::new();
-        record.extend(self.id().to_be_bytes());
-        record.extend(address.ip().octets());
-        record.extend(address.port().to_be_bytes());
-        record.extend([self.state as u8, self.zone() as u8, 0]);
-        record.extend((self.cell() as u16).to_be_bytes());
-        record.extend(SIZE_PERMILLE.to_be_bytes());
-        record.extend(self.up_since_ms.to_be_bytes());
-        record
-    }
-
-    fn to_json(self) -> Value {
-        json!({"id": format!("s-{:08x}", self.id()), "host_port": self.address.to_string(),
-            "locality": ZONES[self.zone()], "flavor": "std", "cell": self.cell(), "phase": self.state.name(),
-            "size": 1, "up_since_ms": self.up_since_ms})
-    }
-}
-
-fn frame(number: u64, kind: u8, endpoints: &[Endpoint]) -> Vec<u8> {
-    let payload: Vec<u8> = endpoints.iter().flat_map(Endpoint::encode).collect();
-    let mut frame = Vec::new();
-    frame.extend(((FRAME_HEADER_BYTES + payload.len()) as u32).to_be_bytes());
-    frame.extend(number.to_be_bytes());
-    frame.push(kind);
-    frame.extend(payload);
-    frame
-}
-
 /// A router's connection.
 struct Subscriber {
     stream: Stream,
-    /// The number of the last event that it was sent; `None` until it has said which it holds.
+    /// The number of the last event that the router has; `None` until the router has sent it.
     last_event: Option<u64>,
 }
 
-/// What is wrong with the service.
+/// A fault of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFault {
     None,
-    /// Connections stay open and nothing comes.
+    /// Connections stay open, and the service sends nothing.
     Silent,
-    /// It refuses connections.
+    /// The service refuses connections.
     Down,
 }
 
-/// The service.
+/// The discovery service.
 pub struct Discovery {
     pub address: SocketAddr,
     listener: Option<TcpListener>,
+    /// The current list, by engine.
     pub endpoints: Vec<Endpoint>,
-    /// Each change, by its number less one; the first is the complete list.
+    /// The changes by event number, from event 1; the first is the complete list.
     changes: Vec<Vec<Endpoint>>,
-    subscribers: Vec<Option<Subscriber>>,
+    subscribers: ConnectionTable<Subscriber>,
     fault: DiscoveryFault,
     /// Bytes of lists and changes sent to all routers, without heartbeats.
     pub list_bytes: u64,
@@ -121,7 +56,8 @@
 }
 
 impl Discovery {
-    /// Starts a service that lists these endpoints; its tokens are `first_token` and `most_tokens` after it.
+    /// Starts a service with these endpoints. The listener has the token `first_token`; the tokens of connections
+    /// follow it.
     pub fn start(
         address: SocketAddr,
         endpoints: Vec<Endpoint>,
@@ -133,7 +69,7 @@
             listener: None,
             changes: vec![endpoints.clone()],
             endpoints,
-            subscribers: Vec::new(),
+            subscribers: ConnectionTable::default(),
             fault: DiscoveryFault::None,
             list_bytes: 0,
             first_token,
@@ -150,65 +86,59 @@
         Ok(())
     }
 
-    /// The configuration's form of the list as it is now.
-    pub fn known(&self) -> Value {
-        let members: Vec<Value> = self.endpoints.iter().map(|endpoint| endpoint.to_json()).collect();
-        let number = self.changes.len();
-        json!({"no": number, "items": [{"no": number,
-            "roster": {"revision": number, "complete": true, "members": members}}]})
+    fn last_event(&self) -> u64 {
+        self.changes.len() as u64
+    }
+
+    /// Returns the current list in the form of a router's configuration.
+    pub fn known_list(&self) -> Value {
+        let names = SettingNames { zones: &ZONES, kinds: &KINDS };
+        known_list(self.last_event(), &self.endpoints, &names)
     }
 
-    /// Handles a socket that has become ready.
-    pub fn ready(&mut self, token: Token, registry: &Registry) {
+    /// Serves a socket that has become readable or writable.
+    pub fn serve_socket(&mut self, token: Token, registry: &Registry) {
         match token.0 - self.first_token {
             0 => self.accept(registry),
-            place => self.subscriber_ready(place - 1),
+            offset => self.serve_subscriber(offset - 1),
         }
     }
 
     fn accept(&mut self, registry: &Registry) {
         while let Some(Ok((socket, _))) = self.listener.as_ref().map(TcpListener::accept) {
-            let free = self.subscribers.iter().position(Option::is_none);
-            let place = free.unwrap_or(self.subscribers.len());
-            let token = Token(self.first_token + 1 + place);
+            let index = self.subscribers.free_index();
+            let token = Token(self.first_token + 1 + index);
             let Ok(stream) = Stream::register(socket, token, registry) else { continue };
-            let subscriber = Some(Subscriber { stream, last_event: None });
-            if place == self.subscribers.len() {
-                self.subscribers.push(subscriber);
-            } else {
-                self.subscribers[place] = subscriber;
-            }
+            self.subscribers.insert(index, Subscriber { stream, last_event: None });
         }
     }
 
-    fn subscriber_ready(&mut self, place: usize) {
-        let Some(Some(subscriber)) = self.subscribers.get_mut(place) else { return };
+    fn serve_subscriber(&mut self, index: usize) {
+        let Some(subscriber) = self.subscribers.get_mut(index) else { return };
         let state = subscriber.stream.fill(Duration::ZERO);
-        if subscriber.last_event.is_none()
-            && let Some((number, _)) = subscriber.stream.input.split_first_chunk::<RESUME_BYTES>()
-        {
-            subscriber.last_event = Some(u64::from_be_bytes(*number));
+        if subscriber.last_event.is_none() {
+            subscriber.last_event = decode_resume_event(&subscriber.stream.input);
         }
         if state == StreamState::Ended {
-            self.subscribers[place] = None;
+            self.subscribers.remove(index);
             return;
         }
-        self.send_changes(place);
+        self.send_changes(index);
     }
 
-    /// Sends a subscriber all changes that it has not been sent.
-    fn send_changes(&mut self, place: usize) {
+    /// Sends a subscriber all changes after its last event.
+    fn send_changes(&mut self, index: usize) {
         if self.fault != DiscoveryFault::None {
             return;
         }
-        let Some(Some(subscriber)) = self.subscribers.get_mut(place) else { return };
+        let newest = self.last_event();
+        let Some(subscriber) = self.subscribers.get_mut(index) else { return };
         let Some(last_event) = subscriber.last_event else { return };
-        let newest = self.changes.len() as u64;
-        for number in last_event + 1..=newest {
-            let kind = if number == 1 { COMPLETE_LIST } else { CHANGES };
-            let change = frame(number, kind, &self.changes[number as usize - 1]);
-            self.list_bytes += change.len() as u64;
-            subscriber.stream.send(&change);
+        for event in last_event + 1..=newest {
+            let kind = if event == 1 { FrameKind::CompleteList } else { FrameKind::Changes };
+            let frame = encode_frame(event, kind, &self.changes[event as usize - 1]);
+            self.list_bytes += frame.len() as u64;
+            subscriber.stream.send(&frame);
         }
         subscriber.last_event = Some(newest.max(last_event));
         subscriber.stream.flush();
@@ -217,57 +147,59 @@
     /// Lists changes of some endpoints.
     pub fn change(&mut self, changed: Vec<Endpoint>) {
         for endpoint in &changed {
-            self.endpoints[endpoint.engine] = *endpoint;
+            self.endpoints[endpoint.id as usize] = *endpoint;
         }
         self.changes.push(changed);
-        for place in 0..self.subscribers.len() {
-            self.send_changes(place);
+        for index in 0..self.subscribers.index_limit() {
+            self.send_changes(index);
         }
     }
 
-    /// Lists everything again, as after the loss of the service's memory.
-    pub fn repeat_complete_list(&mut self) {
-        let number = self.changes.len() as u64 + 1;
+    /// Sends the complete list as a new event, as after a loss of the service's state.
+    pub fn resend_complete_list(&mut self) {
+        let event = self.last_event() + 1;
         self.changes.push(Vec::new());
-        let complete = frame(number, COMPLETE_LIST, &self.endpoints);
-        for subscriber in self.subscribers.iter_mut().flatten() {
-            if self.fault == DiscoveryFault::None && subscriber.last_event == Some(number - 1) {
-                self.list_bytes += complete.len() as u64;
-                subscriber.stream.send(&complete);
-                subscriber.last_event = Some(number);
+        if self.fault != DiscoveryFault::None {
+            return;
+        }
+        let frame = encode_frame(event, FrameKind::CompleteList, &self.endpoints);
+        for subscriber in self.subscribers.iter_mut() {
+            if subscriber.last_event == Some(event - 1) {
+                self.list_bytes += frame.len() as u64;
+                subscriber.stream.send(&frame);
+                subscriber.last_event = Some(event);
             }
         }
     }
 
-    /// Sends everybody that nothing is new; to be called each second.
+    /// Sends each router a heartbeat, after the changes that the router does not have.
     pub fn send_heartbeats(&mut self) {
         if self.fault != DiscoveryFault::None {
             return;
         }
-        for place in 0..self.subscribers.len() {
-            self.send_changes(place);
-            if let Some(Some(subscriber)) = self.subscribers.get_mut(place)
-                && let Some(number) = subscriber.last_event
+        for index in 0..self.subscribers.index_limit() {
+            self.send_changes(index);
+            if let Some(subscriber) = self.subscribers.get_mut(index)
+                && let Some(last_event) = subscriber.last_event
             {
-                subscriber.stream.send(&frame(number, HEARTBEAT, &[]));
+                subscriber.stream.send(&encode_heartbeat(last_event));
             }
         }
     }
 
-    /// Sets what is wrong with the service.
+    /// Sets the fault of the service; `None` ends it.
     pub fn set_fault(&mut self, fault: DiscoveryFault, registry: &Registry) -> io::Result<()> {
         self.fault = fault;
         match fault {
             DiscoveryFault::Down => {
                 self.listener = None;
-                self.subscribers.iter_mut().for_each(|subscriber| *subscriber = None);
+                self.subscribers.clear();
+            }
+            DiscoveryFault::None | DiscoveryFault::Silent if self.listener.is_none() => {
+                self.listen(registry)?;
             }
-            _ if self.listener.is_none() => self.listen(registry)?,
-            _ => {}
+            DiscoveryFault::None | DiscoveryFault::Silent => {}
         }
         Ok(())
     }
-
-    /// The time between heartbeats.
-    pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 }
--- /dev/null
+++ b/crates/soak/src/engines/calls.rs
@@ -0,0 +1,214 @@
+//! The calls of engines: the commands that engines handle, the load model by which calls run, and the replies.
+
+use super::{Engine, EngineConnection, EngineFault, Engines};
+use crate::config::{CORES_PER_ENGINE, PROGRESS_INTERVAL};
+use crate::records::{Attempt, Records};
+use crate::statements::{result_rows, work_ms, work_of};
+use emberflow_peer_protocol::engine::{Call, EngineCommand, EngineReply, UsedResources};
+use emberflow_peer_protocol::resp::decode_array;
+use std::time::Duration;
+
+/// Running calls for each core, from which an engine rejects further calls.
+const MAX_CALLS_PER_CORE: f64 = 16.0;
+const MAX_RUNNING_CALLS: usize = (MAX_CALLS_PER_CORE * CORES_PER_ENGINE) as usize;
+/// The work of a statement that does not name it.
+const DEFAULT_WORK: Duration = Duration::from_millis(10);
+/// The memory that each result reports as needed, in MB.
+const NEEDED_MEMORY_MB: f64 = 10.0;
+
+/// A call that an engine runs.
+pub(super) struct RunningCall {
+    connection: usize,
+    /// Index of the attempt in the request's record.
+    attempt: usize,
+    work: Duration,
+    ends_at: Duration,
+}
+
+/// Identifies a running call to a timer.
+#[derive(Clone, Debug)]
+pub struct CallKey {
+    engine: usize,
+    incarnation: u32,
+    request_id: String,
+}
+
+/// A timer of an engine.
+#[derive(Clone, Debug)]
+pub enum EngineTimer {
+    /// The call ends.
+    CallEnds(CallKey),
+    /// The call's next progress reply is due.
+    Progress(CallKey),
+}
+
+/// A command that an engine has read.
+struct ReceivedCommand {
+    command: EngineCommand,
+    /// When the last byte of the command arrived.
+    arrived_at: Duration,
+}
+
+impl Engine {
+    /// Whether a call runs that came on this connection.
+    pub(super) fn has_call_on(&self, connection: usize) -> bool {
+        self.running.values().any(|call| call.connection == connection)
+    }
+
+    /// Ends the calls that came on a connection, without a reply.
+    pub(super) fn end_calls_of(&mut self, connection: usize, now: Duration, records: &mut Records) {
+        let ended = self.running.extract_if(.., |_, call| call.connection == connection);
+        for (request_id, call) in ended {
+            record_end(&request_id, call.attempt, now, records);
+        }
+    }
+
+    /// Returns the reply with which the engine refuses any call now; `None` if it runs a call.
+    fn refusal(&self) -> Option<EngineReply<'static>> {
+        if self.fault == EngineFault::Failing {
+            return Some(EngineReply::Failed);
+        }
+        (self.running.len() >= MAX_RUNNING_CALLS).then_some(EngineReply::Overloaded)
+    }
+
+    /// Returns how long a call takes that starts now: its cores are shared by all calls that run.
+    fn run_time(&self, work: Duration) -> Duration {
+        let slowdown = if let EngineFault::Slow { slowdown } = self.fault { slowdown } else { 1.0 };
+        let calls_per_core = (self.running.len() as f64 + 1.0) / CORES_PER_ENGINE;
+        work.mul_f64(slowdown * calls_per_core.max(1.0))
+    }
+}
+
+impl Engines {
+    /// Handles all complete commands that have arrived on a connection.
+    pub(super) fn handle_commands(&mut self, connection: usize, now: Duration, records: &mut Records) {
+        while let Some(ReceivedCommand { command, arrived_at }) = self.take_command(connection) {
+            match command {
+                EngineCommand::Call(call) => self.start_call(connection, &call, arrived_at, now, records),
+                EngineCommand::Cancel { request_id } => self.cancel(connection, &request_id, now, records),
+                EngineCommand::Ping { tag } => self.send(connection, &tag, EngineReply::Pong),
+                // Results have one page, and the load model has no priorities.
+                EngineCommand::SetPriority { .. }
+                | EngineCommand::ReadPage { .. }
+                | EngineCommand::ClosePages { .. }
+                | EngineCommand::Unknown(_) => {}
+            }
+        }
+    }
+
+    fn take_command(&mut self, connection: usize) -> Option<ReceivedCommand> {
+        let stream = &mut self.connections.get_mut(connection)?.stream;
+        let array = decode_array(&stream.input).ok()??;
+        let arrived_at = stream.consume(array.encoded_bytes);
+        Some(ReceivedCommand { command: EngineCommand::decode(&array.words), arrived_at })
+    }
+
+    /// Records an attempt, and runs it or refuses it.
+    fn start_call(
+        &mut self,
+        connection: usize,
+        call: &Call,
+        arrived_at: Duration,
+        now: Duration,
+        records: &mut Records,
+    ) {
+        let Some(EngineConnection { engine, .. }) = self.connections.get(connection) else { return };
+        let engine_index = *engine;
+        let Some(request) = records.requests.get_mut(&call.request_id) else { return };
+        let engine = &mut self.engines[engine_index];
+        let refusal = engine.refusal();
+        request.attempts.push(Attempt {
+            at: arrived_at,
+            engine: engine_index,
+            time_left: call.fields.time_left.unwrap_or_default(),
+            started: refusal.is_none(),
+            ended_at: refusal.map(|_| now),
+        });
+        if let Some(refusal) = refusal {
+            return self.send(connection, &call.request_id, refusal);
+        }
+        let work = work_of(&call.statement).unwrap_or(DEFAULT_WORK);
+        let ends_at = now + engine.run_time(work);
+        let running = RunningCall { connection, attempt: request.attempts.len() - 1, work, ends_at };
+        engine.running.insert(call.request_id.clone(), running);
+        let key = CallKey {
+            engine: engine_index,
+            incarnation: engine.incarnation,
+            request_id: call.request_id.clone(),
+        };
+        self.new_timers.push((ends_at, EngineTimer::CallEnds(key.clone())));
+        self.schedule_progress(key, ends_at, now);
+    }
+
+    /// Sets the timer of the next progress reply, if the call runs until then.
+    fn schedule_progress(&mut self, key: CallKey, ends_at: Duration, now: Duration) {
+        let due_at = now + PROGRESS_INTERVAL;
+        if ends_at > due_at {
+            self.new_timers.push((due_at, EngineTimer::Progress(key)));
+        }
+    }
+
+    fn cancel(&mut self, connection: usize, request_id: &str, now: Duration, records: &mut Records) {
+        let Some(EngineConnection { engine, .. }) = self.connections.get(connection) else { return };
+        if let Some(call) = self.engines[*engine].running.remove(request_id) {
+            record_end(request_id, call.attempt, now, records);
+        }
+    }
+
+    fn send(&mut self, connection: usize, id: &str, reply: EngineReply<'_>) {
+        if let Some(connection) = self.connections.get_mut(connection) {
+            connection.stream.send(&reply.encode(id));
+        }
+    }
+
+    /// Handles a timer that has expired.
+    pub fn timer_expired(&mut self, timer: EngineTimer, now: Duration, records: &mut Records) {
+        match timer {
+            EngineTimer::CallEnds(key) => self.call_ends(&key, now, records),
+            EngineTimer::Progress(key) => self.send_progress(key, now),
+        }
+    }
+
+    /// Sends the result of a call whose time is over.
+    fn call_ends(&mut self, key: &CallKey, now: Duration, records: &mut Records) {
+        let CallKey { engine: index, incarnation, request_id } = key;
+        let engine = &mut self.engines[*index];
+        let is_due = engine.running.get(request_id).is_some_and(|call| call.ends_at <= now);
+        if engine.incarnation != *incarnation || !is_due {
+            return;
+        }
+        let Some(call) = engine.running.remove(request_id) else { return };
+        record_end(request_id, call.attempt, now, records);
+        let rows = result_rows(request_id, *index, call.attempt);
+        let used = UsedResources { work_ms: work_ms(call.work), memory_mb: NEEDED_MEMORY_MB };
+        let reply =
+            EngineReply::Result { pages: 1, used: Some(used), rows: rows.as_bytes() }.encode(request_id);
+        let sent = match engine.fault {
+            EngineFault::Silent => return,
+            EngineFault::Truncating => &reply[..reply.len() / 2],
+            _ => &reply[..],
+        };
+        if let Some(connection) = self.connections.get_mut(call.connection) {
+            connection.stream.send(sent);
+        }
+    }
+
+    fn send_progress(&mut self, key: CallKey, now: Duration) {
+        let engine = &self.engines[key.engine];
+        if engine.incarnation != key.incarnation || engine.fault == EngineFault::Silent {
+            return;
+        }
+        let Some(call) = engine.running.get(&key.request_id) else { return };
+        let ends_at = call.ends_at;
+        self.send(call.connection, &key.request_id, EngineReply::Progress(None));
+        self.schedule_progress(key, ends_at, now);
+    }
+}
+
+/// Records the end of an attempt at its engine.
+fn record_end(request_id: &str, attempt: usize, now: Duration, records: &mut Records) {
+    let request = records.requests.get_mut(request_id);
+    if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(attempt)) {
+        attempt.ended_at = Some(now);
+    }
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod classes;
 pub mod clients;
 pub mod config;
+pub mod connections;
 pub mod discovery;
 pub mod engines;
 pub mod faults;
@@ -13,4 +14,5 @@
 pub mod routers;
 pub mod run;
 pub mod sockets;
+pub mod statements;
 pub mod world;
--- /dev/null
+++ b/crates/soak/src/statements.rs
@@ -0,0 +1,28 @@
+//! The statements that clients send and the rows that engines return for them. A statement names its work; the rows
+//! name the request, the engine and the attempt, so that a client recognizes a wrong result.
+
+use std::time::Duration;
+
+const WORK_FIELD: &str = "work_ms=";
+const MS_PER_SECOND: f64 = 1e3;
+
+/// Returns work in milliseconds on one core.
+pub fn work_ms(work: Duration) -> f64 {
+    work.as_secs_f64() * MS_PER_SECOND
+}
+
+/// Returns a statement with this work.
+pub fn statement(work: Duration) -> String {
+    format!("{WORK_FIELD}{}", work_ms(work))
+}
+
+/// Returns the work of a statement; `None` if the statement does not name it.
+pub fn work_of(statement: &str) -> Option<Duration> {
+    let work_ms: f64 = statement.strip_prefix(WORK_FIELD)?.parse().ok()?;
+    Some(Duration::from_secs_f64(work_ms / MS_PER_SECOND))
+}
+
+/// Returns the rows of the result that an engine makes for an attempt of a request.
+pub fn result_rows(request_id: &str, engine: usize, attempt: usize) -> String {
+    format!("{request_id}\t{engine}\t{attempt}\n")
+}
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -4,15 +4,16 @@
 mod strikes;
 
 use crate::classes::{self, RequestClass, longest_deadline};
-use crate::clients::Clients;
-use crate::config::{self, CORES_PER_ENGINE};
-use crate::discovery::{Discovery, DiscoveryFault, Endpoint, EngineState};
+use crate::clients::{Clients, Destination};
+use crate::config;
+use crate::discovery::{Discovery, DiscoveryFault, engine_endpoint};
 use crate::engines::{Engine, EngineFault, EngineTimer, Engines};
 use crate::faults::{self, Fault};
 use crate::invariants::Terms;
 use crate::options::RunOptions;
 use crate::records::{Records, Stall};
 use crate::routers::{ProcessFaults, Router, RouterPhase};
+use emberflow_peer_protocol::discovery::{Endpoint, HEARTBEAT_INTERVAL};
 use mio::{Events, Poll, Registry, Token};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -235,10 +236,10 @@
         for event in &events {
             self.socket_ready(event.token());
         }
-        for (at, timer) in std::mem::take(&mut self.engines.timers) {
+        for (at, timer) in std::mem::take(&mut self.engines.new_timers) {
             self.set(at, Timer::Engine(timer));
         }
-        for router in std::mem::take(&mut self.clients.serving) {
+        for router in std::mem::take(&mut self.clients.serving_routers) {
             if self.routers[router].phase == RouterPhase::Starting {
                 self.routers[router].phase = RouterPhase::Serving;
             }
@@ -258,18 +259,18 @@
     fn socket_ready(&mut self, token: Token) {
         let now = self.now();
         if self.engines.owns(token) {
-            self.engines.ready(token, now, self.poll.registry(), &mut self.records);
+            self.engines.serve_socket(token, now, self.poll.registry(), &mut self.records);
         } else if self.clients.owns(token) {
-            self.clients.ready(token, now, &mut self.records);
+            self.clients.serve_socket(token, now, &mut self.records);
         } else {
-            self.discovery.ready(token, self.poll.registry());
+            self.discovery.serve_socket(token, self.poll.registry());
         }
     }
 
     fn timer_expired(&mut self, timer: Timer, due: Duration, now: Duration) -> io::Result<()> {
         match timer {
             Timer::Arrival { router } => self.arrival(router, now),
-            Timer::Withdraw(name) => self.clients.withdraw(&name, now, &mut self.records),
+            Timer::Withdraw(name) => self.clients.cancel(&name, now, &mut self.records),
             Timer::Close(name) => self.clients.close_connection_of(&name, now, &mut self.records),
             Timer::Engine(timer) => self.engines.timer_expired(timer, now, &mut self.records),
             Timer::Fault(fault) => self.strike(fault, now)?,
@@ -290,8 +291,8 @@
             Timer::RouterContinues { router, stopped_at } => self.router_continues(router, stopped_at, now),
             Timer::Heartbeat => {
                 self.discovery.send_heartbeats();
-                self.clients.close_idle(now);
-                self.set(due + Discovery::HEARTBEAT_INTERVAL, Timer::Heartbeat);
+                self.clients.close_idle_connections(now);
+                self.set(due + HEARTBEAT_INTERVAL, Timer::Heartbeat);
             }
             Timer::AskStatus => self.ask_status(now),
             Timer::Tick => {
@@ -320,7 +321,13 @@
         }
         let class = self.draw_class();
         let registry = self.poll.registry();
-        let sent = self.clients.send_request(router, address, class, now, registry, &mut self.records);
+        let sent = self.clients.send_request(
+            Destination { router, address },
+            class,
+            now,
+            registry,
+            &mut self.records,
+        );
         let Some(name) = sent else { return };
         let leave_at = now + class.profile().deadline.mul_f64(self.rng.random_range(0.0..0.8));
         let chance: f64 = self.rng.random();
@@ -349,7 +356,7 @@
     const HOST_BLOCKS: std::ops::Range<u8> = 64..128;
     let mut error = io::Error::from(io::ErrorKind::AddrInUse);
     for host_block in HOST_BLOCKS {
-        match Engines::start(count, CORES_PER_ENGINE, host_block, ENGINE_TOKENS, registry) {
+        match Engines::start(count, host_block, ENGINE_TOKENS, registry) {
             Ok(engines) => return Ok(engines),
             Err(cause) => error = cause,
         }
@@ -359,12 +366,7 @@
 
 /// All engines as the list holds them at the start.
 fn all_ready(engines: &Engines) -> Vec<Endpoint> {
-    let endpoint = |(engine, known): (usize, &Engine)| Endpoint {
-        engine,
-        address: known.address,
-        state: EngineState::Ready,
-        up_since_ms: 0,
-    };
+    let endpoint = |(index, engine): (usize, &Engine)| engine_endpoint(index, engine.address);
     engines.engines.iter().enumerate().map(endpoint).collect()
 }
 
--- a/crates/soak/src/world/processes.rs
+++ b/crates/soak/src/world/processes.rs
@@ -4,6 +4,7 @@
     DOWN_FOR, KILL_AFTER_DEADLINE, Programs, READY_WITHIN, SAMPLE_INTERVAL, STATUS_INTERVAL, Timer, World,
 };
 use crate::classes::longest_deadline;
+use crate::clients::Destination;
 use crate::config::{self, RouterAddresses};
 use crate::faults::Fault;
 use crate::records::{Outage, OutageKind};
@@ -19,7 +20,7 @@
             RouterAddresses { listen: self.routers[router].address, discovery: self.discovery.address };
         let fleet = self.options.fleet.unwrap_or(self.routers.len());
         let (name, seed) = (format!("n{router}"), self.rng.random());
-        let config = config::router_config(&name, seed, &addresses, &self.discovery.known(), fleet);
+        let config = config::router_config(&name, seed, &addresses, &self.discovery.known_list(), fleet);
         let Programs { router: program, shim } = &self.programs;
         self.routers[router].start(program, shim, &config.to_string(), now)
     }
@@ -73,7 +74,7 @@
             if phase != RouterPhase::Starting {
                 continue;
             }
-            self.clients.ask_status(router, address, now, self.poll.registry());
+            self.clients.request_status(Destination { router, address }, now, self.poll.registry());
             if now > started_at + READY_WITHIN {
                 let outage = Outage { router, from: started_at, until: now, kind: OutageKind::NotReady };
                 let is_known = self.records.outages.iter().any(|other| other.from == started_at);
--- a/crates/soak/src/world/strikes.rs
+++ b/crates/soak/src/world/strikes.rs
@@ -1,11 +1,13 @@
 //! What each kind of fault does to engines, discovery and clients, and how it ends.
 
 use super::{CROWD, DOWN_FOR, DRAINED_FOR, LIST_DELIVERY, RECONNECTED_AFTER, Timer, World};
+use crate::clients::Destination;
 use crate::config::ZONES;
-use crate::discovery::{DiscoveryFault, Endpoint, EngineState};
+use crate::discovery::DiscoveryFault;
 use crate::engines::EngineFault;
 use crate::faults::{Fault, FaultKind};
 use crate::records::{Drain, EngineStart};
+use emberflow_peer_protocol::discovery::{Endpoint, EngineState};
 use rand::Rng;
 use std::io;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -14,7 +16,8 @@
     /// Engines that are listed as ready, a part of them drawn at random.
     pub(super) fn draw_engines(&mut self, part: f64) -> Vec<usize> {
         let ready = |endpoint: &&Endpoint| endpoint.state == EngineState::Ready;
-        let ready: Vec<usize> = self.discovery.endpoints.iter().filter(ready).map(|row| row.engine).collect();
+        let ready: Vec<usize> =
+            self.discovery.endpoints.iter().filter(ready).map(|row| row.id as usize).collect();
         let mut drawn: Vec<usize> = ready.into_iter().filter(|_| self.rng.random_bool(part)).collect();
         drawn.truncate(self.discovery.endpoints.len() / 3);
         drawn
@@ -25,10 +28,10 @@
         match fault.kind {
             FaultKind::Silent => self.engines_fail(fault, EngineFault::Silent, now),
             FaultKind::Mute => self.engines_fail(fault, EngineFault::Mute, now),
-            FaultKind::Slow => self.engines_fail(fault, EngineFault::Slow(8.0), now),
+            FaultKind::Slow => self.engines_fail(fault, EngineFault::Slow { slowdown: 8.0 }, now),
             FaultKind::Failing => self.engines_fail(fault, EngineFault::Failing, now),
             FaultKind::Truncating => self.engines_fail(fault, EngineFault::Truncating, now),
-            FaultKind::Pieces => self.engines_fail(fault, EngineFault::InPieces, now),
+            FaultKind::Pieces => self.engines_fail(fault, EngineFault::SmallWrites, now),
             FaultKind::Reset => self.reset_connections(fault, now),
             FaultKind::LateConnect => self.delay_connections(fault, now)?,
             FaultKind::IdleClose => self.close_idle_connections(fault),
@@ -40,17 +43,21 @@
             FaultKind::Zone => self.crash_engines(self.engines_of_zone(fault), fault.span, now),
             FaultKind::DiscoveryDown => self.discovery_fails(DiscoveryFault::Down, fault, now)?,
             FaultKind::DiscoverySilent => self.discovery_fails(DiscoveryFault::Silent, fault, now)?,
-            FaultKind::List => self.discovery.repeat_complete_list(),
+            FaultKind::List => self.discovery.resend_complete_list(),
             FaultKind::Term => self.end_router(router, now),
             FaultKind::Kill => self.kill_router(router, now),
             FaultKind::Stop => self.stop_router(router, fault, now),
             FaultKind::Reload => self.routers[router].signal(libc::SIGHUP),
-            FaultKind::Leave => self.clients.leave_in_a_burst(router, now, &mut self.records),
+            FaultKind::Leave => self.clients.close_half_of_connections(router, now, &mut self.records),
             FaultKind::Burst => self.burst_until[router] = now + fault.span,
             FaultKind::Crowd => {
                 let address = self.routers[router].address;
                 for _ in 0..CROWD {
-                    self.clients.idle_connection(router, address, now, self.poll.registry());
+                    self.clients.open_idle_connection(
+                        Destination { router, address },
+                        now,
+                        self.poll.registry(),
+                    );
                 }
             }
         }
@@ -81,8 +88,8 @@
     fn engines_of_zone(&self, fault: Fault) -> Vec<usize> {
         let zone = fault.target % ZONES.len();
         let rows = self.discovery.endpoints.iter();
-        let rows = rows.filter(|row| row.zone() == zone && row.state == EngineState::Ready);
-        rows.map(|row| row.engine).collect()
+        let rows = rows.filter(|row| usize::from(row.zone) == zone && row.state == EngineState::Ready);
+        rows.map(|row| row.id as usize).collect()
     }
 
     pub(super) fn engines_fail(&mut self, fault: Fault, how: EngineFault, now: Duration) {
