--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,271 +1,322 @@
-//! What must hold of a run, judged by the records of clients and engines alone.
+//! The invariants of a run, checked by the records of clients and engines alone.
 
 use crate::classes::RequestClass;
 use crate::config::{MAX_ATTEMPTS, ProcessLimits, SlowStart};
-use crate::records::{AnswerKind, Departure, EngineStart, OutageKind, Records, RequestRecord, Usage};
+use crate::records::{
+    AnswerKind, Departure, Drain, EngineStart, Outage, OutageKind, Records, RequestRecord, Usage,
+};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After its deadline an answer only earns nothing; later than this the request is lost.
-const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// How long after its client has left, or has its answer, an attempt may still begin.
-const DEPARTED: Duration = Duration::from_millis(100);
-/// By how much the deadline passed on may exceed what the client has left.
+/// How long after its deadline a request may be answered; later it counts as lost.
+const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
+/// How long after the departure of its client, its answer or its deadline an attempt of a request may begin.
+const FORWARDING_GRACE: Duration = Duration::from_millis(100);
+/// How far the time left that a router passes on may exceed that of the client.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// What was sent so shortly before the end of its connection may have crossed it.
-const CROSSING: Duration = Duration::from_millis(50);
-/// How long after it is notified a router may still send to a draining engine.
+/// How long before the end of its connection a request may be sent and still cross it in transit.
+const TRANSIT_TIME: Duration = Duration::from_millis(50);
+/// How long after the delivery of a drain a router may still send calls to the engine.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// Below so many requests that a starting engine bears, its sum may spread wider.
-const FEW_REQUESTS: f64 = 30.0;
-/// Below this part of all requests, routers serve nobody although engines stand ready.
-const LEAST_SERVED: f64 = 0.2;
+/// Number of allowed requests below which [`SMALL_SPREAD`] applies.
+const SMALL_REQUEST_COUNT: f64 = 30.0;
+/// Allowed excess over the limit N of a slow start: the spread, and the spread times the root of N.
+const SPREAD: f64 = 2.0;
+const SMALL_SPREAD: f64 = 3.0;
+/// The fraction of all requests that must be served in time.
+const MIN_FRACTION_SERVED: f64 = 0.2;
+const KB_PER_MB: u64 = 1024;
 
-/// An invariant.
+/// An invariant; the names are keys of the JSON report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum Rule {
-    /// One timely final answer.
+pub enum Invariant {
+    /// Each request whose client keeps waiting gets a final answer in time.
     Lost,
-    /// A second final answer, or one to nothing that was asked.
+    /// No request gets a second final answer, and no answer comes without a request.
     SecondAnswer,
-    /// A result that no engine made for the request.
+    /// Each result is one that an engine made for the request.
     WrongResult,
-    /// An attempt for nobody: its client has left, or has its answer.
+    /// No attempt begins after the departure of its client, its answer or its deadline.
     ForwardedAfterEnd,
-    /// What must not run twice may have.
+    /// No non-idempotent request is started twice.
     RunTwice,
-    /// More attempts than the settings allow.
+    /// No request has more attempts than the settings allow.
     TooManyAttempts,
-    /// The deadline passed on exceeds what the client has left.
+    /// The time left that a router passes on does not exceed that of the client.
     Deadline,
-    /// An attempt at a draining or removed engine.
+    /// No attempt is sent to a draining engine.
     Drain,
-    /// More than a starting engine bears.
+    /// No engine gets more load during its slow start than the settings allow.
     SlowStart,
-    /// A router crashed, or was not ready in time.
+    /// No router crashes, and each is ready in time.
     Crash,
-    /// A router went over its memory or its descriptors.
+    /// Each router stays within its limits of memory and descriptors.
     Limit,
-    /// Routers serve nobody although engines stand ready.
+    /// The routers serve requests while engines are ready.
     Idle,
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    pub rule: Rule,
-    /// The request, where it is about one.
+    #[serde(rename = "rule")]
+    pub invariant: Invariant,
+    /// The request's id, if the violation concerns one request.
     pub request: Option<String>,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 impl Violation {
-    fn new(rule: Rule, request: Option<&str>, what: String) -> Self {
-        Self { rule, request: request.map(str::to_owned), what }
+    fn of_request(invariant: Invariant, request_id: &str, description: String) -> Self {
+        Self { invariant, request: Some(request_id.to_owned()), description }
+    }
+
+    fn of_run(invariant: Invariant, description: String) -> Self {
+        Self { invariant, request: None, description }
     }
 }
 
-/// What the settings say that the judgement needs.
-pub struct Terms {
+/// The limits that the settings put on the service.
+pub struct ServiceLimits {
     pub slow_start: SlowStart,
-    pub limits: ProcessLimits,
-    /// The end of the run: what was due after it is not judged.
-    pub end: Duration,
+    pub process: ProcessLimits,
+    /// The end of the run; requests that are due later are not checked for an answer.
+    pub run_end: Duration,
     /// Mean work of a request.
     pub mean_work: Duration,
 }
 
-/// Judges a run.
-pub fn judge(records: &Records, terms: &Terms) -> Vec<Violation> {
+/// Checks all invariants of a run.
+pub fn check(records: &Records, limits: &ServiceLimits) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for (id, request) in &records.requests {
-        violations.extend(judge_request(id, request, records, terms));
+    for (request_id, request) in &records.requests {
+        violations.extend(check_request(request_id, request, records, limits));
     }
-    violations.extend(judge_drains(records));
+    violations.extend(check_drains(records));
     violations
-        .extend(records.engine_starts.iter().filter_map(|start| judge_cold_start(start, records, terms)));
-    violations.extend(judge_routers(records, terms));
+        .extend(records.engine_starts.iter().filter_map(|start| check_slow_start(start, records, limits)));
+    violations.extend(check_routers(records, limits));
     if records.unexpected_answers > 0 {
-        let what = format!("{} answers to nothing that was asked", records.unexpected_answers);
-        violations.push(Violation::new(Rule::SecondAnswer, None, what));
+        let description = format!("{} answers without an open request", records.unexpected_answers);
+        violations.push(Violation::of_run(Invariant::SecondAnswer, description));
     }
-    if records.fraction_served() < LEAST_SERVED {
-        let what = format!("only {:.3} of all requests were served in time", records.fraction_served());
-        violations.push(Violation::new(Rule::Idle, None, what));
+    let fraction_served = records.fraction_served();
+    if fraction_served < MIN_FRACTION_SERVED {
+        let description = format!("only {fraction_served:.3} of all requests were served in time");
+        violations.push(Violation::of_run(Invariant::Idle, description));
     }
     violations
 }
 
-/// How much later than it was due something may be seen, by the emulation's own lateness and the router's stops.
+/// Returns the time that is added to each limit of a request: the stalls of the emulation and the time for which the
+/// router was stopped while the request was open.
 fn slack(request: &RequestRecord, records: &Records) -> Duration {
-    let end = request.sent_at + request.deadline;
-    let is_during = |from: Duration, until: Duration| from <= end && until >= request.sent_at;
-    let outages = records.outages.iter().filter(|outage| outage.router == request.router);
-    let stopped = outages
-        .filter(|outage| outage.kind == OutageKind::Stopped && is_during(outage.from, outage.until))
-        .map(|outage| outage.until - outage.from);
-    records.stalled_within(request.sent_at, end + LATE_ANSWER) + stopped.sum::<Duration>()
+    let overlaps = |outage: &Outage| outage.from <= request.due_at() && outage.until >= request.sent_at;
+    let stopped: Duration = outages_of(request, OutageKind::Stopped, records)
+        .filter(|outage| overlaps(outage))
+        .map(|outage| outage.until - outage.from)
+        .sum();
+    records.stalled_within(request.sent_at, request.due_at() + LATE_ANSWER_LIMIT) + stopped
+}
+
+/// Returns the outages of one kind of a request's router.
+fn outages_of<'a>(
+    request: &'a RequestRecord,
+    kind: OutageKind,
+    records: &'a Records,
+) -> impl Iterator<Item = &'a Outage> {
+    records.outages.iter().filter(move |outage| outage.router == request.router && outage.kind == kind)
 }
 
-fn judge_request(id: &str, request: &RequestRecord, records: &Records, terms: &Terms) -> Vec<Violation> {
+fn check_request(
+    request_id: &str,
+    request: &RequestRecord,
+    records: &Records,
+    limits: &ServiceLimits,
+) -> Vec<Violation> {
     let slack = slack(request, records);
-    let mut found = Vec::new();
-    let mut add = |rule, what| found.push(Violation::new(rule, Some(id), what));
+    let mut violations = Vec::new();
+    let mut add = |invariant, description| {
+        violations.push(Violation::of_request(invariant, request_id, description));
+    };
     if request.answers.len() > 1 {
-        add(Rule::SecondAnswer, format!("{} answers", request.answers.len()));
+        add(Invariant::SecondAnswer, format!("{} answers", request.answers.len()));
     }
     if request.answers.iter().any(|answer| answer.kind == AnswerKind::WrongResult) {
-        add(Rule::WrongResult, "a result that no engine made for it".to_owned());
+        add(Invariant::WrongResult, "a result that no engine made for the request".to_owned());
     }
-    if let Some(what) = lost(request, records, terms, slack) {
-        add(Rule::Lost, what);
+    if let Some(description) = lost(request, records, limits, slack) {
+        add(Invariant::Lost, description);
     }
-    if let Some(what) = forwarded_after_end(request, slack) {
-        add(Rule::ForwardedAfterEnd, what);
+    if let Some(description) = forwarded_after_end(request, slack) {
+        add(Invariant::ForwardedAfterEnd, description);
     }
-    if let Some(what) = run_twice(request) {
-        add(Rule::RunTwice, what);
+    if let Some(description) = run_twice(request) {
+        add(Invariant::RunTwice, description);
     }
     if request.attempts.len() > MAX_ATTEMPTS {
-        add(Rule::TooManyAttempts, format!("{} attempts", request.attempts.len()));
+        add(Invariant::TooManyAttempts, format!("{} attempts", request.attempts.len()));
     }
     for attempt in &request.attempts {
-        let left = (request.sent_at + request.deadline).saturating_sub(attempt.at);
-        if attempt.time_left > left + DEADLINE_SLACK + slack {
-            add(Rule::Deadline, format!("{:?} passed on, the client has {left:?} left", attempt.time_left));
+        let client_time_left = request.due_at().saturating_sub(attempt.at);
+        if attempt.time_left > client_time_left + DEADLINE_SLACK + slack {
+            let passed_on = attempt.time_left;
+            add(
+                Invariant::Deadline,
+                format!("{passed_on:?} passed on, the client has {client_time_left:?} left"),
+            );
         }
     }
-    found
+    violations
 }
 
-/// Whether a request whose client stayed got no answer, or one too late.
-fn lost(request: &RequestRecord, records: &Records, terms: &Terms, slack: Duration) -> Option<String> {
-    let due = request.sent_at + request.deadline + LATE_ANSWER + slack;
+/// Describes a request whose client kept waiting and got no answer, or one too late.
+fn lost(
+    request: &RequestRecord,
+    records: &Records,
+    limits: &ServiceLimits,
+    slack: Duration,
+) -> Option<String> {
+    let due_at = request.due_at() + LATE_ANSWER_LIMIT + slack;
     let answer = request.answers.first();
-    if request.departure.is_some() || due > terms.end || answer.is_some_and(|answer| answer.at <= due) {
+    let is_answered_in_time = answer.is_some_and(|answer| answer.at <= due_at);
+    if request.departure.is_some() || due_at > limits.run_end || is_answered_in_time {
         return None;
     }
-    let has_died = |kind| {
-        let outages = records.outages.iter();
-        let mut outages = outages.filter(|outage| outage.router == request.router && outage.kind == kind);
-        outages.any(|outage| outage.from <= due && outage.until >= request.sent_at)
-    };
-    if has_died(OutageKind::Killed) {
+    let mut kills = outages_of(request, OutageKind::Killed, records);
+    if kills.any(|outage| outage.from <= due_at && outage.until >= request.sent_at) {
         return None;
     }
-    if let (None, Some(ended_at)) = (answer, request.connection_ended_at) {
-        let may_have_crossed = request.sent_at + CROSSING + slack >= ended_at;
-        if may_have_crossed && request.attempts.is_empty() {
-            return None;
-        }
-        return Some(format!(
-            "its connection ended after {:?} without an answer",
-            ended_at - request.sent_at
-        ));
+    match (answer, request.connection_ended_at) {
+        (Some(answer), _) => Some(format!("answered {:?} after its deadline", answer.at - request.due_at())),
+        (None, Some(ended_at)) => lost_with_connection(request, ended_at, slack),
+        (None, None) => Some("never answered".to_owned()),
     }
-    Some(match answer {
-        Some(answer) => {
-            format!("answered {:?} after its deadline", answer.at - request.sent_at - request.deadline)
-        }
-        None => "never answered".to_owned(),
-    })
 }
 
-/// Whether an attempt arrived at an engine for nobody.
+/// Describes a request whose connection ended without an answer, unless the request may have crossed the close.
+fn lost_with_connection(request: &RequestRecord, ended_at: Duration, slack: Duration) -> Option<String> {
+    let may_have_crossed = request.sent_at + TRANSIT_TIME + slack >= ended_at;
+    if may_have_crossed && request.attempts.is_empty() {
+        return None;
+    }
+    Some(format!("its connection ended after {:?} without an answer", ended_at - request.sent_at))
+}
+
+/// Describes an attempt that began although its result was no longer needed.
 fn forwarded_after_end(request: &RequestRecord, slack: Duration) -> Option<String> {
-    let left_at = request.departure.map(|(at, how)| {
-        (
-            at,
-            match how {
-                Departure::Cancelled => "its client withdrew it",
-                Departure::ConnectionClosed => "its client closed",
-            },
-        )
-    });
-    let answered_at = request.answers.first().map(|answer| (answer.at, "it was answered"));
-    let overdue_at = Some((request.sent_at + request.deadline, "its deadline"));
-    for (at, what) in [left_at, answered_at, overdue_at].into_iter().flatten() {
-        let late = request.attempts.iter().find(|attempt| attempt.at > at + DEPARTED + slack);
-        if let Some(attempt) = late {
-            return Some(format!("an attempt began {:?} after {what}", attempt.at - at));
+    let departure = request.departure.map(|(at, departure)| (at, departure_description(departure)));
+    let answer = request.answers.first().map(|answer| (answer.at, "it was answered"));
+    let deadline = Some((request.due_at(), "its deadline"));
+    for (ended_at, end) in [departure, answer, deadline].into_iter().flatten() {
+        let mut attempts = request.attempts.iter();
+        if let Some(attempt) = attempts.find(|attempt| attempt.at > ended_at + FORWARDING_GRACE + slack) {
+            return Some(format!("an attempt began {:?} after {end}", attempt.at - ended_at));
         }
     }
     None
 }
 
-/// Whether a request that must not run twice was sent again after an attempt that ran.
+fn departure_description(departure: Departure) -> &'static str {
+    match departure {
+        Departure::Cancelled => "its client cancelled it",
+        Departure::ConnectionClosed => "its client closed the connection",
+    }
+}
+
+/// Describes a non-idempotent request that was started more than once.
 fn run_twice(request: &RequestRecord) -> Option<String> {
     let starts = request.attempts.iter().filter(|attempt| attempt.started).count();
     (request.class == RequestClass::Post && starts > 1).then(|| format!("it was started {starts} times"))
 }
 
-fn judge_drains(records: &Records) -> Vec<Violation> {
-    let mut found = Vec::new();
-    let mut drains: BTreeMap<usize, Vec<_>> = BTreeMap::new();
+fn check_drains(records: &Records) -> Vec<Violation> {
+    let mut drains_by_engine: BTreeMap<usize, Vec<&Drain>> = BTreeMap::new();
     for drain in &records.drains {
-        drains.entry(drain.engine).or_default().push(drain);
+        drains_by_engine.entry(drain.engine).or_default().push(drain);
     }
-    for (id, request) in &records.requests {
+    let mut violations = Vec::new();
+    for (request_id, request) in &records.requests {
+        let slack = slack(request, records);
         for attempt in &request.attempts {
-            for drain in drains.get(&attempt.engine).into_iter().flatten() {
-                let from = drain.delivered_at + DRAIN_GRACE + slack(request, records);
-                if attempt.at > from && drain.ended_at.is_none_or(|until| attempt.at < until) {
-                    let what =
-                        format!("an attempt {:?} after its drain was listed", attempt.at - drain.listed_at);
-                    found.push(Violation::new(Rule::Drain, Some(id), what));
+            for drain in drains_by_engine.get(&attempt.engine).into_iter().flatten() {
+                let is_draining = attempt.at > drain.delivered_at + DRAIN_GRACE + slack
+                    && drain.ended_at.is_none_or(|ended_at| attempt.at < ended_at);
+                if is_draining {
+                    let delay = attempt.at - drain.listed_at;
+                    let description = format!("an attempt {delay:?} after its engine was listed as draining");
+                    violations.push(Violation::of_request(Invariant::Drain, request_id, description));
                 }
             }
         }
     }
-    found
+    violations
 }
 
-/// Whether a starting engine got more work in any window than it bears, counted in requests of mean work.
-fn judge_cold_start(start: &EngineStart, records: &Records, terms: &Terms) -> Option<Violation> {
-    let until = start.started_at + terms.slow_start.warm_up;
-    let weight = |class: RequestClass| class.profile().work.as_secs_f64() / terms.mean_work.as_secs_f64();
-    let attempts = records
-        .requests
-        .values()
-        .flat_map(|request| request.attempts.iter().map(move |attempt| (attempt, request.class)));
-    let mut received: Vec<(Duration, f64)> = attempts
-        .filter(|(attempt, _)| {
-            attempt.engine == start.engine && attempt.at >= start.listed_at && attempt.at < until
-        })
-        .map(|(attempt, class)| (attempt.at, weight(class)))
-        .collect();
-    received.sort_by_key(|(at, _)| *at);
-    for (index, (at, _)) in received.iter().enumerate() {
-        let window_begin = at.saturating_sub(terms.slow_start.window);
-        let in_window = received[..=index].iter().filter(|(other, _)| *other > window_begin);
-        let sum: f64 = in_window.map(|(_, weight)| *weight).sum();
-        let allowed = terms.slow_start.allowed_requests(*at - start.started_at, terms.mean_work);
-        let spread = if allowed < FEW_REQUESTS { 3.0 } else { 2.0 };
+/// An attempt that an engine got during its slow start.
+struct ReceivedLoad {
+    at: Duration,
+    /// The attempt's work, as a multiple of the mean work.
+    weight: f64,
+}
+
+/// Checks that the load of an engine in each window of its slow start stays within the limit.
+fn check_slow_start(start: &EngineStart, records: &Records, limits: &ServiceLimits) -> Option<Violation> {
+    let received = load_during_slow_start(start, records, limits);
+    for (index, ReceivedLoad { at, .. }) in received.iter().enumerate() {
+        let window_start = at.saturating_sub(limits.slow_start.window);
+        let in_window = received[..=index].iter().filter(|load| load.at > window_start);
+        let sum: f64 = in_window.map(|load| load.weight).sum();
+        let allowed = limits.slow_start.allowed_requests(*at - start.started_at, limits.mean_work);
+        let spread = if allowed < SMALL_REQUEST_COUNT { SMALL_SPREAD } else { SPREAD };
         if sum > allowed + spread * allowed.sqrt() + spread {
-            let what = format!("engine {} got {sum:.1} where it bears {allowed:.1}", start.engine);
-            return Some(Violation::new(Rule::SlowStart, None, what));
+            let engine = start.engine;
+            let description =
+                format!("engine {engine} got {sum:.1} requests of mean work, its limit is {allowed:.1}");
+            return Some(Violation::of_run(Invariant::SlowStart, description));
         }
     }
     None
 }
 
-fn judge_routers(records: &Records, terms: &Terms) -> Vec<Violation> {
-    let mut found = Vec::new();
+/// Returns the attempts that an engine got during its slow start, in the order of their arrival.
+fn load_during_slow_start(
+    start: &EngineStart,
+    records: &Records,
+    limits: &ServiceLimits,
+) -> Vec<ReceivedLoad> {
+    let slow_start = start.listed_at..start.started_at + limits.slow_start.warm_up;
+    let mut received = Vec::new();
+    for request in records.requests.values() {
+        let weight = request.class.profile().work.as_secs_f64() / limits.mean_work.as_secs_f64();
+        for attempt in &request.attempts {
+            if attempt.engine == start.engine && slow_start.contains(&attempt.at) {
+                received.push(ReceivedLoad { at: attempt.at, weight });
+            }
+        }
+    }
+    received.sort_by_key(|load| load.at);
+    received
+}
+
+fn check_routers(records: &Records, limits: &ServiceLimits) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for outage in &records.outages {
         if matches!(outage.kind, OutageKind::Crashed | OutageKind::NotReady) {
-            let what = format!("router {} at {:?}: {:?}", outage.router, outage.from, outage.kind);
-            found.push(Violation::new(Rule::Crash, None, what));
+            let description = format!("router {} at {:?}: {:?}", outage.router, outage.from, outage.kind);
+            violations.push(Violation::of_run(Invariant::Crash, description));
         }
     }
     for (router, Usage { memory_kb, descriptors, .. }) in records.usage.iter().enumerate() {
-        let is_over = *memory_kb > terms.limits.memory_mb * 1024 || *descriptors > terms.limits.descriptors;
-        if is_over {
-            let what = format!("router {router}: {memory_kb} kB, {descriptors} descriptors");
-            found.push(Violation::new(Rule::Limit, None, what));
+        let has_excess_memory = *memory_kb > limits.process.memory_mb * KB_PER_MB;
+        if has_excess_memory || *descriptors > limits.process.descriptors {
+            let description = format!("router {router}: {memory_kb} kB, {descriptors} descriptors");
+            violations.push(Violation::of_run(Invariant::Limit, description));
         }
     }
-    found
+    violations
 }
 
 #[cfg(test)]
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,6 +1,6 @@
 //! One seed, from the start of its processes to the verdict.
 
-use crate::invariants::{Rule, Violation, judge};
+use crate::invariants::{Invariant, Violation, check};
 use crate::options::RunOptions;
 use crate::records::{AnswerKind, Records};
 use crate::world::{Programs, World};
@@ -41,7 +41,7 @@
     pub memory_kb: u64,
     pub descriptors: usize,
     pub longest_stall_ms: u128,
-    pub violations: BTreeMap<Rule, usize>,
+    pub violations: BTreeMap<Invariant, usize>,
     pub first_violations: Vec<Violation>,
     #[serde(skip)]
     stories: String,
@@ -61,7 +61,7 @@
     };
     let records = world.play(&mut progress)?;
     let _ = write!(io::stderr(), "\r");
-    let violations = judge(&records, &world.terms());
+    let violations = check(&records, &world.limits());
     let report = Report::new(seed, &records, violations, &directory);
     if options.directory.is_none() {
         let _ = fs::remove_dir_all(&directory);
@@ -98,7 +98,7 @@
         };
         let mut counts = BTreeMap::new();
         for violation in &violations {
-            *counts.entry(violation.rule).or_insert(0) += 1;
+            *counts.entry(violation.invariant).or_insert(0) += 1;
         }
         let usage = || records.usage.iter();
         Self {
@@ -157,13 +157,18 @@
     let mut text = String::new();
     let mut told = Vec::new();
     for violation in violations {
-        if told.contains(&violation.rule) || told.len() >= STORIES {
+        if told.contains(&violation.invariant) || told.len() >= STORIES {
             continue;
         }
-        told.push(violation.rule);
+        told.push(violation.invariant);
         let request = violation.request.as_deref();
-        let _ =
-            writeln!(text, "  {:?}: {} request={}", violation.rule, violation.what, request.unwrap_or("-"));
+        let _ = writeln!(
+            text,
+            "  {:?}: {} request={}",
+            violation.invariant,
+            violation.description,
+            request.unwrap_or("-")
+        );
         let Some((name, record)) = request.and_then(|name| Some((name, records.requests.get(name)?))) else {
             continue;
         };
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -9,7 +9,7 @@
 use crate::discovery::{Discovery, DiscoveryFault, engine_endpoint};
 use crate::engines::{Engine, EngineFault, EngineTimer, Engines};
 use crate::faults::{self, Fault};
-use crate::invariants::Terms;
+use crate::invariants::ServiceLimits;
 use crate::options::RunOptions;
 use crate::records::{Records, Stall};
 use crate::routers::{ProcessFaults, Router, RouterPhase};
@@ -154,12 +154,12 @@
         })
     }
 
-    /// What the settings say that the judgement needs.
-    pub fn terms(&self) -> Terms {
-        Terms {
+    /// Returns the limits by which the run is checked.
+    pub fn limits(&self) -> ServiceLimits {
+        ServiceLimits {
             slow_start: config::SLOW_START,
-            limits: config::PROCESS_LIMITS,
-            end: self.now(),
+            process: config::PROCESS_LIMITS,
+            run_end: self.now(),
             mean_work: classes::mean_work(),
         }
     }
--- a/crates/soak/tests/unit/invariants.rs
+++ b/crates/soak/tests/unit/invariants.rs
@@ -25,58 +25,66 @@
     Attempt { at: ms(at), engine: 0, time_left: ms(1500), started: true, ended_at: None }
 }
 
-fn rules_broken_by(request: RequestRecord, change: impl FnOnce(&mut Records)) -> Vec<Rule> {
+fn invariants_violated_by(request: RequestRecord, change: impl FnOnce(&mut Records)) -> Vec<Invariant> {
     let mut records = Records { usage: vec![Usage::default()], ..Records::default() };
-    // Enough others are served for the fleet not to count as idle.
+    // With these requests the served fraction is above its limit, whatever happens to the checked request.
     for number in 0..20 {
         records
             .requests
             .insert(format!("other-{number}"), RequestRecord { attempts: Vec::new(), ..served_request() });
     }
-    records.requests.insert("judged".to_owned(), request);
+    records.requests.insert("checked".to_owned(), request);
     change(&mut records);
-    let terms =
-        Terms { slow_start: SLOW_START, limits: PROCESS_LIMITS, end: ms(60_000), mean_work: mean_work() };
-    let mut rules: Vec<Rule> = judge(&records, &terms).into_iter().map(|violation| violation.rule).collect();
-    rules.dedup();
-    rules
+    let limits = ServiceLimits {
+        slow_start: SLOW_START,
+        process: PROCESS_LIMITS,
+        run_end: ms(60_000),
+        mean_work: mean_work(),
+    };
+    let violations = check(&records, &limits).into_iter();
+    let mut invariants: Vec<Invariant> = violations.map(|violation| violation.invariant).collect();
+    invariants.dedup();
+    invariants
 }
 
-fn broken_by(change: impl FnOnce(&mut RequestRecord)) -> Vec<Rule> {
+fn violated_by(change: impl FnOnce(&mut RequestRecord)) -> Vec<Invariant> {
     let mut request = served_request();
     change(&mut request);
-    rules_broken_by(request, |_| {})
+    invariants_violated_by(request, |_| {})
 }
 
 #[test]
-fn a_served_request_breaks_nothing() {
-    assert_eq!(broken_by(|_| {}), []);
+fn a_served_request_violates_no_invariant() {
+    assert_eq!(violated_by(|_| {}), []);
 }
 
 #[test]
-fn each_invariant_of_a_request_is_broken_by_its_own_fault() {
-    assert_eq!(broken_by(|request| request.answers.clear()), [Rule::Lost]);
-    assert_eq!(broken_by(|request| request.answers[0].at = ms(3501)), [Rule::Lost]);
+fn each_invariant_of_a_request_is_violated_by_a_fault_of_its_own() {
+    assert_eq!(violated_by(|request| request.answers.clear()), [Invariant::Lost]);
+    assert_eq!(violated_by(|request| request.answers[0].at = ms(3501)), [Invariant::Lost]);
+    assert_eq!(
+        violated_by(|request| request.answers.push(Answer { at: ms(1200), kind: AnswerKind::Failed })),
+        [Invariant::SecondAnswer]
+    );
     assert_eq!(
-        broken_by(|request| request.answers.push(Answer { at: ms(1200), kind: AnswerKind::Failed })),
-        [Rule::SecondAnswer]
+        violated_by(|request| request.answers[0].kind = AnswerKind::WrongResult),
+        [Invariant::WrongResult]
     );
-    assert_eq!(broken_by(|request| request.answers[0].kind = AnswerKind::WrongResult), [Rule::WrongResult]);
-    assert_eq!(broken_by(|request| request.departure = Some((ms(1005), Departure::ConnectionClosed))), []);
+    assert_eq!(violated_by(|request| request.departure = Some((ms(1005), Departure::ConnectionClosed))), []);
     assert_eq!(
-        broken_by(|request| request.departure = Some((ms(900), Departure::Cancelled))),
-        [Rule::ForwardedAfterEnd]
+        violated_by(|request| request.departure = Some((ms(900), Departure::Cancelled))),
+        [Invariant::ForwardedAfterEnd]
     );
     assert_eq!(
-        broken_by(|request| request.attempts.push(attempt(1300))),
-        [Rule::ForwardedAfterEnd, Rule::RunTwice]
+        violated_by(|request| request.attempts.push(attempt(1300))),
+        [Invariant::ForwardedAfterEnd, Invariant::RunTwice]
     );
-    assert_eq!(broken_by(|request| request.attempts[0].time_left = ms(2141)), [Rule::Deadline]);
+    assert_eq!(violated_by(|request| request.attempts[0].time_left = ms(2141)), [Invariant::Deadline]);
     let many = |request: &mut RequestRecord| {
         request.class = RequestClass::Lookup;
         request.attempts = vec![attempt(1010); 4];
     };
-    assert_eq!(broken_by(many), [Rule::TooManyAttempts]);
+    assert_eq!(violated_by(many), [Invariant::TooManyAttempts]);
 }
 
 #[test]
@@ -88,25 +96,28 @@
             request.connection_ended_at = Some(ms(at));
         }
     };
-    assert_eq!(broken_by(closed_at(1049)), []);
-    assert_eq!(broken_by(closed_at(1100)), [Rule::Lost]);
+    assert_eq!(violated_by(closed_at(1049)), []);
+    assert_eq!(violated_by(closed_at(1100)), [Invariant::Lost]);
 }
 
 #[test]
 fn only_a_killed_router_frees_its_requests() {
     let unanswered = || RequestRecord { answers: Vec::new(), ..served_request() };
     let outage = |kind| Outage { router: 0, from: ms(1050), until: ms(1050), kind };
-    assert_eq!(rules_broken_by(unanswered(), |records| records.outages.push(outage(OutageKind::Killed))), []);
     assert_eq!(
-        rules_broken_by(unanswered(), |records| records.outages.push(outage(OutageKind::Terminated))),
-        [Rule::Lost]
+        invariants_violated_by(unanswered(), |records| records.outages.push(outage(OutageKind::Killed))),
+        []
+    );
+    assert_eq!(
+        invariants_violated_by(unanswered(), |records| records.outages.push(outage(OutageKind::Terminated))),
+        [Invariant::Lost]
     );
     let crash = |records: &mut Records| records.outages.push(outage(OutageKind::Crashed));
-    assert_eq!(rules_broken_by(served_request(), crash), [Rule::Crash]);
+    assert_eq!(invariants_violated_by(served_request(), crash), [Invariant::Crash]);
 }
 
 #[test]
-fn drains_slow_starts_and_limits_are_judged() {
+fn drains_slow_starts_and_limits_are_checked() {
     let drained = |records: &mut Records| {
         records.drains.push(Drain {
             engine: 0,
@@ -121,22 +132,22 @@
         attempts: vec![attempt(12_010)],
         ..served_request()
     };
-    assert_eq!(rules_broken_by(late, drained), [Rule::Drain]);
-    let cold = |records: &mut Records| {
+    assert_eq!(invariants_violated_by(late, drained), [Invariant::Drain]);
+    let warming_up = |records: &mut Records| {
         records.engine_starts.push(EngineStart { engine: 0, started_at: ms(500), listed_at: ms(500) });
         for number in 0..200 {
-            records.requests.insert(format!("crowd-{number}"), served_request());
+            records.requests.insert(format!("further-{number}"), served_request());
         }
     };
-    assert_eq!(rules_broken_by(served_request(), cold), [Rule::SlowStart]);
-    let swollen = |records: &mut Records| records.usage[0].memory_kb = 193 * 1024;
-    assert_eq!(rules_broken_by(served_request(), swollen), [Rule::Limit]);
+    assert_eq!(invariants_violated_by(served_request(), warming_up), [Invariant::SlowStart]);
+    let over_memory = |records: &mut Records| records.usage[0].memory_kb = 193 * 1024;
+    assert_eq!(invariants_violated_by(served_request(), over_memory), [Invariant::Limit]);
 }
 
 #[test]
-fn a_fleet_that_serves_nobody_is_a_fault() {
+fn a_fleet_that_serves_no_requests_is_a_violation() {
     let idle = |records: &mut Records| {
         records.requests.values_mut().for_each(|request| request.answers[0].kind = AnswerKind::Rejected);
     };
-    assert_eq!(rules_broken_by(served_request(), idle), [Rule::Idle]);
+    assert_eq!(invariants_violated_by(served_request(), idle), [Invariant::Idle]);
 }
