--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,95 +1,121 @@
-//! The faults of a run, drawn from its seed: they overlap, and go on to its end.
+//! The faults of a run, which are drawn from its seed and overlap.
 
 use clap::ValueEnum;
 use rand::Rng;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
-use serde::Serialize;
+use std::ops::Range;
 use std::time::Duration;
 
-/// A kind of fault.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum, Serialize)]
-#[serde(rename_all = "kebab-case")]
+/// A kind of fault. The names on the command line are documented in `docs/soak.md`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum FaultKind {
     /// Some engines read and send nothing for a while.
-    Silent,
-    /// Some engines run what they read and send nothing for a while.
-    Mute,
+    #[value(name = "silent")]
+    SilentEngines,
+    /// Some engines run calls and send nothing for a while.
+    #[value(name = "mute")]
+    MuteEngines,
     /// Some engines are slow for a while.
-    Slow,
+    #[value(name = "slow")]
+    SlowEngines,
     /// Some engines fail each attempt for a while.
-    Failing,
-    /// Some engines break off each answer in its middle for a while.
-    Truncating,
-    /// Some engines answer in small pieces for a while.
-    Pieces,
-    /// Connections of some engines are reset under requests.
-    Reset,
-    /// Connections to some engines do not come up for a while.
-    LateConnect,
-    /// Some engines close connections that carry nothing, under what is on its way to them.
-    IdleClose,
-    /// Some engines drain, end, and are replaced by cold ones.
-    Drain,
-    /// Some engines crash and come back cold.
-    Crash,
-    /// A zone is lost and returns cold.
-    Zone,
+    #[value(name = "failing")]
+    FailingEngines,
+    /// Some engines truncate each result for a while.
+    #[value(name = "truncating")]
+    TruncatedResults,
+    /// Some engines write their replies a few bytes at a time for a while.
+    #[value(name = "pieces")]
+    SmallWrites,
+    /// The connections of some engines are reset, including those with open calls.
+    #[value(name = "reset")]
+    ConnectionResets,
+    /// Connections to some engines are established late.
+    #[value(name = "late-connect")]
+    DelayedConnects,
+    /// Some engines close connections without open calls, even if a call is in transit.
+    #[value(name = "idle-close")]
+    IdleCloses,
+    /// Some engines drain, end and restart.
+    #[value(name = "drain")]
+    EngineDrains,
+    /// Some engines crash and restart.
+    #[value(name = "crash")]
+    EngineCrashes,
+    /// All engines of a zone crash and restart.
+    #[value(name = "zone")]
+    ZoneOutage,
     /// Discovery refuses connections for a while.
+    #[value(name = "discovery-down")]
     DiscoveryDown,
-    /// Discovery keeps connections and says nothing for a while.
+    /// Discovery keeps its connections open and sends nothing for a while.
+    #[value(name = "discovery-silent")]
     DiscoverySilent,
     /// Discovery sends the complete list again.
-    List,
-    /// A router is notified to end, killed at the earliest, and started again.
-    Term,
-    /// A router is killed and started again.
-    Kill,
-    /// A router is stopped for a moment.
-    Stop,
-    /// A router reads its configuration again.
+    #[value(name = "list")]
+    CompleteListResent,
+    /// A router gets SIGTERM, gets SIGKILL after its graceful shutdown, and restarts.
+    #[value(name = "term")]
+    Sigterm,
+    /// A router gets SIGKILL and restarts.
+    #[value(name = "kill")]
+    Sigkill,
+    /// A router gets SIGSTOP, and SIGCONT a little later.
+    #[value(name = "stop")]
+    Sigstop,
+    /// A router reloads its configuration.
+    #[value(name = "reload")]
     Reload,
-    /// Half of a router's clients leave at once.
-    Leave,
-    /// A router's clients send several times as much for a while.
-    Burst,
-    /// Connections that send nothing fill a router's descriptors.
-    Crowd,
+    /// Half of a router's clients close their connections at once.
+    #[value(name = "leave")]
+    ClientDepartures,
+    /// The clients of a router send requests at a multiple of their rate for a while.
+    #[value(name = "burst")]
+    RequestBurst,
+    /// Clients open many connections to a router and send nothing on them.
+    #[value(name = "crowd")]
+    IdleConnectionFlood,
 }
 
 /// A fault of a run.
-#[derive(Clone, Copy, Debug, Serialize)]
+#[derive(Clone, Copy, Debug)]
 pub struct Fault {
+    /// When the fault begins, from the start of the traffic.
     pub at: Duration,
     pub kind: FaultKind,
-    /// How long it lasts, where it lasts.
-    pub span: Duration,
-    /// The part of the engines that it strikes.
-    pub part: f64,
-    /// Which router or zone it strikes, to be taken modulo their number.
+    /// How long the fault lasts, if its kind has a duration.
+    pub duration: Duration,
+    /// Probability with which each engine is affected.
+    pub engine_fraction: f64,
+    /// The affected router or zone, modulo their number.
     pub target: usize,
 }
 
-/// Part of a run in which faults begin, and after which it ends quietly so that all requests can be judged.
-const FIRST_AT: f64 = 1.0;
-/// Faults for each second of a run.
 const FAULTS_PER_SECOND: f64 = 1.2;
+/// When the first fault may begin, in seconds from the start of the traffic.
+const FIRST_FAULT_AT_S: f64 = 1.0;
+/// The shortest period in which all faults begin, in seconds.
+const MIN_FAULT_PERIOD_S: f64 = 0.1;
+const FAULT_DURATIONS_S: Range<f64> = 0.3..3.0;
+const ENGINE_FRACTIONS: Range<f64> = 0.05..0.3;
+const TARGETS: Range<usize> = 0..1000;
 
-/// Draws the faults of a run of so many seconds.
+/// Draws the faults of a run in which requests are sent for `seconds`, in the order in which they begin.
 pub fn draw(rng: &mut StdRng, kinds: &[FaultKind], seconds: f64) -> Vec<Fault> {
     let count = (seconds * FAULTS_PER_SECOND) as usize;
-    let mut faults: Vec<Fault> = (0..count)
-        .filter_map(|_| {
-            let kind = *kinds.choose(rng)?;
-            Some(Fault {
-                at: Duration::from_secs_f64(rng.random_range(FIRST_AT..seconds.max(FIRST_AT + 0.1))),
-                kind,
-                span: Duration::from_secs_f64(rng.random_range(0.3..3.0)),
-                part: rng.random_range(0.05..0.3),
-                target: rng.random_range(0..1000),
-            })
-        })
-        .collect();
+    let fault_period = FIRST_FAULT_AT_S..seconds.max(FIRST_FAULT_AT_S + MIN_FAULT_PERIOD_S);
+    let mut faults = Vec::with_capacity(count);
+    for _ in 0..count {
+        let Some(kind) = kinds.choose(rng) else { break };
+        faults.push(Fault {
+            at: Duration::from_secs_f64(rng.random_range(fault_period.clone())),
+            kind: *kind,
+            duration: Duration::from_secs_f64(rng.random_range(FAULT_DURATIONS_S)),
+            engine_fraction: rng.random_range(ENGINE_FRACTIONS),
+            target: rng.random_range(TARGETS),
+        });
+    }
     faults.sort_by_key(|fault| fault.at);
     faults
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! Real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed. What is judged
-//! is what clients and engines saw, not what a router says of itself.
+//! Runs real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed, and checks
+//! the invariants of the service by the records of clients and engines alone.
 
 pub mod classes;
 pub mod clients;
@@ -10,9 +10,11 @@
 pub mod faults;
 pub mod invariants;
 pub mod options;
+pub mod process_faults;
 pub mod records;
+pub mod report;
 pub mod routers;
 pub mod run;
+pub mod soak_run;
 pub mod sockets;
 pub mod statements;
-pub mod world;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,10 +1,11 @@
-//! `emberflow-soak`: real routers between emulated peers on loopback, under overlapping faults drawn from a seed, judged
-//! by what clients and engines saw. Exit status 0 if no invariant broke, 1 if one did, 2 for a wrong command line, 3 if
-//! a run could not be made whole.
+//! `emberflow-soak`: runs real routers between emulated peers on loopback under overlapping faults drawn from a seed, and
+//! checks the invariants of the service. Exit status 0 if every invariant held, 1 if one was violated, 2 for a wrong
+//! command line, 3 if a run could not be completed.
 
 use clap::Parser;
 use emberflow_soak::options::{Command, CommandLine};
-use emberflow_soak::run::{Verdict, run_seed};
+use emberflow_soak::report::Verdict;
+use emberflow_soak::run::run_seed;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
@@ -21,8 +22,8 @@
                 print!("{}", report.text(options.json));
             }
             Err(error) => {
-                worst = Verdict::NotWhole;
-                eprintln!("emberflow-soak: seed {seed} could not be run: {error}");
+                worst = Verdict::Incomplete;
+                eprintln!("emberflow-soak: seed {seed} could not be completed: {error}");
             }
         }
     }
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -2,11 +2,19 @@
 
 use crate::faults::FaultKind;
 use clap::{Args, Parser, Subcommand};
-use std::ops::Range;
+use std::ops::{Range, RangeInclusive};
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// Runs real routers between emulated peers on loopback under overlapping faults, and judges them from outside.
+const SECONDS: RangeInclusive<f64> = 2.0..=3600.0;
+const REQUESTS_PER_SECOND: RangeInclusive<f64> = 0.1..=500.0;
+const SLOWDOWNS: RangeInclusive<f64> = 1.0..=200.0;
+/// The last bytes of the routers' addresses end below that of discovery.
+const ROUTERS: RangeInclusive<i64> = 1..=60;
+const ENGINES: RangeInclusive<i64> = 3..=3200;
+
+/// Runs real routers between emulated peers on loopback under overlapping faults, and checks the invariants of the
+/// service by the records of clients and engines.
 #[derive(Parser)]
 #[command(name = "emberflow-soak", version)]
 pub struct CommandLine {
@@ -14,17 +22,17 @@
     pub command: Command,
 }
 
-/// What to play.
+/// The seeds to run.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Plays one seed.
+    /// Runs one seed.
     Run {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Plays a range of seeds, `A..B` without B, a line for each.
+    /// Runs a range of seeds, `A..B` without B, and prints a line for each.
     Seeds {
         range: SeedRange,
         #[command(flatten)]
@@ -32,35 +40,37 @@
     },
 }
 
-/// What a run consists of.
+/// The options of a run.
 #[derive(Args, Clone, Debug)]
 pub struct RunOptions {
     /// Seconds in which requests are sent.
     #[arg(long, default_value_t = 15.0, value_parser = seconds)]
     pub seconds: f64,
-    #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(1..=60))]
+    /// Number of routers.
+    #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(ROUTERS))]
     pub routers: u8,
-    #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u16).range(3..=3200))]
+    /// Number of engines.
+    #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u16).range(ENGINES))]
     pub engines: u16,
     /// Requests a second for each router.
     #[arg(long, default_value_t = 15.0, value_parser = rate)]
     pub rate: f64,
-    /// Routers that the settings tell of; as many as are run if not given.
+    /// Number of routers in the settings [default: the number of routers].
     #[arg(long)]
     pub fleet: Option<usize>,
-    /// How many times as long each span of the routers' processor time takes: a part of a core.
+    /// Factor of the time that the routers' computations take, as on a fraction of a core [default: drawn].
     #[arg(long, value_parser = slowdown)]
     pub slowdown: Option<f64>,
-    /// Kinds of faults to draw from; all if not given, `none` for none.
+    /// Kinds of faults to draw from, `none` for none [default: all].
     #[arg(long, value_delimiter = ',')]
     pub faults: Option<Vec<FaultName>>,
-    /// Leaves the routers' own processes alone: no stepped clocks, no failing system calls.
+    /// Injects no clock steps and no failing system calls into the routers.
     #[arg(long)]
     pub no_shim: bool,
-    /// The router's program; the one beside this program if not given.
+    /// Path of the router's program [default: beside this program].
     #[arg(long)]
     pub router: Option<PathBuf>,
-    /// Where logs and configurations are kept; a directory of the system's temporary one if not given.
+    /// Directory of the configurations and logs [default: a temporary directory].
     #[arg(long)]
     pub directory: Option<PathBuf>,
     /// Prints a line of JSON for each seed.
@@ -68,22 +78,22 @@
     pub json: bool,
 }
 
-/// Why an option's value is refused.
+/// Why the value of an option is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum OptionError {
-    #[error("{text:?} is no number")]
+    #[error("{text:?} is not a number")]
     NotANumber { text: String },
-    #[error("{least} to {most} is expected")]
-    OutOfRange { least: f64, most: f64 },
-    #[error("two numbers with `..` between them are expected")]
-    NoRange,
-    #[error("the range holds no seed")]
+    #[error("expected a number from {min} to {max}")]
+    OutOfRange { min: f64, max: f64 },
+    #[error("expected two numbers with `..` between them")]
+    NotARange,
+    #[error("the range contains no seed")]
     EmptyRange,
-    #[error("no such kind of fault: {name}")]
+    #[error("unknown kind of fault: {name}")]
     UnknownFault { name: String },
 }
 
-/// A kind of fault, or none.
+/// A kind of fault on the command line; `None` for the word `none`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultName(pub Option<FaultKind>);
 
@@ -101,7 +111,7 @@
 }
 
 impl RunOptions {
-    /// The kinds of faults to draw from.
+    /// Returns the kinds of faults to draw from.
     pub fn fault_kinds(&self) -> Vec<FaultKind> {
         match &self.faults {
             Some(names) => names.iter().filter_map(|name| name.0).collect(),
@@ -110,7 +120,7 @@
     }
 }
 
-/// Seeds from `start` to `end`, without that.
+/// The seeds from `start` up to, but not including, `end`.
 #[derive(Clone, Debug)]
 pub struct SeedRange(pub Range<u64>);
 
@@ -118,7 +128,7 @@
     type Err = OptionError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (start, end) = text.split_once("..").ok_or(OptionError::NoRange)?;
+        let (start, end) = text.split_once("..").ok_or(OptionError::NotARange)?;
         let range = number(start)?..number(end)?;
         if range.is_empty() { Err(OptionError::EmptyRange) } else { Ok(Self(range)) }
     }
@@ -128,19 +138,22 @@
     text.parse().map_err(|_| OptionError::NotANumber { text: text.to_owned() })
 }
 
-fn between(text: &str, least: f64, most: f64) -> Result<f64, OptionError> {
+fn number_within(text: &str, range: &RangeInclusive<f64>) -> Result<f64, OptionError> {
     let value = number(text)?;
-    if (least..=most).contains(&value) { Ok(value) } else { Err(OptionError::OutOfRange { least, most }) }
+    if range.contains(&value) {
+        return Ok(value);
+    }
+    Err(OptionError::OutOfRange { min: *range.start(), max: *range.end() })
 }
 
 fn seconds(text: &str) -> Result<f64, OptionError> {
-    between(text, 2.0, 3600.0)
+    number_within(text, &SECONDS)
 }
 
 fn rate(text: &str) -> Result<f64, OptionError> {
-    between(text, 0.1, 500.0)
+    number_within(text, &REQUESTS_PER_SECOND)
 }
 
 fn slowdown(text: &str) -> Result<f64, OptionError> {
-    between(text, 1.0, 200.0)
+    number_within(text, &SLOWDOWNS)
 }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -140,6 +140,15 @@
     pub cpu: Duration,
 }
 
+impl Usage {
+    /// Raises each figure to that of `other` where that is higher.
+    pub fn raise_to(&mut self, other: &Self) {
+        self.memory_kb = self.memory_kb.max(other.memory_kb);
+        self.descriptors = self.descriptors.max(other.descriptors);
+        self.cpu = self.cpu.max(other.cpu);
+    }
+}
+
 /// A period in which the emulation did not serve its own sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
--- /dev/null
+++ b/crates/soak/src/soak_run/timers.rs
@@ -0,0 +1,61 @@
+//! The timers of a run.
+
+use crate::engines::EngineTimer;
+use crate::faults::Fault;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// The action of a timer.
+pub enum Timer {
+    SendRequest { router: usize },
+    CancelRequest { request_id: String },
+    CloseConnection { request_id: String },
+    Engine(EngineTimer),
+    InjectFault(Fault),
+    EndEngineFault { engines: Vec<usize> },
+    ResumeAccepting { engines: Vec<usize> },
+    StopDrainedEngines { engines: Vec<usize> },
+    RestartEngines { engines: Vec<usize> },
+    EndDiscoveryFault,
+    KillTerminatedRouter { router: usize },
+    StartRouter { router: usize },
+    ContinueRouter { router: usize, stopped_at: Duration },
+    Heartbeat,
+    RequestStatus,
+    Tick,
+    SampleUsage,
+}
+
+/// A timer that has expired.
+pub struct DueTimer {
+    pub due_at: Duration,
+    pub timer: Timer,
+}
+
+/// Timers by the time at which they are due; timers of the same time expire in the order in which they were set.
+#[derive(Default)]
+pub struct TimerQueue {
+    timers: BTreeMap<(Duration, u64), Timer>,
+    /// Number of timers that were set.
+    set_count: u64,
+}
+
+impl TimerQueue {
+    /// Sets a timer.
+    pub fn set(&mut self, at: Duration, timer: Timer) {
+        self.set_count += 1;
+        self.timers.insert((at, self.set_count), timer);
+    }
+
+    /// Returns when the next timer is due.
+    pub fn next_due(&self) -> Option<Duration> {
+        self.timers.first_key_value().map(|((at, _), _)| *at)
+    }
+
+    /// Removes and returns the first timer, if it is due.
+    pub fn pop_due(&mut self, now: Duration) -> Option<DueTimer> {
+        let entry = self.timers.first_entry()?;
+        let (due_at, _) = *entry.key();
+        (due_at <= now).then(|| DueTimer { due_at, timer: entry.remove() })
+    }
+}
--- a/crates/soak/tests/large_fleet.rs
+++ b/crates/soak/tests/large_fleet.rs
@@ -2,7 +2,8 @@
 //! a core lost requests that a router with few engines served.
 
 use emberflow_soak::options::RunOptions;
-use emberflow_soak::run::{Report, run_seed};
+use emberflow_soak::report::Report;
+use emberflow_soak::run::run_seed;
 
 /// A router that has a fifth of a core, and no other fault.
 fn report_with(engines: u16) -> Report {
