--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -107,8 +107,9 @@
 
 /// Reads a configuration and prints a summary of it.
 fn check(path: &Path, operator: Option<&Path>) -> Result<(), ConfigError> {
-    let Bootstrap { config, fleet, classes, events, last_event, ignored_report_fields, orders, .. } =
-        read_files(path, operator, None)?;
+    let Bootstrap {
+        config, fleet, classes, events, last_event, ignored_report_fields, operator_config, ..
+    } = read_files(path, operator, None)?;
     let engine_ids = events.iter().flat_map(|event| &event.endpoints).map(|endpoint| endpoint.id);
     let engine_count = engine_ids.collect::<BTreeSet<_>>().len();
     println!("{}: listen {}, discovery {}", config.name, config.listen_address, config.discovery_address);
@@ -117,7 +118,7 @@
     println!("{} engine kinds: {}", config.kinds.len(), config.kinds.join(", "));
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
     ignored_report_fields.iter().for_each(|fault| println!("{fault} (ignored)"));
-    if let Some(teams) = &orders.teams {
+    if let Some(teams) = &operator_config.teams {
         println!("{} teams: {}", teams.names.len(), team_shares(teams));
     }
     Ok(())
--- a/crates/router/src/context.rs
+++ b/crates/router/src/context.rs
@@ -31,7 +31,7 @@
     }
 
     /// Enters a look at the wall clock, which is logged where it has stepped.
-    pub fn note_unix_zero(&mut self, zero: Duration) {
+    pub fn record_unix_zero(&mut self, zero: Duration) {
         if let Some(step) = self.unix_zeros.note(zero) {
             self.counters.count("wall_clock_steps");
             log::warn!("the wall clock has stepped: by={step:?}");
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop and its sockets. It hands what sockets and signals bring to the [`Server`] and does what that
-//! asks for; it takes no decision itself.
+//! The event loop, which owns all sockets, the clock and the signals. It passes the input of sockets and signals to
+//! the [`Server`], and carries out the server's writes, dials and closes. All decisions are the server's.
 //!
-//! Events are only noted while the loop polls. Each turn then handles them in a fixed order, so that what is done
-//! does not depend on the order in which the sockets became ready.
+//! While the loop polls, callbacks only record which sockets became ready. Each iteration then handles the recorded
+//! events in a fixed order, so that the outcome does not depend on the order in which the sockets became ready.
 
 mod client_sockets;
 mod discovery_socket;
@@ -17,6 +17,7 @@
 use crate::bootstrap::Bootstrap;
 use crate::clock::Clock;
 use crate::context::Context;
+use crate::engine_pool::PoolSize;
 use crate::error::{ConfigError, ServeError};
 use crate::ready_list::ReadyList;
 use crate::server::Server;
@@ -32,74 +33,87 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Lines taken from clients, and chunks drained from a closed one, in one turn of the loop.
-const MAX_READS_PER_TURN: usize = 64;
+/// Maximum number of lines read from all clients, and of chunks drained from one closed client, in one iteration.
+const MAX_READS_PER_ITERATION: usize = 64;
 
-/// A turn of the loop that takes longer is logged.
-const LATE_TURN: Duration = Duration::from_millis(50);
+/// An iteration of the loop that handles events for at least this time is counted and logged.
+const SLOW_ITERATION: Duration = Duration::from_millis(50);
 
-/// The function that reads the configuration, at the start and at each reload.
+/// Reads the configuration, at the start and at each reload.
 type ReadBootstrap = Box<dyn Fn() -> Result<Bootstrap, ConfigError>>;
 
-/// A router on its sockets.
+/// A router with its sockets, clock and signals.
 pub struct RouterLoop {
     server: Server,
     clock: Clock,
     loop_handle: LoopHandle<'static, RouterLoop>,
     listener: Listener,
+    /// Open connections of clients.
     clients: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
-    /// Connections to engines.
+    /// Open connections to engines.
     connections: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
-    /// Addresses of connections to engines that are dialled again.
+    /// Addresses of connections to engines whose dial failed locally and is repeated.
     redials: BTreeMap<Slot, SocketAddr>,
+    /// The connection to the discovery service.
     discovery: Option<RegisteredSocket<RouterLoop>>,
-    /// Connections of clients that are closed for writing and still drained.
+    /// Connections of clients that are shut down for writing and still drained.
     lingering: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
-    /// Those of them that had more to read than one turn takes.
+    /// Lingering connections with more input than one iteration drains.
     undrained: Vec<Slot>,
-    /// Clients and engine connections that may have more to read.
+    /// Clients that may have unread input.
     readable_clients: ReadyList,
+    /// Connections to engines that may have unread input.
     readable_connections: BTreeSet<Slot>,
-    /// What became ready while the loop polled and was not handled yet: clients to be scanned, the discovery
-    /// service, connections to be accepted, signals.
+    /// Clients that became ready during the poll and have not been scanned yet.
     clients_to_scan: Vec<Slot>,
+    /// Whether the connection to the discovery service became ready during the poll.
     discovery_is_ready: bool,
+    /// Whether connections that wait to be accepted were seen during the poll.
     listener_is_ready: bool,
+    /// Signals that were received during the poll.
     signals: Vec<Signal>,
     poll_times: PollTimes,
     read_bootstrap: ReadBootstrap,
-    /// Set while a configuration that could not be read is read again.
+    /// The retry of a reload that failed, while one is scheduled.
     reload_retry: Option<ReloadRetry>,
 }
 
 impl RouterLoop {
-    /// Serves until a graceful shutdown ends it. The configuration is read at the start and at each SIGHUP.
+    /// Serves until a graceful shutdown is complete. Reads the configuration at the start and at each SIGHUP.
+    ///
+    /// # Errors
+    /// Fails if the configuration is invalid, if the router cannot listen, or if polling for events fails.
     pub fn run(read: impl Fn() -> Result<Bootstrap, ConfigError> + 'static) -> Result<(), ServeError> {
         let bootstrap = read()?;
-        for fault in &bootstrap.ignored_report_fields {
-            log::warn!("load report field ignored: {fault}");
+        for error in &bootstrap.ignored_report_fields {
+            log::warn!("load report field ignored: {error}");
         }
         let mut event_loop =
             EventLoop::try_new().map_err(ServeError::event_loop("creating the event loop"))?;
         signals::watch(&event_loop.handle())?;
         let mut router_loop = Self::start(event_loop.handle(), bootstrap, Box::new(read))?;
         while !router_loop.server.has_stopped() {
-            let wait = router_loop.begin_poll();
-            let polled = event_loop.dispatch(wait, &mut router_loop);
-            polled.map_err(ServeError::event_loop("waiting for events"))?;
-            router_loop.poll_times.poll_ended(&router_loop.clock);
-            router_loop.handle_events();
-            router_loop.note_turn();
+            router_loop.run_iteration(&mut event_loop)?;
         }
         router_loop.drain_clients(&mut event_loop);
         log::info!("counters at exit: {}", router_loop.server.dispatcher.counters_line());
-        // Dropping the event loop would unblock the signals: one that came again while the process ends would
-        // then kill it, and it would count as failed.
+        // Dropping the event loop unblocks the signals. A second SIGTERM would then kill the process before it
+        // exits, and the shutdown would be reported as failed.
         std::mem::forget(event_loop);
         Ok(())
     }
 
-    /// Listens, and begins to connect to the discovery service.
+    /// Polls for events once, and handles them.
+    fn run_iteration(&mut self, event_loop: &mut EventLoop<'static, Self>) -> Result<(), ServeError> {
+        let timeout = self.begin_poll();
+        event_loop.dispatch(timeout, self).map_err(ServeError::event_loop("waiting for events"))?;
+        self.poll_times.poll_ended(&self.clock);
+        self.handle_events();
+        self.record_iteration();
+        Ok(())
+    }
+
+    /// Opens the listening socket, and begins to connect to the discovery service.
     fn start(
         loop_handle: LoopHandle<'static, Self>,
         bootstrap: Bootstrap,
@@ -108,7 +122,7 @@
         let listener = Listener::open(&loop_handle, &bootstrap.config)?;
         let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
         let mut context = Context { now: clock.now(), ..Context::default() };
-        context.note_unix_zero(clock.unix_zero());
+        context.record_unix_zero(clock.unix_zero());
         let server = Server::new(bootstrap, context);
         let mut router_loop = Self {
             server,
@@ -135,35 +149,37 @@
         Ok(router_loop)
     }
 
-    /// Notes that a poll begins; returns how long it may wait for events, `None` for any time.
+    /// Records the start of a poll; returns the poll's timeout, `None` for an unlimited one.
     fn begin_poll(&mut self) -> Option<Duration> {
         let next_timer = self.server.context().timers.first();
-        let time_left = next_timer.map(|at| at.saturating_sub(self.clock.now()));
-        let nothing_is_readable = self.readable_clients.is_empty()
-            && self.readable_connections.is_empty()
-            && self.undrained.is_empty();
+        let time_to_next_timer = next_timer.map(|at| at.saturating_sub(self.clock.now()));
+        let has_unread_input = !self.readable_clients.is_empty()
+            || !self.readable_connections.is_empty()
+            || !self.undrained.is_empty();
         self.poll_times.poll_begins(&self.clock);
-        if nothing_is_readable { time_left } else { Some(Duration::ZERO) }
+        if has_unread_input { Some(Duration::ZERO) } else { time_to_next_timer }
     }
 
-    /// Takes the time for the event that is handled next.
+    /// Reads the clock for the next event.
     fn update_time(&mut self) {
         self.poll_times.poll_ended(&self.clock);
         self.server.context().now = self.clock.now();
     }
 
-    /// Handles what has become ready, in this order in whatever order it became so: that a client has left is
-    /// known before there is capacity, and that an engine drains before anything is sent. Against floods of
-    /// clients' lines, expired timers are handled before each line, each client has one line read before one has
-    /// two, and the sockets are polled again after [`MAX_READS_PER_TURN`] lines.
+    /// Handles all events of the last poll, in a fixed order. Clients' disconnects come before events that free
+    /// capacity, and changes of the endpoint list before anything is sent.
+    ///
+    /// A flood of lines from clients delays nothing else for long: expired timers are handled before each line,
+    /// clients are read in rotation, one line each, and the sockets are polled again after
+    /// [`MAX_READS_PER_ITERATION`] lines.
     fn handle_events(&mut self) {
         self.scan_clients();
         for slot in std::mem::take(&mut self.undrained) {
             self.drain_lingering(slot);
         }
         if std::mem::take(&mut self.discovery_is_ready) {
-            let zero = self.clock.unix_zero();
-            self.server.context().note_unix_zero(zero);
+            let unix_zero = self.clock.unix_zero();
+            self.server.context().record_unix_zero(unix_zero);
             self.discovery_ready();
         }
         for signal in std::mem::take(&mut self.signals) {
@@ -180,20 +196,24 @@
         self.apply_changes();
     }
 
-    /// Counts and logs a turn that took long: what came meanwhile was handled late.
-    fn note_turn(&mut self) {
-        let took = self.poll_times.handling_time(&self.clock);
-        if took >= LATE_TURN {
-            let counters = &mut self.server.context().counters;
-            counters.count("late_turns");
-            let (requests, engines) =
-                (self.server.dispatcher.requests.len(), self.server.dispatcher.engines.size());
-            log::warn!("late turn: took={took:?} open_requests={requests} {engines:?}");
+    /// Counts and logs a slow iteration: events that arrived during it were handled late.
+    fn record_iteration(&mut self) {
+        let handling_time = self.poll_times.handling_time(&self.clock);
+        if handling_time < SLOW_ITERATION {
+            return;
         }
+        self.server.context().counters.count("slow_iterations");
+        let requests = self.server.dispatcher.requests.len();
+        let PoolSize { engines, connections, attempts } = self.server.dispatcher.engines.size();
+        log::warn!(
+            "event loop iteration was slow: duration={handling_time:?} open_requests={requests} \
+             engines={engines} engine_connections={connections} attempts={attempts}"
+        );
     }
 
+    /// Reads lines of clients in rotation, up to the limit of an iteration.
     fn read_clients(&mut self) {
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_ITERATION {
             self.handle_expired_timers();
             let Some(ready) = self.readable_clients.next() else { break };
             self.read_client(ready.slot, ready.received_since);
@@ -212,8 +232,8 @@
         }
     }
 
-    /// Does the sockets' part of an expired timer. What has arrived in time is read first, since the router itself
-    /// may be late.
+    /// Does the sockets' part of an expired timer. Input that arrived before the timer expired is read first, so
+    /// that a delay of the router itself does not count as a timeout of the peer.
     fn before_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Client(slot) => self.read_client(slot, self.poll_times.earliest_arrival()),
@@ -234,7 +254,7 @@
         }
     }
 
-    /// Does what the server asks for, until it asks for nothing more.
+    /// Carries out the server's pending writes, dials and closes, until none are left.
     fn apply_changes(&mut self) {
         loop {
             self.server.process_events();
--- a/crates/router/src/event_loop/client_sockets.rs
+++ b/crates/router/src/event_loop/client_sockets.rs
@@ -1,4 +1,4 @@
-//! Reading from clients and writing to them.
+//! Reads from clients' sockets and writes to them.
 
 use super::RouterLoop;
 use crate::clients::ClientInput;
@@ -10,13 +10,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The kernel's milliseconds may make what has just arrived look a little older.
+/// The kernel reports the time of the last arrival in whole milliseconds of a coarse clock, so that new input may
+/// seem a few milliseconds old.
 const ARRIVAL_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// A client's socket, to be read from.
+/// A client's socket, with the information needed to date its input.
 struct SocketReader {
     socket: Rc<TcpStream>,
-    /// When the poll began that has found it readable.
+    /// When the poll began that reported the socket as readable.
     poll_began_at: Duration,
 }
 
@@ -27,17 +28,17 @@
 }
 
 impl ClientInput for SocketReader {
-    /// Where the last bytes came before the time assumed, those before them may have come at any time since the poll
-    /// began.
+    /// Returns `assumed`, unless the last bytes arrived clearly before it: the process was then not scheduled during
+    /// the poll, and earlier bytes may have arrived at any time since the poll began.
     fn earliest_arrival(&self, now: Duration, assumed: Duration) -> Duration {
         let last_arrival = now.saturating_sub(time_since_last_arrival(&self.socket));
-        let was_seen_late = last_arrival + ARRIVAL_TOLERANCE < assumed;
-        if was_seen_late { last_arrival.min(self.poll_began_at) } else { assumed }
+        let was_polled_late = last_arrival + ARRIVAL_TOLERANCE < assumed;
+        if was_polled_late { last_arrival.min(self.poll_began_at) } else { assumed }
     }
 }
 
 impl RouterLoop {
-    /// Notes that something has changed on a client's socket.
+    /// Records that a client's socket became readable or writable, or was closed.
     pub(super) fn client_became_ready(&mut self, slot: Slot) {
         self.poll_times.poll_ended(&self.clock);
         if self.lingering.contains_key(&slot) {
@@ -47,7 +48,7 @@
         self.clients_to_scan.push(slot);
     }
 
-    /// Scans what all clients have sent before anything else is handled: some may have left.
+    /// Scans the input of all clients that became ready, for cancelled requests and closed connections.
     pub(super) fn scan_clients(&mut self) {
         if self.clients_to_scan.is_empty() {
             return;
@@ -62,11 +63,15 @@
         SocketReader { socket: Rc::clone(socket), poll_began_at: self.poll_times.began_at() }
     }
 
-    /// Scans what some clients have sent.
+    /// Scans the input of some clients, for cancelled requests and closed connections.
     pub(super) fn scan(&mut self, slots: &[Slot]) {
-        let reader = |slot: &Slot| Some((*slot, self.reader(&self.clients.get(slot)?.socket)));
-        let clients: Vec<_> = slots.iter().filter_map(reader).collect();
-        self.server.scan_clients(self.poll_times.earliest_arrival(), clients);
+        let mut readers = Vec::new();
+        for slot in slots {
+            if let Some(registered) = self.clients.get(slot) {
+                readers.push((*slot, self.reader(&registered.socket)));
+            }
+        }
+        self.server.scan_clients(self.poll_times.earliest_arrival(), readers);
     }
 
     /// Reads the next line of a client, which was received at `received_since` at the earliest.
@@ -84,12 +89,12 @@
         self.apply_changes();
     }
 
-    /// Writes what is to be sent to a client; closes it and returns false if it can't be written to.
+    /// Writes a client's pending output. If writing fails, closes the client and returns false.
     pub(super) fn flush_or_close_client(&mut self, slot: Slot) -> bool {
         let Some(registered) = self.clients.get(&slot) else { return true };
         let is_written = self.server.dispatcher.clients.drain(slot, &mut &*registered.socket).is_ok();
         if !is_written {
-            self.server.close_client(slot, CloseReason::Fault, "writing to it failed");
+            self.server.close_client(slot, CloseReason::Fault, "writing to the client failed");
         }
         is_written
     }
--- a/crates/router/src/event_loop/discovery_socket.rs
+++ b/crates/router/src/event_loop/discovery_socket.rs
@@ -8,31 +8,32 @@
 use crate::sockets::RegisteredSocket;
 use crate::timers::Timer;
 use std::io::Write;
+use std::net::TcpStream;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The service sends something each second: after so much silence the connection is dialled anew.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long after a failure the service is dialled again.
+/// The connection is dialled again after this time without a frame. The service sends at least a heartbeat each second.
+const INACTIVITY_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time from a failure of the connection to the next dial.
 const REDIAL_DELAY: Duration = Duration::from_millis(200);
-/// How soon a connection must be established. Events count as delivered 4 s after the service was stopped, so this
-/// leaves time for another connection.
+/// Time within which a dialled connection must be established. An event must take effect within 4 s, which leaves
+/// time for a second dial.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes buffered at once: a frame that has begun, and another.
+/// Maximum number of buffered bytes: an incomplete frame, and a complete one.
 const MAX_BUFFERED_BYTES: usize = 2 * MAX_FRAME_BYTES;
 
 impl RouterLoop {
-    /// Opens a new connection, after what the one before has brought was read.
+    /// Replaces the connection by a new one. Input of the old connection is read first.
     pub(super) fn dial_discovery(&mut self) {
         if let Err(error) = self.read_discovery() {
-            log::debug!("discovery connection replaced: error={:?}", error.to_string());
+            log::debug!("discovery connection replaced after a failure: error={:?}", error.to_string());
         }
         self.server.discovery = self.server.discovery.for_new_connection();
         self.server.context().counters.count("discovery_dialled");
         self.discovery = None;
         let address = self.server.dispatcher.config.discovery_address;
-        let note = |router_loop: &mut Self| router_loop.discovery_is_ready = true;
-        match RegisteredSocket::dial(&self.loop_handle, address, note) {
+        let record_readiness = |router_loop: &mut Self| router_loop.discovery_is_ready = true;
+        match RegisteredSocket::dial(&self.loop_handle, address, record_readiness) {
             Ok(registered) => {
                 self.discovery = Some(registered);
                 self.redial_discovery_after(CONNECT_TIMEOUT);
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Dials anew, unless what arrived in time stood unread: the router itself may be late.
+    /// Dials again, unless the connection has unread input: the timer may have expired because the router was late.
     pub(super) fn discovery_timer_expired(&mut self) {
         self.discovery_ready();
         if self.server.discovery.redial_at <= self.server.dispatcher.context.now() {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Sets the time after which the service is dialled anew, in place of the one before.
+    /// Schedules the next dial of the service after `wait`, in place of the one scheduled before.
     fn redial_discovery_after(&mut self, wait: Duration) {
         let Server { discovery, dispatcher, .. } = &mut self.server;
         let context = &mut dispatcher.context;
@@ -58,7 +59,7 @@
         context.timers.set(discovery.redial_at, Timer::Discovery);
     }
 
-    /// Handles a change on the connection's socket.
+    /// Handles readiness of the connection's socket: reads it, or schedules a new dial if it has failed.
     pub(super) fn discovery_ready(&mut self) {
         self.update_time();
         if let Err(error) = self.read_discovery() {
@@ -72,7 +73,7 @@
         self.apply_changes();
     }
 
-    /// Subscribes once the connection is established, and applies all events that have arrived.
+    /// Sends the subscription once the connection is established, and applies all events that have arrived.
     fn read_discovery(&mut self) -> Result<(), DiscoveryError> {
         loop {
             let Some(registered) = &self.discovery else { return Ok(()) };
@@ -81,15 +82,12 @@
                 if !registered.is_established().map_err(DiscoveryError::Connect)? {
                     return Ok(());
                 }
-                let last_event = self.server.discovery.last_event.to_be_bytes();
-                (&*socket).write_all(&last_event).map_err(DiscoveryError::Subscribe)?;
-                self.server.discovery.subscribed = true;
-                self.redial_discovery_after(SILENCE_TIMEOUT);
+                self.subscribe(&socket)?;
             }
             let input = &mut self.server.discovery.input;
             let filled = input.fill(&mut &*socket, MAX_BUFFERED_BYTES).map_err(DiscoveryError::Read)?;
             if self.server.receive_endpoint_events()? {
-                self.redial_discovery_after(SILENCE_TIMEOUT);
+                self.redial_discovery_after(INACTIVITY_TIMEOUT);
             }
             match filled {
                 Filled::Closed => return Err(DiscoveryError::Closed),
@@ -98,4 +96,13 @@
             }
         }
     }
+
+    /// Sends the number of the last event, after which the service resumes.
+    fn subscribe(&mut self, mut socket: &TcpStream) -> Result<(), DiscoveryError> {
+        let last_event = self.server.discovery.last_event.to_be_bytes();
+        socket.write_all(&last_event).map_err(DiscoveryError::Subscribe)?;
+        self.server.discovery.subscribed = true;
+        self.redial_discovery_after(INACTIVITY_TIMEOUT);
+        Ok(())
+    }
 }
--- a/crates/router/src/event_loop/engine_sockets.rs
+++ b/crates/router/src/event_loop/engine_sockets.rs
@@ -1,4 +1,4 @@
-//! Connections to engines.
+//! Dials, reads, writes and closes connections to engines.
 
 use super::RouterLoop;
 use crate::dispatch::Dispatcher;
@@ -10,27 +10,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long after a local failure a connection is dialled again.
+/// Time from a dial that failed locally to the next one.
 const REDIAL_DELAY: Duration = Duration::from_millis(20);
 
-/// Whether dialling failed for a want of this machine's, which passes and says nothing of the engine.
+/// Errors of a dial with a temporary cause on this machine, such as a lack of ports, descriptors or memory.
+const LOCAL_DIAL_ERRORS: [libc::c_int; 9] = [
+    libc::EADDRNOTAVAIL,
+    libc::EADDRINUSE,
+    libc::EAGAIN,
+    libc::EINTR,
+    libc::EMFILE,
+    libc::ENETUNREACH,
+    libc::ENFILE,
+    libc::ENOBUFS,
+    libc::ENOMEM,
+];
+
+/// Whether a dial failed for a local cause, so that the engine may be reachable.
 fn is_local(error: &io::Error) -> bool {
-    const LOCAL: [libc::c_int; 9] = [
-        libc::EADDRNOTAVAIL,
-        libc::EADDRINUSE,
-        libc::EAGAIN,
-        libc::EINTR,
-        libc::EMFILE,
-        libc::ENETUNREACH,
-        libc::ENFILE,
-        libc::ENOBUFS,
-        libc::ENOMEM,
-    ];
-    error.raw_os_error().is_some_and(|code| LOCAL.contains(&code))
+    error.raw_os_error().is_some_and(|code| LOCAL_DIAL_ERRORS.contains(&code))
 }
 
 impl RouterLoop {
-    /// Dials or closes a connection, as the engine pool asks.
+    /// Carries out a command of the engine pool: dials or closes a connection.
     pub(super) fn apply_command(&mut self, command: PoolCommand) {
         match command {
             PoolCommand::Close(slot) => {
@@ -42,50 +44,47 @@
     }
 
     fn dial_engine(&mut self, slot: Slot, address: SocketAddr) {
-        let note = move |router_loop: &mut Self| {
+        let record_readiness = move |router_loop: &mut Self| {
             router_loop.readable_connections.insert(slot);
         };
-        match RegisteredSocket::dial(&self.loop_handle, address, note) {
+        match RegisteredSocket::dial(&self.loop_handle, address, record_readiness) {
             Ok(registered) => drop(self.connections.insert(slot, registered)),
-            Err(error) if is_local(&error) => {
-                let context = self.server.context();
-                context.counters.count("dials_failed_locally");
-                context.timers.set(context.now() + REDIAL_DELAY, Timer::Redial(slot));
-                self.redials.insert(slot, address);
-            }
+            Err(error) if is_local(&error) => self.schedule_redial(slot, address),
             Err(error) => {
                 log::info!("dialling an engine failed: address={address} error={error:?}");
-                let dispatcher = &mut self.server.dispatcher;
-                dispatcher.engines.dial_failed(
-                    slot,
-                    Reachability::Unreachable,
-                    &error.to_string(),
-                    &mut dispatcher.context,
-                );
+                let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
+                engines.dial_failed(slot, Reachability::Unreachable, &error.to_string(), context);
             }
         }
     }
 
-    /// Dials a connection again that is still wanted; its time to be established runs on.
+    fn schedule_redial(&mut self, slot: Slot, address: SocketAddr) {
+        let context = self.server.context();
+        context.counters.count("dials_failed_locally");
+        context.timers.set(context.now() + REDIAL_DELAY, Timer::Redial(slot));
+        self.redials.insert(slot, address);
+    }
+
+    /// Repeats a dial that failed locally, unless the connection was closed meanwhile. The connect timeout still
+    /// counts from the first dial.
     pub(super) fn redial_engine(&mut self, slot: Slot) {
         if let Some(address) = self.redials.remove(&slot) {
             self.dial_engine(slot, address);
         }
     }
 
-    /// Handles a change on a connection's socket: it is established or refused, can be written to or read from.
+    /// Handles readiness of a connection's socket: completes or fails a dial, then writes and reads.
     pub(super) fn connection_ready(&mut self, slot: Slot) {
         self.update_time();
         let Some(registered) = self.connections.get(&slot) else { return };
-        let dispatcher = &mut self.server.dispatcher;
-        if dispatcher.engines.is_established(slot) == Some(false) {
+        let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
+        if engines.is_established(slot) == Some(false) {
             match registered.is_established() {
                 Ok(false) => return,
-                Ok(true) => dispatcher.engines.connection_established(slot, &mut dispatcher.context),
+                Ok(true) => engines.connection_established(slot, context),
                 Err(error) => {
                     let reachability = Reachability::of_dial_error(&error);
-                    let reason = error.to_string();
-                    dispatcher.engines.dial_failed(slot, reachability, &reason, &mut dispatcher.context);
+                    engines.dial_failed(slot, reachability, &error.to_string(), context);
                     return self.apply_changes();
                 }
             }
@@ -95,45 +94,43 @@
         self.apply_changes();
     }
 
-    /// Scans what the clients of calls that are written next have sent by now: one may have left since the decision
-    /// was taken, however late this turn is.
+    /// Scans the clients whose calls are written next. A client may have disconnected or cancelled since the call
+    /// was decided on, and a slow iteration must not send calls for it.
     fn scan_clients_of_unwritten_calls(&mut self, connection: Slot) {
         let dispatcher = &self.server.dispatcher;
         let requests = dispatcher.engines.requests_of_unwritten_calls(connection);
         if requests.is_empty() {
             return;
         }
-        let client = |request| Some(dispatcher.requests.get(request)?.client);
-        let clients: Vec<Slot> = requests.into_iter().filter_map(client).collect();
+        let mut clients = Vec::new();
+        for request in requests {
+            clients.extend(dispatcher.requests.get(request).map(|request| request.client));
+        }
         self.update_time();
         self.scan(&clients);
         let received_since = self.poll_times.earliest_arrival();
-        clients.into_iter().for_each(|client| self.readable_clients.add(client, received_since));
+        for client in clients {
+            self.readable_clients.add(client, received_since);
+        }
     }
 
-    /// Writes what is to be sent on a connection.
+    /// Writes the pending output of a connection; closes the connection if that fails.
     pub(super) fn flush_connection(&mut self, slot: Slot) {
         self.scan_clients_of_unwritten_calls(slot);
         let Some(registered) = self.connections.get(&slot) else { return };
-        let dispatcher = &mut self.server.dispatcher;
-        let Dispatcher { engines, context, .. } = &mut *dispatcher;
+        let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
         if let Err(error) = engines.drain(slot, &mut &*registered.socket, context) {
-            // Answers may have come before the engine closed.
-            dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context);
-            dispatcher.engines.close_connection(
-                slot,
-                &error.to_string(),
-                Reachability::Reachable,
-                &mut dispatcher.context,
-            );
+            // The engine may have sent answers before it closed the connection.
+            engines.read(slot, &mut &*registered.socket, context);
+            engines.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
         }
     }
 
-    /// Reads a part of what has arrived on a connection; it is read on in the next turn if there is more.
+    /// Reads a limited part of a connection's input; the next iteration continues if there is more.
     pub(super) fn read_connection(&mut self, slot: Slot) {
         let Some(registered) = self.connections.get(&slot) else { return };
-        let dispatcher = &mut self.server.dispatcher;
-        let has_more = dispatcher.engines.read(slot, &mut &*registered.socket, &mut dispatcher.context);
+        let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
+        let has_more = engines.read(slot, &mut &*registered.socket, context);
         if has_more {
             self.readable_connections.insert(slot);
         }
--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -1,8 +1,10 @@
-//! Connections that are closed to their clients and drained for a little while.
+//! Lingering close of clients' connections.
 //!
-//! A socket that is closed while something stands unread in it is reset, and the client loses the last answers.
+//! The kernel resets a connection that is closed with unread input, and the client then loses the last answers.
+//! Such a connection is first shut down for writing, and its input is discarded until the client closes its side or
+//! the time is up.
 
-use super::{MAX_READS_PER_TURN, RouterLoop};
+use super::{MAX_READS_PER_ITERATION, RouterLoop};
 use crate::clients::CROSSING;
 use crate::ring::Filled;
 use crate::server::ClosedClient;
@@ -12,10 +14,11 @@
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
 
+/// Bytes that one system call peeks at or discards.
 const CHUNK_BYTES: usize = 4096;
 
 impl RouterLoop {
-    /// Closes a client's socket, with what it does not take at once of the last answers.
+    /// Closes a client's socket after a last attempt to write its output. Lingers if the socket has unread input.
     pub(super) fn close_client_socket(&mut self, client: ClosedClient) {
         let ClosedClient { slot, mut output } = client;
         let Some(registered) = self.clients.remove(&slot) else { return };
@@ -24,7 +27,8 @@
         let unwritten_bytes = output.len();
         if unread_bytes + unwritten_bytes > 0 {
             log::debug!(
-                "client closed early: client={slot:?} unwritten_bytes={unwritten_bytes} unread_bytes>={unread_bytes}"
+                "client closed with data left: client={slot:?} unwritten_bytes={unwritten_bytes} \
+                 unread_bytes>={unread_bytes}"
             );
         }
         if unread_bytes > 0 {
@@ -32,7 +36,7 @@
         }
     }
 
-    /// Closes a connection for writing and drains it for a little while, so that the last answers arrive.
+    /// Shuts a connection down for writing and drains it until [`Timer::Linger`], so that the last answers arrive.
     fn linger(&mut self, slot: Slot, registered: RegisteredSocket<Self>) {
         let is_full = self.lingering.len() >= self.server.dispatcher.config.max_lingering_clients();
         if is_full || registered.socket.shutdown(Shutdown::Write).is_err() {
@@ -45,7 +49,7 @@
         self.drain_lingering(slot);
     }
 
-    /// Discards what has arrived on a lingering connection.
+    /// Discards the input of a lingering connection, and closes it at the end of its input.
     pub(super) fn drain_lingering(&mut self, slot: Slot) {
         match self.lingering.get(&slot).map(|registered| drain_input(&registered.socket)) {
             Some(Filled::Enough) => self.undrained.push(slot),
@@ -55,7 +59,7 @@
     }
 }
 
-/// Bytes that stand unread in a connection's socket, as far as one look shows them.
+/// Returns the number of unread bytes in a connection's socket, or [`CHUNK_BYTES`] if there are more.
 fn unread_bytes(socket: &TcpStream) -> usize {
     loop {
         match socket.peek(&mut [0; CHUNK_BYTES]) {
@@ -66,10 +70,10 @@
     }
 }
 
-/// Discards what has arrived on a connection, as much as one turn of the loop takes.
+/// Discards a connection's input, up to the limit of an iteration.
 pub(super) fn drain_input(mut socket: &TcpStream) -> Filled {
     let mut chunk = [0; CHUNK_BYTES];
-    for _ in 0..MAX_READS_PER_TURN {
+    for _ in 0..MAX_READS_PER_ITERATION {
         match socket.read(&mut chunk) {
             Ok(0) => return Filled::Closed,
             Ok(_) => {}
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -1,8 +1,9 @@
-//! Accepting clients.
+//! Accepts clients' connections.
 
 use super::RouterLoop;
 use crate::clients::CROSSING;
 use crate::config::RouterConfig;
+use crate::dispatch::Dispatcher;
 use crate::error::ServeError;
 use crate::gate::CloseReason;
 use crate::slots::Slot;
@@ -14,16 +15,16 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// The listening socket and its place in the loop.
+/// The listening socket and its registration with the event loop.
 pub(super) struct Listener {
-    /// The listening socket, which also its event source holds.
+    /// The listening socket, shared with its event source.
     pub socket: Rc<TcpListener>,
-    /// By which the loop pauses and resumes it.
+    /// The registration, which is disabled while accepting is paused.
     pub token: RegistrationToken,
 }
 
 impl Listener {
-    /// Listens at the configured address and has the loop note when connections wait to be accepted.
+    /// Listens at the configured address. The loop records when connections wait to be accepted.
     pub fn open(
         loop_handle: &LoopHandle<'static, RouterLoop>,
         config: &RouterConfig,
@@ -35,35 +36,35 @@
         log::info!("router listening: name={} address={local_address}", config.name);
         let socket = Rc::new(socket);
         let source = Generic::new(Rc::clone(&socket), Interest::READ, Mode::Level);
-        let note = |_, _: &mut _, router_loop: &mut RouterLoop| {
+        let record_readiness = |_, _: &mut _, router_loop: &mut RouterLoop| {
             router_loop.listener_is_ready = true;
             Ok(PostAction::Continue)
         };
-        let inserted = loop_handle.insert_source(source, note);
-        let token =
-            inserted.map_err(|error| ServeError::event_loop("watching the listener")(error.into()))?;
+        let inserted = loop_handle.insert_source(source, record_readiness);
+        let token = inserted
+            .map_err(|error| ServeError::event_loop("registering the listening socket")(error.into()))?;
         Ok(Self { socket, token })
     }
 }
 
-/// What a failed accept means.
+/// The causes of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptFailure {
-    /// No connection waits.
-    NothingWaits,
-    /// The connection that waited has failed; others may wait.
-    OfOneConnection,
-    /// The process has no descriptor left.
+    /// No connection waits to be accepted.
+    NoConnection,
+    /// The connection failed before it was accepted; more connections may wait.
+    ConnectionFailed,
+    /// The process has reached its limit of descriptors.
     OutOfDescriptors,
-    /// The machine lacks something for a moment.
+    /// The machine temporarily lacks descriptors, buffers or memory.
     OutOfResources,
 }
 
 impl AcceptFailure {
-    /// By the error; Linux passes those of the connection's own network on as well.
+    /// Classifies an error of accept. On Linux, accept also returns pending network errors of the new connection.
     fn of(error: &io::Error) -> Self {
         match error.raw_os_error() {
-            Some(libc::EAGAIN) => Self::NothingWaits,
+            Some(libc::EAGAIN) => Self::NoConnection,
             Some(libc::EMFILE) => Self::OutOfDescriptors,
             Some(
                 libc::ECONNABORTED
@@ -77,72 +78,76 @@
                 | libc::EOPNOTSUPP
                 | libc::ENETUNREACH
                 | libc::ETIMEDOUT,
-            ) => Self::OfOneConnection,
+            ) => Self::ConnectionFailed,
             _ => Self::OutOfResources,
         }
     }
 }
 
 /// Whether there may be more connections to accept.
-enum Accepting {
-    Continue,
+enum AcceptProgress {
+    MayHaveMore,
     Finished,
 }
 
 impl RouterLoop {
-    /// Accepts all connections that wait. Where there is no room, the client that was idle longest is closed for
-    /// it; where none is idle, accepting is paused and connections wait with the kernel.
+    /// Accepts all waiting connections. At the limit of clients, each new connection replaces the client that was
+    /// idle longest. If no client is idle, accepting pauses, and connections wait in the kernel's queue.
     pub(super) fn accept_clients(&mut self) {
         let listener = Rc::clone(&self.listener.socket);
-        while let Accepting::Continue = self.accept_client(&listener) {}
+        while let AcceptProgress::MayHaveMore = self.accept_client(&listener) {}
     }
 
-    fn accept_client(&mut self, listener: &TcpListener) -> Accepting {
+    fn accept_client(&mut self, listener: &TcpListener) -> AcceptProgress {
         self.update_time();
-        let idle_client = if self.is_full() { self.longest_idle_client() } else { None };
-        if idle_client.is_none() && self.is_full() {
+        let idle_client = if self.is_at_client_limit() { self.longest_idle_client() } else { None };
+        if idle_client.is_none() && self.is_at_client_limit() {
             self.pause_accepting();
-            return Accepting::Finished;
+            return AcceptProgress::Finished;
         }
         match listener.accept() {
             Ok((socket, address)) => {
-                if let Some(slot) = idle_client.filter(|_| self.is_full()) {
+                if let Some(slot) = idle_client.filter(|_| self.is_at_client_limit()) {
                     self.close_for_capacity(slot);
                 }
                 self.register_client(socket, address);
-                Accepting::Continue
+                AcceptProgress::MayHaveMore
             }
             Err(error) => self.accept_failed(&error, idle_client),
         }
     }
 
-    fn accept_failed(&mut self, error: &io::Error, idle_client: Option<Slot>) -> Accepting {
+    /// Handles a failed accept. If the process has no descriptor left, closes an idle client to free one.
+    fn accept_failed(&mut self, error: &io::Error, idle_client: Option<Slot>) -> AcceptProgress {
         let failure = AcceptFailure::of(error);
         match failure {
-            AcceptFailure::NothingWaits => return Accepting::Finished,
-            AcceptFailure::OfOneConnection => return Accepting::Continue,
+            AcceptFailure::NoConnection => return AcceptProgress::Finished,
+            AcceptFailure::ConnectionFailed => return AcceptProgress::MayHaveMore,
             AcceptFailure::OutOfDescriptors | AcceptFailure::OutOfResources => {}
         }
         self.server.context().counters.count("accepts_failed");
         log::warn!("accepting a connection failed: error={error:?}");
-        // Another descriptor helps only where the process has run out of its own.
-        let helps = failure == AcceptFailure::OutOfDescriptors;
-        match idle_client.filter(|_| helps).or_else(|| helps.then(|| self.longest_idle_client()).flatten()) {
+        let replaced_client = match failure {
+            AcceptFailure::OutOfDescriptors => idle_client.or_else(|| self.longest_idle_client()),
+            // Closing a client of this process would not relieve the machine.
+            _ => None,
+        };
+        match replaced_client {
             Some(slot) => {
                 self.close_for_capacity(slot);
-                Accepting::Continue
+                AcceptProgress::MayHaveMore
             }
             None => {
                 self.pause_accepting();
-                Accepting::Finished
+                AcceptProgress::Finished
             }
         }
     }
 
     fn register_client(&mut self, socket: TcpStream, address: SocketAddr) {
         let slot = self.server.dispatcher.clients.table.next();
-        let note = move |router_loop: &mut Self| router_loop.client_became_ready(slot);
-        match RegisteredSocket::register(&self.loop_handle, socket, note) {
+        let record_readiness = move |router_loop: &mut Self| router_loop.client_became_ready(slot);
+        match RegisteredSocket::register(&self.loop_handle, socket, record_readiness) {
             Ok(registered) => {
                 let slot = self.server.accept_client();
                 log::debug!("client accepted: client={slot:?} address={address}");
@@ -151,18 +156,18 @@
             }
             Err(error) => {
                 self.server.context().counters.count("clients_not_admitted");
-                log::warn!("client not accepted: address={address} error={error:?}");
+                log::warn!("registering a client's socket failed: address={address} error={error:?}");
             }
         }
     }
 
-    fn is_full(&self) -> bool {
-        let Self { server, .. } = self;
-        server.dispatcher.clients.table.len() >= server.dispatcher.config.max_clients()
+    fn is_at_client_limit(&self) -> bool {
+        let Dispatcher { clients, config, .. } = &self.server.dispatcher;
+        clients.table.len() >= config.max_clients()
     }
 
-    /// The client that was idle longest. What has arrived from it is read first: a connection must not be closed
-    /// with a request standing unread in its socket.
+    /// Returns the client that was idle longest. Its input is read first, since a connection must not be closed with
+    /// an unread request.
     fn longest_idle_client(&mut self) -> Option<Slot> {
         loop {
             let now = self.server.context().now();
@@ -176,7 +181,7 @@
 
     fn close_for_capacity(&mut self, slot: Slot) {
         self.server.context().counters.count("clients_closed_for_room");
-        self.server.close_client(slot, CloseReason::Idle, "idle, closed for a new client");
+        self.server.close_client(slot, CloseReason::Idle, "idle, replaced by a new client");
         self.apply_changes();
     }
 
@@ -185,14 +190,14 @@
         context.counters.count("accepts_paused");
         context.timers.set(context.now() + CROSSING, Timer::ResumeAccepting);
         if let Err(error) = self.loop_handle.disable(&self.listener.token) {
-            log::warn!("pausing the listener failed: error={error:?}");
+            log::warn!("pausing the accepting of connections failed: error={error:?}");
         }
     }
 
     /// Accepts connections again after a pause.
     pub(super) fn resume_accepting(&mut self) {
         if let Err(error) = self.loop_handle.enable(&self.listener.token) {
-            log::error!("resuming the listener failed: error={error:?}");
+            log::error!("resuming the accepting of connections failed: error={error:?}");
             self.server.context().counters.must(false, "a_closed_door");
         }
     }
--- a/crates/router/src/event_loop/poll_times.rs
+++ b/crates/router/src/event_loop/poll_times.rs
@@ -1,61 +1,62 @@
-//! When the sockets were polled, from which follows when something that is read now can have arrived.
+//! The times of polls, which bound the time at which input that is read now can have arrived.
 
 use crate::clock::Clock;
 use std::time::Duration;
 
-/// What the loop is doing.
+/// The phases of an iteration of the event loop.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Polling,
-    /// Handling what the last poll has found.
+    /// Handling the events of the last poll.
     Handling,
 }
 
-/// The times of the last poll.
+/// The times of the last poll, on the router's clock.
 pub(super) struct PollTimes {
     phase: Phase,
-    /// When the last poll began.
+    /// The start of the last poll.
     began_at: Duration,
-    /// When the last poll ended.
-    polled_at: Duration,
-    /// How long events were handled between the last poll and the one before.
-    handled_for: Duration,
+    /// The end of the last poll.
+    ended_at: Duration,
+    /// Time from the end of the poll before the last one to the start of the last one.
+    previous_handling_time: Duration,
 }
 
 impl PollTimes {
-    /// The times before the first poll.
+    /// Returns the times before the first poll.
     pub fn starting(now: Duration) -> Self {
-        Self { phase: Phase::Handling, began_at: now, polled_at: now, handled_for: Duration::ZERO }
+        Self { phase: Phase::Handling, began_at: now, ended_at: now, previous_handling_time: Duration::ZERO }
     }
 
-    /// A poll begins: the time since the last one was spent on handling its events.
+    /// Records the start of a poll.
     pub fn poll_begins(&mut self, clock: &Clock) {
         self.began_at = clock.now();
-        self.handled_for = self.began_at.saturating_sub(self.polled_at);
+        self.previous_handling_time = self.began_at.saturating_sub(self.ended_at);
         self.phase = Phase::Polling;
     }
 
-    /// Called after a poll, and as soon as it brings a first event; only the first of these calls counts.
+    /// Records the end of a poll. Callbacks of events call it as well, since they run before the poll returns; only
+    /// the first call after [`Self::poll_begins`] has an effect.
     pub fn poll_ended(&mut self, clock: &Clock) {
         if self.phase == Phase::Polling {
             self.phase = Phase::Handling;
-            self.polled_at = clock.now();
+            self.ended_at = clock.now();
         }
     }
 
-    /// When the last poll began.
+    /// Returns the start of the last poll.
     pub fn began_at(&self) -> Duration {
         self.began_at
     }
 
-    /// How long the events of the last poll have been handled for.
+    /// Returns the time since the last poll ended.
     pub fn handling_time(&self, clock: &Clock) -> Duration {
-        clock.now().saturating_sub(self.polled_at)
+        clock.now().saturating_sub(self.ended_at)
     }
 
-    /// The earliest time at which what the last poll has found can have arrived: it was not there at the poll
-    /// before, and may have come while that one's events were handled. A request's deadline counts from then.
+    /// Returns the earliest time at which input found by the last poll can have arrived: the poll before did not find
+    /// it, so that it may have arrived while the events of that poll were handled. Deadlines count from this time.
     pub fn earliest_arrival(&self) -> Duration {
-        self.polled_at.saturating_sub(self.handled_for)
+        self.ended_at.saturating_sub(self.previous_handling_time)
     }
 }
--- a/crates/router/src/event_loop/shutdown.rs
+++ b/crates/router/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a graceful shutdown.
+//! The sockets' part of a graceful shutdown.
 
 use super::RouterLoop;
 use super::lingering::drain_input;
@@ -8,7 +8,8 @@
 use std::net::Shutdown;
 
 impl RouterLoop {
-    /// Before the process may end: reads what clients have sent, those included that still wait to be accepted.
+    /// Accepts all waiting connections and reads all clients, so that no request is left unread when the server checks
+    /// whether the process may exit.
     pub(super) fn read_before_shutdown(&mut self) {
         if self.server.is_idle() {
             self.accept_clients();
@@ -21,15 +22,16 @@
         self.server.has_unread_input = !self.readable_clients.is_empty();
     }
 
-    /// Closes all clients for writing and drains what is still on its way from them: see [`Self::linger`].
+    /// Closes all clients gracefully: shuts their connections down for writing and discards their input until they
+    /// close, for [`CROSSING`] at most. See [`Self::linger`] for the reason.
     pub(super) fn drain_clients(&mut self, event_loop: &mut EventLoop<'static, Self>) {
-        let end = self.clock.now() + CROSSING;
-        // Connections that still arrive are not waited for.
+        let deadline = self.clock.now() + CROSSING;
+        // New connections would only wake the loop. If disabling fails, the deadline still holds.
         let _ = self.loop_handle.disable(&self.listener.token);
         self.clients.retain(|_, registered| registered.socket.shutdown(Shutdown::Write).is_ok());
         loop {
             self.clients.retain(|_, registered| drain_input(&registered.socket) != Filled::Closed);
-            let time_left = end.saturating_sub(self.clock.now());
+            let time_left = deadline.saturating_sub(self.clock.now());
             if self.clients.is_empty() || time_left.is_zero() {
                 return;
             }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -75,7 +75,8 @@
 impl Server {
     /// Starts with the endpoints and teams that the configuration holds.
     pub fn new(bootstrap: Bootstrap, context: Context) -> Self {
-        let Bootstrap { config, fleet, classes, attempt_limits, last_event, events, orders, .. } = bootstrap;
+        let Bootstrap { config, fleet, classes, attempt_limits, last_event, events, operator_config, .. } =
+            bootstrap;
         let now = context.now();
         let mut server = Self {
             class_traits: classes.iter().map(ClassTraits::from).collect(),
@@ -90,7 +91,7 @@
             admission_timer: None,
             dispatcher: Dispatcher::new(config, context),
         };
-        if let Some(teams) = orders.teams {
+        if let Some(teams) = operator_config.teams {
             server.open_admission_queue(teams, now);
         }
         for event in events {
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -683,7 +683,7 @@
         let texts = [None, Some(OPERATORS_FILES[0]), Some(OPERATORS_FILES[1])];
         let text = self.random.pick(&texts);
         let file = configuration(&mut RandomSource(1), 1);
-        self.server.apply_teams(bootstrap(&file, text).orders.teams);
+        self.server.apply_teams(bootstrap(&file, text).operator_config.teams);
         self.recorder.count("reloads");
     }
 
--- a/crates/router/tests/unit/listener.rs
+++ b/crates/router/tests/unit/listener.rs
@@ -6,12 +6,12 @@
 
 #[test]
 fn a_failed_accept_closes_an_idle_client_only_where_that_frees_what_is_missing() {
-    assert_eq!(failure(libc::EAGAIN), AcceptFailure::NothingWaits);
+    assert_eq!(failure(libc::EAGAIN), AcceptFailure::NoConnection);
     assert_eq!(failure(libc::EMFILE), AcceptFailure::OutOfDescriptors);
     for code in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EPERM] {
         assert_eq!(failure(code), AcceptFailure::OutOfResources, "error {code}");
     }
     for code in [libc::ECONNABORTED, libc::EINTR, libc::EPROTO, libc::EHOSTUNREACH, libc::ENETUNREACH] {
-        assert_eq!(failure(code), AcceptFailure::OfOneConnection, "error {code}");
+        assert_eq!(failure(code), AcceptFailure::ConnectionFailed, "error {code}");
     }
 }
