--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -280,14 +280,14 @@
     Mutant {
         name: "a withdrawal that is not passed on",
         file: SERVER_CLIENTS,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
+        from: "        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &[], &accepted, &mut self.dispatcher);\n",
     },
     Mutant {
         name: "a client that ended its side is sent for",
         file: SERVER_CLIENTS,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
-        to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.dispatcher);\n",
+        from: "        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);\n",
+        to: "        self.scheduler.clients_left(now, &cancelled, &[], &mut self.dispatcher);\n",
     },
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -76,7 +76,7 @@
         let Some(attempt) = self.attempts.get(slot) else { return Err(CallRefusal::Cancelled) };
         gate::may_send(&CallFacts {
             is_engine_ready: self.engines.get(&attempt.engine).is_some_and(|engine| engine.ready),
-            is_client_gone: attempt.resend_disabled,
+            may_client_have_left: attempt.resend_disabled,
             is_cancelled: attempt.is_cancelled(),
             time_left: attempt.deadline.saturating_sub(now),
         })
--- a/crates/router/src/event_loop/client_sockets.rs
+++ b/crates/router/src/event_loop/client_sockets.rs
@@ -94,7 +94,7 @@
         let Some(registered) = self.clients.get(&slot) else { return true };
         let is_written = self.server.dispatcher.clients.drain(slot, &mut &*registered.socket).is_ok();
         if !is_written {
-            self.server.close_client(slot, CloseReason::Fault, "writing to the client failed");
+            self.server.close_client(slot, CloseReason::WriteFailed);
         }
         is_written
     }
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -181,7 +181,7 @@
 
     fn close_for_capacity(&mut self, slot: Slot) {
         self.server.context().counters.count("clients_closed_for_room");
-        self.server.close_client(slot, CloseReason::Idle, "idle, replaced by a new client");
+        self.server.close_client(slot, CloseReason::ReplacedWhileIdle);
         self.apply_changes();
     }
 
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/gate.rs
@@ -1,37 +1,44 @@
-//! The one place that says whether something may be sent or closed now. It is asked last, right before the bytes
-//! leave or the socket closes, with what was read by then, however long ago the decision was taken.
+//! The last check before a call is written or a client's connection is closed. It uses the state known at that time,
+//! since the state may have changed after the decision to send or to close.
 
 use crate::counters::Counters;
 use std::time::Duration;
 
-/// What is known of a call that is about to be written.
+/// The state of a call that is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct CallFacts {
-    /// Whether the endpoint list lets its engine take requests.
+    /// Whether the engine is ready by the endpoint list.
     pub is_engine_ready: bool,
-    /// Whether its client may be gone, so that nothing more is sent for it.
-    pub is_client_gone: bool,
-    /// Whether it was taken back.
+    /// Whether the client has ended its input, and may have disconnected.
+    pub may_client_have_left: bool,
+    /// Whether the attempt was cancelled.
     pub is_cancelled: bool,
-    /// What is left of the time that the attempt has.
+    /// Time until the attempt's deadline.
     pub time_left: Duration,
 }
 
-/// Why a call may not be written.
+/// Why a call must not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallRefusal {
+    /// The engine is draining or was removed.
     EngineNotReady,
-    ClientGone,
+    /// The client may have disconnected, so that the call may serve no client.
+    ClientMayHaveLeft,
+    /// The attempt was cancelled.
     Cancelled,
+    /// The attempt's deadline has passed.
     DeadlinePassed,
 }
 
 /// Whether a call may be written now.
+///
+/// # Errors
+/// Returns the reason why the call must not be written.
 pub fn may_send(call: &CallFacts) -> Result<(), CallRefusal> {
     if !call.is_engine_ready {
         Err(CallRefusal::EngineNotReady)
-    } else if call.is_client_gone {
-        Err(CallRefusal::ClientGone)
+    } else if call.may_client_have_left {
+        Err(CallRefusal::ClientMayHaveLeft)
     } else if call.is_cancelled {
         Err(CallRefusal::Cancelled)
     } else if call.time_left.is_zero() {
@@ -42,32 +49,52 @@
 }
 
 impl CallRefusal {
-    /// Counts a refusal and logs it with its request. All but a passed deadline are noticed before a call gets here:
-    /// they violate an invariant.
+    /// Counts and logs a call that was not written. Only a passed deadline is expected here. The other reasons are
+    /// detected before a call is queued for writing, so that they violate an invariant.
     pub fn record(self, request: u32, attempt: usize, counters: &mut Counters) {
         log::info!("call not written: request={request} attempt={attempt} reason={self:?}");
         match self {
             Self::DeadlinePassed => counters.count("calls_past_their_deadline"),
-            _ => counters.must(false, "invariant_violations"),
+            Self::EngineNotReady | Self::ClientMayHaveLeft | Self::Cancelled => {
+                counters.must(false, "invariant_violations")
+            }
         }
     }
 }
 
-/// Why the router closes a client's connection of its own accord.
+/// Why the router closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was idle for too long, or makes room for another.
+    /// The client was idle until the idle timeout.
     Idle,
-    /// Its input has ended, and nothing more is owed.
+    /// The client was idle when a new client connected at the limit of connections.
+    ReplacedWhileIdle,
+    /// The client has ended its input, and all its answers are written.
     Finished,
-    /// It stopped within a line, reads too slowly, or its socket has failed.
-    Fault,
+    /// The client stopped sending within a line.
+    LineIncomplete,
+    /// The client reads its answers too slowly.
+    SlowReader,
+    /// Writing to the client failed.
+    WriteFailed,
+    /// The client has reset or closed the connection.
+    Disconnected,
 }
 
-/// Whether the router may close a client's connection: never under requests that are open, but for a client's own
-/// fault.
+impl CloseReason {
+    /// Whether the connection has failed or the client violates the protocol.
+    fn is_client_fault(self) -> bool {
+        match self {
+            Self::Idle | Self::ReplacedWhileIdle | Self::Finished => false,
+            Self::LineIncomplete | Self::SlowReader | Self::WriteFailed | Self::Disconnected => true,
+        }
+    }
+}
+
+/// Whether the router may close a client's connection. A connection with open requests may be closed only for a fault
+/// of the client.
 pub fn may_close(reason: CloseReason, open_requests: usize) -> bool {
-    reason == CloseReason::Fault || open_requests == 0
+    reason.is_client_fault() || open_requests == 0
 }
 
 #[cfg(test)]
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,7 +1,8 @@
-//! The router's logic without sockets or clock: it passes what clients, engines and the discovery service send to
-//! the scheduler, and collects what the scheduler decides as bytes to write and connections to dial or to close.
+//! The router without sockets and clock. The server decodes the input of clients, engines and the discovery service,
+//! passes it to the scheduler, and collects the scheduler's decisions as bytes to write and connections to dial or
+//! close.
 //!
-//! Every method takes the time from [`Context::now`], which the caller sets before.
+//! All methods read the time from [`Context::now`], which the caller sets before each call.
 
 mod admission;
 mod clients;
@@ -20,66 +21,67 @@
 use crate::ring::Ring;
 use crate::slots::Slot;
 use crate::timers::Timer;
-use emberflow::{AttemptEnded, Fingerprint, RequestClass, Scheduler};
+use emberflow::{AttemptEnded, Fingerprint, RequestClass, RequestId, Scheduler};
 use shutdown::ServerState;
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// A client's connection that is to be closed, and what is still to be written to it.
+/// A removed client, whose connection the owner of the sockets closes.
 #[derive(Clone)]
 pub struct ClosedClient {
-    /// Its slot in the table of clients, which is free again.
+    /// The client's former slot in the table of clients.
     pub slot: Slot,
-    /// Bytes that were not written yet.
+    /// Output that was not written yet.
     pub output: Ring,
 }
 
-/// What admission needs to know of a request class.
+/// The properties of a request class that the admission queue depends on.
 #[derive(Clone)]
-struct ClassTraits {
+struct AdmissionClass {
     latency_objective: Duration,
-    /// Whether requests of one key are run in the order in which they came.
+    /// Whether requests with the same key run in the order of their arrival.
     keeps_order: bool,
 }
 
-impl From<&RequestClass> for ClassTraits {
+impl From<&RequestClass> for AdmissionClass {
     fn from(class: &RequestClass) -> Self {
         Self { latency_objective: class.latency_objective, keeps_order: class.keeps_order }
     }
 }
 
-/// A router apart from its sockets: the scheduler with all that feeds it and carries out its decisions.
+/// A router without its sockets: the scheduler, and the state of clients, engines and the discovery service.
 #[derive(Clone)]
 pub struct Server {
     scheduler: Scheduler,
-    /// Carries out what the scheduler decides.
+    /// Carries out the scheduler's decisions.
     pub dispatcher: Dispatcher,
     /// The receiving side of the discovery service's connection.
     pub discovery: Discovery,
-    /// Clients that were closed since the caller last took these.
+    /// Clients that were removed and whose sockets the caller has not closed yet.
     pub closed_clients: Vec<ClosedClient>,
     state: ServerState,
-    /// Whether clients may have sent what was not read yet, as the owner of the sockets knows.
+    /// Whether clients may have unread input, as set by the owner of the sockets. Delays the end of a shutdown.
     pub has_unread_input: bool,
     /// The longest deadline of any request class.
     longest_deadline: Duration,
-    /// Present where the operator has configured teams.
+    /// The queue in front of the scheduler; `None` if the operator has configured no teams.
     admission_queue: Option<AdmissionQueue>,
-    /// When the admission queue's timer is set to expire.
+    /// The time for which [`Timer::AdmissionQueue`] is set.
     admission_timer: Option<Duration>,
-    /// By request class.
-    class_traits: Vec<ClassTraits>,
+    /// By the index of the request class.
+    admission_classes: Vec<AdmissionClass>,
+    /// The longest Retry-After that a client may be given.
     max_retry_after: Option<Duration>,
 }
 
 impl Server {
-    /// Starts with the endpoints and teams that the configuration holds.
+    /// Creates a server with the endpoints and teams of the configuration.
     pub fn new(bootstrap: Bootstrap, context: Context) -> Self {
         let Bootstrap { config, fleet, classes, attempt_limits, last_event, events, operator_config, .. } =
             bootstrap;
         let now = context.now();
         let mut server = Self {
-            class_traits: classes.iter().map(ClassTraits::from).collect(),
+            admission_classes: classes.iter().map(AdmissionClass::from).collect(),
             longest_deadline: classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
             max_retry_after: attempt_limits.max_retry_after,
             scheduler: Scheduler::new(fleet, classes, attempt_limits),
@@ -100,7 +102,7 @@
         server
     }
 
-    /// Feeds the state to `hasher`: two servers with the same fingerprint behave the same, whatever follows.
+    /// Feeds the state to `hasher`. Two servers with the same fingerprint react in the same way to any input.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
         let fingerprint =
@@ -110,12 +112,12 @@
         self.state.fingerprint(now, hasher);
     }
 
-    /// The time, timers and counters of this server.
+    /// Returns the time, timers and counters of this server.
     pub fn context(&mut self) -> &mut Context {
         &mut self.dispatcher.context
     }
 
-    /// Handles an expired timer. The caller has read before what had come on the timer's socket.
+    /// Handles an expired timer. The caller first reads the socket that the timer is about.
     pub fn timer_expired(&mut self, timer: Timer) {
         let now = self.dispatcher.context.now();
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
@@ -137,8 +139,7 @@
         self.process_events();
     }
 
-    /// Passes attempts' outcomes to the scheduler until there are no more, and hands on queued requests as far as
-    /// there is capacity for them.
+    /// Passes all events of attempts to the scheduler, and then queued requests for which there is capacity.
     pub fn process_events(&mut self) {
         self.process_attempt_events();
         while self.admit_next() {
@@ -154,10 +155,8 @@
                     self.scheduler.progress_noted(now, request, attempt, note, &mut self.dispatcher);
                 }
                 PoolEvent::Ended { ended, body, late_connection } => {
-                    if let Some(connection) = late_connection
-                        && let Some(request) = self.dispatcher.requests.get_mut(ended.request)
-                    {
-                        request.late_connections.push(connection);
+                    if let Some(connection) = late_connection {
+                        self.record_late_connection(ended.request, connection);
                     }
                     self.attempt_ended(now, ended, body);
                 }
@@ -165,10 +164,17 @@
         }
     }
 
+    /// Records a connection on which the engine may still answer an abandoned attempt of the request.
+    fn record_late_connection(&mut self, request: RequestId, connection: Slot) {
+        if let Some(request) = self.dispatcher.requests.get_mut(request) {
+            request.late_connections.push(connection);
+        }
+    }
+
     fn attempt_ended(&mut self, now: Duration, mut ended: AttemptEnded, body: Option<Vec<u8>>) {
         if let Some(body) = body {
             self.record_cost(&ended);
-            // Without effect where the client has withdrawn the request since.
+            // Has no effect if the client has cancelled the request.
             let result = |id| jsonrpc::result_line(id, &body);
             self.dispatcher.answer_request(ended.request, RequestOutcome::Succeeded, result);
         }
@@ -176,7 +182,7 @@
         self.scheduler.attempt_ended(now, ended, &mut self.dispatcher);
     }
 
-    /// Notes what a successful attempt cost, for the budget of the request's team.
+    /// Records the cost of a successful attempt, which is charged to the budget of the request's team.
     fn record_cost(&mut self, ended: &AttemptEnded) {
         if let Some(admission_queue) = &mut self.admission_queue
             && let Some(usage) = &ended.usage
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for their team's turn before the scheduler accepts them, and changes of the teams.
+//! Admission of requests by team: passes requests through the admission queue to the scheduler, and applies changes of
+//! the teams.
 
 use super::Server;
 use super::parameters::TeamParameters;
@@ -10,14 +11,19 @@
 use emberflow_teams::Rejection;
 use std::time::Duration;
 
+/// How many intervals of the scheduler before its deadline a request leaves the queue at the latest. The scheduler
+/// needs the time to answer it.
+const DISPATCH_MARGIN_INTERVALS: u32 = 2;
+
 impl Server {
+    /// Opens an empty admission queue for the teams.
     pub(super) fn open_admission_queue(&mut self, teams: TeamConfig, now: Duration) {
         log::info!("admission queue opened: teams={} budgets=full", teams.names.len());
         self.admission_queue = Some(AdmissionQueue::new(teams, now));
         self.dispatcher.completions = Some(Vec::new());
     }
 
-    /// Removes the admission queue after all that waits in it was passed to the scheduler.
+    /// Passes all queued requests to the scheduler, and removes the admission queue.
     fn close_admission_queue(&mut self, now: Duration) {
         log::info!("admission queue closed");
         self.drain_admission_queue(now);
@@ -28,7 +34,7 @@
         }
     }
 
-    /// Queues a request until its team's turn, or rejects it with the time after which it would be admitted.
+    /// Queues a request. If the queue rejects it, answers the client with the time after which it would be admitted.
     pub(super) fn enqueue(&mut self, now: Duration, arrival: Arrival, team: TeamParameters, identity: u64) {
         let admission = self.admission_of(&arrival, team, identity);
         let request = arrival.request;
@@ -36,7 +42,8 @@
         if let Err(Rejection { reason, retry_after }) = admission_queue.enqueue(now, arrival, admission) {
             self.dispatcher.context.counters.count("requests_refused_at_the_door");
             log::debug!(
-                "request not admitted: request={request} reason={reason:?} retry_after={retry_after:?}"
+                "request rejected by the admission queue: request={request} reason={reason:?} \
+                 retry_after={retry_after:?}"
             );
             let retry_after = self.max_retry_after.map(|longest| retry_after.min(longest));
             self.dispatcher.reject(request, retry_after);
@@ -44,7 +51,7 @@
     }
 
     fn admission_of(&self, arrival: &Arrival, team: TeamParameters, identity: u64) -> Admission {
-        let class = &self.class_traits[arrival.class];
+        let class = &self.admission_classes[arrival.class];
         Admission {
             team: team.team,
             urgency: team.urgency,
@@ -52,14 +59,13 @@
             key: arrival.key.filter(|_| class.keeps_order).map(|key| key as u64),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
-            // The scheduler answers before the deadline what it is given by then.
-            margin: self.scheduler.margin() * 2,
+            margin: self.scheduler.margin() * DISPATCH_MARGIN_INTERVALS,
             wants_wait_notices: team.wants_wait_notices,
         }
     }
 
-    /// Settles requests that were closed, passes the next queued request with capacity to the scheduler, and
-    /// notifies clients of their wait; returns whether a request was passed on.
+    /// Settles closed requests, and passes the next queued request to the scheduler if there is capacity for it. If
+    /// there is none, notifies clients of their wait. Returns whether a request was passed on.
     pub(super) fn admit_next(&mut self) -> bool {
         let Some(admission_queue) = &mut self.admission_queue else { return false };
         let now = self.dispatcher.context.now();
@@ -86,7 +92,8 @@
         }
     }
 
-    /// Capacity that becomes free by time alone is found by the scheduler's own interval.
+    /// Sets the timer for the queue's next deadline. Capacity may also become free through time alone, so that the
+    /// timer expires at the latest after one interval of the scheduler.
     fn schedule_admission_timer(&mut self, now: Duration) {
         let next_deadline = self.admission_queue.as_ref().and_then(AdmissionQueue::next_deadline);
         let due = next_deadline.map(|at| at.min(now + self.scheduler.margin()));
@@ -103,21 +110,22 @@
         self.admission_timer = due;
     }
 
-    /// Passes all queued requests to the scheduler, whatever their turn.
+    /// Passes all queued requests to the scheduler in the order of their arrival.
     pub(super) fn drain_admission_queue(&mut self, now: Duration) {
         while let Some(arrival) = self.admission_queue.as_mut().and_then(|queue| queue.take_oldest(now)) {
             self.scheduler.accept(now, arrival, &mut self.dispatcher);
         }
     }
 
-    /// Applies the teams of a reloaded operator's file. Queued requests move with their team; where there are no
-    /// teams any more, they are passed to the scheduler.
+    /// Applies the teams of a reloaded operator's file. Queued requests stay with their team. If the file has no teams,
+    /// all queued requests are passed to the scheduler.
     pub fn apply_teams(&mut self, teams: Option<TeamConfig>) {
         let now = self.dispatcher.context.now();
         match (&mut self.admission_queue, teams) {
             (Some(admission_queue), Some(teams)) => {
-                let changes = admission_queue.teams.describe_changes(&teams);
-                changes.iter().for_each(|change| log::info!("teams changed: {change}"));
+                for change in admission_queue.teams.describe_changes(&teams) {
+                    log::info!("team configuration changed: {change}");
+                }
                 admission_queue.apply_teams(now, teams);
             }
             (Some(_), None) => self.close_admission_queue(now),
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: accepting and closing them, and reading their lines.
+//! Connections of clients: registers and closes them, reads their lines, and closes cancelled requests.
 
 use super::{ClosedClient, Server};
 use crate::clients::{ClientInput, IdleCheck, ReadOutcome};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// Registers a client's new connection, of which nothing was read yet.
+    /// Registers a new connection of a client, and returns its slot.
     pub fn accept_client(&mut self) -> Slot {
         let Dispatcher { clients, context, .. } = &mut self.dispatcher;
         let slot = clients.table.next();
@@ -21,13 +21,13 @@
         slot
     }
 
-    /// Whether a client's request under this id is open.
+    /// Whether a client has an open request with this id.
     pub fn has_open_request(&self, client: Slot, id: u64) -> bool {
         self.dispatcher.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
     }
 
-    /// Reads and handles the next line of a client; returns whether more may follow at once. What is read now was
-    /// received at `received_since` at the earliest; `has_failed` tells whether the socket has an error.
+    /// Reads and handles the next line of a client; returns whether more input may be available. The input that is read
+    /// now was received at `received_since` at the earliest. `has_failed` returns whether the socket has an error.
     pub fn read_client_line(
         &mut self,
         slot: Slot,
@@ -46,7 +46,7 @@
             }
             ReadOutcome::EndOfInput => self.clients_departed(Vec::new(), vec![slot]),
             ReadOutcome::Closed => {
-                self.close_client(slot, CloseReason::Fault, "reset or closed by the client");
+                self.close_client(slot, CloseReason::Disconnected);
                 return false;
             }
             ReadOutcome::Pending => return false,
@@ -54,13 +54,14 @@
         true
     }
 
-    /// Handles a line that was received `waited` ago, after the withdrawals that stand behind it.
+    /// Handles a line that was received `waited` ago. Cancellations in the lines behind it take effect first.
     fn handle_line(&mut self, slot: Slot, line: &[u8], waited: Duration) {
-        let withdrawals = self.dispatcher.clients.find_withdrawals(slot);
-        let withdrawn: Vec<_> =
-            withdrawals.iter().filter_map(|withdrawal| self.find_open_request(slot, withdrawal)).collect();
-        if !withdrawn.is_empty() {
-            self.clients_departed(withdrawn, Vec::new());
+        let mut cancelled = Vec::new();
+        for withdrawal in self.dispatcher.clients.find_withdrawals(slot) {
+            cancelled.extend(self.find_open_request(slot, &withdrawal));
+        }
+        if !cancelled.is_empty() {
+            self.clients_departed(cancelled, Vec::new());
         }
         if let Err(error) = self.handle_message(slot, line, waited) {
             self.reject_line(slot, error);
@@ -68,62 +69,76 @@
         self.process_events();
     }
 
-    /// Answers a line that is no proper request with an error.
+    /// Answers an invalid line with an error.
     pub(super) fn reject_line(&mut self, slot: Slot, error: RequestError) {
         let (id, message) = (error.id, error.to_string());
         self.dispatcher.context.counters.count("client_input_refused");
-        log::debug!("client line refused: client={slot:?} id={id:?} error={message:?}");
+        log::debug!("client line rejected: client={slot:?} id={id:?} error={message:?}");
         self.dispatcher.clients.send_line(slot, &jsonrpc::error_line(id, error.code(), &message, None));
     }
 
-    /// Scans what clients have sent, received at `received_since` at the earliest, for withdrawals and for the end
-    /// of their input. Done for all of them before anything else is handled, so that nothing is dispatched for a
-    /// client that has stopped waiting.
+    /// Scans the input of clients, received at `received_since` at the earliest, for cancellations and for the end of
+    /// the input. The caller scans all clients before it handles other events, so that no attempt is sent for a client
+    /// that does not wait any more.
     pub fn scan_clients<R: ClientInput>(
         &mut self,
         received_since: Duration,
         clients: impl IntoIterator<Item = (Slot, R)>,
     ) {
         let now = self.dispatcher.context.now();
-        let mut withdrawn = Vec::new();
+        let mut cancelled = Vec::new();
         let mut ended = Vec::new();
         let mut closed = Vec::new();
         for (slot, mut socket) in clients {
             let scan = self.dispatcher.clients.scan_ahead(slot, now, received_since, &mut socket);
-            let named = scan.withdrawn.iter().filter_map(|named| self.find_open_request(slot, named));
-            withdrawn.extend(named);
+            for withdrawal in &scan.withdrawn {
+                cancelled.extend(self.find_open_request(slot, withdrawal));
+            }
             ended.extend(scan.ended.then_some(slot));
             closed.extend(scan.closed.then_some(slot));
         }
         for slot in closed {
-            withdrawn.extend(self.remove_client(slot, "reset or closed by the client"));
+            cancelled.extend(self.remove_client(slot, CloseReason::Disconnected));
         }
-        if !withdrawn.is_empty() || !ended.is_empty() {
-            self.clients_departed(withdrawn, ended);
+        if !cancelled.is_empty() || !ended.is_empty() {
+            self.clients_departed(cancelled, ended);
         }
     }
 
-    /// Closes requests that are withdrawn. The clients in `ended` have closed their side and may not wait any
-    /// more: their queued requests are rejected, and what was sent to an engine is awaited but not resent.
-    pub(super) fn clients_departed(&mut self, mut withdrawn: Vec<RequestId>, ended: Vec<Slot>) {
+    /// Closes cancelled requests, and stops new work for the clients in `ended`. Those have ended their input and may
+    /// have disconnected: their queued requests are rejected, and their attempts are awaited but not resent.
+    pub(super) fn clients_departed(&mut self, mut cancelled: Vec<RequestId>, ended: Vec<Slot>) {
         let now = self.dispatcher.context.now();
-        withdrawn
+        cancelled
             .retain(|request| self.dispatcher.close_request(*request, RequestOutcome::Withdrawn).is_some());
-        let ended_clients = ended.iter().filter_map(|slot| self.dispatcher.clients.table.get(*slot));
-        let open: Vec<RequestId> = ended_clients.flat_map(|client| client.open.values().copied()).collect();
-        for request in &open {
-            self.forbid_resending(*request);
+        let mut queued = Vec::new();
+        let mut accepted = Vec::new();
+        for request in self.open_requests_of(&ended) {
+            self.forbid_resending(request);
+            if self.is_in_admission_queue(request) {
+                queued.push(request);
+            } else {
+                accepted.push(request);
+            }
         }
-        let (queued, accepted): (Vec<_>, Vec<_>) =
-            open.into_iter().partition(|request| self.is_in_admission_queue(*request));
         for request in queued {
             self.dispatcher.reject(request, None);
         }
-        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);
+        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);
         self.process_events();
     }
 
-    /// Keeps a request's attempts from being written to another connection.
+    fn open_requests_of(&self, clients: &[Slot]) -> Vec<RequestId> {
+        let mut requests = Vec::new();
+        for slot in clients {
+            if let Some(client) = self.dispatcher.clients.table.get(*slot) {
+                requests.extend(client.open.values().copied());
+            }
+        }
+        requests
+    }
+
+    /// Prevents a request's attempts from being written again on another connection.
     fn forbid_resending(&mut self, request: RequestId) {
         let Dispatcher { requests, engines, context, .. } = &mut self.dispatcher;
         if let Some(request) = requests.get(request) {
@@ -137,22 +152,22 @@
         self.admission_queue.as_ref().is_some_and(|queue| queue.contains(request))
     }
 
-    /// Closes clients to which nothing more is owed, and those that read too little of their answers.
+    /// Closes clients that have ended their input and received all answers, and clients that read too slowly.
     pub fn close_finished_clients(&mut self) {
         for slot in std::mem::take(&mut self.dispatcher.clients.maybe_finished) {
             if self.dispatcher.clients.is_finished(slot) {
-                self.close_client(slot, CloseReason::Finished, "finished");
+                self.close_client(slot, CloseReason::Finished);
             }
         }
         while let Some(slot) = self.dispatcher.clients.slowest_reader() {
             self.dispatcher.context.counters.count("clients_too_slow");
-            self.close_client(slot, CloseReason::Fault, "reads its answers too slowly");
+            self.close_client(slot, CloseReason::SlowReader);
         }
     }
 
-    /// Closes a client that was idle for too long or stopped within a line, else sets its timer again.
+    /// Closes a client that was idle for too long or stopped within a line; otherwise sets its timer again.
     pub(super) fn client_timer_expired(&mut self, slot: Slot, now: Duration) {
-        // It may have been closed by what was read just before.
+        // The event loop has just read the client, which may have closed it.
         if self.dispatcher.clients.table.get(slot).is_none() {
             return;
         }
@@ -161,20 +176,23 @@
             IdleCheck::Stalled => {
                 self.dispatcher.context.counters.count("clients_stalled");
                 self.reject_line(slot, RequestError::new(None, RequestErrorKind::LineIncomplete));
-                self.close_client(slot, CloseReason::Fault, "stopped within a line");
+                self.close_client(slot, CloseReason::LineIncomplete);
             }
             IdleCheck::Idle => {
                 self.dispatcher.context.counters.count("clients_idle");
-                self.close_client(slot, CloseReason::Idle, "idle");
+                self.close_client(slot, CloseReason::Idle);
             }
         }
     }
 
-    /// Closes a client's connection, if the gate lets it; its open requests are withdrawn.
-    pub fn close_client(&mut self, slot: Slot, cause: CloseReason, reason: &str) {
+    /// Closes a client's connection and its open requests, if the gate allows it.
+    pub fn close_client(&mut self, slot: Slot, reason: CloseReason) {
         let Some(client) = self.dispatcher.clients.table.get(slot) else { return };
-        if !gate::may_close(cause, client.open.len()) {
-            log::error!("client not closed: client={slot:?} reason={reason:?} {}", client.summary());
+        if !gate::may_close(reason, client.open.len()) {
+            log::error!(
+                "client with open requests not closed: client={slot:?} reason={reason:?} {}",
+                client.summary()
+            );
             return self.dispatcher.context.counters.must(false, "invariant_violations");
         }
         let open = self.remove_client(slot, reason);
@@ -184,7 +202,7 @@
     }
 
     /// Removes a client's connection; returns the requests that were open on it.
-    fn remove_client(&mut self, slot: Slot, reason: &str) -> Vec<RequestId> {
+    fn remove_client(&mut self, slot: Slot, reason: CloseReason) -> Vec<RequestId> {
         let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
         self.dispatcher.context.timers.clear(client.due, Timer::Client(slot));
--- a/crates/router/src/server/endpoints.rs
+++ b/crates/router/src/server/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of engines, from the configuration and from the discovery service.
+//! Changes of the endpoint list, from the configuration and from the discovery service.
 
 use super::Server;
 use crate::discovery::EndpointEvent;
@@ -7,7 +7,7 @@
 use emberflow::{EndpointUpdate, Lifecycle};
 
 impl Server {
-    /// Applies a change of the list of engines.
+    /// Applies an event of the endpoint list to the engine pool and the scheduler.
     pub fn endpoints_changed(&mut self, event: &EndpointEvent) {
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         if event.update == EndpointUpdate::FullList {
@@ -23,7 +23,10 @@
         self.process_events();
     }
 
-    /// Applies all complete frames that the discovery service has sent; returns whether there were any.
+    /// Applies all complete frames that were received; returns whether there were any.
+    ///
+    /// # Errors
+    /// Returns the first invalid frame. The connection must then be replaced.
     pub fn receive_endpoint_events(&mut self) -> Result<bool, DiscoveryError> {
         let mut received_any = false;
         while let Some(frame) = self.discovery.next_frame(&mut self.dispatcher.context.counters)? {
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -1,22 +1,24 @@
-//! The parameters of a client's request, decoded and checked.
+//! Decodes and validates the parameters of a client's request.
 
 use crate::{jsonrpc, statement};
 use emberflow::KeyId;
-use emberflow_operator::MAX_NAME_BYTES;
-use emberflow_operator::TeamConfig;
+use emberflow_operator::{MAX_NAME_BYTES, TeamConfig};
 use emberflow_settings::{Fields, SettingsError, from_ms};
+use serde_json::Value;
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Digits of a request's name.
+/// Number of hexadecimal digits in a request's name.
 const NAME_DIGITS: usize = 16;
-/// The largest number that is taken from a client, beyond years or petabytes. What can't be true is not learned from.
+/// Upper limit of numbers from clients, in milliseconds or MB. Estimates must not learn from impossible values.
 const MAX_NUMBER: f64 = 1e9;
-/// The urgency of ordinary requests; the highest is 3.
+/// The urgency of ordinary requests.
 const ORDINARY_URGENCY: u8 = 0;
+/// The highest urgency.
+const MAX_URGENCY: u8 = 3;
 
-/// What is wrong with a request's parameters, as its client is told.
+/// Errors in a request's parameters. The client receives the text.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParameterError {
     #[error(transparent)]
@@ -41,28 +43,31 @@
     Urgency { field: String },
 }
 
-/// What a request says of itself, apart from its class, id and name.
+/// The parameters of a request, apart from its class, id and name.
 pub(super) struct RequestParameters {
-    /// Requests of one key may have to be run in order.
+    /// The key of requests that may have to run in order.
     pub ordering_key: Option<KeyId>,
     /// Expected time on one core.
     pub cost: Option<Duration>,
     /// Expected memory.
     pub memory_mb: Option<f64>,
-    /// How long the client waits for the answer, in milliseconds.
+    /// Time from the request to the answer's deadline, in milliseconds.
     pub deadline_ms: f64,
     /// The key by which engines recognize a repeated request.
     pub idempotency_key: Option<String>,
     /// The statement that engines run.
     pub statement: Vec<u8>,
-    /// Which tables the statement reads, as far as its text shows.
+    /// The group of tables that the statement reads, if its text names one.
     pub table_group: Option<u64>,
-    /// Whether the client has sent it before.
+    /// Whether the client marks the request as a retry.
     pub is_resent: bool,
 }
 
 impl RequestParameters {
-    /// Decodes a request's parameters; the error names the first wrong one.
+    /// Decodes a request's parameters.
+    ///
+    /// # Errors
+    /// Returns the first invalid parameter.
     pub fn decode(fields: Fields<'_>) -> Result<Self, ParameterError> {
         let idempotency_key = optional_text(fields, "opkey")?;
         if idempotency_key.is_some_and(|key| key.bytes().any(|byte| !byte.is_ascii_alphanumeric())) {
@@ -97,27 +102,30 @@
     }
 }
 
-/// What a request says of its team, where the operator has configured teams.
+/// The parameters that the admission queue depends on. The operator's file names their fields.
 pub(super) struct TeamParameters {
     /// The team's index.
     pub team: usize,
-    /// From 0 for ordinary work to 3.
+    /// From 0 for ordinary requests to 3.
     pub urgency: u8,
-    /// Whether the client wants to be notified of its place in the queue.
+    /// Whether the client subscribes to notices of its wait.
     pub wants_wait_notices: bool,
 }
 
 impl TeamParameters {
-    /// Reads the fields that the operator's file names.
+    /// Decodes the fields that the operator's file names.
+    ///
+    /// # Errors
+    /// Returns the first invalid field.
     pub fn decode(teams: &TeamConfig, fields: Fields<'_>) -> Result<Self, ParameterError> {
         let name = optional_text(fields, &teams.team_field)?.unwrap_or_default();
         if name.len() > MAX_NAME_BYTES {
             return Err(ParameterError::TeamName { field: teams.team_field.clone() });
         }
-        let urgency = match fields.get(&teams.urgency_field).map(|value| value.as_u64()) {
+        let urgency = match fields.get(&teams.urgency_field) {
             None => ORDINARY_URGENCY,
-            Some(Some(urgency @ 0..=3)) => urgency as u8,
-            Some(_) => return Err(ParameterError::Urgency { field: teams.urgency_field.clone() }),
+            Some(value) => decode_urgency(value)
+                .ok_or_else(|| ParameterError::Urgency { field: teams.urgency_field.clone() })?,
         };
         let wait_notice_field = teams.wait_notice_field.as_ref();
         let wants_wait_notices = wait_notice_field.is_some_and(|field| fields.get_flag(field));
@@ -125,25 +133,32 @@
     }
 }
 
-/// The name by which a request is known to engines: 16 hexadecimal digits.
+/// Returns the name by which engines know a request: 16 hexadecimal digits.
 pub(super) fn request_name<'a>(fields: Fields<'a>) -> Result<&'a str, ParameterError> {
     let name = fields.text("req")?;
     let is_hexadecimal = name.bytes().all(|byte| byte.is_ascii_hexdigit());
     if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::Name) }
 }
 
-/// The index by which a name is known to the scheduler. Two names with the same hash only wait for each other.
+/// Returns the number by which the scheduler knows a name. Requests of two names with the same hash only wait for each
+/// other.
 pub(super) fn hash_of(name: &str) -> KeyId {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish() as KeyId
 }
 
+/// Decodes a whole number from 0 to [`MAX_URGENCY`].
+fn decode_urgency(value: &Value) -> Option<u8> {
+    let urgency = u8::try_from(value.as_u64()?).ok()?;
+    (urgency <= MAX_URGENCY).then_some(urgency)
+}
+
 fn optional_text<'a>(fields: Fields<'a>, name: &str) -> Result<Option<&'a str>, SettingsError> {
     fields.optional(name, Fields::text)
 }
 
-/// A number from 0 to [`MAX_NUMBER`]; absent for 0.
+/// Decodes an optional number from 0 to [`MAX_NUMBER`]; returns `None` for 0.
 fn positive_number(fields: Fields<'_>, name: &'static str) -> Result<Option<f64>, ParameterError> {
     let value = fields.optional(name, Fields::number)?;
     match value {
@@ -152,7 +167,7 @@
     }
 }
 
-/// Whether the client has sent the request before, as a boolean or as 0 or 1.
+/// Decodes the mark of a retry, a boolean or 0 or 1.
 fn resent_flag(fields: Fields<'_>) -> Result<bool, ParameterError> {
     let Some(value) = fields.get("resent") else { return Ok(false) };
     if let Some(flag) = value.as_bool() {
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -1,4 +1,4 @@
-//! Messages of clients: status, withdrawals and requests.
+//! Handles the messages of clients: status, cancellations and requests.
 
 use super::Server;
 use super::parameters::{self, ParameterError, RequestParameters, TeamParameters, hash_of};
@@ -11,25 +11,24 @@
 use emberflow_settings::{Fields, from_ms};
 use std::time::Duration;
 
-/// The longest deadline that is taken from a client.
+/// Longer deadlines of clients are shortened to this one.
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-/// What a request and its answer may take on the network beside what is seen here: the protocol makes each
-/// deadline as much longer on sockets. Without it, answers that leave in time arrive too late.
+/// Time reserved for the transit of a request and its answer. The protocol extends each deadline by as much on sockets.
 const NETWORK_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// A request's message as it came, before its parameters are decoded.
+/// A request's message with undecoded parameters.
 struct RequestMessage<'a> {
     client: Slot,
     /// `None` for a notification.
     id: Option<u64>,
     method: &'a str,
     fields: Fields<'a>,
-    /// Time since it was received.
+    /// Time since the message was received.
     waited: Duration,
 }
 
-/// A message whose sender, id and name were found to be in order.
-struct Validated<'a> {
+/// The id, class and name of a request that may be opened.
+struct ValidatedRequest<'a> {
     id: u64,
     class: usize,
     name: &'a str,
@@ -37,6 +36,9 @@
 
 impl Server {
     /// Handles a message that was received `waited` ago.
+    ///
+    /// # Errors
+    /// Returns the error that the client is answered with.
     pub(super) fn handle_message(
         &mut self,
         client: Slot,
@@ -51,7 +53,7 @@
                 self.withdraw_request(client, &Withdrawal::decode(id, fields));
                 Ok(())
             }
-            method => self.take_request(RequestMessage { client, id, method, fields, waited }),
+            method => self.handle_request(RequestMessage { client, id, method, fields, waited }),
         }
     }
 
@@ -68,35 +70,35 @@
         }
     }
 
-    /// The open request that a client names by its `req` or by its id on this connection.
+    /// Returns the open request of a client that a cancellation names, by the request's name or by its id.
     pub(super) fn find_open_request(&self, client: Slot, withdrawal: &Withdrawal) -> Option<RequestId> {
-        let is_named = |request: &RequestId| {
-            let request = self.dispatcher.requests.get(*request);
-            request.is_some_and(|request| {
-                request.name == withdrawal.name || Some(request.client_request_id) == withdrawal.id
-            })
-        };
-        self.dispatcher.clients.table.get(client)?.open.values().copied().find(is_named)
+        for id in self.dispatcher.clients.table.get(client)?.open.values() {
+            let Some(request) = self.dispatcher.requests.get(*id) else { continue };
+            if request.name == withdrawal.name || Some(request.client_request_id) == withdrawal.id {
+                return Some(*id);
+            }
+        }
+        None
     }
 
-    /// Checks and decodes a request, then passes it to the scheduler or into the admission queue.
-    fn take_request(&mut self, message: RequestMessage<'_>) -> Result<(), RequestError> {
+    /// Validates and decodes a request, opens it, and passes it to the scheduler or into the admission queue.
+    fn handle_request(&mut self, message: RequestMessage<'_>) -> Result<(), RequestError> {
         let now = self.dispatcher.context.now();
         let RequestMessage { client, id, method, fields, waited } = message;
-        let Some(Validated { id: client_request_id, class, name }) = self.validate(&message)? else {
-            return Ok(());
-        };
-        let bad_parameters =
+        let Some(validated) = self.validate(&message)? else { return Ok(()) };
+        let ValidatedRequest { id: client_request_id, class, name } = validated;
+        let invalid_parameters =
             |error: ParameterError| RequestError::new(id, RequestErrorKind::invalid_params(error));
-        let parameters = RequestParameters::decode(fields).map_err(bad_parameters)?;
+        let parameters = RequestParameters::decode(fields).map_err(invalid_parameters)?;
         let arrival = self.arrival_of(&parameters, class, waited);
         log::debug!(
             "request received: request={} client={client:?} name={name} class={method} {parameters}",
             arrival.request
         );
-        let teams = self.admission_queue.as_ref().map(|queue| &queue.teams);
-        let team = teams.map(|teams| TeamParameters::decode(teams, fields)).transpose();
-        let team = team.map_err(bad_parameters)?;
+        let team = match &self.admission_queue {
+            Some(queue) => Some(TeamParameters::decode(&queue.teams, fields).map_err(invalid_parameters)?),
+            None => None,
+        };
         let identity = hash_of(parameters.idempotency_key.as_deref().unwrap_or(name)) as u64;
         let request = Request {
             idempotency_key: parameters.idempotency_key,
@@ -113,8 +115,12 @@
         Ok(())
     }
 
-    /// Checks a request's class, id and name against what is open; `None` where no answer is owed.
-    fn validate<'a>(&mut self, message: &RequestMessage<'a>) -> Result<Option<Validated<'a>>, RequestError> {
+    /// Checks a request's class, id and name, and that the limit and the other open requests allow it. Returns `None`
+    /// for a request that needs no answer.
+    fn validate<'a>(
+        &mut self,
+        message: &RequestMessage<'a>,
+    ) -> Result<Option<ValidatedRequest<'a>>, RequestError> {
         let RequestMessage { client, id, method, fields, .. } = *message;
         let error = RequestError::new;
         let class = self.dispatcher.config.classes.iter().position(|name| name == method);
@@ -122,7 +128,7 @@
         let Some(client_request_id) = id else { return Err(error(None, RequestErrorKind::RequestWithoutId)) };
         let Some(connection) = self.dispatcher.clients.table.get(client) else { return Ok(None) };
         if connection.open.contains_key(&client_request_id) {
-            // Under that id the error would pass for the answer to the open request.
+            // An error with this id would be taken for the answer to the open request.
             return Err(error(None, RequestErrorKind::IdOpen));
         }
         if connection.open.len() >= MAX_OPEN_REQUESTS {
@@ -130,32 +136,32 @@
         }
         let name = parameters::request_name(fields);
         let name = name.map_err(|cause| error(id, RequestErrorKind::invalid_params(cause)))?;
-        if self.is_withdrawn(client, client_request_id, name)? {
+        if self.is_cancelled(client, client_request_id, name)? {
             return Ok(None);
         }
-        // Engines tell requests apart by the name alone, whichever client sent them.
+        // Engines identify a request by its name, whichever client sent it.
         if self.dispatcher.requests.is_open(name) {
             return Err(error(id, RequestErrorKind::NameOpen));
         }
-        Ok(Some(Validated { id: client_request_id, class, name }))
+        Ok(Some(ValidatedRequest { id: client_request_id, class, name }))
     }
 
-    /// Whether a client has withdrawn a request before its turn came; an error if the client has left since, so
-    /// that nobody may wait for it. Keeps requests from being dispatched for nobody.
-    fn is_withdrawn(&mut self, client: Slot, id: u64, name: &str) -> Result<bool, RequestError> {
+    /// Whether a client has cancelled a request before it was read. Fails if the client has ended its input
+    /// meanwhile, so that no attempt is sent for a client that may have disconnected.
+    fn is_cancelled(&mut self, client: Slot, id: u64, name: &str) -> Result<bool, RequestError> {
         let now = self.dispatcher.context.now();
         if self.dispatcher.clients.has_ended_input(client, now) {
             return Err(RequestError::new(Some(id), RequestErrorKind::ClientLeft));
         }
-        let is_withdrawn = self.dispatcher.clients.has_withdrawn(client, name, id);
-        if is_withdrawn {
+        let is_cancelled = self.dispatcher.clients.has_withdrawn(client, name, id);
+        if is_cancelled {
             self.dispatcher.context.counters.count(RequestOutcome::Withdrawn.counter());
-            log::debug!("request withdrawn before it was read: name={name} client={client:?}");
+            log::debug!("request cancelled by its client before it was read: client={client:?} name={name}");
         }
-        Ok(is_withdrawn)
+        Ok(is_cancelled)
     }
 
-    /// The request as the scheduler is given it.
+    /// Builds the scheduler's input for a request.
     fn arrival_of(&self, parameters: &RequestParameters, class: usize, waited: Duration) -> Arrival {
         let deadline = from_ms(parameters.deadline_ms).min(MAX_DEADLINE).saturating_sub(NETWORK_ALLOWANCE);
         Arrival {
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: clients are served on for a while, and the process ends once nothing is open.
+//! Graceful shutdown: the server continues to serve clients for a short time, and the process exits once no request is
+//! open.
 
 use super::Server;
 use crate::dispatch::Dispatcher;
@@ -6,27 +7,25 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// For so long after SIGTERM clients still connect and send requests. SIGKILL comes as long after the longest
-/// deadline, of which no more than [`MAX_COUNTED_DEADLINE`] counts.
+/// Time after SIGTERM during which clients may still connect and send requests. SIGKILL follows SIGTERM after the
+/// longest deadline of any request class, up to [`MAX_COUNTED_DEADLINE`], plus this time.
 const LATE_CLIENT_WINDOW: Duration = Duration::from_millis(700);
+/// Upper limit of the longest deadline in the time from SIGTERM to SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// What the signal's and the last answers' delivery may take.
+/// Time reserved for the delivery of the signal and of the last answers.
 const DELIVERY_ALLOWANCE: Duration = Duration::from_millis(150);
-/// How often it is checked whether anything is still open.
+/// Time between two checks whether the process may exit.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where a server stands between its start and its end.
+/// The phases of a server's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerState {
+    /// Serving without a planned end.
     Serving,
-    /// Finishing what is open, until `deadline` at the latest.
-    Draining {
-        deadline: Duration,
-    },
-    /// Nothing was open at the last check, or the deadline had passed.
-    Stopped {
-        deadline: Duration,
-    },
+    /// Finishing open requests. The process exits at `deadline` at the latest.
+    Draining { deadline: Duration },
+    /// The process may exit: no request was open at the last check, or the deadline had passed.
+    Stopped { deadline: Duration },
 }
 
 impl ServerState {
@@ -37,15 +36,16 @@
         }
     }
 
+    /// Feeds the state to `hasher`, with the deadline relative to `now`.
     pub(super) fn fingerprint(self, now: Duration, hasher: &mut impl Hasher) {
-        let until = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        self.deadline().map(until).hash(hasher);
+        let microseconds_left = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
+        self.deadline().map(microseconds_left).hash(hasher);
         matches!(self, Self::Stopped { .. }).hash(hasher);
     }
 }
 
 impl Server {
-    /// Begins a graceful shutdown, on SIGTERM: the process ends once nothing is open, or shortly before SIGKILL.
+    /// Begins a graceful shutdown. The process may exit once no request is open, or shortly before SIGKILL.
     pub fn begin_shutdown(&mut self) {
         if self.is_shutting_down() {
             return;
@@ -66,24 +66,24 @@
         self.state != ServerState::Serving
     }
 
-    /// Whether the process may end.
+    /// Whether the process may exit.
     pub fn has_stopped(&self) -> bool {
         matches!(self.state, ServerState::Stopped { .. })
     }
 
-    /// Stops once nothing is open or the deadline has passed, else checks again a little later.
+    /// Stops the server if no request is open or the deadline has passed, and schedules the next check.
     pub(super) fn check_shutdown(&mut self) {
         let now = self.dispatcher.context.now();
         let is_drained = self.is_idle() && !self.has_unread_input;
         if let Some(deadline) = self.state.deadline() {
-            let stops = is_drained || now >= deadline;
+            let may_exit = is_drained || now >= deadline;
             self.state =
-                if stops { ServerState::Stopped { deadline } } else { ServerState::Draining { deadline } };
+                if may_exit { ServerState::Stopped { deadline } } else { ServerState::Draining { deadline } };
         }
         self.dispatcher.context.timers.set(now + CHECK_INTERVAL, Timer::ShutdownCheck);
     }
 
-    /// Whether no request is open and everything written has been sent, as far as clients' input was read.
+    /// Whether no request is open and no output is pending. Unread input of clients is not taken into account.
     pub fn is_idle(&self) -> bool {
         let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
         requests.is_empty() && clients.all_sent() && engines.all_written()
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -325,7 +325,7 @@
             let idlest = self.server.dispatcher.clients.longest_idle(now);
             return idlest
                 .into_iter()
-                .for_each(|slot| self.server.close_client(slot, CloseReason::Idle, "to make room"));
+                .for_each(|slot| self.server.close_client(slot, CloseReason::ReplacedWhileIdle));
         }
         self.connection_count += 1;
         let capacity = if self.random.one_in(6) { 40 } else { usize::MAX };
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -93,7 +93,7 @@
     let mut server = server();
     let slots = [server.accept_client(), server.accept_client()];
     server.dispatcher.context.now = NOW + Duration::from_secs(2);
-    server.close_client(slots[0], CloseReason::Fault, "closed by the client");
+    server.close_client(slots[0], CloseReason::Disconnected);
     slots.into_iter().for_each(|slot| server.timer_expired(Timer::Client(slot)));
     expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
 }
@@ -121,7 +121,7 @@
         let index = idlest_after(&mut server, &slots, ms);
         idlest.push((ms, index));
         if let Some(index) = index {
-            server.close_client(slots[index], CloseReason::Idle, "to make room");
+            server.close_client(slots[index], CloseReason::ReplacedWhileIdle);
         }
     }
     idlest.push((100, idlest_after(&mut server, &slots, 100)));
--- a/crates/router/tests/sockets/harness/log_lines.rs
+++ b/crates/router/tests/sockets/harness/log_lines.rs
@@ -16,8 +16,8 @@
 pub const TEAMS_REMOVED: &str = "admission queue closed";
 /// The connection to discovery was lost.
 pub const DISCOVERY_LOST: &str = "discovery connection lost";
-/// A line of a client that was refused.
-pub const CLIENT_INPUT_REFUSED: &str = "client line refused";
+/// An invalid line of a client.
+pub const CLIENT_LINE_REJECTED: &str = "client line rejected";
 /// The first request that the router accepted.
 pub const FIRST_REQUEST: &str = "request=0 ";
 
--- a/crates/router/tests/sockets/limits.rs
+++ b/crates/router/tests/sockets/limits.rs
@@ -207,7 +207,7 @@
         client.send_request(2, "lookup", 8000);
     });
     let lines_before =
-        router.count_log_lines_before(log_lines::FIRST_REQUEST, log_lines::CLIENT_INPUT_REFUSED);
+        router.count_log_lines_before(log_lines::FIRST_REQUEST, log_lines::CLIENT_LINE_REJECTED);
     let in_turn = lines_before <= flooding_clients.len();
     router.record(format!("at most one line of each flooding client before the request: {in_turn}"));
     router.engine(0).next_call();
--- a/crates/router/tests/unit/gate.rs
+++ b/crates/router/tests/unit/gate.rs
@@ -3,18 +3,18 @@
 fn call() -> CallFacts {
     CallFacts {
         is_engine_ready: true,
-        is_client_gone: false,
+        may_client_have_left: false,
         is_cancelled: false,
         time_left: Duration::from_millis(1),
     }
 }
 
 #[test]
-fn a_call_is_written_only_for_a_client_that_waits_to_an_engine_that_is_ready_in_time() {
+fn a_call_is_written_only_for_a_waiting_client_to_a_ready_engine_before_its_deadline() {
     assert_eq!(may_send(&call()), Ok(()));
     let refusals = [
         (CallFacts { is_engine_ready: false, ..call() }, CallRefusal::EngineNotReady),
-        (CallFacts { is_client_gone: true, ..call() }, CallRefusal::ClientGone),
+        (CallFacts { may_client_have_left: true, ..call() }, CallRefusal::ClientMayHaveLeft),
         (CallFacts { is_cancelled: true, ..call() }, CallRefusal::Cancelled),
         (CallFacts { time_left: Duration::ZERO, ..call() }, CallRefusal::DeadlinePassed),
     ];
@@ -24,15 +24,23 @@
 }
 
 #[test]
-fn only_a_clients_own_fault_closes_it_under_open_requests() {
-    for reason in [CloseReason::Idle, CloseReason::Finished] {
+fn a_connection_with_open_requests_is_closed_only_for_a_fault_of_its_client() {
+    for reason in [CloseReason::Idle, CloseReason::ReplacedWhileIdle, CloseReason::Finished] {
         assert!(may_close(reason, 0) && !may_close(reason, 1), "{reason:?}");
     }
-    assert!(may_close(CloseReason::Fault, 1));
+    let faults = [
+        CloseReason::LineIncomplete,
+        CloseReason::SlowReader,
+        CloseReason::WriteFailed,
+        CloseReason::Disconnected,
+    ];
+    for reason in faults {
+        assert!(may_close(reason, 0) && may_close(reason, 1), "{reason:?}");
+    }
 }
 
 #[test]
-fn a_refusal_is_counted_by_what_it_means() {
+fn a_call_past_its_deadline_is_counted() {
     let mut counters = Counters::default();
     CallRefusal::DeadlinePassed.record(1, 0, &mut counters);
     assert_eq!(counters.to_string(), "calls_past_their_deadline=1");
@@ -42,6 +50,6 @@
 #[cfg_attr(debug_assertions, should_panic(expected = "invariant_violations"))]
 fn a_violation_stops_a_debug_build_and_is_counted_in_a_release_build() {
     let mut counters = Counters::default();
-    CallRefusal::ClientGone.record(1, 0, &mut counters);
+    CallRefusal::ClientMayHaveLeft.record(1, 0, &mut counters);
     assert_eq!(counters.to_string(), "invariant_violations=1");
 }
