--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -110,7 +110,7 @@
             number,
             id: &id,
             class: "lookup",
-            opkey: None,
+            idempotency_key: None,
             statement: statement.as_bytes(),
             grant_mb: 0.0,
             priority: 1,
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -74,7 +74,7 @@
             number: row.attempts.len(),
             id: &row.name,
             class: &self.config.classes[row.class],
-            opkey: row.idempotency_key.as_deref(),
+            idempotency_key: row.idempotency_key.as_deref(),
             statement: &row.statement,
             grant_mb: row.grant_mb,
             priority: row.priority,
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -1,10 +1,9 @@
 //! Attempts: sending, cancelling and ending them.
 
 use super::connection::IDLE_SHARE;
-use super::messages::EngineCommand;
+use super::messages::{EngineCommand, RunCommand};
 use super::result_pages::ResultPages;
 use super::{EnginePool, PoolEvent};
-use crate::clock::whole_ms;
 use crate::context::Context;
 use crate::slots::Slot;
 use crate::timers::Timer;
@@ -18,7 +17,7 @@
     pub number: usize,
     pub id: &'a str,
     pub class: &'a str,
-    pub opkey: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     pub statement: &'a [u8],
     /// The memory granted to the attempt; below 1 MB none is named.
     pub grant_mb: f64,
@@ -31,7 +30,7 @@
 #[derive(Clone)]
 pub(super) struct UnwrittenCall {
     class: String,
-    opkey: Option<String>,
+    idempotency_key: Option<String>,
     statement: Vec<u8>,
     grant_mb: f64,
     priority: u8,
@@ -45,7 +44,7 @@
     fn new(call: &Call<'_>) -> Self {
         Self {
             class: call.class.to_owned(),
-            opkey: call.opkey.map(str::to_owned),
+            idempotency_key: call.idempotency_key.map(str::to_owned),
             statement: call.statement.to_vec(),
             grant_mb: call.grant_mb,
             priority: call.priority,
@@ -54,17 +53,18 @@
         }
     }
 
-    /// The call's message, for a request that has so much time left.
+    /// Encodes the call and the messages that follow it; `time_left` is the time until the attempt's deadline.
     pub fn encode(&self, id: &str, time_left: Duration) -> Vec<u8> {
-        let fields = [
-            Some(format!("queue={}", self.class)),
-            Some(format!("budget={}", whole_ms(time_left).max(1))),
-            self.opkey.as_ref().map(|key| format!("uniq={key}")),
-            (self.grant_mb >= 1.0).then(|| format!("mem={}", self.grant_mb.round() as u64)),
-            Some(format!("prio={}", self.priority)),
-        ];
-        let fields = fields.into_iter().flatten().collect::<Vec<_>>().join(",");
-        let mut bytes = EngineCommand::Run { id, fields: &fields, statement: &self.statement }.encode();
+        let run = EngineCommand::Run(RunCommand {
+            id,
+            class: &self.class,
+            time_left,
+            idempotency_key: self.idempotency_key.as_deref(),
+            grant_mb: self.grant_mb,
+            priority: self.priority,
+            statement: &self.statement,
+        });
+        let mut bytes = run.encode();
         bytes.extend(&self.followed_by);
         bytes
     }
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -1,13 +1,17 @@
 //! The messages between the router and engines, as RESP arrays.
 
+use crate::clock::whole_ms;
 use crate::resp::{self, RespError};
 use emberflow::{LoadReport, ProgressNote, Usage};
 use emberflow_settings::{build_load_report, from_ms};
 use std::str::Utf8Error;
+use std::time::Duration;
 use thiserror::Error;
 
 /// Pages of the largest result.
 const MAX_PAGES: usize = 256;
+/// The smallest memory grant that is sent to an engine, in MB.
+const MIN_GRANT_MB: f64 = 1.0;
 /// Separators of a reply's fields, and of the figures within its load report.
 const FIELD_SEPARATORS: (char, char) = (',', '=');
 const LOAD_SEPARATORS: (char, char) = (';', ':');
@@ -40,7 +44,7 @@
 /// A message to an engine. Engines know an attempt by the id of its request.
 pub(super) enum EngineCommand<'a> {
     /// Runs a statement.
-    Run { id: &'a str, fields: &'a str, statement: &'a [u8] },
+    Run(RunCommand<'a>),
     /// Requests a further page of a result.
     Page { id: &'a str, page: usize },
     /// Changes the priority of a running statement.
@@ -57,9 +61,12 @@
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         match self {
-            Self::Run { id, fields, statement } => {
-                resp::encode_array(&[b"GET", id.as_bytes(), fields.as_bytes(), statement])
-            }
+            Self::Run(run) => resp::encode_array(&[
+                b"GET",
+                run.id.as_bytes(),
+                run.encode_fields().as_bytes(),
+                run.statement,
+            ]),
             Self::Page { id, page } => {
                 resp::encode_array(&[b"PAGE", id.as_bytes(), page.to_string().as_bytes()])
             }
@@ -73,6 +80,35 @@
     }
 }
 
+/// The command that runs a statement.
+pub(super) struct RunCommand<'a> {
+    pub id: &'a str,
+    /// The request class, by its name in the settings.
+    pub class: &'a str,
+    /// Time until the deadline; at least 1 ms is sent.
+    pub time_left: Duration,
+    pub idempotency_key: Option<&'a str>,
+    /// Memory that the statement may use. A grant below 1 MB is not sent.
+    pub grant_mb: f64,
+    pub priority: u8,
+    pub statement: &'a [u8],
+}
+
+impl RunCommand<'_> {
+    fn encode_fields(&self) -> String {
+        let mut fields =
+            vec![format!("queue={}", self.class), format!("budget={}", whole_ms(self.time_left).max(1))];
+        if let Some(key) = self.idempotency_key {
+            fields.push(format!("uniq={key}"));
+        }
+        if self.grant_mb >= MIN_GRANT_MB {
+            fields.push(format!("mem={}", self.grant_mb.round() as u64));
+        }
+        fields.push(format!("prio={}", self.priority));
+        fields.join(",")
+    }
+}
+
 /// The type of a reply.
 #[derive(Debug, PartialEq)]
 pub(super) enum ReplyKind {
