--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -248,7 +248,7 @@
     }
 
     fn release(&mut self, scenario: &QueueScenario) {
-        let released = self.queues.turns().next();
+        let released = self.queues.dispatch_order().next();
         self.check(scenario, &Event::Releases(released));
         let Some(request) = released else { return };
         let team = scenario.requests[request as usize].team;
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -62,7 +62,7 @@
     criterion.bench_function("dispatch, settle and enqueue", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
-            let request = queues.turns().next().expect("requests wait");
+            let request = queues.dispatch_order().next().expect("requests wait");
             queues.dispatch(now, request);
             queues.settle(now, request, Outcome::Measured(Duration::from_millis(50)));
             queues.enqueue(now, new_request(next)).expect("the queue has capacity");
@@ -73,7 +73,7 @@
     criterion.bench_function("dispatch", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
-            let request = queues.turns().next().expect("requests wait");
+            let request = queues.dispatch_order().next().expect("requests wait");
             queues.dispatch(now, request);
             dispatched.push(request);
             if queues.len() < REQUESTS as usize / 2 {
@@ -84,7 +84,7 @@
         });
     });
     criterion.bench_function("estimate a wait", |bencher| {
-        let request = queues.turns().nth(500).expect("requests wait");
+        let request = queues.dispatch_order().nth(500).expect("requests wait");
         bencher.iter(|| black_box(queues.estimate_wait(now, request)));
     });
 }
--- a/crates/teams/src/identity_charges.rs
+++ b/crates/teams/src/identity_charges.rs
@@ -1,12 +1,12 @@
-//! Work that was charged by request identity, so that retries are charged only for what they add.
+//! Work charged by request identity, so that a retry is charged only for the work that it adds.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Identities that are remembered after their request's end.
+/// Number of identities that are remembered.
 const MAX_IDENTITIES: usize = 4096;
 
-/// Seconds charged for the last identities.
+/// Seconds of work charged by identity, for the latest [`MAX_IDENTITIES`] identities.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IdentityCharges {
     seconds: HashMap<u64, f64>,
@@ -14,12 +14,12 @@
 }
 
 impl IdentityCharges {
-    /// Seconds charged for an identity so far.
+    /// Returns the seconds of work charged for an identity.
     pub(crate) fn charged(&self, identity: u64) -> f64 {
         self.seconds.get(&identity).copied().unwrap_or(0.0)
     }
 
-    /// Adds to an identity's charge; the oldest identity is forgotten when there are too many.
+    /// Adds to an identity's charge, and evicts the oldest identity beyond [`MAX_IDENTITIES`].
     pub(crate) fn add(&mut self, identity: u64, seconds: f64) {
         let sum = self.charged(identity) + seconds;
         let is_new = self.seconds.insert(identity, sum).is_none();
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Feeds the charges to a hasher, the oldest identity first.
     pub(crate) fn fingerprint(&self, hasher: &mut impl Hasher) {
         for identity in &self.oldest_first {
             (identity, self.seconds[identity].to_bits()).hash(hasher);
--- a/crates/teams/src/key_order.rs
+++ b/crates/teams/src/key_order.rs
@@ -3,7 +3,7 @@
 use crate::request::{Arrival, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// The keys of requests until they end, and the waiting requests of each key by arrival.
+/// The key of each request until it ends, and the waiting requests of each key in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyOrder {
     keys: HashMap<RequestId, u64>,
@@ -11,24 +11,24 @@
 }
 
 impl KeyOrder {
-    /// Remembers a request's key.
+    /// Records a request's key.
     pub(crate) fn assign(&mut self, request: RequestId, key: u64) {
         self.keys.insert(request, key);
     }
 
-    /// Forgets an ended request's key.
+    /// Removes the key of a request that has ended.
     pub(crate) fn forget(&mut self, request: RequestId) {
         self.keys.remove(&request);
     }
 
-    /// A request waits, perhaps again.
+    /// Adds a waiting request; a request without a key is ignored.
     pub(crate) fn insert(&mut self, request: RequestId, arrival: Arrival) {
         if let Some(key) = self.keys.get(&request) {
             self.waiting.entry(*key).or_default().insert(arrival, request);
         }
     }
 
-    /// A request waits no more.
+    /// Removes a request that no longer waits. Its key stays recorded until the request ends.
     pub(crate) fn remove(&mut self, request: RequestId, arrival: Arrival) {
         let Some(key) = self.keys.get(&request) else { return };
         let Some(requests) = self.waiting.get_mut(key) else { return };
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Keeps the keys, with no request waiting.
+    /// Removes all waiting requests and keeps the keys.
     pub(crate) fn clear_waiting(&mut self) {
         self.waiting.clear();
     }
 
-    /// The first waiting request with this one's key, if it has a key.
+    /// Returns the first waiting request with the same key; `None` for a request without a key.
     pub(crate) fn first(&self, request: RequestId) -> Option<RequestId> {
         let key = self.keys.get(&request)?;
         self.waiting.get(key)?.first_key_value().map(|(_, first)| *first)
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -1,11 +1,11 @@
 //! Fair queueing of requests among teams that share engines.
 //!
-//! Organizations share the engines by weights, and teams share what their organization has. Each team may have a
-//! budget and a bound on its waiting requests. A request gains priority by urgency and by age, so that none waits
-//! for ever, and the wait of each one can be estimated.
+//! Organizations share the engines by weight, and teams share their organization's part by weight. Each team may have
+//! a budget and has a bound on its waiting requests. A request gains priority by urgency and by age, so that no request
+//! starves. The wait of each request can be estimated.
 //!
-//! The crate holds no socket, clock or name: teams and requests are numbers, and every call is passed the time since
-//! the start. The router's admission queue is built on it.
+//! The crate uses no socket and no clock: teams and requests are numbers, and the caller passes the time since the
+//! start. The router's admission queue is built on it.
 
 pub mod budget;
 pub mod fair_order;
--- a/crates/teams/src/queues/charging.rs
+++ b/crates/teams/src/queues/charging.rs
@@ -1,16 +1,16 @@
-//! Dispatch and its charges: expected work is charged on dispatch, and corrected when the request has ended.
+//! Dispatch and charging. The expected work is charged on dispatch and corrected when the request has ended.
 
 use super::Queues;
 use crate::request::{DispatchedRequest, Outcome, RequestId, WaitingRequest};
 use std::time::Duration;
 
 impl Queues {
-    /// Dispatches a waiting request and charges its expected work; a retry is charged for what it adds. Returns
-    /// whether it waited.
+    /// Dispatches a waiting request and charges its expected work. A retry is charged only for the work beyond the
+    /// charges of its identity. Returns whether the request was waiting.
     pub fn dispatch(&mut self, now: Duration, request: RequestId) -> bool {
         self.advance(now);
         let Some(team) = self.waiting.get(&request).map(WaitingRequest::team) else { return false };
-        self.begin_turn(team);
+        self.begin_service(team);
         let Some(waiting) = self.remove_waiting(request) else { return false };
         let work = waiting.work.as_secs_f64();
         let charged_before = waiting.identity.map_or(0.0, |identity| self.identity_charges.charged(identity));
@@ -23,15 +23,16 @@
         true
     }
 
-    fn begin_turn(&mut self, team: usize) {
+    /// Advances the virtual time of both fair orders to the team's next start, and counts a dispatch of the team.
+    fn begin_service(&mut self, team: usize) {
         let organization = self.quotas.teams[team].organization;
         let queue = &mut self.team_queues[team];
-        self.organization_order.begin_turn(organization);
-        self.team_orders[organization].begin_turn(queue.flow);
+        self.organization_order.begin_service(organization);
+        self.team_orders[organization].begin_service(queue.flow);
         queue.count_dispatch();
     }
 
-    /// Charges seconds of work to a team and to its organization; a negative charge gives some back.
+    /// Charges `work` seconds of work to a team and its organization. A negative charge is a refund.
     fn charge(&mut self, now: Duration, team: usize, work: f64) {
         let organization = self.quotas.teams[team].organization;
         let queue = &mut self.team_queues[team];
@@ -44,7 +45,8 @@
         self.update_order(now, team);
     }
 
-    /// A dispatched request has ended: its charge is corrected by its outcome. Other requests are ignored.
+    /// Corrects the charge of a dispatched request that has ended by its outcome. Requests that are not dispatched are
+    /// ignored.
     pub fn settle(&mut self, now: Duration, request: RequestId, outcome: Outcome) {
         let Some(dispatched) = self.dispatched.swap_remove(&request) else { return };
         let DispatchedRequest { request: ended, charged } = dispatched;
@@ -64,8 +66,8 @@
         }
     }
 
-    /// A dispatched request that was not sent waits again, with the age that it has. Returns whether it was
-    /// dispatched.
+    /// Puts a dispatched request that was not sent back into its queue, with its original arrival. Returns whether the
+    /// request was dispatched.
     pub fn requeue(&mut self, now: Duration, request: RequestId) -> bool {
         let Some(dispatched) = self.dispatched.swap_remove(&request) else { return false };
         let DispatchedRequest { request: waiting, charged } = dispatched;
--- a/crates/teams/src/queues/dispatch_order.rs
+++ b/crates/teams/src/queues/dispatch_order.rs
@@ -1,36 +1,37 @@
-//! Whose turn it is: by organization, by team, and by the lanes of each team.
+//! The order of dispatch: by organization, by team, and by the lanes of each team.
 
 use super::Queues;
 use crate::fair_order::BudgetState;
 use crate::request::RequestId;
 use std::time::Duration;
 
-/// Turns that are considered before it is taken that nothing fits.
-const MAX_CONSIDERED_TURNS: usize = 32;
+/// Number of requests offered to the caller before it is assumed that no request fits.
+const MAX_CANDIDATES: usize = 32;
 
 impl Queues {
-    /// The waiting requests that head their lanes, in the order of their turns.
-    pub fn turns(&self) -> impl Iterator<Item = RequestId> {
-        let teams = self.organization_order.turns().flat_map(|organization| {
+    /// Returns the first request of each lane of each team, in the order of dispatch.
+    pub fn dispatch_order(&self) -> impl Iterator<Item = RequestId> {
+        let teams = self.organization_order.active_flows().flat_map(|organization| {
             let members = &self.members[organization];
-            self.team_orders[organization].turns().map(|flow| members[flow])
+            self.team_orders[organization].active_flows().map(|flow| members[flow])
         });
         teams.flat_map(|team| self.team_queues[team].heads(&self.waiting))
     }
 
-    /// The request whose turn is next among those that `fits` accepts. A request with a key is replaced by the first
-    /// waiting one with that key.
+    /// Returns the first request in the order of dispatch that `fits` accepts. A request with a key is replaced by the
+    /// first waiting request with that key.
     pub fn next_fitting(&self, mut fits: impl FnMut(RequestId) -> bool) -> Option<RequestId> {
-        let turns = self.turns().take(MAX_CONSIDERED_TURNS);
-        turns.map(|request| self.first_of_key(request)).find(|request| fits(*request))
+        let candidates = self.dispatch_order().take(MAX_CANDIDATES);
+        candidates.map(|request| self.first_of_key(request)).find(|request| fits(*request))
     }
 
-    /// The first waiting request with the same key as this one, or itself. It has to be dispatched before it.
+    /// Returns the first waiting request with the same key, which has to be dispatched before `request`; `request` itself
+    /// if there is none.
     pub fn first_of_key(&self, request: RequestId) -> RequestId {
         self.key_order.first(request).unwrap_or(request)
     }
 
-    /// Updates a team's place in its organization's order, and the organization's place.
+    /// Updates the team's position in the fair order of its organization, and the organization's position.
     pub(super) fn update_order(&mut self, now: Duration, team: usize) {
         if let Some(budget) = &mut self.team_queues[team].budget {
             budget.refill(now);
@@ -48,8 +49,8 @@
         self.update_organization(organization);
     }
 
-    /// Puts a team with these heads where it now belongs. Returns when its place changes by itself: when one of the
-    /// heads gains priority, or when the budget covers the first.
+    /// Sets the position of a team with these first requests of its lanes. Returns the time at which the position changes
+    /// without an input: when one of the requests gains priority, or when the budget covers the first.
     fn activate_team(&mut self, now: Duration, team: usize, heads: &[RequestId]) -> Option<Duration> {
         let requests = heads.iter().map(|id| &self.waiting[id]);
         let next_gain = requests.filter_map(|request| request.priority_gain(now).1).min();
@@ -71,6 +72,7 @@
         next_gain.into_iter().chain(covered_at).min()
     }
 
+    /// Replaces the time at which the team's position changes without an input.
     fn set_due(&mut self, team: usize, due: Option<Duration>) {
         let former = std::mem::replace(&mut self.team_queues[team].due, due);
         if let Some(former) = former {
@@ -82,7 +84,7 @@
     /// Gives an organization the budget state and priority of its first team.
     fn update_organization(&mut self, organization: usize) {
         let order = &self.team_orders[organization];
-        let Some(first) = order.turns().next() else {
+        let Some(first) = order.active_flows().next() else {
             self.organization_order.deactivate(organization);
             return;
         };
--- a/crates/teams/src/queues/mod.rs
+++ b/crates/teams/src/queues/mod.rs
@@ -1,4 +1,4 @@
-//! The queues of all teams: who waits, whose turn is next, and what was charged.
+//! The queues of all teams: the waiting requests, the order of dispatch, and the charges.
 
 mod charging;
 mod dispatch_order;
@@ -9,7 +9,7 @@
 use crate::fair_order::FairOrder;
 use crate::identity_charges::IdentityCharges;
 use crate::key_order::KeyOrder;
-use crate::quotas::{Quotas, Team};
+use crate::quotas::Quotas;
 use crate::request::{
     Arrival, DispatchedRequest, MAX_URGENCY, NewRequest, RejectReason, Rejection, RequestId, WaitingRequest,
 };
@@ -20,14 +20,14 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// The queues of all teams. A request is enqueued, dispatched at its turn, and settled when it has ended.
+/// The queues of all teams. A request is enqueued, dispatched in the fair order, and settled when it has ended.
 ///
-/// `now` is the time since the start; it must not go back from one call to the next.
+/// `now` is the time since the start. It must not decrease from one call to the next.
 #[derive(Clone, Debug)]
 pub struct Queues {
     quotas: Quotas,
     organization_order: FairOrder,
-    /// By organization, the fair order of its teams, which are its flows.
+    /// By organization, the fair order of its teams. Each team is a flow of that order.
     team_orders: Vec<FairOrder>,
     /// By organization, the team of each flow.
     members: Vec<Vec<usize>>,
@@ -36,29 +36,29 @@
     dispatched: IndexMap<RequestId, DispatchedRequest>,
     identity_charges: IdentityCharges,
     key_order: KeyOrder,
-    /// When a team's place in the fair order changes by itself.
+    /// Times at which a team's position in the fair order changes without an input.
     due: BTreeSet<(Duration, usize)>,
     service_rate: ServiceRate,
     next_sequence: u64,
-    /// Work that waits, by organization.
+    /// Expected work of the waiting requests, by organization.
     backlogs: Vec<Duration>,
     /// By organization, the teams with waiting requests.
     busy_teams: Vec<BTreeSet<usize>>,
 }
 
 impl Queues {
-    /// Empty queues with full budgets. The quotas must be valid.
+    /// Returns empty queues with full budgets. The quotas must be valid.
     pub fn new(quotas: Quotas, now: Duration) -> Self {
         debug_assert_eq!(quotas.validate(), Ok(()));
         let organization_count = quotas.organizations.len();
         let mut members = vec![Vec::new(); organization_count];
-        let mut team_queue = |(index, team): (usize, &Team)| {
-            let members = &mut members[team.organization];
-            members.push(index);
+        let mut team_queues = Vec::with_capacity(quotas.teams.len());
+        for (index, team) in quotas.teams.iter().enumerate() {
+            let flow = members[team.organization].len();
+            members[team.organization].push(index);
             let budget = team.allowance.map(|allowance| Budget::full(allowance, now));
-            TeamQueue::new(members.len() - 1, budget)
-        };
-        let team_queues = quotas.teams.iter().enumerate().map(&mut team_queue).collect();
+            team_queues.push(TeamQueue::new(flow, budget));
+        }
         let team_order = |organization| FairOrder::with_shares(member_shares(&quotas, organization));
         let organization_shares = quotas.organizations.iter().map(|organization| organization.share);
         Self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Accepts a request, or rejects it with the time after which such a request would be accepted.
+    /// Accepts a request, or rejects it with the time until a request like it is expected to be accepted.
     pub fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> Result<(), Rejection> {
         let urgency = new_request.urgency.min(MAX_URGENCY);
         let team = new_request.team;
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Checks the bound on the team's queue, and that the deadline leaves time for the expected wait and the work.
+    /// Rejects a request if its team's queue is full, or if the expected wait and work exceed its deadline.
     fn admit(&self, new_request: &NewRequest, expected_wait: Duration) -> Result<(), Rejection> {
         let NewRequest { team, work, deadline, .. } = *new_request;
         if self.team_queues[team].len() >= self.quotas.teams[team].max_waiting {
@@ -120,6 +120,7 @@
         Ok(())
     }
 
+    /// Adds a request to its queue, and updates the team's position in the fair order.
     fn insert_waiting(&mut self, now: Duration, id: RequestId, request: WaitingRequest) {
         let team = request.team();
         let organization = self.quotas.teams[team].organization;
@@ -131,7 +132,7 @@
         self.update_order(now, team);
     }
 
-    /// Takes a request out of its queue. The caller updates the team's place in the fair order.
+    /// Removes a request from its queue. The caller has to update the team's position in the fair order.
     fn remove_waiting(&mut self, id: RequestId) -> Option<WaitingRequest> {
         let request = self.waiting.swap_remove(&id)?;
         let team = request.team();
@@ -145,7 +146,7 @@
         Some(request)
     }
 
-    /// Removes a waiting request whose client has left. Returns whether it waited.
+    /// Removes a waiting request whose client has disconnected. Returns whether the request was waiting.
     pub fn remove(&mut self, now: Duration, request: RequestId) -> bool {
         let removed = self.remove_waiting(request);
         self.key_order.forget(request);
@@ -155,12 +156,12 @@
         removed.is_some()
     }
 
-    /// When the order of turns changes by itself, so that [`Self::advance`] has to be called.
+    /// Returns the time at which the order of dispatch changes without an input, and [`Self::advance`] has to be called.
     pub fn due(&self) -> Option<Duration> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Updates the order of turns for what has fallen due.
+    /// Updates the order of dispatch to `now`: priorities gained by age, and budgets that cover a request again.
     pub fn advance(&mut self, now: Duration) {
         while let Some((at, team)) = self.due.first().copied()
             && at <= now
@@ -174,23 +175,23 @@
         self.waiting.is_empty()
     }
 
-    /// Waiting requests of all teams.
+    /// Returns the number of waiting requests of all teams.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Seconds charged for a team's requests that are dispatched and have not ended; 0 when there are none.
+    /// Returns the seconds of work charged for a team's dispatched requests that have not ended; 0 if there are none.
     pub fn in_flight_charge(&self, team: usize) -> f64 {
         self.team_queues[team].in_flight_charge()
     }
 
-    /// Seconds that are left of a team's budget; none for a team without one.
-    pub fn budget_left(&self, team: usize) -> Option<f64> {
-        self.team_queues[team].budget.as_ref().map(Budget::left)
+    /// Returns the seconds of work that remain of a team's budget; `None` for a team without a budget.
+    pub fn budget_remaining(&self, team: usize) -> Option<f64> {
+        self.team_queues[team].budget.as_ref().map(Budget::remaining)
     }
 
-    /// Feeds the state to a hasher, with times relative to `now`: queues with the same fingerprint behave the same
-    /// from then on. The model checker tells states apart by it.
+    /// Feeds the state to a hasher, with times relative to `now`. Queues with equal fingerprints behave alike from then
+    /// on; the model checker compares states by their fingerprints.
     pub fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         self.organization_order.fingerprint(hasher);
         self.team_orders.iter().for_each(|order| order.fingerprint(hasher));
@@ -204,7 +205,7 @@
     }
 }
 
-/// The shares of an organization's teams, in the order of its flows.
+/// Returns the shares of an organization's teams, in the order of its flows.
 fn member_shares(quotas: &Quotas, organization: usize) -> impl Iterator<Item = f64> + Clone {
     let members = quotas.teams.iter().filter(move |team| team.organization == organization);
     members.map(|team| team.share)
--- a/crates/teams/src/queues/reconfigure.rs
+++ b/crates/teams/src/queues/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Replacing the quotas while requests wait and are in flight.
+//! Replacement of the quotas while requests wait and are in flight.
 
 use super::Queues;
 use crate::quotas::Quotas;
@@ -7,12 +7,12 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// The team that takes the requests of a team that is gone.
+/// Index of the team that receives the requests of a removed team.
 const DEFAULT_TEAM: usize = 0;
 
 impl Queues {
-    /// Replaces the quotas. Team `index` becomes `new_indices[index]`, or its requests go to the first team. No
-    /// request is lost: waiting ones keep their age, and spent budget stays spent. The quotas must be valid.
+    /// Replaces the quotas. Team `index` becomes team `new_indices[index]`; `None` moves its requests to the first team.
+    /// No request is lost, a waiting request keeps its age, and spent budget stays spent. The quotas must be valid.
     pub fn reconfigure(&mut self, now: Duration, quotas: Quotas, new_indices: &[Option<usize>]) {
         debug_assert_eq!(quotas.validate(), Ok(()));
         let former = std::mem::replace(self, Self::new(quotas, now));
@@ -26,6 +26,7 @@
         self.move_waiting(now, former.waiting, new_indices);
     }
 
+    /// Moves each remaining team's budget to its new index, with the new allowance.
     fn move_budgets(&mut self, now: Duration, former: &[TeamQueue], new_indices: &[Option<usize>]) {
         for (queue, new_index) in former.iter().zip(new_indices) {
             let Some(team) = *new_index else { continue };
@@ -36,6 +37,7 @@
         }
     }
 
+    /// Moves the dispatched requests and their charges to the new teams.
     fn move_dispatched(
         &mut self,
         former: IndexMap<RequestId, DispatchedRequest>,
@@ -49,6 +51,7 @@
         }
     }
 
+    /// Moves the waiting requests to the new teams.
     fn move_waiting(
         &mut self,
         now: Duration,
@@ -56,7 +59,7 @@
         new_indices: &[Option<usize>],
     ) {
         let mut waiting: Vec<(RequestId, WaitingRequest)> = former.into_iter().collect();
-        // In the order of arrival, whatever the table's.
+        // Sorts by arrival, so that the result does not depend on the order of the table.
         waiting.sort_unstable_by_key(|(_, request)| request.arrival);
         for (id, mut request) in waiting {
             request.team = new_team(request.team(), new_indices) as u32;
@@ -65,6 +68,7 @@
     }
 }
 
+/// Returns the new index of a team.
 fn new_team(former: usize, new_indices: &[Option<usize>]) -> usize {
     new_indices.get(former).copied().flatten().unwrap_or(DEFAULT_TEAM)
 }
--- a/crates/teams/src/queues/wait_estimate.rs
+++ b/crates/teams/src/queues/wait_estimate.rs
@@ -1,4 +1,4 @@
-//! How long a request will wait: from the work that is dispatched before it, and the rate of late.
+//! Wait estimates from the work that is dispatched before a request and the service rate of the latest dispatches.
 
 use super::Queues;
 use crate::fair_order::FairOrder;
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 impl Queues {
-    /// How long a waiting request will still wait; none for other requests, and while the service rate is unknown.
+    /// Estimates the remaining wait of a waiting request. Returns `None` for other requests, and while the service rate is
+    /// unknown.
     pub fn estimate_wait(&self, now: Duration, request: RequestId) -> Option<WaitEstimate> {
         let waiting = self.waiting.get(&request)?;
         let team = waiting.team();
@@ -16,7 +17,8 @@
         Some(self.service_rate.estimate(seconds, position))
     }
 
-    /// Seconds until the turn of a request of that arrival, or of one that comes now.
+    /// Returns the computed seconds until a request of this arrival is dispatched. `None` as the arrival stands for a
+    /// request that arrives now.
     pub(super) fn wait_seconds(
         &self,
         now: Duration,
@@ -26,43 +28,46 @@
     ) -> Option<f64> {
         let rate = self.service_rate.work_per_second(now)?;
         let organization = self.quotas.teams[team].organization;
-        let own_work = self.team_queues[team].work_before(urgency, arrival, &self.waiting);
-        let own_work = own_work.as_secs_f64();
-        let organization_work = own_work + self.work_of_other_teams(team, own_work);
+        let team_queue = &self.team_queues[team];
+        let team_work = team_queue.work_before(urgency, arrival, &self.waiting).as_secs_f64();
+        let organization_work = team_work + self.work_of_other_teams(team, team_work);
         let all_work = organization_work + self.work_of_other_organizations(organization, organization_work);
         Some(all_work / rate)
     }
 
-    /// Seconds of work that the organization's other teams get until this one has got so much.
-    fn work_of_other_teams(&self, team: usize, own_work: f64) -> f64 {
+    /// Returns the seconds of work dispatched for the organization's other teams until `team_work` seconds are dispatched
+    /// for this team.
+    fn work_of_other_teams(&self, team: usize, team_work: f64) -> f64 {
         let organization = self.quotas.teams[team].organization;
         let order = &self.team_orders[organization];
         let flow = self.team_queues[team].flow;
-        let virtual_span = own_work / order.share(flow);
-        let others = self.busy_teams[organization].iter().filter(|other| **other != team);
-        let work = others.map(|other| {
+        let virtual_span = team_work / order.share(flow);
+        let mut work = 0.0;
+        for other in self.busy_teams[organization].iter().filter(|other| **other != team) {
             let queue = &self.team_queues[*other];
             let backlog = queue.waiting_work().as_secs_f64();
-            work_within(order, queue.flow, flow, virtual_span, backlog)
-        });
-        work.sum()
+            work += work_within(order, queue.flow, flow, virtual_span, backlog);
+        }
+        work
     }
 
-    /// Seconds of work that the other organizations get until this one has got so much.
-    fn work_of_other_organizations(&self, organization: usize, own_work: f64) -> f64 {
+    /// Returns the seconds of work dispatched for the other organizations until `organization_work` seconds are
+    /// dispatched for this one.
+    fn work_of_other_organizations(&self, organization: usize, organization_work: f64) -> f64 {
         let order = &self.organization_order;
-        let virtual_span = own_work / order.share(organization);
-        let backlogs = self.backlogs.iter().enumerate();
-        let others = backlogs.filter(|(other, backlog)| *other != organization && !backlog.is_zero());
-        let work = others.map(|(other, backlog)| {
-            work_within(order, other, organization, virtual_span, backlog.as_secs_f64())
-        });
-        work.sum()
+        let virtual_span = organization_work / order.share(organization);
+        let mut work = 0.0;
+        for (other, backlog) in self.backlogs.iter().enumerate() {
+            if other != organization && !backlog.is_zero() {
+                work += work_within(order, other, organization, virtual_span, backlog.as_secs_f64());
+            }
+        }
+        work
     }
 }
 
-/// Seconds of work that a flow gets within a virtual span from the start of a reference flow's turn, at most its
-/// backlog.
+/// Returns the seconds of work dispatched for a flow within a virtual span, in seconds, from the next start of the
+/// reference flow; at most the flow's backlog.
 fn work_within(order: &FairOrder, flow: usize, reference: usize, virtual_span: f64, backlog: f64) -> f64 {
     let span = virtual_span - order.lag(flow, reference);
     (span * order.share(flow)).clamp(0.0, backlog)
--- a/crates/teams/src/quotas.rs
+++ b/crates/teams/src/quotas.rs
@@ -1,23 +1,23 @@
-//! Quotas: what organizations and teams are granted, and the check that they make sense.
+//! The quotas of organizations and teams, and their validation.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// Work that a team may have done in each period. What it does not use builds up to `burst`.
+/// The work granted to a team in each period. Unused work accumulates up to `burst`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Work in each period, as one core's time.
+    /// Work granted in each period, as time of one core.
     pub work: Duration,
     /// Length of a period.
     pub period: Duration,
-    /// Work that may build up at most.
+    /// Largest amount of unused work that accumulates.
     pub burst: Duration,
 }
 
-/// A group of teams that share what the group has.
+/// A group of teams that share the group's part of the engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organization {
-    /// Weight against the other organizations.
+    /// Weight relative to the other organizations.
     pub share: f64,
 }
 
@@ -26,45 +26,45 @@
 pub struct Team {
     /// Index of its organization.
     pub organization: usize,
-    /// Weight against the organization's other teams.
+    /// Weight relative to the organization's other teams.
     pub share: f64,
-    /// Its budget; none for a team that is limited by its share alone.
+    /// The team's budget; `None` for a team that is limited by its share alone.
     pub allowance: Option<Allowance>,
-    /// Bound on its waiting requests.
+    /// Largest number of waiting requests.
     pub max_waiting: usize,
 }
 
-/// All organizations and teams, by their indices. The first team takes the requests that name no known team.
+/// All organizations and teams, by index. The first team receives the requests that name no known team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quotas {
-    /// Every organization.
+    /// The organizations.
     pub organizations: Vec<Organization>,
-    /// Every team.
+    /// The teams.
     pub teams: Vec<Team>,
 }
 
-/// A quota that makes no sense.
+/// An invalid quota.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: expected {expected}")]
 pub struct QuotaError {
-    /// Where it stands, as in `teams[2].share`.
+    /// Path of the invalid value, such as `teams[2].share`.
     pub path: String,
-    /// The values that are accepted there.
+    /// The accepted values.
     pub expected: &'static str,
 }
 
-/// A larger share against another's would only say that the other gets nothing.
+/// Largest weight of an organization or a team.
 const MAX_SHARE: f64 = 1e6;
-/// Bound on periods and budgets: a year.
+/// Largest period, budget and burst: one year.
 const MAX_TIME: Duration = Duration::from_secs(366 * 24 * 3600);
-/// Bound on a team's bound on its waiting requests.
+/// Largest accepted value of [`Team::max_waiting`].
 const MAX_WAITING: usize = 10_000_000;
 
 const EXPECTED_SHARE: &str = "a number above 0, up to a million";
 const EXPECTED_TIME: &str = "a time above 0, up to a year";
 
 impl Quotas {
-    /// Fails with the first quota that makes no sense.
+    /// Checks all quotas. The error names the first invalid one.
     pub fn validate(&self) -> Result<(), QuotaError> {
         if self.organizations.is_empty() || self.teams.is_empty() {
             return Err(quota_error("teams", "at least one firm and one team"));
@@ -80,21 +80,25 @@
         let path = |field: &'static str| move || format!("teams[{index}].{field}");
         check(team.organization < self.organizations.len(), path("firm"), "a firm of the list")?;
         check(is_share(team.share), path("share"), EXPECTED_SHARE)?;
-        let waiting = 1..=MAX_WAITING;
-        check(waiting.contains(&team.max_waiting), path("most_waiting"), "a count from 1 to ten millions")?;
+        let accepted_lengths = 1..=MAX_WAITING;
+        check(
+            accepted_lengths.contains(&team.max_waiting),
+            path("most_waiting"),
+            "a count from 1 to ten millions",
+        )?;
         let Some(Allowance { work, period, burst }) = team.allowance else { return Ok(()) };
         check(is_time(work), path("budget.work"), EXPECTED_TIME)?;
         check(is_time(period), path("budget.over"), EXPECTED_TIME)?;
         check(is_time(burst), path("budget.burst"), EXPECTED_TIME)
     }
 
-    /// The fraction of everything that a team gets while all organizations and teams have requests.
+    /// Returns the fraction of all engines' time that a team gets while every team has requests, from 0 to 1.
     pub fn overall_share(&self, team: usize) -> f64 {
         let Team { organization, share, .. } = self.teams[team];
-        let organizations: f64 = self.organizations.iter().map(|organization| organization.share).sum();
+        let organizations_sum: f64 = self.organizations.iter().map(|organization| organization.share).sum();
         let members = self.teams.iter().filter(|member| member.organization == organization);
-        let members: f64 = members.map(|member| member.share).sum();
-        self.organizations[organization].share / organizations * share / members
+        let members_sum: f64 = members.map(|member| member.share).sum();
+        self.organizations[organization].share / organizations_sum * share / members_sum
     }
 }
 
--- a/crates/teams/src/request.rs
+++ b/crates/teams/src/request.rs
@@ -1,62 +1,62 @@
-//! Requests as the queues see them: what is known at their arrival, why they are rejected, and what they came to.
+//! Requests of the queues: their properties at arrival, the reasons of rejection, and their outcomes.
 
 use std::time::Duration;
 
-/// A request's number, as the caller counts.
+/// The number of a request, assigned by the caller.
 pub type RequestId = u32;
 
-/// The highest urgency; a higher one counts as this.
+/// The highest urgency. Higher values are lowered to it.
 pub const MAX_URGENCY: u8 = 3;
 
 /// A request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its number; no other waiting or dispatched request has it.
+    /// The request's number, unique among the waiting and dispatched requests.
     pub request: RequestId,
-    /// Index of its team in the quotas.
+    /// Index of the request's team in the quotas.
     pub team: usize,
-    /// 0 for ordinary work, up to [`MAX_URGENCY`].
+    /// From 0 for ordinary requests up to [`MAX_URGENCY`].
     pub urgency: u8,
-    /// Its request class.
+    /// The request class.
     pub class: u16,
-    /// Expected work, as one core's time.
+    /// Expected work, as time of one core.
     pub work: Duration,
-    /// It gains priority once for each latency objective that it has waited.
+    /// Latency objective. The request gains one priority level each time it has waited that long.
     pub latency_objective: Duration,
-    /// Time from its arrival within which it has to be done; it is rejected when that can't be met.
+    /// Time from the arrival to the deadline. The request is rejected if its expected wait and work exceed it.
     pub deadline: Duration,
-    /// The same for a request and its retries, which are charged as one.
+    /// Identity shared by a request and its retries, which are charged as one request.
     pub identity: Option<u64>,
-    /// Requests with one key are dispatched in the order of their arrival, whatever their teams.
+    /// Key of requests that are dispatched in the order of arrival, across teams.
     pub key: Option<u64>,
 }
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The team has as many waiting requests as it may.
+    /// The team has the largest number of waiting requests already.
     QueueFull,
-    /// The expected wait and work exceed its deadline.
+    /// The expected wait and work exceed the deadline.
     DeadlineTooShort,
 }
 
-/// A request was not accepted.
+/// The rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub reason: RejectReason,
-    /// Time after which such a request would be accepted.
+    /// Time until a request like this one is expected to be accepted.
     pub retry_after: Duration,
 }
 
-/// What a dispatched request came to.
+/// The outcome of a dispatched request, which decides its final charge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It ran, and its work was measured.
+    /// The request ran, and its work was measured: that work is charged.
     Measured(Duration),
-    /// It may have run, and its work is not known: the expected work stays charged.
+    /// The request may have run, and its work is unknown: the expected work stays charged.
     Unknown,
-    /// It never ran, was cancelled or was rejected: nothing is charged.
+    /// The request never ran, was cancelled or was rejected: its charge is refunded.
     Refunded,
 }
 
@@ -67,22 +67,22 @@
     pub(crate) sequence: u64,
 }
 
-/// A request that waits. There may be very many, so the fields are narrow.
+/// A waiting request. Its fields are narrow, because hundreds of thousands of requests may wait.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub(crate) arrival: Arrival,
     pub(crate) latency_objective: Duration,
     pub(crate) work: Duration,
     pub(crate) identity: Option<u64>,
-    /// The wait that was estimated at its arrival, in seconds.
+    /// The wait estimated at the arrival, in seconds.
     pub(crate) estimated_wait: Option<f32>,
     pub(crate) team: u32,
     pub(crate) class: u16,
     pub(crate) urgency: u8,
 }
 
-/// Priority levels that a request may gain by urgency and age together: by so many requests like it, its team may
-/// be ahead of its share.
+/// Largest number of priority levels that a request gains by urgency and age together. It bounds a team's lead over its
+/// share: each level is worth the work of one request.
 const MAX_PRIORITY_GAIN: u32 = 4;
 
 impl WaitingRequest {
@@ -90,7 +90,7 @@
         self.team as usize
     }
 
-    /// The priority levels that it has gained, and when it gains the next one.
+    /// Returns the priority levels gained by `now`, and the time of the next gain unless the request has them all.
     pub(crate) fn priority_gain(&self, now: Duration) -> (u32, Option<Duration>) {
         let waited = now.saturating_sub(self.arrival.at);
         let objective = self.latency_objective.max(Duration::from_nanos(1));
@@ -102,10 +102,10 @@
     }
 }
 
-/// A request that was dispatched and has not ended.
+/// A dispatched request that has not ended.
 #[derive(Clone, Debug)]
 pub(crate) struct DispatchedRequest {
     pub(crate) request: WaitingRequest,
-    /// Seconds of work that were charged on dispatch.
+    /// Seconds of work charged on dispatch.
     pub(crate) charged: f64,
 }
--- a/crates/teams/src/service_rate.rs
+++ b/crates/teams/src/service_rate.rs
@@ -1,33 +1,34 @@
-//! The rate at which work was dispatched lately, and wait estimates that are corrected by how former ones turned out.
+//! The service rate over the latest dispatches, and wait estimates corrected by the actual waits.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// An estimate of a wait: nine in ten should end from `low` to `high`.
+/// An estimate of a wait. Nine of ten actual waits should lie from `low` to `high`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitEstimate {
-    /// Few waits are shorter.
+    /// Estimated 3 % quantile of the wait.
     pub low: Duration,
-    /// Half of the waits are shorter.
+    /// Estimated median of the wait.
     pub median: Duration,
-    /// Few waits are longer.
+    /// Estimated 97 % quantile of the wait.
     pub high: Duration,
-    /// Waiting requests of the same team that come before it.
+    /// Number of waiting requests of the same team that are dispatched before the request.
     pub position: usize,
 }
 
-/// Samples of each measurement.
+/// Number of samples kept of each measurement.
 const MAX_SAMPLES: usize = 128;
-/// With fewer dispatches there is no rate.
+/// Smallest number of dispatches from which a rate is computed.
 const MIN_SAMPLES: usize = 8;
-/// Bound on estimates, in seconds: a year.
+/// Longest estimated wait, in seconds: one year.
 const MAX_WAIT_S: f64 = 366.0 * 24.0 * 3600.0;
-/// Ratios of actual to estimated waits that are assumed before there are any samples.
+/// Ratios of actual to estimated wait that are assumed until samples replace them.
 const INITIAL_RATIOS: [f64; 3] = [0.5, 1.0, 2.0];
-/// Range of a sampled ratio: the estimate may have been next to nothing.
-const RATIO_RANGE: (f64, f64) = (0.1, 10.0);
-/// The quantiles of the ratios that an estimate is made of.
+/// Bounds of a sampled ratio. The ratio to an estimate close to zero would otherwise outweigh all others.
+const MIN_RATIO: f64 = 0.1;
+const MAX_RATIO: f64 = 10.0;
+/// Quantiles of the ratios that give the bounds and the median of an estimate.
 const LOW_QUANTILE: f64 = 0.03;
 const MEDIAN_QUANTILE: f64 = 0.5;
 const HIGH_QUANTILE: f64 = 0.97;
@@ -35,15 +36,15 @@
 #[derive(Clone, Debug)]
 struct Dispatch {
     at: Duration,
-    /// In seconds.
+    /// Expected work, in seconds.
     work: f64,
 }
 
-/// What was dispatched lately, and how former estimates turned out.
+/// Samples of the latest dispatches and of the accuracy of wait estimates.
 #[derive(Clone, Debug)]
 pub struct ServiceRate {
     dispatches: VecDeque<Dispatch>,
-    /// Actual against estimated waits of the last dispatched requests.
+    /// Ratios of actual to estimated wait of the latest dispatched requests.
     wait_ratios: VecDeque<f64>,
 }
 
@@ -54,23 +55,23 @@
 }
 
 impl ServiceRate {
-    /// Records a dispatch of so many seconds of work, after a wait that had been estimated as so many seconds.
+    /// Records the dispatch of `work` seconds after a wait that had been estimated as `estimated` seconds.
     pub fn record_dispatch(&mut self, now: Duration, work: f64, waited: Duration, estimated: Option<f64>) {
         push_sample(&mut self.dispatches, Dispatch { at: now, work });
         if let Some(estimated) = estimated.filter(|estimated| *estimated > 0.0) {
             let ratio = waited.as_secs_f64() / estimated;
-            push_sample(&mut self.wait_ratios, ratio.clamp(RATIO_RANGE.0, RATIO_RANGE.1));
+            push_sample(&mut self.wait_ratios, ratio.clamp(MIN_RATIO, MAX_RATIO));
         }
     }
 
-    /// Adds to the work of the last dispatch, in seconds: below 0 when it was taken back.
+    /// Adds to the work of the latest dispatch, in seconds; a cancelled dispatch is recorded as negative work.
     pub fn correct_last(&mut self, work: f64) {
         if let Some(last) = self.dispatches.back_mut() {
             last.work += work;
         }
     }
 
-    /// Seconds of work dispatched in a second; none before there are enough samples.
+    /// Returns the seconds of work dispatched per second; `None` with fewer than [`MIN_SAMPLES`] dispatches.
     pub fn work_per_second(&self, now: Duration) -> Option<f64> {
         let first = self.dispatches.front().filter(|_| self.dispatches.len() >= MIN_SAMPLES)?;
         let work: f64 = self.dispatches.iter().skip(1).map(|dispatch| dispatch.work).sum();
@@ -78,21 +79,24 @@
         (span > 0.0 && work > 0.0).then(|| work / span)
     }
 
-    /// Mean work of the last dispatches, in seconds; 0 before there are any.
+    /// Returns the mean work of the latest dispatches, in seconds; 0 before the first dispatch.
     pub fn mean_work(&self) -> f64 {
         let work: f64 = self.dispatches.iter().map(|dispatch| dispatch.work).sum();
         work / self.dispatches.len().max(1) as f64
     }
 
-    /// The estimate for a wait that was computed as so many seconds.
-    pub fn estimate(&self, seconds: f64, position: usize) -> WaitEstimate {
+    /// Corrects a computed wait, in seconds, by the ratios of actual to estimated waits.
+    pub fn estimate(&self, computed_wait: f64, position: usize) -> WaitEstimate {
         let mut ratios: Vec<f64> = self.wait_ratios.iter().copied().collect();
         ratios.sort_unstable_by(f64::total_cmp);
-        let wait = |part| Duration::from_secs_f64((seconds * quantile(&ratios, part)).min(MAX_WAIT_S));
+        let corrected_wait = |fraction| {
+            let seconds = computed_wait * quantile(&ratios, fraction);
+            Duration::from_secs_f64(seconds.min(MAX_WAIT_S))
+        };
         WaitEstimate {
-            low: wait(LOW_QUANTILE),
-            median: wait(MEDIAN_QUANTILE),
-            high: wait(HIGH_QUANTILE),
+            low: corrected_wait(LOW_QUANTILE),
+            median: corrected_wait(MEDIAN_QUANTILE),
+            high: corrected_wait(HIGH_QUANTILE),
             position,
         }
     }
@@ -106,6 +110,7 @@
     }
 }
 
+/// Adds a sample, and drops the oldest one beyond [`MAX_SAMPLES`].
 fn push_sample<T>(samples: &mut VecDeque<T>, sample: T) {
     if samples.len() == MAX_SAMPLES {
         samples.pop_front();
@@ -113,9 +118,9 @@
     samples.push_back(sample);
 }
 
-/// The value below which this part of the sorted samples lies, interpolated.
-fn quantile(sorted: &[f64], part: f64) -> f64 {
-    let index = part * (sorted.len() - 1) as f64;
+/// Returns the quantile of sorted samples, interpolated between the two neighbouring samples. `fraction` is from 0 to 1.
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    let index = fraction * (sorted.len() - 1) as f64;
     let low = sorted[index.floor() as usize];
     let high = sorted[index.ceil() as usize];
     low + (high - low) * index.fract()
--- a/crates/teams/src/team_queue.rs
+++ b/crates/teams/src/team_queue.rs
@@ -1,4 +1,4 @@
-//! One team's queue: its waiting requests by urgency and class, and its budget and charges.
+//! The queue of one team: its waiting requests by urgency and class, its budget and its charges.
 
 use crate::budget::Budget;
 use crate::request::{Arrival, MAX_URGENCY, RequestId, WaitingRequest};
@@ -8,33 +8,34 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// In one of so many dispatches of a team urgency does not count, so that urgent requests can't keep the others
-/// waiting for ever.
+/// Interval, in dispatches of one team, at which urgency is ignored, so that urgent requests cannot starve the others.
 const URGENCY_IGNORED_EVERY: u32 = 8;
+/// Resolution of the remaining budget in a fingerprint, in steps per second of work.
+const FINGERPRINT_STEPS_PER_SECOND: f64 = 1e6;
 
-/// A lane holds a team's requests of one urgency and class: the most urgent lanes first.
+/// Sort key of a lane, which holds a team's requests of one urgency and class. The most urgent lanes come first.
 type Lane = (Reverse<u8>, u16);
 
-/// All waiting requests, of every team.
+/// The waiting requests of all teams.
 pub(crate) type WaitingTable = IndexMap<RequestId, WaitingRequest>;
 
-/// A team's queue.
+/// The queue of one team.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TeamQueue {
     lanes: BTreeMap<Lane, BTreeMap<Arrival, RequestId>>,
     length: usize,
-    /// Work that waits, by urgency.
+    /// Expected work of the waiting requests, by urgency.
     work: [Duration; MAX_URGENCY as usize + 1],
     pub(crate) budget: Option<Budget>,
-    /// When its place in the fair order changes by itself.
+    /// Time at which the team's position in the fair order changes without an input.
     pub(crate) due: Option<Duration>,
-    /// Seconds charged for requests that are dispatched and have not ended.
+    /// Seconds of work charged for dispatched requests that have not ended.
     in_flight_charge: f64,
     in_flight: usize,
     dispatch_count: u32,
-    /// Its index in its organization's fair order.
+    /// The team's index in its organization's fair order.
     pub(crate) flow: usize,
-    /// The priority of its next request, in seconds of work.
+    /// Priority gained by the team's next request, in seconds of work.
     pub(crate) priority_gained: f64,
 }
 
@@ -43,15 +44,17 @@
 }
 
 impl TeamQueue {
+    /// Returns an empty queue.
     pub(crate) fn new(flow: usize, budget: Option<Budget>) -> Self {
         Self { flow, budget, ..Self::default() }
     }
 
-    /// Its waiting requests.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.length
     }
 
+    /// Whether no request waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.length == 0
     }
@@ -76,8 +79,8 @@
         self.work[usize::from(request.urgency)] -= request.work;
     }
 
-    /// The first request of each lane, in the order of dispatch: by urgency, and then by the end of the latency
-    /// objective. In one of [`URGENCY_IGNORED_EVERY`] dispatches the latter alone counts.
+    /// Returns the first request of each lane in the order of dispatch: by urgency, then by the end of the latency
+    /// objective. Urgency is ignored in one of [`URGENCY_IGNORED_EVERY`] dispatches.
     pub(crate) fn heads(&self, waiting: &WaitingTable) -> Vec<RequestId> {
         let ignores_urgency = self.dispatch_count % URGENCY_IGNORED_EVERY == URGENCY_IGNORED_EVERY - 1;
         let firsts = self.lanes.values().filter_map(|requests| requests.first_key_value());
@@ -97,33 +100,34 @@
         self.dispatch_count = self.dispatch_count.wrapping_add(1);
     }
 
-    /// A request was dispatched, and so many seconds of work were charged for it.
+    /// Records the dispatch of a request that was charged with `charged` seconds of work.
     pub(crate) fn begin_charge(&mut self, charged: f64) {
         self.in_flight_charge += charged;
         self.in_flight += 1;
     }
 
-    /// A dispatched request has ended or waits again.
+    /// Removes the charge of a dispatched request that has ended or waits again.
     pub(crate) fn end_charge(&mut self, charged: f64) {
         self.in_flight_charge -= charged;
         self.in_flight -= 1;
         if self.in_flight == 0 {
-            // Without what rounding left over.
+            // Discards the rounding error of the sum.
             self.in_flight_charge = 0.0;
         }
     }
 
-    /// Seconds charged for requests that are dispatched and have not ended.
+    /// Returns the seconds of work charged for dispatched requests that have not ended.
     pub(crate) fn in_flight_charge(&self) -> f64 {
         self.in_flight_charge
     }
 
-    /// All work that waits.
+    /// Returns the expected work of all waiting requests.
     pub(crate) fn waiting_work(&self) -> Duration {
         self.work.iter().sum()
     }
 
-    /// Work that is dispatched before a request of that urgency and arrival; before a new one without an arrival.
+    /// Returns the expected work that is dispatched before a request of this urgency and arrival. `None` stands for a
+    /// request that arrives now.
     pub(crate) fn work_before(
         &self,
         urgency: u8,
@@ -133,27 +137,31 @@
         let level = usize::from(urgency);
         let more_urgent: Duration = self.work[level + 1..].iter().sum();
         let Some(arrival) = arrival else { return more_urgent + self.work[level] };
-        let lanes = self.lanes.iter().filter(|(lane, _)| lane.0.0 == urgency);
-        let earlier = lanes.flat_map(|(_, requests)| requests.range(..arrival));
+        let equally_urgent = self.lanes.iter().filter(|((Reverse(other), _), _)| *other == urgency);
+        let earlier = equally_urgent.flat_map(|(_, requests)| requests.range(..arrival));
         let same_urgency: Duration = earlier.map(|(_, id)| waiting[id].work).sum();
         more_urgent + same_urgency
     }
 
-    /// The number of requests that are dispatched before a waiting one.
+    /// Returns the number of requests that are dispatched before a waiting one.
     pub(crate) fn position(&self, request: &WaitingRequest) -> usize {
-        let before =
-            |(lane, requests): (&Lane, &BTreeMap<Arrival, RequestId>)| match lane.0.0.cmp(&request.urgency) {
+        let mut position = 0;
+        for ((Reverse(urgency), _class), requests) in &self.lanes {
+            position += match urgency.cmp(&request.urgency) {
                 Ordering::Greater => requests.len(),
                 Ordering::Equal => requests.range(..request.arrival).count(),
                 Ordering::Less => 0,
             };
-        self.lanes.iter().map(before).sum()
+        }
+        position
     }
 
+    /// Feeds the state to a hasher, with times relative to `now`.
     pub(crate) fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
-        let budget_left = self.budget.as_ref().map(|budget| (budget.left_at(now) * 1e6).round() as i64);
+        let steps = |seconds: f64| (seconds * FINGERPRINT_STEPS_PER_SECOND).round() as i64;
+        let budget_remaining = self.budget.as_ref().map(|budget| steps(budget.remaining_at(now)));
         let dispatches = self.dispatch_count % URGENCY_IGNORED_EVERY;
-        (budget_left, dispatches, self.priority_gained.to_bits()).hash(hasher);
+        (budget_remaining, dispatches, self.priority_gained.to_bits()).hash(hasher);
         for (lane, requests) in &self.lanes {
             let waits = requests.iter().map(|(arrival, id)| (now.saturating_sub(arrival.at), id));
             (lane, waits.collect::<Vec<_>>()).hash(hasher);
--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -226,7 +226,7 @@
     }
 
     fn dispatch_in_turn(&mut self) {
-        let first = self.queues.turns().next();
+        let first = self.queues.dispatch_order().next();
         if let Some(request) = first {
             self.dispatch("dispatched in turn", request);
         }
@@ -308,9 +308,9 @@
         self.record.number(u64::from(self.queues.is_empty()));
         for team in 0..self.team_count {
             self.record.float(Some(self.queues.in_flight_charge(team)));
-            self.record.float(self.queues.budget_left(team));
+            self.record.float(self.queues.budget_remaining(team));
         }
-        let turns: Vec<RequestId> = self.queues.turns().take(RECORDED_TURNS).collect();
+        let turns: Vec<RequestId> = self.queues.dispatch_order().take(RECORDED_TURNS).collect();
         turns.iter().for_each(|request| self.record.number((*request).into()));
         if let Some(request) = self.random.pick(&self.waiting) {
             self.record_wait(request);
--- a/crates/teams/tests/properties.rs
+++ b/crates/teams/tests/properties.rs
@@ -143,7 +143,7 @@
 
     /// Returns whether a request was dispatched; one is whenever any waits.
     fn dispatch_next(&mut self) -> Result<bool, TestCaseError> {
-        let next = self.queues.turns().next();
+        let next = self.queues.dispatch_order().next();
         prop_assert_eq!(next.is_none(), self.waiting.is_empty());
         let Some(request) = next else { return Ok(false) };
         prop_assert!(self.queues.dispatch(self.now, request));
--- a/crates/teams/tests/scenarios.rs
+++ b/crates/teams/tests/scenarios.rs
@@ -78,7 +78,7 @@
     /// Dispatches so many requests.
     fn turns(&mut self, count: usize) -> &mut Self {
         for _ in 0..count {
-            let next = self.queues.turns().next();
+            let next = self.queues.dispatch_order().next();
             match next {
                 Some(request) => {
                     assert!(self.queues.dispatch(ms(self.now), request), "it waits");
@@ -101,7 +101,7 @@
     }
 
     fn log_budget(&mut self, team: usize) -> &mut Self {
-        let left = self.queues.budget_left(team).unwrap_or(f64::NAN);
+        let left = self.queues.budget_remaining(team).unwrap_or(f64::NAN);
         self.note(format!("team {team} has {:.0} ms of its budget left", left * 1e3))
     }
 
--- a/crates/teams/tests/simulation/mod.rs
+++ b/crates/teams/tests/simulation/mod.rs
@@ -68,7 +68,7 @@
     }
 
     fn next(&mut self, now: Duration) -> Option<RequestId> {
-        let next = self.turns().next()?;
+        let next = self.dispatch_order().next()?;
         self.dispatch(now, next).then_some(next)
     }
 
