--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -31,7 +31,7 @@
             Self::Succeeded => "requests_succeeded",
             Self::Rejected => "requests_rejected",
             Self::Failed => "requests_failed",
-            Self::Withdrawn => "requests_withdrawn",
+            Self::Withdrawn => "requests_cancelled",
         }
     }
 }
@@ -162,7 +162,7 @@
             self.context.counters.count("requests_over_the_limit");
             return false;
         }
-        self.context.counters.count("requests_taken");
+        self.context.counters.count("requests_accepted");
         if let Some(client) = self.clients.table.get_mut(request.client) {
             client.open.insert(request.client_request_id, self.requests.next_id);
         }
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -212,7 +212,7 @@
         attempt.cancelled_at = Some(context.now());
         let cancel = EngineCommand::Cancel { id: &attempt.id }.encode();
         let ping = EngineCommand::Ping { id: &attempt.id }.encode();
-        context.counters.count("attempts_taken_back");
+        context.counters.count("attempts_cancelled_before_retry");
         self.write(slot, &[cancel, ping].concat(), context);
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
     }
@@ -324,7 +324,7 @@
         AttemptOutcome::TimedOut => "attempts_timed_out",
         AttemptOutcome::Unreachable => "attempts_unreachable",
         AttemptOutcome::Broken => "attempts_broken",
-        AttemptOutcome::Withdrawn => "attempts_withdrawn",
-        AttemptOutcome::Void => "attempts_void",
+        AttemptOutcome::Withdrawn => "attempts_cancelled",
+        AttemptOutcome::Void => "attempts_not_sent",
     }
 }
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -146,7 +146,7 @@
         let Some((slot, _)) = idle.min_by_key(|(_, connection)| connection.last_reply_at) else {
             return false;
         };
-        context.counters.count("connections_closed_for_room");
+        context.counters.count("connections_closed_for_capacity");
         self.close_connection(slot, "idle, closed for another engine", Reachability::Reachable, context);
         true
     }
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -93,7 +93,7 @@
         match self.attempt_named(connection, &reply.id) {
             Some(attempt) => self.handle_reply(attempt, reply, context),
             None => {
-                context.counters.count("engine_answers_for_nothing");
+                context.counters.count("engine_answers_after_cancellation");
                 Ok(())
             }
         }
@@ -189,7 +189,7 @@
     ) -> Result<(), EngineProtocolError> {
         let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
         let note = fields.progress()?;
-        context.counters.count("notes");
+        context.counters.count("progress_updates");
         let (request, attempt) = (attempt.request, attempt.number);
         self.events.push_back(PoolEvent::Progress { request, attempt, note });
         Ok(())
--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -43,7 +43,7 @@
             return;
         }
         let context = self.server.context();
-        context.counters.count("clients_read_out");
+        context.counters.count("clients_drained");
         context.timers.set(context.now() + CROSSING, Timer::Linger(slot));
         self.lingering.insert(slot, registered);
         self.drain_lingering(slot);
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -180,7 +180,7 @@
     }
 
     fn close_for_capacity(&mut self, slot: Slot) {
-        self.server.context().counters.count("clients_closed_for_room");
+        self.server.context().counters.count("clients_closed_for_capacity");
         self.server.close_client(slot, CloseReason::ReplacedWhileIdle);
         self.apply_changes();
     }
@@ -198,7 +198,7 @@
     pub(super) fn resume_accepting(&mut self) {
         if let Err(error) = self.loop_handle.enable(&self.listener.token) {
             log::error!("resuming the accepting of connections failed: error={error:?}");
-            self.server.context().counters.must(false, "a_closed_door");
+            self.server.context().counters.must(false, "accepting_not_resumed");
         }
     }
 }
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -40,7 +40,7 @@
         let request = arrival.request;
         let Some(admission_queue) = &mut self.admission_queue else { return };
         if let Err(Rejection { reason, retry_after }) = admission_queue.enqueue(now, arrival, admission) {
-            self.dispatcher.context.counters.count("requests_refused_at_the_door");
+            self.dispatcher.context.counters.count("requests_rejected_at_admission");
             log::debug!(
                 "request rejected by the admission queue: request={request} reason={reason:?} \
                  retry_after={retry_after:?}"
--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -66,8 +66,8 @@
         {"error":{"code":-32600,"message":"`req` is open already"},"id":2,"jsonrpc":"2.0"}
         {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
         {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
-        exit status Some(0): client_input_refused=17 requests_taken=32
-    "#]].assert_eq(&router.finish(&["client_input_refused", "requests_taken"]));
+        exit status Some(0): client_input_refused=17 requests_accepted=32
+    "#]].assert_eq(&router.finish(&["client_input_refused", "requests_accepted"]));
 }
 
 #[test]
@@ -96,9 +96,9 @@
         DROP 0000000000000003
         {"jsonrpc":"2.0","id":1,"result":{"data":"Zm9yIHRoZSBoYWxmLWNsb3NlZCBjbGllbnQJCQo="}}
         closed
-        exit status Some(0): attempts_withdrawn=2 requests_succeeded=1 requests_withdrawn=2
+        exit status Some(0): attempts_cancelled=2 requests_cancelled=2 requests_succeeded=1
     "#]]
-    .assert_eq(&router.finish(&["requests_succeeded", "requests_withdrawn", "attempts_withdrawn"]));
+    .assert_eq(&router.finish(&["requests_succeeded", "requests_cancelled", "attempts_cancelled"]));
 }
 
 /// One request fills the engine and others are queued; their clients leave, each in another way, in the same instant
@@ -137,9 +137,9 @@
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":5,"jsonrpc":"2.0"}
         closed
         {"jsonrpc":"2.0","id":7,"result":{"data":"YQliCWMK"}}
-        exit status Some(0): requests_rejected=3 requests_succeeded=2 requests_withdrawn=2
+        exit status Some(0): requests_cancelled=2 requests_rejected=3 requests_succeeded=2
     "#]]
-    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_cancelled"]));
 }
 
 /// Longer than the router takes to act on a withdrawal that it has read.
@@ -213,10 +213,10 @@
         all answers complete: true
         further calls: [1001, 1003]
         answers: 3
-        exit status Some(0): requests_withdrawn=1
+        exit status Some(0): requests_cancelled=1
     "#]]
     .assert_eq(&router.finish(&[
-        "requests_withdrawn",
+        "requests_cancelled",
         "requests_withdrawn_unheard",
         "requests_rejected",
         "requests_failed",
@@ -288,9 +288,9 @@
     expect![[r#"
         {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
         closed without a reset: true
-        exit status Some(0): client_input_refused=1 clients_read_out=1
+        exit status Some(0): client_input_refused=1 clients_drained=1
     "#]]
-    .assert_eq(&router.finish(&["client_input_refused", "clients_read_out"]));
+    .assert_eq(&router.finish(&["client_input_refused", "clients_drained"]));
 }
 
 /// More is unread than one turn reads, and than the kernel holds for the router: it reads on until all is read.
@@ -305,7 +305,7 @@
     expect![[r#"
         {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
         closed without a reset: true
-        exit status Some(0): client_input_refused=1 clients_read_out=1
+        exit status Some(0): client_input_refused=1 clients_drained=1
     "#]]
-    .assert_eq(&router.finish(&["client_input_refused", "clients_read_out"]));
+    .assert_eq(&router.finish(&["client_input_refused", "clients_drained"]));
 }
--- a/crates/router/tests/sockets/discovery.rs
+++ b/crates/router/tests/sockets/discovery.rs
@@ -204,12 +204,12 @@
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
         {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
-        exit status Some(0): clients_closed_for_room=12 requests_succeeded=2
+        exit status Some(0): clients_closed_for_capacity=12 requests_succeeded=2
     "#]]
     .assert_eq(&router.finish(&[
         "requests_succeeded",
-        "requests_withdrawn",
+        "requests_cancelled",
         "accepts_failed",
-        "clients_closed_for_room",
+        "clients_closed_for_capacity",
     ]));
 }
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -73,14 +73,14 @@
     discovery.send_changes(2, &[EngineChange::draining(0, address)]);
     router.record_answer(&mut client);
     engine.send(0, "PONG", "-", "");
-    let transcript = router.finish(&["attempts_void", "connections_silent"]);
+    let transcript = router.finish(&["attempts_not_sent", "connections_silent"]);
     expect![[r#"
         discovery dialled after event 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
         PING 0
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
-        exit status Some(0): attempts_void=1
+        exit status Some(0): attempts_not_sent=1
         closed
     "#]].assert_eq(&format!("{transcript}{}\n", engine.next_command()));
 }
@@ -179,7 +179,7 @@
     });
     let is_rejected = remaining.is_some_and(|mut client| client.read_line().contains("-32011"));
     let further_calls = engine.answer_calls(0);
-    let transcript = router.finish(&["attempts_void"]);
+    let transcript = router.finish(&["attempts_not_sent"]);
     format!("{name}: further calls {further_calls:?}, rejected {is_rejected}; {transcript}")
 }
 
@@ -206,13 +206,13 @@
     ];
     expect![[r#"
         ping-half-close: further calls [], rejected true; discovery dialled after event 1
-        exit status Some(0): attempts_void=1
+        exit status Some(0): attempts_not_sent=1
         ping-close: further calls [], rejected false; discovery dialled after event 1
-        exit status Some(0): attempts_void=1
+        exit status Some(0): attempts_not_sent=1
         ping-drain: further calls [], rejected true; discovery dialled after event 1
-        exit status Some(0): attempts_void=1
+        exit status Some(0): attempts_not_sent=1
         ping-complete-list: further calls [], rejected true; discovery dialled after event 1
-        exit status Some(0): attempts_void=1
+        exit status Some(0): attempts_not_sent=1
     "#]]
     .assert_eq(&outcomes.concat());
 }
@@ -239,9 +239,9 @@
         PING 0
         rejected: true
         further calls: []
-        exit status Some(0): attempts_void=1 connections_dialled=1
+        exit status Some(0): attempts_not_sent=1 connections_dialled=1
     "#]]
-    .assert_eq(&router.finish(&["attempts_void", "connections_dialled"]));
+    .assert_eq(&router.finish(&["attempts_not_sent", "connections_dialled"]));
 }
 
 /// An engine drains, the connection with a written call is reset and SIGTERM comes, all at once.
--- a/crates/router/tests/sockets/limits.rs
+++ b/crates/router/tests/sockets/limits.rs
@@ -29,9 +29,9 @@
         closed
         closed
         {"id":1,"jsonrpc":"2.0","result":{"serving":true}}
-        exit status Some(0): clients_admitted=8 clients_closed_for_room=2
+        exit status Some(0): clients_admitted=8 clients_closed_for_capacity=2
     "#]]
-    .assert_eq(&router.finish(&["clients_admitted", "clients_closed_for_room"]));
+    .assert_eq(&router.finish(&["clients_admitted", "clients_closed_for_capacity"]));
 }
 
 #[test]
@@ -63,9 +63,9 @@
     router.record(next_call);
     let transcript = router.finish(&[
         "clients_too_slow",
-        "requests_taken",
+        "requests_accepted",
         "requests_succeeded",
-        "requests_withdrawn",
+        "requests_cancelled",
         "requests_rejected",
         "requests_failed",
         "attempts_sent",
@@ -78,7 +78,7 @@
         stops reading: true
         all answers complete and in order: true
         GET the unread request queue=lookup,mem=120,prio=2 select 1
-        exit status Some(0): attempts_sent=SENT requests_rejected=1 requests_succeeded=SENT-1 requests_taken=SENT
+        exit status Some(0): attempts_sent=SENT requests_accepted=SENT requests_rejected=1 requests_succeeded=SENT-1
     "#]]
     .assert_eq(&transcript);
 }
@@ -189,7 +189,7 @@
         {"jsonrpc":"2.0","id":2,"result":{"data":"YQliCWMK"}}
         exit status Some(0): requests_succeeded=2
     "#]]
-    .assert_eq(&router.finish(&["requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&router.finish(&["requests_succeeded", "requests_cancelled"]));
 }
 
 #[test]
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -37,8 +37,8 @@
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         {"error":{"code":-32000,"message":"given up: it may have run"},"id":2,"jsonrpc":"2.0"}
         DROP 0000000000000001, DROP 0000000000000002
-        exit status Some(0): attempts_withdrawn=2 requests_failed=1 requests_rejected=1
-    "#]].assert_eq(&router.finish(&["requests_rejected", "requests_failed", "attempts_withdrawn"]));
+        exit status Some(0): attempts_cancelled=2 requests_failed=1 requests_rejected=1
+    "#]].assert_eq(&router.finish(&["requests_rejected", "requests_failed", "attempts_cancelled"]));
 }
 
 #[test]
--- a/crates/router/tests/sockets/teams.rs
+++ b/crates/router/tests/sockets/teams.rs
@@ -38,9 +38,13 @@
         {"jsonrpc":"2.0","id":3,"result":{"data":"MQkyCTMK"}}
         GET 0000000000000004 queue=lookup,mem=6554,prio=2 select 1
         {"jsonrpc":"2.0","id":4,"result":{"data":"MQkyCTMK"}}
-        exit status Some(0): requests_refused_at_the_door=1 requests_rejected=1 requests_succeeded=6
+        exit status Some(0): requests_rejected=1 requests_rejected_at_admission=1 requests_succeeded=6
     "#]]
-    .assert_eq(&router.finish(&["requests_succeeded", "requests_rejected", "requests_refused_at_the_door"]));
+    .assert_eq(&router.finish(&[
+        "requests_succeeded",
+        "requests_rejected",
+        "requests_rejected_at_admission",
+    ]));
 }
 
 #[test]
@@ -80,8 +84,8 @@
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":2,"jsonrpc":"2.0"}
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":5,"jsonrpc":"2.0"}
-        exit status Some(0): requests_rejected=4 requests_withdrawn=1 held_requests=0
-    "#]].assert_eq(&router.finish(&["requests_rejected", "requests_withdrawn", "held_requests"]));
+        exit status Some(0): requests_cancelled=1 requests_rejected=4 held_requests=0
+    "#]].assert_eq(&router.finish(&["requests_rejected", "requests_cancelled", "held_requests"]));
 }
 
 /// Of two requests in a team's queue, one client shuts down its sending side and the other closes.
@@ -110,7 +114,7 @@
         further calls: []
         exit status Some(0): requests_rejected=2 requests_succeeded=1
     "#]]
-    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_cancelled"]));
 }
 
 /// Requests in a team's queue are withdrawn in the same instant as capacity for them is freed.
@@ -132,7 +136,7 @@
         GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
         further calls: []
-        exit status Some(0): requests_succeeded=1 requests_withdrawn=2
+        exit status Some(0): requests_cancelled=2 requests_succeeded=1
     "#]]
-    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_withdrawn"]));
+    .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_cancelled"]));
 }
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -134,7 +134,7 @@
         format!("{written} bytes written, {}\n", fixture.context.counters)
     };
     expect![[r#"
-        0 bytes written, attempts_sent=1 attempts_void=1 connections_dialled=1
+        0 bytes written, attempts_not_sent=1 attempts_sent=1 connections_dialled=1
         81 bytes written, attempts_sent=1 connections_dialled=1
     "#]]
     .assert_eq(&(drain_after(0) + &drain_after(1)));
@@ -210,6 +210,6 @@
     let connection = fixture.pool.connection_of(attempt);
     assert_eq!((refused, fixture.pool.size().connections), (1, 1));
     assert!(connection.is_some_and(|connection| connection != fixture.connection));
-    expect!["attempts_sent=3 attempts_void=1 attempts_withdrawn=1 connections_closed_for_room=1 connections_dialled=2 connections_over_the_limit=1"]
+    expect!["attempts_cancelled=1 attempts_not_sent=1 attempts_sent=3 connections_closed_for_capacity=1 connections_dialled=2 connections_over_the_limit=1"]
         .assert_eq(&fixture.context.counters.to_string());
 }
