--- a/benches/large_fleet.rs
+++ b/benches/large_fleet.rs
@@ -22,21 +22,21 @@
         let mut served = Self {
             scheduler: listed(1, engines, Effect::Idempotent),
             in_flight: Default::default(),
-            next: 0,
+            next: RequestId(0),
         };
         (0..20).for_each(|_| served.accept());
         served
     }
 
     fn now(&self) -> Duration {
-        ms(u64::from(self.next))
+        ms(u64::from(self.next.0))
     }
 
     fn accept(&mut self) {
         let mut sent = Sends::default();
         self.scheduler.accept(self.now(), arrival(self.next), &mut sent);
         self.in_flight.extend(sent.0);
-        self.next += 1;
+        self.next.0 += 1;
     }
 
     fn succeed_oldest(&mut self) {
@@ -75,7 +75,7 @@
             bencher.iter(|| {
                 is_ready = !is_ready;
                 let lifecycle = if is_ready { Lifecycle::Ready } else { Lifecycle::Draining };
-                let rows = vec![endpoint(0, lifecycle)];
+                let rows = vec![endpoint(EngineId(0), lifecycle)];
                 let now = served.now();
                 served.scheduler.endpoints_changed(now, EndpointUpdate::Changes, rows, &mut Sends::default());
             });
@@ -87,7 +87,7 @@
         let mut served = Served::new(engines);
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
-                let rows = (0..engines).map(|engine| endpoint(engine, Lifecycle::Ready)).collect();
+                let rows = (0..engines).map(|engine| endpoint(EngineId(engine), Lifecycle::Ready)).collect();
                 let now = served.now();
                 served.scheduler.endpoints_changed(
                     now,
--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -106,7 +106,7 @@
         let (id, statement) = (request_id(request as u64), statement(request, number));
         let deadline = state.now + CALL_DEADLINE;
         let call = Call {
-            request: request as RequestId,
+            request: RequestId::from_index(request),
             number,
             id: &id,
             class: "lookup",
@@ -208,7 +208,7 @@
             while let Some(event) = self.state.engines.events.pop_front() {
                 is_active = true;
                 if let PoolEvent::Ended { ended, body, late_connection } = event {
-                    let request = ended.request as usize;
+                    let request = ended.request.index();
                     let owed = late_connection.map(|connection| OwedAnswer { request, connection });
                     self.state.owed_answers.extend(owed);
                     self.record_end(request, ended.attempt, ended.outcome, body);
--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -55,12 +55,12 @@
 
     /// The kind of an engine; the first where the scenario names none.
     pub fn kind(&self, engine: EngineId) -> usize {
-        self.kinds.get(engine).copied().unwrap_or(0)
+        self.kinds.get(engine.index()).copied().unwrap_or(0)
     }
 
     /// The class of a request.
     pub fn class_of(&self, request: RequestId) -> &RequestClass {
-        &self.classes[self.requests[request as usize].class]
+        &self.classes[self.requests[request.index()].class]
     }
 
     /// The time before a deadline by which a final answer must be on its way.
@@ -80,7 +80,7 @@
     pub fn arrival(&self, position: usize) -> Arrival {
         let request = &self.requests[position];
         Arrival {
-            request: position as RequestId,
+            request: RequestId::from_index(position),
             class: request.class,
             key: request.key,
             cost: (request.cost_ms > 0).then(|| Duration::from_millis(request.cost_ms)),
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -35,7 +35,8 @@
         violated: None,
         fingerprint: 0,
     };
-    let endpoints = (0..model.engines.len()).map(|engine| state.endpoint(model, engine)).collect();
+    let endpoints =
+        (0..model.engines.len()).map(|engine| state.endpoint(model, EngineId::from_index(engine))).collect();
     let mut events = EventLog::default();
     state.scheduler.endpoints_changed(state.now, EndpointUpdate::Changes, endpoints, &mut events);
     apply_events(model, &mut state, events);
@@ -85,7 +86,7 @@
         Transition::NoteProgress { request, note, .. } => {
             let attempt = state.requests[request].attempts.len() - 1;
             state.requests[request].attempts[attempt].notes += 1;
-            state.scheduler.progress_noted(now, request as RequestId, attempt, note, events);
+            state.scheduler.progress_noted(now, RequestId::from_index(request), attempt, note, events);
         }
         Transition::ChangeEndpoint { engine, change, .. } => {
             change_endpoint(model, state, engine, change, events);
@@ -99,7 +100,7 @@
         Transition::ClientLeaves { request, .. } => {
             state.departures += 1;
             state.requests[request].answer = Some(FinalAnswer::ClientLeft);
-            state.scheduler.clients_left(now, &[request as RequestId], &[], events);
+            state.scheduler.clients_left(now, &[RequestId::from_index(request)], &[], events);
         }
         Transition::WakeUp { .. } => {
             state.wake_ups.retain(|at| *at > now);
@@ -133,7 +134,7 @@
     events: &mut EventLog,
 ) {
     state.endpoint_changes += 1;
-    let record = &mut state.engine_records[engine];
+    let record = &mut state.engine_records[engine.index()];
     match change {
         EndpointChange::Drains => record.lifecycle = Lifecycle::Draining,
         EndpointChange::Removed => record.lifecycle = Lifecycle::Removed,
@@ -165,7 +166,7 @@
     outcome: AttemptOutcome,
     events: &mut EventLog,
 ) {
-    let number = request as RequestId;
+    let number = RequestId::from_index(request);
     if outcome == AttemptOutcome::Succeeded && state.requests[request].is_open() {
         check(model, state, &Event::Serve { request: number });
         state.requests[request].answer = Some(FinalAnswer::Served);
@@ -198,7 +199,11 @@
     // A later attempt's cooldown does not end an earlier one's.
     let now = state.now;
     state.key_cooldowns.retain(|cooldown| cooldown.until > now);
-    state.key_cooldowns.push(KeyCooldown { key, request: request as RequestId, until: now + cooldown });
+    state.key_cooldowns.push(KeyCooldown {
+        key,
+        request: RequestId::from_index(request),
+        until: now + cooldown,
+    });
 }
 
 fn check(model: &ModuleModel, state: &mut ModuleState, event: &Event) {
@@ -220,19 +225,19 @@
     match event {
         Event::Send { request, engine, until } => send(model, state, request, engine, until),
         Event::Cancel { request, attempt } => {
-            state.requests[request as usize].attempts[attempt].is_cancelled = true;
+            state.requests[request.index()].attempts[attempt].is_cancelled = true;
         }
         Event::Reject { request } => {
-            state.requests[request as usize].answer = Some(FinalAnswer::Rejected);
+            state.requests[request.index()].answer = Some(FinalAnswer::Rejected);
         }
-        Event::Fail { request } => state.requests[request as usize].answer = Some(FinalAnswer::Failed),
+        Event::Fail { request } => state.requests[request.index()].answer = Some(FinalAnswer::Failed),
         Event::WakeAfter { wait } => {
             state.wake_ups.push(state.now + wait);
             state.wake_ups.sort_unstable();
             state.wake_ups.dedup();
         }
         Event::Watch => state.is_watching = true,
-        Event::Forget { engine } => state.engine_records[engine].is_forgotten = true,
+        Event::Forget { engine } => state.engine_records[engine.index()].is_forgotten = true,
         Event::Terms { .. }
         | Event::Probe { .. }
         | Event::Serve { .. }
@@ -242,7 +247,7 @@
 }
 
 fn send(model: &ModuleModel, state: &mut ModuleState, number: RequestId, engine: EngineId, until: Duration) {
-    let request = &mut state.requests[number as usize];
+    let request = &mut state.requests[number.index()];
     if !request.attempts.is_empty() {
         state.retries.push(state.now);
     }
@@ -254,22 +259,22 @@
         is_cancelled: false,
         notes: 0,
     });
-    let seconds = model.requests[number as usize].cost_ms as f64 / 1e3;
-    state.engine_records[engine].sent.push(SentWork { at: state.now, seconds });
+    let seconds = model.requests[number.index()].cost_ms as f64 / 1e3;
+    state.engine_records[engine.index()].sent.push(SentWork { at: state.now, seconds });
 }
 
 /// Events that a faulty scheduler could emit after an input, before it has done anything.
 fn hypothetical_events(model: &ModuleModel, state: &ModuleState) -> Vec<Event> {
     let mut events = vec![Event::TimePasses { to: state.now + LONG_TIME }, Event::Terminal];
-    let engines = 0..state.engine_records.len();
+    let engines = (0..state.engine_records.len()).map(EngineId::from_index);
     for (position, record) in state.requests.iter().enumerate() {
-        let request = position as RequestId;
+        let request = RequestId::from_index(position);
         let until = record.deadline - model.margin();
         events.extend([Event::Reject { request }, Event::Fail { request }, Event::Serve { request }]);
         events.push(Event::Terms { request, grant_mb: f64::from(u32::MAX) });
         events.extend((0..record.attempts.len()).map(|attempt| Event::Cancel { request, attempt }));
         events.extend(engines.clone().map(|engine| Event::Send { request, engine, until }));
-        events.push(Event::Send { request, engine: 0, until: state.now + LONG_TIME });
+        events.push(Event::Send { request, engine: EngineId::default(), until: state.now + LONG_TIME });
     }
     events.extend(engines.map(|engine| Event::Forget { engine }));
     events
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -73,7 +73,7 @@
 }
 
 fn endpoint_call(state: &ModuleState, engine: EngineId, change: EndpointChange) -> String {
-    let record = &state.engine_records[engine];
+    let record = &state.engine_records[engine.index()];
     let launched = record.launched.map(|at| at.as_millis());
     let (lifecycle, launched) = match change {
         EndpointChange::Drains => (Lifecycle::Draining, launched),
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -105,7 +105,7 @@
 ];
 
 fn record<'a>(state: &'a ModuleState, request: &RequestId) -> &'a RequestRecord {
-    &state.requests[*request as usize]
+    &state.requests[request.index()]
 }
 
 /// The open request that the event sends, unless an attempt of it is in flight.
@@ -155,7 +155,7 @@
         return false;
     };
     let Effect::IdempotentWithKey { scope, window } = &model.class_of(*request).effect else { return false };
-    let (first_engine, engine) = (model.engines[first.engine], model.engines[*engine]);
+    let (first_engine, engine) = (model.engines[first.engine.index()], model.engines[engine.index()]);
     let knows_key = match scope {
         KeyScope::All => true,
         KeyScope::Location => first_engine.location == engine.location,
@@ -177,14 +177,14 @@
 
 fn sends_to_draining_engine(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { engine, .. } = event else { return false };
-    state.engine_records[*engine].lifecycle != Lifecycle::Ready
+    state.engine_records[engine.index()].lifecycle != Lifecycle::Ready
 }
 
 /// The budget of an engine that is warming up: its capacity by now, times the overload factor, over the overload window,
 /// divided by the number of routers. Where that is less than one request, one may go in a window as much longer.
 fn overloads_warming_engine(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
-    let record = &state.engine_records[*engine];
+    let record = &state.engine_records[engine.index()];
     let Some(launched) = record.launched else { return false };
     let limits = &model.attempt_limits;
     let warmth = (state.now - launched).as_secs_f64() / limits.warm_up.as_secs_f64();
@@ -195,7 +195,7 @@
     let capacity = cores * (limits.start_capacity + (1.0 - limits.start_capacity) * warmth);
     let budget = limits.overload_factor * capacity * limits.overload_window.as_secs_f64()
         / model.fleet.router_count as f64;
-    let seconds = model.requests[*request as usize].cost_ms as f64 / 1e3;
+    let seconds = model.requests[request.index()].cost_ms as f64 / 1e3;
     let window = limits.overload_window.mul_f64((seconds / budget).max(1.0));
     let is_recent = |work: &&SentWork| work.at + window > state.now;
     let recent: f64 = record.sent.iter().filter(is_recent).map(|work| work.seconds).sum();
@@ -204,7 +204,7 @@
 
 fn sends_out_of_order(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
-    let position = *request as usize;
+    let position = request.index();
     let ordering_key = model.requests[position].key.filter(|_| model.class_of(*request).keeps_order);
     let Some(key) = ordering_key else { return false };
     let is_ahead =
@@ -214,7 +214,7 @@
 
 fn sends_during_cooldown(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
-    let key: Option<KeyId> = model.requests[*request as usize].key;
+    let key: Option<KeyId> = model.requests[request.index()].key;
     let applies = |cooldown: &KeyCooldown| {
         Some(cooldown.key) == key && cooldown.request != *request && cooldown.until > state.now
     };
@@ -225,7 +225,7 @@
     let Event::Send { request, engine, .. } = event else { return false };
     let class = model.class_of(*request);
     let kind = model.kind(*engine);
-    let location = model.engines[*engine].location;
+    let location = model.engines[engine.index()].location;
     let is_wrong_kind = class.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&kind));
     is_wrong_kind || class.locations.as_ref().is_some_and(|locations| !locations.contains(&location))
 }
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -162,6 +162,6 @@
 }
 
 /// A request of a class, with a key.
-pub const fn keyed_request(class: usize, key: KeyId) -> RequestSpec {
-    RequestSpec { key: Some(key), ..request(class) }
+pub const fn keyed_request(class: usize, key: u32) -> RequestSpec {
+    RequestSpec { key: Some(KeyId(key)), ..request(class) }
 }
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -153,8 +153,8 @@
 impl ModuleState {
     /// The endpoint list's row of an engine.
     pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
-        let EngineSpec { location, cell } = model.engines[engine];
-        let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine];
+        let EngineSpec { location, cell } = model.engines[engine.index()];
+        let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
         Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
     }
 
@@ -191,7 +191,7 @@
 
     /// What the environment knows of an engine.
     fn engine_fingerprint(&self, model: &ModuleModel, engine: EngineId) -> u64 {
-        let engine = &self.engine_records[engine];
+        let engine = &self.engine_records[engine.index()];
         let mut hasher = DefaultHasher::new();
         (engine.is_forgotten, engine.lifecycle == Lifecycle::Removed).hash(&mut hasher);
         let is_warming_up =
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -127,7 +127,8 @@
         return;
     }
     let has_queued_request = state.has_queued_request();
-    for (engine, record) in state.engine_records.iter().enumerate() {
+    for (index, record) in state.engine_records.iter().enumerate() {
+        let engine = EngineId::from_index(index);
         for change in model.endpoint_changes.iter().copied().filter(|change| may_change(record, *change)) {
             let draws = draws(model, has_queued_request);
             transitions.extend(draws.map(|draw| Transition::ChangeEndpoint { engine, change, draw }));
@@ -174,7 +175,7 @@
         instants.extend([*wake_up, *wake_up + model.wake_up_delay]);
     }
     for (position, request) in state.requests.iter().enumerate().filter(|(_, request)| request.is_open()) {
-        append_request_instants(model, position as RequestId, request, &mut instants);
+        append_request_instants(model, RequestId::from_index(position), request, &mut instants);
     }
     if state.requests.iter().any(RequestRecord::is_open) {
         let cooldown_ends = state.key_cooldowns.iter().map(|cooldown| cooldown.until);
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -99,7 +99,7 @@
         self.queues.enqueue(
             now,
             NewRequest {
-                request,
+                request: request.0,
                 team: admission.team,
                 urgency: admission.urgency,
                 class: arrival.class as u16,
@@ -142,14 +142,15 @@
     fn next_overdue(&self, now: Duration) -> Option<RequestId> {
         let mut overdue = self.due.iter().take_while(|(at, ..)| *at <= now);
         let (.., request) = overdue.find(|(_, due, _)| *due == Due::Dispatch)?;
-        Some(self.queues.first_of_key(*request))
+        Some(RequestId(self.queues.first_of_key(request.0)))
     }
 
     fn next_by_turn(&self, now: Duration, mut capacity: Capacity<'_>) -> Option<RequestId> {
-        self.queues.next_fitting(|request| {
-            let queued = self.queued.get(&request);
+        let next = self.queues.next_fitting(|request| {
+            let queued = self.queued.get(&RequestId(request));
             queued.is_some_and(|queued| capacity.admits(&queued.arrival(now)))
-        })
+        });
+        next.map(RequestId)
     }
 
     /// Takes out the oldest request, whatever its turn.
@@ -159,7 +160,7 @@
     }
 
     fn release(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
-        self.queues.dispatch(now, request);
+        self.queues.dispatch(now, request.0);
         self.remove(request).map(|queued| queued.arrival(now))
     }
 
@@ -186,7 +187,7 @@
     pub fn request_closed(&mut self, now: Duration, Completion { request, outcome }: Completion) {
         let cost = self.costs.remove(&request);
         if self.remove(request).is_some() {
-            self.queues.remove(now, request);
+            self.queues.remove(now, request.0);
             return;
         }
         let charge = match (outcome, cost) {
@@ -194,7 +195,7 @@
             (RequestOutcome::Succeeded | RequestOutcome::Failed, _) => Outcome::Unknown,
             (RequestOutcome::Rejected | RequestOutcome::Withdrawn, _) => Outcome::Refunded,
         };
-        self.queues.settle(now, request, charge);
+        self.queues.settle(now, request.0, charge);
     }
 
     /// Replaces the teams; queued requests move to the team of the same name.
@@ -220,7 +221,7 @@
             return Vec::new();
         }
         let notice =
-            |(_, request)| Some(WaitNotice { request, wait: self.queues.estimate_wait(now, request)? });
+            |(_, request)| Some(WaitNotice { request, wait: self.queues.estimate_wait(now, request.0)? });
         due_requests.into_iter().filter_map(notice).collect()
     }
 
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -94,7 +94,7 @@
         Self {
             engines: BTreeMap::new(),
             engine_ids: BTreeMap::new(),
-            next_engine: 0,
+            next_engine: EngineId::default(),
             connections: Slots::default(),
             attempts: Slots::default(),
             events: VecDeque::new(),
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -67,7 +67,7 @@
                 connections: Vec::new(),
             };
             self.engines.insert(engine, new);
-            self.next_engine += 1;
+            self.next_engine.0 += 1;
         }
         engine
     }
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/gate.rs
@@ -2,6 +2,7 @@
 //! leave or the socket closes, with what was read by then, however long ago the decision was taken.
 
 use crate::counters::Counters;
+use emberflow::RequestId;
 use std::time::Duration;
 
 /// What is known of a call that is about to be written.
@@ -44,7 +45,7 @@
 impl CallRefusal {
     /// Counts a refusal and logs it with its request. All but a passed deadline are noticed before a call gets here:
     /// they violate an invariant.
-    pub fn record(self, request: u32, attempt: usize, counters: &mut Counters) {
+    pub fn record(self, request: RequestId, attempt: usize, counters: &mut Counters) {
         log::info!("call not written: request={request} attempt={attempt} reason={self:?}");
         match self {
             Self::DeadlinePassed => counters.count("calls_past_their_deadline"),
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -103,7 +103,7 @@
         self.names.insert(request.name.clone());
         self.statement_bytes += request.statement.len();
         self.slots.insert(self.next_id, self.table.insert(request));
-        self.next_id = self.next_id.wrapping_add(1);
+        self.next_id = RequestId(self.next_id.0.wrapping_add(1));
     }
 
     /// Takes a request out, if it is still open.
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -49,7 +49,7 @@
             team: team.team,
             urgency: team.urgency,
             identity,
-            key: arrival.key.filter(|_| class.keeps_order).map(|key| key as u64),
+            key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
             // The scheduler answers before the deadline what it is given by then.
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -68,7 +68,7 @@
         if idempotency_key.is_some_and(|key| key.bytes().any(|byte| !byte.is_ascii_alphanumeric())) {
             return Err(ParameterError::IdempotencyKey);
         }
-        let ordering_key = optional_text(fields, "subject")?.map(hash_of);
+        let ordering_key = optional_text(fields, "subject")?.map(|subject| KeyId(hash_of(subject)));
         let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::Deadline)?;
         let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
         let memory_mb = positive_number(fields, "memory")?;
@@ -132,11 +132,11 @@
     if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::Name) }
 }
 
-/// The index by which a name is known to the scheduler. Two names with the same hash only wait for each other.
-pub(super) fn hash_of(name: &str) -> KeyId {
+/// The number by which a name is known to the scheduler. Two names with the same hash only wait for each other.
+pub(super) fn hash_of(name: &str) -> u32 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
-    hasher.finish() as KeyId
+    hasher.finish() as u32
 }
 
 fn optional_text<'a>(fields: Fields<'a>, name: &str) -> Result<Option<&'a str>, SettingsError> {
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -97,7 +97,7 @@
         let teams = self.admission_queue.as_ref().map(|queue| &queue.teams);
         let team = teams.map(|teams| TeamParameters::decode(teams, fields)).transpose();
         let team = team.map_err(bad_parameters)?;
-        let identity = hash_of(parameters.idempotency_key.as_deref().unwrap_or(name)) as u64;
+        let identity = u64::from(hash_of(parameters.idempotency_key.as_deref().unwrap_or(name)));
         let request = Request {
             idempotency_key: parameters.idempotency_key,
             statement: parameters.statement,
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -27,7 +27,7 @@
         let mut pool = EnginePool::new(1, connect_timeout, Duration::from_secs(20), 1);
         let engine = pool.update_endpoint(&record(Lifecycle::Ready), &mut context).engine;
         let call = Call {
-            request: 0,
+            request: RequestId(0),
             number: 0,
             id: REQUEST_ID,
             class: "report",
@@ -203,10 +203,10 @@
         priority: 1,
         deadline: long,
     };
-    fixture.pool.send(engine, call(1), &[], context);
+    fixture.pool.send(engine, call(RequestId(1)), &[], context);
     let refused = fixture.pool.size().connections;
     fixture.pool.cancel(fixture.attempt, context);
-    let attempt = fixture.pool.send(engine, call(2), &[], context);
+    let attempt = fixture.pool.send(engine, call(RequestId(2)), &[], context);
     let connection = fixture.pool.connection_of(attempt);
     assert_eq!((refused, fixture.pool.size().connections), (1, 1));
     assert!(connection.is_some_and(|connection| connection != fixture.connection));
--- a/crates/router/tests/unit/gate.rs
+++ b/crates/router/tests/unit/gate.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_refusal_is_counted_by_what_it_means() {
     let mut counters = Counters::default();
-    CallRefusal::DeadlinePassed.record(1, 0, &mut counters);
+    CallRefusal::DeadlinePassed.record(RequestId(1), 0, &mut counters);
     assert_eq!(counters.to_string(), "calls_past_their_deadline=1");
 }
 
@@ -42,6 +42,6 @@
 #[cfg_attr(debug_assertions, should_panic(expected = "invariant_violations"))]
 fn a_violation_stops_a_debug_build_and_is_counted_in_a_release_build() {
     let mut counters = Counters::default();
-    CallRefusal::ClientGone.record(1, 0, &mut counters);
+    CallRefusal::ClientGone.record(RequestId(1), 0, &mut counters);
     assert_eq!(counters.to_string(), "invariant_violations=1");
 }
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -22,11 +22,11 @@
     }
 
     fn request(&self, request: RequestId) -> &str {
-        self.names.requests.name(request as usize)
+        self.names.requests.name(request.index())
     }
 
     fn engine(&self, engine: EngineId) -> &str {
-        self.names.engines.name(engine)
+        self.names.engines.name(engine.index())
     }
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,7 +4,9 @@
 use crate::error::AdapterError;
 use crate::event::{Accept, AttemptEnd, EndpointRow, Event};
 use crate::names::{NameTable, Names};
-use emberflow::{Arrival, AttemptEnded, Endpoint, EndpointUpdate, KeyId, LoadReport, RequestId, Scheduler};
+use emberflow::{
+    Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, KeyId, LoadReport, RequestId, Scheduler,
+};
 use emberflow_settings::{
     Fields, build_load_report, clients_mark_retries, decode_attempt_limits, decode_fleet,
     decode_request_classes, load_report_names,
@@ -91,7 +93,7 @@
     }
 
     fn known_request(&self, name: &str) -> Option<RequestId> {
-        self.names.requests.known(name).map(|number| number as RequestId)
+        self.names.requests.known(name).map(RequestId::from_index)
     }
 
     fn endpoints_changed(
@@ -108,7 +110,7 @@
     }
 
     fn probed(&mut self, engine: &str, stats: Option<&[Value]>, now: Duration, reply: &mut Vec<u8>) {
-        let engine = self.names.engines.number(engine);
+        let engine = EngineId(self.names.engines.number(engine));
         let load_report = load_report(&self.reported, stats);
         let (scheduler, mut actions) = self.split(now, reply);
         scheduler.probed(now, engine, load_report, &mut actions);
@@ -116,9 +118,9 @@
 
     fn accept(&mut self, accept: Accept<'_>, now: Duration, reply: &mut Vec<u8>) {
         let arrival = Arrival {
-            request: self.names.requests.number(accept.request) as RequestId,
+            request: RequestId::from_index(self.names.requests.number(accept.request)),
             class: accept.class,
-            key: accept.key.map(|key| self.names.keys.number(key) as KeyId),
+            key: accept.key.map(|key| KeyId::from_index(self.names.keys.number(key))),
             cost: accept.cost,
             memory_mb: accept.memory_mb,
             deadline: accept.deadline,
@@ -132,7 +134,7 @@
 
     fn attempt_ended(&mut self, end: AttemptEnd<'_>, now: Duration, reply: &mut Vec<u8>) {
         // An engine has a number from its first mention on, whatever it is mentioned for.
-        let engine = self.names.engines.number(end.engine);
+        let engine = EngineId(self.names.engines.number(end.engine));
         let Some(request) = self.known_request(end.request) else { return };
         let ended = AttemptEnded {
             request,
@@ -153,7 +155,7 @@
     let endpoint = |row| {
         let row = EndpointRow::decode(row)?;
         Ok(Endpoint {
-            engine: engines.number(row.engine),
+            engine: EngineId(engines.number(row.engine)),
             location: row.location,
             kind: row.kind,
             cell: row.cell,
--- /dev/null
+++ b/src/ids.rs
@@ -0,0 +1,53 @@
+//! Numbers that the caller gives to requests, engines and keys. Each kind is a type of its own, so that the
+//! compiler rejects an engine's number where a request's is meant.
+
+use std::fmt::{Debug, Display, Formatter, Result};
+
+/// Defines the type of one kind of number, which is printed as the bare number.
+macro_rules! id_type {
+    ($(#[$doc:meta])* $name:ident($number:ty)) => {
+        $(#[$doc])*
+        #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        #[repr(transparent)]
+        pub struct $name(pub $number);
+
+        impl $name {
+            /// Makes the id of an index into the caller's own table.
+            pub const fn from_index(index: usize) -> Self {
+                Self(index as $number)
+            }
+
+            /// Returns the id as an index into the caller's own table.
+            pub const fn index(self) -> usize {
+                self.0 as usize
+            }
+        }
+
+        impl Debug for $name {
+            fn fmt(&self, formatter: &mut Formatter<'_>) -> Result {
+                Debug::fmt(&self.0, formatter)
+            }
+        }
+
+        impl Display for $name {
+            fn fmt(&self, formatter: &mut Formatter<'_>) -> Result {
+                Display::fmt(&self.0, formatter)
+            }
+        }
+    };
+}
+
+id_type! {
+    /// The number of a request. Numbers rise in the order of arrival and are never used again.
+    RequestId(u32)
+}
+
+id_type! {
+    /// The number of an engine, which is free again after [`Actions::forget`](crate::Actions::forget).
+    EngineId(usize)
+}
+
+id_type! {
+    /// The number of a key whose requests keep their order.
+    KeyId(u32)
+}
--- a/src/input.rs
+++ b/src/input.rs
@@ -1,14 +1,8 @@
 //! What the scheduler is told: the settings that it is built from, and the events that its callers report.
 
+use crate::{EngineId, KeyId, RequestId};
 use std::time::Duration;
 
-/// A request's number. Numbers rise in the order of arrival and are never used again.
-pub type RequestId = u32;
-/// An engine's number, which is free again after [`Actions::forget`](crate::Actions::forget).
-pub type EngineId = usize;
-/// The number of a key whose requests keep their order.
-pub type KeyId = u32;
-
 /// What is known at start of the engines and of the routers in front of them.
 pub struct Fleet {
     /// Seeds all chance.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,6 +13,7 @@
 mod actions;
 mod fingerprint;
 mod handlers;
+mod ids;
 mod input;
 mod policy;
 mod samples;
@@ -22,9 +23,9 @@
 pub use actions::Actions;
 pub use fingerprint::{Fingerprint, HeldCounts};
 pub use handlers::Capacity;
+pub use ids::{EngineId, KeyId, RequestId};
 pub use input::{
-    Arrival, AttemptEnded, AttemptLimits, AttemptOutcome, Effect, Endpoint, EndpointUpdate, EngineId,
-    EngineKind, Fleet, KeyId, KeyScope, Lifecycle, LoadReport, ProgressNote, RequestClass, RequestId,
-    RetryBudget, Usage,
+    Arrival, AttemptEnded, AttemptLimits, AttemptOutcome, Effect, Endpoint, EndpointUpdate, EngineKind,
+    Fleet, KeyScope, Lifecycle, LoadReport, ProgressNote, RequestClass, RetryBudget, Usage,
 };
 pub use scheduler::Scheduler;
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -54,8 +54,8 @@
 }
 
 pub fn endpoint(engine: EngineId, lifecycle: Lifecycle) -> Endpoint {
-    let cell = engine as u64 / 10;
-    Endpoint { engine, location: engine % LOCATIONS, kind: 0, cell, lifecycle, launched: None }
+    let cell = engine.0 as u64 / 10;
+    Endpoint { engine, location: engine.0 % LOCATIONS, kind: 0, cell, lifecycle, launched: None }
 }
 
 pub fn arrival(request: RequestId) -> Arrival {
@@ -93,7 +93,7 @@
 /// A scheduler that was told of so many ready engines.
 pub fn listed(seed: u64, engines: usize, effect: Effect) -> Scheduler {
     let mut scheduler = scheduler(seed, effect);
-    let rows = (0..engines).map(|engine| endpoint(engine, Lifecycle::Ready)).collect();
+    let rows = (0..engines).map(|engine| endpoint(EngineId(engine), Lifecycle::Ready)).collect();
     scheduler.endpoints_changed(Duration::ZERO, EndpointUpdate::FullList, rows, &mut Sends::default());
     scheduler
 }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -110,7 +110,8 @@
         let classes: Vec<RequestClass> =
             (0..=random.below(4)).map(|_| request_class(&mut random, kinds)).collect();
         let now = random.time(2_000, 20_000);
-        let machines = (0..=random.below(6)).map(|engine| (engine, machine(&mut random, kinds, None)));
+        let machines =
+            (0..=random.below(6)).map(|engine| (EngineId(engine), machine(&mut random, kinds, None)));
         Self {
             machines: machines.collect(),
             classes: classes.iter().map(|class| (class.deadline, class.threads)).collect(),
@@ -122,7 +123,7 @@
             now,
             events: BTreeMap::new(),
             scheduled: 0,
-            arrived: 0,
+            arrived: RequestId(0),
             client_requests: BTreeMap::new(),
             running: BTreeMap::new(),
         }
@@ -158,7 +159,7 @@
 
     /// Whether requests are still to come or attempts in flight.
     fn is_active(&self) -> bool {
-        (self.arrived as usize) < self.environment.requests || !self.running.is_empty()
+        (self.arrived.0 as usize) < self.environment.requests || !self.running.is_empty()
     }
 
     fn schedule_again(&mut self, first_ms: u64, last_ms: u64, event: Event) {
@@ -231,7 +232,7 @@
         Arrival {
             request: self.arrived,
             class,
-            key: random.maybe(60, |random| random.below(4) as KeyId),
+            key: random.maybe(60, |random| KeyId(random.below(4) as u32)),
             cost: has_estimates.then_some(ms(cost)),
             memory_mb: (has_estimates && !random.percent(10)).then_some(memory),
             deadline: if is_retry { deadline.mul_f64(random.between(0.3, 0.9)) } else { deadline },
@@ -246,13 +247,13 @@
         let crowd = if self.random.percent(4) { self.random.inclusive(5, 45) } else { 1 };
         for _ in 0..crowd {
             let arrival = self.arrival();
-            self.arrived += 1;
+            self.arrived.0 += 1;
             let client_request = ClientRequest { arrival: arrival.clone(), attempts: 0, answered: false };
             self.client_requests.insert(arrival.request, client_request);
             self.scheduler.accept(self.now, arrival, &mut self.log);
             self.carry_out();
         }
-        if (self.arrived as usize) < self.environment.requests {
+        if (self.arrived.0 as usize) < self.environment.requests {
             let wait = self.random.time(0, self.environment.longest_gap);
             self.schedule(wait, Event::Arrival);
         }
@@ -404,7 +405,7 @@
         let (random, now) = (&mut self.random, self.now);
         let change = random.below(10);
         if engines.is_empty() || change == 0 {
-            let free = engines.last().map_or(0, |last| last + 1);
+            let free = engines.last().map_or(EngineId(0), |last| EngineId(last.0 + 1));
             let launched = random.maybe(50, |random| now.saturating_sub(random.time(0, 500)));
             self.machines.insert(free, machine(random, self.kinds, launched));
             let full = self.random.percent(30);
@@ -445,7 +446,7 @@
             .map(|(request, _)| *request);
         let leaving: BTreeSet<RequestId> = waiting.filter(|_| self.random.percent(8)).collect();
         let (over, ended): (Vec<RequestId>, Vec<RequestId>) =
-            leaving.iter().partition(|request| *request % 2 == 0);
+            leaving.iter().partition(|request| request.0.is_multiple_of(2));
         over.iter().for_each(|request| self.answer_request(*request));
         self.scheduler.clients_left(self.now, &over, &ended, &mut self.log);
     }
--- a/tests/digest/log.rs
+++ b/tests/digest/log.rs
@@ -51,26 +51,26 @@
 
 impl Actions for Log {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
-        self.add(SEND, &[request.into(), engine as u64, nanoseconds(until)]);
+        self.add(SEND, &[request.0.into(), engine.0 as u64, nanoseconds(until)]);
         self.pending.push(PendingAction::Attempt { request, engine, until });
     }
     fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
-        self.add(SET_TERMS, &[request.into(), grant_mb.to_bits(), priority.into()]);
+        self.add(SET_TERMS, &[request.0.into(), grant_mb.to_bits(), priority.into()]);
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
-        self.add(CANCEL, &[request.into(), attempt as u64]);
+        self.add(CANCEL, &[request.0.into(), attempt as u64]);
         self.pending.push(PendingAction::Cancel { request, attempt });
     }
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
-        self.add(REJECT, &[request.into(), retry_after.map_or(u64::MAX, nanoseconds)]);
+        self.add(REJECT, &[request.0.into(), retry_after.map_or(u64::MAX, nanoseconds)]);
         self.pending.push(PendingAction::Answered(request));
     }
     fn fail(&mut self, request: RequestId) {
-        self.add(FAIL, &[request.into()]);
+        self.add(FAIL, &[request.0.into()]);
         self.pending.push(PendingAction::Answered(request));
     }
     fn probe(&mut self, engine: EngineId) {
-        self.add(PROBE, &[engine as u64]);
+        self.add(PROBE, &[engine.0 as u64]);
         self.pending.push(PendingAction::Probe(engine));
     }
     fn wake_after(&mut self, wait: Duration) {
@@ -81,7 +81,7 @@
         self.add(WATCH, &[]);
     }
     fn forget(&mut self, engine: EngineId) {
-        self.add(FORGET, &[engine as u64]);
+        self.add(FORGET, &[engine.0 as u64]);
         self.pending.push(PendingAction::Forget(engine));
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -28,6 +28,7 @@
     for request in 0..100 {
         let mut sends = Sends::default();
         let now = ms(u64::from(request) * 50);
+        let request = RequestId(request);
         scheduler.accept(now, arrival(request), &mut sends);
         let (_, engine) = sends.0[0];
         let outcome = ended(request, 0, engine, AttemptOutcome::Succeeded);
@@ -51,13 +52,14 @@
     let engines_of = |seed| {
         let mut scheduler = listed(seed, 3200, Effect::Idempotent);
         let mut sends = Sends::default();
-        (0..200).for_each(|request| scheduler.accept(Duration::ZERO, arrival(request), &mut sends));
+        (0..200)
+            .for_each(|request| scheduler.accept(Duration::ZERO, arrival(RequestId(request)), &mut sends));
         sends.0.into_iter().map(|(_, engine)| engine).collect::<std::collections::BTreeSet<_>>()
     };
     let (first, second) = (engines_of(1), engines_of(2));
     assert!(first.len() > 20, "only {} engines in use", first.len());
     assert!(first.intersection(&second).count() < first.len() / 4, "two routers crowd the same engines");
-    let locations: std::collections::BTreeSet<_> = first.iter().map(|engine| engine % LOCATIONS).collect();
+    let locations: std::collections::BTreeSet<_> = first.iter().map(|engine| engine.0 % LOCATIONS).collect();
     assert_eq!(locations.len(), LOCATIONS, "a location is out of use");
 }
 
@@ -66,12 +68,12 @@
     let effect = Effect::IdempotentWithKey { scope: KeyScope::Cell, window: ms(5000) };
     let mut scheduler = listed(1, 3200, effect);
     let mut sends = Sends::default();
-    scheduler.accept(Duration::ZERO, arrival(0), &mut sends);
+    scheduler.accept(Duration::ZERO, arrival(RequestId(0)), &mut sends);
     let (_, first) = sends.0[0];
-    let broken = ended(0, 0, first, AttemptOutcome::Failed);
+    let broken = ended(RequestId(0), 0, first, AttemptOutcome::Failed);
     scheduler.attempt_ended(ms(20), broken, &mut sends);
     let (_, second) = sends.0[1];
-    assert_eq!(second / 10, first / 10, "the repeat went to another cell");
+    assert_eq!(second.0 / 10, first.0 / 10, "the repeat went to another cell");
     assert_ne!(second, first, "the engine that failed was tried again first");
 }
 
@@ -79,10 +81,10 @@
 fn engines_that_leave_a_large_fleet_are_replaced_in_the_subset_and_get_nothing_more() {
     let mut scheduler = listed(1, 3200, Effect::Idempotent);
     let gone = (0..3200).filter(|engine| engine % 4 != 0);
-    let rows = gone.map(|engine| endpoint(engine, Lifecycle::Draining)).collect();
+    let rows = gone.map(|engine| endpoint(EngineId(engine), Lifecycle::Draining)).collect();
     scheduler.endpoints_changed(ms(10), EndpointUpdate::Changes, rows, &mut Sends::default());
     let mut sends = Sends::default();
-    (0..50).for_each(|request| scheduler.accept(ms(20), arrival(request), &mut sends));
+    (0..50).for_each(|request| scheduler.accept(ms(20), arrival(RequestId(request)), &mut sends));
     assert_eq!(sends.0.len(), 50);
-    assert!(sends.0.iter().all(|(_, engine)| engine % 4 == 0), "a draining engine got a request");
+    assert!(sends.0.iter().all(|(_, engine)| engine.0 % 4 == 0), "a draining engine got a request");
 }
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -199,7 +199,7 @@
     ) -> Self {
         let deadlines = classes.iter().map(|class| class.deadline).collect();
         let scheduler = Scheduler::new(fleet, classes, attempt_limits);
-        Self { scheduler, log: ActionLog::default(), next_request: 0, deadlines, positions }
+        Self { scheduler, log: ActionLog::default(), next_request: RequestId(0), deadlines, positions }
     }
 
     fn now(&self) -> Duration {
@@ -249,7 +249,7 @@
 
     // ---- engines ----
 
-    fn row(&self, engine: EngineId, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
+    fn row(&self, engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
         let (location, cell) = self.positions[engine];
         Endpoint { location, cell, ..endpoint(engine, lifecycle, launched) }
     }
@@ -265,12 +265,7 @@
     }
 
     /// The row of one engine of a small trace has changed.
-    pub fn list_engine(
-        &mut self,
-        engine: EngineId,
-        lifecycle: Lifecycle,
-        launched: Option<u64>,
-    ) -> &mut Self {
+    pub fn list_engine(&mut self, engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> &mut Self {
         self.list_engines(vec![self.row(engine, lifecycle, launched)])
     }
 
@@ -286,8 +281,8 @@
     }
 
     /// An engine answers a probe, or does not.
-    pub fn probed(&mut self, engine: EngineId, load_report: Option<LoadReport>) -> &mut Self {
-        self.scheduler.probed(self.now(), engine, load_report, &mut self.log);
+    pub fn probed(&mut self, engine: usize, load_report: Option<LoadReport>) -> &mut Self {
+        self.scheduler.probed(self.now(), EngineId(engine), load_report, &mut self.log);
         self
     }
 
@@ -307,8 +302,8 @@
     }
 
     /// A request of a key.
-    pub fn accept_keyed(&mut self, class: usize, cost: u64, memory: f64, key: Option<KeyId>) -> &mut Self {
-        self.arrive(Arrival { key, ..arrival(class, cost, memory) })
+    pub fn accept_keyed(&mut self, class: usize, cost: u64, memory: f64, key: Option<u32>) -> &mut Self {
+        self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, cost, memory) })
     }
 
     /// A short request on a group of data.
@@ -324,14 +319,14 @@
     fn arrive(&mut self, arrival: Arrival) -> &mut Self {
         let deadline = arrival.deadline.min(self.deadlines[arrival.class]);
         let arrival = Arrival { request: self.next_request, deadline, ..arrival };
-        self.next_request += 1;
+        self.next_request.0 += 1;
         self.scheduler.accept(self.now(), arrival, &mut self.log);
         self
     }
 
     /// A client withdraws its request.
-    pub fn withdrawn(&mut self, request: RequestId) -> &mut Self {
-        self.scheduler.clients_left(self.now(), &[request], &[], &mut self.log);
+    pub fn withdrawn(&mut self, request: u32) -> &mut Self {
+        self.scheduler.clients_left(self.now(), &[RequestId(request)], &[], &mut self.log);
         self
     }
 
@@ -345,9 +340,9 @@
     /// An attempt ends; its request is answered if it succeeded.
     pub fn ended(
         &mut self,
-        request: RequestId,
+        request: u32,
         attempt: usize,
-        engine: EngineId,
+        engine: usize,
         outcome: AttemptOutcome,
     ) -> &mut Self {
         self.attempt_ended(attempt_ended(request, attempt, engine, outcome))
@@ -356,9 +351,9 @@
     /// An attempt ends whose request was answered before.
     pub fn ended_after_answer(
         &mut self,
-        request: RequestId,
+        request: u32,
         attempt: usize,
-        engine: EngineId,
+        engine: usize,
         outcome: AttemptOutcome,
     ) -> &mut Self {
         let ended = attempt_ended(request, attempt, engine, outcome);
@@ -368,9 +363,9 @@
     /// An attempt ends with a load report.
     pub fn reported(
         &mut self,
-        request: RequestId,
+        request: u32,
         attempt: usize,
-        engine: EngineId,
+        engine: usize,
         outcome: AttemptOutcome,
         load_report: Option<LoadReport>,
     ) -> &mut Self {
@@ -381,8 +376,8 @@
     /// A first attempt has succeeded after so many ms.
     pub fn succeeded_after(
         &mut self,
-        request: RequestId,
-        engine: EngineId,
+        request: u32,
+        engine: usize,
         elapsed: u64,
         load_report: Option<LoadReport>,
     ) -> &mut Self {
@@ -391,15 +386,15 @@
     }
 
     /// A first attempt has succeeded and was billed; no load is reported.
-    pub fn billed(&mut self, request: RequestId, engine: EngineId, cost: u64, memory_mb: f64) -> &mut Self {
+    pub fn billed(&mut self, request: u32, engine: usize, cost: u64, memory_mb: f64) -> &mut Self {
         let usage = Some(Usage { cost: ms(cost), memory_mb });
         let ended = attempt_ended(request, 0, engine, AttemptOutcome::Succeeded);
         self.attempt_ended(AttemptEnded { elapsed: ms(cost), usage, ..ended })
     }
 
     /// An engine tells of an attempt that goes on.
-    pub fn progress_noted(&mut self, request: RequestId, attempt: usize, note: ProgressNote) -> &mut Self {
-        self.scheduler.progress_noted(self.now(), request, attempt, note, &mut self.log);
+    pub fn progress_noted(&mut self, request: u32, attempt: usize, note: ProgressNote) -> &mut Self {
+        self.scheduler.progress_noted(self.now(), RequestId(request), attempt, note, &mut self.log);
         self
     }
 
@@ -412,9 +407,9 @@
 }
 
 /// A row of the endpoint list: engines alternate between two locations, and each two share a cell.
-pub fn endpoint(engine: EngineId, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
+pub fn endpoint(engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
     Endpoint {
-        engine,
+        engine: EngineId(engine),
         location: engine % 2,
         kind: 0,
         cell: engine as u64 / 2,
@@ -424,16 +419,11 @@
 }
 
 /// An attempt that ended after 1 ms, with nothing told of load and usage.
-fn attempt_ended(
-    request: RequestId,
-    attempt: usize,
-    engine: EngineId,
-    outcome: AttemptOutcome,
-) -> AttemptEnded {
+fn attempt_ended(request: u32, attempt: usize, engine: usize, outcome: AttemptOutcome) -> AttemptEnded {
     AttemptEnded {
-        request,
+        request: RequestId(request),
         attempt,
-        engine,
+        engine: EngineId(engine),
         outcome,
         elapsed: ms(1),
         usage: None,
@@ -444,7 +434,7 @@
 
 fn arrival(class: usize, cost: u64, memory_mb: f64) -> Arrival {
     Arrival {
-        request: 0,
+        request: RequestId(0),
         class,
         key: None,
         cost: (cost > 0).then(|| ms(cost)),
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -3,7 +3,6 @@
 use crate::trace::*;
 use crate::{busy_and_memory, in_flight};
 use emberflow::AttemptOutcome::*;
-use emberflow::*;
 use expect_test::expect;
 
 #[test]
@@ -80,7 +79,7 @@
     let busy = busy_and_memory(1.0, 0.5);
     trace.accept_many(4, SHORT, 100, 300.0).at(100);
     for request in 0..4 {
-        trace.reported(request, 0, request as EngineId, Succeeded, Some(busy));
+        trace.reported(request, 0, request as usize, Succeeded, Some(busy));
     }
     trace.decisions();
     trace.accept_many(3, LONG, 300, 300.0);
