--- a/crates/router/src/gate.rs
+++ b/crates/router/src/gate.rs
@@ -2,6 +2,7 @@
 //! since the state may have changed after the decision to send or to close.
 
 use crate::counters::Counters;
+use emberflow::RequestId;
 use std::time::Duration;
 
 /// The state of a call that is about to be written.
@@ -51,7 +52,7 @@
 impl CallRefusal {
     /// Counts and logs a call that was not written. Only a passed deadline is expected here. The other reasons are
     /// detected before a call is queued for writing, so that they violate an invariant.
-    pub fn record(self, request: u32, attempt: usize, counters: &mut Counters) {
+    pub fn record(self, request: RequestId, attempt: usize, counters: &mut Counters) {
         log::info!("call not written: request={request} attempt={attempt} reason={self:?}");
         match self {
             Self::DeadlinePassed => counters.count("calls_past_their_deadline"),
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -73,7 +73,7 @@
         if idempotency_key.is_some_and(|key| key.bytes().any(|byte| !byte.is_ascii_alphanumeric())) {
             return Err(ParameterError::IdempotencyKey);
         }
-        let ordering_key = optional_text(fields, "subject")?.map(hash_of);
+        let ordering_key = optional_text(fields, "subject")?.map(|subject| KeyId(hash_of(subject)));
         let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::Deadline)?;
         let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
         let memory_mb = positive_number(fields, "memory")?;
@@ -142,10 +142,10 @@
 
 /// Returns the number by which the scheduler knows a name. Requests of two names with the same hash only wait for each
 /// other.
-pub(super) fn hash_of(name: &str) -> KeyId {
+pub(super) fn hash_of(name: &str) -> u32 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
-    hasher.finish() as KeyId
+    hasher.finish() as u32
 }
 
 /// Decodes a whole number from 0 to [`MAX_URGENCY`].
