--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -79,8 +79,8 @@
         Some(1) emberflow: FILE: `settings.zones[1]` is listed twice: hall-a
         Some(1) emberflow: FILE: `settings.myZone` is 1, past the end of a list of 1
         Some(1) emberflow: FILE: `known.items[0].roster.members[0].locality` is not in the settings: hall-z
-        Some(1) emberflow: FILE: `known.items[0].roster.members[0].id` is no engine's id: 1
-        Some(1) emberflow: FILE: `known.items[0].roster.members[0].host_port` is no address: somewhere
+        Some(1) emberflow: FILE: `known.items[0].roster.members[0].id` is not an engine's id: 1
+        Some(1) emberflow: FILE: `known.items[0].roster.members[0].host_port` is not an address with a port: somewhere
         Some(1) emberflow: FILE: `settings.report.names[1]` is not text
         Some(1) emberflow: FILE: `settings.report.how` is unknown: pigeon
         Some(1) emberflow: FILE: `settings.caps.connectTimeoutMs` is not a time in milliseconds
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -171,11 +171,11 @@
         .map(|bytes| format!("{:?}\n", discovery::parse_frame(bytes).err().map(|error| error.to_string())))
         .collect();
     expect![[r#"
-        Some("a frame of kind 3 with 0 bytes")
-        Some("a frame of kind 2 with 26 bytes")
-        Some("an engine in state 7")
-        Some("a frame of 4294967295 bytes")
-        Some("a frame of 0 bytes")
+        Some("invalid frame of kind 3 with a payload of 0 bytes")
+        Some("invalid frame of kind 2 with a payload of 26 bytes")
+        Some("unknown endpoint state 7")
+        Some("invalid frame length of 4294967295 bytes")
+        Some("invalid frame length of 0 bytes")
     "#]]
     .assert_eq(&errors);
 }
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -151,7 +151,7 @@
         failure_of(router_command()),
     ];
     expect![[r#"
-        Some(1) emberflow: EDGE_CONFIG is not set
+        Some(1) emberflow: no configuration file: neither `--config` nor EDGE_CONFIG is set
         Some(1) emberflow: /nowhere/at/all: No such file or directory (os error 2)
         Some(1) emberflow: /empty.json: `limits` is missing
         Some(1) emberflow: /broken.json: EOF while parsing a value at line 1 column 8
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -74,10 +74,10 @@
         /// The name.
         name: String,
     },
-    /// The text does not have the form that is expected.
-    #[error("is no {expected}: {found}")]
+    /// The text does not have the expected form.
+    #[error("is not {expected}: {found}")]
     Malformed {
-        /// What the text should be.
+        /// The expected form, as in `an address with a port`.
         expected: &'static str,
         /// The text.
         found: String,
