--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! The cost of dispatch, settling, enqueueing and wait estimates with many teams and very many requests, and the
-//! memory of a waiting request.
+//! The cost of dispatch, settling, enqueueing and wait estimates with 1,000 teams and 100,000 requests, and the memory of
+//! a waiting request.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, Team};
@@ -8,6 +8,8 @@
 
 const TEAMS: usize = 1000;
 const REQUESTS: u32 = 100_000;
+/// Size of a memory page, in which the kernel counts the resident memory.
+const PAGE_KB: u64 = 4;
 
 fn new_request(request: u32) -> NewRequest {
     NewRequest {
@@ -51,22 +53,22 @@
 fn resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
-    pages.unwrap_or(0) * 4
+    pages.unwrap_or(0) * PAGE_KB
 }
 
 fn decisions(criterion: &mut Criterion) {
     let before = resident_kb();
     let mut queues = filled();
     println!("a waiting request holds {} bytes", (resident_kb() - before) * 1024 / u64::from(REQUESTS));
-    let (mut now, mut next) = (Duration::from_secs(1), REQUESTS);
+    let (mut now, mut next_request) = (Duration::from_secs(1), REQUESTS);
     criterion.bench_function("dispatch, settle and enqueue", |bencher| {
         bencher.iter(|| {
             now += Duration::from_micros(50);
             let request = queues.dispatch_order().next().expect("requests wait");
             queues.dispatch(now, request);
             queues.settle(now, request, Outcome::Measured(Duration::from_millis(50)));
-            queues.enqueue(now, new_request(next)).expect("the queue has capacity");
-            next += 1;
+            queues.enqueue(now, new_request(next_request)).expect("the queue has capacity");
+            next_request += 1;
         });
     });
     let mut dispatched = Vec::new();
--- a/crates/teams/examples/compare.rs
+++ b/crates/teams/examples/compare.rs
@@ -1,4 +1,4 @@
-//! Compares policies on the same skewed day: fairness, waits and cost. Usage: `compare [SEED]`
+//! Compares policies on the same skewed day by fairness, waits and cost. Usage: `compare [SEED]`
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
@@ -6,11 +6,11 @@
 use emberflow_teams::{NewRequest, Queues, RequestId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use simulation::*;
+use simulation::{Day, Fifo, Policy, quotas, simulate, skewed};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Deficit round robin: each team in turn may have work up to what it has been granted by rounds.
+/// Deficit round robin: serves the teams in rounds, each up to the credit that the rounds have granted it.
 pub struct DeficitRoundRobin {
     pub queues: Vec<VecDeque<(RequestId, f64)>>,
     pub shares: Vec<f64>,
@@ -49,7 +49,7 @@
     fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
-/// A draw among teams that have something waiting, by their shares.
+/// Lottery: draws among the teams with waiting requests, with their shares as weights.
 pub struct Lottery {
     pub queues: Vec<VecDeque<RequestId>>,
     pub shares: Vec<f64>,
@@ -105,7 +105,7 @@
     let figures = simulate(day, policy);
     let elapsed_ms = begun.elapsed().as_secs_f64() * 1e3;
     print!("{name:24} {:>10.3} {:>10.3}", figures.worst_share_error, figures.jain);
-    print!(" {:>10.2} {:>10.3}", figures.longest_without, figures.urgent_p99);
+    print!(" {:>10.2} {:>10.3}", figures.longest_without_service, figures.urgent_p99);
     print!(" {:>10} {:>10}", figures.on_time, figures.served);
     print!(" {:>10} {:>10}", figures.rejected, figures.expired);
     print!(" {:>10.2} {:>10.2}", figures.estimate_error, figures.estimates_in_range);
--- a/crates/teams/src/service_rate.rs
+++ b/crates/teams/src/service_rate.rs
@@ -17,7 +17,7 @@
     pub position: usize,
 }
 
-/// Number of samples kept of each measurement.
+/// Largest number of samples of each measurement.
 const MAX_SAMPLES: usize = 128;
 /// Smallest number of dispatches from which a rate is computed.
 const MIN_SAMPLES: usize = 8;
--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -1,5 +1,5 @@
-//! Guards the queues' behaviour while their code changes: seeded runs of random inputs, and one digest over all that
-//! comes out: turns, rejections, waits, times, and the bits of every figure.
+//! Guards the behaviour of the queues while their code changes: one digest over all results of seeded random runs: the
+//! order of dispatch, rejections, wait estimates, times, and the bits of every number.
 
 use emberflow_teams::{
     Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RejectReason, Rejection, RequestId, Team,
@@ -11,10 +11,12 @@
 
 const RUNS: u64 = 200;
 const STEPS: u64 = 600;
-/// Turns that are recorded after each step.
-const RECORDED_TURNS: usize = 6;
+/// Largest step of the clock.
+const MAX_STEP: Duration = Duration::from_secs(5);
+/// Length of the order of dispatch that is recorded after each step.
+const RECORDED_ORDER_LENGTH: usize = 6;
 
-/// What has to have happened that often, or the digest would say little.
+/// Smallest counts of events, without which the digest would cover too little. The names are part of the digest.
 const REQUIRED: [(&str, u64); 14] = [
     ("accepted", 10_000),
     ("rejected: queue full", 500),
@@ -32,7 +34,7 @@
     ("reconfigured", 500),
 ];
 
-/// A random source that is the same on every platform: SplitMix64.
+/// The random number generator SplitMix64, which gives the same numbers on every platform.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -61,7 +63,7 @@
     }
 }
 
-/// What came out of all runs.
+/// The digest and the event counts of all runs.
 #[derive(Default)]
 struct Record {
     digest: Sha256,
@@ -90,7 +92,7 @@
     }
 }
 
-/// One run: queues, their clock, and the requests that they hold.
+/// One run: the queues, their clock, and the requests by state.
 struct Run<'a> {
     random: SplitMix64,
     record: &'a mut Record,
@@ -173,14 +175,14 @@
             38..56 => self.dispatch_in_turn(),
             56..62 => self.dispatch_by_fit(),
             62..65 => self.dispatch_out_of_turn(),
-            65..68 => self.leave(),
+            65..68 => self.remove(),
             68..82 => self.settle(),
             82..84 => self.requeue(),
             84..86 if self.random.one_in(2) => self.reconfigure(),
-            86..90 => self.pass_to_due(),
+            86..90 => self.advance_to_due(),
             _ => {
                 let time = self.random.millis(400);
-                self.pass(time);
+                self.advance_by(time);
             }
         }
     }
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Some requests don't fit now, so that a later turn comes first; of a key the first one goes.
+    /// Dispatches the next fitting request; only one request of two to four fits.
     fn dispatch_by_fit(&mut self) {
         let modulus = 2 + self.random.below(3) as RequestId;
         let next = self.queues.next_fitting(|request| request % modulus == 0);
@@ -248,10 +250,10 @@
         self.dispatch(how, first);
     }
 
-    fn leave(&mut self) {
+    fn remove(&mut self) {
         let Some(request) = self.random.pick(&self.waiting) else { return };
-        let left = self.queues.remove(self.now, request);
-        assert!(left, "request {request} waits");
+        let removed = self.queues.remove(self.now, request);
+        assert!(removed, "request {request} waits");
         self.record.event("left", request);
         self.waiting.retain(|other| *other != request);
     }
@@ -270,34 +272,34 @@
 
     fn requeue(&mut self) {
         let Some(request) = self.random.pick(&self.dispatched) else { return };
-        let taken_back = self.queues.requeue(self.now, request);
-        assert!(taken_back, "request {request} was dispatched");
+        let requeued = self.queues.requeue(self.now, request);
+        assert!(requeued, "request {request} was dispatched");
         self.record.event("taken back", request);
         self.dispatched.retain(|other| *other != request);
         self.waiting.push(request);
     }
 
-    /// Other quotas: each team gets another number, or is gone.
+    /// Replaces the quotas; each team gets another index or is removed.
     fn reconfigure(&mut self) {
         let quotas = quotas(self.random.next());
         let old_count = self.team_count;
         self.team_count = quotas.teams.len();
         let shift = self.random.below(2) as usize;
-        let moved = |team: usize| Some(team + shift).filter(|moved| *moved < quotas.teams.len());
-        let new_numbers: Vec<Option<usize>> = (0..old_count).map(moved).collect();
-        self.queues.reconfigure(self.now, quotas, &new_numbers);
+        let new_index = |team: usize| Some(team + shift).filter(|index| *index < quotas.teams.len());
+        let new_indices: Vec<Option<usize>> = (0..old_count).map(new_index).collect();
+        self.queues.reconfigure(self.now, quotas, &new_indices);
         self.record.event("reconfigured", shift as RequestId);
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance_by(&mut self, time: Duration) {
         self.now += time;
         self.queues.advance(self.now);
     }
 
-    fn pass_to_due(&mut self) {
+    fn advance_to_due(&mut self) {
         let due = self.queues.due().unwrap_or(self.now);
-        // Not beyond what a run may take: a budget can be years in debt.
-        let limit = self.now + Duration::from_secs(5);
+        // Limits the step, because a budget can be years in debt.
+        let limit = self.now + MAX_STEP;
         self.now = due.max(self.now).min(limit);
         self.queues.advance(self.now);
     }
@@ -310,8 +312,8 @@
             self.record.float(Some(self.queues.in_flight_charge(team)));
             self.record.float(self.queues.budget_remaining(team));
         }
-        let turns: Vec<RequestId> = self.queues.dispatch_order().take(RECORDED_TURNS).collect();
-        turns.iter().for_each(|request| self.record.number((*request).into()));
+        let order: Vec<RequestId> = self.queues.dispatch_order().take(RECORDED_ORDER_LENGTH).collect();
+        order.iter().for_each(|request| self.record.number((*request).into()));
         if let Some(request) = self.random.pick(&self.waiting) {
             self.record_wait(request);
         }
@@ -326,12 +328,12 @@
 }
 
 #[test]
-fn the_queues_answer_as_before() {
+fn the_results_of_seeded_runs_are_unchanged() {
     let mut record = Record::default();
     (0..RUNS).for_each(|seed| Run::new(seed, &mut record).execute());
     for (name, low) in REQUIRED {
         let count = record.counts.get(name).copied().unwrap_or(0);
-        assert!(count >= low, "{name} happened {count} times, not {low}: {:?}", record.counts);
+        assert!(count >= low, "{name} happened {count} times, expected at least {low}: {:?}", record.counts);
     }
     let digest: String = record.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect!["3fc5aec5b3785c49825e58a416cbe51fe14afb38a404f5e9944e075d0b7218ce"].assert_eq(&digest);
--- a/crates/teams/tests/properties.rs
+++ b/crates/teams/tests/properties.rs
@@ -1,6 +1,6 @@
 //! Properties that hold for every sequence of inputs: no request is lost, and nothing stays charged at rest.
 
-use emberflow_teams::*;
+use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RequestId, Team};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestCaseError};
 use std::time::Duration;
@@ -61,7 +61,7 @@
     prop::collection::vec(input, 1..200)
 }
 
-/// Queues, and where each request should be.
+/// The queues under test, and the expected state of each request.
 struct Model {
     queues: Queues,
     now: Duration,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns whether a request was dispatched; one is whenever any waits.
+    /// Dispatches the next request, and returns whether there was one.
     fn dispatch_next(&mut self) -> Result<bool, TestCaseError> {
         let next = self.queues.dispatch_order().next();
         prop_assert_eq!(next.is_none(), self.waiting.is_empty());
--- a/crates/teams/tests/simulated_day.rs
+++ b/crates/teams/tests/simulated_day.rs
@@ -1,4 +1,4 @@
-//! A skewed day under the queues and under the order of arrival: shares, urgent requests and wait estimates.
+//! A skewed day under fair queueing, compared with the order of arrival: shares, urgent requests and wait estimates.
 
 mod simulation;
 
@@ -12,7 +12,7 @@
         let day = Day { work_factor, ..skewed(seed) };
         let fair = simulate(&day, &mut Queues::new(quotas(&day), Duration::ZERO));
         let fifo = simulate(&day, &mut Fifo::default());
-        // Where requests come to ten times what was expected, turns are evened out only once they have ended.
+        // With ten times the expected work, shares are corrected only when requests have ended.
         let max_share_error = if work_factor == 1.0 { 0.1 } else { 0.2 };
         assert!(fair.worst_share_error < max_share_error && fair.jain > 0.98, "{fair:?}");
         assert!(fair.urgent_p99 < fifo.urgent_p99 / 5.0, "{fair:?}");
--- a/crates/teams/tests/simulation/figures.rs
+++ b/crates/teams/tests/simulation/figures.rs
@@ -1,44 +1,45 @@
-//! What is measured of a simulated day.
+//! The figures of a simulated day.
 
 use super::{Day, seconds};
 use emberflow_teams::WaitEstimate;
 use std::time::Duration;
 
-/// Windows by which shares are measured, in seconds.
+/// Length of the windows in which shares are measured, in seconds.
 const WINDOW_S: f64 = 10.0;
-/// Estimates of shorter waits are not judged, in seconds.
+/// Shortest estimated wait, in seconds, whose error is counted.
 const MIN_ESTIMATE_S: f64 = 0.1;
 
 /// The figures of a day. Times are in seconds.
 #[derive(Debug, Default)]
 pub struct Figures {
-    /// Largest error of a team's service against its share, among teams that always had requests, by window.
+    /// Largest relative error of a team's service against its share, over all windows and the teams that had requests
+    /// throughout the window.
     pub worst_share_error: f64,
-    /// Jain's index of fairness over the same windows.
+    /// Jain's fairness index over the same windows.
     pub jain: f64,
-    /// Longest time in which a team with requests had no turn.
-    pub longest_without: f64,
+    /// Longest time for which a team with requests was not served.
+    pub longest_without_service: f64,
     pub urgent_p99: f64,
     pub on_time: usize,
     pub served: usize,
     pub rejected: usize,
     pub expired: usize,
-    /// Median error of the estimates that were judged.
+    /// Median relative error of the estimates of at least [`MIN_ESTIMATE_S`].
     pub estimate_error: f64,
-    /// Fraction of them whose range held the actual wait.
+    /// Fraction of these estimates whose range contains the actual wait.
     pub estimates_in_range: f64,
-    /// How many they were.
+    /// Number of these estimates.
     pub estimates: usize,
 }
 
-/// Measures while the day is simulated.
+/// Collects the figures during the simulation.
 pub struct Recorder {
     figures: Figures,
-    /// By window and team, seconds of work that were dispatched.
+    /// By window and team, seconds of work dispatched.
     service: Vec<Vec<f64>>,
-    /// By window and team, whether the team ever had nothing waiting.
+    /// By window and team, whether the team had no waiting request at some time.
     idle: Vec<Vec<bool>>,
-    last_turn: Vec<Duration>,
+    last_service: Vec<Duration>,
     waiting: Vec<usize>,
     urgent_waits: Vec<f64>,
     estimate_errors: Vec<f64>,
@@ -49,9 +50,9 @@
     (now.as_secs_f64() / WINDOW_S) as usize
 }
 
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
-    let index = ((values.len() as f64 - 1.0) * part).round() as usize;
+    let index = ((values.len() as f64 - 1.0) * fraction).round() as usize;
     values.get(index).copied().unwrap_or(0.0)
 }
 
@@ -63,7 +64,7 @@
             figures: Figures::default(),
             service: vec![vec![0.0; teams]; windows],
             idle: vec![vec![false; teams]; windows],
-            last_turn: vec![Duration::ZERO; teams],
+            last_service: vec![Duration::ZERO; teams],
             waiting: vec![0; teams],
             urgent_waits: Vec::new(),
             estimate_errors: Vec::new(),
@@ -78,7 +79,7 @@
     pub fn enqueued(&mut self, now: Duration, team: usize) {
         self.waiting[team] += 1;
         if self.waiting[team] == 1 {
-            self.last_turn[team] = now;
+            self.last_service[team] = now;
         }
     }
 
@@ -89,13 +90,13 @@
 
     pub fn dispatched(&mut self, now: Duration, team: usize, work: f64) {
         self.waiting[team] -= 1;
-        let without = (now - self.last_turn[team]).as_secs_f64();
-        self.figures.longest_without = self.figures.longest_without.max(without);
-        self.last_turn[team] = now;
+        let without_service = (now - self.last_service[team]).as_secs_f64();
+        self.figures.longest_without_service = self.figures.longest_without_service.max(without_service);
+        self.last_service[team] = now;
         self.service[window(now)][team] += work;
     }
 
-    /// A dispatched request has waited so many seconds.
+    /// Records the wait of a dispatched request, in seconds.
     pub fn waited(&mut self, waited: f64, urgent: bool, estimate: Option<WaitEstimate>) {
         if urgent {
             self.urgent_waits.push(waited);
@@ -113,7 +114,7 @@
         self.figures.on_time += usize::from(on_time);
     }
 
-    pub fn note_idle_teams(&mut self, now: Duration) {
+    pub fn record_idle_teams(&mut self, now: Duration) {
         let idle = &mut self.idle[window(now)];
         for (idle, waiting) in idle.iter_mut().zip(&self.waiting) {
             *idle |= *waiting == 0;
--- a/crates/teams/tests/simulation/mod.rs
+++ b/crates/teams/tests/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! A simulated day: teams send requests at random times, servers run one request each, and a policy decides whose turn
-//! it is.
+//! A simulated day: teams send requests at random times, servers run one request each, and a policy decides which
+//! request is served next.
 
 mod figures;
 
 pub use figures::Figures;
 
-use emberflow_teams::*;
+use emberflow_teams::{NewRequest, Organization, Outcome, Queues, Quotas, RequestId, Team, WaitEstimate};
 use figures::Recorder;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -13,8 +13,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The urgency of urgent requests, and their work against that of ordinary ones.
+/// Urgency of urgent requests.
 const URGENCY: u8 = 2;
+/// Work of urgent requests relative to ordinary ones.
 const URGENT_WORK_FACTOR: f64 = 0.1;
 /// Bound on each team's waiting requests.
 const MAX_WAITING: usize = 400;
@@ -23,18 +24,18 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// What a team sends.
+/// The traffic of a team.
 #[derive(Clone, Copy)]
 pub struct Traffic {
-    /// Requests in a second.
+    /// Requests per second.
     pub rate: f64,
     /// Median work of a request, in seconds.
     pub work: f64,
-    /// How many of a hundred requests are urgent.
+    /// Percentage of urgent requests.
     pub urgent_percent: u32,
 }
 
-/// What is simulated. Times are in seconds.
+/// The parameters of a simulated day. Times are in seconds.
 pub struct Day {
     /// The teams' shares and traffic.
     pub teams: Vec<(f64, Traffic)>,
@@ -42,20 +43,20 @@
     pub duration: f64,
     pub latency_objective: f64,
     pub deadline: f64,
-    /// Actual against expected work of the requests.
+    /// Ratio of actual to expected work of the requests.
     pub work_factor: f64,
     pub seed: u64,
 }
 
-/// Decides whose turn it is.
+/// Decides which request is served next.
 pub trait Policy {
-    /// Returns whether the request is accepted.
+    /// Enqueues a request, and returns whether it is accepted.
     fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> bool;
     /// Dispatches the next request.
     fn next(&mut self, now: Duration) -> Option<RequestId>;
-    /// A waiting request has reached its deadline.
+    /// Removes a waiting request that has reached its deadline.
     fn remove(&mut self, now: Duration, request: RequestId);
-    /// A request has ended after so much work.
+    /// Records that a request has ended after `work`.
     fn ended(&mut self, now: Duration, request: RequestId, work: Duration);
     fn estimate_wait(&self, _: Duration, _: RequestId) -> Option<WaitEstimate> {
         None
@@ -85,7 +86,7 @@
     }
 }
 
-/// The order of arrival, whatever the team.
+/// The order of arrival across teams.
 #[derive(Default)]
 pub struct Fifo(VecDeque<RequestId>);
 
@@ -114,7 +115,7 @@
     urgent: bool,
 }
 
-/// Everything that is sent in the day, in order: the same for every policy.
+/// Returns all requests of the day in the order of arrival. They are the same for every policy.
 fn traffic(day: &Day) -> Vec<Sent> {
     let mut random = StdRng::seed_from_u64(day.seed);
     let mut sent = Vec::new();
@@ -134,7 +135,7 @@
     sent
 }
 
-/// A request that was accepted.
+/// An accepted request.
 struct Accepted {
     new_request: NewRequest,
     arrived: Duration,
@@ -149,7 +150,7 @@
     policy: &'a mut P,
     recorder: Recorder,
     requests: BTreeMap<RequestId, Accepted>,
-    /// Requests that run, by the time of their end.
+    /// Running requests by the time of their end.
     running: BTreeSet<(Duration, RequestId)>,
     deadlines: BTreeSet<(Duration, RequestId)>,
 }
@@ -175,7 +176,7 @@
             simulation.arrive(request, &sent);
         }
         simulation.dispatch(now);
-        simulation.recorder.note_idle_teams(now);
+        simulation.recorder.record_idle_teams(now);
     }
     simulation.recorder.figures(day)
 }
@@ -243,23 +244,23 @@
     }
 }
 
-/// The first request that is due.
+/// Removes and returns the first request that is due at `now`.
 fn pop_due(queue: &mut BTreeSet<(Duration, RequestId)>, now: Duration) -> Option<(Duration, RequestId)> {
     let (at, _) = queue.first()?;
     if *at <= now { queue.pop_first() } else { None }
 }
 
-/// Eight teams of equal shares at sixteen servers; the first sends ten times its share, most of the others a
-/// little more than theirs.
+/// Returns a day of eight teams with equal shares and sixteen servers. The first team sends ten times its share, and
+/// most of the others slightly more than their share.
 pub fn skewed(seed: u64) -> Day {
     let traffic = |rate: f64| Traffic { rate, work: 0.2, urgent_percent: 10 };
-    // A share is two servers: some ten requests a second at a fifth of a second each.
+    // A team's share is two servers, which serve about ten requests of 0.2 s per second.
     let rates = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
     let teams = rates.into_iter().map(|rate| (1.0, traffic(rate))).collect();
     Day { teams, servers: 16, duration: 60.0, latency_objective: 4.0, deadline: 20.0, work_factor: 1.0, seed }
 }
 
-/// The quotas of the day's teams, which are one organization.
+/// Returns the quotas of the day's teams, in one organization.
 pub fn quotas(day: &Day) -> Quotas {
     let team = |(share, _): &(f64, Traffic)| Team {
         organization: 0,
