--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -31,7 +31,7 @@
             Self::Succeeded => "requests_succeeded",
             Self::Rejected => "requests_rejected",
             Self::Failed => "requests_failed",
-            Self::Withdrawn => "requests_withdrawn",
+            Self::Withdrawn => "requests_cancelled",
         }
     }
 }
@@ -74,7 +74,7 @@
             number: row.attempts.len(),
             id: &row.name,
             class: &self.config.classes[row.class],
-            opkey: row.idempotency_key.as_deref(),
+            idempotency_key: row.idempotency_key.as_deref(),
             statement: &row.statement,
             grant_mb: row.grant_mb,
             priority: row.priority,
@@ -162,7 +162,7 @@
             self.context.counters.count("requests_over_the_limit");
             return false;
         }
-        self.context.counters.count("requests_taken");
+        self.context.counters.count("requests_accepted");
         if let Some(client) = self.clients.table.get_mut(request.client) {
             client.open.insert(request.client_request_id, self.requests.next_id);
         }
