--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,13 +1,14 @@
-//! A library that is preloaded (`LD_PRELOAD`) into a router under test. It takes the place of some functions of the C
-//! library and injects, as environment variables order:
+//! A library that is preloaded (`LD_PRELOAD`) into a router under test. It replaces some functions of the C library and
+//! injects the faults that environment variables name:
 //!
 //! | variable | effect |
 //! | --- | --- |
-//! | `FAULT_SHIM_SLOWDOWN` | each span of processor time takes so many times as long: a part of a core |
-//! | `FAULT_SHIM_CLOCK_STEP_MS`, `FAULT_SHIM_CLOCK_STEP_AT_MS` | the wall clock steps by so much, so long after the first look at it |
-//! | `FAULT_SHIM_FAIL_EVERY` | each call of that ordinal of `accept4`, `socket`, `connect`, `recv` and `send` fails as Linux documents |
+//! | `FAULT_SHIM_SLOWDOWN` | computations take this many times as long, as on a fraction of a core |
+//! | `FAULT_SHIM_CLOCK_STEP_MS`, `FAULT_SHIM_CLOCK_STEP_AT_MS` | the wall clock steps by the first value, at the second value after the process has read it first |
+//! | `FAULT_SHIM_FAIL_EVERY` | every Nth call of `accept4`, `socket`, `connect`, `recv` and `send` fails with an error that Linux documents |
 //!
-//! The delay of a slow processor is taken whenever the program asks for the monotonic time, as it does between events.
+//! The process sleeps for the delay of a slow processor when it reads the monotonic clock, which the router does between
+//! events.
 
 mod clock;
 mod failures;
--- a/crates/fault-shim/src/sockets.rs
+++ b/crates/fault-shim/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Socket calls that fail for a moment.
+//! Socket calls with injected failures, after which a repeated call may succeed.
 
 use crate::failures::Failures;
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t};
@@ -10,15 +10,15 @@
 static RECEIVES: Failures = Failures::new(&[libc::EINTR]);
 static SENDS: Failures = Failures::new(&[libc::EINTR]);
 
-/// The function of this name in the library that comes next.
+/// Returns the function of this name in the next library, which is the C library.
 fn next_function(name: &'static std::ffi::CStr) -> *mut c_void {
-    // SAFETY: the name is a C string, and the handle is a constant of the library.
+    // SAFETY: the name is a C string, and the handle is a constant of the C library.
     let function = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
     assert!(!function.is_null(), "the C library has {name:?}");
     function
 }
 
-/// Defines a function that looks up the one that it replaces once.
+/// Defines a function that looks up a replaced function of the C library at its first call.
 macro_rules! replaced {
     ($lookup:ident, $name:literal, $signature:ty) => {
         fn $lookup() -> $signature {
@@ -43,10 +43,10 @@
 replaced!(real_recv, c"recv", ReceiveFunction);
 replaced!(real_send, c"send", SendFunction);
 
-/// In place of the C library's function.
+/// Replaces the C library's function.
 ///
 /// # Safety
-/// As for the function that this replaces.
+/// The same as for the replaced function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -57,58 +57,58 @@
     if ACCEPTS.next().is_some() {
         return -1;
     }
-    // SAFETY: by this function's contract.
+    // SAFETY: the caller keeps the contract of the replaced function.
     unsafe { real_accept4()(socket, address, length, flags) }
 }
 
-/// In place of the C library's function.
+/// Replaces the C library's function.
 ///
 /// # Safety
-/// As for the function that this replaces.
+/// The same as for the replaced function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET && SOCKETS.next().is_some() {
         return -1;
     }
-    // SAFETY: by this function's contract.
+    // SAFETY: the caller keeps the contract of the replaced function.
     unsafe { real_socket()(domain, kind, protocol) }
 }
 
-/// In place of the C library's function.
+/// Replaces the C library's function.
 ///
 /// # Safety
-/// As for the function that this replaces.
+/// The same as for the replaced function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     if CONNECTS.next().is_some() {
         return -1;
     }
-    // SAFETY: by this function's contract.
+    // SAFETY: the caller keeps the contract of the replaced function.
     unsafe { real_connect()(socket, address, length) }
 }
 
-/// In place of the C library's function.
+/// Replaces the C library's function.
 ///
 /// # Safety
-/// As for the function that this replaces.
+/// The same as for the replaced function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     if RECEIVES.next().is_some() {
         return -1;
     }
-    // SAFETY: by this function's contract.
+    // SAFETY: the caller keeps the contract of the replaced function.
     unsafe { real_recv()(socket, buffer, length, flags) }
 }
 
-/// In place of the C library's function.
+/// Replaces the C library's function.
 ///
 /// # Safety
-/// As for the function that this replaces.
+/// The same as for the replaced function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     if SENDS.next().is_some() {
         return -1;
     }
-    // SAFETY: by this function's contract.
+    // SAFETY: the caller keeps the contract of the replaced function.
     unsafe { real_send()(socket, buffer, length, flags) }
 }
--- a/crates/peer-protocol/src/client.rs
+++ b/crates/peer-protocol/src/client.rs
@@ -91,7 +91,7 @@
     line(json!({"jsonrpc": VERSION, "method": CANCEL_METHOD, "params": {"req": request_id}}))
 }
 
-/// Encodes the line with which a client asks whether the router serves.
+/// Encodes a status request: the answer says whether the router serves.
 pub fn encode_status_request(id: u64) -> Vec<u8> {
     line(json!({"jsonrpc": VERSION, "id": id, "method": STATUS_METHOD, "params": {}}))
 }
--- a/crates/peer-protocol/src/discovery.rs
+++ b/crates/peer-protocol/src/discovery.rs
@@ -107,7 +107,7 @@
 /// The content of a frame; the discriminants are those of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// No news.
+    /// No change.
     Heartbeat = 0,
     /// All engines of the list.
     CompleteList = 1,
@@ -122,7 +122,7 @@
     [&length.to_be_bytes()[..], &event.to_be_bytes(), &[kind as u8], &payload].concat()
 }
 
-/// Encodes the frame that discovery sends when there is no news since `last_event`.
+/// Encodes the frame that discovery sends each second after `last_event`, the event that the router got last.
 pub fn encode_heartbeat(last_event: u64) -> Vec<u8> {
     encode_frame(last_event, FrameKind::Heartbeat, &[])
 }
--- a/crates/peer-protocol/src/engine.rs
+++ b/crates/peer-protocol/src/engine.rs
@@ -15,11 +15,11 @@
     Cancel { request_id: String },
     /// Changes the priority of a call; no reply.
     SetPriority { request_id: String, priority: String },
-    /// Asks for a page of a result, from 1.
+    /// Requests a page of a result, from 1.
     ReadPage { request_id: String, page: String },
     /// Ends the pages of a result; no reply.
     ClosePages { request_id: String },
-    /// Asks for a pong with the same tag.
+    /// Requests a pong with the same tag.
     Ping { tag: String },
     /// Words that the protocol does not have.
     Unknown(Vec<String>),
@@ -102,7 +102,7 @@
 pub enum Progress {
     /// The part of the work that is done, from 0 to 1.
     PartDone(f64),
-    /// The call spills to disk for want of so many MB of memory.
+    /// The call spills to disk because this many MB of memory are missing.
     MissingMemoryMb(f64),
     /// The call is stalled until memory is free.
     StalledByMemory,
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! The peers' side of the router's protocol: what discovery, engines and clients send to a router, and what they read
-//! from it. Emulated peers and tests use it; it shares no code with the router, so that a fault of the router's codecs
+//! The peers' side of the router's protocol: the messages that discovery, engines and clients send to a router, and those
+//! that they read from it. Emulated peers and tests use it; it shares no code with the router, so that a fault of the router's codecs
 //! cannot hide behind the same fault here.
 //!
-//! The protocol's own words stand in this crate alone:
+//! The words of the protocol are used in this crate only, and mapped to the terms of the field:
 //!
 //! | on the wire | here |
 //! | --- | --- |
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -49,7 +49,7 @@
     answered: BTreeSet<u64>,
     next_id: u64,
     last_used_at: Duration,
-    /// False for connections that ask for the router's status or stay idle.
+    /// False for connections with a status request and for idle ones.
     is_for_requests: bool,
 }
 
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -1,4 +1,4 @@
-//! Emulated engines, thousands in one process. Each engine listens at an address of its own in 127.0.0.0/8, runs calls
+//! Emulated engines, thousands in one process. Each engine has a different address in 127.0.0.0/8, runs calls
 //! by a small load model, and has the faults that are set.
 
 mod calls;
--- a/crates/soak/src/process_faults.rs
+++ b/crates/soak/src/process_faults.rs
@@ -1,4 +1,4 @@
-//! The faults that the preloaded library injects into a router's own process.
+//! The faults that the preloaded library injects into a router's process.
 
 use rand::Rng;
 use rand::rngs::StdRng;
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// A period in which the emulation did not serve its own sockets.
+/// A period in which the emulation did not serve its sockets.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
     pub from: Duration,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -11,7 +11,7 @@
 
 const ROUTER_PROGRAM: &str = "emberflow";
 const SHIM_LIBRARY: &str = "libemberflow_fault_shim.so";
-/// Directories above this program in which the other programs are searched: its own, and that above it for tests.
+/// Directories in which the other programs are searched: that of this program and, for tests, its parent.
 const SEARCHED_ANCESTORS: usize = 2;
 
 /// Runs one seed and checks its records.
--- a/crates/soak/src/soak_run.rs
+++ b/crates/soak/src/soak_run.rs
@@ -42,7 +42,7 @@
 const DISCOVERY_PORT: u16 = 9092;
 /// Limit of the time in which all routers become ready at the start of a run.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which the loop measures its own lateness; also the longest wait for events.
+/// Interval at which the loop measures its lateness; also the longest wait for events.
 const TICK: Duration = Duration::from_millis(20);
 /// Lateness of the loop that counts as a stall.
 const MIN_STALL: Duration = Duration::from_millis(5);
@@ -102,7 +102,7 @@
             routers.push(Router::new(index.into(), address, directory, faults));
         }
         let faults = faults::draw(&mut rng, &options.fault_kinds(), options.seconds);
-        // Clients draw from a generator of their own, so that their draws do not change those of the run.
+        // With a separate generator, the draws of clients do not depend on those of the run.
         let clients = Clients::new(CLIENT_TOKENS, ENGINE_TOKENS, StdRng::seed_from_u64(seed ^ 1));
         Ok(Self {
             poll,
--- a/crates/soak/src/sockets.rs
+++ b/crates/soak/src/sockets.rs
@@ -33,7 +33,7 @@
     /// Bytes that were removed from the input by [`consume`](Self::consume).
     consumed_bytes: u64,
     output: Vec<u8>,
-    /// Whether the output is kept back.
+    /// Whether writing is suspended.
     pub is_muted: bool,
     /// The size of each write; `None` to write as much as the socket takes.
     pub write_size: Option<usize>,
@@ -126,7 +126,7 @@
         self.output.is_empty()
     }
 
-    /// Turns the close of the connection into a reset.
+    /// Makes the connection end with a reset when it is closed.
     pub fn reset_on_close(&self) {
         // If the option cannot be set, the connection has already ended.
         let _ = socket2::SockRef::from(&self.socket).set_linger(Some(Duration::ZERO));
