--- a/crates/soak/src/connections.rs
+++ b/crates/soak/src/connections.rs
@@ -26,10 +26,12 @@
         }
     }
 
+    /// Returns the connection at an index.
     pub fn get(&self, index: usize) -> Option<&C> {
         self.entries.get(index)?.as_ref()
     }
 
+    /// Returns the connection at an index.
     pub fn get_mut(&mut self, index: usize) -> Option<&mut C> {
         self.entries.get_mut(index)?.as_mut()
     }
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -3,7 +3,7 @@
 use crate::classes::RequestClass;
 use crate::config::{MAX_ATTEMPTS, ProcessLimits, SlowStart};
 use crate::records::{
-    AnswerKind, Departure, Drain, EngineStart, Outage, OutageKind, Records, RequestRecord, Usage,
+    AnswerKind, Attempt, Departure, Drain, EngineStart, Outage, OutageKind, Records, RequestRecord, Usage,
 };
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -160,18 +160,21 @@
         add(Invariant::TooManyAttempts, format!("{} attempts", request.attempts.len()));
     }
     for attempt in &request.attempts {
-        let client_time_left = request.due_at().saturating_sub(attempt.at);
-        if attempt.time_left > client_time_left + DEADLINE_SLACK + slack {
-            let passed_on = attempt.time_left;
-            add(
-                Invariant::Deadline,
-                format!("{passed_on:?} passed on, the client has {client_time_left:?} left"),
-            );
+        if let Some(description) = excessive_time_left(attempt, request, slack) {
+            add(Invariant::Deadline, description);
         }
     }
     violations
 }
 
+/// Describes an attempt for which the router waits longer than the client.
+fn excessive_time_left(attempt: &Attempt, request: &RequestRecord, slack: Duration) -> Option<String> {
+    let client_time_left = request.due_at().saturating_sub(attempt.at);
+    let passed_on = attempt.time_left;
+    (passed_on > client_time_left + DEADLINE_SLACK + slack)
+        .then(|| format!("{passed_on:?} passed on, the client has {client_time_left:?} left"))
+}
+
 /// Describes a request whose client kept waiting and got no answer, or one too late.
 fn lost(
     request: &RequestRecord,
--- a/crates/soak/tests/unit/invariants.rs
+++ b/crates/soak/tests/unit/invariants.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::classes::mean_work;
 use crate::config::{PROCESS_LIMITS, SLOW_START};
-use crate::records::{Answer, Attempt, Drain, Outage};
+use crate::records::Answer;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
