--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -1,46 +1,45 @@
-//! An emulated client: it sends requests of several profiles at random times over one connection, reads the answers,
-//! and retries a rejected request after the pause that the router names. What it sends is the same for a seed; when it
-//! is answered is not.
+//! An emulated client: it sends requests of several profiles at random times over one connection, reads the answers, and
+//! retries a rejected request after the router's Retry-After. The requests are the same for the same seed; the times of
+//! the answers are not.
 
-use crate::engine::{Run, RunLog};
 use crate::outcome::{OutcomeKind, RequestOutcome, WaitEstimate};
+use crate::run_log::{Run, RunLog};
+use crate::statements::StatementNeed;
 use crate::workload::{RequestProfile, ScheduledRequest, schedule};
-use base64::Engine as _;
-use base64::engine::general_purpose::STANDARD;
+use emberflow_peer_protocol::client::{
+    ClientRequest, MAX_OPEN_REQUESTS, Outcome, Response, RouterMessage, WaitAnnouncement,
+};
+use emberflow_peer_protocol::request_id;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Open requests that the router takes on one connection.
-const MOST_OPEN_REQUESTS: usize = 32;
-/// An answer is waited for until so long after the request's deadline.
+/// Time after the deadline of a request until the client stops waiting for the answer.
 const ANSWER_GRACE: Duration = Duration::from_secs(1);
-/// How long a read waits for the next byte before the client looks at what is due.
+/// How long a read waits for the next byte, which delays the requests that are due.
 const READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// The pause before a retry where the router names none, in milliseconds.
-const DEFAULT_RETRY_AFTER_MS: u64 = 100;
-/// Error codes of the router's protocol.
-const REJECTED_CODE: i64 = -32011;
-const FAILED_CODE: i64 = -32000;
+/// The pause before a retry if the rejection has no Retry-After.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MS_PER_SECOND: f64 = 1e3;
 
 /// A client of one team, with one connection.
 pub struct Client {
     pub team: &'static str,
-    /// The parameter by which it asks for announcements of its waits, if it does.
+    /// The request parameter with which the client asks for announcements of waits; `None` for no announcements.
     pub wait_field: Option<&'static str>,
     pub profiles: Vec<RequestProfile>,
     pub seed: u64,
-    /// How often it retries a rejected request.
-    pub most_retries: u32,
+    /// Retries of a rejected request at most.
+    pub max_retries: u32,
 }
 
 impl Client {
-    /// Sends requests for a duration and waits for their answers; returns the outcome of all that were sent. `runs`
-    /// holds when the engines ran them.
+    /// Sends requests for a duration and waits for the answers; returns the outcomes of all requests. `runs` is the log
+    /// of the engines' runs.
     pub fn run(
         &self,
         router: SocketAddr,
@@ -57,7 +56,7 @@
             runs,
             random,
             socket: BufReader::new(socket),
-            line: Vec::new(),
+            partial_line: Vec::new(),
             scheduled,
             open: BTreeMap::new(),
             retries: Vec::new(),
@@ -69,39 +68,44 @@
     }
 }
 
-/// A request that was sent and is not answered, or waits to be retried.
+/// A request that is not answered, or is to be retried.
 struct OpenRequest {
     profile: RequestProfile,
-    /// Its identity in the router's protocol.
-    req: String,
-    message: Value,
+    message: ClientRequest,
     first_sent_at: Instant,
     retry_count: u32,
-    work_s: f64,
-    /// The first wait that was announced since it was sent last, and when.
-    announced: Option<(Instant, WaitEstimate)>,
+    /// The first announcement since the request was last sent.
+    announced: Option<ReceivedAnnouncement>,
+}
+
+struct ReceivedAnnouncement {
+    at: Instant,
+    announcement: WaitAnnouncement,
 }
 
 impl OpenRequest {
+    /// Whether the client has stopped waiting for the answer.
     fn is_overdue(&self) -> bool {
-        self.first_sent_at.elapsed() > Duration::from_millis(self.profile.deadline_ms) + ANSWER_GRACE
+        self.first_sent_at.elapsed() > self.profile.deadline + ANSWER_GRACE
     }
 
-    /// Milliseconds until its deadline.
-    fn remaining_ms(&self) -> u64 {
-        self.profile.deadline_ms.saturating_sub(self.first_sent_at.elapsed().as_millis() as u64)
+    /// Returns the time until the request's deadline, in whole milliseconds.
+    fn time_left(&self) -> Duration {
+        let elapsed_ms = self.first_sent_at.elapsed().as_millis() as u64;
+        self.profile.deadline.saturating_sub(Duration::from_millis(elapsed_ms))
     }
 }
 
-/// A request that is sent again at a time.
+/// A request that is to be sent again.
 struct Retry {
     at: Instant,
     request: OpenRequest,
 }
 
-/// What reading a line came to.
+/// The result of a read.
 enum Incoming {
-    Line(Value),
+    Message(RouterMessage),
+    /// No complete line has arrived.
     Nothing,
     Closed,
 }
@@ -112,8 +116,8 @@
     runs: &'a RunLog,
     random: StdRng,
     socket: BufReader<TcpStream>,
-    /// The part of a line that has come.
-    line: Vec<u8>,
+    /// The bytes of an incomplete line.
+    partial_line: Vec<u8>,
     scheduled: VecDeque<ScheduledRequest>,
     open: BTreeMap<u64, OpenRequest>,
     retries: Vec<Retry>,
@@ -125,7 +129,7 @@
     fn run(&mut self, duration: Duration) -> std::io::Result<()> {
         let started_at = Instant::now();
         while !self.is_done() {
-            // What could not be sent in its time is not sent later.
+            // Requests for which there was no capacity within the duration are dropped.
             if started_at.elapsed() >= duration {
                 self.scheduled.clear();
             }
@@ -134,7 +138,7 @@
                 continue;
             }
             match self.read()? {
-                Incoming::Line(message) => self.take_message(&message),
+                Incoming::Message(message) => self.handle_message(message),
                 Incoming::Nothing => {}
                 Incoming::Closed => return Ok(()),
             }
@@ -149,7 +153,7 @@
     }
 
     fn has_capacity(&self) -> bool {
-        self.open.len() < MOST_OPEN_REQUESTS
+        self.open.len() < MAX_OPEN_REQUESTS
     }
 
     fn next_id(&mut self) -> u64 {
@@ -158,10 +162,11 @@
         id
     }
 
+    /// Sends the scheduled requests that are due, as long as there is capacity.
     fn send_due(&mut self, started_at: Instant) -> std::io::Result<()> {
         while self.has_capacity() {
-            let is_due = |request: &ScheduledRequest| request.at <= started_at.elapsed();
-            let Some(request) = self.scheduled.pop_front_if(|request| is_due(request)) else { break };
+            let is_due = |request: &mut ScheduledRequest| request.at <= started_at.elapsed();
+            let Some(request) = self.scheduled.pop_front_if(is_due) else { break };
             self.send(request)?;
         }
         Ok(())
@@ -170,30 +175,30 @@
     fn send(&mut self, scheduled: ScheduledRequest) -> std::io::Result<()> {
         let ScheduledRequest { profile, work_ms, memory_mb, .. } = scheduled;
         let id = self.next_id();
-        let req = format!("{:016x}", self.random.random::<u64>());
-        let statement = STANDARD.encode(format!("select work_ms={work_ms:.1} need_mb={memory_mb:.1}"));
-        let mut message = json!({"jsonrpc": "2.0", "id": id, "method": profile.class, "params": {
-            "team": self.client.team, "urgency": profile.urgency, "req": req, "timeout": profile.deadline_ms,
-            "ms": work_ms, "memory": memory_mb, "data": statement}});
-        if let Some(field) = self.client.wait_field {
-            message["params"][field] = json!(true);
-        }
-        writeln!(self.socket.get_mut(), "{message}")?;
-        let request = OpenRequest {
-            profile,
-            req,
-            message,
-            first_sent_at: Instant::now(),
-            retry_count: 0,
-            work_s: work_ms / 1e3,
-            announced: None,
+        let request_id = request_id(self.random.random());
+        let statement = StatementNeed { work_ms, memory_mb }.statement();
+        let wait_parameter = self.client.wait_field.map(|field| (field.to_owned(), Value::from(true)));
+        let message = ClientRequest {
+            work_ms,
+            memory_mb,
+            team: Some(self.client.team.to_owned()),
+            urgency: Some(profile.urgency),
+            further_parameters: wait_parameter.into_iter().collect(),
+            ..ClientRequest::new(id, profile.class, &request_id, profile.deadline, statement.as_bytes())
         };
-        self.open.insert(id, request);
+        let first_sent_at = Instant::now();
+        self.send_message(OpenRequest { profile, message, first_sent_at, retry_count: 0, announced: None })
+    }
+
+    /// Sends the message of a request, which is open from now on.
+    fn send_message(&mut self, request: OpenRequest) -> std::io::Result<()> {
+        self.socket.get_mut().write_all(&request.message.encode())?;
+        self.open.insert(request.message.id, request);
         Ok(())
     }
 
-    /// Sends one request again that is due, with what remains of its deadline; returns whether its deadline had passed,
-    /// so that another may be due at once.
+    /// Sends one retry that is due, with the time left until the deadline. Returns true if the deadline has passed, so
+    /// that no retry was sent and another one may be due.
     fn retry_one_due(&mut self) -> std::io::Result<bool> {
         if !self.has_capacity() {
             return Ok(false);
@@ -201,84 +206,70 @@
         let now = Instant::now();
         let Some(index) = self.retries.iter().position(|retry| retry.at <= now) else { return Ok(false) };
         let mut request = self.retries.swap_remove(index).request;
-        let remaining_ms = request.remaining_ms();
-        if remaining_ms == 0 {
-            let outcome = self.outcome(&request, OutcomeKind::Rejected, None);
-            self.outcomes.push(outcome);
+        let time_left = request.time_left();
+        if time_left.is_zero() {
+            self.record_outcome(&request, OutcomeKind::Rejected, None);
             return Ok(true);
         }
-        let id = self.next_id();
-        request.message["id"] = json!(id);
-        request.message["params"]["timeout"] = json!(remaining_ms);
-        writeln!(self.socket.get_mut(), "{}", request.message)?;
-        self.open.insert(id, request);
+        request.message.id = self.next_id();
+        request.message.timeout = time_left;
+        self.send_message(request)?;
         Ok(false)
     }
 
-    /// A line that has come whole; a read that times out leaves its part for the next.
+    /// Reads a line. A read that times out keeps the bytes of an incomplete line.
     fn read(&mut self) -> std::io::Result<Incoming> {
-        match self.socket.read_until(b'\n', &mut self.line) {
+        match self.socket.read_until(b'\n', &mut self.partial_line) {
             Ok(0) => Ok(Incoming::Closed),
-            Ok(_) if self.line.ends_with(b"\n") => {
-                let message = serde_json::from_slice(&self.line).unwrap_or_default();
-                self.line.clear();
-                Ok(Incoming::Line(message))
+            Ok(_) if self.partial_line.ends_with(b"\n") => {
+                let line = std::mem::take(&mut self.partial_line);
+                Ok(RouterMessage::decode(&line).map_or(Incoming::Nothing, Incoming::Message))
             }
             _ => Ok(Incoming::Nothing),
         }
     }
 
-    fn take_message(&mut self, message: &Value) {
-        if message["method"] == "waiting" {
-            return self.take_announcement(message);
+    fn handle_message(&mut self, message: RouterMessage) {
+        match message {
+            RouterMessage::WaitAnnouncement(announcement) => self.record_announcement(announcement),
+            RouterMessage::Response(Response { id, outcome }) => {
+                if let Some(request) = self.open.remove(&id) {
+                    self.handle_answer(request, &outcome);
+                }
+            }
+            RouterMessage::Other => {}
         }
-        let Some(request) = message["id"].as_u64().and_then(|id| self.open.remove(&id)) else { return };
-        self.take_answer(message, request);
     }
 
-    /// Only the first announcement of a request counts.
-    fn take_announcement(&mut self, message: &Value) {
-        let seconds = |name: &str| message["params"][name].as_f64().unwrap_or(0.0) / 1e3;
-        let estimate = WaitEstimate {
-            least_s: seconds("leastMs"),
-            likely_s: seconds("likelyMs"),
-            most_s: seconds("mostMs"),
-            actual_s: 0.0,
-        };
-        let id = message["params"]["id"].as_u64().unwrap_or_default();
-        if let Some(request) = self.open.get_mut(&id) {
-            request.announced.get_or_insert((Instant::now(), estimate));
+    /// Records an announcement, unless the request has an earlier one.
+    fn record_announcement(&mut self, announcement: WaitAnnouncement) {
+        if let Some(request) = self.open.get_mut(&announcement.id) {
+            request.announced.get_or_insert(ReceivedAnnouncement { at: Instant::now(), announcement });
         }
     }
 
-    fn take_answer(&mut self, answer: &Value, mut request: OpenRequest) {
-        let kind = match answer["error"]["code"].as_i64() {
-            None => OutcomeKind::Succeeded,
-            Some(REJECTED_CODE) => OutcomeKind::Rejected,
-            Some(FAILED_CODE) => OutcomeKind::Failed,
-            Some(_) => OutcomeKind::Invalid,
+    /// Schedules the retry of a rejected request, or records the outcome of a request.
+    fn handle_answer(&mut self, mut request: OpenRequest, outcome: &Outcome) {
+        let kind = match outcome {
+            Outcome::Result { .. } | Outcome::Status { .. } => OutcomeKind::Succeeded,
+            Outcome::Rejected { retry_after } if request.retry_count < self.client.max_retries => {
+                request.retry_count += 1;
+                request.announced = None;
+                let at = Instant::now() + retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+                self.retries.push(Retry { at, request });
+                return;
+            }
+            Outcome::Rejected { .. } => OutcomeKind::Rejected,
+            Outcome::Failed => OutcomeKind::Failed,
+            Outcome::Invalid { .. } => OutcomeKind::Invalid,
         };
-        if kind == OutcomeKind::Rejected && request.retry_count < self.client.most_retries {
-            let retry_after_ms = answer["error"]["data"]["holdoff"].as_u64();
-            let pause = Duration::from_millis(retry_after_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS));
-            request.retry_count += 1;
-            request.announced = None;
-            self.retries.push(Retry { at: Instant::now() + pause, request });
-            return;
-        }
-        let run = self.runs.last_run(&request.req);
-        let outcome = self.outcome(&request, kind, run);
-        self.outcomes.push(outcome);
+        let run = self.runs.last_run(&request.message.request_id);
+        self.record_outcome(&request, kind, run);
     }
 
-    fn outcome(&self, request: &OpenRequest, kind: OutcomeKind, run: Option<Run>) -> RequestOutcome {
+    fn record_outcome(&mut self, request: &OpenRequest, kind: OutcomeKind, run: Option<Run>) {
         let started_at = run.map(|run| run.started_at);
-        let wait_estimate =
-            request.announced.zip(started_at).map(|((announced_at, estimate), started_at)| {
-                let actual_s = started_at.saturating_duration_since(announced_at).as_secs_f64();
-                WaitEstimate { actual_s, ..estimate }
-            });
-        RequestOutcome {
+        self.outcomes.push(RequestOutcome {
             team: self.client.team,
             class: request.profile.class,
             kind,
@@ -286,19 +277,25 @@
             run: run.and_then(|run| run.duration()),
             is_urgent: request.profile.urgency > 0,
             started_at,
-            work_s: request.work_s,
-            wait_estimate,
-        }
+            work_s: request.message.work_ms / MS_PER_SECOND,
+            wait_estimate: wait_estimate(request, started_at),
+        });
     }
 
-    /// All outcomes; what is still open counts as unanswered.
+    /// Returns all outcomes; requests that are still open or to be retried are unanswered.
     fn finish(mut self) -> Vec<RequestOutcome> {
         let open = std::mem::take(&mut self.open).into_values();
-        let waiting_for_retry = std::mem::take(&mut self.retries).into_iter().map(|retry| retry.request);
-        for request in open.chain(waiting_for_retry) {
-            let outcome = self.outcome(&request, OutcomeKind::Unanswered, None);
-            self.outcomes.push(outcome);
+        let retries = std::mem::take(&mut self.retries).into_iter().map(|retry| retry.request);
+        for request in open.chain(retries) {
+            self.record_outcome(&request, OutcomeKind::Unanswered, None);
         }
         self.outcomes
     }
 }
+
+/// Compares the announced wait of a request with the actual one; `None` if the request has no announcement or run.
+fn wait_estimate(request: &OpenRequest, started_at: Option<Instant>) -> Option<WaitEstimate> {
+    let ReceivedAnnouncement { at, announcement } = request.announced.as_ref()?;
+    let actual_s = started_at?.saturating_duration_since(*at).as_secs_f64();
+    Some(WaitEstimate { announced: *announcement, actual_s })
+}
--- /dev/null
+++ b/crates/emulator/src/configuration.rs
@@ -0,0 +1,72 @@
+//! The configuration of the demo's router.
+
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+
+/// Cores of each engine.
+pub const CORES_PER_ENGINE: f64 = 4.0;
+/// Memory of each engine, in MB.
+pub const ENGINE_MEMORY_MB: f64 = 4096.0;
+/// Resources of the router's process: cores, MB of memory and descriptors.
+const ROUTER_CORES: f64 = 1.0;
+const ROUTER_MEMORY_MB: u32 = 192;
+const ROUTER_DESCRIPTORS: u32 = 1024;
+/// Interval of the router's timer.
+const TICK_MS: u32 = 5;
+const CONNECT_TIMEOUT_MS: u32 = 250;
+const IDLE_TIMEOUT_MS: u32 = 15_000;
+const MAX_RETRY_AFTER_MS: u32 = 2000;
+const MAX_ATTEMPTS: u32 = 3;
+/// Open calls of one connection to an engine at most.
+const MAX_CALLS_PER_CONNECTION: u32 = 32;
+/// Fraction of an engine's memory that one request may use.
+const MAX_MEMORY_SHARE: f64 = 0.4;
+const PROGRESS_INTERVAL_MS: u32 = 500;
+/// Value of a late answer, as a fraction of that of an answer in time.
+const LATE_VALUE_SHARE: f64 = 0.1;
+/// The slow start of an engine: its window, its overload as a multiple of the capacity, the fraction of the capacity with
+/// which it starts, and the time to its full capacity.
+const SLOW_START_WINDOW_MS: u32 = 1000;
+const OVERLOAD_FACTOR: f64 = 2.5;
+const START_CAPACITY: f64 = 0.33;
+const WARM_UP_MS: u32 = 3000;
+
+/// The settings of a request class.
+struct ClassSettings {
+    name: &'static str,
+    latency_objective_ms: u32,
+    deadline_ms: u32,
+    /// Whether a request may run more than once.
+    is_idempotent: bool,
+}
+
+const CLASSES: [ClassSettings; 3] = [
+    ClassSettings { name: "lookup", latency_objective_ms: 600, deadline_ms: 4000, is_idempotent: true },
+    ClassSettings { name: "report", latency_objective_ms: 4000, deadline_ms: 12_000, is_idempotent: true },
+    ClassSettings { name: "post", latency_objective_ms: 1500, deadline_ms: 6000, is_idempotent: false },
+];
+
+impl ClassSettings {
+    fn to_json(&self) -> Value {
+        let idempotency = if self.is_idempotent { "repeatable" } else { "once" };
+        json!({"name": self.name, "onTimeMs": self.latency_objective_ms, "deadlineMs": self.deadline_ms, "gain": 1,
+            "lateShare": LATE_VALUE_SHARE, "repeat": idempotency})
+    }
+}
+
+/// Returns the configuration of a router with the addresses of its listener and of discovery.
+pub fn configuration(listen: SocketAddr, discovery: SocketAddr) -> Value {
+    json!({"name": "demo", "listen": listen.to_string(), "seed": "1",
+        "limits": {"cores": ROUTER_CORES, "memory_mb": ROUTER_MEMORY_MB, "sockets": ROUTER_DESCRIPTORS},
+        "bulletin": discovery.to_string(), "known": {"no": 0, "items": []},
+        "settings": {"instances": 1, "myZone": 0, "zones": ["hall-a"], "kinds": ["std-4"], "discovery": "push",
+            "tickMs": TICK_MS, "categories": CLASSES.each_ref().map(ClassSettings::to_json),
+            "caps": {"cancel": true, "connectTimeoutMs": CONNECT_TIMEOUT_MS, "idleCloseMs": IDLE_TIMEOUT_MS,
+                "maxRetryAfterMs": MAX_RETRY_AFTER_MS, "mostTries": MAX_ATTEMPTS, "retryAfter": true,
+                "streamsPerConn": MAX_CALLS_PER_CONNECTION},
+            "domain": {"kindCores": [CORES_PER_ENGINE], "largestShare": MAX_MEMORY_SHARE, "lanesCount": false,
+                "sizeMb": [ENGINE_MEMORY_MB], "tellsEveryMs": PROGRESS_INTERVAL_MS},
+            "report": {"how": "none"},
+            "rules": {"fallMs": SLOW_START_WINDOW_MS, "overloadFactor": OVERLOAD_FACTOR,
+                "startCapacity": START_CAPACITY, "warmUpMs": WARM_UP_MS}}})
+}
--- a/crates/emulator/src/demo.rs
+++ b/crates/emulator/src/demo.rs
@@ -1,44 +1,52 @@
-//! The demo: engines, a discovery service and a router on loopback, the mixed work of three teams, and an engine that
+//! The demo: engines, a discovery service and a router on loopback, the mixed workload of three teams, and an engine that
 //! is lost half-way.
 
 use crate::client::Client;
-use crate::discovery::{Discovery, Endpoint, EngineState};
-use crate::engine::{Engine, RunLog};
+use crate::configuration::{CORES_PER_ENGINE, ENGINE_MEMORY_MB, configuration};
+use crate::discovery::Discovery;
+use crate::engine::Engine;
 use crate::outcome::RequestOutcome;
+use crate::run_log::RunLog;
 use crate::workload::RequestProfile;
+use emberflow_peer_protocol::discovery::{Endpoint, EngineState};
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::event_loop::RouterLoop;
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::io::Write;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Of each engine.
-const CORES: f64 = 4.0;
-const MEMORY_MB: f64 = 4096.0;
-/// How long discovery takes to announce that an engine is gone.
-const LOSS_ANNOUNCED_AFTER: Duration = Duration::from_millis(500);
-/// Between two lines of progress at the least.
-const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
-/// How often, and with which pause, the demo tries to connect to the router that it started.
-const CONNECT_ATTEMPTS: u32 = 200;
+/// Time from the loss of an engine to the watch event of discovery.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which the demo checks its clients.
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Attempts of the demo to connect to the router, and the pause between them.
+const MAX_CONNECT_ATTEMPTS: u32 = 200;
 const CONNECT_PAUSE: Duration = Duration::from_millis(25);
-
-/// What a run of the demo consists of.
+const LOOKUP_DEADLINE: Duration = Duration::from_millis(4000);
+const REPORT_DEADLINE: Duration = Duration::from_millis(12_000);
+const POST_DEADLINE: Duration = Duration::from_millis(6000);
+/// Retries of a rejected request at most.
+const MAX_RETRIES: u32 = 2;
+/// The urgency of the audit team's lookups.
+const AUDIT_URGENCY: u8 = 2;
+
+/// The parameters of the demo.
 pub struct Demo {
+    /// How long clients send requests.
     pub duration: Duration,
     pub seed: u64,
     pub engine_count: u32,
-    /// The text of the operator's file; none for a router without teams.
+    /// The text of the operator's file; `None` for a router without teams.
     pub operator_text: Option<String>,
-    /// Makes the clients from the seed.
+    /// Returns the clients for a seed.
     pub clients: fn(u64) -> Vec<Client>,
     /// Whether an engine is lost half-way.
     pub loses_engine: bool,
 }
 
-/// Why a demo could not run.
+/// Why the demo could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
     #[error("starting an engine: {0}")]
@@ -47,7 +55,7 @@
     StartDiscovery(#[source] std::io::Error),
     #[error("finding a free port for the router: {0}")]
     FindPort(#[source] std::io::Error),
-    #[error("the router does not listen on {address}")]
+    #[error("connecting to the router at {address}: it does not listen")]
     RouterNotListening { address: SocketAddr },
     #[error("running a client: {0}")]
     Client(#[source] std::io::Error),
@@ -55,28 +63,7 @@
     ClientPanicked,
 }
 
-fn configuration(listen: SocketAddr, discovery: SocketAddr) -> Value {
-    json!({"name": "demo", "listen": listen.to_string(), "seed": "1",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "bulletin": discovery.to_string(),
-        "known": {"no": 0, "items": []},
-        "settings": {"instances": 1, "myZone": 0, "zones": ["hall-a"], "kinds": ["std-4"], "discovery": "push",
-            "tickMs": 5,
-            "categories": [request_class("lookup", 600, 4000, "repeatable"),
-                request_class("report", 4000, 12_000, "repeatable"), request_class("post", 1500, 6000, "once")],
-            "caps": {"cancel": true, "connectTimeoutMs": 250, "idleCloseMs": 15000, "maxRetryAfterMs": 2000,
-                "mostTries": 3, "retryAfter": true, "streamsPerConn": 32},
-            "domain": {"kindCores": [CORES], "largestShare": 0.4, "lanesCount": false, "sizeMb": [MEMORY_MB],
-                "tellsEveryMs": 500},
-            "report": {"how": "none"},
-            "rules": {"fallMs": 1000, "overloadFactor": 2.5, "startCapacity": 0.33, "warmUpMs": 3000}}})
-}
-
-fn request_class(name: &str, latency_objective_ms: u64, deadline_ms: u64, repeat: &str) -> Value {
-    json!({"name": name, "onTimeMs": latency_objective_ms, "deadlineMs": deadline_ms, "gain": 1, "lateShare": 0.1,
-        "repeat": repeat})
-}
-
-/// Three teams that send lookups, reports and posts.
+/// Returns three teams that send lookups, reports and posts; rates are in requests a second.
 pub fn mixed_clients(seed: u64) -> Vec<Client> {
     let lookup = |rate, urgency| RequestProfile {
         class: "lookup",
@@ -84,7 +71,7 @@
         work_ms: 20.0,
         memory_mb: 40.0,
         urgency,
-        deadline_ms: 4000,
+        deadline: LOOKUP_DEADLINE,
     };
     let report = |rate| RequestProfile {
         class: "report",
@@ -92,7 +79,7 @@
         work_ms: 600.0,
         memory_mb: 700.0,
         urgency: 0,
-        deadline_ms: 12_000,
+        deadline: REPORT_DEADLINE,
     };
     let post = RequestProfile {
         class: "post",
@@ -100,17 +87,17 @@
         work_ms: 80.0,
         memory_mb: 200.0,
         urgency: 0,
-        deadline_ms: 6000,
+        deadline: POST_DEADLINE,
     };
     let client = |team, profiles, index| Client {
         team,
         wait_field: None,
         profiles,
         seed: seed.wrapping_add(index),
-        most_retries: 2,
+        max_retries: MAX_RETRIES,
     };
     vec![
-        client("audit", vec![lookup(25.0, 2), report(1.0)], 1),
+        client("audit", vec![lookup(25.0, AUDIT_URGENCY), report(1.0)], 1),
         client("posting", vec![report(10.0), post], 2),
         client("payroll", vec![lookup(10.0, 0), report(2.0)], 3),
     ]
@@ -127,24 +114,19 @@
 
 impl Fleet {
     fn start(engine_count: u32, runs: &RunLog) -> Result<Self, DemoError> {
-        let engines = (0..engine_count).map(|_| Engine::start(CORES, MEMORY_MB, runs.clone()));
+        let engines =
+            (0..engine_count).map(|_| Engine::start(CORES_PER_ENGINE, ENGINE_MEMORY_MB, runs.clone()));
         let engines: Vec<Engine> = engines.collect::<Result<_, _>>().map_err(DemoError::StartEngine)?;
-        let endpoint = |(id, engine): (u32, &Engine)| Endpoint {
-            id,
-            address: engine.address,
-            state: EngineState::Ready,
-            cell: 0,
-            up_since_ms: 0,
-        };
+        let endpoint = |(id, engine): (u32, &Engine)| Endpoint::ready(id, engine.address);
         let endpoints: Vec<Endpoint> = (1..).zip(&engines).map(endpoint).collect();
         let discovery = Discovery::start(endpoints.clone()).map_err(DemoError::StartDiscovery)?;
         Ok(Self { engines, endpoints, discovery })
     }
 
-    /// Stops the first engine, which closes all its connections; discovery announces it a little later.
+    /// Stops the first engine, which closes all its connections; discovery removes it from the list a little later.
     fn lose_first_engine(&mut self) {
         drop(self.engines.remove(0));
-        std::thread::sleep(LOSS_ANNOUNCED_AFTER);
+        std::thread::sleep(DISCOVERY_DELAY);
         self.discovery.change(Endpoint { state: EngineState::Removed, ..self.endpoints[0] });
     }
 }
@@ -177,7 +159,7 @@
         (self.clients)(self.seed).into_iter().map(start).collect()
     }
 
-    /// Prints progress and loses an engine half-way, until all clients are done.
+    /// Prints progress and stops an engine half-way, until all clients have ended.
     fn watch(
         &self,
         clients: &[ClientThread],
@@ -188,7 +170,7 @@
         let mut has_lost_engine = false;
         let mut printed_seconds = 0;
         while clients.iter().any(|client| !client.is_finished()) {
-            std::thread::sleep(PROGRESS_INTERVAL);
+            std::thread::sleep(WATCH_INTERVAL);
             let seconds = started_at.elapsed().as_secs();
             if seconds > printed_seconds {
                 printed_seconds = seconds;
@@ -205,7 +187,7 @@
     }
 }
 
-/// Runs a router in a thread of its own, which ends with the process.
+/// Runs a router in a new thread, which ends with the process.
 fn start_router(configuration: Value, operator_text: Option<String>) {
     std::thread::spawn(move || {
         let read = move || {
@@ -216,17 +198,17 @@
             Ok(bootstrap)
         };
         if let Err(error) = RouterLoop::run(read) {
-            eprintln!("the router: {error}");
+            eprintln!("emberflow-emulator: running the router: {error}");
         }
     });
 }
 
 fn free_address() -> std::io::Result<SocketAddr> {
-    TcpListener::bind("127.0.0.1:0")?.local_addr()
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
 
 fn wait_until_listening(address: SocketAddr) -> Result<(), DemoError> {
-    for _ in 0..CONNECT_ATTEMPTS {
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
         if TcpStream::connect(address).is_ok() {
             return Ok(());
         }
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,83 +1,49 @@
-//! An emulated engine: a thread with a listener that speaks the router's protocol to engines and runs what it is sent
-//! by the load model. Faults can be set while it runs.
+//! An emulated engine: a thread with a listener that speaks the router's protocol to engines and runs calls by the load
+//! model. Its faults can be set while it runs.
 
 use crate::load_model::{FinishedRequest, LoadModel, ResourceNeed};
-use emberflow_router::resp;
+use crate::run_log::RunLog;
+use crate::statements::StatementNeed;
+use emberflow_peer_protocol::engine::{Call, EngineCommand, EngineReply, UsedResources};
+use emberflow_peer_protocol::resp::take_array;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Unread bytes of a connection, in either direction, beyond which it is closed.
-const MOST_BUFFERED_BYTES: usize = 1 << 20;
+/// Limit of the unread bytes, and of the unwritten bytes, of a connection; above it the connection is closed.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Between two looks at all sockets.
+/// Pause between two rounds over all sockets.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// What a request needs where its statement names nothing.
-const DEFAULT_WORK_MS: f64 = 10.0;
-const DEFAULT_MEMORY_MB: f64 = 10.0;
-/// A complete result, and one that was cut within its row.
+/// The speed of an engine's cores without a fault.
+const NORMAL_SPEED: f64 = 1.0;
+const MS_PER_SECOND: f64 = 1e3;
+/// The tag of every pong.
+const PONG_TAG: &str = "0";
+/// A complete result, and one that ends within its row.
 const RESULT: &str = "1\t2\t3\n";
 const TRUNCATED_RESULT: &str = "1\t2";
 
-/// What is wrong with an engine.
+/// The faults of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineFault {
-    /// The speed of its cores; `None` for the usual one.
+    /// The speed of the engine's cores; `None` for the normal one.
     pub speed: Option<f64>,
-    /// It reads commands and runs them, but sends nothing.
+    /// The engine reads commands and runs them, but sends nothing.
     pub is_silent: bool,
-    /// Each result of that ordinal is cut within its row; `None` for no such fault.
+    /// Every Nth result ends within its row; `None` for no such fault.
     pub truncates_every: Option<u32>,
-    /// It closes all connections and accepts no new ones.
+    /// The engine closes all connections and accepts no new ones.
     pub is_stopped: bool,
 }
 
-/// The last time that an engine ran a request.
-#[derive(Clone, Copy, Debug)]
-pub struct Run {
-    pub started_at: Instant,
-    pub ended_at: Option<Instant>,
-}
-
-impl Run {
-    /// How long it took, once it has ended.
-    pub fn duration(&self) -> Option<Duration> {
-        Some(self.ended_at?.saturating_duration_since(self.started_at))
-    }
-}
-
-/// The last run of each request, by its id, on whichever engine.
-#[derive(Clone, Default)]
-pub struct RunLog(Arc<Mutex<BTreeMap<String, Run>>>);
-
-impl RunLog {
-    fn runs(&self) -> MutexGuard<'_, BTreeMap<String, Run>> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn record_start(&self, id: &str) {
-        self.runs().insert(id.to_owned(), Run { started_at: Instant::now(), ended_at: None });
-    }
-
-    fn record_end(&self, id: &str) {
-        let now = Instant::now();
-        let run = Run { started_at: now, ended_at: None };
-        self.runs().entry(id.to_owned()).and_modify(|run| run.ended_at = Some(now)).or_insert(run);
-    }
-
-    /// The last run of a request.
-    pub fn last_run(&self, id: &str) -> Option<Run> {
-        self.runs().get(id).copied()
-    }
-}
-
 /// A running engine; it stops when it is dropped.
 pub struct Engine {
-    /// Where routers connect.
-    pub address: SocketAddr,
+    /// The address for routers.
+    pub address: SocketAddrV4,
     fault: Arc<Mutex<EngineFault>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -85,9 +51,11 @@
 impl Engine {
     /// Starts an engine on a loopback port; its runs are recorded in `runs`.
     pub fn start(cores: f64, memory_mb: f64, runs: RunLog) -> std::io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
-        let address = listener.local_addr()?;
+        let SocketAddr::V4(address) = listener.local_addr()? else {
+            return Err(ErrorKind::AddrNotAvailable.into());
+        };
         let fault = Arc::new(Mutex::new(EngineFault::default()));
         let server = EngineServer {
             listener,
@@ -103,12 +71,12 @@
         Ok(Self { address, fault, thread: Some(thread) })
     }
 
-    /// Sets what is wrong with it from now on.
+    /// Sets the faults of the engine.
     pub fn set_fault(&self, fault: EngineFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Stops it for good and waits until its sockets are closed.
+    /// Stops the engine for good and waits until its sockets are closed.
     pub fn stop(&mut self) {
         self.set_fault(EngineFault { is_stopped: true, ..EngineFault::default() });
         if let Some(thread) = self.thread.take() {
@@ -130,7 +98,7 @@
     output: Vec<u8>,
 }
 
-/// Whether a connection can be read on.
+/// Whether a connection is open.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionState {
     Open,
@@ -157,12 +125,11 @@
         }
     }
 
-    /// Takes the complete commands out of the input.
-    fn take_commands(&mut self) -> Vec<Vec<String>> {
+    /// Removes the complete commands from the input.
+    fn take_commands(&mut self) -> Vec<EngineCommand> {
         let mut commands = Vec::new();
-        while let Ok(Some(resp::Array { parts: words, length })) = resp::parse_array(&self.input) {
-            commands.push(words.iter().map(|word| String::from_utf8_lossy(word).into_owned()).collect());
-            self.input.drain(..length);
+        while let Ok(Some(words)) = take_array(&mut self.input) {
+            commands.push(EngineCommand::decode(&words));
         }
         commands
     }
@@ -178,15 +145,10 @@
     }
 
     fn is_over_limit(&self) -> bool {
-        self.input.len().max(self.output.len()) > MOST_BUFFERED_BYTES
+        self.input.len().max(self.output.len()) > MAX_BUFFERED_BYTES
     }
 }
 
-/// A field of a statement or of the terms of a call: `name=figure`.
-fn field(text: &str, name: &str) -> Option<f64> {
-    text.split([',', ' ']).find_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
-}
-
 /// The engine's thread.
 struct EngineServer {
     listener: TcpListener,
@@ -194,7 +156,7 @@
     load: LoadModel,
     runs: RunLog,
     connections: Vec<Option<Connection>>,
-    /// The index of the connection that each running request came on, by its id.
+    /// The index of the connection of each running request, by request id.
     connection_by_request: BTreeMap<String, usize>,
     started_at: Instant,
     result_count: u32,
@@ -208,7 +170,7 @@
             if fault.is_stopped {
                 return;
             }
-            self.load.speed = fault.speed.unwrap_or(1.0);
+            self.load.speed = fault.speed.unwrap_or(NORMAL_SPEED);
             self.accept_connections();
             let now = self.started_at.elapsed();
             for finished in self.load.advance_to(now) {
@@ -240,15 +202,16 @@
         }
         self.result_count += 1;
         let is_truncated = fault.truncates_every.is_some_and(|count| self.result_count.is_multiple_of(count));
-        let body = if is_truncated { TRUNCATED_RESULT } else { RESULT };
+        let rows = if is_truncated { TRUNCATED_RESULT } else { RESULT };
         let ResourceNeed { work_s, memory_mb, .. } = finished.need;
-        let fields = format!("pages=1,cost={:.1},need={memory_mb:.1}", work_s * 1e3);
-        self.send(connection, &[finished.id.as_bytes(), b"HIT", fields.as_bytes(), body.as_bytes()]);
+        let used = Some(UsedResources { work_ms: work_s * MS_PER_SECOND, memory_mb });
+        let reply = EngineReply::Result { pages: 1, used, rows: rows.as_bytes() };
+        self.send(connection, &finished.id, reply);
     }
 
-    fn send(&mut self, connection: usize, words: &[&[u8]]) {
+    fn send(&mut self, connection: usize, id: &str, reply: EngineReply<'_>) {
         if let Some(Some(connection)) = self.connections.get_mut(connection) {
-            connection.output.extend(resp::encode_array(words));
+            connection.output.extend(reply.encode(id));
         }
     }
 
@@ -265,7 +228,7 @@
         }
     }
 
-    /// Closes a connection and cancels what came on it.
+    /// Closes a connection and cancels its running requests.
     fn close(&mut self, index: usize) {
         self.connections[index] = None;
         for (id, _) in self.connection_by_request.extract_if(.., |_, connection| *connection == index) {
@@ -273,37 +236,33 @@
         }
     }
 
-    fn handle(&mut self, connection: usize, now: Duration, command: &[String], is_silent: bool) {
-        let word = |index: usize| command.get(index).map_or("", String::as_str);
-        match word(0) {
-            "GET" => self.call(connection, now, word(1), word(2), word(3), is_silent),
-            "DROP" => {
-                self.load.cancel(word(1));
-                self.connection_by_request.remove(word(1));
+    fn handle(&mut self, connection: usize, now: Duration, command: &EngineCommand, is_silent: bool) {
+        match command {
+            EngineCommand::Call(call) => self.start_call(connection, now, call, is_silent),
+            EngineCommand::Cancel { request_id } => {
+                self.load.cancel(request_id);
+                self.connection_by_request.remove(request_id);
             }
-            "PING" if !is_silent => self.send(connection, &[b"0", b"PONG", b"-", b""]),
-            _ => {}
+            EngineCommand::Ping { .. } if !is_silent => self.send(connection, PONG_TAG, EngineReply::Pong),
+            // Results have one page, and the load model has no priorities.
+            EngineCommand::Ping { .. }
+            | EngineCommand::SetPriority { .. }
+            | EngineCommand::ReadPage { .. }
+            | EngineCommand::ClosePages { .. }
+            | EngineCommand::Unknown(_) => {}
         }
     }
 
-    fn call(
-        &mut self,
-        connection: usize,
-        now: Duration,
-        id: &str,
-        terms: &str,
-        statement: &str,
-        is_silent: bool,
-    ) {
-        let work_ms = field(statement, "work_ms").unwrap_or(DEFAULT_WORK_MS);
-        let memory_mb = field(statement, "need_mb").unwrap_or(DEFAULT_MEMORY_MB);
-        let granted_mb = field(terms, "mem").filter(|mb| *mb > 0.0).unwrap_or(memory_mb);
-        let need = ResourceNeed { work_s: work_ms / 1e3, memory_mb, granted_mb };
-        if self.load.start(now, id, need) {
-            self.connection_by_request.insert(id.to_owned(), connection);
-            self.runs.record_start(id);
+    /// Runs a call, or rejects it if its memory is not free.
+    fn start_call(&mut self, connection: usize, now: Duration, call: &Call, is_silent: bool) {
+        let StatementNeed { work_ms, memory_mb } = StatementNeed::of_statement(&call.statement);
+        let granted_mb = call.fields.granted_memory_mb.unwrap_or(memory_mb);
+        let need = ResourceNeed { work_s: work_ms / MS_PER_SECOND, memory_mb, granted_mb };
+        if self.load.start(now, &call.request_id, need) {
+            self.connection_by_request.insert(call.request_id.clone(), connection);
+            self.runs.record_start(&call.request_id);
         } else if !is_silent {
-            self.send(connection, &[id.as_bytes(), b"SHED", b"-", b""]);
+            self.send(connection, &call.request_id, EngineReply::Overloaded);
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,15 @@
-//! Emulates what surrounds a router, on loopback only: engines that run what they are sent by a small load model and
-//! fail when told to, the discovery service, and clients that send mixed work.
+//! Emulates the peers of a router on loopback: engines with a small load model and faults on demand, the discovery
+//! service, and clients with a mixed workload.
 
 pub mod client;
+pub mod configuration;
 pub mod demo;
 pub mod discovery;
 pub mod engine;
 pub mod load_model;
 pub mod outcome;
+pub mod run_log;
 pub mod skewed;
+pub mod statements;
 pub mod table;
 pub mod workload;
--- a/crates/emulator/src/load_model.rs
+++ b/crates/emulator/src/load_model.rs
@@ -1,20 +1,20 @@
-//! The load model of an engine: whatever it is sent runs at once, cores are shared evenly, and memory that was not
-//! granted makes a request slower. It holds no socket and no clock.
+//! The load model of an engine: all requests run at once and share the cores evenly, and a request with less memory than
+//! it needs runs slower. The model has no sockets and no clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Work below this, in seconds, counts as done.
+/// Work, in seconds of one core, below which a request is done.
 const NEGLIGIBLE_WORK_S: f64 = 1e-9;
 
-/// What a request needs of an engine.
+/// The resources that a request needs of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceNeed {
-    /// In seconds of one core.
+    /// Work in seconds of one core.
     pub work_s: f64,
     /// The memory with which it runs at full speed.
     pub memory_mb: f64,
-    /// The memory that it may use.
+    /// The memory that the request may use.
     pub granted_mb: f64,
 }
 
@@ -29,7 +29,7 @@
 pub struct LoadModel {
     cores: f64,
     memory_mb: f64,
-    /// The speed of each core; 1 for the usual one.
+    /// The speed of each core; 1 for the normal one.
     pub speed: f64,
     now: Duration,
     running: BTreeMap<String, RunningRequest>,
@@ -43,13 +43,13 @@
 }
 
 impl LoadModel {
-    /// An idle engine with some cores and memory.
+    /// Returns an idle engine with some cores and memory.
     pub fn new(cores: f64, memory_mb: f64) -> Self {
         Self { cores, memory_mb, speed: 1.0, now: Duration::ZERO, running: BTreeMap::new() }
     }
 
-    /// Starts a request unless the memory it was granted is not there; returns whether it runs. `now` is the time that
-    /// [`advance_to`](Self::advance_to) was called with last.
+    /// Starts a request if its granted memory is free; returns whether it runs. `now` is the time of the last
+    /// [`advance_to`](Self::advance_to).
     pub fn start(&mut self, now: Duration, id: &str, need: ResourceNeed) -> bool {
         let granted_mb: f64 = self.running.values().map(|request| request.need.granted_mb).sum();
         if granted_mb + need.granted_mb > self.memory_mb {
@@ -65,8 +65,8 @@
         self.running.remove(id);
     }
 
-    /// Seconds of work that a request does in a second: its share of the cores, divided by one more for each part of
-    /// its memory that was not granted.
+    /// Returns the seconds of work that a request does in a second: its share of the cores, divided by 1 plus the missing
+    /// fraction of its memory.
     fn speed_of(&self, request: &RunningRequest) -> f64 {
         let share = (self.cores / self.running.len() as f64).min(1.0);
         let granted = request.need.granted_mb / request.need.memory_mb.max(1.0);
@@ -74,7 +74,7 @@
         self.speed * share / (1.0 + missing)
     }
 
-    /// Runs all until `now`; returns what has finished, in that order.
+    /// Runs all requests until `now`; returns those that have finished, in that order.
     pub fn advance_to(&mut self, now: Duration) -> Vec<FinishedRequest> {
         let mut finished = Vec::new();
         while self.now < now {
@@ -84,7 +84,7 @@
         finished
     }
 
-    /// Runs all until the next one finishes, or until `now`.
+    /// Runs all requests until the next one finishes, or until `now`.
     fn advance_to_next_end(&mut self, now: Duration) {
         let span_s = now.saturating_sub(self.now).as_secs_f64();
         let ends_in =
@@ -94,7 +94,7 @@
         for (request, speed) in self.running.values_mut().zip(speeds) {
             request.remaining_s -= speed * step_s;
         }
-        // At least a nanosecond, so that the loop over the ends makes progress.
+        // A step of at least a nanosecond, so that the loop in `advance_to` ends.
         let step = Duration::from_secs_f64(step_s.max(NEGLIGIBLE_WORK_S));
         self.now = if step_s >= span_s { now } else { self.now + step };
     }
@@ -105,7 +105,7 @@
         finished.map(|(id, request)| FinishedRequest { id, need: request.need }).collect()
     }
 
-    /// Whether nothing runs.
+    /// Whether no request runs.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty()
     }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -10,15 +10,17 @@
 const USAGE: &str = "\
 usage: emberflow-emulator demo [--seconds N] [--seed N] [--engines N] [--operator FILE]
        emberflow-emulator skewed [--seconds N] [--seed N]
-starts emulated engines, a discovery service and a router on loopback, sends the mixed work of three teams,
+starts emulated engines, a discovery service and a router on loopback, sends the mixed workload of three teams,
 loses an engine half-way, and prints the outcomes (20 seconds, seed 1, 3 engines);
 skewed has one of four teams send ten times its share, without and with a file of teams, and compares";
 
-/// Exit codes.
+/// Exit statuses.
 const FAILURE: u8 = 1;
 const WRONG_ARGUMENTS: u8 = 2;
-const LONGEST_SECONDS: u64 = 3600;
-const MOST_ENGINES: u32 = 64;
+const MAX_SECONDS: u64 = 3600;
+const MAX_ENGINES: u32 = 64;
+const DEFAULT_DURATION: Duration = Duration::from_secs(20);
+const DEFAULT_ENGINES: u32 = 3;
 
 enum Command {
     Demo(Demo),
@@ -28,9 +30,9 @@
 
 fn default_demo() -> Demo {
     Demo {
-        duration: Duration::from_secs(20),
+        duration: DEFAULT_DURATION,
         seed: 1,
-        engine_count: 3,
+        engine_count: DEFAULT_ENGINES,
         operator_text: None,
         clients: mixed_clients,
         loses_engine: true,
@@ -43,12 +45,12 @@
     while let Some(argument) = arguments.next()? {
         match argument {
             Long("seconds") => {
-                let seconds = arguments.value()?.parse::<u64>()?.clamp(1, LONGEST_SECONDS);
+                let seconds = arguments.value()?.parse::<u64>()?.clamp(1, MAX_SECONDS);
                 demo.duration = Duration::from_secs(seconds);
             }
             Long("seed") => demo.seed = arguments.value()?.parse()?,
             Long("engines") => {
-                demo.engine_count = arguments.value()?.parse::<u32>()?.clamp(1, MOST_ENGINES);
+                demo.engine_count = arguments.value()?.parse::<u32>()?.clamp(1, MAX_ENGINES);
             }
             Long("operator") => demo.operator_text = Some(read_operator_file(&arguments.value()?)?),
             Short('h') | Long("help") => return Ok(Command::Help),
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -1,65 +1,64 @@
-//! What became of the requests of emulated clients.
+//! The outcomes of the requests of emulated clients.
 
+use emberflow_peer_protocol::client::WaitAnnouncement;
 use std::time::{Duration, Instant};
 
-/// How a request ended for its client.
+/// The kind of a request's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OutcomeKind {
-    /// Answered with a result.
+    /// The answer is a result.
     Succeeded,
-    /// Answered that a retry is harmless.
+    /// The answer is a rejection, after which a retry is harmless.
     Rejected,
-    /// Answered that it may have run.
+    /// The answer is a failure; the request may have run.
     Failed,
-    /// Answered with an error about the request itself.
+    /// The answer says that the request is invalid.
     Invalid,
-    /// Not answered.
+    /// There is no answer.
     Unanswered,
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
     pub team: &'static str,
     pub class: &'static str,
     pub kind: OutcomeKind,
-    /// From when it was sent first until it began to run for the last time.
+    /// Time from the first sending of the request to the start of its last run.
     pub wait: Option<Duration>,
-    /// From then until it ended on its engine.
+    /// Duration of the last run.
     pub run: Option<Duration>,
     pub is_urgent: bool,
-    /// When it began to run for the last time.
+    /// When the last run started.
     pub started_at: Option<Instant>,
-    /// Its work in seconds of one core.
+    /// The request's work in seconds of one core.
     pub work_s: f64,
     pub wait_estimate: Option<WaitEstimate>,
 }
 
 impl RequestOutcome {
-    /// Whether it was answered with a result.
+    /// Whether the answer is a result.
     pub fn is_success(&self) -> bool {
         self.kind == OutcomeKind::Succeeded
     }
 }
 
-/// The first wait that the router announced for a request, beside the wait it then had; all in seconds.
+/// The first wait that the router announced for a request, and the actual one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitEstimate {
-    pub least_s: f64,
-    pub likely_s: f64,
-    pub most_s: f64,
-    /// From the announcement until the request began to run for the last time.
+    pub announced: WaitAnnouncement,
+    /// Seconds from the announcement to the start of the last run.
     pub actual_s: f64,
 }
 
 impl WaitEstimate {
-    /// Whether the wait was within the announced range.
+    /// Whether the actual wait is within the announced range.
     pub fn is_within_range(&self) -> bool {
-        (self.least_s..=self.most_s).contains(&self.actual_s)
+        (self.announced.least_s..=self.announced.most_s).contains(&self.actual_s)
     }
 
-    /// By which part of the likely wait the actual one was off.
+    /// Returns the difference of the actual wait from the likely one, as a fraction of the likely one.
     pub fn relative_error(&self) -> f64 {
-        (self.actual_s / self.likely_s - 1.0).abs()
+        (self.actual_s / self.announced.likely_s - 1.0).abs()
     }
 }
--- /dev/null
+++ b/crates/emulator/src/run_log.rs
@@ -0,0 +1,48 @@
+//! The runs of requests on emulated engines.
+
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+/// The last run of a request on an engine.
+#[derive(Clone, Copy, Debug)]
+pub struct Run {
+    pub started_at: Instant,
+    /// When the run ended; `None` while it lasts.
+    pub ended_at: Option<Instant>,
+}
+
+impl Run {
+    /// Returns the duration of the run, once it has ended.
+    pub fn duration(&self) -> Option<Duration> {
+        Some(self.ended_at?.saturating_duration_since(self.started_at))
+    }
+}
+
+/// The last run of each request on any engine, by request id.
+#[derive(Clone, Default)]
+pub struct RunLog(Arc<Mutex<BTreeMap<String, Run>>>);
+
+impl RunLog {
+    fn runs(&self) -> MutexGuard<'_, BTreeMap<String, Run>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Records that a run begins now.
+    pub fn record_start(&self, request_id: &str) {
+        self.runs().insert(request_id.to_owned(), Run { started_at: Instant::now(), ended_at: None });
+    }
+
+    /// Records that the last run of a request ends now.
+    pub fn record_end(&self, request_id: &str) {
+        let now = Instant::now();
+        if let Some(run) = self.runs().get_mut(request_id) {
+            run.ended_at = Some(now);
+        }
+    }
+
+    /// Returns the last run of a request.
+    pub fn last_run(&self, request_id: &str) -> Option<Run> {
+        self.runs().get(request_id).copied()
+    }
+}
--- a/crates/emulator/src/skewed.rs
+++ b/crates/emulator/src/skewed.rs
@@ -1,5 +1,5 @@
-//! A skewed load: one of four teams sends ten times its share. The same is sent to a router without teams and to one
-//! with them, and the outcomes are compared.
+//! A skewed load: one of four teams sends ten times its share. The load is sent to a router without teams and to one with
+//! teams, and the outcomes are compared.
 
 use crate::client::Client;
 use crate::demo::{Demo, DemoError};
@@ -13,79 +13,88 @@
     list: [{name: 'audit'}, {name: 'payroll'}, {name: 'posting'}, {name: 'tax'}],
     waits: {field: 'tell_wait', every_s: 3600},
 }}";
+const WAIT_FIELD: &str = "tell_wait";
 const ENGINES: u32 = 3;
-/// The flooding team sends on several connections, since one carries only so many open requests.
+/// Connections of the flooding team, which needs more open requests than one connection allows.
 const FLOODING_CONNECTIONS: usize = 4;
-/// What a connection of a flooding or another team sends, in multiples of the profiles.
+/// Rates of each connection, as multiples of the profiles' rates.
 const FLOOD_FACTOR: f64 = 2.5;
 const ORDINARY_FACTOR: f64 = 1.2;
+const REPORTS_PER_SECOND: f64 = 8.0;
+const URGENT_LOOKUPS_PER_SECOND: f64 = 1.0;
+const LOOKUP_URGENCY: u8 = 2;
+const DEADLINE: Duration = Duration::from_secs(12);
 /// Seconds of each window in which the teams' shares are compared.
 const WINDOW_S: u64 = 10;
-/// Announced waits below this, in seconds, are not compared with the actual ones.
+/// Likely waits, in seconds, up to which announcements are not compared with the actual waits.
 const SHORT_WAIT_S: f64 = 0.1;
-/// Guards the divisions by sums that may be 0.
-const SMALLEST_SUM: f64 = 1e-9;
+/// Keeps divisors above 0.
+const MIN_DIVISOR: f64 = 1e-9;
+const MEDIAN: f64 = 0.5;
+const P99: f64 = 0.99;
+const PERCENT: f64 = 100.0;
 
-/// Three engines of four cores do some 12 seconds of work in one: a share is 3. The flooding team sends 30, the others
-/// a little more than theirs; a tenth of a team's requests are urgent lookups.
+/// Returns the clients of all teams. Three engines of four cores do 12 seconds of work in a second, so that the share of a
+/// team is 3 seconds. The flooding team sends 30, and the others a little more than their share.
 fn clients(seed: u64) -> Vec<Client> {
     let flooding = [(TEAMS[0], FLOOD_FACTOR); FLOODING_CONNECTIONS];
     let ordinary = TEAMS[1..].iter().map(|team| (*team, ORDINARY_FACTOR));
     let connections = flooding.into_iter().chain(ordinary);
     let client = |(index, (team, factor)): (usize, (&'static str, f64))| Client {
         team,
-        wait_field: Some("tell_wait"),
+        wait_field: Some(WAIT_FIELD),
         profiles: profiles(factor),
         seed: seed.wrapping_add(index as u64),
-        most_retries: 0,
+        max_retries: 0,
     };
     connections.enumerate().map(client).collect()
 }
 
+/// Returns the profiles of a connection: reports, and urgent lookups for about a tenth of the requests.
 fn profiles(factor: f64) -> Vec<RequestProfile> {
     let report = RequestProfile {
         class: "report",
-        rate: 8.0 * factor,
+        rate: REPORTS_PER_SECOND * factor,
         work_ms: 300.0,
         memory_mb: 300.0,
         urgency: 0,
-        deadline_ms: 12_000,
+        deadline: DEADLINE,
     };
     let urgent_lookup = RequestProfile {
         class: "lookup",
-        rate: factor,
+        rate: URGENT_LOOKUPS_PER_SECOND * factor,
         work_ms: 20.0,
         memory_mb: 40.0,
-        urgency: 2,
-        deadline_ms: 12_000,
+        urgency: LOOKUP_URGENCY,
+        deadline: DEADLINE,
     };
     vec![report, urgent_lookup]
 }
 
-/// The value below which `part` of the values are; 0 for none.
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Sorts the values and returns the one below which this fraction of them are; 0 without values.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
-    let index = ((values.len() as f64 - 1.0) * part).round() as usize;
+    let index = ((values.len() as f64 - 1.0) * fraction).round() as usize;
     values.get(index).copied().unwrap_or(0.0)
 }
 
-/// How evenly the teams were served.
+/// The evenness of the teams' shares.
 struct Fairness {
-    /// The largest part by which a team's share of a window was off an equal one.
+    /// The largest difference of a team's share of a window from an equal share, as a fraction of the equal share.
     worst_deviation: f64,
-    /// Jain's index over the shares of all windows: 1 for equal ones.
+    /// Jain's index over the shares of all windows; 1 for equal shares.
     jain_index: f64,
 }
 
-/// A request that an engine began to run.
+/// A request that an engine has started.
 struct StartedRequest {
     at: Instant,
     team: &'static str,
     work_s: f64,
 }
 
-/// Compares the teams' work that began in each window with an equal share. The first window, which fills the queues, is
-/// left out, and so is one that is cut short.
+/// Compares the work of each team that was started in each window with an equal share. The first window, in which the
+/// queues fill, and an incomplete last one are left out.
 fn fairness(outcomes: &[RequestOutcome], duration: Duration) -> Fairness {
     let started = outcomes.iter().filter_map(|outcome| {
         let at = outcome.started_at?;
@@ -101,11 +110,11 @@
     let sum_of_squares: f64 = shares.iter().map(|share| share * share).sum();
     Fairness {
         worst_deviation: shares.iter().map(|share| (share - 1.0).abs()).fold(0.0, f64::max),
-        jain_index: sum * sum / (shares.len() as f64 * sum_of_squares).max(SMALLEST_SUM),
+        jain_index: sum * sum / (shares.len() as f64 * sum_of_squares).max(MIN_DIVISOR),
     }
 }
 
-/// Each team's share of the work that began in a window, as a multiple of an equal share.
+/// Returns each team's share of the work that was started in a window, as a multiple of an equal share.
 fn shares_of_window(started: &[StartedRequest], first: Instant, window: u64) -> [f64; TEAMS.len()] {
     let is_within = |request: &&StartedRequest| (request.at - first).as_secs() / WINDOW_S == window;
     let work = TEAMS.map(|team| -> f64 {
@@ -113,10 +122,10 @@
         of_team.filter(is_within).map(|request| request.work_s).sum()
     });
     let total: f64 = work.iter().sum();
-    work.map(|work| work / total.max(SMALLEST_SUM) * TEAMS.len() as f64)
+    work.map(|work| work / total.max(MIN_DIVISOR) * TEAMS.len() as f64)
 }
 
-/// Runs the load without and with teams; returns the tables and figures of both.
+/// Runs the load without and with teams; returns the tables and figures of both runs.
 pub fn compare(duration: Duration, seed: u64) -> Result<String, DemoError> {
     let mut text = String::new();
     for (name, operator_text) in [("without teams", None), ("with teams", Some(OPERATOR_TEXT.to_owned()))] {
@@ -132,6 +141,7 @@
     Ok(text)
 }
 
+/// Returns the figures of a run.
 fn summary(outcomes: &[RequestOutcome], duration: Duration) -> String {
     let successes: Vec<&RequestOutcome> = outcomes.iter().filter(|outcome| outcome.is_success()).collect();
     let urgent = successes.iter().filter(|outcome| outcome.is_urgent);
@@ -140,17 +150,17 @@
     format!(
         "succeeded {}, worst share of {WINDOW_S} s {:.1} % off, Jain {jain_index:.3}, urgent wait p99 {:.3} s\n",
         successes.len(),
-        worst_deviation * 100.0,
-        quantile(&mut urgent_waits, 0.99)
+        worst_deviation * PERCENT,
+        quantile(&mut urgent_waits, P99)
     )
 }
 
-/// How well announced waits met the actual ones; empty where none was announced.
+/// Compares the announced waits with the actual ones; returns an empty text without announcements.
 fn wait_summary(outcomes: &[RequestOutcome]) -> String {
     let successes = outcomes.iter().filter(|outcome| outcome.is_success());
     let estimates: Vec<WaitEstimate> = successes
         .filter_map(|outcome| outcome.wait_estimate)
-        .filter(|estimate| estimate.likely_s > SHORT_WAIT_S)
+        .filter(|estimate| estimate.announced.likely_s > SHORT_WAIT_S)
         .collect();
     if estimates.is_empty() {
         return String::new();
@@ -160,7 +170,7 @@
     format!(
         "{} waits announced over {SHORT_WAIT_S} s: {:.0} % off in the median, {:.0} % within the range\n",
         estimates.len(),
-        quantile(&mut errors, 0.5) * 100.0,
-        within_range as f64 / estimates.len() as f64 * 100.0
+        quantile(&mut errors, MEDIAN) * PERCENT,
+        within_range as f64 / estimates.len() as f64 * PERCENT
     )
 }
--- a/crates/emulator/src/table.rs
+++ b/crates/emulator/src/table.rs
@@ -7,59 +7,53 @@
 
 /// Significant digits of the quantiles.
 const SIGNIFICANT_DIGITS: u8 = 3;
+const MEDIAN: f64 = 0.5;
+const P99: f64 = 0.99;
+/// Width of the names of teams and classes, in characters.
+const NAME_WIDTH: usize = 8;
+const COLUMN_COUNT: usize = 10;
 
-/// The median and the 99th percentile of some times, in milliseconds.
-struct Quantiles {
-    p50_ms: u64,
-    p99_ms: u64,
+/// A column of figures.
+struct Column {
+    title: &'static str,
+    /// In characters.
+    width: usize,
 }
 
-/// One figure of each successful request that has it.
-fn quantiles(outcomes: &[&RequestOutcome], figure: fn(&RequestOutcome) -> Option<Duration>) -> Quantiles {
-    let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("from 0 to 5 digits");
-    let successes = outcomes.iter().filter(|outcome| outcome.is_success());
-    for time in successes.filter_map(|outcome| figure(outcome)) {
-        histogram.saturating_record(time.as_millis() as u64);
-    }
-    Quantiles { p50_ms: histogram.value_at_quantile(0.5), p99_ms: histogram.value_at_quantile(0.99) }
-}
+const COLUMNS: [Column; COLUMN_COUNT] = [
+    Column { title: "sent", width: 6 },
+    Column { title: "succeeded", width: 9 },
+    Column { title: "rejected", width: 8 },
+    Column { title: "failed", width: 8 },
+    Column { title: "invalid", width: 7 },
+    Column { title: "unanswered", width: 10 },
+    Column { title: "wait p50", width: 8 },
+    Column { title: "wait p99", width: 8 },
+    Column { title: "run p50", width: 8 },
+    Column { title: "run p99", width: 8 },
+];
 
-/// A table by team and request class: how many requests came to which outcome, and quantiles of wait and run in
+/// Returns a table by team and request class: the number of requests with each outcome, and quantiles of wait and run in
 /// milliseconds.
 pub fn table(outcomes: &[RequestOutcome]) -> String {
     let mut groups: BTreeMap<(&str, &str), Vec<&RequestOutcome>> = BTreeMap::new();
     for outcome in outcomes {
         groups.entry((outcome.team, outcome.class)).or_default().push(outcome);
     }
-    let rows = groups.iter().map(|((team, class), outcomes)| row(team, class, outcomes));
-    header() + &rows.collect::<String>()
-}
-
-fn header() -> String {
-    format!(
-        "{:8} {:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>10} {:>8} {:>8} {:>8} {:>8}\n",
-        "team",
-        "class",
-        "sent",
-        "succeeded",
-        "rejected",
-        "failed",
-        "invalid",
-        "unanswered",
-        "wait p50",
-        "wait p99",
-        "run p50",
-        "run p99"
-    )
+    let mut text = line("team", "class", &COLUMNS.map(|column| column.title.to_owned()));
+    for ((team, class), outcomes) in groups {
+        text += &line(team, class, &figures(&outcomes).map(|figure| figure.to_string()));
+    }
+    text
 }
 
-fn row(team: &str, class: &str, outcomes: &[&RequestOutcome]) -> String {
-    let count = |kind| outcomes.iter().filter(|outcome| outcome.kind == kind).count();
-    let wait = quantiles(outcomes, |outcome| outcome.wait);
-    let run = quantiles(outcomes, |outcome| outcome.run);
-    format!(
-        "{team:8} {class:8} {:>6} {:>9} {:>8} {:>8} {:>7} {:>10} {:>8} {:>8} {:>8} {:>8}\n",
-        outcomes.len(),
+/// Returns the figures of some requests, in the order of the columns.
+fn figures(outcomes: &[&RequestOutcome]) -> [u64; COLUMN_COUNT] {
+    let count = |kind| outcomes.iter().filter(|outcome| outcome.kind == kind).count() as u64;
+    let wait = Quantiles::of_successes(outcomes, |outcome| outcome.wait);
+    let run = Quantiles::of_successes(outcomes, |outcome| outcome.run);
+    [
+        outcomes.len() as u64,
         count(OutcomeKind::Succeeded),
         count(OutcomeKind::Rejected),
         count(OutcomeKind::Failed),
@@ -69,5 +63,31 @@
         wait.p99_ms,
         run.p50_ms,
         run.p99_ms,
-    )
+    ]
+}
+
+fn line(team: &str, class: &str, cells: &[String; COLUMN_COUNT]) -> String {
+    let mut text = format!("{team:NAME_WIDTH$} {class:NAME_WIDTH$}");
+    for (column, cell) in COLUMNS.iter().zip(cells) {
+        text += &format!(" {cell:>width$}", width = column.width);
+    }
+    text + "\n"
+}
+
+/// The median and the 99th percentile of some times, in milliseconds.
+struct Quantiles {
+    p50_ms: u64,
+    p99_ms: u64,
+}
+
+impl Quantiles {
+    /// Returns the quantiles of one time of each successful request that has it.
+    fn of_successes(outcomes: &[&RequestOutcome], time_of: fn(&RequestOutcome) -> Option<Duration>) -> Self {
+        let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("from 0 to 5 digits");
+        let successes = outcomes.iter().filter(|outcome| outcome.is_success());
+        for time in successes.filter_map(|outcome| time_of(outcome)) {
+            histogram.saturating_record(time.as_millis() as u64);
+        }
+        Self { p50_ms: histogram.value_at_quantile(MEDIAN), p99_ms: histogram.value_at_quantile(P99) }
+    }
 }
--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -1,10 +1,11 @@
-//! The demo, shortened: whatever is lost, every request has its one answer. And the faults of its engines.
+//! A short demo, in which every request is answered although an engine is lost; and the faults of engines.
 
 use emberflow_emulator::demo::{Demo, mixed_clients};
-use emberflow_emulator::engine::{Engine, EngineFault, RunLog};
+use emberflow_emulator::engine::{Engine, EngineFault};
 use emberflow_emulator::outcome::OutcomeKind;
+use emberflow_emulator::run_log::RunLog;
 use emberflow_emulator::table::table;
-use emberflow_router::resp;
+use emberflow_peer_protocol::resp::{decode_array, encode_array};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -30,14 +31,14 @@
     }
 }
 
-/// Sends a call to an engine; returns the words that it answers within a time.
+/// Sends a call to an engine; returns the words of its reply, or `nothing` after a timeout.
 fn call(engine: &Engine, id: &str, timeout_ms: u64) -> String {
     let mut socket = TcpStream::connect(engine.address).expect("the engine listens");
     let timeout = Duration::from_millis(timeout_ms);
     socket.set_read_timeout(Some(timeout)).expect("a socket takes a read timeout");
     let statement = "select work_ms=20 need_mb=50";
     let words = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
-    socket.write_all(&resp::encode_array(&words)).expect("the engine reads");
+    socket.write_all(&encode_array(&words)).expect("the engine reads");
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes) {
         Ok(0) => "closed".to_owned(),
@@ -47,8 +48,8 @@
 }
 
 fn words_of(message: &[u8]) -> String {
-    let array = resp::parse_array(message).expect("a well-formed message").expect("a complete message");
-    let words = array.parts.iter().map(|word| String::from_utf8_lossy(word).trim().replace('\t', " "));
+    let array = decode_array(message).expect("a well-formed message").expect("a complete message");
+    let words = array.words.iter().map(|word| word.trim().replace('\t', " "));
     words.collect::<Vec<_>>().join(", ")
 }
 
