--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,72 +1,72 @@
-//! The router's clock. Its zero lies a while before the process started, so that what happened in that while has a
-//! time as well.
+//! The router's clock, and its conversion from Unix time.
 
 use emberflow_settings::to_ms;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock; times are spans since its zero.
+/// A monotonic clock. Times are durations since the clock's zero, which lies before the start of the process, so that
+/// earlier events also have a time.
 pub struct Clock {
     started: Instant,
-    /// The time at the start.
+    /// The time at the start of the process.
     started_at: Duration,
 }
 
-/// How far apart two looks at the wall clock must put the zero for the clock to have stepped between them.
-const SMALLEST_STEP: Duration = Duration::from_millis(100);
-/// Steps of the wall clock that are remembered.
-const MOST_ZEROS: usize = 4;
+/// Smallest change of the wall clock's offset that counts as a step.
+const MIN_WALL_CLOCK_STEP: Duration = Duration::from_millis(100);
+/// Maximum number of offsets that are stored.
+const MAX_OFFSETS: usize = 4;
 
-/// Where the router's clock has its zero on the wall clock, which may be stepped while the process runs. Only what
-/// the wire gives as Unix time is converted.
+/// The offsets of the wall clock from the router's clock. The wall clock may be stepped while the process runs; only
+/// Unix times of the wire are converted by it.
 #[derive(Clone, Debug, Default)]
-pub struct UnixZeros {
-    /// As spans since the Unix epoch, the latest last; each is what one look at the wall clock came to.
-    zeros: VecDeque<Duration>,
+pub struct WallClockOffsets {
+    /// The Unix time of the router clock's zero, one value for each step of the wall clock, the latest last.
+    offsets: VecDeque<Duration>,
 }
 
-impl UnixZeros {
-    /// Enters a look at the wall clock; returns by how much it has stepped since the last.
-    pub fn note(&mut self, zero: Duration) -> Option<Duration> {
-        let step = self.zeros.back().map(|last| last.abs_diff(zero));
-        if step.is_some_and(|step| step < SMALLEST_STEP) {
+impl WallClockOffsets {
+    /// Records the current offset. Returns the size of the step if the wall clock was stepped since the last call.
+    pub fn record(&mut self, offset: Duration) -> Option<Duration> {
+        let step = self.offsets.back().map(|last| last.abs_diff(offset));
+        if step.is_some_and(|step| step < MIN_WALL_CLOCK_STEP) {
             return None;
         }
-        if self.zeros.len() == MOST_ZEROS {
-            self.zeros.pop_front();
+        if self.offsets.len() == MAX_OFFSETS {
+            self.offsets.pop_front();
         }
-        self.zeros.push_back(zero);
+        self.offsets.push_back(offset);
         step
     }
 
-    /// Converts the Unix time of something that has happened. Which look at a stepped clock was right is not known:
-    /// the latest time counts that is not in the future, so that nothing is taken for longer ago than it was; `now`
-    /// if all are.
-    pub fn time_of(&self, unix: Duration, now: Duration) -> Duration {
-        let times = self.zeros.iter().map(|zero| unix.saturating_sub(*zero));
+    /// Converts the Unix time of a past event to a time on the router's clock. If the wall clock was stepped, the
+    /// correct offset is unknown: the latest result that is not in the future is used, so that the event does not
+    /// seem older than it is. If all results are in the future, returns `now`.
+    pub fn time_of(&self, unix_time: Duration, now: Duration) -> Duration {
+        let times = self.offsets.iter().map(|offset| unix_time.saturating_sub(*offset));
         times.filter(|time| *time <= now).max().unwrap_or(now)
     }
 }
 
 impl Clock {
-    /// A clock that starts now, at the time `started_at`.
+    /// Returns a clock that starts now, at the time `started_at`.
     pub fn starting(started_at: Duration) -> Self {
         Self { started: Instant::now(), started_at }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Duration {
         self.started_at + self.started.elapsed()
     }
 
-    /// The clock's zero, as a span since the Unix epoch by the wall clock as it is now.
-    pub fn unix_zero(&self) -> Duration {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        unix.saturating_sub(self.now())
+    /// Returns the Unix time of the clock's zero by the current wall clock.
+    pub fn wall_clock_offset(&self) -> Duration {
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        unix_time.saturating_sub(self.now())
     }
 }
 
-/// Whole milliseconds, rounded down.
+/// Converts a time to milliseconds, rounded down.
 pub fn whole_ms(time: Duration) -> u64 {
     to_ms(time).floor() as u64
 }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -1,6 +1,7 @@
 //! The command line: `emberflow serve`, `check`, `version` and `help`.
 
 use crate::bootstrap::Bootstrap;
+use crate::config::BYTES_PER_MB;
 use crate::error::{ConfigError, ServeError};
 use crate::event_loop::RouterLoop;
 use emberflow_operator::TeamConfig;
@@ -18,18 +19,28 @@
        emberflow version
        emberflow help";
 
-/// Exit status for a command line that makes no sense.
+/// Exit status for an invalid command line.
 const USAGE_ERROR: u8 = 2;
-const BYTES_PER_MB: usize = 1 << 20;
 
+/// Percent in a whole.
+const PERCENT: f64 = 100.0;
+
+/// A command with its options.
 enum Command {
-    Serve { config: Option<PathBuf>, operator: Option<PathBuf> },
-    Check { config: PathBuf, operator: Option<PathBuf> },
+    /// `config` is `None` if the environment names the file.
+    Serve {
+        config: Option<PathBuf>,
+        operator: Option<PathBuf>,
+    },
+    Check {
+        config: PathBuf,
+        operator: Option<PathBuf>,
+    },
     Version,
     Help,
 }
 
-/// Runs the program by its command line and returns its exit status.
+/// Runs the program with the arguments of the process; returns the exit status.
 pub fn run() -> ExitCode {
     let command = match parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
@@ -76,7 +87,7 @@
     command_of(&words, config, operator)
 }
 
-/// The command that the words name, with the options that were given.
+/// Returns the command that the positional arguments name, with its options.
 fn command_of(
     words: &[OsString],
     config: Option<PathBuf>,
@@ -93,7 +104,7 @@
         [word] if word == "version" => Ok(Command::Version),
         [word] if word == "help" => Ok(Command::Help),
         [] => Err("a command is missing".into()),
-        _ => Err(format!("no such command: {}", words.join(OsStr::new(" ")).to_string_lossy()).into()),
+        _ => Err(format!("unknown command: {}", words.join(OsStr::new(" ")).to_string_lossy()).into()),
     }
 }
 
@@ -105,34 +116,37 @@
     RouterLoop::run(move || read_files(&path, operator.as_deref(), listen.as_deref()))
 }
 
-/// Reads a configuration and prints a summary of it.
+/// Reads a configuration and prints its summary.
 fn check(path: &Path, operator: Option<&Path>) -> Result<(), ConfigError> {
     let Bootstrap {
         config, fleet, classes, events, last_event, ignored_report_fields, operator_config, ..
     } = read_files(path, operator, None)?;
-    let engine_ids = events.iter().flat_map(|event| &event.endpoints).map(|endpoint| endpoint.id);
-    let engine_count = engine_ids.collect::<BTreeSet<_>>().len();
+    let endpoints = events.iter().flat_map(|event| &event.endpoints);
+    let engine_count = endpoints.map(|endpoint| endpoint.id).collect::<BTreeSet<_>>().len();
     println!("{}: listen {}, discovery {}", config.name, config.listen_address, config.discovery_address);
     println!("limits: {} MB, {} descriptors", config.memory_bytes / BYTES_PER_MB, config.max_descriptors);
     println!("fleet: {} routers, {engine_count} engines at event {last_event}", fleet.router_count);
     println!("{} engine kinds: {}", config.kinds.len(), config.kinds.join(", "));
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
-    ignored_report_fields.iter().for_each(|fault| println!("{fault} (ignored)"));
+    for error in &ignored_report_fields {
+        println!("{error} (ignored)");
+    }
     if let Some(teams) = &operator_config.teams {
         println!("{} teams: {}", teams.names.len(), team_shares(teams));
     }
     Ok(())
 }
 
-/// Each team's name with its share of the engines.
+/// Lists each team's name with its share of the engines in percent.
 fn team_shares(teams: &TeamConfig) -> String {
-    let share =
-        |(team, name): (usize, &String)| format!("{name} {:.1} %", teams.quotas.overall_share(team) * 100.0);
-    let shares: Vec<String> = teams.names.iter().enumerate().map(share).collect();
+    let mut shares = Vec::new();
+    for (team, name) in teams.names.iter().enumerate() {
+        shares.push(format!("{name} {:.1} %", teams.quotas.overall_share(team) * PERCENT));
+    }
     shares.join(", ")
 }
 
-/// Reads the configuration and the operator's file, if there is one; returns the first error in either.
+/// Reads the configuration and the operator's file, if one is given; returns the first error in either.
 fn read_files(path: &Path, operator: Option<&Path>, listen: Option<&str>) -> Result<Bootstrap, ConfigError> {
     let in_file = |path: &Path, source| ConfigError::InFile { path: path.into(), source: Box::new(source) };
     let text = read_text(path)?;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,4 @@
-//! The router's own configuration: addresses, limits and the names that its settings list.
+//! The router's configuration: addresses, limits, and the names of locations, engine kinds and request classes.
 
 use crate::error::ConfigError;
 use emberflow_settings::{Fields, Problem, SettingsError, clients_mark_retries};
@@ -7,54 +7,69 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const BYTES_PER_MB: usize = 1 << 20;
+/// Bytes of a megabyte in the configuration.
+pub const BYTES_PER_MB: usize = 1 << 20;
 
-/// What a router is configured with, apart from what the scheduler itself is built from.
+/// Connections of clients may use the descriptors of the process divided by this number. The descriptors that neither
+/// clients nor engines may use are for connections that are being opened or closed.
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
+/// Connections to engines may use the descriptors divided by this number.
+const ENGINE_DESCRIPTORS_DIVISOR: usize = 3;
+/// Lingering connections of clients may use the descriptors divided by this number.
+const LINGERING_DESCRIPTORS_DIVISOR: usize = 12;
+/// Statements, answers and clients' lines may each use the memory divided by this number.
+const BUFFER_MEMORY_DIVISOR: usize = 4;
+/// Base of the seed's digits.
+const SEED_RADIX: u32 = 16;
+
+/// The configuration of a router, apart from the scheduler's settings.
 #[derive(Clone)]
 pub struct RouterConfig {
-    /// The router's name, which a reloaded configuration must have too.
+    /// The router's name. A reloaded configuration must have the same name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which the router accepts clients.
     pub listen_address: SocketAddr,
-    /// Where the discovery service listens.
+    /// The address of the discovery service.
     pub discovery_address: SocketAddr,
     /// Seed of the scheduler's random choices.
     pub seed: u64,
-    /// File descriptors that the process may have open.
+    /// Maximum number of open file descriptors of the process.
     pub max_descriptors: usize,
-    /// Memory that the process may use; a part of it bounds the buffers.
+    /// Memory that the process may use. A part of it bounds the buffers.
     pub memory_bytes: usize,
     /// Names of the locations, by the index that the scheduler and the discovery service use.
     pub locations: Vec<String>,
-    /// Names of the engine kinds, by their index.
+    /// Names of the engine kinds, by the index that the scheduler and the discovery service use.
     pub kinds: Vec<String>,
-    /// Names of the request classes, by their index: the methods that clients call.
+    /// Names of the request classes, by the scheduler's index. Clients use them as methods.
     pub classes: Vec<String>,
-    /// Whether clients mark the requests that they send again.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Requests that may be open at once, over all clients.
+    /// Maximum number of open requests of all clients.
     pub max_open_requests: usize,
-    /// Concurrent attempts on one connection to an engine.
+    /// Maximum number of concurrent attempts on one connection to an engine.
     pub streams_per_connection: usize,
-    /// How soon a dialled connection to an engine must be established.
+    /// Time within which a dialled connection to an engine must be established.
     pub connect_timeout: Duration,
-    /// After how long without traffic an engine closes a connection.
+    /// Time without traffic after which an engine closes a connection.
     pub engine_idle_close: Duration,
-    /// Whether two attempts of a request may be in flight at once: true unless the settings forbid it.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub allows_concurrent_attempts: bool,
-    /// Hash of the settings, to notice at a reload that they have changed.
+    /// Hash of the settings, by which a reload detects that they have changed.
     pub settings_hash: u64,
 }
 
 impl RouterConfig {
-    /// Decodes the configuration file; `listen` replaces the address that the file says to listen on.
+    /// Decodes the configuration file. `listen` replaces the listening address of the file.
+    ///
+    /// # Errors
+    /// Returns the first value that is missing or invalid, with its path.
     pub fn read(file: &Value, listen: Option<&str>) -> Result<Self, ConfigError> {
         let file = Fields::of(file);
         let limits = file.object("limits")?;
         let settings = file.object("settings")?;
         let caps = settings.object("caps")?;
         let seed = file.text("seed")?;
-        let max_open = |field, name: &str| Fields::not_negative(field, name).map(|most| most as usize);
         Ok(Self {
             name: file.text("name")?.to_owned(),
             listen_address: parse_address("listen", listen.map_or_else(|| file.text("listen"), Ok)?)?,
@@ -66,7 +81,7 @@
             kinds: unique_names(settings.rows("kinds")?.map(Ok))?,
             classes: unique_names(settings.rows("categories")?.map(|row| row.field("name")))?,
             clients_mark_retries: clients_mark_retries(settings)?,
-            max_open_requests: caps.optional("maxOpen", max_open)?.unwrap_or(usize::MAX).max(1),
+            max_open_requests: max_open_requests(caps)?,
             streams_per_connection: caps.index("streamsPerConn")?.max(1),
             connect_timeout: caps.time("connectTimeoutMs")?,
             engine_idle_close: caps.time("idleCloseMs")?,
@@ -75,57 +90,68 @@
         })
     }
 
-    /// Client connections accepted at once: half of the descriptors. A third is for engines, and the rest for
-    /// connections that are being opened or closed.
+    /// Maximum number of open connections of clients.
     pub fn max_clients(&self) -> usize {
-        self.max_descriptors / 2
+        self.max_descriptors / CLIENT_DESCRIPTORS_DIVISOR
     }
 
-    /// Client connections that are closed for writing and still drained.
+    /// Maximum number of clients' connections that are shut down for writing and still drained.
     pub fn max_lingering_clients(&self) -> usize {
-        self.max_descriptors / 12
+        self.max_descriptors / LINGERING_DESCRIPTORS_DIVISOR
     }
 
-    /// Connections to engines open at once.
+    /// Maximum number of open connections to engines.
     pub fn max_engine_connections(&self) -> usize {
-        self.max_descriptors / 3
+        self.max_descriptors / ENGINE_DESCRIPTORS_DIVISOR
     }
 
-    /// Bytes of one line of a client: over all clients, a quarter of the memory.
+    /// Maximum bytes of one line of a client. The lines of all clients together fit into one buffer limit.
     pub fn max_line_bytes(&self) -> usize {
         self.max_buffered_bytes() / self.max_clients().max(1)
     }
 
-    /// Bytes of the statements of all open requests, and likewise of all answers not yet written: a quarter of
-    /// the memory for each.
+    /// Maximum bytes of the statements of all open requests. The same limit holds for all unwritten answers.
     pub fn max_buffered_bytes(&self) -> usize {
-        self.memory_bytes / 4
+        self.memory_bytes / BUFFER_MEMORY_DIVISOR
     }
 
-    /// The parts that differ in `other` and take effect only after a restart, as the log names them.
+    /// Returns the parts of `other` that differ and take effect only after a restart, as they are named in the log.
     pub fn restart_only_changes(&self, other: &Self) -> Vec<&'static str> {
         let same_limits =
             self.max_descriptors == other.max_descriptors && self.memory_bytes == other.memory_bytes;
-        let parts = [
+        let is_unchanged_by_part = [
             ("`listen`", self.listen_address == other.listen_address),
             ("`limits`", same_limits),
             ("`zones`", self.locations == other.locations),
             ("`kinds`", self.kinds == other.kinds),
             ("the settings", self.settings_hash == other.settings_hash),
         ];
-        parts.into_iter().filter(|(_, is_same)| !is_same).map(|(part, _)| part).collect()
+        let mut changed = Vec::new();
+        for (part, is_unchanged) in is_unchanged_by_part {
+            if !is_unchanged {
+                changed.push(part);
+            }
+        }
+        changed
     }
 }
 
+/// Decodes the limit of open requests: at least one, and unlimited if the settings have none.
+fn max_open_requests(caps: Fields<'_>) -> Result<usize, SettingsError> {
+    let limit = caps.optional("maxOpen", Fields::not_negative)?;
+    Ok(limit.map_or(usize::MAX, |limit| limit as usize).max(1))
+}
+
 fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Address { field, text: text.to_owned() })
 }
 
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
-    u64::from_str_radix(text, 16).map_err(|source| ConfigError::Seed { text: text.to_owned(), source })
+    u64::from_str_radix(text, SEED_RADIX)
+        .map_err(|source| ConfigError::Seed { text: text.to_owned(), source })
 }
 
-/// The texts of a list in which no two may be the same.
+/// Returns the texts of a list; fails if one occurs twice.
 fn unique_names<'a>(
     fields: impl Iterator<Item = Result<Fields<'a>, SettingsError>>,
 ) -> Result<Vec<String>, SettingsError> {
--- a/crates/router/src/context.rs
+++ b/crates/router/src/context.rs
@@ -1,17 +1,17 @@
-//! What every part of the router uses: the time of the event in hand, the pending timers and the counters.
+//! The time of the current event, the pending timers and the counters, which all parts of the router share.
 
-use crate::clock::UnixZeros;
+use crate::clock::WallClockOffsets;
 use crate::counters::Counters;
 use crate::timers::Timers;
 use std::time::Duration;
 
-/// Shared by all parts of a router; times are spans on the router's clock.
+/// The state that all parts of a router share. Times are durations since the zero of the router's clock.
 #[derive(Clone, Default)]
 pub struct Context {
-    /// The time of the event in hand, set by the caller before it hands over an event.
+    /// The time of the current event, which the caller sets before it passes the event.
     pub now: Duration,
-    /// Where the clock has its zero on the wall clock.
-    pub unix_zeros: UnixZeros,
+    /// Offsets of the wall clock from the router's clock.
+    pub wall_clock_offsets: WallClockOffsets,
     /// The pending timers.
     pub timers: Timers,
     /// Counters of events and of violated invariants.
@@ -19,22 +19,22 @@
 }
 
 impl Context {
-    /// The time of the event in hand.
+    /// Returns the time of the current event.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Converts the Unix milliseconds of something that has happened to the router's clock; times before the clock's
-    /// zero become zero.
+    /// Converts the Unix time of a past event, in milliseconds, to a time on the router's clock. A time before the
+    /// clock's zero becomes zero.
     pub fn at_unix_ms(&self, unix_ms: u64) -> Duration {
-        self.unix_zeros.time_of(Duration::from_millis(unix_ms), self.now)
+        self.wall_clock_offsets.time_of(Duration::from_millis(unix_ms), self.now)
     }
 
-    /// Enters a look at the wall clock, which is logged where it has stepped.
-    pub fn record_unix_zero(&mut self, zero: Duration) {
-        if let Some(step) = self.unix_zeros.note(zero) {
+    /// Records the wall clock's current offset; counts and logs a step.
+    pub fn record_wall_clock_offset(&mut self, offset: Duration) {
+        if let Some(step) = self.wall_clock_offsets.record(offset) {
             self.counters.count("wall_clock_steps");
-            log::warn!("the wall clock has stepped: by={step:?}");
+            log::warn!("wall clock stepped: by={step:?}");
         }
     }
 }
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -1,9 +1,9 @@
-//! Counters of what is received, sent and answered, and of what must never happen.
+//! Counters of events, and of violated invariants.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Counters by name.
+/// Counters by name. Displayed as `name=count` pairs in the order of the names.
 #[derive(Clone, Default)]
 pub struct Counters {
     counts: BTreeMap<&'static str, u64>,
@@ -15,8 +15,9 @@
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// Checks an invariant: where it does not hold, a debug build panics, and a release build counts the violation.
-    pub fn must(&mut self, holds: bool, violation: &'static str) {
+    /// Checks an invariant. If it does not hold, a debug build panics, and a release build counts and logs the
+    /// violation.
+    pub fn check_invariant(&mut self, holds: bool, violation: &'static str) {
         debug_assert!(holds, "{violation}");
         if !holds {
             self.count(violation);
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -67,7 +67,7 @@
 impl Actions for Dispatcher {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let Some(row) = self.requests.get_mut(request) else {
-            return self.context.counters.must(false, "an_attempt_of_an_answered_request");
+            return self.context.counters.check_invariant(false, "an_attempt_of_an_answered_request");
         };
         let call = Call {
             request,
@@ -108,13 +108,13 @@
             jsonrpc::error_line(Some(id), ErrorCode::Rejected, "bounced: a retry is harmless", retry_after_ms)
         };
         let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
-        self.context.counters.must(was_open, "a_second_answer");
+        self.context.counters.check_invariant(was_open, "a_second_answer");
     }
 
     fn fail(&mut self, request: RequestId) {
         let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, "given up: it may have run", None);
         let was_open = self.answer_request(request, RequestOutcome::Failed, line);
-        self.context.counters.must(was_open, "a_second_answer");
+        self.context.counters.check_invariant(was_open, "a_second_answer");
     }
 
     /// Never called: health checks are switched off on sockets.
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -122,7 +122,7 @@
         let listener = Listener::open(&loop_handle, &bootstrap.config)?;
         let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
         let mut context = Context { now: clock.now(), ..Context::default() };
-        context.record_unix_zero(clock.unix_zero());
+        context.record_wall_clock_offset(clock.wall_clock_offset());
         let server = Server::new(bootstrap, context);
         let mut router_loop = Self {
             server,
@@ -178,8 +178,8 @@
             self.drain_lingering(slot);
         }
         if std::mem::take(&mut self.discovery_is_ready) {
-            let unix_zero = self.clock.unix_zero();
-            self.server.context().record_unix_zero(unix_zero);
+            let offset = self.clock.wall_clock_offset();
+            self.server.context().record_wall_clock_offset(offset);
             self.discovery_ready();
         }
         for signal in std::mem::take(&mut self.signals) {
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -198,7 +198,7 @@
     pub(super) fn resume_accepting(&mut self) {
         if let Err(error) = self.loop_handle.enable(&self.listener.token) {
             log::error!("resuming the accepting of connections failed: error={error:?}");
-            self.server.context().counters.must(false, "a_closed_door");
+            self.server.context().counters.check_invariant(false, "a_closed_door");
         }
     }
 }
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/gate.rs
@@ -56,7 +56,7 @@
         match self {
             Self::DeadlinePassed => counters.count("calls_past_their_deadline"),
             Self::EngineNotReady | Self::ClientMayHaveLeft | Self::Cancelled => {
-                counters.must(false, "invariant_violations")
+                counters.check_invariant(false, "invariant_violations")
             }
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,7 @@
-//! The router: the scheduler of `emberflow` on real sockets. [`command::run`] is the program; to embed it,
-//! [`bootstrap::Bootstrap`] reads a configuration and [`event_loop::RouterLoop::run`] serves by it until SIGTERM.
+//! The router: the scheduler of `emberflow` on sockets.
+//!
+//! [`command::run`] is the program. To embed the router, read a configuration with [`bootstrap::Bootstrap`] and serve
+//! with [`event_loop::RouterLoop::run`], which returns after SIGTERM.
 
 pub mod admission_queue;
 pub mod bootstrap;
--- a/crates/router/src/ready_list.rs
+++ b/crates/router/src/ready_list.rs
@@ -1,51 +1,55 @@
-//! Clients that may have more to read, read in turn.
+//! The clients with unread input, which are read in rotation.
 
 use crate::slots::Slot;
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-/// A client whose turn it is.
+/// The client that is read next.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyClient {
-    /// Its slot in the table of clients.
+    /// The client's slot in the table of clients.
     pub slot: Slot,
-    /// What it has sent was received at this time at the earliest.
+    /// The earliest time at which the unread input can have arrived.
     pub received_since: Duration,
 }
 
-/// Clients that may have more to read. Each is read from once before any is read from again, however much that one
-/// has sent.
+/// The clients that may have unread input. Each client is read once before any is read again, so that a client with
+/// endless input does not delay the others.
 #[derive(Default)]
 pub struct ReadyList {
-    /// With the earliest time at which something may have been received.
+    /// The earliest time at which the unread input can have arrived, by client.
     received_since: BTreeMap<Slot, Duration>,
-    /// Whose turn was last.
-    last: Option<Slot>,
+    /// The client that was read last.
+    last_read: Option<Slot>,
 }
 
 impl ReadyList {
-    /// Adds a client; one that is on the list keeps the earlier time.
+    /// Adds a client. If the client is already on the list, the earlier time is retained.
     pub fn add(&mut self, slot: Slot, received_since: Duration) {
         let earliest = self.received_since.entry(slot).or_insert(received_since);
         *earliest = received_since.min(*earliest);
     }
 
-    /// Whether nobody has more to read.
+    /// Whether no client has unread input.
     pub fn is_empty(&self) -> bool {
         self.received_since.is_empty()
     }
 
-    /// Takes out the client whose turn it is.
+    /// Removes and returns the next client in the order of slots, starting again at the first slot after the last one.
     pub fn next(&mut self) -> Option<ReadyClient> {
-        let after_last =
-            self.last.and_then(|last| self.received_since.range((Excluded(last), Unbounded)).next());
-        let (slot, received_since) = after_last.or(self.received_since.first_key_value())?;
+        let (slot, received_since) =
+            self.first_after_last_read().or(self.received_since.first_key_value())?;
         let ready = ReadyClient { slot: *slot, received_since: *received_since };
         self.received_since.remove(&ready.slot);
-        self.last = Some(ready.slot);
+        self.last_read = Some(ready.slot);
         Some(ready)
     }
+
+    fn first_after_last_read(&self) -> Option<(&Slot, &Duration)> {
+        let last_read = self.last_read?;
+        self.received_since.range((Excluded(last_read), Unbounded)).next()
+    }
 }
 
 #[cfg(test)]
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -1,39 +1,39 @@
-//! The open requests.
+//! The table of open requests.
 
 use crate::slots::{Slot, Slots};
 use emberflow::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The lane of a request until the scheduler sets another.
+/// The priority of a request until the scheduler sets another.
 const ORDINARY_PRIORITY: u8 = 1;
 
-/// A request until it has been answered.
+/// An open request.
 #[derive(Clone)]
 pub struct Request {
-    /// The connection that it came on.
+    /// The client's connection.
     pub client: Slot,
-    /// Its id on that connection.
+    /// The request's id on the client's connection.
     pub client_request_id: u64,
-    /// The name that engines know it by.
+    /// The name by which engines identify the request.
     pub name: String,
-    /// Its class's index in the settings.
+    /// The index of the request class in the settings.
     pub class: usize,
     /// The key by which engines recognize a repeated request.
     pub idempotency_key: Option<String>,
     /// The statement that engines run.
     pub statement: Vec<u8>,
-    /// Memory granted to it.
+    /// Memory granted to the request, in MB.
     pub grant_mb: f64,
-    /// Its priority on an engine.
+    /// The request's priority on an engine.
     pub priority: u8,
-    /// Its attempts so far, by their number.
+    /// The request's attempts, by their number.
     pub attempts: Vec<Slot>,
-    /// Connections that may still bring an answer to an attempt that was abandoned.
+    /// Connections on which an engine may still answer an abandoned attempt.
     pub late_connections: Vec<Slot>,
 }
 
 impl Request {
-    /// A request without statement or key, not yet sent anywhere.
+    /// Returns a request without statement, key and attempts.
     pub fn new(client: Slot, client_request_id: u64, name: &str, class: usize) -> Self {
         Self {
             client,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The open requests, by the ids that the scheduler knows them by.
+/// The open requests, by the scheduler's ids.
 #[derive(Clone, Default)]
 pub struct RequestTable {
     table: Slots<Request>,
@@ -63,17 +63,17 @@
 }
 
 impl RequestTable {
-    /// An open request.
+    /// Returns a request if it is open.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.table.get(*self.slots.get(&id)?)
     }
 
-    /// An open request, to be changed.
+    /// Returns a request for changes if it is open.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.table.get_mut(*self.slots.get(&id)?)
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.table.len()
     }
@@ -83,17 +83,17 @@
         self.table.is_empty()
     }
 
-    /// Bytes of the statements of all open requests.
+    /// Returns the bytes of the statements of all open requests.
     pub fn statement_bytes(&self) -> usize {
         self.statement_bytes
     }
 
-    /// Whether a request of this name is open.
+    /// Whether a request with this name is open.
     pub fn is_open(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
-    /// All open requests, in the order of their slots.
+    /// Returns all open requests, in the order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = &Request> {
         self.table.iter().map(|(_, request)| request)
     }
@@ -106,7 +106,7 @@
         self.next_id = self.next_id.wrapping_add(1);
     }
 
-    /// Takes a request out, if it is still open.
+    /// Removes and returns a request if it is open.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let slot = self.slots.remove(&id)?;
         let request = self.table.take(slot)?;
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -193,7 +193,7 @@
                 "client with open requests not closed: client={slot:?} reason={reason:?} {}",
                 client.summary()
             );
-            return self.dispatcher.context.counters.must(false, "invariant_violations");
+            return self.dispatcher.context.counters.check_invariant(false, "invariant_violations");
         }
         let open = self.remove_client(slot, reason);
         if !open.is_empty() {
--- a/crates/router/src/slots.rs
+++ b/crates/router/src/slots.rs
@@ -1,7 +1,7 @@
-//! A table whose rows are addressed by slots. A freed place is reused; a slot's serial number distinguishes its row
-//! from others in the same place.
+//! A table whose rows are addressed by slots. The index of a removed row is reused; the serial number of a slot
+//! distinguishes its row from earlier and later rows at the same index.
 
-/// The address of a row. It stays invalid once its row has been taken out.
+/// The address of a row. After the row is removed, the slot never becomes valid again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot {
     index: usize,
@@ -25,7 +25,7 @@
 #[derive(Clone)]
 pub struct Slots<T> {
     rows: Vec<Option<Row<T>>>,
-    /// Indexes of empty places; the last is reused first.
+    /// Indices without a row; the last is reused first.
     free: Vec<usize>,
     next_serial: u64,
 }
@@ -37,13 +37,13 @@
 }
 
 impl<T> Slots<T> {
-    /// The slot that the next row will get.
+    /// Returns the slot of the row that is inserted next.
     pub fn next(&self) -> Slot {
         let index = self.free.last().copied().unwrap_or(self.rows.len());
         Slot { index, serial: self.next_serial }
     }
 
-    /// Adds a row.
+    /// Inserts a row, and returns its slot.
     pub fn insert(&mut self, value: T) -> Slot {
         let slot = self.next();
         let row = Row { serial: slot.serial, value };
@@ -55,31 +55,31 @@
         slot
     }
 
-    /// The row of a slot, unless it was taken out.
+    /// Returns the row of a slot, unless it was removed.
     pub fn get(&self, slot: Slot) -> Option<&T> {
         let row = self.rows.get(slot.index)?.as_ref()?;
         (row.serial == slot.serial).then_some(&row.value)
     }
 
-    /// The row of a slot for changes, unless it was taken out.
+    /// Returns the row of a slot for changes, unless it was removed.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut T> {
         let row = self.rows.get_mut(slot.index)?.as_mut()?;
         (row.serial == slot.serial).then_some(&mut row.value)
     }
 
-    /// Takes a row out.
+    /// Removes and returns a row.
     pub fn take(&mut self, slot: Slot) -> Option<T> {
         self.get(slot)?;
         self.free.push(slot.index);
         self.rows[slot.index].take().map(|row| row.value)
     }
 
-    /// How many rows come before a slot's row.
+    /// Returns the number of rows before the row of a slot, in the order of [`Self::iter`].
     pub fn index_of(&self, slot: Slot) -> Option<usize> {
         self.iter().position(|(other, _)| other == slot)
     }
 
-    /// The number of rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len() - self.free.len()
     }
@@ -89,11 +89,11 @@
         self.len() == 0
     }
 
-    /// All rows with their slots, by place.
+    /// Returns all rows with their slots, ordered by index.
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &T)> {
-        let positions = self.rows.iter().enumerate();
-        positions.filter_map(|(index, row)| {
-            row.as_ref().map(|row| (Slot { index, serial: row.serial }, &row.value))
+        self.rows.iter().enumerate().filter_map(|(index, row)| {
+            let row = row.as_ref()?;
+            Some((Slot { index, serial: row.serial }, &row.value))
         })
     }
 }
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Non-blocking sockets, registered with an event loop.
+//! Non-blocking sockets and their registration with an event loop.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A connection's socket and its registration with the loop, which ends when it is dropped.
+/// A connection's socket and its registration with the event loop. Dropping it ends the registration.
 pub struct RegisteredSocket<T: 'static> {
-    /// The socket, which also its event source holds.
+    /// The socket, shared with its event source.
     pub socket: Rc<TcpStream>,
     token: RegistrationToken,
     loop_handle: LoopHandle<'static, T>,
@@ -23,11 +23,11 @@
     }
 }
 
-/// How long ago a connection's last bytes arrived, as the kernel tells; zero where it does not.
+/// Returns the time since the last bytes of a connection arrived, as the kernel reports it; zero if it is unknown.
 pub fn time_since_last_arrival(socket: &TcpStream) -> Duration {
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
-    // SAFETY: the buffer is as long as `length` says, and any bytes make a valid `tcp_info`, zeros included.
+    // SAFETY: `length` is the size of the buffer, and any bytes are a valid `tcp_info`, zeros included.
     let (result, info) = unsafe {
         let buffer = info.as_mut_ptr().cast();
         let result =
@@ -38,8 +38,11 @@
     if is_known { Duration::from_millis(info.tcpi_last_data_recv.into()) } else { Duration::ZERO }
 }
 
-/// Listens at an address. The backlog is as long as the connections that the process may have open: clients whose
-/// connections do not fit into it retry after a second or more.
+/// Opens a listening socket. A backlog shorter than the limit of connections would drop connections under load, and
+/// their clients would retry only after a second or more.
+///
+/// # Errors
+/// Returns the error of the first system call that fails.
 pub fn listen(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -49,7 +52,10 @@
 }
 
 impl<T> RegisteredSocket<T> {
-    /// Registers a socket: `on_ready` is called whenever it becomes readable or writable.
+    /// Registers a socket. The loop calls `on_ready` whenever the socket becomes readable or writable.
+    ///
+    /// # Errors
+    /// Fails if the socket cannot be configured or registered.
     pub fn register(
         loop_handle: &LoopHandle<'static, T>,
         socket: TcpStream,
@@ -69,7 +75,10 @@
         Ok(Self { socket, token, loop_handle: loop_handle.clone() })
     }
 
-    /// Begins to connect; the connection is established once its socket is writable.
+    /// Begins to connect to an address. The connection is established once its socket is writable.
+    ///
+    /// # Errors
+    /// Fails if the socket cannot be opened or registered, or if connecting fails at once.
     pub fn dial(
         loop_handle: &LoopHandle<'static, T>,
         address: SocketAddr,
@@ -85,7 +94,10 @@
         Self::register(loop_handle, socket.into(), on_ready)
     }
 
-    /// Whether a dialled connection is established; an error if connecting failed.
+    /// Whether a dialled connection is established.
+    ///
+    /// # Errors
+    /// Fails if connecting has failed.
     pub fn is_established(&self) -> io::Result<bool> {
         if let Some(error) = self.socket.take_error()? {
             return Err(error);
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -4,34 +4,34 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a timer is for.
+/// The purposes of timers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
-    /// The scheduler asked to be woken.
+    /// The scheduler's wake-up.
     Wake,
-    /// An attempt's time is up.
+    /// The deadline of an attempt.
     Attempt(Slot),
-    /// A connection to an engine must be established, or have shown that it works.
+    /// The check of a connection to an engine: connect timeout or health check.
     Connection(Slot),
-    /// An engine's answer that has begun to arrive must be complete.
+    /// The time by which an engine's answer that has begun to arrive must be complete.
     AnswerComplete(Slot),
-    /// A connection to an engine was idle for long.
+    /// The idle timeout of a connection to an engine.
     ConnectionIdle(Slot),
-    /// The discovery service is dialled anew unless it has sent something.
+    /// The next dial of the discovery service, postponed by each frame that is received.
     Discovery,
-    /// A client must have sent something, or wait for an answer.
+    /// The idle check of a client.
     Client(Slot),
-    /// New connections are accepted again.
+    /// The end of a pause in accepting connections.
     ResumeAccepting,
-    /// During a graceful shutdown, it is checked whether the process may end.
+    /// The check whether the process may exit, during a graceful shutdown.
     ShutdownCheck,
-    /// A configuration that could not be read is read again.
+    /// The next attempt of a reload that failed.
     Reload,
-    /// A connection that was closed to a client is drained no longer.
+    /// The end of the lingering close of a client's connection.
     Linger(Slot),
-    /// Something is due in the admission queue.
+    /// The next deadline in the admission queue.
     AdmissionQueue,
-    /// A connection to an engine is dialled again, after a local failure.
+    /// The next dial of a connection to an engine, after a local failure.
     Redial(Slot),
 }
 
@@ -42,17 +42,17 @@
 }
 
 impl Timers {
-    /// Sets a timer to expire at a time.
+    /// Sets a timer to expire at `at`.
     pub fn set(&mut self, at: Duration, timer: Timer) {
         self.ordered.insert((at, timer));
     }
 
-    /// Removes a timer that was set to expire at a time.
+    /// Removes a timer that was set to expire at `at`.
     pub fn clear(&mut self, at: Duration, timer: Timer) {
         self.ordered.remove(&(at, timer));
     }
 
-    /// How many timers are pending.
+    /// Returns the number of pending timers.
     pub fn len(&self) -> usize {
         self.ordered.len()
     }
@@ -62,17 +62,17 @@
         self.ordered.is_empty()
     }
 
-    /// All pending timers, the next to expire first.
+    /// Returns all pending timers, the next to expire first.
     pub fn iter(&self) -> impl Iterator<Item = (Duration, Timer)> {
         self.ordered.iter().copied()
     }
 
-    /// When the next timer expires.
+    /// Returns the time at which the next timer expires.
     pub fn first(&self) -> Option<Duration> {
         self.ordered.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the next timer if it has expired.
+    /// Removes and returns the next timer if it has expired.
     pub fn pop(&mut self, now: Duration) -> Option<Timer> {
         let (at, timer) = *self.ordered.first()?;
         if at > now {
