--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -27,7 +27,7 @@
         let mut pool = EnginePool::new(1, connect_timeout, Duration::from_secs(20), 1);
         let engine = pool.update_endpoint(&record(Lifecycle::Ready), &mut context).engine;
         let call = Call {
-            request: 0,
+            request: RequestId(0),
             number: 0,
             id: REQUEST_ID,
             class: "report",
@@ -134,7 +134,7 @@
         format!("{written} bytes written, {}\n", fixture.context.counters)
     };
     expect![[r#"
-        0 bytes written, attempts_sent=1 attempts_void=1 connections_dialled=1
+        0 bytes written, attempts_not_sent=1 attempts_sent=1 connections_dialled=1
         81 bytes written, attempts_sent=1 connections_dialled=1
     "#]]
     .assert_eq(&(drain_after(0) + &drain_after(1)));
@@ -203,13 +203,13 @@
         priority: 1,
         deadline: long,
     };
-    fixture.pool.send(engine, call(1), &[], context);
+    fixture.pool.send(engine, call(RequestId(1)), &[], context);
     let refused = fixture.pool.size().connections;
     fixture.pool.cancel(fixture.attempt, context);
-    let attempt = fixture.pool.send(engine, call(2), &[], context);
+    let attempt = fixture.pool.send(engine, call(RequestId(2)), &[], context);
     let connection = fixture.pool.connection_of(attempt);
     assert_eq!((refused, fixture.pool.size().connections), (1, 1));
     assert!(connection.is_some_and(|connection| connection != fixture.connection));
-    expect!["attempts_sent=3 attempts_void=1 attempts_withdrawn=1 connections_closed_for_room=1 connections_dialled=2 connections_over_the_limit=1"]
+    expect!["attempts_cancelled=1 attempts_not_sent=1 attempts_sent=3 connections_closed_for_capacity=1 connections_dialled=2 connections_over_the_limit=1"]
         .assert_eq(&fixture.context.counters.to_string());
 }
--- a/crates/router/tests/unit/gate.rs
+++ b/crates/router/tests/unit/gate.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_call_past_its_deadline_is_counted() {
     let mut counters = Counters::default();
-    CallRefusal::DeadlinePassed.record(1, 0, &mut counters);
+    CallRefusal::DeadlinePassed.record(RequestId(1), 0, &mut counters);
     assert_eq!(counters.to_string(), "calls_past_their_deadline=1");
 }
 
@@ -50,6 +50,6 @@
 #[cfg_attr(debug_assertions, should_panic(expected = "invariant_violations"))]
 fn a_violation_stops_a_debug_build_and_is_counted_in_a_release_build() {
     let mut counters = Counters::default();
-    CallRefusal::ClientMayHaveLeft.record(1, 0, &mut counters);
+    CallRefusal::ClientMayHaveLeft.record(RequestId(1), 0, &mut counters);
     assert_eq!(counters.to_string(), "invariant_violations=1");
 }
