--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -1,5 +1,6 @@
-//! The queue in front of the scheduler, where the operator has configured teams: requests that wait in it are open
-//! and not yet accepted. Whose turn it is and how long a request will wait is decided by `emberflow-teams`.
+//! The admission queue in front of the scheduler, which exists if the operator has configured teams. Queued requests
+//! are open, and the scheduler has not accepted them yet. `emberflow-teams` decides on their order and estimates
+//! their waits.
 
 use crate::dispatch::{Completion, RequestOutcome};
 use emberflow::{Arrival, Capacity, RequestId};
@@ -8,12 +9,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What is due for a queued request at a time.
+/// The actions that become due for a queued request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    /// It is passed to the scheduler whatever its turn.
+enum DueAction {
+    /// The request is passed to the scheduler, regardless of the order among teams.
     Dispatch,
-    /// Its client is notified of its wait.
+    /// The client is notified of the estimated wait.
     WaitNotice,
 }
 
@@ -22,61 +23,69 @@
 struct QueuedRequest {
     arrival: Arrival,
     arrived_at: Duration,
-    /// When it is passed to the scheduler at the latest.
+    /// The time at which the request is passed to the scheduler at the latest.
     dispatch_by: Duration,
-    /// When its client is notified of its wait next, if it wants to be.
+    /// The time of the next notice to the client; `None` if the client wants none.
     next_notice: Option<Duration>,
 }
 
 impl QueuedRequest {
-    /// The request as the scheduler is given it now.
+    /// Returns the scheduler's input for the request at `now`.
     fn arrival(&self, now: Duration) -> Arrival {
         Arrival { waited: now.saturating_sub(self.arrived_at), ..self.arrival.clone() }
     }
 }
 
-/// What admission goes by for a request, beside what the scheduler is given.
+/// A request for which an action is due.
+struct DueRequest {
+    /// The time at which the action became due.
+    at: Duration,
+    request: RequestId,
+}
+
+/// The properties of a request that admission depends on, apart from the scheduler's input.
 pub struct Admission {
     /// The team's index.
     pub team: usize,
-    /// From 0 for ordinary work to 3.
+    /// From 0 for ordinary requests to 3.
     pub urgency: u8,
-    /// The same for a request and its retries.
+    /// A number that a request and its retries have in common.
     pub identity: u64,
-    /// Requests of one key are passed on in the order in which they came.
+    /// Requests with the same key are passed to the scheduler in the order of their arrival.
     pub key: Option<u64>,
     /// Expected time on one core.
     pub work: Duration,
-    /// Its class's latency objective.
+    /// The latency objective of the request class.
     pub latency_objective: Duration,
-    /// How long before the end of its deadline it is passed on at the latest.
+    /// Time before the request's deadline at which the request is passed to the scheduler at the latest.
     pub margin: Duration,
-    /// Whether its client wants to be notified of its wait.
+    /// Whether the client wants notices of its wait.
     pub wants_wait_notices: bool,
 }
 
-/// An estimate of how long a request will still be queued, for its client.
+/// A notice to a client of the estimated wait of its request.
 pub struct WaitNotice {
-    /// The request that waits.
+    /// The queued request.
     pub request: RequestId,
-    /// How long it will wait yet, and how many of its team are before it.
+    /// The estimated time in the queue, and the number of the team's requests before this one.
     pub wait: WaitEstimate,
 }
 
-/// The requests that wait for their team's turn.
+/// The queued requests of all teams.
 #[derive(Clone)]
 pub struct AdmissionQueue {
     /// The teams as the operator has configured them.
     pub teams: TeamConfig,
     queues: Queues,
     queued: BTreeMap<RequestId, QueuedRequest>,
-    due: BTreeSet<(Duration, Due, RequestId)>,
-    /// What requests that were passed on have cost, until they are closed.
+    /// The actions that become due for queued requests, ordered by time.
+    due: BTreeSet<(Duration, DueAction, RequestId)>,
+    /// Measured costs of requests that the scheduler has accepted and that are not closed yet.
     costs: BTreeMap<RequestId, Duration>,
 }
 
 impl AdmissionQueue {
-    /// An empty queue, each team's budget full.
+    /// Returns an empty queue. The budget of each team is full.
     pub fn new(teams: TeamConfig, now: Duration) -> Self {
         Self {
             queues: Queues::new(teams.quotas.clone(), now),
@@ -87,7 +96,10 @@
         }
     }
 
-    /// Queues a request, or refuses it with the time after which it would be admitted.
+    /// Queues a request.
+    ///
+    /// # Errors
+    /// Returns the reason of a rejection, and the time after which the request would be admitted.
     pub fn enqueue(
         &mut self,
         now: Duration,
@@ -117,14 +129,14 @@
             dispatch_by: now + remaining.saturating_sub(admission.margin),
             next_notice: wants_notices.then_some(now),
         };
-        self.due.insert((queued.dispatch_by, Due::Dispatch, request));
-        self.due.extend(queued.next_notice.map(|at| (at, Due::WaitNotice, request)));
+        self.due.insert((queued.dispatch_by, DueAction::Dispatch, request));
+        self.due.extend(queued.next_notice.map(|at| (at, DueAction::WaitNotice, request)));
         self.queued.insert(request, queued);
         Ok(())
     }
 
-    /// Takes out the next request for the scheduler: one whose time is nearly up, else the next by turn that there
-    /// is capacity for.
+    /// Removes and returns the next request for the scheduler: a request whose deadline is near, or else the first in
+    /// the order among teams for which there is capacity.
     pub fn next_admissible<'a>(
         &mut self,
         now: Duration,
@@ -134,18 +146,26 @@
             return None;
         }
         self.queues.advance(now);
-        let next = self.next_overdue(now).or_else(|| self.next_by_turn(now, capacity()))?;
+        let next = self.next_overdue(now).or_else(|| self.next_in_order(now, capacity()))?;
         self.release(now, next)
     }
 
-    /// A request whose time is nearly up, or one of the same key that came before it and must be passed on first.
+    /// Returns a request that must be dispatched by now. If requests of the same key arrived before it, returns the first
+    /// of them.
     fn next_overdue(&self, now: Duration) -> Option<RequestId> {
-        let mut overdue = self.due.iter().take_while(|(at, ..)| *at <= now);
-        let (.., request) = overdue.find(|(_, due, _)| *due == Due::Dispatch)?;
-        Some(RequestId(self.queues.first_of_key(request.0)))
+        let overdue = self.due_now(now, DueAction::Dispatch).next()?;
+        Some(RequestId(self.queues.first_of_key(overdue.request.0)))
     }
 
-    fn next_by_turn(&self, now: Duration, mut capacity: Capacity<'_>) -> Option<RequestId> {
+    /// Returns the requests for which `action` is due now, ordered by the time at which it became due.
+    fn due_now(&self, now: Duration, action: DueAction) -> impl Iterator<Item = DueRequest> {
+        let due = self.due.iter().take_while(move |(at, ..)| *at <= now);
+        due.filter(move |(_, due_action, _)| *due_action == action)
+            .map(|(at, _, request)| DueRequest { at: *at, request: *request })
+    }
+
+    /// Returns the first request in the order among teams for which there is capacity.
+    fn next_in_order(&self, now: Duration, mut capacity: Capacity<'_>) -> Option<RequestId> {
         let next = self.queues.next_fitting(|request| {
             let queued = self.queued.get(&RequestId(request));
             queued.is_some_and(|queued| capacity.admits(&queued.arrival(now)))
@@ -153,27 +173,29 @@
         next.map(RequestId)
     }
 
-    /// Takes out the oldest request, whatever its turn.
+    /// Removes and returns the oldest request, regardless of the order among teams.
     pub fn take_oldest(&mut self, now: Duration) -> Option<Arrival> {
         let oldest = *self.queued.keys().next()?;
         self.release(now, oldest)
     }
 
+    /// Removes a request that is passed to the scheduler, and returns the scheduler's input.
     fn release(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
         self.queues.dispatch(now, request.0);
         self.remove(request).map(|queued| queued.arrival(now))
     }
 
+    /// Removes a request and its due actions.
     fn remove(&mut self, request: RequestId) -> Option<QueuedRequest> {
         let queued = self.queued.remove(&request)?;
-        self.due.remove(&(queued.dispatch_by, Due::Dispatch, request));
+        self.due.remove(&(queued.dispatch_by, DueAction::Dispatch, request));
         if let Some(at) = queued.next_notice {
-            self.due.remove(&(at, Due::WaitNotice, request));
+            self.due.remove(&(at, DueAction::WaitNotice, request));
         }
         Some(queued)
     }
 
-    /// Notes what a request's successful attempt cost, until the request is closed.
+    /// Records the cost of a request's successful attempt. The team is charged when the request is closed.
     pub fn record_cost(&mut self, request: RequestId, cost: Duration) {
         self.costs.insert(request, cost);
     }
@@ -183,7 +205,7 @@
         self.queued.contains_key(&request)
     }
 
-    /// Settles a request that was answered or withdrawn: charges its team, or takes it out of the queue.
+    /// Settles a closed request: removes it if it is still queued, or else charges its team.
     pub fn request_closed(&mut self, now: Duration, Completion { request, outcome }: Completion) {
         let cost = self.costs.remove(&request);
         if self.remove(request).is_some() {
@@ -198,36 +220,33 @@
         self.queues.settle(now, request.0, charge);
     }
 
-    /// Replaces the teams; queued requests move to the team of the same name.
+    /// Replaces the teams. Queued requests move to the team with the same name.
     pub fn apply_teams(&mut self, now: Duration, teams: TeamConfig) {
         self.queues.reconfigure(now, teams.quotas.clone(), &self.teams.indices_in(&teams));
         self.teams = teams;
     }
 
-    /// The notices that are due now, as far as there is an estimate; each is scheduled again.
+    /// Returns the notices that are due now and schedules the next ones. Requests without an estimate are left out.
     pub fn take_wait_notices(&mut self, now: Duration) -> Vec<WaitNotice> {
-        let due_now = self.due.iter().take_while(|(at, ..)| *at <= now);
-        let notices = due_now.filter(|(_, due, _)| *due == Due::WaitNotice);
-        let due_requests: Vec<_> = notices.map(|(at, _, request)| (*at, *request)).collect();
-        // Teams that were reloaded may say that clients are not notified any more.
-        let next_notice =
-            self.teams.wait_notice_field.as_ref().map(|_| now + self.teams.wait_notice_interval);
-        for (at, request) in &due_requests {
-            self.due.remove(&(*at, Due::WaitNotice, *request));
-            self.due.extend(next_notice.map(|at| (at, Due::WaitNotice, *request)));
-            self.queued.entry(*request).and_modify(|queued| queued.next_notice = next_notice);
-        }
-        if next_notice.is_none() {
-            return Vec::new();
+        let due_requests: Vec<DueRequest> = self.due_now(now, DueAction::WaitNotice).collect();
+        // The operator may have switched the notices off since they were scheduled.
+        let sends_notices = self.teams.wait_notice_field.is_some();
+        let next_notice = sends_notices.then_some(now + self.teams.wait_notice_interval);
+        let mut notices = Vec::new();
+        for DueRequest { at, request } in due_requests {
+            self.due.remove(&(at, DueAction::WaitNotice, request));
+            self.due.extend(next_notice.map(|next| (next, DueAction::WaitNotice, request)));
+            self.queued.entry(request).and_modify(|queued| queued.next_notice = next_notice);
+            if sends_notices && let Some(wait) = self.queues.estimate_wait(now, request.0) {
+                notices.push(WaitNotice { request, wait });
+            }
         }
-        let notice =
-            |(_, request)| Some(WaitNotice { request, wait: self.queues.estimate_wait(now, request.0)? });
-        due_requests.into_iter().filter_map(notice).collect()
+        notices
     }
 
-    /// When something is due in the queue next.
+    /// Returns the time of the next deadline in the queue.
     pub fn next_deadline(&self) -> Option<Duration> {
         let first_due = self.due.first().map(|(at, ..)| *at);
-        first_due.into_iter().chain(self.queues.due()).min()
+        [first_due, self.queues.due()].into_iter().flatten().min()
     }
 }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -22,7 +22,7 @@
 /// Exit status for an invalid command line.
 const USAGE_ERROR: u8 = 2;
 
-/// Percent in a whole.
+/// Factor from a fraction to percent.
 const PERCENT: f64 = 100.0;
 
 /// A command with its options.
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -148,7 +148,7 @@
     hasher.finish() as u32
 }
 
-/// Decodes a whole number from 0 to [`MAX_URGENCY`].
+/// Decodes an integer from 0 to [`MAX_URGENCY`].
 fn decode_urgency(value: &Value) -> Option<u8> {
     let urgency = u8::try_from(value.as_u64()?).ok()?;
     (urgency <= MAX_URGENCY).then_some(urgency)
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -17,7 +17,7 @@
 /// Time between two checks whether the process may exit.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The phases of a server's life cycle.
+/// The phases of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerState {
     /// Serving without a planned end.
