--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with the operator's file.
+//! Errors in the operator's file.
 
-use crate::forms::{MAX_NAME_BYTES, MAX_TEAMS};
+use crate::limits::{MAX_NAME_BYTES, MAX_TEAMS};
 use emberflow_teams::QuotaError;
 use std::fmt::{Display, Formatter};
 use thiserror::Error;
 
-/// Why the operator's file was rejected. It is printed as `line 7, teams.list[2].share: expected ...`.
+/// The first error in the operator's file. It is displayed as `line 7, teams.list[2].share: expected ...`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct OperatorConfigError {
-    /// The line that holds the fault, from 1 up, where the parser knows it.
+    /// The line of the error, counted from 1; `None` if the parser does not report it.
     pub line: Option<usize>,
-    /// The way to the fault, as in `teams.list[2].share`.
+    /// The path of the invalid value, such as `teams.list[2].share`.
     pub path: String,
-    /// What was expected, and what was found instead.
+    /// The expected value and the one that was found.
     pub problem: String,
 }
 
@@ -26,32 +26,39 @@
 }
 
 impl OperatorConfigError {
+    /// Converts an error of the parser.
     pub(crate) fn new(error: serde_path_to_error::Error<json5::Error>) -> Self {
         let path = error.path().to_string();
         let error = error.into_inner();
         let Some(position) = error.position() else {
             return Self { line: None, path, problem: error.to_string() };
         };
-        // The parser's message ends with the position, which stands in front here.
+        // The parser's message ends with the position, which is displayed before the path.
         let message = error.to_string();
         let problem = message.split_once(" at line ").map_or(message.as_str(), |(problem, _)| problem);
         Self { line: Some(position.line + 1), path, problem: problem.to_owned() }
     }
 }
 
-/// A value of the file that has the right type and makes no sense.
+/// Errors of values that have the right type.
 #[derive(Debug, Error)]
 pub(crate) enum FormError {
+    /// A number is out of its range.
     #[error("expected {expected}, found {found:?}")]
     Number { expected: &'static str, found: f64 },
-    #[error("expected a name of 1 to {max} bytes, found {found}", max = MAX_NAME_BYTES)]
+    /// A name is empty or too long.
+    #[error("expected a name of 1 to {max} bytes, found one of {found} bytes", max = MAX_NAME_BYTES)]
     NameLength { found: usize },
+    /// A list contains a name twice.
     #[error("expected each name once, found {name} twice")]
     DuplicateName { name: String },
+    /// The list of teams is too long.
     #[error("expected up to {max} teams, found {found}", max = MAX_TEAMS)]
     TooManyTeams { found: usize },
-    #[error("list[{index}].firm: expected a firm of the list, found {name}")]
+    /// A team names an organization that is not listed.
+    #[error("list[{index}].firm: expected a name of the list `firms`, found {name}")]
     UnknownOrganization { index: usize, name: String },
+    /// The quotas are inconsistent.
     #[error(transparent)]
     Quota(#[from] QuotaError),
 }
--- a/crates/operator/src/forms.rs
+++ b/crates/operator/src/forms.rs
@@ -1,30 +1,20 @@
-//! The file's parts as they are written, with the checks that need nothing but the value itself.
+//! The parts of the file in their written form. Decoding validates each value by itself.
 
 use crate::error::FormError;
+use crate::limits::{MAX_NAME_BYTES, MAX_SECONDS, MAX_SHARE, MAX_WAITING, MIN_NOTICE_INTERVAL_S};
 use serde::de::{DeserializeSeed, Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::collections::HashSet;
 use std::marker::PhantomData;
 use std::time::Duration;
 
-/// Bound on the length of names of teams, organizations and fields.
-pub const MAX_NAME_BYTES: usize = 128;
-/// Bound on the number of teams, with the one for requests of no listed team.
-pub(crate) const MAX_TEAMS: usize = 10_000;
-const MAX_SHARE: f64 = 1e6;
-/// Bound on times: a year.
-const MAX_SECONDS: f64 = 366.0 * 24.0 * 3600.0;
-/// Clients are not to be flooded with notices of their wait.
-const MIN_NOTICE_INTERVAL_S: f64 = 0.1;
-const MAX_WAITING: usize = 10_000_000;
-
-/// A finite number above 0, up to a bound.
+/// Checks that a number is finite, above 0 and not above `max`. `expected` describes the range in the error.
 fn bounded(value: f64, max: f64, expected: &'static str) -> Result<f64, FormError> {
     let valid = value.is_finite() && value > 0.0 && value <= max;
     if valid { Ok(value) } else { Err(FormError::Number { expected, found: value }) }
 }
 
-/// A weight of an organization or of a team.
+/// The share of an organization or of a team, as a weight.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
 pub(crate) struct Share(pub(crate) f64);
@@ -69,7 +59,7 @@
     }
 }
 
-/// A number of waiting requests.
+/// A limit of waiting requests.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
 pub(crate) struct Count(pub(crate) usize);
@@ -78,7 +68,7 @@
     type Error = FormError;
 
     fn try_from(value: f64) -> Result<Self, FormError> {
-        let count = bounded(value, MAX_WAITING as f64, "a count from 1 to ten millions")?;
+        let count = bounded(value, MAX_WAITING as f64, "a whole number from 1 to ten million")?;
         if count.fract() > 0.0 {
             return Err(FormError::Number { expected: "a whole number", found: value });
         }
@@ -102,7 +92,8 @@
     }
 }
 
-/// A budget: `work_s` of work in each `per_s`, and `burst_s` (or as much as `work_s`) at once.
+/// A budget: `work_s` seconds of work in each period of `per_s` seconds, and at most `burst_s` seconds at once. Without
+/// `burst_s`, the burst is `work_s`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct BudgetForm {
@@ -114,7 +105,7 @@
     pub(crate) burst: Option<Seconds>,
 }
 
-/// One of the organizations.
+/// An organization of the list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct OrganizationForm {
@@ -122,7 +113,7 @@
     pub(crate) share: Option<Share>,
 }
 
-/// One of the teams.
+/// A team of the list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TeamForm {
@@ -135,7 +126,7 @@
     pub(crate) max_waiting: Option<Count>,
 }
 
-/// What holds for requests that name no listed team.
+/// The team for requests that name no listed team.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct OthersForm {
@@ -145,7 +136,7 @@
     pub(crate) max_waiting: Option<Count>,
 }
 
-/// Notices to clients of how long they will wait.
+/// Notices to clients of their estimated wait.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct WaitNoticesForm {
@@ -154,7 +145,7 @@
     pub(crate) interval: NoticeInterval,
 }
 
-/// The file's part about teams.
+/// The part of the file about teams.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TeamsForm {
@@ -170,6 +161,7 @@
     pub(crate) wait_notices: Option<WaitNoticesForm>,
 }
 
+/// An element of a list in which names are unique.
 trait Named {
     fn name(&self) -> &Name;
 }
@@ -186,7 +178,7 @@
     }
 }
 
-/// Decodes a list in which each name may occur once; a second one is reported at its own path.
+/// Decodes a list in which each name may occur once. An error names the path of the element that repeats a name.
 fn unique_names<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -207,22 +199,27 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Vec<T>, A::Error> {
         let mut rows = Vec::new();
         let mut names = HashSet::new();
-        while let Some(row) = sequence.next_element_seed(NewName(&mut names, PhantomData))? {
+        loop {
+            let element = UniqueElement { names: &mut names, element: PhantomData };
+            let Some(row) = sequence.next_element_seed(element)? else { break };
             rows.push(row);
         }
         Ok(rows)
     }
 }
 
-/// Decodes one element, and fails if its name is among the former ones.
-struct NewName<'a, T>(&'a mut HashSet<Name>, PhantomData<T>);
+/// Decodes one element; fails if an earlier element has the same name.
+struct UniqueElement<'a, T> {
+    names: &'a mut HashSet<Name>,
+    element: PhantomData<T>,
+}
 
-impl<'de, T: Deserialize<'de> + Named> DeserializeSeed<'de> for NewName<'_, T> {
+impl<'de, T: Deserialize<'de> + Named> DeserializeSeed<'de> for UniqueElement<'_, T> {
     type Value = T;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<T, D::Error> {
         let row = T::deserialize(deserializer)?;
-        if self.0.insert(row.name().clone()) {
+        if self.names.insert(row.name().clone()) {
             return Ok(row);
         }
         let name = row.name().0.clone();
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,27 +1,31 @@
-//! The operator's own file, in JSON5: either valid as a whole, or rejected with the line, the path and what was
-//! expected. A feature that the file leaves out is off.
+//! Decodes the operator's file, which is JSON5. An invalid file is rejected with the line and the path of the first
+//! error. Features that the file does not mention are off.
 
 mod error;
 mod forms;
+mod limits;
 mod team_config;
 
 pub use error::OperatorConfigError;
-pub use forms::MAX_NAME_BYTES;
-pub use team_config::TeamConfig;
+pub use limits::MAX_NAME_BYTES;
+pub use team_config::{TeamChange, TeamConfig};
 
 use serde::Deserialize;
 
-/// All that an operator may set.
+/// The decoded operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorConfig {
-    /// Teams that share the engines.
+    /// The teams that share the engines; `None` if the feature is off.
     #[serde(default)]
     pub teams: Option<TeamConfig>,
 }
 
 impl OperatorConfig {
-    /// Decodes and checks the file's text.
+    /// Decodes and validates the text of a file.
+    ///
+    /// # Errors
+    /// Returns the first error with its line and path.
     pub fn parse(text: &str) -> Result<Self, OperatorConfigError> {
         let mut deserializer = json5::Deserializer::from_str(text);
         serde_path_to_error::deserialize(&mut deserializer).map_err(OperatorConfigError::new)
--- a/crates/operator/src/team_config.rs
+++ b/crates/operator/src/team_config.rs
@@ -1,80 +1,112 @@
-//! The teams' configuration: their names, shares and budgets, and the fields of a request that refer to them.
+//! The configuration of teams: their names, shares and budgets, and the fields of a request that refer to them.
 
 use crate::error::FormError;
-use crate::forms::{
-    BudgetForm, Count, MAX_TEAMS, Name, OrganizationForm, OthersForm, Share, TeamForm, TeamsForm,
-};
+use crate::forms::{BudgetForm, Count, Name, OrganizationForm, OthersForm, Share, TeamForm, TeamsForm};
+use crate::limits::MAX_TEAMS;
 use emberflow_teams::{Allowance, Organization, Quotas, Team};
 use serde::Deserialize;
 use std::collections::HashMap;
+use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-/// The team of requests that name no listed one.
+/// The index of the team for requests that name no listed team.
 const OTHERS: usize = 0;
+/// The name of the team for requests that name no listed team.
 const OTHERS_NAME: &str = "(others)";
-/// Bound on a team's waiting requests, where the file has none.
+/// Limit of a team's waiting requests if the file has none.
 const DEFAULT_MAX_WAITING: usize = 1000;
+/// Share of an organization or a team if the file has none.
 const DEFAULT_SHARE: f64 = 1.0;
 const DEFAULT_TEAM_FIELD: &str = "team";
 const DEFAULT_URGENCY_FIELD: &str = "urgency";
 
-/// A valid configuration of teams. Teams have indices in the order of the list, after the one for all other requests.
+/// A valid configuration of teams. Index 0 is the team for requests that name no listed team; the listed teams follow
+/// in the order of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "TeamsForm")]
 pub struct TeamConfig {
-    /// What organizations and teams are granted.
+    /// The shares, budgets and limits of organizations and teams.
     pub quotas: Quotas,
-    /// The teams' names, by index.
+    /// The names of the teams, by index.
     pub names: Vec<String>,
     indices: HashMap<String, usize>,
     /// The field of a request that names its team.
     pub team_field: String,
     /// The field of a request that holds its urgency.
     pub urgency_field: String,
-    /// The field by which a client asks for notices of its wait; none if there are no notices.
+    /// The field by which a client subscribes to notices of its wait; `None` if the feature is off.
     pub wait_notice_field: Option<String>,
-    /// The time between two notices to a client; zero if there are none.
+    /// The time between two notices to a client; zero if the feature is off.
     pub wait_notice_interval: Duration,
 }
 
+/// A difference between two configurations of teams.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TeamChange {
+    /// The newer configuration does not list the team.
+    Removed(String),
+    /// The team has another share, budget or limit of waiting requests.
+    Changed(String),
+    /// Only the newer configuration lists the team.
+    Added(String),
+}
+
+impl Display for TeamChange {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Removed(name) => write!(formatter, "team {name} removed"),
+            Self::Changed(name) => write!(formatter, "team {name} has another share, budget or limit"),
+            Self::Added(name) => write!(formatter, "team {name} added"),
+        }
+    }
+}
+
 impl TeamConfig {
-    /// The index of the team of that name, or of the one for all others.
+    /// Returns the index of a listed team, or the index of the team for all other requests.
     pub fn team_index(&self, name: &str) -> usize {
         self.indices.get(name).copied().unwrap_or(OTHERS)
     }
 
-    /// For each team, the index of the team of the same name in another configuration, if there is one.
+    /// Returns for each team the index of the team with the same name in another configuration, if there is one.
     pub fn indices_in(&self, other: &Self) -> Vec<Option<usize>> {
-        let index_in_other = |(index, name): (usize, &String)| match index {
-            OTHERS => Some(OTHERS),
-            _ => other.indices.get(name).copied(),
-        };
-        self.names.iter().enumerate().map(index_in_other).collect()
+        let mut indices = Vec::with_capacity(self.names.len());
+        for (index, name) in self.names.iter().enumerate() {
+            let other_index = if index == OTHERS { Some(OTHERS) } else { other.indices.get(name).copied() };
+            indices.push(other_index);
+        }
+        indices
     }
 
-    /// One message for each team that is different in a newer configuration.
-    pub fn describe_changes(&self, newer: &Self) -> Vec<String> {
+    /// Returns the differences of a newer configuration: removed and changed teams in this configuration's order, then
+    /// added teams in the newer one's.
+    pub fn changes(&self, newer: &Self) -> Vec<TeamChange> {
         let mut changes = Vec::new();
         for (name, newer_index) in self.names.iter().zip(self.indices_in(newer)) {
             let Some(newer_index) = newer_index else {
-                changes.push(format!("{name} is gone"));
+                changes.push(TeamChange::Removed(name.clone()));
                 continue;
             };
             let before = &self.quotas.teams[self.team_index(name)];
-            let after = &newer.quotas.teams[newer_index];
-            let unchanged = before.share == after.share
-                && before.allowance == after.allowance
-                && before.max_waiting == after.max_waiting;
-            if !unchanged {
-                changes.push(format!("{name} has another share, budget or bound"));
+            if !has_same_limits(before, &newer.quotas.teams[newer_index]) {
+                changes.push(TeamChange::Changed(name.clone()));
+            }
+        }
+        for name in &newer.names {
+            if !self.names.contains(name) {
+                changes.push(TeamChange::Added(name.clone()));
             }
         }
-        let added = newer.names.iter().filter(|name| !self.names.contains(name));
-        changes.extend(added.map(|name| format!("{name} is new")));
         changes
     }
 }
 
+/// Whether two teams have the same share, budget and limit of waiting requests.
+fn has_same_limits(before: &Team, after: &Team) -> bool {
+    before.share == after.share
+        && before.allowance == after.allowance
+        && before.max_waiting == after.max_waiting
+}
+
 impl TryFrom<TeamsForm> for TeamConfig {
     type Error = FormError;
 
@@ -102,12 +134,14 @@
     }
 }
 
-/// Quotas and names of the teams so far.
+/// Collects the quotas, names and indices of teams.
 struct QuotasBuilder {
     quotas: Quotas,
-    /// Indices of the listed organizations.
+    /// The indices of the listed organizations, by name.
     organizations: HashMap<Name, usize>,
+    /// The names of the teams, by index.
     names: Vec<String>,
+    /// The indices of the listed teams, by name.
     indices: HashMap<String, usize>,
 }
 
@@ -133,14 +167,14 @@
         organizations.len() - 1
     }
 
-    /// Adds the team for requests of no listed one, which is an organization of its own.
+    /// Adds the team for requests that name no listed team. An organization is added for it.
     fn add_others(&mut self, others: OthersForm) {
         let organization = self.add_organization(others.share);
         self.quotas.teams.push(team(organization, None, others.budget, others.max_waiting));
         self.names.push(OTHERS_NAME.to_owned());
     }
 
-    /// Adds a listed team. One that names no organization is an organization of its own, with its share.
+    /// Adds a listed team. If the team names no organization, one is added for it with the team's share.
     fn add_team(&mut self, index: usize, form: TeamForm) -> Result<(), FormError> {
         let TeamForm { name, organization, share, budget, max_waiting } = form;
         let (organization, share) = match organization {
@@ -157,6 +191,7 @@
     }
 }
 
+/// Builds the quotas of a team, with defaults for values that the file does not have.
 fn team(
     organization: usize,
     share: Option<Share>,
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -1,4 +1,4 @@
-//! What the operator's file means, and the errors of a wrong one.
+//! Decoding of the operator's file, and the errors of invalid files.
 
 use emberflow_operator::OperatorConfig;
 use expect_test::expect;
@@ -9,9 +9,11 @@
 }
 
 #[test]
-fn the_example_means_what_its_comments_say() {
-    let team_config =
-        OperatorConfig::parse(&example()).expect("it makes sense").teams.expect("a configuration of teams");
+fn the_example_is_decoded_as_its_comments_describe() {
+    let team_config = OperatorConfig::parse(&example())
+        .expect("the example is valid")
+        .teams
+        .expect("the example has teams");
     let parts: Vec<String> = team_config
         .names
         .iter()
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn errors_name_the_line_the_path_and_what_was_expected() {
+fn errors_name_the_line_the_path_and_the_expected_value() {
     let texts = [
         "{}",
         "{teams: {}}",
@@ -72,8 +74,8 @@
         line 2, teams.list[0].most_waiting: expected a whole number, found 2.5
         line 1, teams.list[1]: expected each name once, found a twice
         line 1, teams.firms[1]: expected each name once, found a twice
-        line 1, teams: list[1].firm: expected a firm of the list, found c
-        line 1, teams.list[0].name: expected a name of 1 to 128 bytes, found 0
+        line 1, teams: list[1].firm: expected a name of the list `firms`, found c
+        line 1, teams.list[0].name: expected a name of 1 to 128 bytes, found one of 0 bytes
         line 2, teams.waits.every_s: expected seconds from 0.1, up to a year, found NaN
         line 2, teams.waits.every_s: expected seconds from 0.1, up to a year, found 0.001
         line 1, teams.?: EOF parsing object
@@ -83,12 +85,13 @@
 }
 
 #[test]
-fn changes_of_the_teams_are_described_and_their_new_indices_are_known() {
+fn changes_of_teams_and_their_new_indices_are_found() {
     let read = |text: &str| {
-        OperatorConfig::parse(text).expect("it makes sense").teams.expect("a configuration of teams")
+        OperatorConfig::parse(text).expect("the file is valid").teams.expect("the file has teams")
     };
     let old = read("{teams: {list: [{name: 'a'}, {name: 'b'}, {name: 'c', budget: {work_s: 1, per_s: 2}}]}}");
     let new = read("{teams: {list: [{name: 'd'}, {name: 'c'}, {name: 'a'}]}}");
-    expect![[r#"[Some(0), Some(3), None, Some(2)] ["b is gone", "c has another share, budget or bound", "d is new"]"#]]
-        .assert_eq(&format!("{:?} {:?}", old.indices_in(&new), old.describe_changes(&new)));
+    let changes: Vec<String> = old.changes(&new).iter().map(ToString::to_string).collect();
+    expect![[r#"[Some(0), Some(3), None, Some(2)] ["team b removed", "team c has another share, budget or limit", "team d added"]"#]]
+        .assert_eq(&format!("{:?} {:?}", old.indices_in(&new), changes));
 }
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -150,8 +150,8 @@
         self.release(now, next)
     }
 
-    /// Returns a request that must be dispatched by now. If requests of the same key arrived before it, returns the first
-    /// of them.
+    /// Returns a request that must be dispatched by now. If requests of the same key arrived before it, returns the
+    /// first of them.
     fn next_overdue(&self, now: Duration) -> Option<RequestId> {
         let overdue = self.due_now(now, DueAction::Dispatch).next()?;
         Some(RequestId(self.queues.first_of_key(overdue.request.0)))
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -123,7 +123,7 @@
         let now = self.dispatcher.context.now();
         match (&mut self.admission_queue, teams) {
             (Some(admission_queue), Some(teams)) => {
-                for change in admission_queue.teams.describe_changes(&teams) {
+                for change in admission_queue.teams.changes(&teams) {
                     log::info!("team configuration changed: {change}");
                 }
                 admission_queue.apply_teams(now, teams);
--- a/crates/router/tests/sockets/harness/log_lines.rs
+++ b/crates/router/tests/sockets/harness/log_lines.rs
@@ -11,7 +11,7 @@
 /// A reload read settings that take effect at a restart only.
 pub const SETTINGS_NEED_RESTART: &str = "configuration change needs a restart: changed=the settings";
 /// A reload removed a team whose requests were queued.
-pub const TEAM_REMOVED: &str = "posting is gone";
+pub const TEAM_REMOVED: &str = "team posting removed";
 /// A reload removed all teams.
 pub const TEAMS_REMOVED: &str = "admission queue closed";
 /// The connection to discovery was lost.
