--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -75,7 +75,7 @@
     expect![[r#"
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is missing
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is unknown: galaxy
-        Some(1) emberflow: FILE: `settings.kinds` has 2 rows, not 1, one a kind
+        Some(1) emberflow: FILE: `settings.kinds` has 2 elements instead of 1, one for each kind
         Some(1) emberflow: FILE: `settings.zones[1]` is listed twice: hall-a
         Some(1) emberflow: FILE: `settings.myZone` is 1, past the end of a list of 1
         Some(1) emberflow: FILE: `known.items[0].roster.members[0].locality` is not in the settings: hall-z
@@ -85,7 +85,7 @@
         Some(1) emberflow: FILE: `settings.report.how` is unknown: pigeon
         Some(1) emberflow: FILE: `settings.caps.connectTimeoutMs` is not a time in milliseconds
         Some(1) emberflow: FILE: `settings.caps.mayDuplicate` is not true or false
-        Some(1) emberflow: FILE: `settings.rules.spareAttempts` stands without `countedOverMs`
+        Some(1) emberflow: FILE: `settings.rules.spareAttempts` requires `countedOverMs`, which is missing
     "#]]
     .assert_eq(&reports);
 }
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -1,12 +1,15 @@
-//! Limits of attempts and retries.
+//! Decodes the limits of attempts and retries.
 
 use crate::{Fields, Problem, SettingsError};
 use emberflow::{AttemptLimits, RetryBudget};
 
-/// The window over which retries are counted; a retry budget needs it.
+/// Name of the time window over which retries are counted. A retry budget requires it.
 const RETRY_WINDOW: &str = "countedOverMs";
 
 /// Decodes the limits that hold for every attempt.
+///
+/// # Errors
+/// Returns the first value that is missing or invalid.
 pub fn decode_attempt_limits(params: Fields<'_>) -> Result<AttemptLimits, SettingsError> {
     let caps = params.object("caps")?;
     let rules = params.object("rules")?;
@@ -26,6 +29,7 @@
     })
 }
 
+/// Decodes the retry budget; returns `None` if the settings have none.
 fn retry_budget(rules: Fields<'_>) -> Result<Option<RetryBudget>, SettingsError> {
     let window = rules.optional(RETRY_WINDOW, Fields::positive_time)?;
     let amount = |name: &str| match (rules.optional(name, Fields::not_negative)?, window) {
@@ -37,7 +41,10 @@
     Ok(window.map(|window| RetryBudget { spare, per_request, window }))
 }
 
-/// Whether clients mark their retries.
+/// Decodes whether clients mark their retries.
+///
+/// # Errors
+/// Returns the first value that is invalid.
 pub fn clients_mark_retries(params: Fields<'_>) -> Result<bool, SettingsError> {
     let Some(client_behavior) = params.optional("clientHabits", Fields::object)? else { return Ok(false) };
     Ok(client_behavior.optional("marksRetry", Fields::flag)?.unwrap_or(false))
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,74 +1,74 @@
-//! What can be wrong with a setting.
+//! Errors in settings and messages.
 
 use thiserror::Error;
 
-/// A setting that can't be used: where it stands and what was expected of it.
+/// An invalid or missing value, with its path.
 ///
-/// It is printed as one phrase that starts with the path: `` `rules.fallMs` is missing ``.
+/// It is displayed as one phrase that starts with the path: `` `rules.fallMs` is missing ``.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{path}` {problem}")]
 pub struct SettingsError {
-    /// The way from the file's or the message's root to the value, as in `categories[1].name`.
+    /// The path from the root of the file or message to the value, such as `categories[1].name`.
     pub path: String,
-    /// What is wrong with the value that stands there.
+    /// The reason why the value is invalid.
     pub problem: Problem,
 }
 
-/// What is wrong with a value, as a phrase that follows its path.
+/// Reasons why a value is invalid. Each is displayed as a phrase that follows the path.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// There is no value, or it is null.
+    /// The value is absent or null.
     #[error("is missing")]
     Missing,
-    /// The value has another type or lies outside of its range.
+    /// The value has the wrong type or is out of range.
     #[error("is not {expected}")]
     Unexpected {
-        /// The values that are accepted, as in `a number above 0`.
+        /// The accepted values, such as `a number above 0`.
         expected: &'static str,
     },
-    /// The value is none of the names that are accepted here.
+    /// The value is not among the accepted names.
     #[error("is unknown: {found}")]
     Unknown {
         /// The name that was found.
         found: String,
     },
-    /// The value is an index into a list that is too short for it.
+    /// The value is an index past the end of its list.
     #[error("is {index}, past the end of a list of {length}")]
     IndexOutOfRange {
-        /// The value.
+        /// The index.
         index: usize,
-        /// The length of the list that it refers to.
+        /// The length of the list.
         length: usize,
     },
     /// The list needs at least one element.
-    #[error("holds no {element}")]
+    #[error("has no {element}")]
     Empty {
-        /// What an element describes.
+        /// The kind of thing that an element describes, such as `class`.
         element: &'static str,
     },
-    /// The list has to be as long as another one.
-    #[error("has {found} rows, not {expected}, one a {element}")]
+    /// The list must have one element for each element of another list.
+    #[error("has {found} elements instead of {expected}, one for each {element}")]
     WrongLength {
-        /// Elements in the list.
+        /// The number of elements in the list.
         found: usize,
-        /// Elements that it should have.
+        /// The required number of elements.
         expected: usize,
-        /// What an element describes.
+        /// The kind of thing that an element describes, such as `class`.
         element: &'static str,
     },
-    /// The value has no meaning without another one that is missing.
-    #[error("stands without `{required}`")]
+    /// The value requires another value, which is missing.
+    #[error("requires `{required}`, which is missing")]
     Incomplete {
-        /// Name of the missing field.
+        /// The name of the missing field.
         required: &'static str,
     },
-    /// The list may hold each name once.
+    /// The list contains a name twice.
     #[error("is listed twice: {name}")]
     Duplicate {
-        /// The name that was found again.
+        /// The repeated name.
         name: String,
     },
-    /// The name refers to nothing that the settings list.
+    /// The settings do not list the name.
     #[error("is not in the settings: {name}")]
     NotInSettings {
         /// The name.
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,33 +1,33 @@
-//! Reading single fields of a message or of a file.
+//! Reads single fields of a message or of a file.
 
 use crate::{Problem, SettingsError, from_ms};
 use serde_json::Value;
 use std::time::Duration;
 
-/// A JSON value that knows the way to it from the message or the file that it belongs to.
+/// A JSON value, with the message or file that contains it.
 ///
-/// Methods that take a `name` read that field of an object; an absent field and null are the same. Methods that
-/// start with `as_` read the value itself. Both fail with the path and with what was expected, except for those
-/// that start with `get`, which return nothing for an absent value or one of another type.
+/// Methods that take a `name` read that field of an object; an absent field and null are the same. Methods that start
+/// with `as_` read the value itself. Their errors contain the path of the value and the reason. Methods that start
+/// with `get` return `None` for an absent value and for a value of another type.
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
     value: &'a Value,
-    /// Where paths start; the path to the value is worked out only for an error.
+    /// The start of paths. The path to the value is determined only for an error.
     root: &'a Value,
 }
 
 impl<'a> Fields<'a> {
-    /// A whole message or file: paths start here.
+    /// Returns a message or a file as a value. Paths in errors start here.
     pub fn of(value: &'a Value) -> Self {
         Self { value, root: value }
     }
 
-    /// The JSON value itself.
+    /// Returns the JSON value.
     pub fn value(self) -> &'a Value {
         self.value
     }
 
-    /// An error about this value.
+    /// Returns an error about this value.
     pub fn error(self, problem: Problem) -> SettingsError {
         SettingsError { path: self.path(), problem }
     }
@@ -36,12 +36,12 @@
         path(self.root, self.value).unwrap_or_default().trim_start_matches('.').to_owned()
     }
 
-    /// A field, unless it is absent or null.
+    /// Returns the JSON value of a field, unless it is absent or null.
     pub fn get(self, name: &str) -> Option<&'a Value> {
         self.value.get(name).filter(|value| !value.is_null())
     }
 
-    /// A field that must be there, of any type.
+    /// Returns a required field of any type.
     pub fn field(self, name: &str) -> Result<Self, SettingsError> {
         let missing = || {
             let path = format!("{}.{name}", self.path());
@@ -51,7 +51,7 @@
         self.get(name).map(|value| Self { value, ..self }).ok_or_else(missing)
     }
 
-    /// Reads a field if it is there and not null.
+    /// Reads a field with `read`, unless it is absent or null.
     pub fn optional<T>(
         self,
         name: &str,
@@ -68,66 +68,66 @@
         read(self.value).ok_or_else(|| self.error(Problem::Unexpected { expected }))
     }
 
-    /// A string.
+    /// Reads a string.
     pub fn text(self, name: &str) -> Result<&'a str, SettingsError> {
         self.field(name)?.as_text()
     }
 
-    /// An integer from 0 up.
+    /// Reads an integer from 0 up.
     pub fn unsigned(self, name: &str) -> Result<u64, SettingsError> {
         self.field(name)?.read("a whole number", Value::as_u64)
     }
 
-    /// An integer from 0 up that fits an index.
+    /// Reads an index.
     pub fn index(self, name: &str) -> Result<usize, SettingsError> {
         self.field(name)?.read("an index", as_index)
     }
 
-    /// An integer from 1 up.
+    /// Reads an integer from 1 up.
     pub fn count(self, name: &str) -> Result<usize, SettingsError> {
         let positive = |value| as_index(value).filter(|count| *count > 0);
         self.field(name)?.read("a whole number from 1 up", positive)
     }
 
-    /// Any number.
+    /// Reads a number.
     pub fn number(self, name: &str) -> Result<f64, SettingsError> {
         self.field(name)?.read("a number", Value::as_f64)
     }
 
-    /// A finite number above 0.
+    /// Reads a finite number above 0.
     pub fn positive(self, name: &str) -> Result<f64, SettingsError> {
         self.field(name)?.as_positive()
     }
 
-    /// A finite number from 0 up.
+    /// Reads a finite number from 0 up.
     pub fn not_negative(self, name: &str) -> Result<f64, SettingsError> {
         self.field(name)?.read("a number from 0 up", |value| finite(value).filter(|number| *number >= 0.0))
     }
 
-    /// A number from 0 to 1.
+    /// Reads a number from 0 to 1.
     pub fn fraction(self, name: &str) -> Result<f64, SettingsError> {
         let within = |number: &f64| (0.0..=1.0).contains(number);
         self.field(name)?.read("a number from 0 to 1", |value| finite(value).filter(within))
     }
 
-    /// A boolean.
+    /// Reads a boolean.
     pub fn flag(self, name: &str) -> Result<bool, SettingsError> {
         self.field(name)?.as_flag()
     }
 
-    /// A time in milliseconds from 0 up.
+    /// Reads a time in milliseconds from 0 up.
     pub fn time(self, name: &str) -> Result<Duration, SettingsError> {
         let time = |value| finite(value).filter(|ms| *ms >= 0.0).map(from_ms);
         self.field(name)?.read("a time in milliseconds", time)
     }
 
-    /// A time in milliseconds that is above 0 when rounded to microseconds.
+    /// Reads a time in milliseconds that is above 0 after rounding to microseconds.
     pub fn positive_time(self, name: &str) -> Result<Duration, SettingsError> {
         let time = |value| finite(value).map(from_ms).filter(|time| !time.is_zero());
         self.field(name)?.read("a time in milliseconds above 0", time)
     }
 
-    /// The elements of a list.
+    /// Returns the elements of a list.
     pub fn rows(
         self,
         name: &str,
@@ -135,7 +135,7 @@
         Ok(self.list(name)?.iter().map(move |value| Self { value, ..self }))
     }
 
-    /// The elements of a list that has one for each of `count` elements, such as one a request class.
+    /// Returns the elements of a list that must have `count` elements, one for each `element`.
     pub(crate) fn rows_for_each(
         self,
         name: &str,
@@ -150,33 +150,33 @@
         Ok(rows)
     }
 
-    /// The elements of a list, as plain JSON values without a path.
+    /// Returns the elements of a list as JSON values without a path.
     pub fn list(self, name: &str) -> Result<&'a [Value], SettingsError> {
         self.field(name)?.read("a list", |value| value.as_array().map(Vec::as_slice))
     }
 
-    /// A list of strings.
+    /// Reads a list of strings.
     pub fn text_list(self, name: &str) -> Result<Vec<String>, SettingsError> {
         self.rows(name)?.map(|row| row.as_text().map(str::to_owned)).collect()
     }
 
-    /// A list of indices into another list of that length, where the length is known.
+    /// Reads a list of indices. They must be below `length` if it is known.
     pub fn indices(self, name: &str, length: Option<usize>) -> Result<Vec<usize>, SettingsError> {
         self.rows(name)?.map(|row| row.as_index(length)).collect()
     }
 
-    /// An object.
+    /// Returns an object.
     pub fn object(self, name: &str) -> Result<Fields<'a>, SettingsError> {
         let part = self.field(name)?;
         part.read("an object", |value| value.is_object().then_some(part))
     }
 
-    /// The value as a string.
+    /// Returns the value as a string.
     pub fn as_text(self) -> Result<&'a str, SettingsError> {
         self.read("text", Value::as_str)
     }
 
-    /// A name, as the value that it stands for.
+    /// Reads a name, and returns its value in `known`.
     pub(crate) fn one_of<T, const COUNT: usize>(
         self,
         name: &str,
@@ -189,17 +189,17 @@
         matching.map(|(_, value)| value).ok_or_else(unknown)
     }
 
-    /// The value as a boolean.
+    /// Returns the value as a boolean.
     pub fn as_flag(self) -> Result<bool, SettingsError> {
         self.read("true or false", Value::as_bool)
     }
 
-    /// The value as a finite number above 0.
+    /// Returns the value as a finite number above 0.
     pub fn as_positive(self) -> Result<f64, SettingsError> {
         self.read("a number above 0", |value| finite(value).filter(|number| *number > 0.0))
     }
 
-    /// The value as an index into a list of that length, where the length is known.
+    /// Returns the value as an index, which must be below `length` if it is known.
     pub fn as_index(self, length: Option<usize>) -> Result<usize, SettingsError> {
         let index = self.read("an index", as_index)?;
         match length {
@@ -208,17 +208,18 @@
         }
     }
 
-    /// A field's number; nothing if it is absent or of another type.
+    /// Returns a field's number; `None` if it is absent or of another type.
     pub fn get_number(self, name: &str) -> Option<f64> {
         self.get(name)?.as_f64()
     }
 
-    /// A field's time in milliseconds; nothing if it is absent or of another type, zero if it is negative.
+    /// Returns a field's time, in milliseconds on the wire; `None` if it is absent or of another type, zero if it is
+    /// negative.
     pub fn get_time(self, name: &str) -> Option<Duration> {
         self.get_number(name).map(from_ms)
     }
 
-    /// Whether a field is true; an absent one and one of another type are false.
+    /// Whether a field is true. An absent field and one of another type count as false.
     pub fn get_flag(self, name: &str) -> bool {
         self.get(name).and_then(Value::as_bool).unwrap_or(false)
     }
@@ -232,7 +233,7 @@
     value.as_f64().filter(|number| number.is_finite())
 }
 
-/// The way from one value to another within it, as in `.categories[1].name`.
+/// Returns the path from a value to another value inside it, such as `.categories[1].name`.
 fn path(from: &Value, to: &Value) -> Option<String> {
     if std::ptr::eq(from, to) {
         return Some(String::new());
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,10 +1,13 @@
-//! The fleet: routers, kinds of engines, and what holds for all of them.
+//! Decodes the properties of the fleet: the number of routers, the kinds of engines, and properties of all engines.
 
 use crate::load_report::ReportMode;
 use crate::{Fields, Problem, SettingsError};
 use emberflow::{EngineKind, Fleet};
 
-/// Decodes what the scheduler knows of the fleet. `seed` is the seed of its random choices.
+/// Decodes the fleet. `seed` is the seed of the scheduler's random choices.
+///
+/// # Errors
+/// Returns the first value that is missing or invalid.
 pub fn decode_fleet(seed: u64, params: Fields<'_>) -> Result<Fleet, SettingsError> {
     let domain = params.object("domain")?;
     let zone_count = params.optional("zones", Fields::list)?.map(<[_]>::len);
@@ -24,7 +27,7 @@
     })
 }
 
-/// Whether an engine that is short of memory grants less than was requested.
+/// Decodes whether an engine with too little memory reduces the grants of requests.
 fn shrinks_grants(domain: Fields<'_>, name: &str) -> Result<bool, SettingsError> {
     domain.one_of(name, [("line_up", false), ("cut", true), ("overcommit", false)])
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decodes the settings that every router gets at start, from the simulator's wire and from a configuration file
-//! alike, into the types of the `emberflow` library.
+//! Decodes the settings that every router receives at start into the types of the `emberflow` library. The settings
+//! have the same form on the simulator's wire and in a configuration file.
 //!
-//! [`Fields`] reads single values and names their path in errors; the other modules each decode one part of the
-//! settings. The caller passes the settings' object to all of them.
+//! [`Fields`] reads single values and names their path in errors. Each of the other modules decodes one part of the
+//! settings, which the caller passes as an object.
 
 mod attempt_limits;
 mod error;
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,19 +1,19 @@
-//! Load reports: how engines report their load, and which of its figures are read.
+//! Decodes load reports, and the settings that describe them.
 
 use crate::{Fields, Problem, SettingsError};
 use emberflow::LoadReport;
 
-/// Figures of a load report that are known but not read, under any of their names.
+/// Names of figures that are part of a load report and that the scheduler does not use.
 const IGNORED: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
 
-/// How engines report their load.
+/// The ways in which engines report their load.
 #[derive(PartialEq, Eq)]
 pub(crate) enum ReportMode {
     /// With each answer.
     WithAnswers,
     /// In reply to a health check.
     OnProbe,
-    /// Not at all.
+    /// Engines do not report their load.
     Never,
 }
 
@@ -26,7 +26,10 @@
     }
 }
 
-/// The names of the figures in a load report, in their order; none where engines report nothing.
+/// Decodes the names of the figures in a load report, in their order. The list is empty if engines do not report load.
+///
+/// # Errors
+/// Returns the first value that is missing or invalid.
 pub fn load_report_names(params: Fields<'_>) -> Result<Vec<String>, SettingsError> {
     match ReportMode::read(params)? {
         ReportMode::Never => Ok(Vec::new()),
@@ -34,20 +37,25 @@
     }
 }
 
-/// One error for each figure of a load report whose name is unknown, so that it is ignored.
+/// Returns one error for each figure of a load report whose name is unknown. Such a figure is ignored.
+///
+/// # Errors
+/// Returns the first value that is missing or has the wrong type.
 pub fn unknown_load_report_names(params: Fields<'_>) -> Result<Vec<SettingsError>, SettingsError> {
+    let mut unknown = Vec::new();
     if load_report_names(params)?.is_empty() {
-        return Ok(Vec::new());
+        return Ok(unknown);
     }
-    let names = params.object("report")?.rows("names")?;
-    let unknown = |field: Fields<'_>| {
-        let name = field.as_text().ok().filter(|name| !is_known(name))?;
-        Some(field.error(Problem::Unknown { found: name.to_owned() }))
-    };
-    Ok(names.filter_map(unknown).collect())
+    for field in params.object("report")?.rows("names")? {
+        let name = field.as_text()?;
+        if !is_known(name) {
+            unknown.push(field.error(Problem::Unknown { found: name.to_owned() }));
+        }
+    }
+    Ok(unknown)
 }
 
-/// Whether a figure of that name is read or deliberately ignored.
+/// Whether the scheduler uses a figure of this name, or ignores it on purpose.
 fn is_known(name: &str) -> bool {
     let mut known = IGNORED.contains(&name);
     let lookup = |names: &[&str]| {
@@ -58,8 +66,11 @@
     known
 }
 
-/// Builds a load report from single figures. `figure` is called once for each, with all names that it may have
-/// (the settings' and the wire's), and returns its value or `None` where the report lacks it.
+/// Builds a load report from single figures. `figure` is called once for each figure, with all names that it has in the
+/// settings and on the wire, and returns the figure's value or `None` if the report does not contain it.
+///
+/// # Errors
+/// Returns the first error of `figure`.
 pub fn build_load_report<E>(
     mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>,
 ) -> Result<LoadReport, E> {
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -1,9 +1,12 @@
-//! Request classes: their latency objectives, deadlines and weights, and whether their requests may be retried.
+//! Decodes request classes: their latency objectives, deadlines and weights, and whether their requests are idempotent.
 
 use crate::{Fields, Problem, SettingsError};
 use emberflow::{Effect, KeyScope, RequestClass};
 
-/// Decodes all request classes, in the settings' order.
+/// Decodes all request classes, in the order of the settings.
+///
+/// # Errors
+/// Returns the first value that is missing or invalid.
 pub fn decode_request_classes(params: Fields<'_>) -> Result<Vec<RequestClass>, SettingsError> {
     let domain = params.object("domain")?;
     let kind_count = domain.list("kindCores")?.len();
@@ -13,26 +16,28 @@
     if class_count == 0 {
         return Err(params.field("categories")?.error(Problem::Empty { element: "class" }));
     }
-    let context = Context {
+    let decoder = ClassDecoder {
         kind_count,
         zone_count,
         threads: for_each_class(domain, "parallelism", class_count)?,
         holds_group: for_each_class(domain, "writesTables", class_count)?,
         waits_for_loads: for_each_class(domain, "blockedByLoads", class_count)?,
     };
-    rows.enumerate().map(|(index, row)| context.request_class(index, row)).collect()
+    rows.enumerate().map(|(index, row)| decoder.request_class(index, row)).collect()
 }
 
-/// What the classes refer to, and lists with one value for each class that stand apart from the classes' own rows.
-struct Context<'a> {
+/// Decodes the row of a class, together with lists elsewhere in the settings that have one value for each class.
+struct ClassDecoder<'a> {
+    /// Number of engine kinds, to which classes refer by index.
     kind_count: usize,
+    /// Number of locations, if the settings list them.
     zone_count: Option<usize>,
     threads: Vec<Option<Fields<'a>>>,
     holds_group: Vec<Option<Fields<'a>>>,
     waits_for_loads: Vec<Option<Fields<'a>>>,
 }
 
-impl Context<'_> {
+impl ClassDecoder<'_> {
     fn request_class(&self, index: usize, row: Fields<'_>) -> Result<RequestClass, SettingsError> {
         Ok(RequestClass {
             latency_objective: row.positive_time("onTimeMs")?,
@@ -51,7 +56,7 @@
     }
 }
 
-/// The values of an optional list with one element for each class.
+/// Returns the values of an optional list with one element for each class.
 fn for_each_class<'a>(
     domain: Fields<'a>,
     name: &str,
@@ -61,13 +66,14 @@
     Ok(values.map_or_else(|| vec![None; class_count], |values| values.map(Some).collect()))
 }
 
+/// The values of the setting `repeat`.
 enum Repeat {
     Repeatable,
     Once,
     ByKey,
 }
 
-/// Whether a request of the class may run more than once.
+/// Decodes whether requests of the class are idempotent.
 fn effect(row: Fields<'_>) -> Result<Effect, SettingsError> {
     let repeat = [("repeatable", Repeat::Repeatable), ("once", Repeat::Once), ("by_key", Repeat::ByKey)];
     Ok(match row.one_of("repeat", repeat)? {
@@ -77,7 +83,7 @@
     })
 }
 
-/// Among which engines an idempotency key is known.
+/// Decodes the scope in which engines recognize an idempotency key.
 fn scope(row: Fields<'_>) -> Result<KeyScope, SettingsError> {
     row.one_of("keyScope", [("all", KeyScope::All), ("zone", KeyScope::Location), ("cell", KeyScope::Cell)])
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Errors of settings that contradict each other, hold unknown names, or lack what a rule needs.
+//! Errors of settings with invalid, unknown, inconsistent or missing values.
 
 use emberflow_settings::{
     Fields, SettingsError, clients_mark_retries, decode_attempt_limits, decode_fleet, decode_request_classes,
@@ -31,7 +31,7 @@
     })
 }
 
-/// The settings with other values at these places; null takes one away.
+/// Returns the settings with other values at these paths. Null removes a value.
 fn with(changes: &[(&str, Value)]) -> Value {
     let mut file = json!({"settings": settings()});
     for (path, value) in changes {
@@ -173,7 +173,7 @@
 #[test]
 fn missing_values_and_other_types_are_reported_by_their_path() {
     expect![[r#"
-        categories []: `settings.categories` holds no class
+        categories []: `settings.categories` has no class
         categories/1 "load": `settings.categories[1].onTimeMs` is missing
         categories/1/keyScope null: `settings.categories[1].keyScope` is missing
         categories/1/windowMs null: `settings.categories[1].windowMs` is missing
@@ -207,15 +207,15 @@
 #[test]
 fn lists_of_different_lengths_and_incomplete_rules_are_reported_by_their_path() {
     expect![[r#"
-        domain/kindCores []: `settings.domain.kindCores` holds no kind
-        domain/sizeMb [16384.0]: `settings.domain.sizeMb` has 1 rows, not 2, one a kind
-        kinds ["std-8"]: `settings.kinds` has 1 rows, not 2, one a kind
-        domain/parallelism [1]: `settings.domain.parallelism` has 1 rows, not 2, one a class
-        domain/writesTables [true,false,true]: `settings.domain.writesTables` has 3 rows, not 2, one a class
-        domain/blockedByLoads []: `settings.domain.blockedByLoads` has 0 rows, not 2, one a class
+        domain/kindCores []: `settings.domain.kindCores` has no kind
+        domain/sizeMb [16384.0]: `settings.domain.sizeMb` has 1 elements instead of 2, one for each kind
+        kinds ["std-8"]: `settings.kinds` has 1 elements instead of 2, one for each kind
+        domain/parallelism [1]: `settings.domain.parallelism` has 1 elements instead of 2, one for each class
+        domain/writesTables [true,false,true]: `settings.domain.writesTables` has 3 elements instead of 2, one for each class
+        domain/blockedByLoads []: `settings.domain.blockedByLoads` has 0 elements instead of 2, one for each class
         domain/blockedByLoads/1 1: `settings.domain.blockedByLoads[1]` is not true or false
-        rules/countedOverMs null: `settings.rules.spareAttempts` stands without `countedOverMs`
-        rules {"extraPerRequest":0,"fallMs":1,"overloadFactor":2,"startCapacity":0,"warmUpMs":1}: `settings.rules.extraPerRequest` stands without `countedOverMs`
+        rules/countedOverMs null: `settings.rules.spareAttempts` requires `countedOverMs`, which is missing
+        rules {"extraPerRequest":0,"fallMs":1,"overloadFactor":2,"startCapacity":0,"warmUpMs":1}: `settings.rules.extraPerRequest` requires `countedOverMs`, which is missing
     "#]].assert_eq(&errors(&[
         ("domain/kindCores", json!([])),
         ("domain/sizeMb", json!([16384.0])),
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -121,7 +121,7 @@
         success: false
         emberflow-simulator-adapter: line 2: `params.categories[0].keyScope` is unknown: galaxy
         success: false
-        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` has 2 rows, not 1, one a kind
+        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` has 2 elements instead of 1, one for each kind
         success: false
         emberflow-simulator-adapter: line 2: `params.report.names[1]` is not text
         success: false
