--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -294,7 +294,7 @@
         }
         EngineMessage::Shed => engine_answer(&id, "SHED", "-", ""),
         EngineMessage::Fault => engine_answer(&id, "FAULT", "-", ""),
-        EngineMessage::ProgressNote => engine_answer(&id, "INFO", "detail=advance,v=0.5", ""),
+        EngineMessage::ProgressUpdate => engine_answer(&id, "INFO", "detail=advance,v=0.5", ""),
         EngineMessage::FirstHalf => {
             let (first, second) = result.split_at(result.len() / 2);
             end.unsent_rest = second.to_vec();
@@ -326,7 +326,7 @@
         EngineMessage::Result | EngineMessage::FirstHalf => attempt.pages = Some(1),
         EngineMessage::FirstOfTwoPages => attempt.pages = Some(2),
         EngineMessage::Shed | EngineMessage::Fault => attempt.pages = Some(0),
-        EngineMessage::ProgressNote => attempt.has_note = true,
+        EngineMessage::ProgressUpdate => attempt.has_note = true,
         _ => {}
     }
 }
--- a/crates/model-checker/src/connection_model/invariants.rs
+++ b/crates/model-checker/src/connection_model/invariants.rs
@@ -57,7 +57,7 @@
 
 fn denies_arrival(_: &ConnectionScenario, state: &ConnectionState, event: &Event) -> bool {
     let Event::AttemptEnds { attempt, outcome, .. } = event else { return false };
-    let never_ran = matches!(outcome, AttemptOutcome::Void | AttemptOutcome::Unreachable);
+    let never_ran = matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
     never_ran && state.attempts[*attempt].arrivals > 0
 }
 
--- a/crates/model-checker/src/connection_model/scenario.rs
+++ b/crates/model-checker/src/connection_model/scenario.rs
@@ -14,7 +14,7 @@
     /// The call has failed.
     Fault,
     /// A progress note.
-    ProgressNote,
+    ProgressUpdate,
     /// A complete result once more, whether the first had one page or two.
     RepeatedResult,
     /// A result under an id that no call has.
--- a/crates/model-checker/src/connection_model/scenarios.rs
+++ b/crates/model-checker/src/connection_model/scenarios.rs
@@ -9,7 +9,7 @@
     EngineMessage::SecondPage,
     EngineMessage::Shed,
     EngineMessage::Fault,
-    EngineMessage::ProgressNote,
+    EngineMessage::ProgressUpdate,
     EngineMessage::Pong,
 ];
 
--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -168,7 +168,7 @@
                 Event::AttemptEnds { attempt, outcome, body, cause }
             };
             events.push(ends(AttemptOutcome::Failed, None, Cause::Unspecified));
-            events.push(ends(AttemptOutcome::Void, None, Cause::Unspecified));
+            events.push(ends(AttemptOutcome::NotSent, None, Cause::Unspecified));
             events.push(Event::CallArrives { attempt });
             events.push(ends(AttemptOutcome::Succeeded, Some("wrong"), Cause::Unspecified));
             let received_calls = self.engine_ends.values().flat_map(|end| &end.received_calls);
--- a/crates/model-checker/src/connection_model/transition.rs
+++ b/crates/model-checker/src/connection_model/transition.rs
@@ -122,7 +122,7 @@
         messages.extend([EngineMessage::Result, EngineMessage::FirstOfTwoPages]);
         messages.extend([EngineMessage::Shed, EngineMessage::Fault]);
         messages.extend(may_fail.then_some(EngineMessage::FirstHalf));
-        messages.extend((!record.has_note).then_some(EngineMessage::ProgressNote));
+        messages.extend((!record.has_note).then_some(EngineMessage::ProgressUpdate));
     }
     if end.requested_pages.contains(&attempt) {
         messages.push(EngineMessage::SecondPage);
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -49,7 +49,7 @@
     let mut next = state.clone();
     let mut events = EventLog::default();
     if let Some(draw) = draw_of(transition) {
-        next.scheduler.draw_from(draw);
+        next.scheduler.set_random_draws(draw);
     }
     give_input(model, &mut next, transition, &mut events);
     record_exercised(model, &next, || hypothetical_events(model, &next));
@@ -86,7 +86,7 @@
         Transition::NoteProgress { request, note, .. } => {
             let attempt = state.requests[request].attempts.len() - 1;
             state.requests[request].attempts[attempt].notes += 1;
-            state.scheduler.progress_noted(now, RequestId::from_index(request), attempt, note, events);
+            state.scheduler.progress_updated(now, RequestId::from_index(request), attempt, note, events);
         }
         Transition::ChangeEndpoint { engine, change, .. } => {
             change_endpoint(model, state, engine, change, events);
@@ -193,7 +193,7 @@
 /// Records that a request's key must not be used by others for a while, where its attempt may still be executed.
 fn begin_key_cooldown(model: &ModuleModel, state: &mut ModuleState, request: usize, outcome: AttemptOutcome) {
     let may_still_run =
-        matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Withdrawn);
+        matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Cancelled);
     let cooldown = model.attempt_limits.key_cooldown.filter(|_| may_still_run);
     let (Some(key), Some(cooldown)) = (model.requests[request].key, cooldown) else { return };
     // A later attempt's cooldown does not end an earlier one's.
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -5,7 +5,7 @@
 use super::state::ModuleState;
 use super::transition::Transition;
 use crate::search::Step;
-use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressNote};
+use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressUpdate};
 use std::fmt::Write;
 
 /// A test that takes the same path, ready to be pasted among the traces.
@@ -47,7 +47,7 @@
         }
         Transition::PassTime => return None,
     };
-    Some(if draw > 0 { format!(".draw_from({draw}){call}") } else { call })
+    Some(if draw > 0 { format!(".random_draws({draw}){call}") } else { call })
 }
 
 fn arrival_call(model: &ModuleModel, state: &ModuleState) -> String {
@@ -67,9 +67,9 @@
     format!(".{method}({request}, {attempt}, {engine}, AttemptOutcome::{outcome:?})")
 }
 
-fn note_call(state: &ModuleState, request: usize, note: ProgressNote) -> String {
+fn note_call(state: &ModuleState, request: usize, note: ProgressUpdate) -> String {
     let attempt = state.requests[request].attempts.len() - 1;
-    format!(".progress_noted({request}, {attempt}, ProgressNote::{note:?})")
+    format!(".progress_updated({request}, {attempt}, ProgressUpdate::{note:?})")
 }
 
 fn endpoint_call(state: &ModuleState, engine: EngineId, change: EndpointChange) -> String {
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -241,7 +241,7 @@
     let is_recent = |at: Duration| at + budget.window > state.now;
     let retries = state.retries.iter().filter(|at| is_recent(**at)).count() as f64;
     let requests = state.requests.iter().filter(|request| is_recent(request.arrived)).count() as f64;
-    is_retry && retries + 1.0 > budget.spare + budget.per_request * requests
+    is_retry && retries + 1.0 > budget.min_retries + budget.per_request * requests
 }
 
 fn cancels_nothing(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -1,7 +1,7 @@
 //! The shape of a scenario of the module model.
 
 use crate::trace;
-use emberflow::{AttemptLimits, AttemptOutcome, Fleet, KeyId, LoadReport, ProgressNote, RequestClass};
+use emberflow::{AttemptLimits, AttemptOutcome, Fleet, KeyId, LoadReport, ProgressUpdate, RequestClass};
 use std::time::Duration;
 
 /// A change to the settings that the repository's traces start from, and its source text for counterexamples.
@@ -80,7 +80,7 @@
     /// The outcomes that an attempt may have by itself.
     pub outcomes: &'static [AttemptOutcome],
     /// The progress notes that an engine may send.
-    pub progress_notes: &'static [ProgressNote],
+    pub progress_notes: &'static [ProgressUpdate],
     /// How many progress notes each attempt may have.
     pub max_notes: u8,
     /// How often the endpoint list may change.
@@ -115,7 +115,7 @@
     AttemptOutcome::TimedOut,
     AttemptOutcome::Unreachable,
     AttemptOutcome::Broken,
-    AttemptOutcome::Void,
+    AttemptOutcome::NotSent,
 ];
 
 impl Scenario {
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -4,7 +4,7 @@
     EndpointChange, EngineSpec, RequestSpec, Scenario, Setup, engine, keyed_request, request,
 };
 use crate::setup;
-use emberflow::{AttemptOutcome, LoadReport, ProgressNote, RetryBudget};
+use emberflow::{AttemptOutcome, LoadReport, ProgressUpdate, RetryBudget};
 use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
@@ -24,12 +24,12 @@
     AttemptOutcome::TimedOut,
     AttemptOutcome::Broken,
 ];
-const ALL_NOTES: &[ProgressNote] = &[
-    ProgressNote::Running,
-    ProgressNote::Fraction(0.1),
-    ProgressNote::Spilling(200.0),
-    ProgressNote::WaitingForMemory,
-    ProgressNote::WaitingForLoad,
+const ALL_NOTES: &[ProgressUpdate] = &[
+    ProgressUpdate::Running,
+    ProgressUpdate::Fraction(0.1),
+    ProgressUpdate::Spilling(200.0),
+    ProgressUpdate::WaitingForMemory,
+    ProgressUpdate::WaitingForLoad,
 ];
 const THREE_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(0, 0)];
 /// Two engines in one cell, and one in another cell and location.
@@ -149,7 +149,7 @@
         engines: TWO_ENGINES,
         requests: &[request(0)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
-        progress_notes: &[ProgressNote::Running],
+        progress_notes: &[ProgressUpdate::Running],
         max_notes: 3,
         stops_around_objective: true,
         wake_up_delay: ms(8),
@@ -279,7 +279,7 @@
         description: "two idempotent requests, one engine, a retry budget that suffices for one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
             let window = std::time::Duration::from_millis(400);
-            attempt_limits.retry_budget = Some(RetryBudget { spare: 1.0, per_request: 0.0, window });
+            attempt_limits.retry_budget = Some(RetryBudget { min_retries: 1.0, per_request: 0.0, window });
         }),
         engines: &[engine(0, 0)],
         requests: &[request(0), request(0)],
@@ -292,12 +292,12 @@
         description: "the same at two engines, with progress notes that report a wait for load",
         setup: setup!(|fleet, classes, attempt_limits| {
             let window = std::time::Duration::from_millis(400);
-            attempt_limits.retry_budget = Some(RetryBudget { spare: 0.5, per_request: 0.5, window });
+            attempt_limits.retry_budget = Some(RetryBudget { min_retries: 0.5, per_request: 0.5, window });
         }),
         engines: TWO_ENGINES,
         requests: &[request(0), request(0)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        progress_notes: &[ProgressNote::WaitingForLoad],
+        progress_notes: &[ProgressUpdate::WaitingForLoad],
         max_notes: 1,
         interchangeable_engines: false,
         in_short_set: false,
@@ -355,7 +355,7 @@
         engines: TWO_ENGINES,
         requests: &[request(0)],
         outcomes: MAIN_OUTCOMES,
-        progress_notes: &[ProgressNote::Fraction(0.1), ProgressNote::WaitingForLoad],
+        progress_notes: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
         max_notes: 1,
         max_departures: 1,
         ..Scenario::BASE
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -28,7 +28,7 @@
     pub fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
-            Some(AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::Void)
+            Some(AttemptOutcome::Overloaded | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
         )
     }
 }
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -3,7 +3,7 @@
 use super::ModuleModel;
 use super::scenario::EndpointChange;
 use super::state::{AttemptRecord, EngineRecord, ModuleState, RequestRecord};
-use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressNote, RequestId};
+use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressUpdate, RequestId};
 use std::ops::Range;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     /// The attempt of a request that is in flight ends.
     EndAttempt { request: usize, outcome: AttemptOutcome, draw: u64 },
     /// An engine sends a progress note on the attempt in flight.
-    NoteProgress { request: usize, note: ProgressNote, draw: u64 },
+    NoteProgress { request: usize, note: ProgressUpdate, draw: u64 },
     /// The endpoint list reports a change of an engine.
     ChangeEndpoint { engine: EngineId, change: EndpointChange, draw: u64 },
     /// The endpoint list comes back empty.
@@ -78,11 +78,11 @@
     attempt: &AttemptRecord,
 ) -> &'static [AttemptOutcome] {
     if !request.is_open() {
-        return &[AttemptOutcome::Withdrawn, AttemptOutcome::Void];
+        return &[AttemptOutcome::Cancelled, AttemptOutcome::NotSent];
     }
     if attempt.is_cancelled {
         // An answer that was already on its way arrives nevertheless.
-        return &[AttemptOutcome::Withdrawn, AttemptOutcome::Void, AttemptOutcome::Succeeded];
+        return &[AttemptOutcome::Cancelled, AttemptOutcome::NotSent, AttemptOutcome::Succeeded];
     }
     if attempt.until <= state.now {
         return &[AttemptOutcome::TimedOut, AttemptOutcome::Unreachable];
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -102,7 +102,7 @@
     scheduler(
         "a broken attempt never ran",
         REQUEST_STATE,
-        "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void]",
+        "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::NotSent]",
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Broken]",
     ),
     scheduler(
@@ -120,14 +120,14 @@
     scheduler(
         "key cooldown after breaks forgotten",
         ORDERING,
-        "matches!(ended.outcome, TimedOut | Broken | Withdrawn)",
-        "matches!(ended.outcome, TimedOut | Withdrawn)",
+        "matches!(ended.outcome, TimedOut | Broken | Cancelled)",
+        "matches!(ended.outcome, TimedOut | Cancelled)",
     ),
     scheduler(
         "retry budget off by one",
         RETRIES,
-        "budget.spare + budget.per_request",
-        "1.0 + budget.spare + budget.per_request",
+        "budget.min_retries + budget.per_request",
+        "1.0 + budget.min_retries + budget.per_request",
     ),
     scheduler("retries not counted", RECORDING, "self.retried_at.push_back(now);", ""),
     scheduler(
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -46,9 +46,9 @@
     max_departures: 2,
     endpoint_changes: module_model::scenarios::SCENARIOS[0].endpoint_changes,
     progress_notes: &[
-        emberflow::ProgressNote::Running,
-        emberflow::ProgressNote::WaitingForLoad,
-        emberflow::ProgressNote::Fraction(0.1),
+        emberflow::ProgressUpdate::Running,
+        emberflow::ProgressUpdate::WaitingForLoad,
+        emberflow::ProgressUpdate::Fraction(0.1),
     ],
     max_notes: 2,
     shuts_down: true,
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -20,7 +20,7 @@
 use crate::slots::{Slot, Slots};
 use attempt::Attempt;
 use connection::Connection;
-use emberflow::{AttemptEnded, EngineId, ProgressNote, RequestId};
+use emberflow::{AttemptEnded, EngineId, ProgressUpdate, RequestId};
 use endpoints::Engine;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
         late_connection: Option<Slot>,
     },
     /// An engine reported the progress of an attempt, given by its number within its request.
-    Progress { request: RequestId, attempt: usize, note: ProgressNote },
+    Progress { request: RequestId, attempt: usize, note: ProgressUpdate },
 }
 
 /// What the owner of the sockets has to do for the pool, in order.
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -144,12 +144,12 @@
         let id = attempt.id.clone();
         let excluded = attempt.excluded_connections.clone();
         if attempt.resend_disabled || !self.engines.get(&engine).is_some_and(|known| known.ready) {
-            return self.end(slot, AttemptOutcome::Void, None, context);
+            return self.end(slot, AttemptOutcome::NotSent, None, context);
         }
         match self.select_connection(engine, &id, &excluded, context) {
             Some(connection) => self.enqueue_call(slot, connection, context),
             // The router's own limit says nothing of the engine.
-            None => self.end(slot, AttemptOutcome::Void, None, context),
+            None => self.end(slot, AttemptOutcome::NotSent, None, context),
         }
     }
 
@@ -160,7 +160,7 @@
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.resend_disabled = true;
         if attempt.call_offset.is_none() {
-            self.end(slot, AttemptOutcome::Void, None, context);
+            self.end(slot, AttemptOutcome::NotSent, None, context);
         }
     }
 
@@ -192,7 +192,7 @@
 
     /// Cancels an attempt whose request gets no further one.
     pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
-        self.abandon(attempt, AttemptOutcome::Withdrawn, AttemptOutcome::Void, context);
+        self.abandon(attempt, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, context);
     }
 
     /// Cancels an attempt whose request may be sent again. Where hedged requests are not allowed, two attempts must
@@ -297,7 +297,7 @@
             ended.load_report
         );
         let was_abandoned =
-            matches!(outcome, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut) && !was_cancelled;
+            matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut) && !was_cancelled;
         let late_connection = attempt.connection.filter(|_| was_abandoned);
         self.events.push_back(PoolEvent::Ended { ended, body, late_connection });
     }
@@ -324,7 +324,7 @@
         AttemptOutcome::TimedOut => "attempts_timed_out",
         AttemptOutcome::Unreachable => "attempts_unreachable",
         AttemptOutcome::Broken => "attempts_broken",
-        AttemptOutcome::Withdrawn => "attempts_withdrawn",
-        AttemptOutcome::Void => "attempts_void",
+        AttemptOutcome::Cancelled => "attempts_withdrawn",
+        AttemptOutcome::NotSent => "attempts_void",
     }
 }
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -249,7 +249,7 @@
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.connection = None;
         if attempt.is_cancelled() {
-            return self.end(slot, AttemptOutcome::Withdrawn, None, context);
+            return self.end(slot, AttemptOutcome::Cancelled, None, context);
         }
         if attempt.has_begun(written) {
             return self.end(slot, AttemptOutcome::Broken, None, context);
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -118,7 +118,7 @@
             let carried: Vec<Slot> = connection.attempts.values().copied().collect();
             unsent.extend(carried.into_iter().filter(|attempt| self.retract_unsent_call(*attempt)));
             for attempt in unsent {
-                self.end(attempt, AttemptOutcome::Void, None, context);
+                self.end(attempt, AttemptOutcome::NotSent, None, context);
             }
         }
     }
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -1,7 +1,7 @@
 //! The messages between the router and engines, as RESP arrays.
 
 use crate::resp::{self, RespError};
-use emberflow::{LoadReport, ProgressNote, Usage};
+use emberflow::{LoadReport, ProgressUpdate, Usage};
 use emberflow_settings::{build_load_report, from_ms};
 use std::str::Utf8Error;
 use thiserror::Error;
@@ -179,14 +179,14 @@
     }
 
     /// What a progress reply says.
-    pub fn progress(&self) -> Result<ProgressNote, EngineProtocolError> {
+    pub fn progress(&self) -> Result<ProgressUpdate, EngineProtocolError> {
         let value = self.number("v")?;
         match (self.text("detail"), value) {
-            (Some("advance"), Some(fraction)) => Ok(ProgressNote::Fraction(fraction)),
-            (Some("disk"), Some(missing_mb)) => Ok(ProgressNote::Spilling(missing_mb)),
-            (Some("stall"), Some(1.0)) => Ok(ProgressNote::WaitingForMemory),
-            (Some("stall"), Some(2.0)) => Ok(ProgressNote::WaitingForLoad),
-            (None, _) => Ok(ProgressNote::Running),
+            (Some("advance"), Some(fraction)) => Ok(ProgressUpdate::Fraction(fraction)),
+            (Some("disk"), Some(missing_mb)) => Ok(ProgressUpdate::Spilling(missing_mb)),
+            (Some("stall"), Some(1.0)) => Ok(ProgressUpdate::WaitingForMemory),
+            (Some("stall"), Some(2.0)) => Ok(ProgressUpdate::WaitingForLoad),
+            (None, _) => Ok(ProgressUpdate::Running),
             (detail, value) => {
                 let detail = detail.map(str::to_owned);
                 Err(EngineProtocolError::UnknownProgress { detail, value })
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -107,7 +107,7 @@
     /// other reply to it.
     fn cancel_acknowledged(&mut self, attempt: Slot, context: &mut Context) {
         if self.attempts.get(attempt).is_some_and(Attempt::is_cancelled) {
-            self.end(attempt, AttemptOutcome::Withdrawn, None, context);
+            self.end(attempt, AttemptOutcome::Cancelled, None, context);
         }
     }
 
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -86,7 +86,7 @@
     fn refuse_call(&mut self, slot: Slot, refusal: CallRefusal, context: &mut Context) {
         if let Some(attempt) = self.attempts.get(slot) {
             refusal.record(attempt.request, attempt.number, &mut context.counters);
-            self.end(slot, AttemptOutcome::Void, None, context);
+            self.end(slot, AttemptOutcome::NotSent, None, context);
         }
     }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -150,7 +150,7 @@
             let now = self.dispatcher.context.now();
             match event {
                 PoolEvent::Progress { request, attempt, note } => {
-                    self.scheduler.progress_noted(now, request, attempt, note, &mut self.dispatcher);
+                    self.scheduler.progress_updated(now, request, attempt, note, &mut self.dispatcher);
                 }
                 PoolEvent::Ended { ended, body, late_connection } => {
                     if let Some(connection) = late_connection
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -32,9 +32,9 @@
         (Some(_), None) => Err(rules.field(name)?.error(Problem::Incomplete { required: RETRY_WINDOW })),
         (amount, _) => Ok(amount.unwrap_or(0.0)),
     };
-    let spare = amount("spareAttempts")?;
+    let min_retries = amount("spareAttempts")?;
     let per_request = amount("extraPerRequest")?;
-    Ok(window.map(|window| RetryBudget { spare, per_request, window }))
+    Ok(window.map(|window| RetryBudget { min_retries, per_request, window }))
 }
 
 /// Whether clients mark their retries.
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -17,8 +17,8 @@
         kind_count,
         zone_count,
         threads: for_each_class(domain, "parallelism", class_count)?,
-        holds_group: for_each_class(domain, "writesTables", class_count)?,
-        waits_for_loads: for_each_class(domain, "blockedByLoads", class_count)?,
+        is_bulk_load: for_each_class(domain, "writesTables", class_count)?,
+        waits_for_bulk_loads: for_each_class(domain, "blockedByLoads", class_count)?,
     };
     rows.enumerate().map(|(index, row)| context.request_class(index, row)).collect()
 }
@@ -28,8 +28,8 @@
     kind_count: usize,
     zone_count: Option<usize>,
     threads: Vec<Option<Fields<'a>>>,
-    holds_group: Vec<Option<Fields<'a>>>,
-    waits_for_loads: Vec<Option<Fields<'a>>>,
+    is_bulk_load: Vec<Option<Fields<'a>>>,
+    waits_for_bulk_loads: Vec<Option<Fields<'a>>>,
 }
 
 impl Context<'_> {
@@ -45,8 +45,8 @@
             kinds: row.optional("allowedOn", |row, name| row.indices(name, Some(self.kind_count)))?,
             locations: row.optional("zonesOpen", |row, name| row.indices(name, self.zone_count))?,
             threads: self.threads[index].map_or(Ok(1.0), Fields::as_positive)?,
-            holds_group: self.holds_group[index].map_or(Ok(false), Fields::as_flag)?,
-            waits_for_loads: self.waits_for_loads[index].map_or(Ok(false), Fields::as_flag)?,
+            is_bulk_load: self.is_bulk_load[index].map_or(Ok(false), Fields::as_flag)?,
+            waits_for_bulk_loads: self.waits_for_bulk_loads[index].map_or(Ok(false), Fields::as_flag)?,
         })
     }
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -3,7 +3,7 @@
 //! Requests, engines and keys still have the simulator's names; the instance maps them to numbers.
 
 use crate::error::AdapterError;
-use emberflow::{AttemptOutcome, EndpointUpdate, Lifecycle, ProgressNote, Usage};
+use emberflow::{AttemptOutcome, EndpointUpdate, Lifecycle, ProgressUpdate, Usage};
 use emberflow_settings::{Fields, SettingsError, from_ms};
 use serde_json::Value;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     /// An attempt has ended.
     AttemptEnded(AttemptEnd<'a>),
     /// An engine reports an attempt's progress.
-    Progress { request: &'a str, attempt: usize, note: ProgressNote },
+    Progress { request: &'a str, attempt: usize, note: ProgressUpdate },
     /// The client of a request has left.
     ClientLeft { request: &'a str },
     /// A wait that the scheduler asked for is over.
@@ -97,10 +97,10 @@
         let attempt = line.index("hop")?;
         let value = line.number("value")?;
         let note = match (line.unsigned("sort")?, value) {
-            (1, fraction) => ProgressNote::Fraction(fraction),
-            (2, missing_mb) => ProgressNote::Spilling(missing_mb),
-            (3, 1.0) => ProgressNote::WaitingForMemory,
-            (3, 2.0) => ProgressNote::WaitingForLoad,
+            (1, fraction) => ProgressUpdate::Fraction(fraction),
+            (2, missing_mb) => ProgressUpdate::Spilling(missing_mb),
+            (3, 1.0) => ProgressUpdate::WaitingForMemory,
+            (3, 2.0) => ProgressUpdate::WaitingForLoad,
             (sort, value) => return Err(AdapterError::UnknownProgressNote { sort, value }),
         };
         Ok(Self::Progress { request, attempt, note })
@@ -180,8 +180,8 @@
         "timed_out" => AttemptOutcome::TimedOut,
         "unreachable" => AttemptOutcome::Unreachable,
         "broken" => AttemptOutcome::Broken,
-        "withdrawn" => AttemptOutcome::Withdrawn,
-        "void" => AttemptOutcome::Void,
+        "withdrawn" => AttemptOutcome::Cancelled,
+        "void" => AttemptOutcome::NotSent,
         other => return Err(AdapterError::UnknownResult(other.to_owned())),
     })
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -65,7 +65,7 @@
             Event::Progress { request, attempt, note } => {
                 let Some(request) = self.known_request(request) else { return Ok(()) };
                 let (scheduler, mut actions) = self.split(now, reply);
-                scheduler.progress_noted(now, request, attempt, note, &mut actions);
+                scheduler.progress_updated(now, request, attempt, note, &mut actions);
             }
             Event::ClientLeft { request } => {
                 let Some(request) = self.known_request(request) else { return Ok(()) };
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -46,7 +46,7 @@
     }
 
     /// Sets where chance goes on from: with it left open, a caller sets each draw.
-    pub fn draw_from(&mut self, draws: u64) {
+    pub fn set_random_draws(&mut self, draws: u64) {
         self.state.draws = draws;
     }
 
@@ -157,7 +157,7 @@
         }
         self.hash_health(engine, now, into);
         engine.recent_groups.hash(into);
-        engine.loads_noted.iter().for_each(|(group, at)| (group, since(now, *at)).hash(into));
+        engine.bulk_loads_seen.iter().for_each(|(group, at)| (group, since(now, *at)).hash(into));
         (with.engine_state)(id).hash(into);
         digest.finish()
     }
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -41,12 +41,12 @@
     }
 
     /// An engine has told of an attempt that it has not answered yet.
-    pub fn progress_noted(
+    pub fn progress_updated(
         &mut self,
         now: Duration,
         request: RequestId,
         attempt: usize,
-        note: ProgressNote,
+        note: ProgressUpdate,
         actions: &mut impl Actions,
     ) {
         let is_short = self.state.shows_shortage(request, note);
--- a/src/input.rs
+++ b/src/input.rs
@@ -19,7 +19,7 @@
     pub honors_priorities: bool,
     /// Whether an attempt gets what is left where memory is short.
     pub shrinks_grants: bool,
-    /// How often an engine sends a [`ProgressNote`] of each attempt; `None` where it sends none.
+    /// How often an engine sends a [`ProgressUpdate`] of each attempt; `None` where it sends none.
     pub progress_interval: Option<Duration>,
     /// Whether engines tell their load only when they are probed.
     pub reports_only_on_probe: bool,
@@ -60,9 +60,9 @@
     /// Cores that a request keeps busy while it runs.
     pub threads: f64,
     /// Whether its requests are loads, which keep readers of their group waiting on that engine.
-    pub holds_group: bool,
+    pub is_bulk_load: bool,
     /// Whether its requests wait for a load of their group on the same engine.
-    pub waits_for_loads: bool,
+    pub waits_for_bulk_loads: bool,
 }
 
 /// What running a request twice does.
@@ -118,7 +118,7 @@
 /// Bound on the attempts beyond each request's first, over a sliding window.
 pub struct RetryBudget {
     /// Retries that are allowed however few requests arrive.
-    pub spare: f64,
+    pub min_retries: f64,
     /// Retries allowed for each request that arrived in the window.
     pub per_request: f64,
     /// Length of the window.
@@ -214,9 +214,9 @@
     /// The connection broke before the answer: it may still run.
     Broken,
     /// It was cancelled: it may still run.
-    Withdrawn,
+    Cancelled,
     /// It was taken back before it was delivered: it never ran.
-    Void,
+    NotSent,
 }
 
 /// The end of an attempt.
@@ -266,7 +266,7 @@
 
 /// What an engine tells of an attempt that it has not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ProgressNote {
+pub enum ProgressUpdate {
     /// It goes on; nothing more is told.
     Running,
     /// This part of it is done.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,6 +26,6 @@
 pub use ids::{EngineId, KeyId, RequestId};
 pub use input::{
     Arrival, AttemptEnded, AttemptLimits, AttemptOutcome, Effect, Endpoint, EndpointUpdate, EngineKind,
-    Fleet, KeyScope, Lifecycle, LoadReport, ProgressNote, RequestClass, RetryBudget, Usage,
+    Fleet, KeyScope, Lifecycle, LoadReport, ProgressUpdate, RequestClass, RetryBudget, Usage,
 };
 pub use scheduler::Scheduler;
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -86,7 +86,7 @@
         let highest = self.weights_per_second().fold(0.0, f64::max);
         match &self.classes[class] {
             _ if !self.fleet.honors_priorities => 1,
-            RequestClass { holds_group: true, .. } => 3,
+            RequestClass { is_bulk_load: true, .. } => 3,
             _ if self.weight_per_second(class) >= highest / 2.0 => 2,
             _ => 1,
         }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -22,10 +22,10 @@
     }
 
     /// Whether a progress note shows that its engine is short of memory.
-    pub fn shows_shortage(&self, request: RequestId, note: ProgressNote) -> bool {
+    pub fn shows_shortage(&self, request: RequestId, note: ProgressUpdate) -> bool {
         let estimated = self.requests.get(&request).is_some_and(|r| r.estimated_memory_mb.is_some());
         let is_cut = self.fleet.shrinks_grants && estimated;
-        is_cut && matches!(note, ProgressNote::Spilling(_)) || note == ProgressNote::WaitingForMemory
+        is_cut && matches!(note, ProgressUpdate::Spilling(_)) || note == ProgressUpdate::WaitingForMemory
     }
 
     /// This router's part of the fleet: that of the memory that engines report granted, else an equal one.
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -18,8 +18,8 @@
 
     /// Keeps a key's other requests back after an attempt that may still run.
     pub fn cool_down_key(&mut self, now: Duration, ended: &AttemptEnded) {
-        use AttemptOutcome::{Broken, TimedOut, Withdrawn};
-        if matches!(ended.outcome, TimedOut | Broken | Withdrawn) {
+        use AttemptOutcome::{Broken, Cancelled, TimedOut};
+        if matches!(ended.outcome, TimedOut | Broken | Cancelled) {
             self.record_cooldown(now, ended.request);
         }
     }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -32,7 +32,9 @@
 
     /// Takes in what an attempt's outcome tells of its engine.
     pub fn judge_engine(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run: f64) {
-        use AttemptOutcome::{Broken, Failed, Overloaded, Succeeded, TimedOut, Unreachable, Void, Withdrawn};
+        use AttemptOutcome::{
+            Broken, Cancelled, Failed, NotSent, Overloaded, Succeeded, TimedOut, Unreachable,
+        };
         let tick = self.fleet.tick;
         let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
         if matches!(ended.outcome, Succeeded | Failed | Overloaded) {
@@ -59,7 +61,7 @@
             }
             // Any other break counts once: a cut may mean nothing.
             Broken if !just_failed => engine.failures.push(now, 1.0),
-            Broken | Unreachable | Withdrawn | Void => {}
+            Broken | Unreachable | Cancelled | NotSent => {}
         }
     }
 
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -128,9 +128,9 @@
     fn would_wait_for_load(&self, id: EngineId, request: &Request, now: Duration) -> bool {
         let engine = &self.engines[&id];
         let from = now.saturating_sub(self.shortest_objective() * 2);
-        let noted = request.group.and_then(|group| engine.loads_noted.get(&group));
-        let mut loads = self.in_flight_at(engine).filter(|other| self.classes[other.class].holds_group);
-        self.classes[request.class].waits_for_loads
+        let noted = request.group.and_then(|group| engine.bulk_loads_seen.get(&group));
+        let mut loads = self.in_flight_at(engine).filter(|other| self.classes[other.class].is_bulk_load);
+        self.classes[request.class].waits_for_bulk_loads
             && (noted.is_some_and(|at| *at >= from) || loads.any(|load| load.group == request.group))
     }
 
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -31,7 +31,7 @@
         let Some(budget) = &self.attempt_limits.retry_budget else { return f64::INFINITY };
         let accepted = self.accepted_at.iter().filter(|at| **at + budget.window > now).count() as f64;
         let retried = self.retried_at.iter().filter(|at| **at + budget.window >= now).count() as f64;
-        budget.spare + budget.per_request * accepted - retried
+        budget.min_retries + budget.per_request * accepted - retried
     }
 
     /// Guards against attempts that take many times their expected run without cause: only a request's first
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -65,7 +65,7 @@
     /// Groups that were read there, newest first.
     pub recent_groups: VecDeque<u64>,
     /// Groups that a load held there, and when an attempt last told of it.
-    pub loads_noted: BTreeMap<u64, Duration>,
+    pub bulk_loads_seen: BTreeMap<u64, Duration>,
 }
 
 impl Engine {
@@ -88,7 +88,7 @@
             short_at: None,
             report: None,
             recent_groups: VecDeque::new(),
-            loads_noted: BTreeMap::new(),
+            bulk_loads_seen: BTreeMap::new(),
         }
     }
 
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -6,7 +6,8 @@
 };
 use crate::samples::{duration, mean, seconds};
 use crate::{
-    Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, Lifecycle, LoadReport, ProgressNote, RequestId,
+    Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, Lifecycle, LoadReport, ProgressUpdate,
+    RequestId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -139,7 +140,7 @@
         now: Duration,
         id: RequestId,
         attempt: usize,
-        note: ProgressNote,
+        note: ProgressUpdate,
         is_short: bool,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -148,14 +149,14 @@
         engine.last_sign_at = now;
         attempt.last_sign_at = now;
         match note {
-            ProgressNote::Fraction(done) if done > 0.0 => attempt.expect_finish(now, done),
-            ProgressNote::Spilling(missing_mb) => attempt.spilled_mb = attempt.spilled_mb.max(missing_mb),
-            ProgressNote::WaitingForMemory => attempt.is_stalled = true,
-            ProgressNote::WaitingForLoad => {
+            ProgressUpdate::Fraction(done) if done > 0.0 => attempt.expect_finish(now, done),
+            ProgressUpdate::Spilling(missing_mb) => attempt.spilled_mb = attempt.spilled_mb.max(missing_mb),
+            ProgressUpdate::WaitingForMemory => attempt.is_stalled = true,
+            ProgressUpdate::WaitingForLoad => {
                 attempt.is_stalled = true;
-                engine.loads_noted.extend(request.group.map(|group| (group, now)));
+                engine.bulk_loads_seen.extend(request.group.map(|group| (group, now)));
             }
-            ProgressNote::Running | ProgressNote::Fraction(_) => {}
+            ProgressUpdate::Running | ProgressUpdate::Fraction(_) => {}
         }
         if is_short {
             engine.short_at = Some(now);
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -127,7 +127,7 @@
 
     /// Whether the engine may have run it; so far as is known, one in flight may.
     pub fn may_have_run(&self) -> bool {
-        let never_ran = [AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void];
+        let never_ran = [AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::NotSent];
         self.outcome.is_none_or(|outcome| !never_ran.contains(&outcome))
     }
 
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -35,8 +35,8 @@
         kinds: None,
         locations: None,
         threads: 1.0,
-        holds_group: false,
-        waits_for_loads: false,
+        is_bulk_load: false,
+        waits_for_bulk_loads: false,
     };
     let limits = AttemptLimits {
         max_attempts: 3,
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -282,7 +282,7 @@
                     AttemptOutcome::TimedOut,
                     AttemptOutcome::Unreachable,
                     AttemptOutcome::Broken,
-                    AttemptOutcome::Void,
+                    AttemptOutcome::NotSent,
                 ];
                 (run.mul_f64(random.part()).min(left), random.one_of(&ends))
             }
@@ -299,10 +299,10 @@
 
     fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
         let ends = [
-            AttemptOutcome::Withdrawn,
-            AttemptOutcome::Withdrawn,
-            AttemptOutcome::Withdrawn,
-            AttemptOutcome::Void,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::NotSent,
             AttemptOutcome::Broken,
         ];
         let (wait, end) = (self.random.time(0, 10), self.random.one_of(&ends));
@@ -370,17 +370,17 @@
         }
         let done = since.as_nanos() as f64 / run.as_nanos() as f64;
         let notice = match random.below(12) {
-            0 | 1 => ProgressNote::Running,
-            2 => ProgressNote::Spilling(random.between(10.0, 900.0)),
+            0 | 1 => ProgressUpdate::Running,
+            2 => ProgressUpdate::Spilling(random.between(10.0, 900.0)),
             3 => random.one_of(&[
-                ProgressNote::WaitingForMemory,
-                ProgressNote::WaitingForLoad,
-                ProgressNote::Running,
+                ProgressUpdate::WaitingForMemory,
+                ProgressUpdate::WaitingForLoad,
+                ProgressUpdate::Running,
             ]),
-            4 => ProgressNote::Fraction(0.0),
-            _ => ProgressNote::Fraction(done.min(1.0)),
+            4 => ProgressUpdate::Fraction(0.0),
+            _ => ProgressUpdate::Fraction(done.min(1.0)),
         };
-        self.scheduler.progress_noted(self.now, request, attempt, notice, &mut self.log);
+        self.scheduler.progress_updated(self.now, request, attempt, notice, &mut self.log);
         if let Some(every) = self.environment.progress_interval
             && self.random.percent(93)
         {
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -59,8 +59,8 @@
         kinds: random.maybe(15, |random| vec![random.below(kinds)]),
         locations: random.maybe(15, |random| vec![random.below(2), 2]),
         threads: random.one_of(&[0.5, 1.0, 1.0, 2.0, 4.0]),
-        holds_group: random.percent(20),
-        waits_for_loads: random.percent(30),
+        is_bulk_load: random.percent(20),
+        waits_for_bulk_loads: random.percent(30),
     }
 }
 
@@ -95,7 +95,7 @@
         overload_window: random.time(50, 500),
         key_cooldown: random.maybe(50, |random| random.time(20, 300)),
         retry_budget: random.maybe(50, |random| RetryBudget {
-            spare: random.one_of(&[0.0, 1.0, 4.0]),
+            min_retries: random.one_of(&[0.0, 1.0, 4.0]),
             per_request: random.one_of(&[0.0, 0.1, 0.5]),
             window: random.time(200, 2000),
         }),
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -78,12 +78,12 @@
         kinds: None,
         locations: None,
         threads,
-        holds_group: false,
-        waits_for_loads: false,
+        is_bulk_load: false,
+        waits_for_bulk_loads: false,
     };
     let short = class(Effect::Idempotent, 1.0, 1000, 1.0);
     let long = class(Effect::Idempotent, 6.0, 2000, 3.0);
-    let load = RequestClass { holds_group: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
+    let load = RequestClass { is_bulk_load: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
     vec![short, long, load]
 }
 
@@ -236,8 +236,8 @@
     }
 
     /// Sets where chance goes on from.
-    pub fn draw_from(&mut self, draws: u64) -> &mut Self {
-        self.scheduler.draw_from(draws);
+    pub fn random_draws(&mut self, draws: u64) -> &mut Self {
+        self.scheduler.set_random_draws(draws);
         self
     }
 
@@ -393,8 +393,8 @@
     }
 
     /// An engine tells of an attempt that goes on.
-    pub fn progress_noted(&mut self, request: u32, attempt: usize, note: ProgressNote) -> &mut Self {
-        self.scheduler.progress_noted(self.now(), RequestId(request), attempt, note, &mut self.log);
+    pub fn progress_updated(&mut self, request: u32, attempt: usize, note: ProgressUpdate) -> &mut Self {
+        self.scheduler.progress_updated(self.now(), RequestId(request), attempt, note, &mut self.log);
         self
     }
 
--- a/tests/traces/deadlines.rs
+++ b/tests/traces/deadlines.rs
@@ -9,7 +9,7 @@
 fn without_engines_or_estimates_a_request_is_answered_before_its_deadline() {
     let mut trace = Trace::with_engines(0);
     trace.accept(SHORT, 0, 0.0).accept(LOAD, 1, 1e12).at(7000).wake_until(8000).ended(0, 0, 0, TimedOut);
-    trace.progress_noted(7, 3, ProgressNote::Fraction(0.0)).withdrawn(9);
+    trace.progress_updated(7, 3, ProgressUpdate::Fraction(0.0)).withdrawn(9);
     expect![[r#"
         7040  reject request 0, retry after 400
         7040  reject request 1, retry after 400
@@ -40,14 +40,14 @@
     let mut trace = Trace::with_engines(2);
     let full = LoadReport { waiting: Some(2.0), ..LoadReport::default() };
     trace.accept_many(2, SHORT, 100, 300.0).at(1190);
-    trace.progress_noted(0, 0, ProgressNote::WaitingForMemory).at(1200).reported(
+    trace.progress_updated(0, 0, ProgressUpdate::WaitingForMemory).at(1200).reported(
         1,
         0,
         1,
         Succeeded,
         Some(full),
     );
-    trace.at(1210).ended(0, 0, 0, Withdrawn);
+    trace.at(1210).ended(0, 0, 0, Cancelled);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 7980
--- a/tests/traces/estimates.rs
+++ b/tests/traces/estimates.rs
@@ -9,7 +9,7 @@
 #[test]
 fn spills_raise_the_grant_where_usage_is_not_billed() {
     let mut trace = Trace::with_engines(1);
-    trace.accept(LONG, 300, 400.0).at(90).progress_noted(0, 0, ProgressNote::Spilling(300.0));
+    trace.accept(LONG, 300, 400.0).at(90).progress_updated(0, 0, ProgressUpdate::Spilling(300.0));
     trace.at(100).ended(0, 0, 0, Succeeded).accept(LONG, 300, 400.0);
     expect![[r#"
         0     request 0 gets 500 MB, priority 1
--- a/tests/traces/outliers.rs
+++ b/tests/traces/outliers.rs
@@ -31,7 +31,7 @@
     let mut trace = Trace::new(2, |fleet, _, _| fleet.progress_interval = None);
     trace.accept(SHORT, 100, 300.0).accept(LOAD, 3000, 300.0).accept(SHORT, 100, 300.0);
     trace.at(100).ended(2, 0, 0, Succeeded).wake_until(1700).ended(1, 0, 1, Succeeded);
-    trace.ended(0, 0, 0, Withdrawn).accept(SHORT, 100, 300.0);
+    trace.ended(0, 0, 0, Cancelled).accept(SHORT, 100, 300.0);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 7980
@@ -149,8 +149,8 @@
     let mut trace = Trace::with_engines(2);
     trace.accept_many(3, SHORT, 2000, 300.0);
     for step in 1..6 {
-        let done = ProgressNote::Fraction(0.1 * step as f64);
-        trace.at(step * 450).progress_noted(1, 0, done).progress_noted(2, 0, done);
+        let done = ProgressUpdate::Fraction(0.1 * step as f64);
+        trace.at(step * 450).progress_updated(1, 0, done).progress_updated(2, 0, done);
     }
     trace.wake_until(2300);
     expect![[r#"
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -87,7 +87,7 @@
 fn a_shortage_since_the_last_report_keeps_medium_requests_away() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.shrinks_grants = true);
     let free = memory_only(0.2);
-    trace.accept_many(2, LONG, 900, 900.0).at(100).progress_noted(0, 0, ProgressNote::Spilling(100.0));
+    trace.accept_many(2, LONG, 900, 900.0).at(100).progress_updated(0, 0, ProgressUpdate::Spilling(100.0));
     trace.accept(LONG, 900, 6000.0).at(600).ended(2, 0, 1, Succeeded).accept(LONG, 900, 6000.0);
     trace.at(700).reported(0, 0, 0, Succeeded, Some(free)).accept(LONG, 900, 6000.0);
     expect![[r#"
@@ -103,8 +103,8 @@
 
 #[test]
 fn a_request_that_waits_for_loads_avoids_an_engine_where_one_of_its_group_waited() {
-    let mut trace = Trace::new(2, |_, classes, _| classes[SHORT].waits_for_loads = true);
-    trace.accept_in_group(SHORT, 7).progress_noted(0, 0, ProgressNote::WaitingForLoad).at(10);
+    let mut trace = Trace::new(2, |_, classes, _| classes[SHORT].waits_for_bulk_loads = true);
+    trace.accept_in_group(SHORT, 7).progress_updated(0, 0, ProgressUpdate::WaitingForLoad).at(10);
     for _ in 0..3 {
         trace.accept_in_group(SHORT, 7);
     }
@@ -133,7 +133,7 @@
     trace
         .accept(SHORT, 0, 0.0)
         .at(20)
-        .progress_noted(0, 0, ProgressNote::Spilling(100.0))
+        .progress_updated(0, 0, ProgressUpdate::Spilling(100.0))
         .at(30)
         .accept(SHORT, 0, 0.0);
     expect![[r#"
--- a/tests/traces/retries.rs
+++ b/tests/traces/retries.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn retries_stay_within_the_budget() {
-    let budget = RetryBudget { spare: 1.0, per_request: 0.1, window: ms(5000) };
+    let budget = RetryBudget { min_retries: 1.0, per_request: 0.1, window: ms(5000) };
     let mut trace = Trace::new(4, |_, _, attempt_limits| attempt_limits.retry_budget = Some(budget));
     trace.accept_many(2, SHORT, 100, 300.0).decisions();
     trace.at(50).ended(0, 0, 0, Overloaded).ended(1, 0, 1, Overloaded).wake_until(600);
@@ -81,8 +81,8 @@
 #[test]
 fn a_slow_attempt_is_cancelled_once() {
     let mut trace = Trace::with_engines(2);
-    trace.accept(LONG, 900, 300.0).at(500).progress_noted(0, 0, ProgressNote::Fraction(0.05)).at(510);
-    trace.ended(0, 0, 0, Withdrawn).at(1010).progress_noted(0, 1, ProgressNote::Fraction(0.05));
+    trace.accept(LONG, 900, 300.0).at(500).progress_updated(0, 0, ProgressUpdate::Fraction(0.05)).at(510);
+    trace.ended(0, 0, 0, Cancelled).at(1010).progress_updated(0, 1, ProgressUpdate::Fraction(0.05));
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 15980
@@ -96,8 +96,8 @@
 #[test]
 fn an_attempt_that_waits_for_a_load_is_migrated() {
     let mut trace = Trace::with_engines(2);
-    trace.accept(SHORT, 900, 300.0).at(500).progress_noted(0, 0, ProgressNote::WaitingForLoad).at(505);
-    trace.ended(0, 0, 0, Withdrawn);
+    trace.accept(SHORT, 900, 300.0).at(500).progress_updated(0, 0, ProgressUpdate::WaitingForLoad).at(505);
+    trace.ended(0, 0, 0, Cancelled);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 7980
