--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -40,8 +40,8 @@
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
 /// The folder of the engine pool.
 const ENGINE_POOL: &str = "crates/router/src/engine_pool/";
-const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt.rs";
-const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection.rs";
+const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt_lifecycle.rs";
+const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection_lifecycle.rs";
 const POOL_ENDPOINTS: &str = "crates/router/src/engine_pool/endpoints.rs";
 const POOL_REPLIES: &str = "crates/router/src/engine_pool/replies.rs";
 const POOL_RESULT_PAGES: &str = "crates/router/src/engine_pool/result_pages.rs";
@@ -214,7 +214,7 @@
     Mutant {
         name: "a second attempt where an answer is owed",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(slot) && ",
+        from: "let is_separate = !excluded.contains(&slot) && ",
         to: "let is_separate = ",
     },
     Mutant {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -142,7 +142,7 @@
             config.engine_idle_close,
             config.max_engine_connections(),
         );
-        engines.may_duplicate = config.allows_concurrent_attempts;
+        engines.allows_concurrent_attempts = config.allows_concurrent_attempts;
         Self {
             config,
             context,
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -4,7 +4,9 @@
 //! bytes to write, [`PoolCommand`]s and [`PoolEvent`]s come out. It neither chooses an engine nor answers a client.
 
 mod attempt;
+mod attempt_lifecycle;
 mod connection;
+mod connection_lifecycle;
 mod endpoints;
 mod fingerprint;
 mod health_check;
@@ -26,31 +28,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What happened to an attempt, to be passed on to the scheduler.
+/// An event of an attempt, to be passed on to the scheduler.
 #[derive(Clone)]
 pub enum PoolEvent {
     /// An attempt has ended.
     Ended {
         ended: AttemptEnded,
-        /// The result, if it succeeded.
+        /// The result, if the attempt succeeded.
         body: Option<Vec<u8>>,
-        /// The connection on which its engine may still answer it.
+        /// The connection on which the engine may still reply to the attempt.
         late_connection: Option<Slot>,
     },
-    /// An engine reported the progress of an attempt, given by its number within its request.
-    Progress { request: RequestId, attempt: usize, note: ProgressNote },
+    /// An engine reported the progress of an attempt.
+    Progress {
+        request: RequestId,
+        /// The attempt's number within its request.
+        attempt: usize,
+        progress: ProgressNote,
+    },
 }
 
-/// What the owner of the sockets has to do for the pool, in order.
+/// An operation on sockets that the pool requests from their owner. Operations are carried out in order.
 #[derive(Clone)]
 pub enum PoolCommand {
-    /// Dials an address and reports the outcome for this connection.
+    /// Dial an address, and report the outcome for this connection.
     Dial(Slot, SocketAddr),
-    /// Closes the socket of a connection.
+    /// Close the socket of a connection.
     Close(Slot),
 }
 
-/// How many engines, connections and attempts a pool holds.
+/// The number of engines, connections and attempts in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
     pub engines: usize,
@@ -62,24 +69,24 @@
 #[derive(Clone)]
 pub struct EnginePool {
     engines: BTreeMap<EngineId, Engine>,
-    /// Engines by the id in their endpoint record.
+    /// The scheduler's ids of the engines, by their ids in the endpoint list.
     engine_ids: BTreeMap<u32, EngineId>,
     next_engine: EngineId,
     connections: Slots<Connection>,
     attempts: Slots<Attempt>,
-    /// What the scheduler is to be notified of next.
+    /// Events to be passed on to the scheduler, in order.
     pub events: VecDeque<PoolEvent>,
-    /// What the owner of the sockets is to do next.
+    /// Operations to be carried out by the owner of the sockets, in order.
     pub commands: VecDeque<PoolCommand>,
     /// Connections whose output has grown since it was last written.
     pub pending_writes: Vec<Slot>,
     attempts_per_connection: usize,
     connect_timeout: Duration,
-    /// How long an engine keeps an idle connection open.
+    /// Time for which an engine keeps an idle connection open.
     idle_close: Duration,
     max_connections: usize,
-    /// Whether a request may be sent again while its engine may still run a cancelled attempt of it.
-    pub may_duplicate: bool,
+    /// Whether a request may be sent again while its engine may still run a cancelled attempt of the request.
+    pub allows_concurrent_attempts: bool,
 }
 
 impl EnginePool {
@@ -104,11 +111,11 @@
             connect_timeout,
             idle_close,
             max_connections,
-            may_duplicate: true,
+            allows_concurrent_attempts: true,
         }
     }
 
-    /// How much the pool holds.
+    /// Returns the number of engines, connections and attempts.
     pub fn size(&self) -> PoolSize {
         PoolSize {
             engines: self.engines.len(),
@@ -117,17 +124,17 @@
         }
     }
 
-    /// The connection that carries an attempt.
+    /// Returns the connection that carries an attempt.
     pub fn connection_of(&self, attempt: Slot) -> Option<Slot> {
         self.attempts.get(attempt)?.connection
     }
 
-    /// The index of an attempt among those in flight, for fingerprints.
+    /// Returns the index of an attempt among the attempts in flight, for fingerprints.
     pub fn attempt_index(&self, attempt: Slot) -> Option<usize> {
         self.attempts.index_of(attempt)
     }
 
-    /// The index of a connection among those held, for fingerprints.
+    /// Returns the index of a connection among the open connections, for fingerprints.
     pub fn connection_index(&self, connection: Slot) -> Option<usize> {
         self.connections.index_of(connection)
     }
--- /dev/null
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -0,0 +1,235 @@
+//! Sends, cancels and ends attempts.
+
+use super::attempt::{Attempt, Call};
+use super::connection::IDLE_TIMEOUT_FRACTION;
+use super::messages::EngineCommand;
+use super::{EnginePool, PoolEvent};
+use crate::context::Context;
+use crate::slots::Slot;
+use crate::timers::Timer;
+use emberflow::{AttemptEnded, AttemptOutcome, EngineId, LoadReport};
+
+impl EnginePool {
+    /// Sends an attempt. `excluded_connections` may still deliver a reply to an earlier attempt of the request; they
+    /// are not used, because replies name only the request.
+    pub fn send(
+        &mut self,
+        engine: EngineId,
+        call: Call<'_>,
+        excluded_connections: &[Slot],
+        context: &mut Context,
+    ) -> Slot {
+        let attempt = self.attempts.insert(Attempt::new(&call, engine, excluded_connections, context.now()));
+        context.timers.set(call.deadline, Timer::Attempt(attempt));
+        context.counters.count("attempts_sent");
+        self.assign_connection(attempt, context);
+        attempt
+    }
+
+    /// Queues an attempt's call on a connection to its engine. Ends the attempt if the engine takes no calls or no
+    /// connection is available.
+    pub(super) fn assign_connection(&mut self, slot: Slot, context: &mut Context) {
+        let Some(attempt) = self.attempts.get_mut(slot) else { return };
+        attempt.call_offset = None;
+        let engine = attempt.engine;
+        let id = attempt.id.clone();
+        let excluded = attempt.excluded_connections.clone();
+        if attempt.resend_disabled || !self.is_ready(engine) {
+            return self.end(slot, AttemptOutcome::Void, None, context);
+        }
+        match self.select_connection(engine, &id, &excluded, context) {
+            Some(connection) => self.enqueue_call(slot, connection, context),
+            // The router's connection limit is no fault of the engine, so the attempt does not count against it.
+            None => self.end(slot, AttemptOutcome::Void, None, context),
+        }
+    }
+
+    /// Keeps an attempt from being moved to another connection, because its client may have disconnected. Ends the
+    /// attempt if no byte of its call was written.
+    pub fn disable_resend(&mut self, slot: Slot, context: &mut Context) {
+        self.retract_unsent_call(slot);
+        let Some(attempt) = self.attempts.get_mut(slot) else { return };
+        attempt.resend_disabled = true;
+        if attempt.call_offset.is_none() {
+            self.end(slot, AttemptOutcome::Void, None, context);
+        }
+    }
+
+    /// Removes a call from the front of its connection's output if no byte of the call was written. Returns whether
+    /// the call was removed.
+    pub(super) fn retract_unsent_call(&mut self, slot: Slot) -> bool {
+        let Some(attempt) = self.attempts.get_mut(slot) else { return false };
+        let connection = attempt.connection.and_then(|connection| self.connections.get_mut(connection));
+        let Some(connection) = connection else { return false };
+        let Some(call) = &attempt.call else { return false };
+        let is_unsent = attempt.call_offset == Some(connection.output.passed());
+        if is_unsent {
+            connection.output.cut(call.encoded_bytes);
+            attempt.call_offset = None;
+        }
+        is_unsent
+    }
+
+    /// Changes the priority of an attempt. The message is sent after the attempt's call.
+    pub fn update_priority(&mut self, slot: Slot, priority: u8, context: &mut Context) {
+        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
+            return;
+        };
+        let bytes = EngineCommand::Priority { id: &attempt.id, priority }.encode();
+        match &mut attempt.call {
+            Some(call) if attempt.call_offset.is_none() => call.followed_by.extend(bytes),
+            _ => self.write(slot, &bytes, context),
+        }
+    }
+
+    /// Cancels an attempt whose request gets no further attempt.
+    pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
+        self.abandon(attempt, AttemptOutcome::Withdrawn, AttemptOutcome::Void, context);
+    }
+
+    /// Cancels an attempt whose request may be sent again.
+    ///
+    /// Where hedged requests are not allowed, two attempts must not run at once. The cancellation and the next call
+    /// may travel over different connections and arrive in either order. The attempt therefore ends only once the
+    /// engine has answered a ping sent after the cancellation, or once the connection is closed.
+    pub fn cancel_before_resend(&mut self, slot: Slot, context: &mut Context) {
+        self.retract_unsent_call(slot);
+        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
+            return;
+        };
+        let needs_acknowledgement =
+            attempt.call_offset.is_some() && attempt.result.is_none() && !self.allows_concurrent_attempts;
+        let Some(connection) = attempt.connection.filter(|_| needs_acknowledgement) else {
+            return self.cancel(slot, context);
+        };
+        attempt.cancelled_at = Some(context.now());
+        let cancel = EngineCommand::Cancel { id: &attempt.id }.encode();
+        let ping = EngineCommand::Ping { id: &attempt.id }.encode();
+        context.counters.count("attempts_taken_back");
+        self.write(slot, &[cancel, ping].concat(), context);
+        self.schedule_check(connection, context.now() + self.connect_timeout, context);
+    }
+
+    /// Abandons an attempt whose deadline has passed. The caller reads the attempt's connection first, so that a
+    /// result that has arrived in time counts.
+    pub fn attempt_overdue(&mut self, slot: Slot, context: &mut Context) {
+        if self.attempts.get(slot).is_some_and(|attempt| attempt.deadline <= context.now()) {
+            self.abandon(slot, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
+        }
+    }
+
+    /// Ends an attempt with `outcome` and cancels it at its engine. If no byte of its call was written, the attempt
+    /// never ran and ends with the outcome `unsent`.
+    fn abandon(
+        &mut self,
+        slot: Slot,
+        outcome: AttemptOutcome,
+        unsent: AttemptOutcome,
+        context: &mut Context,
+    ) {
+        if self.attempts.get(slot).is_some_and(Attempt::is_cancelled) {
+            return self.end(slot, outcome, None, context);
+        }
+        self.retract_unsent_call(slot);
+        let Some(attempt) = self.attempts.get(slot) else { return };
+        if attempt.call_offset.is_none() {
+            return self.end(slot, unsent, None, context);
+        }
+        let id = attempt.id.as_str();
+        let command = match attempt.result {
+            Some(_) => EngineCommand::Discard { id },
+            None => EngineCommand::Cancel { id },
+        };
+        let bytes = command.encode();
+        self.write(slot, &bytes, context);
+        self.end(slot, outcome, None, context);
+    }
+
+    /// Ends an attempt without a result.
+    pub(super) fn end(
+        &mut self,
+        slot: Slot,
+        outcome: AttemptOutcome,
+        load_report: Option<LoadReport>,
+        context: &mut Context,
+    ) {
+        self.finish(slot, outcome, None, load_report, context);
+    }
+
+    /// Ends an attempt and queues the event for the scheduler.
+    pub(super) fn finish(
+        &mut self,
+        slot: Slot,
+        outcome: AttemptOutcome,
+        body: Option<Vec<u8>>,
+        load_report: Option<LoadReport>,
+        context: &mut Context,
+    ) {
+        let Some(attempt) = self.attempts.take(slot) else { return };
+        context.timers.clear(attempt.deadline, Timer::Attempt(slot));
+        context.counters.count(outcome_counter(outcome));
+        self.release_connection(slot, &attempt, context);
+        let late_connection = late_connection(&attempt, outcome);
+        let (usage, reported_with_result) =
+            attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
+        let ended = AttemptEnded {
+            request: attempt.request,
+            attempt: attempt.number,
+            engine: attempt.engine,
+            outcome,
+            elapsed: context.now().saturating_sub(attempt.sent_at),
+            usage: usage.filter(|_| outcome == AttemptOutcome::Succeeded),
+            load_report: load_report.or(reported_with_result),
+            request_done: false,
+        };
+        log_end(&ended);
+        self.events.push_back(PoolEvent::Ended { ended, body, late_connection });
+    }
+
+    /// Removes an attempt from its connection. A connection without attempts is idle from now on.
+    fn release_connection(&mut self, slot: Slot, attempt: &Attempt, context: &mut Context) {
+        let Some(connection_slot) = attempt.connection else { return };
+        let Some(connection) = self.connections.get_mut(connection_slot) else { return };
+        connection.attempts.remove(&attempt.id);
+        connection.waiting.retain(|waiting| *waiting != slot);
+        if connection.attempts.is_empty() {
+            let idle_due = context.now() + self.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION);
+            connection.idle_due = Some(idle_due);
+            context.timers.set(idle_due, Timer::ConnectionIdle(connection_slot));
+        }
+    }
+}
+
+/// Returns the connection on which the engine may still reply to an attempt that ends with `outcome`.
+fn late_connection(attempt: &Attempt, outcome: AttemptOutcome) -> Option<Slot> {
+    let was_abandoned = matches!(outcome, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut);
+    // An engine sends no reply to an attempt after it has acknowledged the cancellation.
+    attempt.connection.filter(|_| was_abandoned && !attempt.is_cancelled())
+}
+
+fn log_end(ended: &AttemptEnded) {
+    log::debug!(
+        "attempt ended: request={} attempt={} engine={} outcome={:?} elapsed={:?} usage={:?} load={:?}",
+        ended.request,
+        ended.attempt,
+        ended.engine,
+        ended.outcome,
+        ended.elapsed,
+        ended.usage,
+        ended.load_report
+    );
+}
+
+/// Returns the counter of attempts that ended with `outcome`.
+fn outcome_counter(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Succeeded => "attempts_succeeded",
+        AttemptOutcome::Failed => "attempts_failed",
+        AttemptOutcome::Overloaded => "attempts_overloaded",
+        AttemptOutcome::TimedOut => "attempts_timed_out",
+        AttemptOutcome::Unreachable => "attempts_unreachable",
+        AttemptOutcome::Broken => "attempts_broken",
+        AttemptOutcome::Withdrawn => "attempts_withdrawn",
+        AttemptOutcome::Void => "attempts_void",
+    }
+}
--- /dev/null
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -0,0 +1,186 @@
+//! Dials, selects and closes connections to engines.
+
+use super::connection::{Connection, ConnectionState, Reachability};
+use super::{EnginePool, PoolCommand};
+use crate::context::Context;
+use crate::slots::Slot;
+use crate::timers::Timer;
+use emberflow::{AttemptOutcome, EngineId};
+use std::cmp::Reverse;
+
+/// Connections that an engine may have however many engines there are.
+const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
+
+impl EnginePool {
+    /// Selects a connection for another attempt: an idle one; otherwise a new one, within the connection limits of the
+    /// engine and of the router; otherwise the one with the fewest attempts. Attempts are spread over connections
+    /// because the loss of a connection ends all attempts on it.
+    pub(super) fn select_connection(
+        &mut self,
+        engine: EngineId,
+        id: &str,
+        excluded: &[Slot],
+        context: &mut Context,
+    ) -> Option<Slot> {
+        let engine_connections = self.engines.get(&engine)?.connections.len();
+        let engine_quota = (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
+        let is_pool_full = self.connections.len() >= self.max_connections;
+        if let Some((slot, connection)) = self.least_loaded_connection(engine, id, excluded)
+            && (connection.attempts.is_empty() || is_pool_full || engine_connections >= engine_quota)
+        {
+            return Some(slot);
+        }
+        if is_pool_full && !self.close_longest_idle(context) {
+            context.counters.count("connections_over_the_limit");
+            return None;
+        }
+        self.dial(engine, context)
+    }
+
+    /// Returns the connection with the fewest attempts among those of an engine that can carry the request `id`.
+    fn least_loaded_connection(
+        &self,
+        engine: EngineId,
+        id: &str,
+        excluded: &[Slot],
+    ) -> Option<(Slot, &Connection)> {
+        let slots = &self.engines.get(&engine)?.connections;
+        let open = slots.iter().filter_map(|slot| Some((*slot, self.connections.get(*slot)?)));
+        let usable = open.filter(|(slot, connection)| self.can_carry(*slot, connection, id, excluded));
+        usable.min_by_key(|(_, connection)| {
+            // The most recently active of equally loaded connections needs no health check, and the others can reach
+            // their idle timeout.
+            let most_recent = Reverse(connection.last_reply_at);
+            (connection.attempts.len(), !connection.is_established(), most_recent)
+        })
+    }
+
+    /// Whether a connection can carry another attempt, of the request `id`.
+    fn can_carry(&self, slot: Slot, connection: &Connection, id: &str, excluded: &[Slot]) -> bool {
+        let is_separate = !excluded.contains(&slot) && !connection.attempts.contains_key(id);
+        is_separate && connection.attempts.len() < self.attempts_per_connection
+    }
+
+    /// Closes the connection that has been idle longest, to free its place for another engine. Returns whether there
+    /// was an idle connection.
+    fn close_longest_idle(&mut self, context: &mut Context) -> bool {
+        let idle = self.connections.iter().filter(|(_, connection)| connection.attempts.is_empty());
+        let Some((slot, _)) = idle.min_by_key(|(_, connection)| connection.last_reply_at) else {
+            return false;
+        };
+        context.counters.count("connections_closed_for_room");
+        self.close_connection(slot, "idle, closed for another engine", Reachability::Reachable, context);
+        true
+    }
+
+    fn dial(&mut self, engine: EngineId, context: &mut Context) -> Option<Slot> {
+        let engine_entry = self.engines.get_mut(&engine)?;
+        let now = context.now();
+        let check_due = now + self.connect_timeout;
+        context.counters.count("connections_dialled");
+        let slot = self.connections.insert(Connection::new(engine, now, check_due));
+        context.timers.set(check_due, Timer::Connection(slot));
+        self.commands.push_back(PoolCommand::Dial(slot, engine_entry.address));
+        engine_entry.connections.push(slot);
+        Some(slot)
+    }
+
+    /// Whether a connection is established; `None` if it has been closed.
+    pub fn is_established(&self, slot: Slot) -> Option<bool> {
+        self.connections.get(slot).map(Connection::is_established)
+    }
+
+    /// Marks a dialled connection as established.
+    pub fn connection_established(&mut self, slot: Slot, context: &mut Context) {
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        if connection.state == ConnectionState::Connecting {
+            connection.state = ConnectionState::Established;
+        }
+        connection.last_reply_at = context.now();
+        log::debug!(
+            "connection established: engine={} connection={slot:?} elapsed={:?}",
+            connection.engine,
+            connection.last_reply_at - connection.dialed_at
+        );
+        if let Some(due) = connection.check_due.take() {
+            context.timers.clear(due, Timer::Connection(slot));
+        }
+        self.schedule_writes(slot, context);
+    }
+
+    /// Removes a connection that could not be dialled.
+    pub fn dial_failed(
+        &mut self,
+        slot: Slot,
+        reachability: Reachability,
+        reason: &str,
+        context: &mut Context,
+    ) {
+        if reachability == Reachability::Unreachable {
+            context.counters.count("connections_refused");
+        }
+        self.close_connection(slot, reason, reachability, context);
+    }
+
+    /// Closes a connection whose idle timeout has expired.
+    pub fn connection_idle(&mut self, slot: Slot, context: &mut Context) {
+        let Some(connection) = self.connections.get(slot) else { return };
+        let is_due = connection.idle_due.is_some_and(|due| due <= context.now());
+        if connection.attempts.is_empty() && is_due {
+            self.close_connection(slot, "idle", Reachability::Reachable, context);
+        }
+    }
+
+    /// Closes a connection and ends or moves the attempts on it. A reachable engine may reset a new or an idle
+    /// connection without a fault of its own, so a call of which no byte was written moves to another connection,
+    /// once.
+    pub fn close_connection(
+        &mut self,
+        slot: Slot,
+        reason: &str,
+        reachability: Reachability,
+        context: &mut Context,
+    ) {
+        let Some(connection) = self.connections.take(slot) else { return };
+        self.commands.push_back(PoolCommand::Close(slot));
+        log::debug!(
+            "connection closed: engine={} connection={slot:?} attempts={} reason=\"{reason}\"",
+            connection.engine,
+            connection.attempts.len()
+        );
+        if let Some(engine) = self.engines.get_mut(&connection.engine) {
+            engine.connections.retain(|other| *other != slot);
+        }
+        connection.clear_timers(slot, context);
+        if reachability == Reachability::Reachable && !connection.attempts.is_empty() {
+            context.counters.count("connections_lost");
+        }
+        let written = connection.output.passed();
+        for attempt in connection.attempts.into_values() {
+            self.connection_lost(attempt, written, reachability, context);
+        }
+    }
+
+    /// Ends or moves an attempt whose connection was closed after `written` bytes of output.
+    fn connection_lost(
+        &mut self,
+        slot: Slot,
+        written: u64,
+        reachability: Reachability,
+        context: &mut Context,
+    ) {
+        let Some(attempt) = self.attempts.get_mut(slot) else { return };
+        attempt.connection = None;
+        if attempt.is_cancelled() {
+            return self.end(slot, AttemptOutcome::Withdrawn, None, context);
+        }
+        if attempt.has_begun(written) {
+            return self.end(slot, AttemptOutcome::Broken, None, context);
+        }
+        if reachability == Reachability::Unreachable || attempt.reassigned {
+            return self.end(slot, AttemptOutcome::Unreachable, None, context);
+        }
+        attempt.reassigned = true;
+        self.assign_connection(slot, context);
+    }
+}
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -1,4 +1,4 @@
-//! The engines of the endpoint list, and what a change of the list does to their connections and attempts.
+//! The engines of the endpoint list, and the effect of list changes on their connections and attempts.
 
 use super::EnginePool;
 use super::connection::Reachability;
@@ -13,37 +13,37 @@
 /// An engine of the endpoint list.
 #[derive(Clone)]
 pub(super) struct Engine {
-    /// Its id in the endpoint list.
+    /// The engine's id in the endpoint list.
     pub id: u32,
     pub address: SocketAddr,
-    /// Whether calls may be sent to it.
+    /// Whether calls may be sent to the engine.
     pub ready: bool,
-    /// When its process started, as the list says in Unix milliseconds; 0 where it does not.
+    /// Start time of the engine's process in Unix milliseconds, by the endpoint list; 0 if the list does not say.
     pub up_since_ms: u64,
-    /// The same on the router's clock.
+    /// The start time on the router's clock.
     pub launched: Option<Duration>,
     pub connections: Vec<Slot>,
 }
 
 impl EnginePool {
-    /// Adds or updates an engine by its endpoint record, and returns the endpoint under the engine's number. A draining
-    /// engine gets no further call; connections to a process that has ended since are closed.
+    /// Adds or updates an engine by its endpoint record, and returns the endpoint under the scheduler's engine id. A
+    /// draining engine gets no further call. Connections to an earlier process of the engine are closed.
     pub fn update_endpoint(&mut self, record: &EndpointRecord, context: &mut Context) -> Endpoint {
-        let engine = self.engine_number(record);
+        let engine = self.engine_of(record);
         if !record.is_ready() {
-            self.void_unsent_attempts(engine, context);
+            self.end_unsent_attempts(engine, context);
         }
-        let known = self.engines.get_mut(&engine).expect("an engine with a number is in the table");
-        known.address = record.address;
-        known.ready = record.is_ready();
-        // A launch that was listed before keeps its time, whatever the wall clock has done since.
-        if record.up_since_ms > 0 && known.up_since_ms != record.up_since_ms {
-            let at = context.at_unix_ms(record.up_since_ms);
-            known.up_since_ms = record.up_since_ms;
-            known.launched = Some(at);
-            self.close_connections_before(engine, at, context);
+        let entry = self.engines.get_mut(&engine).expect("an engine with an id is in the table");
+        entry.address = record.address;
+        entry.ready = record.is_ready();
+        // A start time that was listed before keeps its conversion, even if the wall clock has been set since.
+        if record.up_since_ms > 0 && entry.up_since_ms != record.up_since_ms {
+            let launched = context.at_unix_ms(record.up_since_ms);
+            entry.up_since_ms = record.up_since_ms;
+            entry.launched = Some(launched);
+            self.close_connections_before(engine, launched, context);
         }
-        let launched = self.engines.get(&engine).and_then(|known| known.launched);
+        let launched = self.engines.get(&engine).and_then(|entry| entry.launched);
         Endpoint {
             engine,
             location: record.location,
@@ -54,11 +54,16 @@
         }
     }
 
-    /// The number of an engine; one seen for the first time gets the next.
-    fn engine_number(&mut self, record: &EndpointRecord) -> EngineId {
+    /// Whether an engine is listed as ready.
+    pub(super) fn is_ready(&self, engine: EngineId) -> bool {
+        self.engines.get(&engine).is_some_and(|entry| entry.ready)
+    }
+
+    /// Returns the scheduler's id of an engine. A new engine gets the next id.
+    fn engine_of(&mut self, record: &EndpointRecord) -> EngineId {
         let engine = *self.engine_ids.entry(record.id).or_insert(self.next_engine);
         if engine == self.next_engine {
-            let new = Engine {
+            let entry = Engine {
                 id: record.id,
                 address: record.address,
                 ready: record.is_ready(),
@@ -66,52 +71,55 @@
                 launched: None,
                 connections: Vec::new(),
             };
-            self.engines.insert(engine, new);
+            self.engines.insert(engine, entry);
             self.next_engine += 1;
         }
         engine
     }
 
+    /// Closes the connections of an engine that were dialled before its process started.
     fn close_connections_before(&mut self, engine: EngineId, launched: Duration, context: &mut Context) {
-        let is_stale = |slot: &Slot| {
-            self.connections.get(*slot).is_some_and(|connection| connection.dialed_at < launched)
-        };
-        let stale: Vec<Slot> = self.connections_of(engine).into_iter().filter(is_stale).collect();
-        for slot in stale {
-            self.close_connection(slot, "its engine has restarted", Reachability::Unreachable, context);
+        for slot in self.connections_of(engine) {
+            let connection = self.connections.get(slot);
+            if connection.is_some_and(|connection| connection.dialed_at < launched) {
+                self.close_connection(slot, "engine restarted", Reachability::Unreachable, context);
+            }
         }
     }
 
-    /// Drains the engines that a complete endpoint list no longer holds: they get no further call.
+    /// Drains the engines that are missing from a complete endpoint list: they get no further call.
     pub fn drain_unlisted(&mut self, records: &[EndpointRecord], context: &mut Context) {
         let listed: BTreeSet<u32> = records.iter().map(|record| record.id).collect();
-        let is_unlisted = |known: &Engine| known.ready && !listed.contains(&known.id);
-        let unlisted = self.engines.iter().filter(|(_, known)| is_unlisted(known));
-        let unlisted: Vec<EngineId> = unlisted.map(|(engine, _)| *engine).collect();
+        let mut unlisted = Vec::new();
+        for (engine, entry) in &mut self.engines {
+            if entry.ready && !listed.contains(&entry.id) {
+                entry.ready = false;
+                unlisted.push(*engine);
+            }
+        }
         for engine in unlisted {
-            self.void_unsent_attempts(engine, context);
-            self.engines.entry(engine).and_modify(|known| known.ready = false);
+            self.end_unsent_attempts(engine, context);
         }
     }
 
-    /// Removes an engine that is gone, with its connections.
+    /// Removes an engine and closes its connections.
     pub fn forget(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
-            self.close_connection(slot, "its engine is gone", Reachability::Unreachable, context);
+            self.close_connection(slot, "engine removed", Reachability::Unreachable, context);
         }
-        if let Some(known) = self.engines.remove(&engine) {
+        if let Some(entry) = self.engines.remove(&engine) {
             context.counters.count("engines_forgotten");
-            self.engine_ids.remove(&known.id);
+            self.engine_ids.remove(&entry.id);
         }
     }
 
     fn connections_of(&self, engine: EngineId) -> Vec<Slot> {
-        self.engines.get(&engine).map_or_else(Vec::new, |known| known.connections.clone())
+        self.engines.get(&engine).map_or_else(Vec::new, |entry| entry.connections.clone())
     }
 
-    /// Ends the attempts of an engine of whose calls no byte has been written: those that wait for a connection, and
-    /// those at the front of a connection's output.
-    fn void_unsent_attempts(&mut self, engine: EngineId, context: &mut Context) {
+    /// Ends the attempts at an engine of whose calls no byte was written: those that wait for a connection's output,
+    /// and those at the front of that output.
+    fn end_unsent_attempts(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
             let Some(connection) = self.connections.get(slot) else { continue };
             let mut unsent = connection.waiting.clone();
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of a pool's state, by which the model checker recognizes states that it has seen.
+//! Fingerprints of a pool's state. The model checker recognizes states by them that it has already visited.
 
 use super::EnginePool;
 use super::attempt::Attempt;
@@ -8,7 +8,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A time as microseconds relative to now.
+/// Converts times to microseconds relative to `now`.
 struct RelativeTime {
     now: Duration,
 }
@@ -20,7 +20,7 @@
 }
 
 impl EnginePool {
-    /// Feeds the state to a hasher, times relative to `now`: states with equal fingerprints behave alike.
+    /// Feeds the state to a hasher, with times relative to `now`. States with equal fingerprints behave alike.
     pub fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         let time = RelativeTime { now };
         let indexes: BTreeMap<Slot, usize> = self.connections.iter().map(|(slot, _)| slot).zip(0..).collect();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// How far an attempt has come on its connection.
+    /// Feeds the progress of an attempt on its connection to a hasher.
     fn fingerprint_attempt(
         &self,
         slot: Slot,
@@ -49,11 +49,11 @@
         let has_begun = connection
             .filter(|_| attempt.call_offset.is_some())
             .map(|connection| attempt.has_begun(connection.output.passed()));
-        let place =
+        let queue_position =
             connection.map(|connection| connection.waiting.iter().position(|waiting| *waiting == slot));
         (attempt.request, attempt.number).hash(hasher);
         attempt.connection.and_then(|connection| indexes.get(&connection)).hash(hasher);
-        (has_begun, place).hash(hasher);
+        (has_begun, queue_position).hash(hasher);
     }
 }
 
--- a/crates/router/src/engine_pool/health_check.rs
+++ b/crates/router/src/engine_pool/health_check.rs
@@ -1,18 +1,25 @@
-//! Health checks of connections: whether they are established in time, and whether their engines still answer.
+//! Health checks of connections: each must be established in time, and its engine must keep answering.
 
 use super::EnginePool;
 use super::attempt::Attempt;
-use super::connection::{Connection, ConnectionState, Reachability};
+use super::connection::{ConnectionState, Reachability};
 use super::messages::EngineCommand;
 use crate::context::Context;
 use crate::slots::Slot;
 use crate::timers::Timer;
 use std::time::Duration;
 
-/// The id of a health check's ping, which is no request's.
+/// The id of a health check's ping. No request has it.
 const HEALTH_CHECK_ID: &str = "0";
+/// Time without a reply after which a connection in use is checked, in connect timeouts.
+const INACTIVITY_CONNECT_TIMEOUTS: u32 = 2;
 
 impl EnginePool {
+    /// Time without a reply after which a connection in use is checked.
+    pub(super) fn inactivity_timeout(&self) -> Duration {
+        self.connect_timeout * INACTIVITY_CONNECT_TIMEOUTS
+    }
+
     /// Starts a health check: no call is written until the connection's engine has answered.
     pub(super) fn send_ping(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
@@ -22,7 +29,7 @@
         self.schedule_check(slot, context.now() + self.connect_timeout, context);
     }
 
-    /// Sets when a connection is checked next.
+    /// Sets the time of a connection's next check.
     pub(super) fn schedule_check(&mut self, slot: Slot, due: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if let Some(earlier) = connection.check_due.replace(due) {
@@ -31,8 +38,9 @@
         context.timers.set(due, Timer::Connection(slot));
     }
 
-    /// Checks a connection whose check is due: closes it if it was not established in time, or if its engine has not
-    /// answered a health check or acknowledged a cancellation in time. The caller has read it before.
+    /// Checks a connection whose check is due. Closes it if it was not established in time, or if its engine has not
+    /// answered a health check or acknowledged a cancellation in time. The caller reads the connection first, so that
+    /// replies that have arrived in time count.
     pub fn connection_check_due(&mut self, slot: Slot, now: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.check_due.is_none_or(|due| due > now) {
@@ -41,21 +49,26 @@
         connection.check_due = None;
         let state = connection.state;
         let is_idle = connection.attempts.is_empty();
-        let silence_due = connection.last_reply_at + self.connect_timeout * 2;
-        let acknowledgement_due = self.acknowledgement_due(slot);
-        let is_silent =
-            state == ConnectionState::HealthCheck || acknowledgement_due.is_some_and(|due| due <= now);
-        let next_check = acknowledgement_due.map_or(silence_due, |due| due.min(silence_due));
+        let last_reply_at = connection.last_reply_at;
         if state == ConnectionState::Connecting {
             context.counters.count("connections_not_up_in_time");
             self.close_connection(slot, "not established in time", Reachability::Unreachable, context);
-        } else if is_silent {
-            // Nothing that it carries can be answered any more.
+            return;
+        }
+        let acknowledgement_due = self.acknowledgement_due(slot);
+        let is_acknowledgement_overdue = acknowledgement_due.is_some_and(|due| due <= now);
+        if state == ConnectionState::HealthCheck || is_acknowledgement_overdue {
             context.counters.count("connections_silent");
-            self.close_connection(slot, "silent", Reachability::Reachable, context);
-        } else if is_idle {
-            // Its next attempt schedules the next check.
-        } else if next_check <= now {
+            self.close_connection(slot, "engine does not answer", Reachability::Reachable, context);
+            return;
+        }
+        if is_idle {
+            // The next attempt on the connection schedules the next check.
+            return;
+        }
+        let inactive_at = last_reply_at + self.inactivity_timeout();
+        let next_check = acknowledgement_due.map_or(inactive_at, |due| due.min(inactive_at));
+        if next_check <= now {
             self.send_ping(slot, context);
             self.schedule_writes(slot, context);
         } else {
@@ -63,11 +76,11 @@
         }
     }
 
-    /// When the first of a connection's cancelled attempts must be acknowledged.
+    /// Returns the time at which the first of a connection's cancelled attempts must have been acknowledged.
     fn acknowledgement_due(&self, slot: Slot) -> Option<Duration> {
-        let connection: &Connection = self.connections.get(slot)?;
+        let connection = self.connections.get(slot)?;
         let attempts = connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt));
-        let cancelled_at = attempts.filter_map(|attempt: &Attempt| attempt.cancelled_at).min()?;
-        Some(cancelled_at + self.connect_timeout)
+        let first_cancelled_at = attempts.filter_map(|attempt: &Attempt| attempt.cancelled_at).min()?;
+        Some(first_cancelled_at + self.connect_timeout)
     }
 }
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -8,18 +8,22 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Pages of the largest result.
+/// Number of pages of the largest result.
 const MAX_PAGES: usize = 256;
 /// The smallest memory grant that is sent to an engine, in MB.
 const MIN_GRANT_MB: f64 = 1.0;
-/// Separators of a reply's fields, and of the figures within its load report.
+/// Separators between the fields of a reply, and between a field's name and value.
 const FIELD_SEPARATORS: (char, char) = (',', '=');
+/// The same separators within a load report.
 const LOAD_SEPARATORS: (char, char) = (';', ':');
+/// Values of a `stall` report: the engine lacks memory for the attempt, or other load delays it.
+const STALLED_FOR_MEMORY: f64 = 1.0;
+const STALLED_FOR_LOAD: f64 = 2.0;
 
-/// Why what an engine sent makes no sense; its connection is closed.
+/// A malformed reply of an engine. The router closes the connection.
 #[derive(Debug, Error)]
 pub enum EngineProtocolError {
-    /// The bytes are no RESP array.
+    /// The bytes are not a RESP array.
     #[error("decoding a reply: {0}")]
     Resp(#[from] RespError),
     #[error("decoding the {part} of a reply: {source}")]
@@ -32,9 +36,8 @@
     PageCount(f64),
     #[error("page without its number")]
     NoPageNumber,
-    #[error("progress note of detail {detail:?} and value {value:?}")]
+    #[error("unknown progress report: detail={detail:?} value={value:?}")]
     UnknownProgress { detail: Option<String>, value: Option<f64> },
-    /// A page is not made of complete rows.
     #[error("page that is not made of complete rows of three columns")]
     MalformedRows,
     #[error("result of {0} bytes")]
@@ -116,15 +119,15 @@
     Result,
     /// A further page of a result.
     Page,
-    /// A note on an attempt's progress.
+    /// A report of an attempt's progress.
     Progress,
-    /// The engine has shed the attempt, or found it too late to run.
+    /// The engine has shed the attempt, or its deadline had passed before it ran.
     Overloaded,
     /// The statement has failed.
     Failed,
     /// The answer to a ping.
     Pong,
-    /// Refused once it is known that the reply names an attempt.
+    /// An unknown type. It is an error only in a reply to an attempt in flight.
     Unknown(String),
 }
 
@@ -142,10 +145,10 @@
     }
 }
 
-/// A message from an engine. Its fields are decoded by whoever needs them: those of a reply that is ignored may
-/// be malformed.
+/// A message from an engine. Its fields are decoded on access, so that malformed fields of an ignored reply are no
+/// error.
 pub(super) struct EngineReply {
-    /// The id of the request that it is about.
+    /// The id of the request, or of a health check.
     pub id: String,
     pub kind: ReplyKind,
     pub fields: ReplyFields,
@@ -153,7 +156,7 @@
 }
 
 impl EngineReply {
-    /// Decodes the first reply in `bytes` and returns it with its length; `None` until it is complete.
+    /// Decodes the first reply in `bytes` and returns it with its length. Returns `None` until it is complete.
     pub fn decode(bytes: &[u8]) -> Result<Option<(Self, usize)>, EngineProtocolError> {
         let Some(array) = resp::parse_array(bytes)? else { return Ok(None) };
         let part = |at: usize| array.parts.get(at).copied().unwrap_or_default();
@@ -169,7 +172,7 @@
     }
 }
 
-/// The fields of a reply, as `name=value` with commas between.
+/// The fields of a reply, as `name=value` separated by commas.
 pub(super) struct ReplyFields(String);
 
 impl ReplyFields {
@@ -177,13 +180,13 @@
         resp::field(&self.0, name, FIELD_SEPARATORS)
     }
 
-    /// A number; a negative one counts as 0.
+    /// Decodes a number. A negative number counts as 0.
     fn number(&self, name: &str) -> Result<Option<f64>, EngineProtocolError> {
         let number = self.text(name).map(|value| parse_number(name, value)).transpose()?;
         Ok(number.map(|number| number.max(0.0)))
     }
 
-    /// The load that the engine reports along with the reply.
+    /// Decodes the load report that the reply carries.
     pub fn load_report(&self) -> Result<Option<LoadReport>, EngineProtocolError> {
         self.text("use").map(parse_load_report).transpose()
     }
@@ -193,7 +196,7 @@
         Ok(self.number("pages")?.is_some_and(|pages| pages > 1.0))
     }
 
-    /// How many pages a result has.
+    /// Decodes the number of pages of a result.
     pub fn page_count(&self) -> Result<usize, EngineProtocolError> {
         let pages = self.number("pages")?.unwrap_or(1.0);
         if !(1.0..=MAX_PAGES as f64).contains(&pages) {
@@ -202,26 +205,26 @@
         Ok(pages as usize)
     }
 
-    /// The number of a further page.
+    /// Decodes the number of a further page.
     pub fn page_number(&self) -> Result<usize, EngineProtocolError> {
         let page = self.number("page")?.ok_or(EngineProtocolError::NoPageNumber)?;
         Ok(page as usize)
     }
 
-    /// What a result has cost its engine, where it says both figures.
+    /// Decodes the resources that the engine used for a result, if the reply names both figures.
     pub fn usage(&self) -> Result<Option<Usage>, EngineProtocolError> {
-        let figures = self.number("cost")?.zip(self.number("need")?);
-        Ok(figures.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb }))
+        let cost_and_memory = self.number("cost")?.zip(self.number("need")?);
+        Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb }))
     }
 
-    /// What a progress reply says.
+    /// Decodes a progress report.
     pub fn progress(&self) -> Result<ProgressNote, EngineProtocolError> {
         let value = self.number("v")?;
         match (self.text("detail"), value) {
             (Some("advance"), Some(fraction)) => Ok(ProgressNote::Fraction(fraction)),
             (Some("disk"), Some(missing_mb)) => Ok(ProgressNote::Spilling(missing_mb)),
-            (Some("stall"), Some(1.0)) => Ok(ProgressNote::WaitingForMemory),
-            (Some("stall"), Some(2.0)) => Ok(ProgressNote::WaitingForLoad),
+            (Some("stall"), Some(STALLED_FOR_MEMORY)) => Ok(ProgressNote::WaitingForMemory),
+            (Some("stall"), Some(STALLED_FOR_LOAD)) => Ok(ProgressNote::WaitingForLoad),
             (None, _) => Ok(ProgressNote::Running),
             (detail, value) => {
                 let detail = detail.map(str::to_owned);
@@ -231,11 +234,15 @@
     }
 }
 
-/// Decodes a load report, in which a figure may stand under any of its names.
+/// Decodes a load report, in which a figure may have any of its names.
 fn parse_load_report(text: &str) -> Result<LoadReport, EngineProtocolError> {
     build_load_report(|names| {
-        let found = names.iter().find_map(|name| Some((*name, resp::field(text, name, LOAD_SEPARATORS)?)));
-        found.map(|(name, value)| parse_number(name, value)).transpose()
+        for name in names {
+            if let Some(value) = resp::field(text, name, LOAD_SEPARATORS) {
+                return parse_number(name, value).map(Some);
+            }
+        }
+        Ok(None)
     })
 }
 
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -1,4 +1,4 @@
-//! Replies from engines, and what they mean for the attempts that they name.
+//! Handles replies from engines to attempts.
 
 use super::attempt::Attempt;
 use super::connection::Reachability;
@@ -12,15 +12,17 @@
 use emberflow::{AttemptOutcome, LoadReport};
 use std::io::Read;
 
-/// Bytes read from a connection in one turn of the event loop.
-const READ_BYTES_PER_TURN: usize = 256 * 1024;
+/// Bytes read from a connection in one iteration of the event loop.
+const MAX_READ_BYTES_PER_ITERATION: usize = 256 * 1024;
+/// Time within which a reply that has begun to arrive, or the next page of a result, must arrive, in connect timeouts.
+const REPLY_CONNECT_TIMEOUTS: u32 = 2;
 
 impl EnginePool {
-    /// Reads from a connection, a bounded number of bytes a turn, and handles all complete replies. Returns whether there may be more
-    /// to read.
+    /// Reads a bounded number of bytes from a connection and handles all complete replies. Returns whether there may be
+    /// more to read.
     pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
-        let filled = connection.input.fill(from, READ_BYTES_PER_TURN);
+        let filled = connection.input.fill(from, MAX_READ_BYTES_PER_ITERATION);
         if let Err(error) = self.process_input(slot, context) {
             context.counters.count("engine_input_malformed");
             log::warn!("malformed engine input: connection={slot:?} error=\"{error}\"");
@@ -40,17 +42,17 @@
         matches!(filled, Ok(Filled::Enough)) && self.connections.get(slot).is_some()
     }
 
-    /// A reply that has begun to arrive must be complete in time.
+    /// Sets the time by which a reply that has begun to arrive must be complete.
     fn expect_complete_reply(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.reply_due.is_none() && !connection.input.is_empty() {
-            let due = context.now() + self.connect_timeout * 2;
+            let due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
             connection.reply_due = Some(due);
             context.timers.set(due, Timer::AnswerComplete(slot));
         }
     }
 
-    /// Closes a connection on which a reply was not completed in time: no other reply can follow it.
+    /// Closes a connection on which a reply was not completed in time, since no other reply can follow it.
     pub fn reply_overdue(&mut self, slot: Slot, context: &mut Context) {
         let due = self.connections.get(slot).and_then(|connection| connection.reply_due);
         if due.is_some_and(|due| due <= context.now()) {
@@ -99,12 +101,13 @@
         }
     }
 
+    /// Returns the attempt on a connection whose request has this id.
     fn attempt_named(&self, connection: Slot, id: &str) -> Option<Slot> {
         self.connections.get(connection)?.attempts.get(id).copied()
     }
 
-    /// A pong under a request's id follows the cancellation of its attempt: its engine has stopped that, and sends no
-    /// other reply to it.
+    /// Ends a cancelled attempt whose engine has acknowledged the cancellation with a pong. The engine has stopped the
+    /// attempt and sends no other reply to it.
     fn cancel_acknowledged(&mut self, attempt: Slot, context: &mut Context) {
         if self.attempts.get(attempt).is_some_and(Attempt::is_cancelled) {
             self.end(attempt, AttemptOutcome::Withdrawn, None, context);
@@ -120,7 +123,7 @@
         let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
         let EngineReply { id: _, kind, fields, body } = reply;
         let load_report = fields.load_report()?;
-        if attempt.is_cancelled() && is_void_after_cancel(&kind, &fields)? {
+        if attempt.is_cancelled() && is_ignored_after_cancel(&kind, &fields)? {
             return Ok(());
         }
         match kind {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// The first page of a result; the others are requested at once. A second result under the same id is ignored.
+    /// Stores the first page of a result and requests the others. Ignores a second result under the same id.
     fn handle_result(
         &mut self,
         slot: Slot,
@@ -188,21 +191,22 @@
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
         let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
-        let note = fields.progress()?;
+        let progress = fields.progress()?;
         context.counters.count("notes");
         let (request, attempt) = (attempt.request, attempt.number);
-        self.events.push_back(PoolEvent::Progress { request, attempt, note });
+        self.events.push_back(PoolEvent::Progress { request, attempt, progress });
         Ok(())
     }
 
-    /// Ends an attempt whose pages have all arrived. Otherwise the next page is due soon, whatever the attempt's
-    /// deadline.
+    /// Ends an attempt whose pages have all arrived. Otherwise moves the attempt's deadline forward to the time by which
+    /// the next page must arrive.
     fn complete_result(&mut self, slot: Slot, context: &mut Context) -> Result<(), EngineProtocolError> {
         let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
         let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if !result.is_complete() {
+            let page_due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
             context.timers.clear(attempt.deadline, Timer::Attempt(slot));
-            attempt.deadline = attempt.deadline.min(context.now() + self.connect_timeout * 2);
+            attempt.deadline = attempt.deadline.min(page_due);
             context.timers.set(attempt.deadline, Timer::Attempt(slot));
             return Ok(());
         }
@@ -212,9 +216,9 @@
     }
 }
 
-/// Whether a reply to a cancelled attempt is ignored: a result that was sent before the engine read the cancellation
-/// counts as any other, unless it needs further pages.
-fn is_void_after_cancel(kind: &ReplyKind, fields: &ReplyFields) -> Result<bool, EngineProtocolError> {
+/// Whether a reply to a cancelled attempt is ignored. A complete result that was sent before the engine read the
+/// cancellation counts.
+fn is_ignored_after_cancel(kind: &ReplyKind, fields: &ReplyFields) -> Result<bool, EngineProtocolError> {
     match kind {
         ReplyKind::Progress => Ok(true),
         ReplyKind::Result => fields.has_further_pages(),
--- a/crates/router/src/engine_pool/result_pages.rs
+++ b/crates/router/src/engine_pool/result_pages.rs
@@ -4,7 +4,7 @@
 use crate::resp;
 use emberflow::{LoadReport, Usage};
 
-/// Bytes of the largest result.
+/// Size of the largest result.
 const MAX_RESULT_BYTES: usize = 48_000;
 
 /// A result whose first page has arrived.
@@ -16,7 +16,7 @@
 }
 
 impl ResultPages {
-    /// Starts a result of `count` pages, at least one, with its first page.
+    /// Creates a result of `count` pages, at least one, from its first page.
     pub fn new(
         first_page: Vec<u8>,
         count: usize,
@@ -28,7 +28,7 @@
         Self { pages, usage, load_report }
     }
 
-    /// Adds a page; returns whether it was missing.
+    /// Adds a page. Returns whether the page was missing.
     pub fn add(&mut self, page: usize, body: Vec<u8>) -> bool {
         match self.pages.get_mut(page) {
             Some(missing @ None) => {
@@ -44,7 +44,10 @@
         self.pages.iter().all(Option::is_some)
     }
 
-    /// Takes the pages out and joins them. Each must be made of complete rows: anything else is never passed on to a client.
+    /// Takes the pages out and concatenates them.
+    ///
+    /// # Errors
+    /// A page that is not made of complete rows, or a result that is too large, is never forwarded to a client.
     pub fn take_body(&mut self) -> Result<Vec<u8>, EngineProtocolError> {
         let pages: Vec<Vec<u8>> = std::mem::take(&mut self.pages).into_iter().flatten().collect();
         if !pages.iter().all(|page| resp::holds_rows(page)) {
@@ -57,7 +60,7 @@
         Ok(body)
     }
 
-    /// The pages that have arrived, for fingerprints.
+    /// Returns the pages that have arrived, for fingerprints.
     pub fn pages(&self) -> &[Option<Vec<u8>>] {
         &self.pages
     }
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -1,8 +1,7 @@
-//! What is written to connections, and when: a call joins a connection's output only once all before it has left, so
-//! that a call that waits can still be retracted.
+//! The order of writes on each connection. A call joins a connection's output only once all earlier output was
+//! written, so that a waiting call can still be retracted.
 
 use super::EnginePool;
-use super::connection::Connection;
 use crate::context::Context;
 use crate::gate::{self, CallFacts, CallRefusal};
 use crate::slots::Slot;
@@ -12,7 +11,7 @@
 use std::time::Duration;
 
 impl EnginePool {
-    /// Adds an attempt to a connection; its call waits there until it can be written.
+    /// Adds an attempt to a connection. The call waits there until it can be written.
     pub(super) fn enqueue_call(&mut self, attempt_slot: Slot, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(connection) = self.connections.get_mut(slot) else { return };
@@ -22,38 +21,37 @@
             context.timers.clear(due, Timer::ConnectionIdle(slot));
         }
         connection.waiting.push(attempt_slot);
-        // The machine behind a silent connection may be gone: it has to answer before the connection is used.
-        let is_silent = context.now() > connection.last_reply_at + self.connect_timeout;
-        if connection.accepts_calls() && is_silent {
+        // The machine at the other end of an inactive connection may have failed without closing it, so the engine has
+        // to answer a health check before the connection is used.
+        let is_inactive = context.now() > connection.last_reply_at + self.connect_timeout;
+        if connection.accepts_calls() && is_inactive {
             self.send_ping(slot, context);
         }
         self.schedule_writes(slot, context);
     }
 
-    /// Starts the next waiting call, if the connection accepts one, and has the connection's output written.
+    /// Registers a connection for writing if it has output or a waiting call that can be written.
     pub(super) fn schedule_writes(&mut self, slot: Slot, context: &mut Context) {
-        let Some(connection) = self.connections.get_mut(slot) else { return };
+        let Some(connection) = self.connections.get(slot) else { return };
         let is_call_due = connection.accepts_calls() && !connection.waiting.is_empty();
+        let has_writable_output = connection.is_established() && !connection.output.is_empty();
         if is_call_due && connection.check_due.is_none() {
-            self.schedule_check(slot, context.now() + self.connect_timeout * 2, context);
+            self.schedule_check(slot, context.now() + self.inactivity_timeout(), context);
         }
-        let has_output = |connection: &Connection| {
-            is_call_due || connection.is_established() && !connection.output.is_empty()
-        };
-        if self.connections.get(slot).is_some_and(has_output) {
+        if is_call_due || has_writable_output {
             self.pending_writes.push(slot);
         }
     }
 
-    /// Requests whose calls are written next on a connection.
+    /// Returns the requests on a connection whose calls have not been written.
     pub fn requests_of_unwritten_calls(&self, slot: Slot) -> Vec<RequestId> {
         let Some(connection) = self.connections.get(slot) else { return Vec::new() };
         let attempts = connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt));
         attempts.filter(|attempt| attempt.call.is_some()).map(|attempt| attempt.request).collect()
     }
 
-    /// Moves the next waiting call that may be written into a connection's output, once all before it has been
-    /// written. Returns whether it did.
+    /// Moves the next waiting call that may be written into a connection's output, once all earlier output was
+    /// written. Returns whether there was such a call.
     fn start_next_call(&mut self, slot: Slot, context: &mut Context) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return false };
@@ -71,18 +69,18 @@
         }
     }
 
-    /// Asks the gate about an attempt's call.
+    /// Checks with the gate whether an attempt's call may be written at `now`.
     fn may_send(&self, slot: Slot, now: Duration) -> Result<(), CallRefusal> {
         let Some(attempt) = self.attempts.get(slot) else { return Err(CallRefusal::Cancelled) };
         gate::may_send(&CallFacts {
-            is_engine_ready: self.engines.get(&attempt.engine).is_some_and(|engine| engine.ready),
+            is_engine_ready: self.is_ready(attempt.engine),
             is_client_gone: attempt.resend_disabled,
             is_cancelled: attempt.is_cancelled(),
             time_left: attempt.deadline.saturating_sub(now),
         })
     }
 
-    /// Ends an attempt whose call may not be written any more: it never ran.
+    /// Ends an attempt whose call may no longer be written. The attempt never ran.
     fn refuse_call(&mut self, slot: Slot, refusal: CallRefusal, context: &mut Context) {
         if let Some(attempt) = self.attempts.get(slot) {
             refusal.record(attempt.request, attempt.number, &mut context.counters);
@@ -90,7 +88,7 @@
         }
     }
 
-    /// Adds an attempt's call to its connection's output, with the time that is left now.
+    /// Adds an attempt's call to its connection's output, with the time left at `now`.
     fn encode_call(&mut self, attempt_slot: Slot, slot: Slot, now: Duration) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
@@ -107,19 +105,23 @@
         );
     }
 
-    /// Takes a call of which no byte was written out of a connection's output, to be encoded anew. Only the front
-    /// of the output can be one.
+    /// Takes a call of which no byte was written out of a connection's output, so that it is encoded again with the
+    /// time left by then. Such a call can only be at the front of the output.
     fn requeue_unwritten_call(&mut self, slot: Slot) {
         let Some(connection) = self.connections.get(slot) else { return };
-        let mut carried = connection.attempts.values().copied().collect::<Vec<_>>().into_iter();
-        if let Some(attempt) = carried.find(|attempt| self.retract_unsent_call(*attempt))
+        let carried: Vec<Slot> = connection.attempts.values().copied().collect();
+        let retracted = carried.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
+        if let Some(attempt) = retracted
             && let Some(connection) = self.connections.get_mut(slot)
         {
             connection.waiting.insert(0, attempt);
         }
     }
 
-    /// Writes a connection's output and the calls that wait for it, until the socket accepts no more.
+    /// Writes a connection's output and its waiting calls, until the socket accepts no more.
+    ///
+    /// # Errors
+    /// Returns the error of a socket that has failed.
     pub fn drain(&mut self, slot: Slot, to: &mut impl Write, context: &mut Context) -> io::Result<()> {
         self.requeue_unwritten_call(slot);
         loop {
@@ -131,19 +133,26 @@
             if !connection.output.is_empty() {
                 return Ok(());
             }
-            // A call that was written is sent on no other connection.
-            for slot in connection.attempts.values() {
-                let attempt = self.attempts.get_mut(*slot);
-                if let Some(attempt) = attempt.filter(|attempt| attempt.call_offset.is_some()) {
-                    attempt.call = None;
-                }
-            }
+            self.drop_written_calls(slot);
             if !self.start_next_call(slot, context) {
                 return Ok(());
             }
         }
     }
 
+    /// Drops the calls that were written on a connection. A written call is never sent on another connection.
+    fn drop_written_calls(&mut self, slot: Slot) {
+        let attempts =
+            self.connections.get(slot).into_iter().flat_map(|connection| connection.attempts.values());
+        for attempt_slot in attempts {
+            if let Some(attempt) = self.attempts.get_mut(*attempt_slot)
+                && attempt.call_offset.is_some()
+            {
+                attempt.call = None;
+            }
+        }
+    }
+
     /// Adds a message to the output of an attempt's connection.
     pub(super) fn write(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
         let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.connection) else { return };
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -149,8 +149,8 @@
         while let Some(event) = self.dispatcher.engines.events.pop_front() {
             let now = self.dispatcher.context.now();
             match event {
-                PoolEvent::Progress { request, attempt, note } => {
-                    self.scheduler.progress_noted(now, request, attempt, note, &mut self.dispatcher);
+                PoolEvent::Progress { request, attempt, progress } => {
+                    self.scheduler.progress_noted(now, request, attempt, progress, &mut self.dispatcher);
                 }
                 PoolEvent::Ended { ended, body, late_connection } => {
                     if let Some(connection) = late_connection
