--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -74,7 +74,7 @@
         let Some(attempt) = self.attempts.get(slot) else { return Err(CallRefusal::Cancelled) };
         gate::may_send(&CallFacts {
             is_engine_ready: self.is_ready(attempt.engine),
-            is_client_gone: attempt.resend_disabled,
+            may_client_have_left: attempt.resend_disabled,
             is_cancelled: attempt.is_cancelled(),
             time_left: attempt.deadline.saturating_sub(now),
         })
