--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -316,8 +316,8 @@
     Mutant {
         name: "a shut client is never finished",
         file: CLIENTS,
-        from: "client.takes_no_input() && client.awaits_nothing()",
-        to: "client.takes_no_input() && !client.awaits_nothing()",
+        from: "!client.accepts_lines() && client.is_idle()",
+        to: "!client.accepts_lines() && !client.is_idle()",
     },
     Mutant {
         name: "half a line is skipped",
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -192,7 +192,7 @@
         let charge = match (outcome, cost) {
             (RequestOutcome::Succeeded, Some(cost)) => Outcome::Measured(cost),
             (RequestOutcome::Succeeded | RequestOutcome::Failed, _) => Outcome::Unknown,
-            (RequestOutcome::Rejected | RequestOutcome::Withdrawn, _) => Outcome::Refunded,
+            (RequestOutcome::Rejected | RequestOutcome::Cancelled, _) => Outcome::Refunded,
         };
         self.queues.settle(now, request, charge);
     }
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -4,23 +4,23 @@
 
 pub use client::{Client, ReadOutcome};
 
-use crate::jsonrpc::Withdrawal;
+use crate::jsonrpc::Cancellation;
 use crate::slots::{Slot, Slots};
 use client::{IDLE_TIMEOUT, LINE_TIMEOUT};
 use std::hash::Hasher;
 use std::io::{self, Read, Write};
 use std::time::Duration;
 
-/// Requests that may be open on one connection.
+/// Limit of the open requests of one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// How long what was sent before a close may still be in transit, by the protocol. A client that has connected, sent
-/// something or was answered within it may have a request in transit.
-pub const CROSSING: Duration = Duration::from_millis(50);
+/// Time, by the protocol, for which bytes sent before a close may still be in transit. A client that has connected, has
+/// sent input or was answered within this time may have a request in transit.
+pub const MAX_TRANSIT_TIME: Duration = Duration::from_millis(50);
 
-/// What a client's input is read from.
+/// The source of a client's input.
 pub trait ClientInput: Read {
-    /// The earliest time at which what was read now can have arrived: `assumed` by the caller, or before that where
-    /// it is known that the process was not scheduled while it polled, and saw it late.
+    /// Returns the earliest time at which the input that is read now can have arrived. That is `assumed`, or an earlier
+    /// time if the process is known to have been suspended while it polled.
     fn earliest_arrival(&self, _now: Duration, assumed: Duration) -> Duration {
         assumed
     }
@@ -32,25 +32,25 @@
     }
 }
 
-/// What a scan ahead of a client's next line has found.
+/// The result of scanning a client's unread input.
 #[derive(Default)]
 pub struct ScanResult {
-    /// What the client has stopped waiting for.
-    pub withdrawn: Vec<Withdrawal>,
-    /// The connection was reset or has failed.
+    /// Cancellations that no earlier scan has found.
+    pub cancellations: Vec<Cancellation>,
+    /// Whether the connection was reset or has failed.
     pub closed: bool,
-    /// The client has ended its side, which was not known before.
+    /// Whether the client was found to have shut down its sending side, for the first time.
     pub ended: bool,
 }
 
-/// What becomes of a client whose timer has expired.
+/// The result of checking a client whose idle timer has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleCheck {
-    /// It has stopped within a line, and is closed.
+    /// The client has sent an incomplete line, and is to be closed.
     Stalled,
-    /// It has been idle for too long, and is closed.
+    /// The client has exceeded its idle timeout, and is to be closed.
     Idle,
-    /// It is checked again at this time.
+    /// The client is to be checked again at this time.
     CheckAgain(Duration),
 }
 
@@ -58,49 +58,51 @@
 #[derive(Clone, Default)]
 pub struct Clients {
     pub table: Slots<Client>,
-    /// Bytes of the longest line.
+    /// Limit of the bytes of a line.
     max_line_bytes: usize,
-    /// Bytes of answers to all clients that may be unsent.
+    /// Limit of the unsent bytes to all clients.
     max_unsent_bytes: usize,
-    /// Bytes of answers to all clients that are unsent.
+    /// Unsent bytes to all clients.
     unsent_bytes: usize,
-    /// Clients that may have finished since this was last looked through.
+    /// Clients that may have finished since the caller last took this list.
     pub maybe_finished: Vec<Slot>,
     /// Clients whose output has grown since it was last written.
     pub pending_writes: Vec<Slot>,
 }
 
 impl Clients {
-    /// No clients yet, and the limits for lines and for unsent answers in bytes.
+    /// Creates an empty table with the limits for lines and for unsent answers, in bytes.
     pub fn with_limits(max_line_bytes: usize, max_unsent_bytes: usize) -> Self {
         Self { max_line_bytes, max_unsent_bytes, ..Self::default() }
     }
 
-    /// Adds a connection; returns when it is checked first.
+    /// Adds a connection. Returns the time of its first idle check.
     pub fn admit(&mut self, now: Duration) -> Duration {
         let client = Client::new(now);
-        let due = client.due;
+        let check_due = client.check_due;
         self.table.insert(client);
-        due
+        check_due
     }
 
-    /// Takes a connection out.
+    /// Removes a connection.
     pub fn take(&mut self, slot: Slot) -> Option<Client> {
         let client = self.table.take(slot)?;
         self.unsent_bytes -= client.output.len();
         Some(client)
     }
 
-    /// Of the clients that wait for nothing, the one that has been idle longest; first those that never sent a line.
-    /// Clients in whose direction something may be in transit are left out: a flood of connections must not
-    /// close those that came just before.
+    /// Returns the idle client that was inactive longest. Clients that never sent a line come first. Clients that may
+    /// have input in transit are excluded, so that a flood of connections does not close the clients that connected
+    /// shortly before.
     pub fn longest_idle(&self, now: Duration) -> Option<Slot> {
-        let is_quiet = |client: &Client| client.last_active.max(client.last_received) + CROSSING <= now;
-        let idle = self.table.iter().filter(|(_, client)| client.awaits_nothing() && is_quiet(client));
+        let idle = self
+            .table
+            .iter()
+            .filter(|(_, client)| client.is_idle() && !client.may_have_input_in_transit(now));
         idle.min_by_key(|(_, client)| (client.has_sent_line, client.last_active)).map(|(slot, _)| slot)
     }
 
-    /// The client with the most unsent answers, if those to all clients exceed their limit.
+    /// Returns the client with the most unsent bytes, if the unsent bytes to all clients exceed their limit.
     pub fn slowest_reader(&self) -> Option<Slot> {
         if self.unsent_bytes <= self.max_unsent_bytes {
             return None;
@@ -109,15 +111,15 @@
         slowest.map(|(slot, _)| slot)
     }
 
-    /// Checks a client whose timer has expired: those that send nothing, stop within a line or hold a connection
-    /// without use are closed.
+    /// Checks a client whose idle timer has expired. A client without open requests is closed if it sends nothing or
+    /// leaves a line incomplete.
     pub fn check_idle(&mut self, slot: Slot, now: Duration) -> IdleCheck {
         let Some(client) = self.table.get_mut(slot) else { return IdleCheck::Idle };
         let has_partial_line = client.has_partial_line();
         let timeout = if has_partial_line || !client.has_sent_line { LINE_TIMEOUT } else { IDLE_TIMEOUT };
-        client.due = if client.awaits_nothing() { client.last_active + timeout } else { now + LINE_TIMEOUT };
-        if client.due > now {
-            IdleCheck::CheckAgain(client.due)
+        client.check_due = if client.is_idle() { client.last_active + timeout } else { now + LINE_TIMEOUT };
+        if client.check_due > now {
+            IdleCheck::CheckAgain(client.check_due)
         } else if has_partial_line {
             IdleCheck::Stalled
         } else {
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Reads on until the next line. What is read now was received at `received_since` at the earliest; `has_failed`
-    /// tells whether a client that has ended its side can't be written to.
+    /// Reads input up to the next line. The input that is read now was received at `received_since` at the earliest.
+    /// `has_failed` returns whether the socket of a client that has shut down its sending side has an error.
     pub fn read_line(
         &mut self,
         slot: Slot,
@@ -143,9 +145,9 @@
         outcome
     }
 
-    /// Reads what a client with open requests or unread lines has sent, without handling it: whether it has
-    /// withdrawn requests, or has left. Without this, requests would be sent to engines for nobody while a
-    /// withdrawal stands behind other lines.
+    /// Reads input of a client with open requests or unread lines, and scans it for cancellations and for its end
+    /// without handling any line. The scan prevents attempts from being sent for requests whose cancellation is queued
+    /// behind other lines.
     pub fn scan_ahead(
         &mut self,
         slot: Slot,
@@ -159,20 +161,20 @@
         }
     }
 
-    /// Withdrawals in a client's unread lines that were not returned before.
-    pub fn find_withdrawals(&mut self, slot: Slot) -> Vec<Withdrawal> {
-        self.table.get_mut(slot).map(Client::new_withdrawals).unwrap_or_default()
+    /// Returns the cancellations in a client's unread lines that no earlier scan has found.
+    pub fn new_cancellations(&mut self, slot: Slot) -> Vec<Cancellation> {
+        self.table.get_mut(slot).map(Client::new_cancellations).unwrap_or_default()
     }
 
-    /// Whether an unread line of a client withdraws a request, by its name, or by its id where no name is given.
-    pub fn has_withdrawn(&self, slot: Slot, name: &str, id: u64) -> bool {
-        self.table.get(slot).is_some_and(|client| client.has_withdrawn(name, id))
+    /// Whether an unread line of a client cancels the request with this name and message id.
+    pub fn has_cancelled(&self, slot: Slot, name: &str, id: u64) -> bool {
+        self.table.get(slot).is_some_and(|client| client.has_cancelled(name, id))
     }
 
-    /// Whether a client's input has ended longer ago than anything can be in transit.
+    /// Whether a client's input has ended so long ago that nothing can be in transit.
     pub fn has_ended_input(&self, slot: Slot, now: Duration) -> bool {
         let ended_at = self.table.get(slot).and_then(|client| client.ended_at);
-        ended_at.is_some_and(|at| at + CROSSING < now)
+        ended_at.is_some_and(|at| at + MAX_TRANSIT_TIME < now)
     }
 
     /// Adds a line to a client's output.
@@ -181,44 +183,47 @@
         self.unsent_bytes += line.len();
         client.output.push(line);
         self.pending_writes.push(slot);
-        if client.takes_no_input() {
+        if !client.accepts_lines() {
             self.maybe_finished.push(slot);
         }
     }
 
-    /// Writes a client's output until its socket accepts no more.
+    /// Writes a client's output until the socket accepts no more.
+    ///
+    /// # Errors
+    /// Returns the error of a socket that has failed.
     pub fn drain(&mut self, slot: Slot, to: &mut impl Write) -> io::Result<()> {
         let Some(client) = self.table.get_mut(slot) else { return Ok(()) };
         self.unsent_bytes -= client.output.len();
         let drained = client.output.drain(to);
         self.unsent_bytes += client.output.len();
-        if client.takes_no_input() {
+        if !client.accepts_lines() {
             self.maybe_finished.push(slot);
         }
         drained
     }
 
-    /// Removes an open request that was answered or withdrawn.
+    /// Removes a request that was answered or cancelled from the open requests of its client.
     pub fn request_closed(&mut self, slot: Slot, id: u64, now: Duration) {
         let Some(client) = self.table.get_mut(slot) else { return };
         client.open.remove(&id);
         client.last_active = now;
-        if client.takes_no_input() {
+        if !client.accepts_lines() {
             self.maybe_finished.push(slot);
         }
     }
 
-    /// Whether nothing more is read from a client, and nothing is owed to it.
+    /// Whether a client sends no further line, and has no open request and no unsent output.
     pub fn is_finished(&self, slot: Slot) -> bool {
-        self.table.get(slot).is_some_and(|client| client.takes_no_input() && client.awaits_nothing())
+        self.table.get(slot).is_some_and(|client| !client.accepts_lines() && client.is_idle())
     }
 
-    /// Whether all output of all clients has been written.
+    /// Whether all output to all clients has been written.
     pub fn all_sent(&self) -> bool {
         self.table.iter().all(|(_, client)| client.output.is_empty())
     }
 
-    /// Feeds the state to a hasher, times relative to `now`: states with equal fingerprints behave alike.
+    /// Feeds the state to a hasher, with times relative to `now`. States with equal fingerprints behave alike.
     pub fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         for (_, client) in self.table.iter() {
             client.fingerprint(now, hasher);
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -20,8 +20,8 @@
     Rejected,
     /// It may have been run.
     Failed,
-    /// Its client has stopped waiting for it.
-    Withdrawn,
+    /// The client has cancelled the request or disconnected.
+    Cancelled,
 }
 
 impl RequestOutcome {
@@ -31,7 +31,7 @@
             Self::Succeeded => "requests_succeeded",
             Self::Rejected => "requests_rejected",
             Self::Failed => "requests_failed",
-            Self::Withdrawn => "requests_withdrawn",
+            Self::Cancelled => "requests_withdrawn",
         }
     }
 }
--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -5,7 +5,7 @@
 //! the time is up.
 
 use super::{MAX_READS_PER_ITERATION, RouterLoop};
-use crate::clients::CROSSING;
+use crate::clients::MAX_TRANSIT_TIME;
 use crate::ring::Filled;
 use crate::server::ClosedClient;
 use crate::slots::Slot;
@@ -44,7 +44,7 @@
         }
         let context = self.server.context();
         context.counters.count("clients_read_out");
-        context.timers.set(context.now() + CROSSING, Timer::Linger(slot));
+        context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::Linger(slot));
         self.lingering.insert(slot, registered);
         self.drain_lingering(slot);
     }
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -1,7 +1,7 @@
 //! Accepts clients' connections.
 
 use super::RouterLoop;
-use crate::clients::CROSSING;
+use crate::clients::MAX_TRANSIT_TIME;
 use crate::config::RouterConfig;
 use crate::dispatch::Dispatcher;
 use crate::error::ServeError;
@@ -188,7 +188,7 @@
     fn pause_accepting(&mut self) {
         let context = self.server.context();
         context.counters.count("accepts_paused");
-        context.timers.set(context.now() + CROSSING, Timer::ResumeAccepting);
+        context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::ResumeAccepting);
         if let Err(error) = self.loop_handle.disable(&self.listener.token) {
             log::warn!("pausing the accepting of connections failed: error={error:?}");
         }
--- a/crates/router/src/event_loop/shutdown.rs
+++ b/crates/router/src/event_loop/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::RouterLoop;
 use super::lingering::drain_input;
-use crate::clients::CROSSING;
+use crate::clients::MAX_TRANSIT_TIME;
 use crate::ring::Filled;
 use calloop::EventLoop;
 use std::net::Shutdown;
@@ -23,9 +23,9 @@
     }
 
     /// Closes all clients gracefully: shuts their connections down for writing and discards their input until they
-    /// close, for [`CROSSING`] at most. See [`Self::linger`] for the reason.
+    /// close, for [`MAX_TRANSIT_TIME`] at most. See [`Self::linger`] for the reason.
     pub(super) fn drain_clients(&mut self, event_loop: &mut EventLoop<'static, Self>) {
-        let deadline = self.clock.now() + CROSSING;
+        let deadline = self.clock.now() + MAX_TRANSIT_TIME;
         // New connections would only wake the loop. If disabling fails, the deadline still holds.
         let _ = self.loop_handle.disable(&self.listener.token);
         self.clients.retain(|_, registered| registered.socket.shutdown(Shutdown::Write).is_ok());
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC 2.0 between clients and the router, one message a line.
+//! The messages between clients and the router: JSON-RPC 2.0, one message per line.
 
 use crate::clock::whole_ms;
 use base64::Engine;
@@ -11,23 +11,27 @@
 use thiserror::Error;
 
 const VERSION: &str = "2.0";
-const WITHDRAW_METHOD: &str = "withdraw";
+/// The method of a status request.
+pub const STATUS_METHOD: &str = "status";
+/// The method of a cancellation.
+pub const CANCEL_METHOD: &str = "withdraw";
+const WAITING_METHOD: &str = "waiting";
 
-/// The code of an error response: those of the standard, and two of the router's own.
+/// The code of an error response. The protocol adds `Rejected` and `Failed` to the codes of JSON-RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCode {
     ParseError,
     InvalidRequest,
     MethodNotFound,
     InvalidParams,
-    /// The request was not run, so that a retry is harmless.
+    /// The request was not run, so a retry is harmless.
     Rejected,
     /// The request has failed and may have run.
     Failed,
 }
 
 impl ErrorCode {
-    /// The code's number on the wire.
+    /// Returns the number of the code on the wire.
     pub fn number(self) -> i64 {
         match self {
             Self::ParseError => -32700,
@@ -40,28 +44,28 @@
     }
 }
 
-/// Why a client's message is answered with an error.
+/// An error in a client's message, which is answered with an error response.
 #[derive(Debug, Error)]
 #[error("{kind}")]
 pub struct RequestError {
-    /// The message's id, where it has one by which the client can tell the answer.
+    /// The message's id, if the error response can carry it.
     pub id: Option<u64>,
     pub kind: RequestErrorKind,
 }
 
 impl RequestError {
-    /// An error in answer to the message with this id.
+    /// Creates an error in response to the message with this id.
     pub fn new(id: Option<u64>, kind: RequestErrorKind) -> Self {
         Self { id, kind }
     }
 
-    /// The code of the error response.
+    /// Returns the code of the error response.
     pub fn code(&self) -> ErrorCode {
         self.kind.code()
     }
 }
 
-/// What is wrong with a client's message. Its text is the message of the error response.
+/// The cause of an error response. Its text is the message of the response.
 #[derive(Debug, Error)]
 pub enum RequestErrorKind {
     #[error("malformed JSON: {0}")]
@@ -88,10 +92,10 @@
     IdOpen,
     #[error("`req` is open already")]
     NameOpen,
-    /// On the client's connection.
+    /// The limit of the client's connection is reached.
     #[error("too many open requests")]
     TooManyOpenOnConnection,
-    /// In the whole router.
+    /// The limit of the router is reached.
     #[error("too many tasks are open")]
     TooManyOpen,
     #[error("its client has left")]
@@ -101,12 +105,12 @@
 }
 
 impl RequestErrorKind {
-    /// An error in a request's parameters.
+    /// Creates the cause for an error in a request's parameters.
     pub fn invalid_params(error: impl StdError + Send + Sync + 'static) -> Self {
         Self::InvalidParams(Box::new(error))
     }
 
-    /// The code of the error response.
+    /// Returns the code of the error response.
     pub fn code(&self) -> ErrorCode {
         match self {
             Self::MalformedJson(_) | Self::LineTooLong | Self::LineIncomplete => ErrorCode::ParseError,
@@ -132,47 +136,56 @@
     /// `None` for a notification.
     pub id: Option<u64>,
     pub method: String,
-    /// Null if there are none.
+    /// The parameters; null if the message has none.
     pub params: Value,
 }
 
-/// What a client has stopped waiting for.
+/// A client's cancellation of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Withdrawal {
-    /// The request's `req`; empty if none is given.
+pub struct Cancellation {
+    /// The request's name (`req`); empty if the cancellation does not give it.
     pub name: String,
     /// The request's id on the client's connection.
     pub id: Option<u64>,
 }
 
-impl Withdrawal {
-    /// Decodes the parameters of a withdrawal. A message's own id counts where the parameters hold none.
+impl Cancellation {
+    /// Decodes the parameters of a cancellation. The id of the message counts if the parameters give no id.
     pub fn decode(message_id: Option<u64>, params: Fields<'_>) -> Self {
         let name = params.text("req").unwrap_or_default().to_owned();
         let id = params.unsigned("id").ok().or(message_id);
         Self { name, id }
     }
 
-    /// Decodes a line, if it is a withdrawal.
+    /// Whether the cancellation means the request with this name and message id. The id counts only if the cancellation
+    /// gives no name.
+    pub fn names(&self, name: &str, id: u64) -> bool {
+        if self.name.is_empty() { self.id == Some(id) } else { self.name == name }
+    }
+
+    /// Decodes a line, if it is a cancellation.
     pub fn decode_line(line: &[u8]) -> Option<Self> {
-        let mentions_method =
-            line.windows(WITHDRAW_METHOD.len()).any(|part| part == WITHDRAW_METHOD.as_bytes());
+        // Searching for the method first avoids parsing every line twice.
+        let mentions_method = line.windows(CANCEL_METHOD.len()).any(|part| part == CANCEL_METHOD.as_bytes());
         if !mentions_method {
             return None;
         }
-        let request = parse_request(line).ok().filter(|request| request.method == WITHDRAW_METHOD)?;
+        let request = parse_request(line).ok().filter(|request| request.method == CANCEL_METHOD)?;
         Some(Self::decode(request.id, Fields::of(&request.params)))
     }
 }
 
-/// The first line of `bytes`, and its length with the newline; `None` until it is complete. No newline is among the
-/// first `scanned` bytes.
+/// Returns the first line of `bytes`, and its length with the newline. Returns `None` until the line is complete. The
+/// first `scanned` bytes are known to hold no newline.
 pub fn split_line(bytes: &[u8], scanned: usize) -> Option<(&[u8], usize)> {
     let end = scanned + bytes.get(scanned..)?.iter().position(|byte| *byte == b'\n')?;
     Some((&bytes[..end], end + 1))
 }
 
 /// Decodes a client's message.
+///
+/// # Errors
+/// Returns the error to be answered if the line is not a valid JSON-RPC request.
 pub fn parse_request(line: &[u8]) -> Result<RpcRequest, RequestError> {
     let mut message: Value =
         serde_json::from_slice(line).map_err(|error| RequestError::new(None, error.into()))?;
@@ -195,12 +208,12 @@
     Ok(RpcRequest { id, method, params })
 }
 
-/// Decodes a statement or a result, which is base64 on the wire.
+/// Decodes a statement or a result from base64.
 pub fn decode_body(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
 
-/// A response with a result. Like all messages here, its fields are in the order that they have on the wire.
+/// A response with a result. The fields of all messages are declared in their order on the wire.
 #[derive(Serialize)]
 struct ResultResponse {
     jsonrpc: &'static str,
@@ -213,7 +226,7 @@
     data: String,
 }
 
-/// The response to a request that has succeeded.
+/// Encodes the response to a request that has succeeded.
 pub fn result_line(id: u64, body: &[u8]) -> Vec<u8> {
     let result = ResultBody { data: STANDARD.encode(body) };
     encode_line(&ResultResponse { jsonrpc: VERSION, id, result })
@@ -231,7 +244,7 @@
     serving: bool,
 }
 
-/// The response to a status request.
+/// Encodes the response to a status request.
 pub fn status_line(id: u64, serving: bool) -> Vec<u8> {
     encode_line(&StatusResponse { id, jsonrpc: VERSION, result: Status { serving } })
 }
@@ -253,7 +266,8 @@
     place: usize,
 }
 
-/// The notification of how long an open request may still be queued, and how many of its team are ahead of it.
+/// Encodes the notification of the time for which an open request may still be queued, and of its position in the queue
+/// of its team.
 pub fn waiting_line(id: u64, wait: &WaitEstimate) -> Vec<u8> {
     let params = WaitingParams {
         id,
@@ -262,7 +276,7 @@
         most_ms: whole_ms(wait.high),
         place: wait.position,
     };
-    encode_line(&WaitingNotification { jsonrpc: VERSION, method: "waiting", params })
+    encode_line(&WaitingNotification { jsonrpc: VERSION, method: WAITING_METHOD, params })
 }
 
 #[derive(Serialize)]
@@ -286,7 +300,7 @@
     retry_after_ms: u64,
 }
 
-/// An error response; the client may retry after `retry_after_ms`, where that is given.
+/// Encodes an error response. `retry_after_ms` is the time after which the client may retry.
 pub fn error_line(id: Option<u64>, code: ErrorCode, message: &str, retry_after_ms: Option<u64>) -> Vec<u8> {
     let data = retry_after_ms.map(|retry_after_ms| ErrorData { retry_after_ms });
     let error = ErrorObject { code: code.number(), data, message };
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -57,8 +57,8 @@
     /// Handles a line that was received `waited` ago. Cancellations in the lines behind it take effect first.
     fn handle_line(&mut self, slot: Slot, line: &[u8], waited: Duration) {
         let mut cancelled = Vec::new();
-        for withdrawal in self.dispatcher.clients.find_withdrawals(slot) {
-            cancelled.extend(self.find_open_request(slot, &withdrawal));
+        for cancellation in self.dispatcher.clients.new_cancellations(slot) {
+            cancelled.extend(self.find_open_request(slot, &cancellation));
         }
         if !cancelled.is_empty() {
             self.clients_departed(cancelled, Vec::new());
@@ -91,8 +91,8 @@
         let mut closed = Vec::new();
         for (slot, mut socket) in clients {
             let scan = self.dispatcher.clients.scan_ahead(slot, now, received_since, &mut socket);
-            for withdrawal in &scan.withdrawn {
-                cancelled.extend(self.find_open_request(slot, withdrawal));
+            for cancellation in &scan.cancellations {
+                cancelled.extend(self.find_open_request(slot, cancellation));
             }
             ended.extend(scan.ended.then_some(slot));
             closed.extend(scan.closed.then_some(slot));
@@ -110,7 +110,7 @@
     pub(super) fn clients_departed(&mut self, mut cancelled: Vec<RequestId>, ended: Vec<Slot>) {
         let now = self.dispatcher.context.now();
         cancelled
-            .retain(|request| self.dispatcher.close_request(*request, RequestOutcome::Withdrawn).is_some());
+            .retain(|request| self.dispatcher.close_request(*request, RequestOutcome::Cancelled).is_some());
         let mut queued = Vec::new();
         let mut accepted = Vec::new();
         for request in self.open_requests_of(&ended) {
@@ -205,7 +205,7 @@
     fn remove_client(&mut self, slot: Slot, reason: CloseReason) -> Vec<RequestId> {
         let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
-        self.dispatcher.context.timers.clear(client.due, Timer::Client(slot));
+        self.dispatcher.context.timers.clear(client.check_due, Timer::Client(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
         client.open.into_values().collect()
     }
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -4,7 +4,7 @@
 use super::parameters::{self, ParameterError, RequestParameters, TeamParameters, hash_of};
 use crate::clients::MAX_OPEN_REQUESTS;
 use crate::dispatch::RequestOutcome;
-use crate::jsonrpc::{self, RequestError, RequestErrorKind, RpcRequest, Withdrawal};
+use crate::jsonrpc::{self, Cancellation, RequestError, RequestErrorKind, RpcRequest};
 use crate::request_table::Request;
 use crate::slots::Slot;
 use emberflow::{Arrival, RequestId};
@@ -48,9 +48,9 @@
         let RpcRequest { id, method, params } = jsonrpc::parse_request(line)?;
         let fields = Fields::of(&params);
         match method.as_str() {
-            "status" => self.answer_status(client, id),
-            "withdraw" => {
-                self.withdraw_request(client, &Withdrawal::decode(id, fields));
+            jsonrpc::STATUS_METHOD => self.answer_status(client, id),
+            jsonrpc::CANCEL_METHOD => {
+                self.cancel_request(client, &Cancellation::decode(id, fields));
                 Ok(())
             }
             method => self.handle_request(RequestMessage { client, id, method, fields, waited }),
@@ -64,17 +64,17 @@
         Ok(())
     }
 
-    fn withdraw_request(&mut self, client: Slot, withdrawal: &Withdrawal) {
-        if let Some(request) = self.find_open_request(client, withdrawal) {
+    fn cancel_request(&mut self, client: Slot, cancellation: &Cancellation) {
+        if let Some(request) = self.find_open_request(client, cancellation) {
             self.clients_departed(vec![request], Vec::new());
         }
     }
 
     /// Returns the open request of a client that a cancellation names, by the request's name or by its id.
-    pub(super) fn find_open_request(&self, client: Slot, withdrawal: &Withdrawal) -> Option<RequestId> {
+    pub(super) fn find_open_request(&self, client: Slot, cancellation: &Cancellation) -> Option<RequestId> {
         for id in self.dispatcher.clients.table.get(client)?.open.values() {
             let Some(request) = self.dispatcher.requests.get(*id) else { continue };
-            if request.name == withdrawal.name || Some(request.client_request_id) == withdrawal.id {
+            if request.name == cancellation.name || Some(request.client_request_id) == cancellation.id {
                 return Some(*id);
             }
         }
@@ -153,9 +153,9 @@
         if self.dispatcher.clients.has_ended_input(client, now) {
             return Err(RequestError::new(Some(id), RequestErrorKind::ClientLeft));
         }
-        let is_cancelled = self.dispatcher.clients.has_withdrawn(client, name, id);
+        let is_cancelled = self.dispatcher.clients.has_cancelled(client, name, id);
         if is_cancelled {
-            self.dispatcher.context.counters.count(RequestOutcome::Withdrawn.counter());
+            self.dispatcher.context.counters.count(RequestOutcome::Cancelled.counter());
             log::debug!("request cancelled by its client before it was read: client={client:?} name={name}");
         }
         Ok(is_cancelled)
