--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out what the scheduler decides: sends attempts to engines and answers to clients.
+//! Carries out the scheduler's actions: sends attempts to engines and answers to clients.
 
 use crate::clients::Clients;
 use crate::clock::whole_ms;
@@ -12,20 +12,24 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
+/// The messages of the error responses, as clients know them.
+const REJECTED_MESSAGE: &str = "bounced: a retry is harmless";
+const FAILED_MESSAGE: &str = "given up: it may have run";
+
 /// How a request was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     Succeeded,
-    /// It was not run: a retry is harmless.
+    /// The request was not run, so a retry is harmless.
     Rejected,
-    /// It may have been run.
+    /// The request may have run.
     Failed,
     /// The client has cancelled the request or disconnected.
     Cancelled,
 }
 
 impl RequestOutcome {
-    /// The counter of requests that were closed so.
+    /// Returns the counter of requests with this outcome.
     pub fn counter(self) -> &'static str {
         match self {
             Self::Succeeded => "requests_succeeded",
@@ -36,7 +40,7 @@
     }
 }
 
-/// A request that was closed, as the admission queue is notified.
+/// The notification to the admission queue that a request was closed.
 #[derive(Clone, Copy)]
 pub struct Completion {
     /// The request.
@@ -45,12 +49,12 @@
     pub outcome: RequestOutcome,
 }
 
-/// What the scheduler acts on: open requests, clients and engines.
+/// The open requests, the clients and the engines, on which the scheduler acts.
 #[derive(Clone)]
 pub struct Dispatcher {
     /// The router's configuration.
     pub config: RouterConfig,
-    /// The time, timers and counters of the whole router.
+    /// The time, the timers and the counters of the router.
     pub context: Context,
     /// Connections of clients.
     pub clients: Clients,
@@ -58,9 +62,9 @@
     pub engines: EnginePool,
     /// The open requests.
     pub requests: RequestTable,
-    /// Whether any engine was ever ready.
+    /// Whether any engine has been ready since the start.
     pub had_ready_endpoint: bool,
-    /// Requests that were closed, collected only where there is an admission queue.
+    /// Closed requests of which the admission queue is to be notified; `None` without an admission queue.
     pub completions: Option<Vec<Completion>>,
 }
 
@@ -104,27 +108,25 @@
 
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let retry_after_ms = retry_after.map(whole_ms).filter(|ms| *ms > 0);
-        let line = |id| {
-            jsonrpc::error_line(Some(id), ErrorCode::Rejected, "bounced: a retry is harmless", retry_after_ms)
-        };
+        let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Rejected, REJECTED_MESSAGE, retry_after_ms);
         let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
         self.context.counters.must(was_open, "a_second_answer");
     }
 
     fn fail(&mut self, request: RequestId) {
-        let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, "given up: it may have run", None);
+        let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, FAILED_MESSAGE, None);
         let was_open = self.answer_request(request, RequestOutcome::Failed, line);
         self.context.counters.must(was_open, "a_second_answer");
     }
 
-    /// Never called: health checks are switched off on sockets.
+    /// Never called: the configuration of a router on sockets disables health checks by the scheduler.
     fn probe(&mut self, _: EngineId) {}
 
     fn wake_after(&mut self, wait: Duration) {
         self.context.timers.set(self.context.now() + wait, Timer::Wake);
     }
 
-    /// Without effect: the discovery service sends its events unasked.
+    /// Has no effect: the discovery service sends its events without a request.
     fn watch(&mut self) {}
 
     fn forget(&mut self, engine: EngineId) {
@@ -133,7 +135,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without clients, engines or requests, within the limits of a configuration.
+    /// Creates a dispatcher without clients, engines or requests, with the limits of a configuration.
     pub fn new(config: RouterConfig, context: Context) -> Self {
         let clients = Clients::with_limits(config.max_line_bytes(), config.max_buffered_bytes());
         let mut engines = EnginePool::new(
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Opens a request under the next id; returns whether the limits allow it.
+    /// Opens a request under the next id. Returns whether the limits allow it.
     pub fn open_request(&mut self, request: Request) -> bool {
         let statement_bytes = self.requests.statement_bytes() + request.statement.len();
         let is_table_full = self.requests.len() >= self.config.max_open_requests;
@@ -170,8 +172,8 @@
         true
     }
 
-    /// Sends a request's one final answer, built from its id on the client's connection; returns whether the
-    /// request was still open.
+    /// Closes a request and sends its final answer, which `line` encodes for the id of the client's message. Returns
+    /// whether the request was still open.
     pub fn answer_request(
         &mut self,
         request: RequestId,
@@ -183,7 +185,7 @@
         true
     }
 
-    /// Closes a request and cancels its attempts, since nobody waits for them any more.
+    /// Closes a request and cancels its attempts. Returns the request if it was still open.
     pub fn close_request(&mut self, id: RequestId, outcome: RequestOutcome) -> Option<Request> {
         let request = self.requests.remove(id)?;
         self.context.counters.count(outcome.counter());
@@ -198,7 +200,7 @@
         Some(request)
     }
 
-    /// Feeds the state to `hasher`: two dispatchers with the same fingerprint behave the same.
+    /// Feeds the state to `hasher`. Dispatchers with the same fingerprint behave alike.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.context.now();
         self.engines.fingerprint(now, hasher);
@@ -219,24 +221,28 @@
         for attempt in &request.attempts {
             self.engines.attempt_index(*attempt).hash(hasher);
         }
-        let late_connections = request.late_connections.iter();
-        let open_connections =
-            late_connections.filter_map(|connection| self.engines.connection_index(*connection));
-        open_connections.for_each(|connection| connection.hash(hasher));
+        for connection in &request.late_connections {
+            if let Some(index) = self.engines.connection_index(*connection) {
+                index.hash(hasher);
+            }
+        }
     }
 
-    /// The timers that connections, attempts and clients do not feed themselves.
+    /// Feeds those timers to `hasher` that are not part of the fingerprint of a connection, an attempt or a client.
     fn fingerprint_timers(&self, now: Duration, hasher: &mut impl Hasher) {
         for (at, timer) in self.context.timers.iter() {
-            if matches!(timer, Timer::Wake | Timer::Discovery | Timer::ResumeAccepting | Timer::ShutdownCheck)
-            {
+            let is_of_router = matches!(
+                timer,
+                Timer::Wake | Timer::Discovery | Timer::ResumeAccepting | Timer::ShutdownCheck
+            );
+            if is_of_router {
                 let microseconds_left = at.as_micros() as i64 - now.as_micros() as i64;
                 (microseconds_left, timer).hash(hasher);
             }
         }
     }
 
-    /// All counters and the sizes of all tables, in one line for the log.
+    /// Returns all counters and the sizes of all tables as one line for the log.
     pub fn counters_line(&self) -> String {
         let PoolSize { engines, connections, attempts } = self.engines.size();
         let clients = self.clients.table.len();
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -1,16 +1,20 @@
-//! Arrays of bulk strings in RESP, and the lists of fields within them.
+//! The messages between the router and engines: RESP arrays of bulk strings, and the lists of fields in them.
 
 use std::io::Write;
 use thiserror::Error;
 
-/// Parts of the longest array.
+/// Limit of the parts of an array.
 const MAX_PARTS: usize = 8;
-/// Bytes of the longest part.
+/// Limit of the bytes of a part.
 const MAX_PART_BYTES: usize = 64 * 1024;
-/// Digits of the longest length.
+/// Limit of the digits of a length.
 const MAX_LENGTH_DIGITS: usize = 7;
+/// The bytes behind each length and each part.
+const TERMINATOR: &[u8] = b"\r\n";
+/// Tabs in each row of a result, which has three columns.
+const TABS_PER_ROW: usize = 2;
 
-/// Why bytes are no RESP array.
+/// An error in the encoding of a RESP array.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum RespError {
     #[error("array of {0} parts")]
@@ -31,11 +35,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Array<'a> {
     pub parts: Vec<&'a [u8]>,
-    /// Bytes of the encoded array.
+    /// Length of the encoded array in bytes.
     pub length: usize,
 }
 
-/// Decodes the first array in `bytes`; `None` until it is complete.
+/// Decodes the first array in `bytes`. Returns `None` until the array is complete.
 pub fn parse_array(bytes: &[u8]) -> Result<Option<Array<'_>>, RespError> {
     let Some(header) = parse_length(bytes, b'*')? else { return Ok(None) };
     if header.value > MAX_PARTS {
@@ -51,48 +55,59 @@
     Ok(Some(Array { parts, length }))
 }
 
-/// Decodes the bulk string at the front of `bytes`, and returns it with its encoded length.
+/// Decodes the bulk string at the front of `bytes`, and returns it with its encoded length in bytes.
 fn parse_part(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, RespError> {
     let Some(Length { value, encoded_bytes }) = parse_length(bytes, b'$')? else { return Ok(None) };
     if value > MAX_PART_BYTES {
         return Err(RespError::PartTooLong(value));
     }
-    let end = encoded_bytes + value + 2;
+    let end = encoded_bytes + value + TERMINATOR.len();
     let Some(part) = bytes.get(encoded_bytes..end) else { return Ok(None) };
-    if &part[value..] != b"\r\n" {
+    if &part[value..] != TERMINATOR {
         return Err(RespError::UnterminatedPart);
     }
     Ok(Some((&part[..value], end)))
 }
 
-/// A length with its type byte and terminator.
+/// A decoded length.
 struct Length {
     value: usize,
+    /// Bytes of the length with its type byte and terminator.
     encoded_bytes: usize,
 }
 
+/// Decodes the length at the front of `bytes`, whose type byte must be `expected`.
 fn parse_length(bytes: &[u8], expected: u8) -> Result<Option<Length>, RespError> {
     let Some(first) = bytes.first() else { return Ok(None) };
     if *first != expected {
         return Err(RespError::UnexpectedByte { found: *first, expected: char::from(expected) });
     }
-    let line = &bytes[1..bytes.len().min(MAX_LENGTH_DIGITS + 3)];
-    let Some(end) = line.iter().position(|byte| *byte == b'\n') else {
-        let may_be_complete_later = line.len() < MAX_LENGTH_DIGITS + 2;
+    let after_type = &bytes[1..];
+    let max_line_bytes = MAX_LENGTH_DIGITS + TERMINATOR.len();
+    let line = &after_type[..after_type.len().min(max_line_bytes)];
+    let Some(newline) = line.iter().position(|byte| *byte == b'\n') else {
+        let may_be_complete_later = line.len() < max_line_bytes;
         return if may_be_complete_later { Ok(None) } else { Err(RespError::UnterminatedLength) };
     };
-    let digits = line[..end].strip_suffix(b"\r");
-    let digits = digits.filter(|digits| !digits.is_empty() && digits.iter().all(u8::is_ascii_digit));
-    let value = digits.and_then(|digits| std::str::from_utf8(digits).ok()?.parse().ok());
-    let value = value.ok_or(RespError::MalformedLength)?;
-    Ok(Some(Length { value, encoded_bytes: end + 2 }))
+    let digits = line[..newline].strip_suffix(b"\r").ok_or(RespError::MalformedLength)?;
+    let value = parse_digits(digits).ok_or(RespError::MalformedLength)?;
+    let line_bytes = newline + 1;
+    Ok(Some(Length { value, encoded_bytes: 1 + line_bytes }))
 }
 
-/// Whether a page is made of complete rows of text in three columns, as every page of a result must be.
+/// Decodes a number of decimal digits, without a sign.
+fn parse_digits(digits: &[u8]) -> Option<usize> {
+    if !digits.iter().all(u8::is_ascii_digit) {
+        return None;
+    }
+    std::str::from_utf8(digits).ok()?.parse().ok()
+}
+
+/// Whether a page is made of complete rows of text with three columns, as every page of a result must be.
 pub fn holds_rows(page: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(page) else { return false };
-    let columns = |row: &str| row.matches('\t').count() == 2;
-    text.is_empty() || text.strip_suffix('\n').is_some_and(|rows| rows.split('\n').all(columns))
+    let has_all_columns = |row: &str| row.matches('\t').count() == TABS_PER_ROW;
+    text.is_empty() || text.strip_suffix('\n').is_some_and(|rows| rows.split('\n').all(has_all_columns))
 }
 
 /// Encodes an array.
@@ -102,13 +117,13 @@
     for part in parts {
         write!(bytes, "${}\r\n", part.len()).expect("writing to memory never fails");
         bytes.extend_from_slice(part);
-        bytes.extend_from_slice(b"\r\n");
+        bytes.extend_from_slice(TERMINATOR);
     }
     bytes
 }
 
-/// The value of a field in a list such as `name=value,name=value`. The separators are that between fields and that
-/// between a name and its value.
+/// Returns the value of a field in a list such as `name=value,name=value`. `separators` are the separator between
+/// fields, and the separator between a field's name and value.
 pub fn field<'a>(fields: &'a str, name: &str, separators: (char, char)) -> Option<&'a str> {
     let (field_separator, value_separator) = separators;
     let mut pairs = fields.split(field_separator).filter_map(|field| field.split_once(value_separator));
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -1,64 +1,64 @@
-//! The buffer of one direction of a connection.
+//! A buffer for one direction of a connection.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Result, Write};
 
-/// Bytes read from a socket at once.
+/// Limit of the bytes read from a socket in one call.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The capacity that an empty buffer may keep: little, since there are many and each grows for a large answer some day.
+/// Limit of the capacity that an empty buffer retains. A router has many buffers, and each may grow for a large answer.
 const MAX_EMPTY_CAPACITY: usize = 4 * 1024;
 
-/// Bytes that were received and not yet consumed, or are to be sent.
+/// A queue of bytes: received and not yet consumed, or not yet sent.
 #[derive(Clone, Default)]
 pub struct Ring {
     bytes: VecDeque<u8>,
-    /// Bytes that were ever consumed or sent.
+    /// Number of all bytes consumed or sent so far.
     passed: u64,
 }
 
 /// How reading into a buffer ended.
 #[derive(Debug, PartialEq)]
 pub enum Filled {
-    /// The socket has no more for now.
+    /// The socket has no more input at present.
     Drained,
-    /// The buffer holds as much as was asked for; the socket may have more.
+    /// The buffer holds the requested number of bytes. The socket may have more.
     Enough,
-    /// The peer has closed its side.
+    /// The peer has shut down its sending side.
     Closed,
 }
 
 impl Ring {
-    /// Bytes in the buffer.
+    /// Returns the number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether the buffer holds nothing.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The offset of the buffer's end among all bytes that ever passed through it.
+    /// Returns the offset of the buffer's end in the whole stream.
     pub fn end(&self) -> u64 {
         self.passed + self.bytes.len() as u64
     }
 
-    /// The offset of the buffer's front among all bytes that ever passed through it.
+    /// Returns the offset of the buffer's front in the whole stream.
     pub fn passed(&self) -> u64 {
         self.passed
     }
 
-    /// Adds bytes at the end.
+    /// Appends bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend(bytes);
     }
 
-    /// All bytes in the buffer.
+    /// Returns all bytes in the buffer.
     pub fn readable(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
-    /// Takes bytes out of the front.
+    /// Removes bytes from the front that were handled or sent.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
         self.passed += count as u64;
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Removes bytes from the front that are not to be sent; they do not count as passed.
+    /// Removes bytes from the front that are not to be sent. They do not advance the offsets.
     pub fn cut(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
 
-    /// Reads until the socket has no more or the buffer holds `max_bytes`.
+    /// Reads until the socket has no more input or the buffer holds `max_bytes`.
     pub fn fill(&mut self, from: &mut impl Read, max_bytes: usize) -> Result<Filled> {
         let mut chunk = [0; CHUNK_BYTES];
         while self.bytes.len() < max_bytes {
@@ -88,7 +88,7 @@
         Ok(Filled::Enough)
     }
 
-    /// Writes until nothing is left or the socket accepts no more.
+    /// Writes until the buffer is empty or the socket accepts no more.
     pub fn drain(&mut self, to: &mut impl Write) -> Result<()> {
         while !self.bytes.is_empty() {
             match to.write(self.bytes.as_slices().0) {
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -1,15 +1,15 @@
-//! The table group that a statement reads: the number behind the underscore in the name of a schema.
+//! Finds the table group that a statement uses: the number after the underscore in the name of a schema.
 
-/// Keywords that the name of a table follows.
+/// Keywords that are followed by the name of a table.
 const TABLE_KEYWORDS: [&[u8]; 8] =
     [b"from", b"join", b"into", b"update", b"using", b"table", b"only", b"copy"];
 /// Keywords that begin a clause in which commas may separate names.
 const CLAUSE_KEYWORDS: [&[u8]; 8] =
     [b"select", b"from", b"where", b"group", b"order", b"set", b"values", b"on"];
 
-/// Finds the group of the first table whose schema has a number. Schemas without a number, such as `staging`, are
-/// skipped, as are comments and quoted text that is no name. Other names with a dot, such as an alias's columns, count
-/// only where no table is named behind a keyword or in the list of a `FROM` clause.
+/// Returns the group of the first table whose schema has a number. Schemas without a number, such as `staging`, are
+/// skipped, as are comments and string literals. Other names with a dot, such as the columns of an alias, count only if
+/// no table is named after a keyword or in the list of a `FROM` clause.
 pub fn table_group(statement: &str) -> Option<u64> {
     let mut scanner = Scanner::default();
     let mut rest = statement.as_bytes();
@@ -25,39 +25,40 @@
 
 /// A token of a statement.
 enum Token<'a> {
-    /// White space or a comment.
+    /// White space, or a comment.
     Blank,
     Dot,
     Word(&'a [u8]),
-    /// A name in quotes, without them.
+    /// A quoted name, without its quotes.
     QuotedName(&'a [u8]),
-    /// Quoted text, or any other byte.
+    /// A string literal, by its quote, or any other byte.
     Other(u8),
 }
 
-/// The first name of a chain such as `schema.table.column`.
+/// The first name of a qualified name such as `schema.table.column`.
 struct FirstName<'a> {
     text: &'a [u8],
-    /// Whether it stands where a table is named.
+    /// Whether the name is in a position where a table is named.
     is_table: bool,
 }
 
-/// What is known of a statement up to some token.
+/// The state after the tokens of a statement read so far.
 #[derive(Default)]
 struct Scanner<'a> {
-    /// The name that the next dot would qualify.
+    /// The first name of a qualified name, if a dot may follow.
     first_name: Option<FirstName<'a>>,
     follows_dot: bool,
     expects_table: bool,
-    /// Within a `FROM` clause, a table follows each comma.
+    /// Whether the token is in a `FROM` clause, in which each comma is followed by a table.
     in_from_clause: bool,
+    /// Whether a table with a qualified name was found.
     has_table: bool,
-    /// The first group of a name that is not known to be a table's.
+    /// The first group of a qualified name that is not known to be the name of a table.
     other_group: Option<u64>,
 }
 
 impl<'a> Scanner<'a> {
-    /// Takes the next token; returns the group once a table's schema has one.
+    /// Handles the next token. Returns the group if the token completes the name of a schema with a group.
     fn accept(&mut self, token: Token<'a>) -> Option<u64> {
         match token {
             Token::Blank => {}
@@ -73,7 +74,7 @@
         None
     }
 
-    /// A dot makes the name before it a schema's, or an alias.
+    /// Handles a dot: the name before it is a schema or an alias.
     fn accept_dot(&mut self) -> Option<u64> {
         self.follows_dot = true;
         let name = self.first_name.take()?;
@@ -86,6 +87,7 @@
         None
     }
 
+    /// Handles a name, quoted or not.
     fn accept_name(&mut self, name: &'a [u8]) {
         let follows_dot = std::mem::take(&mut self.follows_dot);
         let is_table = std::mem::take(&mut self.expects_table);
@@ -93,6 +95,7 @@
         self.first_name = (!follows_dot).then_some(name);
     }
 
+    /// Handles a word that is not quoted: a name or a keyword.
     fn accept_word(&mut self, word: &'a [u8]) {
         self.accept_name(word);
         let is_among = |keywords: &[&[u8]]| keywords.iter().any(|keyword| word.eq_ignore_ascii_case(keyword));
@@ -102,41 +105,46 @@
         }
     }
 
+    /// Returns the group of a statement that names no table with a schema.
     fn group_without_table(&self) -> Option<u64> {
         self.other_group.filter(|_| !self.has_table)
     }
 }
 
-/// Splits the first token off `bytes`, which are not empty.
+/// Splits the first token off `bytes`, which must not be empty.
 fn split_token(bytes: &[u8]) -> (Token<'_>, &[u8]) {
     let first = bytes[0];
-    let is_comment = bytes.starts_with(b"--") || bytes.starts_with(b"/*");
+    let is_line_comment = bytes.starts_with(b"--");
+    let is_block_comment = bytes.starts_with(b"/*");
     let length = match first {
+        _ if is_line_comment => length_before(bytes, |byte| byte == b'\n'),
+        _ if is_block_comment => block_comment_length(bytes),
         b'\'' | b'"' | b'`' => quoted_length(bytes, first),
-        b'-' if is_comment => bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len()),
-        b'/' if is_comment => comment_length(bytes),
-        byte if is_name_byte(byte) => {
-            bytes.iter().position(|byte| !is_name_byte(*byte)).unwrap_or(bytes.len())
-        }
+        _ if is_name_byte(first) => length_before(bytes, |byte| !is_name_byte(byte)),
         _ => 1,
     };
     let (text, rest) = bytes.split_at(length);
     let token = match first {
-        _ if is_comment => Token::Blank,
-        byte if byte.is_ascii_whitespace() => Token::Blank,
+        _ if is_line_comment || is_block_comment => Token::Blank,
+        _ if first.is_ascii_whitespace() => Token::Blank,
         b'.' => Token::Dot,
         b'"' | b'`' => Token::QuotedName(text.get(1..length.saturating_sub(1)).unwrap_or_default()),
-        byte if is_name_byte(byte) => Token::Word(text),
-        byte => Token::Other(byte),
+        _ if is_name_byte(first) => Token::Word(text),
+        _ => Token::Other(first),
     };
     (token, rest)
 }
 
+/// Returns the number of bytes before the first that satisfies `is_end`.
+fn length_before(bytes: &[u8], is_end: impl Fn(u8) -> bool) -> usize {
+    bytes.iter().position(|byte| is_end(*byte)).unwrap_or(bytes.len())
+}
+
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
 
-/// The length of quoted text, in which a doubled quote stands for one.
+/// Returns the length of the quoted text at the front of `bytes`, in which a doubled quote is an escaped quote.
 fn quoted_length(bytes: &[u8], quote: u8) -> usize {
     let mut at = 1;
     while at < bytes.len() {
@@ -153,8 +161,8 @@
     bytes.len()
 }
 
-/// The length of a comment, which may hold others.
-fn comment_length(bytes: &[u8]) -> usize {
+/// Returns the length of the block comment at the front of `bytes`. Comments may be nested.
+fn block_comment_length(bytes: &[u8]) -> usize {
     let mut depth = 0;
     let mut at = 0;
     while at < bytes.len() {
@@ -174,7 +182,7 @@
     bytes.len()
 }
 
-/// The number behind the last underscore of a schema's name.
+/// Returns the number after the last underscore in the name of a schema.
 fn schema_number(schema: &[u8]) -> Option<u64> {
     let (name, digits) = std::str::from_utf8(schema).ok()?.rsplit_once('_')?;
     let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
