--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -35,7 +35,7 @@
             Self::Succeeded => "requests_succeeded",
             Self::Rejected => "requests_rejected",
             Self::Failed => "requests_failed",
-            Self::Cancelled => "requests_withdrawn",
+            Self::Cancelled => "requests_cancelled",
         }
     }
 }
@@ -164,7 +164,7 @@
             self.context.counters.count("requests_over_the_limit");
             return false;
         }
-        self.context.counters.count("requests_taken");
+        self.context.counters.count("requests_accepted");
         if let Some(client) = self.clients.table.get_mut(request.client) {
             client.open.insert(request.client_request_id, self.requests.next_id);
         }
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -105,7 +105,7 @@
         attempt.cancelled_at = Some(context.now());
         let cancel = EngineCommand::Cancel { id: &attempt.id }.encode();
         let ping = EngineCommand::Ping { id: &attempt.id }.encode();
-        context.counters.count("attempts_taken_back");
+        context.counters.count("attempts_cancelled_before_retry");
         self.write(slot, &[cancel, ping].concat(), context);
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
     }
@@ -229,7 +229,7 @@
         AttemptOutcome::TimedOut => "attempts_timed_out",
         AttemptOutcome::Unreachable => "attempts_unreachable",
         AttemptOutcome::Broken => "attempts_broken",
-        AttemptOutcome::Withdrawn => "attempts_withdrawn",
-        AttemptOutcome::Void => "attempts_void",
+        AttemptOutcome::Withdrawn => "attempts_cancelled",
+        AttemptOutcome::Void => "attempts_not_sent",
     }
 }
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -72,7 +72,7 @@
                 connections: Vec::new(),
             };
             self.engines.insert(engine, entry);
-            self.next_engine += 1;
+            self.next_engine.0 += 1;
         }
         engine
     }
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -95,7 +95,7 @@
         match self.attempt_named(connection, &reply.id) {
             Some(attempt) => self.handle_reply(attempt, reply, context),
             None => {
-                context.counters.count("engine_answers_for_nothing");
+                context.counters.count("engine_answers_after_cancellation");
                 Ok(())
             }
         }
@@ -192,7 +192,7 @@
     ) -> Result<(), EngineProtocolError> {
         let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
         let progress = fields.progress()?;
-        context.counters.count("notes");
+        context.counters.count("progress_updates");
         let (request, attempt) = (attempt.request, attempt.number);
         self.events.push_back(PoolEvent::Progress { request, attempt, progress });
         Ok(())
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -40,7 +40,7 @@
         let request = arrival.request;
         let Some(admission_queue) = &mut self.admission_queue else { return };
         if let Err(Rejection { reason, retry_after }) = admission_queue.enqueue(now, arrival, admission) {
-            self.dispatcher.context.counters.count("requests_refused_at_the_door");
+            self.dispatcher.context.counters.count("requests_rejected_at_admission");
             log::debug!(
                 "request rejected by the admission queue: request={request} reason={reason:?} \
                  retry_after={retry_after:?}"
@@ -56,7 +56,7 @@
             team: team.team,
             urgency: team.urgency,
             identity,
-            key: arrival.key.filter(|_| class.keeps_order).map(|key| key as u64),
+            key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
             margin: self.scheduler.margin() * DISPATCH_MARGIN_INTERVALS,
