--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -86,7 +86,7 @@
         let (id, statement) = (request_id(request as u64), statement(request, number));
         let deadline = state.now + CALL_TIMEOUT;
         let call = Call {
-            request: request as RequestId,
+            request: RequestId::from_index(request),
             number,
             id: &id,
             class: "lookup",
@@ -218,7 +218,7 @@
 
     fn record_pool_event(&mut self, event: PoolEvent) {
         let PoolEvent::Ended { ended, body, late_connection } = event else { return };
-        let request = ended.request as usize;
+        let request = ended.request.index();
         let late_answer = late_connection.map(|connection| LateAnswer { request, connection });
         self.state.late_answers.extend(late_answer);
         self.record_end(request, ended.attempt, ended.outcome, body);
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -99,7 +99,7 @@
             Some(queue) => Some(TeamParameters::decode(&queue.teams, fields).map_err(invalid_parameters)?),
             None => None,
         };
-        let identity = hash_of(parameters.idempotency_key.as_deref().unwrap_or(name)) as u64;
+        let identity = u64::from(hash_of(parameters.idempotency_key.as_deref().unwrap_or(name)));
         let request = Request {
             idempotency_key: parameters.idempotency_key,
             statement: parameters.statement,
