--- /dev/null
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -0,0 +1,174 @@
+//! The state of the discovery model: the reader, the list that it has received, and the service's side.
+
+use super::scenario::DiscoveryScenario;
+use super::service::{EndpointList, FrameFault, KIND_COUNT, change_frame, endpoint_list, snapshot_frame};
+use crate::invariants::first_violated;
+use emberflow::EndpointUpdate;
+use emberflow_router::counters::Counters;
+use emberflow_router::discovery::{Discovery, EndpointEvent, Frame};
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// Number of locations in the settings.
+const LOCATION_COUNT: usize = 1;
+
+/// The endpoints of an accepted event.
+pub struct AcceptedEndpoints {
+    /// Whether they are the complete list.
+    pub is_snapshot: bool,
+    /// Each engine id, and whether the engine is ready.
+    pub endpoints: Vec<(u32, bool)>,
+}
+
+/// The reader's reaction to a frame, or the time at which everything was sent.
+pub enum Event {
+    /// The reader accepts a frame; `accepted` is `None` for a heartbeat.
+    Accepts { number: u64, accepted: Option<AcceptedEndpoints> },
+    /// The reader rejects its input.
+    Rejects,
+    /// Everything was sent, so that the router is up to date.
+    AllSent,
+}
+
+/// The reader and its environment.
+#[derive(Clone)]
+pub struct DiscoveryState {
+    /// The system under test.
+    reader: Discovery,
+    /// The list that the router has received.
+    pub received: EndpointList,
+    /// The number of the last event of the list.
+    pub last_event: u64,
+    /// The number of the last event that was sent on this connection.
+    pub sent_event: u64,
+    /// The second part of a frame whose first part was sent.
+    pub unsent_rest: Vec<u8>,
+    /// Whether the reader has rejected a frame, after which the router must reconnect.
+    pub must_reconnect: bool,
+    /// Number of faulty frames.
+    pub faults: u8,
+    /// Number of lost connections.
+    pub disconnects: u8,
+    /// The fault of the frame that was sent last.
+    pub frame_fault: Option<FrameFault>,
+    /// The name of the first violated invariant.
+    pub violated: Option<&'static str>,
+}
+
+impl DiscoveryState {
+    /// Returns the initial state, in which the reader has the list without any event.
+    pub fn initial() -> Self {
+        Self {
+            reader: Discovery::resume_after(0, KIND_COUNT, LOCATION_COUNT),
+            received: endpoint_list(0),
+            last_event: 0,
+            sent_event: 0,
+            unsent_rest: Vec::new(),
+            must_reconnect: false,
+            faults: 0,
+            disconnects: 0,
+            frame_fault: None,
+            violated: None,
+        }
+    }
+
+    /// Returns the number of the last event that the reader has accepted.
+    pub fn last_accepted(&self) -> u64 {
+        self.reader.last_event
+    }
+
+    /// Whether everything was sent on a connection that is still in use.
+    pub fn is_all_sent(&self) -> bool {
+        !self.must_reconnect && self.unsent_rest.is_empty() && self.sent_event == self.last_event
+    }
+
+    fn check(&mut self, scenario: &DiscoveryScenario, event: &Event) {
+        self.violated = self.violated.or_else(|| first_violated(scenario, self, event));
+    }
+
+    /// Returns events that a faulty reader could emit in this state.
+    pub fn hypothetical_events(&self) -> Vec<Event> {
+        let snapshot = |number, endpoints| Event::Accepts {
+            number,
+            accepted: Some(AcceptedEndpoints { is_snapshot: true, endpoints }),
+        };
+        let accepted = self.last_accepted();
+        let endpoints = endpoint_list(accepted).into_iter().collect();
+        vec![
+            snapshot(accepted + 1, Vec::new()),
+            snapshot(accepted, endpoints),
+            Event::Rejects,
+            Event::AllSent,
+        ]
+    }
+
+    /// Delivers bytes to the reader, and checks its reaction.
+    pub fn deliver(&mut self, scenario: &DiscoveryScenario, bytes: &[u8]) {
+        self.reader.input.push(bytes);
+        loop {
+            // The invariants compare the event with the state of the reader before this frame.
+            let mut reader = self.reader.clone();
+            match reader.next_frame(&mut Counters::default()) {
+                Ok(None) => return,
+                Ok(Some(frame)) => {
+                    self.accept(scenario, frame);
+                    self.reader = reader;
+                }
+                Err(_) => {
+                    self.check(scenario, &Event::Rejects);
+                    self.must_reconnect = true;
+                    self.unsent_rest.clear();
+                    return;
+                }
+            }
+        }
+    }
+
+    fn accept(&mut self, scenario: &DiscoveryScenario, Frame { number, event }: Frame) {
+        let accepted = event.map(|EndpointEvent { update, endpoints }| AcceptedEndpoints {
+            is_snapshot: update == EndpointUpdate::FullList,
+            endpoints: endpoints.iter().map(|endpoint| (endpoint.id, endpoint.is_ready())).collect(),
+        });
+        let event = Event::Accepts { number, accepted };
+        self.check(scenario, &event);
+        let Event::Accepts { accepted: Some(accepted), .. } = event else { return };
+        if accepted.is_snapshot {
+            self.received.clear();
+        }
+        self.received.extend(accepted.endpoints);
+    }
+
+    /// Sends an event. A snapshot is sent for the last event, a change for the next one.
+    pub fn send_event(&mut self, scenario: &DiscoveryScenario, snapshot: bool, split: bool) {
+        self.sent_event = if snapshot { self.last_event } else { self.sent_event + 1 };
+        let mut bytes =
+            if snapshot { snapshot_frame(self.sent_event) } else { change_frame(self.sent_event) };
+        if split {
+            self.unsent_rest = bytes.split_off(bytes.len() / 2);
+        }
+        self.deliver(scenario, &bytes);
+    }
+
+    /// Sends the second part of a frame.
+    pub fn send_rest(&mut self, scenario: &DiscoveryScenario) {
+        let rest = std::mem::take(&mut self.unsent_rest);
+        self.deliver(scenario, &rest);
+    }
+
+    /// Replaces the connection; the service resumes after the last accepted event.
+    pub fn reconnect(&mut self) {
+        self.disconnects += u8::from(!self.must_reconnect);
+        self.must_reconnect = false;
+        self.reader = self.reader.for_new_connection();
+        self.sent_event = self.reader.last_event;
+        self.unsent_rest.clear();
+    }
+
+    /// Returns a number that is equal for states with equal futures.
+    pub fn fingerprint(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        (self.reader.input.len(), self.reader.last_event, &self.received).hash(&mut hasher);
+        (self.last_event, self.sent_event, &self.unsent_rest, self.must_reconnect).hash(&mut hasher);
+        (self.faults, self.disconnects, self.violated).hash(&mut hasher);
+        hasher.finish()
+    }
+}
--- a/crates/model-checker/src/former_names.rs
+++ b/crates/model-checker/src/former_names.rs
@@ -6,6 +6,7 @@
     ("a planned restart", "shutdown of the router"),
     ("a restart under two", "shutdown, two requests"),
     ("a restart under a booking", "shutdown, idempotency key"),
+    ("a team that floods", "a team above its share"),
 ];
 
 /// Returns the current name of a scenario; a name that is not a former one is returned as it is.
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -144,9 +144,9 @@
     let router = router_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
     match mutant.file {
         file if file.starts_with("crates/teams/src/") => {
-            queue_model::SCENARIOS.iter().map(|scenario| scenario.name).collect()
+            queue_model::scenario::SCENARIOS.iter().map(|scenario| scenario.name).collect()
         }
-        DISCOVERY => discovery_model::SCENARIOS.iter().map(|scenario| scenario.name).collect(),
+        DISCOVERY => discovery_model::scenario::SCENARIOS.iter().map(|scenario| scenario.name).collect(),
         file if file.starts_with("src/") => vec!["--short"],
         file if file.starts_with(ENGINE_POOL) => connections.chain(router).collect(),
         _ => router.collect(),
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -1,11 +1,11 @@
 //! All scenarios and invariants, of whatever model, as the command line and the tests see them.
 
 use crate::connection_model::{self, scenario::ConnectionScenario};
-use crate::discovery_model::{self, DiscoveryScenario};
+use crate::discovery_model::{self, scenario::DiscoveryScenario};
 use crate::former_names::current_name;
 use crate::invariants::ObservedModel;
 use crate::module_model::{self, ModuleModel, counterexample, scenario::Scenario};
-use crate::queue_model::{self, QueueScenario};
+use crate::queue_model::{self, scenario::QueueScenario};
 use crate::router_model::{self, scenario::RouterScenario};
 use crate::search::{Bounds, Extent, Model, Step, explore};
 use crate::witness;
@@ -94,8 +94,8 @@
     let mut entries: Vec<Entry> = module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
     entries.extend(connection_model::scenarios::SCENARIOS.iter().map(connection_entry));
     entries.extend(router_model::scenarios::SCENARIOS.iter().map(router_entry));
-    entries.extend(discovery_model::SCENARIOS.iter().map(discovery_entry));
-    entries.extend(queue_model::SCENARIOS.iter().map(queue_entry));
+    entries.extend(discovery_model::scenario::SCENARIOS.iter().map(discovery_entry));
+    entries.extend(queue_model::scenario::SCENARIOS.iter().map(queue_entry));
     entries
 }
 
