--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -40,8 +40,8 @@
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
 /// The folder of the engine pool.
 const ENGINE_POOL: &str = "crates/router/src/engine_pool/";
-const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt.rs";
-const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection.rs";
+const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt_lifecycle.rs";
+const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection_lifecycle.rs";
 const POOL_ENDPOINTS: &str = "crates/router/src/engine_pool/endpoints.rs";
 const POOL_REPLIES: &str = "crates/router/src/engine_pool/replies.rs";
 const POOL_RESULT_PAGES: &str = "crates/router/src/engine_pool/result_pages.rs";
@@ -102,7 +102,7 @@
     scheduler(
         "a broken attempt never ran",
         REQUEST_STATE,
-        "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Void]",
+        "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::NotSent]",
         "[AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::Broken]",
     ),
     scheduler(
@@ -120,14 +120,14 @@
     scheduler(
         "key cooldown after breaks forgotten",
         ORDERING,
-        "matches!(ended.outcome, TimedOut | Broken | Withdrawn)",
-        "matches!(ended.outcome, TimedOut | Withdrawn)",
+        "matches!(ended.outcome, TimedOut | Broken | Cancelled)",
+        "matches!(ended.outcome, TimedOut | Cancelled)",
     ),
     scheduler(
         "retry budget off by one",
         RETRIES,
-        "budget.spare + budget.per_request",
-        "1.0 + budget.spare + budget.per_request",
+        "budget.min_retries + budget.per_request",
+        "1.0 + budget.min_retries + budget.per_request",
     ),
     scheduler("retries not counted", RECORDING, "self.retried_at.push_back(now);", ""),
     scheduler(
@@ -214,7 +214,7 @@
     Mutant {
         name: "a second attempt where an answer is owed",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(slot) && ",
+        from: "let is_separate = !excluded.contains(&slot) && ",
         to: "let is_separate = ",
     },
     Mutant {
@@ -316,8 +316,8 @@
     Mutant {
         name: "a shut client is never finished",
         file: CLIENTS,
-        from: "client.takes_no_input() && client.awaits_nothing()",
-        to: "client.takes_no_input() && !client.awaits_nothing()",
+        from: "!client.accepts_lines() && client.is_idle()",
+        to: "!client.accepts_lines() && !client.is_idle()",
     },
     Mutant {
         name: "half a line is skipped",
