--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -1,4 +1,4 @@
-//! The scheduler's actions as lines of the simulator's wire.
+//! Encodes the scheduler's actions as lines of the simulator's wire.
 
 use crate::names::Names;
 use emberflow::{Actions, EngineId, RequestId};
@@ -7,11 +7,15 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Writes one instance's actions, a line each.
+/// Writes the actions of one instance, one line for each.
 pub struct ActionWriter<'a> {
+    /// The simulator's number of the instance.
     pub instance: u64,
+    /// The time of the input that leads to the actions.
     pub now: Duration,
+    /// The simulator's names of requests and engines.
     pub names: &'a Names,
+    /// The reply to the batch, to which the lines are appended.
     pub reply: &'a mut Vec<u8>,
 }
 
@@ -75,6 +79,6 @@
         self.write(json!({"op": "SUBSCRIBE", "on": true}));
     }
 
-    /// Nothing to do: the numbers of engines are used for as long as their instance runs.
+    /// Has no effect: an engine keeps its number as long as the instance runs.
     fn forget(&mut self, _: EngineId) {}
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with the simulator's input or with the output.
+//! Errors of the simulator's input and of the output.
 
 use emberflow_settings::SettingsError;
 use std::fmt::{Display, Formatter};
 use thiserror::Error;
 
-/// An error, and the line of input that led to it.
+/// An error with the line of input that led to it.
 #[derive(Debug, Error)]
 pub struct InputError {
-    /// From 1 up; none where the input as a whole is wrong.
+    /// The number of the line, counted from 1; `None` if the error is at the end of the input.
     pub line: Option<usize>,
-    /// What is wrong.
+    /// The error.
     #[source]
     pub error: AdapterError,
 }
@@ -23,37 +23,37 @@
     }
 }
 
-/// Why the adapter stops.
+/// Errors that stop the adapter.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Standard input can't be read.
-    #[error("input: {0}")]
+    /// Standard input cannot be read.
+    #[error("reading standard input: {0}")]
     Input(std::io::Error),
-    /// Standard output can't be written.
-    #[error("output: {0}")]
+    /// Standard output cannot be written.
+    #[error("writing standard output: {0}")]
     Output(std::io::Error),
-    /// A line is no JSON.
+    /// A line is not JSON.
     #[error("malformed JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field of a message, or of the settings in it, is missing or makes no sense.
+    /// A field of a message, or of the settings in it, is missing or invalid.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// A batch begins before the former one has ended.
+    /// A batch begins before the previous one has ended.
     #[error("a batch begins inside another")]
     NestedBatch,
-    /// A message stands outside of a batch.
+    /// A message is outside a batch.
     #[error("`{operation}` outside a batch")]
     OutsideBatch {
         /// The message's `op`.
         operation: String,
     },
-    /// A message of an unknown kind.
+    /// A message has an unknown kind.
     #[error("unknown `op` {operation}")]
     UnknownOperation {
         /// The message's `op`.
         operation: String,
     },
-    /// A message to an instance that was not started or has been killed.
+    /// A message is addressed to an instance that was not started or was killed.
     #[error("event for the unknown instance {0}")]
     UnknownInstance(u64),
     /// An announcement refers to a table that was not sent.
@@ -62,12 +62,12 @@
     /// An attempt ended in an unknown way.
     #[error("unknown `result` {0}")]
     UnknownResult(String),
-    /// A progress note of an unknown kind.
+    /// A progress update has an unknown kind.
     #[error("`sort` {sort} with `value` {value} is unknown")]
-    UnknownProgressNote {
-        /// The note's `sort`.
+    UnknownProgress {
+        /// The message's `sort`.
         sort: u64,
-        /// The note's `value`.
+        /// The message's `value`.
         value: f64,
     },
     /// The input ended before a batch did.
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,6 +1,6 @@
-//! The simulator's messages to an instance, decoded into the scheduler's terms.
+//! Decodes the simulator's messages to an instance into the scheduler's terms.
 //!
-//! Requests, engines and keys still have the simulator's names; the instance maps them to numbers.
+//! Requests, engines and keys keep the simulator's names here. The instance maps the names to numbers.
 
 use crate::error::AdapterError;
 use emberflow::{AttemptOutcome, EndpointUpdate, Lifecycle, ProgressNote, Usage};
@@ -8,67 +8,102 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// An event that an instance's scheduler is told of.
+/// An input of an instance's scheduler.
 pub enum Event<'a> {
     /// The endpoint list could not be read.
     EndpointListFailed,
-    /// The endpoint list is, or changes by, the rows of a table.
+    /// The rows of a table are the new endpoint list, or changes of the list.
     EndpointsChanged { update: EndpointUpdate, table: u64 },
-    /// A request arrives.
+    /// A request has arrived.
     Accept(Accept<'a>),
     /// An attempt has ended.
     AttemptEnded(AttemptEnd<'a>),
-    /// An engine reports an attempt's progress.
+    /// An engine has reported the progress of an attempt.
     Progress { request: &'a str, attempt: usize, note: ProgressNote },
-    /// The client of a request has left.
+    /// The client of a request has cancelled it or disconnected.
     ClientLeft { request: &'a str },
-    /// A wait that the scheduler asked for is over.
+    /// The scheduler's wake-up is due.
     Wake,
     /// An engine has answered a health check.
     Probed { engine: &'a str, stats: Option<&'a [Value]> },
-    /// A message that the scheduler has no use for.
+    /// A message that is not an input of the scheduler.
     Ignored,
 }
 
-/// A request that arrives.
+/// A request that has arrived.
 pub struct Accept<'a> {
+    /// The request's name.
     pub request: &'a str,
-    /// Index of its class.
+    /// The index of the request class.
     pub class: usize,
+    /// The key of requests that may have to run in order.
     pub key: Option<&'a str>,
+    /// Expected time on one core.
     pub cost: Option<Duration>,
+    /// Expected memory.
     pub memory_mb: Option<f64>,
+    /// Time until the request's deadline.
     pub deadline: Duration,
-    /// Whether it is marked as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
+    /// The group of tables that the request uses.
     pub group: Option<u64>,
 }
 
 /// The end of an attempt.
 pub struct AttemptEnd<'a> {
+    /// The request's name.
     pub request: &'a str,
+    /// The attempt's number within the request, counted from 0.
     pub attempt: usize,
+    /// The engine's name.
     pub engine: &'a str,
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
+    /// The work and memory that the attempt used.
     pub usage: Option<Usage>,
+    /// The figures of the engine's load report.
     pub stats: Option<&'a [Value]>,
-    /// Whether the request was answered with it.
+    /// Whether the request has been answered, by this attempt or before.
     pub request_done: bool,
 }
 
 /// A row of a table of endpoints.
 pub struct EndpointRow<'a> {
+    /// The engine's name.
     pub engine: &'a str,
+    /// The index of the engine's location.
     pub location: usize,
+    /// The index of the engine's kind.
     pub kind: usize,
+    /// The failure domain within the location.
     pub cell: u64,
+    /// Whether the engine is ready, draining or removed.
     pub lifecycle: Lifecycle,
+    /// The time at which the engine was started, if known.
     pub launched: Option<Duration>,
 }
 
+/// The values of `sort` in a progress message: a fraction of the work, missing memory in MB, or a wait.
+const FRACTION_PROGRESS: u64 = 1;
+const SPILLING_PROGRESS: u64 = 2;
+const WAITING_PROGRESS: u64 = 3;
+/// The values of `value` in a progress message about a wait.
+const WAIT_FOR_MEMORY: f64 = 1.0;
+const WAIT_FOR_LOAD: f64 = 2.0;
+
+/// In a field for the usage of an attempt, a millisecond of work counts as much as this number of memory steps.
+const MEMORY_STEPS: u64 = 4096;
+/// Memory of one step, in MB.
+const STEP_MB: u64 = 4;
+
 impl<'a> Event<'a> {
     /// Decodes a message whose `op` is `operation`.
+    ///
+    /// # Errors
+    /// Fails if the operation is unknown, or if a field is missing or invalid.
     pub fn decode(operation: &str, line: Fields<'a>) -> Result<Self, AdapterError> {
         Ok(match operation {
             "ANNOUNCE" => Self::decode_announcement(line)?,
@@ -97,11 +132,11 @@
         let attempt = line.index("hop")?;
         let value = line.number("value")?;
         let note = match (line.unsigned("sort")?, value) {
-            (1, fraction) => ProgressNote::Fraction(fraction),
-            (2, missing_mb) => ProgressNote::Spilling(missing_mb),
-            (3, 1.0) => ProgressNote::WaitingForMemory,
-            (3, 2.0) => ProgressNote::WaitingForLoad,
-            (sort, value) => return Err(AdapterError::UnknownProgressNote { sort, value }),
+            (FRACTION_PROGRESS, fraction) => ProgressNote::Fraction(fraction),
+            (SPILLING_PROGRESS, missing_mb) => ProgressNote::Spilling(missing_mb),
+            (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressNote::WaitingForMemory,
+            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressNote::WaitingForLoad,
+            (sort, value) => return Err(AdapterError::UnknownProgress { sort, value }),
         };
         Ok(Self::Progress { request, attempt, note })
     }
@@ -138,7 +173,10 @@
 }
 
 impl<'a> EndpointRow<'a> {
-    /// Decodes a row; paths in errors start at the row.
+    /// Decodes a row. Paths in errors start at the row.
+    ///
+    /// # Errors
+    /// Fails if a field is missing or invalid.
     pub fn decode(row: &'a Value) -> Result<Self, SettingsError> {
         let row = Fields::of(row);
         Ok(Self {
@@ -156,10 +194,9 @@
     }
 }
 
-/// What an attempt used: milliseconds of work times `MEMORY_STEPS`, plus memory in steps.
+/// Decodes the work and memory that an attempt used. One number holds the milliseconds of work times [`MEMORY_STEPS`],
+/// plus the memory in steps.
 fn usage(line: Fields<'_>) -> Option<Usage> {
-    const MEMORY_STEPS: u64 = 4096;
-    const STEP_MB: u64 = 4;
     let used = line.get_number("usedUp").unwrap_or(0.0) as u64;
     (used > 0).then(|| Usage {
         cost: Duration::from_millis(used / MEMORY_STEPS),
@@ -167,7 +204,7 @@
     })
 }
 
-/// The figures of a load report, in the order that the settings name.
+/// Returns the figures of a load report, in the order of the settings.
 fn stats(line: Fields<'_>) -> Option<&[Value]> {
     line.get("stats")?.as_array().map(Vec::as_slice)
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The host of all instances: reads batches of messages, and replies to each batch at its end.
+//! The host of all instances, which reads batches of messages and replies at the end of each batch.
 
 use crate::error::AdapterError;
 use crate::instance::{Instance, Tables};
@@ -10,10 +10,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The message of the last panic, which is reported to the simulator.
+/// The message of the last panic, for the reply to the simulator.
 static LAST_PANIC: Mutex<String> = Mutex::new(String::new());
 
-/// Keeps the message of each panic, and prints it.
+/// Installs a hook that stores and prints the message of each panic.
 pub fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("{panic}");
@@ -23,28 +23,35 @@
     }));
 }
 
-/// A batch of messages that has begun.
+/// The batch of messages that is being read.
 #[derive(Clone, Copy)]
 struct Batch {
+    /// The time of all messages in the batch.
     now: Duration,
+    /// The batch's number, which the reply repeats.
     frame: u64,
 }
 
-/// All instances, and what was said in the batch so far.
+/// All instances, and the reply to the current batch.
 #[derive(Default)]
 pub struct Host {
+    /// By the simulator's numbers.
     instances: BTreeMap<u64, Instance>,
     tables: Tables,
     batch: Option<Batch>,
+    /// The reply to the current batch.
     reply: Vec<u8>,
-    /// The instance that has panicked in this batch.
+    /// The instance that panicked in the current batch.
     panicked: Option<u64>,
-    /// Warnings that were printed, each once.
+    /// The warnings that were printed. Each is printed once.
     warnings: BTreeSet<String>,
 }
 
 impl Host {
-    /// Handles a line of input; the reply to a batch goes to `output` at the batch's end.
+    /// Handles a line of input. At the end of a batch, writes the reply to `output`.
+    ///
+    /// # Errors
+    /// Fails if the line is invalid or the reply cannot be written.
     pub fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<(), AdapterError> {
         let value = serde_json::from_str(text)?;
         let line = Fields::of(&value);
@@ -65,19 +72,19 @@
         }
     }
 
-    /// Fails if the input has ended inside a batch.
+    /// Checks that the input did not end inside a batch.
     pub fn finish(&self) -> Result<(), AdapterError> {
         if self.batch.is_some() { Err(AdapterError::UnfinishedBatch) } else { Ok(()) }
     }
 
-    /// Passes a message on to its instance. After a panic the rest of the batch is skipped.
+    /// Passes a message to its instance. After a panic, skips the rest of the batch.
     fn handle_event(&mut self, operation: &str, line: Fields<'_>, now: Duration) -> Result<(), AdapterError> {
         let number = line.unsigned("who")?;
         if self.panicked.is_some() {
             return Ok(());
         }
         if operation == "NEW_INSTANCE" {
-            self.warn_of_unknown_figures(line)?;
+            self.warn_about_unknown_figures(line)?;
         }
         let handled = catch_unwind(AssertUnwindSafe(|| self.dispatch(operation, number, line, now)));
         handled.unwrap_or_else(|_| {
@@ -107,17 +114,18 @@
         }
     }
 
-    fn warn_of_unknown_figures(&mut self, line: Fields<'_>) -> Result<(), AdapterError> {
+    /// Prints a warning for each unknown figure of the load report, once for all instances.
+    fn warn_about_unknown_figures(&mut self, line: Fields<'_>) -> Result<(), AdapterError> {
         for unknown in unknown_load_report_names(line.object("params")?)? {
             let unknown = unknown.to_string();
             if self.warnings.insert(unknown.clone()) {
-                eprintln!("emberflow-simulator-adapter: {unknown}, so it goes unread");
+                eprintln!("emberflow-simulator-adapter: {unknown} (ignored)");
             }
         }
         Ok(())
     }
 
-    /// Writes the reply: all actions of the batch, or the panic of an instance in place of them.
+    /// Writes the reply: all actions of the batch, or a fault message if an instance panicked.
     fn end_batch(&mut self, frame: u64, output: &mut impl Write) -> Result<(), AdapterError> {
         if let Some(number) = self.panicked.take() {
             let message = LAST_PANIC.lock().map(|message| message.clone()).unwrap_or_default();
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One router instance: a scheduler, and the numbers that it knows the simulator's names by.
+//! A router instance: a scheduler, and the numbers for the simulator's names.
 
 use crate::action_writer::ActionWriter;
 use crate::error::AdapterError;
@@ -16,33 +16,41 @@
 use std::convert::Infallible;
 use std::time::Duration;
 
-/// Rows of endpoints, by the number that announcements refer to.
+/// Rows of endpoints, by the number of the table.
 pub type Tables = HashMap<u64, Vec<Value>>;
 
 /// A router instance.
 pub struct Instance {
+    /// The simulator's number of the instance.
     number: u64,
     scheduler: Scheduler,
     /// The names of the figures in a load report, in their order.
-    reported: Vec<String>,
-    marks_retries: bool,
+    load_report_names: Vec<String>,
+    clients_mark_retries: bool,
     names: Names,
 }
 
 impl Instance {
-    /// Starts an instance with the settings of a `NEW_INSTANCE` message.
+    /// Creates an instance with the settings of a `NEW_INSTANCE` message.
+    ///
+    /// # Errors
+    /// Fails if a setting is missing or invalid.
     pub fn new(number: u64, line: Fields<'_>) -> Result<Self, AdapterError> {
         let params = line.object("params")?;
-        let reported = load_report_names(params)?;
+        let load_report_names = load_report_names(params)?;
         let seed = line.unsigned("rngSeed")?;
         let fleet = decode_fleet(seed, params)?;
         let scheduler =
             Scheduler::new(fleet, decode_request_classes(params)?, decode_attempt_limits(params)?);
-        let marks_retries = clients_mark_retries(params)?;
-        Ok(Self { number, scheduler, reported, marks_retries, names: Names::default() })
+        let clients_mark_retries = clients_mark_retries(params)?;
+        Ok(Self { number, scheduler, load_report_names, clients_mark_retries, names: Names::default() })
     }
 
-    /// Passes a message on to the scheduler and writes its actions to `reply`.
+    /// Passes a message to the scheduler, and appends the scheduler's actions to `reply`. Messages about unknown
+    /// requests are ignored.
+    ///
+    /// # Errors
+    /// Fails if the message is invalid or refers to an unknown table.
     pub fn handle(
         &mut self,
         operation: &str,
@@ -82,7 +90,7 @@
         Ok(())
     }
 
-    /// The scheduler, and a writer for its actions.
+    /// Returns the scheduler and a writer for its actions.
     fn split<'a>(
         &'a mut self,
         now: Duration,
@@ -111,7 +119,7 @@
 
     fn probed(&mut self, engine: &str, stats: Option<&[Value]>, now: Duration, reply: &mut Vec<u8>) {
         let engine = EngineId(self.names.engines.number(engine));
-        let load_report = load_report(&self.reported, stats);
+        let load_report = load_report(&self.load_report_names, stats);
         let (scheduler, mut actions) = self.split(now, reply);
         scheduler.probed(now, engine, load_report, &mut actions);
     }
@@ -125,7 +133,7 @@
             memory_mb: accept.memory_mb,
             deadline: accept.deadline,
             waited: Duration::ZERO,
-            is_retry: self.marks_retries.then_some(accept.is_retry),
+            is_retry: self.clients_mark_retries.then_some(accept.is_retry),
             group: accept.group,
         };
         let (scheduler, mut actions) = self.split(now, reply);
@@ -133,7 +141,7 @@
     }
 
     fn attempt_ended(&mut self, end: AttemptEnd<'_>, now: Duration, reply: &mut Vec<u8>) {
-        // An engine has a number from its first mention on, whatever it is mentioned for.
+        // Numbers are assigned at the first mention, so that the engine gets one even if the request is unknown.
         let engine = EngineId(self.names.engines.number(end.engine));
         let Some(request) = self.known_request(end.request) else { return };
         let ended = AttemptEnded {
@@ -143,7 +151,7 @@
             outcome: end.outcome,
             elapsed: end.elapsed,
             usage: end.usage,
-            load_report: load_report(&self.reported, end.stats),
+            load_report: load_report(&self.load_report_names, end.stats),
             request_done: end.request_done,
         };
         let (scheduler, mut actions) = self.split(now, reply);
@@ -151,26 +159,29 @@
     }
 }
 
+/// Decodes the rows of a table of endpoints.
 fn endpoints(rows: &[Value], engines: &mut NameTable) -> Result<Vec<Endpoint>, AdapterError> {
-    let endpoint = |row| {
+    let mut endpoints = Vec::with_capacity(rows.len());
+    for row in rows {
         let row = EndpointRow::decode(row)?;
-        Ok(Endpoint {
+        endpoints.push(Endpoint {
             engine: EngineId(engines.number(row.engine)),
             location: row.location,
             kind: row.kind,
             cell: row.cell,
             lifecycle: row.lifecycle,
             launched: row.launched,
-        })
-    };
-    rows.iter().map(endpoint).collect()
+        });
+    }
+    Ok(endpoints)
 }
 
-/// The load that an engine reports; none where the message has no report.
-fn load_report(reported: &[String], stats: Option<&[Value]>) -> Option<LoadReport> {
+/// Decodes a load report, whose figures are in the order of `report_names`. Returns `None` if the message has no
+/// report.
+fn load_report(report_names: &[String], stats: Option<&[Value]>) -> Option<LoadReport> {
     let stats = stats?;
-    let figure = |names: &[&str]| {
-        let index = reported.iter().position(|name| names.contains(&name.as_str()));
+    let figure = |accepted_names: &[&str]| {
+        let index = report_names.iter().position(|name| accepted_names.contains(&name.as_str()));
         Ok::<_, Infallible>(index.and_then(|index| stats.get(index)?.as_f64()))
     };
     let Ok(report) = build_load_report(figure);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs many router instances on the simulator's wire: messages come on standard input, one JSON object a line, and
-//! actions go to standard output. It only translates; all decisions are the scheduler's.
+//! Runs many router instances on the simulator's wire. Messages are read from standard input, one JSON object on each
+//! line, and actions are written to standard output. All decisions are the scheduler's.
 
 mod action_writer;
 mod error;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Handles all input, up to the first error.
+/// Handles all input up to the first error.
 fn run() -> Result<(), InputError> {
     let mut host = Host::default();
     let mut output = std::io::stdout().lock();
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,16 +1,19 @@
-//! Numbers for the simulator's names.
+//! Tables that map the simulator's names to numbers.
 
 use std::collections::HashMap;
 
-/// The names of one instance's requests, engines and keys.
+/// The names that one instance has used.
 #[derive(Default)]
 pub struct Names {
+    /// Names of requests.
     pub requests: NameTable,
+    /// Names of engines.
     pub engines: NameTable,
+    /// Keys of requests that may have to run in order.
     pub keys: NameTable,
 }
 
-/// Names, numbered in the order in which they were first used.
+/// Names with numbers, in the order of their first use.
 #[derive(Default)]
 pub struct NameTable {
     numbers: HashMap<String, usize>,
@@ -18,7 +21,7 @@
 }
 
 impl NameTable {
-    /// The number of a name, which is a new one for a new name.
+    /// Returns the number of a name. A new name gets the next number.
     pub fn number(&mut self, name: &str) -> usize {
         if let Some(number) = self.known(name) {
             return number;
@@ -29,12 +32,12 @@
         number
     }
 
-    /// The number of a name that was used before.
+    /// Returns the number of a name that was used before.
     pub fn known(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
-    /// The name with a number.
+    /// Returns the name with a number. Panics if the number was not assigned.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -136,7 +136,7 @@
     let params = PARAMS.replace(r#""how":"none","names":[]"#, r#""how":"answers","names":["q","moon"]"#);
     expect![[r#"
         {"frame":1,"op":"READY"}
-        emberflow-simulator-adapter: `params.report.names[1]` is unknown: moon, so it goes unread
+        emberflow-simulator-adapter: `params.report.names[1]` is unknown: moon (ignored)
         success: true
     "#]]
     .assert_eq(&start_instances(&[params.clone(), params]));
