--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -3,7 +3,7 @@
 //! Requests, engines and keys keep the simulator's names here. The instance maps the names to numbers.
 
 use crate::error::AdapterError;
-use emberflow::{AttemptOutcome, EndpointUpdate, Lifecycle, ProgressNote, Usage};
+use emberflow::{AttemptOutcome, EndpointUpdate, Lifecycle, ProgressUpdate, Usage};
 use emberflow_settings::{Fields, SettingsError, from_ms};
 use serde_json::Value;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     /// An attempt has ended.
     AttemptEnded(AttemptEnd<'a>),
     /// An engine has reported the progress of an attempt.
-    Progress { request: &'a str, attempt: usize, note: ProgressNote },
+    Progress { request: &'a str, attempt: usize, update: ProgressUpdate },
     /// The client of a request has cancelled it or disconnected.
     ClientLeft { request: &'a str },
     /// The scheduler's wake-up is due.
@@ -131,14 +131,14 @@
         let request = line.text("ref")?;
         let attempt = line.index("hop")?;
         let value = line.number("value")?;
-        let note = match (line.unsigned("sort")?, value) {
-            (FRACTION_PROGRESS, fraction) => ProgressNote::Fraction(fraction),
-            (SPILLING_PROGRESS, missing_mb) => ProgressNote::Spilling(missing_mb),
-            (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressNote::WaitingForMemory,
-            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressNote::WaitingForLoad,
+        let update = match (line.unsigned("sort")?, value) {
+            (FRACTION_PROGRESS, fraction) => ProgressUpdate::Fraction(fraction),
+            (SPILLING_PROGRESS, missing_mb) => ProgressUpdate::Spilling(missing_mb),
+            (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressUpdate::WaitingForMemory,
+            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForLoad,
             (sort, value) => return Err(AdapterError::UnknownProgress { sort, value }),
         };
-        Ok(Self::Progress { request, attempt, note })
+        Ok(Self::Progress { request, attempt, update })
     }
 }
 
@@ -217,8 +217,8 @@
         "timed_out" => AttemptOutcome::TimedOut,
         "unreachable" => AttemptOutcome::Unreachable,
         "broken" => AttemptOutcome::Broken,
-        "withdrawn" => AttemptOutcome::Withdrawn,
-        "void" => AttemptOutcome::Void,
+        "withdrawn" => AttemptOutcome::Cancelled,
+        "void" => AttemptOutcome::NotSent,
         other => return Err(AdapterError::UnknownResult(other.to_owned())),
     })
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -70,10 +70,10 @@
             }
             Event::Accept(accept) => self.accept(accept, now, reply),
             Event::AttemptEnded(end) => self.attempt_ended(end, now, reply),
-            Event::Progress { request, attempt, note } => {
+            Event::Progress { request, attempt, update } => {
                 let Some(request) = self.known_request(request) else { return Ok(()) };
                 let (scheduler, mut actions) = self.split(now, reply);
-                scheduler.progress_noted(now, request, attempt, note, &mut actions);
+                scheduler.progress_updated(now, request, attempt, update, &mut actions);
             }
             Event::ClientLeft { request } => {
                 let Some(request) = self.known_request(request) else { return Ok(()) };
