--- /dev/null
+++ b/crates/router/tests/digest/engines.rs
@@ -0,0 +1,170 @@
+//! The engines of a scenario.
+
+use crate::scenario::Scenario;
+use crate::streams::{LimitedSink, ReceivedBytes, StreamEnd};
+use emberflow_router::dispatch::Dispatcher;
+use emberflow_router::engine_pool::Reachability;
+use emberflow_router::resp;
+use emberflow_router::slots::Slot;
+
+/// An engine's side of a connection.
+#[derive(Default)]
+pub struct Connection {
+    pub number: u64,
+    pub is_established: bool,
+    /// Bytes that the engine has sent and the server has not received yet.
+    pending_input: Vec<u8>,
+    received: Vec<u8>,
+    /// The names of the requests that run on the engine.
+    calls: Vec<String>,
+}
+
+impl Connection {
+    /// Returns a connection that is not established yet.
+    pub fn new(number: u64) -> Self {
+        Self { number, ..Self::default() }
+    }
+}
+
+impl Scenario<'_> {
+    fn any_connection(&mut self, is_established: bool) -> Option<Slot> {
+        let connections = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_established == is_established)
+            .map(|(slot, _)| *slot);
+        let connections: Vec<Slot> = connections.collect();
+        (!connections.is_empty()).then(|| self.random.pick(&connections))
+    }
+
+    pub fn connection_is_established(&mut self) {
+        let Some(slot) = self.any_connection(false) else { return };
+        let refused = self.random.one_in(8);
+        let reachability =
+            if self.random.one_in(2) { Reachability::Reachable } else { Reachability::Unreachable };
+        let dispatcher = &mut self.server.dispatcher;
+        if refused {
+            dispatcher.engines.dial_failed(slot, reachability, "refused", &mut dispatcher.context);
+            return self.recorder.count("connections refused");
+        }
+        dispatcher.engines.connection_established(slot, &mut dispatcher.context);
+        self.connections.entry(slot).and_modify(|connection| connection.is_established = true);
+        self.flush_connection(slot);
+    }
+
+    /// Sends an engine's reply to one of its calls. In most cases the complete reply arrives at once.
+    pub fn engine_responds(&mut self) {
+        let Some(slot) = self.any_connection(true) else { return };
+        let calls = self.connections[&slot].calls.clone();
+        if calls.is_empty() {
+            return;
+        }
+        let req = self.random.pick(&calls);
+        let load = format!(
+            "use=util:0.{};inflight:{};queue:{}",
+            self.random.below(10),
+            calls.len(),
+            self.random.below(4)
+        );
+        let usage = format!("cost={},need={}", self.random.below(40), self.random.below(600));
+        let row = format!("row\t{req}\t{}\n", self.random.below(100));
+        let (word, fields, body, ends_call) = match self.random.below(40) {
+            0..18 => ("HIT", format!("pages=1,{usage},{load}"), row, true),
+            18..21 => ("HIT", format!("pages=3,{usage}"), row, false),
+            21..25 => ("SHED", load, String::new(), true),
+            25 => ("LATE", load, String::new(), true),
+            26..28 => ("FAULT", load, String::new(), true),
+            28..31 => ("INFO", format!("detail=advance,v=0.{}", self.random.below(10)), String::new(), false),
+            31 => ("INFO", "detail=disk,v=120".into(), String::new(), false),
+            32 => ("INFO", "detail=stall,v=1".into(), String::new(), false),
+            33 => ("INFO", "detail=stall,v=2".into(), String::new(), false),
+            34..36 => ("INFO", String::new(), String::new(), false),
+            36 if self.random.one_in(4) => ("HIT", "pages=1".into(), "no columns".into(), true),
+            37 if self.random.one_in(4) => ("DANCE", String::new(), String::new(), true),
+            38 if self.random.one_in(4) => ("HIT", "pages=9999".into(), row, true),
+            39 if self.random.one_in(4) => ("INFO", "detail=moon,v=1".into(), String::new(), false),
+            _ => ("HIT", "pages=1".into(), row, false),
+        };
+        self.recorder.count(format!("engine sends {word}"));
+        let mut bytes =
+            resp::encode_array(&[req.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()]);
+        if self.random.one_in(150) {
+            bytes = b"*x\r\nnoise\r\n".to_vec();
+        }
+        if let Some(connection) = self.connections.get_mut(&slot) {
+            connection.pending_input.extend(bytes);
+            connection.calls.retain(|call| !ends_call || *call != req);
+        }
+        let part = self.random.one_in(4);
+        self.deliver_to_connection(slot, part, StreamEnd::WouldBlock);
+    }
+
+    pub fn connection_input_arrives(&mut self, stream_end: StreamEnd) {
+        let Some(slot) = self.any_connection(true) else { return };
+        let part = self.random.one_in(4);
+        self.deliver_to_connection(slot, part, stream_end);
+    }
+
+    fn deliver_to_connection(&mut self, slot: Slot, part: bool, stream_end: StreamEnd) {
+        let Some(connection) = self.connections.get_mut(&slot) else { return };
+        let all = connection.pending_input.len();
+        let count = if part { self.random.below(all as u64) as usize } else { all };
+        let bytes: Vec<u8> = connection.pending_input.drain(..count).collect();
+        let dispatcher = &mut self.server.dispatcher;
+        dispatcher.engines.read(slot, &mut ReceivedBytes(&bytes, stream_end), &mut dispatcher.context);
+    }
+
+    pub fn flush_connection(&mut self, slot: Slot) {
+        let Some(connection) = self.connections.get_mut(&slot).filter(|connection| connection.is_established)
+        else {
+            return;
+        };
+        let is_nearly_full = self.random.one_in(10);
+        let mut sink =
+            LimitedSink { capacity: if is_nearly_full { 30 } else { usize::MAX }, written: Vec::new() };
+        let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
+        engines.drain(slot, &mut sink, context).expect("the sink does not fail");
+        if !sink.written.is_empty() {
+            self.recorder.record("to engine", connection.number, &sink.written);
+        }
+        connection.received.extend(sink.written);
+        self.engine_reads_commands(slot);
+    }
+
+    /// Decodes all complete commands, and replies to those that engines answer at once.
+    fn engine_reads_commands(&mut self, slot: Slot) {
+        let Some(connection) = self.connections.get_mut(&slot) else { return };
+        while let Some(resp::Array { parts, length }) =
+            resp::parse_array(&connection.received).expect("the server sends RESP")
+        {
+            let texts: Vec<String> = parts.iter().map(|part| String::from_utf8_lossy(part).into()).collect();
+            connection.received.drain(..length);
+            let (word, id) = (texts[0].as_str(), &texts[1]);
+            self.recorder.count(format!("engine receives {word}"));
+            match word {
+                "GET" => {
+                    let sent = self.calls_by_request.entry(id.clone()).or_default();
+                    *sent += 1;
+                    if *sent > 1 {
+                        self.recorder.count("attempts retried");
+                    }
+                    connection.calls.push(id.clone());
+                }
+                "PAGE" if !self.random.one_in(8) => {
+                    let (fields, row) = (format!("page={}", texts[2]), format!("page\t{id}\t{}\n", texts[2]));
+                    connection.pending_input.extend(resp::encode_array(&[
+                        id.as_bytes(),
+                        b"PART",
+                        fields.as_bytes(),
+                        row.as_bytes(),
+                    ]));
+                }
+                "PING" if !self.random.one_in(8) => {
+                    connection.pending_input.extend(resp::encode_array(&[id.as_bytes(), b"PONG", b"-", b""]));
+                }
+                "DROP" | "CLOSE" if !self.random.one_in(4) => connection.calls.retain(|call| call != id),
+                _ => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/tests/digest/main.rs
@@ -0,0 +1,114 @@
+//! Guards refactorings that must not change behaviour. Random scenarios are drawn from seeds and run on the server
+//! without sockets or clock. One digest covers all that the server's peers observe: the bytes on each connection, the
+//! connections that are dialled and closed, and the time of the next timer. Log lines are not in the digest.
+
+mod clients;
+mod configuration;
+mod discovery;
+mod engines;
+mod random;
+mod recorder;
+mod scenario;
+mod streams;
+
+use expect_test::expect;
+use recorder::Recorder;
+use scenario::Scenario;
+use sha2::Digest;
+
+const SCENARIOS: u64 = 160;
+
+/// How often a case must occur in the scenarios, so that the digest covers it: as peers observe it, or as the server
+/// counts it.
+const MINIMUM_COUNTS: [(&str, u64); 40] = [
+    ("results", 1000),
+    ("status", 200),
+    ("wait announced", 200),
+    ("retry-after named", 200),
+    ("error -32000", 200),
+    ("error -32011", 1000),
+    ("error -32600", 100),
+    ("error -32601", 50),
+    ("error -32602", 100),
+    ("error -32700", 50),
+    ("engine receives GET", 2000),
+    ("engine receives PAGE", 200),
+    ("engine receives DROP", 500),
+    ("engine receives CLOSE", 30),
+    ("engine receives PING", 300),
+    ("attempts retried", 300),
+    ("connections dialled", 500),
+    ("connections refused", 50),
+    ("connections closed", 200),
+    ("clients closed", 300),
+    ("clients_idle", 20),
+    ("clients_stalled", 10),
+    ("complete lists", 100),
+    ("list changes", 100),
+    ("lists refused", 10),
+    ("reloads", 50),
+    ("graceful shutdowns", 30),
+    ("processes ended", 10),
+    ("requests_cancelled", 500),
+    ("requests_rejected_at_admission", 200),
+    ("attempts_overloaded", 200),
+    ("attempts_failed", 100),
+    ("attempts_timed_out", 200),
+    ("attempts_unreachable", 200),
+    ("attempts_broken", 200),
+    ("attempts_not_sent", 200),
+    ("attempts_cancelled_before_retry", 200),
+    ("connections_silent", 100),
+    ("engine_input_malformed", 50),
+    ("engine_input_cut_short", 50),
+];
+
+#[test]
+fn the_digest_of_what_peers_observe_is_unchanged() {
+    let mut recorder = Recorder::default();
+    (0..SCENARIOS).for_each(|seed| Scenario::new(seed, &mut recorder).run());
+    let Recorder { digest, observed, server_counters } = recorder;
+    for (kind, minimum) in MINIMUM_COUNTS {
+        let times = observed.get(kind).or(server_counters.get(kind)).copied().unwrap_or_default();
+        assert!(times >= minimum, "only {times} times: {kind}");
+    }
+    let observed: String = observed.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect();
+    let digest: String = digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    expect![[r#"
+        attempts retried: 848
+        clients closed: 1693
+        complete lists: 462
+        connections closed: 7021
+        connections dialled: 8043
+        connections refused: 554
+        engine receives CLOSE: 139
+        engine receives DROP: 2925
+        engine receives GET: 8023
+        engine receives PAGE: 715
+        engine receives PING: 2866
+        engine sends DANCE: 30
+        engine sends FAULT: 296
+        engine sends HIT: 3662
+        engine sends INFO: 1263
+        engine sends LATE: 171
+        engine sends SHED: 530
+        error -32000: 1554
+        error -32011: 12322
+        error -32600: 1084
+        error -32601: 198
+        error -32602: 725
+        error -32700: 447
+        graceful shutdowns: 90
+        list changes: 523
+        lists refused: 40
+        processes ended: 20
+        reloads: 200
+        requests sent: 13861
+        results: 2320
+        retry-after named: 5969
+        status: 786
+        wait announced: 2076
+        a0b8ceacbaf6df2dd0dc67fd0457141b8cdb2b0c339d0e856dc34afc36d5c806
+    "#]]
+    .assert_eq(&format!("{observed}{digest}\n"));
+}
