--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -1,17 +1,17 @@
-//! What `emberflow check` and `serve` print about a configuration: the one in the README, and with faults.
+//! The output of `emberflow check` and `serve` for a valid configuration, the one in the README, and for invalid ones.
 
 use expect_test::expect;
 use std::process::Command;
 
-/// The configuration that the README shows.
+/// Returns the configuration in the README.
 fn readme_configuration() -> String {
     let text = include_str!("../../../README.md");
     let lines = text.lines().skip_while(|line| !line.starts_with("    {\"name\":"));
     lines.take_while(|line| !line.is_empty()).collect()
 }
 
-/// Runs the binary on a configuration file; returns its exit code and all that it prints, with `FILE` for the path.
-/// `name` tells the files of tests apart.
+/// Runs the binary on a configuration file; returns the exit code and the output, with `FILE` in place of the path.
+/// `name` is the file's name, which must differ between tests that run at the same time.
 fn run(arguments: &[&str], name: &str, configuration: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
     std::fs::write(&path, configuration).expect("the test directory is writable");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_unknown_report_field_is_warned_about_and_ignored() {
+fn an_unknown_report_field_is_reported_and_ignored() {
     expect![[r#"
         Some(0) n0: listen 127.0.0.1:9090, discovery 127.0.0.1:9092
         limits: 192 MB, 1024 descriptors
@@ -48,8 +48,8 @@
 }
 
 #[test]
-fn faults_are_reported_by_their_path_and_nothing_starts() {
-    let faults = [
+fn errors_are_reported_by_their_path_and_nothing_starts() {
+    let invalid_values = [
         ("\"repeatable\"", "\"by_key\""),
         ("\"repeatable\"", "\"by_key\",\"keyScope\":\"galaxy\",\"windowMs\":100"),
         ("\"kinds\":[\"std-8\"]", "\"kinds\":[\"std-8\",\"std-16\"]"),
@@ -65,11 +65,11 @@
         ("\"warmUpMs\":15000", "\"spareAttempts\":3,\"warmUpMs\":15000"),
     ];
     let mut reports = String::new();
-    for (valid, faulty) in faults {
-        let configuration = readme_configuration().replace(valid, faulty);
-        assert_ne!(configuration, readme_configuration(), "the README does not hold {valid}");
-        let report = run(&["check"], "fault", &configuration);
-        assert_eq!(report, run(&["serve", "--config"], "fault", &configuration));
+    for (valid, invalid) in invalid_values {
+        let configuration = readme_configuration().replace(valid, invalid);
+        assert_ne!(configuration, readme_configuration(), "the README does not contain {valid}");
+        let report = run(&["check"], "invalid", &configuration);
+        assert_eq!(report, run(&["serve", "--config"], "invalid", &configuration));
         reports += &report;
     }
     expect![[r#"
--- a/crates/router/tests/digest/engines.rs
+++ b/crates/router/tests/digest/engines.rs
@@ -26,6 +26,29 @@
     }
 }
 
+/// A reply of an engine to a call.
+struct EngineReply {
+    word: &'static str,
+    fields: String,
+    body: String,
+    /// Whether the engine sends nothing more for the call.
+    ends_call: bool,
+}
+
+impl EngineReply {
+    fn last(word: &'static str, fields: String, body: String) -> Self {
+        Self { word, fields, body, ends_call: true }
+    }
+
+    fn partial(word: &'static str, fields: String, body: String) -> Self {
+        Self { word, fields, body, ends_call: false }
+    }
+
+    fn progress(fields: String) -> Self {
+        Self::partial("INFO", fields, String::new())
+    }
+}
+
 impl Scenario<'_> {
     fn any_connection(&mut self, is_established: bool) -> Option<Slot> {
         let connections = self
@@ -60,31 +83,7 @@
             return;
         }
         let req = self.random.pick(&calls);
-        let load = format!(
-            "use=util:0.{};inflight:{};queue:{}",
-            self.random.below(10),
-            calls.len(),
-            self.random.below(4)
-        );
-        let usage = format!("cost={},need={}", self.random.below(40), self.random.below(600));
-        let row = format!("row\t{req}\t{}\n", self.random.below(100));
-        let (word, fields, body, ends_call) = match self.random.below(40) {
-            0..18 => ("HIT", format!("pages=1,{usage},{load}"), row, true),
-            18..21 => ("HIT", format!("pages=3,{usage}"), row, false),
-            21..25 => ("SHED", load, String::new(), true),
-            25 => ("LATE", load, String::new(), true),
-            26..28 => ("FAULT", load, String::new(), true),
-            28..31 => ("INFO", format!("detail=advance,v=0.{}", self.random.below(10)), String::new(), false),
-            31 => ("INFO", "detail=disk,v=120".into(), String::new(), false),
-            32 => ("INFO", "detail=stall,v=1".into(), String::new(), false),
-            33 => ("INFO", "detail=stall,v=2".into(), String::new(), false),
-            34..36 => ("INFO", String::new(), String::new(), false),
-            36 if self.random.one_in(4) => ("HIT", "pages=1".into(), "no columns".into(), true),
-            37 if self.random.one_in(4) => ("DANCE", String::new(), String::new(), true),
-            38 if self.random.one_in(4) => ("HIT", "pages=9999".into(), row, true),
-            39 if self.random.one_in(4) => ("INFO", "detail=moon,v=1".into(), String::new(), false),
-            _ => ("HIT", "pages=1".into(), row, false),
-        };
+        let EngineReply { word, fields, body, ends_call } = self.draw_reply(&req, calls.len());
         self.recorder.count(format!("engine sends {word}"));
         let mut bytes =
             resp::encode_array(&[req.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()]);
@@ -99,6 +98,34 @@
         self.deliver_to_connection(slot, part, StreamEnd::WouldBlock);
     }
 
+    /// Draws a reply to a call: an answer, a page of an answer, an error, progress, or input that is not in the protocol.
+    fn draw_reply(&mut self, req: &str, call_count: usize) -> EngineReply {
+        let load = format!(
+            "use=util:0.{};inflight:{call_count};queue:{}",
+            self.random.below(10),
+            self.random.below(4)
+        );
+        let usage = format!("cost={},need={}", self.random.below(40), self.random.below(600));
+        let row = format!("row\t{req}\t{}\n", self.random.below(100));
+        match self.random.below(40) {
+            0..18 => EngineReply::last("HIT", format!("pages=1,{usage},{load}"), row),
+            18..21 => EngineReply::partial("HIT", format!("pages=3,{usage}"), row),
+            21..25 => EngineReply::last("SHED", load, String::new()),
+            25 => EngineReply::last("LATE", load, String::new()),
+            26..28 => EngineReply::last("FAULT", load, String::new()),
+            28..31 => EngineReply::progress(format!("detail=advance,v=0.{}", self.random.below(10))),
+            31 => EngineReply::progress("detail=disk,v=120".into()),
+            32 => EngineReply::progress("detail=stall,v=1".into()),
+            33 => EngineReply::progress("detail=stall,v=2".into()),
+            34..36 => EngineReply::progress(String::new()),
+            36 if self.random.one_in(4) => EngineReply::last("HIT", "pages=1".into(), "no columns".into()),
+            37 if self.random.one_in(4) => EngineReply::last("DANCE", String::new(), String::new()),
+            38 if self.random.one_in(4) => EngineReply::last("HIT", "pages=9999".into(), row),
+            39 if self.random.one_in(4) => EngineReply::progress("detail=moon,v=1".into()),
+            _ => EngineReply::partial("HIT", "pages=1".into(), row),
+        }
+    }
+
     pub fn connection_input_arrives(&mut self, stream_end: StreamEnd) {
         let Some(slot) = self.any_connection(true) else { return };
         let part = self.random.one_in(4);
--- a/crates/router/tests/digest/recorder.rs
+++ b/crates/router/tests/digest/recorder.rs
@@ -3,7 +3,7 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// The digest of all that peers observe in all scenarios, and counts of what happened.
+/// The digest of all that peers observe in all scenarios, and counts of observations.
 #[derive(Default)]
 pub struct Recorder {
     pub digest: Sha256,
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -27,7 +27,7 @@
     pub server: Server,
     pub clients: Vec<Client>,
     pub connections: BTreeMap<Slot, Connection>,
-    /// The number of connections of clients and to engines so far.
+    /// The number of connections that clients and the server have opened.
     pub connection_count: u64,
     /// The name of the next request, as a number.
     pub next_req: u64,
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -27,7 +27,7 @@
     Server::new(bootstrap, Context { now: NOW, ..Context::default() })
 }
 
-/// A socket that holds some bytes and would block after them.
+/// A socket with some received bytes, which would block after them.
 struct ReceivedBytes<'a>(&'a [u8]);
 
 impl ClientInput for ReceivedBytes<'_> {}
@@ -41,12 +41,12 @@
     }
 }
 
-/// Has the server read a line of a client that came some milliseconds ago; returns what it answers at once.
+/// Passes a client's line that arrived `age_ms` ago to the server; returns the immediate answer.
 fn read_line(server: &mut Server, slot: Slot, line: &str, age_ms: u64) -> String {
     let received_at = server.dispatcher.context.now() - Duration::from_millis(age_ms);
     server.read_client_line(slot, received_at, &mut ReceivedBytes(line.as_bytes()), || false);
     let mut answer = Vec::new();
-    server.dispatcher.clients.drain(slot, &mut answer).expect("writing to memory");
+    server.dispatcher.clients.drain(slot, &mut answer).expect("writing to memory does not fail");
     if answer.is_empty() {
         return "no answer yet\n".into();
     }
@@ -59,9 +59,9 @@
     ) + "\n"
 }
 
-/// A deadline counts from the last byte of a request, however late the router reads it.
+/// A deadline counts from the arrival of a request's last byte, even if the router reads it late.
 #[test]
-fn a_deadline_counts_from_when_the_line_came() {
+fn a_deadline_counts_from_the_arrival_of_the_line() {
     let mut server = server();
     let slot = server.accept_client();
     let answers = [(1, 0), (2, 300), (3, 900)]
@@ -74,7 +74,7 @@
     .assert_eq(&answers.concat());
 }
 
-/// An answer that leaves just before its client's deadline would arrive after it.
+/// An answer that is sent just before the client's deadline would arrive after it.
 #[test]
 fn an_answer_leaves_before_the_deadline_by_its_transmission_time() {
     let mut server = server();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_client_that_left_as_it_timed_out_is_not_counted_as_idle() {
+fn a_client_that_disconnects_as_its_timer_expires_is_not_counted_as_idle() {
     let mut server = server();
     let slots = [server.accept_client(), server.accept_client()];
     server.dispatcher.context.now = NOW + Duration::from_secs(2);
@@ -98,34 +98,36 @@
     expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
 }
 
-/// Which client would be closed to make room at a time after the start, by its index.
-fn idlest_after(server: &mut Server, slots: &[Slot], ms: u64) -> Option<usize> {
+/// Returns the index of the client that would be replaced by a new one at a time after the start.
+fn replaceable_client_after(server: &mut Server, slots: &[Slot], ms: u64) -> Option<usize> {
     let now = NOW + Duration::from_millis(ms);
     server.dispatcher.context.now = now;
-    let idlest = server.dispatcher.clients.longest_idle(now)?;
-    Some(slots.iter().position(|slot| *slot == idlest).expect("one of the admitted clients"))
+    let longest_idle = server.dispatcher.clients.longest_idle(now)?;
+    Some(slots.iter().position(|slot| *slot == longest_idle).expect("one of the admitted clients"))
 }
 
 #[test]
-fn silent_clients_and_then_the_longest_idle_make_room() {
+fn clients_without_input_and_then_the_longest_idle_are_replaced() {
     let mut server = server();
     let slots: Vec<Slot> = (0..4).map(|_| server.accept_client()).collect();
     let status = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
     read_line(&mut server, slots[0], status, 0);
     read_line(&mut server, slots[1], &request_line(1, 8000), 0);
-    let mut idlest =
-        vec![(49, idlest_after(&mut server, &slots, 49)), (50, idlest_after(&mut server, &slots, 50))];
+    let mut replaceable = Vec::new();
+    for ms in [49, 50] {
+        replaceable.push((ms, replaceable_client_after(&mut server, &slots, ms)));
+    }
     let part_of_a_line = "{";
     read_line(&mut server, slots[2], part_of_a_line, 0);
     for ms in [51, 99] {
-        let index = idlest_after(&mut server, &slots, ms);
-        idlest.push((ms, index));
+        let index = replaceable_client_after(&mut server, &slots, ms);
+        replaceable.push((ms, index));
         if let Some(index) = index {
             server.close_client(slots[index], CloseReason::ReplacedWhileIdle);
         }
     }
-    idlest.push((100, idlest_after(&mut server, &slots, 100)));
-    let lines: String = idlest.iter().map(|(ms, index)| format!("after {ms} ms: {index:?}\n")).collect();
+    replaceable.push((100, replaceable_client_after(&mut server, &slots, 100)));
+    let lines: String = replaceable.iter().map(|(ms, index)| format!("after {ms} ms: {index:?}\n")).collect();
     expect![[r#"
         after 49 ms: None
         after 50 ms: Some(2)
@@ -136,7 +138,7 @@
     .assert_eq(&lines);
 }
 
-/// A line that the kernel of a busy machine tells to have arrived earlier than the loop could see.
+/// A line whose arrival time by the kernel, the second field, is earlier than the event loop assumes.
 struct LateLine<'a>(ReceivedBytes<'a>, Duration);
 
 impl ClientInput for LateLine<'_> {
@@ -151,9 +153,9 @@
     }
 }
 
-/// Guards against deadlines that count from when a process that was not scheduled woke up.
+/// Guards against deadlines that count from the time at which a process that was not scheduled woke up.
 #[test]
-fn a_line_counts_from_when_it_can_have_arrived() {
+fn a_deadline_counts_from_the_earliest_possible_arrival() {
     let ms = Duration::from_millis;
     let received_at = |known, assumed| {
         let mut clients = Clients::with_limits(1000, 1000);
--- a/crates/simulator-adapter/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -1,5 +1,5 @@
-//! Guards the adapter's behaviour while its code changes: seeded runs of valid input, and one digest over all bytes that
-//! it writes. The input follows what was written before, so that attempts end and requests are retried.
+//! Guards the adapter's behaviour against changes of its code: runs with valid input from seeds, and one digest of all
+//! bytes of output. The input reacts to the previous output, so that attempts end and requests are retried.
 
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -13,10 +13,10 @@
 const INSTANCES: u64 = 2;
 const ENGINES: u64 = 5;
 /// An engine whose attempts end only when they are cancelled or time out.
-const SILENT: &str = "e:1";
+const UNRESPONSIVE_ENGINE: &str = "e:1";
 const REPORTED: [&str; 6] = ["busy", "rif", "q", "x0", "x1", "qps"];
 
-/// Messages and actions that have to occur that often, or the digest would say little.
+/// How often messages and actions must occur, so that the digest covers them.
 const REQUIRED: [(&str, u64); 24] = [
     ("ACCEPT", 1000),
     ("ANNOUNCE broken", 50),
@@ -55,8 +55,8 @@
         mixed ^ (mixed >> 31)
     }
 
-    fn below(&mut self, end_attempt: u64) -> u64 {
-        self.number() % end_attempt.max(1)
+    fn below(&mut self, end: u64) -> u64 {
+        self.number() % end.max(1)
     }
 
     fn one_in(&mut self, count: u64) -> bool {
@@ -97,13 +97,13 @@
     /// Lines of the batch that is being built.
     batch: String,
     attempts: Vec<Attempt>,
-    /// By instance and request, its attempts so far.
+    /// The number of attempts, by instance and request.
     attempt_counts: BTreeMap<(u64, String), u64>,
     /// Requests without a final answer.
     unanswered: Vec<(u64, String)>,
-    /// When instances are to be woken.
+    /// The times at which instances are to be woken, with their numbers.
     wakes: Vec<(f64, u64)>,
-    /// Engines that instances want a health check of.
+    /// Health checks that were requested: the instance and the engine.
     probes: Vec<(u64, String)>,
     subscribers: Vec<u64>,
     requests: u64,
@@ -336,7 +336,7 @@
         let common = ["success"; 9];
         let rare = ["failure", "overloaded", "overloaded", "unreachable", "broken", "void"];
         let result = self.random.pick(&[&common[..], &rare].concat());
-        if self.attempts[at].engine == SILENT && !self.attempts[at].cancelled {
+        if self.attempts[at].engine == UNRESPONSIVE_ENGINE && !self.attempts[at].cancelled {
             return;
         }
         let result = if self.attempts[at].cancelled && !self.random.one_in(4) { "withdrawn" } else { result };
@@ -385,7 +385,7 @@
         self.send(json!({"op": "CANCELLED_BY_CLIENT", "who": instance, "ref": request}));
     }
 
-    /// Announces the whole endpoint list, changes of it, or that it can't be read.
+    /// Announces the complete endpoint list, changes of it, or that it cannot be read.
     fn announce(&mut self, instance: u64) {
         let first = self.tables < INSTANCES;
         let mode =
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -11,8 +11,13 @@
         .stderr(Stdio::piped())
         .spawn();
     let mut adapter = adapter.expect("the adapter starts");
-    adapter.stdin.take().expect("its input").write_all(input.as_bytes()).expect("it reads");
-    let done = adapter.wait_with_output().expect("it ends");
+    adapter
+        .stdin
+        .take()
+        .expect("the input is piped")
+        .write_all(input.as_bytes())
+        .expect("the adapter reads its input");
+    let done = adapter.wait_with_output().expect("the adapter ends");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     format!("{}{}success: {}\n", text(done.stdout), text(done.stderr), done.status.success())
 }
