--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -38,6 +38,15 @@
 const CELL_RANGE: Range<usize> = 13..15;
 const UP_SINCE_RANGE: Range<usize> = 19..27;
 
+// States of an endpoint in a record.
+const READY_STATE: u8 = 0;
+const DRAINING_STATE: u8 = 1;
+const REMOVED_STATE: u8 = 2;
+
+/// Base of the digits in the id of an endpoint of the configuration, after the prefix.
+const ID_RADIX: u32 = 16;
+const ID_PREFIX: &str = "s-";
+
 /// An engine in the endpoint list.
 pub struct EndpointRecord {
     /// The engine's id in the endpoint list.
@@ -196,9 +205,9 @@
 /// Decodes an endpoint from [`RECORD_BYTES`] bytes.
 fn parse_record(bytes: &[u8]) -> Result<EndpointRecord, DiscoveryError> {
     let lifecycle = match bytes[STATE_OFFSET] {
-        0 => Lifecycle::Ready,
-        1 => Lifecycle::Draining,
-        2 => Lifecycle::Removed,
+        READY_STATE => Lifecycle::Ready,
+        DRAINING_STATE => Lifecycle::Draining,
+        REMOVED_STATE => Lifecycle::Removed,
         unknown => return Err(DiscoveryError::EndpointState(unknown)),
     };
     let ip = Ipv4Addr::from(big_endian(&bytes[IP_RANGE]) as u32);
@@ -216,7 +225,7 @@
 
 /// Decodes an unsigned number of up to 8 bytes.
 fn big_endian(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0, |number, byte| number << 8 | u64::from(*byte))
+    bytes.iter().fold(0, |number, byte| number << u8::BITS | u64::from(*byte))
 }
 
 /// Decodes the events that the configuration file contains.
@@ -256,7 +265,7 @@
 ) -> Result<EndpointRecord, SettingsError> {
     let id = row.text("id")?;
     let address = row.text("host_port")?;
-    let id_number = id.strip_prefix("s-").and_then(|digits| u32::from_str_radix(digits, 16).ok());
+    let id_number = id.strip_prefix(ID_PREFIX).and_then(|digits| u32::from_str_radix(digits, ID_RADIX).ok());
     let lifecycle = match row.text("phase")? {
         "ready" => Lifecycle::Ready,
         "gone" => Lifecycle::Removed,
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -4,6 +4,7 @@
 //! While the loop polls, callbacks only record which sockets became ready. Each iteration then handles the recorded
 //! events in a fixed order, so that the outcome does not depend on the order in which the sockets became ready.
 
+mod accepting;
 mod client_sockets;
 mod discovery_socket;
 mod engine_sockets;
@@ -11,6 +12,7 @@
 mod listener;
 mod poll_times;
 mod reload;
+mod reload_retry;
 mod shutdown;
 mod signals;
 
@@ -28,7 +30,7 @@
 use calloop::{EventLoop, LoopHandle};
 use listener::Listener;
 use poll_times::PollTimes;
-use reload::ReloadRetry;
+use reload_retry::ReloadRetry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -90,7 +92,9 @@
         }
         let mut event_loop =
             EventLoop::try_new().map_err(ServeError::event_loop("creating the event loop"))?;
-        signals::watch(&event_loop.handle())?;
+        signals::watch(&event_loop.handle(), |router_loop: &mut Self, signal| {
+            router_loop.signals.push(signal);
+        })?;
         let mut router_loop = Self::start(event_loop.handle(), bootstrap, Box::new(read))?;
         while !router_loop.server.has_stopped() {
             router_loop.run_iteration(&mut event_loop)?;
@@ -119,7 +123,8 @@
         bootstrap: Bootstrap,
         read_bootstrap: ReadBootstrap,
     ) -> Result<Self, ServeError> {
-        let listener = Listener::open(&loop_handle, &bootstrap.config)?;
+        let record_readiness = |router_loop: &mut Self| router_loop.listener_is_ready = true;
+        let listener = Listener::open(&loop_handle, &bootstrap.config, record_readiness)?;
         let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
         let mut context = Context { now: clock.now(), ..Context::default() };
         context.record_wall_clock_offset(clock.wall_clock_offset());
@@ -196,6 +201,18 @@
         self.apply_changes();
     }
 
+    /// Logs the counters and handles a signal.
+    fn handle_signal(&mut self, signal: Signal) {
+        self.update_time();
+        log::info!("counters: {}", self.server.dispatcher.counters_line());
+        match signal {
+            Signal::SIGHUP => self.reload_by_signal(),
+            Signal::SIGUSR1 => {}
+            _ => self.server.begin_shutdown(),
+        }
+        self.apply_changes();
+    }
+
     /// Counts and logs a slow iteration: events that arrived during it were handled late.
     fn record_iteration(&mut self) {
         let handling_time = self.poll_times.handling_time(&self.clock);
--- a/crates/router/src/event_loop/client_sockets.rs
+++ b/crates/router/src/event_loop/client_sockets.rs
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The kernel reports the time of the last arrival by a coarse clock, so that new input may seem a few milliseconds old.
+/// The kernel reports the time of the last arrival by a coarse clock, so that new input may seem a few milliseconds
+/// old.
 const ARRIVAL_TOLERANCE: Duration = Duration::from_millis(5);
 
 /// A client's socket, with the information needed to date its input.
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -1,18 +1,12 @@
-//! Accepts clients' connections.
+//! The listening socket, and the causes of a failed accept.
 
-use super::RouterLoop;
-use crate::clients::MAX_TRANSIT_TIME;
 use crate::config::RouterConfig;
-use crate::dispatch::Dispatcher;
 use crate::error::ServeError;
-use crate::gate::CloseReason;
-use crate::slots::Slot;
-use crate::sockets::{RegisteredSocket, listen};
-use crate::timers::Timer;
+use crate::sockets::listen;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use std::io;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::TcpListener;
 use std::rc::Rc;
 
 /// The listening socket and its registration with the event loop.
@@ -24,10 +18,14 @@
 }
 
 impl Listener {
-    /// Listens at the configured address. The loop records when connections wait to be accepted.
-    pub fn open(
-        loop_handle: &LoopHandle<'static, RouterLoop>,
+    /// Listens at the configured address. The loop calls `on_ready` while connections wait to be accepted.
+    ///
+    /// # Errors
+    /// Fails if the socket cannot be opened or registered.
+    pub fn open<T>(
+        loop_handle: &LoopHandle<'static, T>,
         config: &RouterConfig,
+        on_ready: impl Fn(&mut T) + 'static,
     ) -> Result<Self, ServeError> {
         let address = config.listen_address;
         let listen_error = |source| ServeError::Listen { address, source };
@@ -36,11 +34,11 @@
         log::info!("router listening: name={} address={local_address}", config.name);
         let socket = Rc::new(socket);
         let source = Generic::new(Rc::clone(&socket), Interest::READ, Mode::Level);
-        let record_readiness = |_, _: &mut _, router_loop: &mut RouterLoop| {
-            router_loop.listener_is_ready = true;
+        let callback = move |_, _: &mut _, data: &mut T| {
+            on_ready(data);
             Ok(PostAction::Continue)
         };
-        let inserted = loop_handle.insert_source(source, record_readiness);
+        let inserted = loop_handle.insert_source(source, callback);
         let token = inserted
             .map_err(|error| ServeError::event_loop("registering the listening socket")(error.into()))?;
         Ok(Self { socket, token })
@@ -49,7 +47,7 @@
 
 /// The causes of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AcceptFailure {
+pub(super) enum AcceptFailure {
     /// No connection waits to be accepted.
     NoConnection,
     /// The connection failed before it was accepted; more connections may wait.
@@ -62,7 +60,7 @@
 
 impl AcceptFailure {
     /// Classifies an error of accept. On Linux, accept also returns pending network errors of the new connection.
-    fn of(error: &io::Error) -> Self {
+    pub fn of(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(libc::EAGAIN) => Self::NoConnection,
             Some(libc::EMFILE) => Self::OutOfDescriptors,
@@ -84,125 +82,6 @@
     }
 }
 
-/// Whether there may be more connections to accept.
-enum AcceptProgress {
-    MayHaveMore,
-    Finished,
-}
-
-impl RouterLoop {
-    /// Accepts all waiting connections. At the limit of clients, each new connection replaces the client that was
-    /// idle longest. If no client is idle, accepting pauses, and connections wait in the kernel's queue.
-    pub(super) fn accept_clients(&mut self) {
-        let listener = Rc::clone(&self.listener.socket);
-        while let AcceptProgress::MayHaveMore = self.accept_client(&listener) {}
-    }
-
-    fn accept_client(&mut self, listener: &TcpListener) -> AcceptProgress {
-        self.update_time();
-        let idle_client = if self.is_at_client_limit() { self.longest_idle_client() } else { None };
-        if idle_client.is_none() && self.is_at_client_limit() {
-            self.pause_accepting();
-            return AcceptProgress::Finished;
-        }
-        match listener.accept() {
-            Ok((socket, address)) => {
-                if let Some(slot) = idle_client.filter(|_| self.is_at_client_limit()) {
-                    self.close_for_capacity(slot);
-                }
-                self.register_client(socket, address);
-                AcceptProgress::MayHaveMore
-            }
-            Err(error) => self.accept_failed(&error, idle_client),
-        }
-    }
-
-    /// Handles a failed accept. If the process has no descriptor left, closes an idle client to free one.
-    fn accept_failed(&mut self, error: &io::Error, idle_client: Option<Slot>) -> AcceptProgress {
-        let failure = AcceptFailure::of(error);
-        match failure {
-            AcceptFailure::NoConnection => return AcceptProgress::Finished,
-            AcceptFailure::ConnectionFailed => return AcceptProgress::MayHaveMore,
-            AcceptFailure::OutOfDescriptors | AcceptFailure::OutOfResources => {}
-        }
-        self.server.context().counters.count("accepts_failed");
-        log::warn!("accepting a connection failed: error={error:?}");
-        let replaced_client = match failure {
-            AcceptFailure::OutOfDescriptors => idle_client.or_else(|| self.longest_idle_client()),
-            // Closing a client of this process would not relieve the machine.
-            _ => None,
-        };
-        match replaced_client {
-            Some(slot) => {
-                self.close_for_capacity(slot);
-                AcceptProgress::MayHaveMore
-            }
-            None => {
-                self.pause_accepting();
-                AcceptProgress::Finished
-            }
-        }
-    }
-
-    fn register_client(&mut self, socket: TcpStream, address: SocketAddr) {
-        let slot = self.server.dispatcher.clients.table.next();
-        let record_readiness = move |router_loop: &mut Self| router_loop.client_became_ready(slot);
-        match RegisteredSocket::register(&self.loop_handle, socket, record_readiness) {
-            Ok(registered) => {
-                let slot = self.server.accept_client();
-                log::debug!("client accepted: client={slot:?} address={address}");
-                self.clients.insert(slot, registered);
-                self.client_became_ready(slot);
-            }
-            Err(error) => {
-                self.server.context().counters.count("clients_not_admitted");
-                log::warn!("registering a client's socket failed: address={address} error={error:?}");
-            }
-        }
-    }
-
-    fn is_at_client_limit(&self) -> bool {
-        let Dispatcher { clients, config, .. } = &self.server.dispatcher;
-        clients.table.len() >= config.max_clients()
-    }
-
-    /// Returns the client that was idle longest. Its input is read first, since a connection must not be closed with
-    /// an unread request.
-    fn longest_idle_client(&mut self) -> Option<Slot> {
-        loop {
-            let now = self.server.context().now();
-            let slot = self.server.dispatcher.clients.longest_idle(now)?;
-            self.read_client(slot, self.poll_times.earliest_arrival());
-            if self.server.dispatcher.clients.longest_idle(now) == Some(slot) {
-                return Some(slot);
-            }
-        }
-    }
-
-    fn close_for_capacity(&mut self, slot: Slot) {
-        self.server.context().counters.count("clients_closed_for_capacity");
-        self.server.close_client(slot, CloseReason::ReplacedWhileIdle);
-        self.apply_changes();
-    }
-
-    fn pause_accepting(&mut self) {
-        let context = self.server.context();
-        context.counters.count("accepts_paused");
-        context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::ResumeAccepting);
-        if let Err(error) = self.loop_handle.disable(&self.listener.token) {
-            log::warn!("pausing the accepting of connections failed: error={error:?}");
-        }
-    }
-
-    /// Accepts connections again after a pause.
-    pub(super) fn resume_accepting(&mut self) {
-        if let Err(error) = self.loop_handle.enable(&self.listener.token) {
-            log::error!("resuming the accepting of connections failed: error={error:?}");
-            self.server.context().counters.check_invariant(false, "accepting_not_resumed");
-        }
-    }
-}
-
 #[cfg(test)]
 #[path = "../../tests/unit/listener.rs"]
 mod tests;
--- a/crates/router/src/event_loop/reload.rs
+++ b/crates/router/src/event_loop/reload.rs
@@ -1,29 +1,15 @@
 //! Reloads the configuration and the operator's file.
 
 use super::RouterLoop;
+use super::reload_retry::ReloadRetry;
 use crate::bootstrap::Bootstrap;
 use crate::error::ConfigError;
 use crate::timers::Timer;
-use std::time::Duration;
-
-/// Time between two attempts of a reload. A file that is invalid now may be incomplete because it is still written.
-const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time from the first failure of a reload to the last attempt. Events from a new address of the discovery service must
-/// take effect within 4 s of SIGHUP.
-const RETRY_WINDOW: Duration = Duration::from_secs(3);
-
-/// A scheduled retry of a reload that failed.
-pub(super) struct ReloadRetry {
-    /// The time of the next attempt.
-    pub next_attempt: Duration,
-    /// The time after which no more attempts are made.
-    last_attempt_by: Duration,
-}
 
 impl RouterLoop {
     /// Reads the configuration again. The discovery service's address and the operator's file take effect at once;
     /// other changes need a restart. Open requests, connections and learned estimates are not affected. A file that is
-    /// invalid or belongs to another router changes nothing, and is read again for [`RETRY_WINDOW`].
+    /// invalid or belongs to another router changes nothing, and is read again for a few seconds.
     pub(super) fn reload(&mut self) {
         let retry = self.reload_retry.take();
         match self.read_bootstrap_of_this_router() {
@@ -55,23 +41,25 @@
     }
 
     /// Schedules another attempt, unless the time for retries is over.
-    fn retry_reload(&mut self, error: &ConfigError, retry: Option<ReloadRetry>) {
+    fn retry_reload(&mut self, error: &ConfigError, previous: Option<ReloadRetry>) {
         let context = self.server.context();
-        let now = context.now();
-        let last_attempt_by = match retry {
-            Some(retry) => retry.last_attempt_by,
-            None => {
-                log::error!("configuration not reloaded, the previous one stays in effect: {error}");
-                context.counters.count("reloads_refused");
-                now + RETRY_WINDOW
-            }
-        };
-        if now >= last_attempt_by {
+        if previous.is_none() {
+            log::error!("configuration not reloaded, the previous one stays in effect: {error}");
+            context.counters.count("reloads_refused");
+        }
+        let Some(retry) = ReloadRetry::next(previous, context.now()) else {
             log::error!("configuration not reloaded, retries ended: {error}");
             return;
+        };
+        context.timers.set(retry.next_attempt, Timer::Reload);
+        self.reload_retry = Some(retry);
+    }
+
+    /// Reloads at once. A scheduled retry of an earlier reload is dropped.
+    pub(super) fn reload_by_signal(&mut self) {
+        if let Some(retry) = self.reload_retry.take() {
+            self.server.context().timers.clear(retry.next_attempt, Timer::Reload);
         }
-        let next_attempt = now + RETRY_INTERVAL;
-        context.timers.set(next_attempt, Timer::Reload);
-        self.reload_retry = Some(ReloadRetry { next_attempt, last_attempt_by });
+        self.reload();
     }
 }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -10,6 +10,7 @@
 mod parameters;
 mod requests;
 mod shutdown;
+mod state;
 
 use crate::admission_queue::AdmissionQueue;
 use crate::bootstrap::Bootstrap;
@@ -22,7 +23,7 @@
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::{AttemptEnded, Fingerprint, RequestClass, RequestId, Scheduler};
-use shutdown::ServerState;
+use state::ServerState;
 use std::hash::Hasher;
 use std::time::Duration;
 
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -2,9 +2,9 @@
 //! open.
 
 use super::Server;
+use super::state::ServerState;
 use crate::dispatch::Dispatcher;
 use crate::timers::Timer;
-use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
 /// Time after SIGTERM during which clients may still connect and send requests. SIGKILL follows SIGTERM after the
@@ -17,33 +17,6 @@
 /// Time between two checks whether the process may exit.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The phases of a server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ServerState {
-    /// Serving without a planned end.
-    Serving,
-    /// Finishing open requests. The process exits at `deadline` at the latest.
-    Draining { deadline: Duration },
-    /// The process may exit: no request was open at the last check, or the deadline had passed.
-    Stopped { deadline: Duration },
-}
-
-impl ServerState {
-    fn deadline(self) -> Option<Duration> {
-        match self {
-            Self::Serving => None,
-            Self::Draining { deadline } | Self::Stopped { deadline } => Some(deadline),
-        }
-    }
-
-    /// Feeds the state to `hasher`, with the deadline relative to `now`.
-    pub(super) fn fingerprint(self, now: Duration, hasher: &mut impl Hasher) {
-        let microseconds_left = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        self.deadline().map(microseconds_left).hash(hasher);
-        matches!(self, Self::Stopped { .. }).hash(hasher);
-    }
-}
-
 impl Server {
     /// Begins a graceful shutdown. The process may exit once no request is open, or shortly before SIGKILL.
     pub fn begin_shutdown(&mut self) {
--- a/crates/router/tests/unit/clock.rs
+++ b/crates/router/tests/unit/clock.rs
@@ -1,4 +1,5 @@
-use super::*;
+use super::{MAX_OFFSETS, MIN_WALL_CLOCK_STEP, WallClockOffsets};
+use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(100);
 const HOUR: Duration = Duration::from_secs(3600);
--- a/crates/router/tests/unit/gate.rs
+++ b/crates/router/tests/unit/gate.rs
@@ -1,4 +1,7 @@
-use super::*;
+use super::{CallFacts, CallRefusal, CloseReason, may_close, may_send};
+use crate::counters::Counters;
+use emberflow::RequestId;
+use std::time::Duration;
 
 fn call() -> CallFacts {
     CallFacts {
--- a/crates/router/tests/unit/listener.rs
+++ b/crates/router/tests/unit/listener.rs
@@ -1,4 +1,5 @@
-use super::*;
+use super::AcceptFailure;
+use std::io;
 
 fn failure(code: libc::c_int) -> AcceptFailure {
     AcceptFailure::of(&io::Error::from_raw_os_error(code))
--- a/crates/router/tests/unit/ready_list.rs
+++ b/crates/router/tests/unit/ready_list.rs
@@ -1,8 +1,9 @@
 //! The order in which clients with unread input are served.
 
-use super::*;
-use crate::slots::Slots;
+use super::{ReadyClient, ReadyList};
+use crate::slots::{Slot, Slots};
 use expect_test::expect;
+use std::time::Duration;
 
 #[test]
 fn a_client_with_endless_input_delays_others_by_one_line_at_most() {
