--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -66,7 +66,7 @@
     readable_clients: ReadyList,
     /// Connections to engines that may have unread input.
     readable_connections: BTreeSet<Slot>,
-    /// Clients that became ready during the poll and have not been scanned yet.
+    /// Clients that became ready during the poll and were not scanned yet.
     clients_to_scan: Vec<Slot>,
     /// Whether the connection to the discovery service became ready during the poll.
     discovery_is_ready: bool,
@@ -174,7 +174,7 @@
     /// Handles all events of the last poll, in a fixed order. Clients' disconnects come before events that free
     /// capacity, and changes of the endpoint list before anything is sent.
     ///
-    /// A flood of lines from clients delays nothing else for long: expired timers are handled before each line,
+    /// A flood of lines from clients cannot delay other events for long: expired timers are handled before each line,
     /// clients are read in rotation, one line each, and the sockets are polled again after
     /// [`MAX_READS_PER_ITERATION`] lines.
     fn handle_events(&mut self) {
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -2,6 +2,7 @@
 
 use crate::{Fields, Problem, SettingsError};
 use emberflow::{AttemptLimits, RetryBudget};
+use std::time::Duration;
 
 /// Name of the time window over which retries are counted. A retry budget requires it.
 const RETRY_WINDOW: &str = "countedOverMs";
@@ -32,15 +33,21 @@
 /// Decodes the retry budget; returns `None` if the settings have none.
 fn retry_budget(rules: Fields<'_>) -> Result<Option<RetryBudget>, SettingsError> {
     let window = rules.optional(RETRY_WINDOW, Fields::positive_time)?;
-    let amount = |name: &str| match (rules.optional(name, Fields::not_negative)?, window) {
-        (Some(_), None) => Err(rules.field(name)?.error(Problem::Incomplete { required: RETRY_WINDOW })),
-        (amount, _) => Ok(amount.unwrap_or(0.0)),
-    };
+    let amount = |name| retry_amount(rules, name, window);
     let min_retries = amount("spareAttempts")?;
     let per_request = amount("extraPerRequest")?;
     Ok(window.map(|window| RetryBudget { min_retries, per_request, window }))
 }
 
+/// Decodes a number of retries, which is 0 if it is absent. Fails if the settings have the number but no window.
+fn retry_amount(rules: Fields<'_>, name: &str, window: Option<Duration>) -> Result<f64, SettingsError> {
+    let amount = rules.optional(name, Fields::not_negative)?;
+    if amount.is_some() && window.is_none() {
+        return Err(rules.field(name)?.error(Problem::Incomplete { required: RETRY_WINDOW }));
+    }
+    Ok(amount.unwrap_or(0.0))
+}
+
 /// Decodes whether clients mark their retries.
 ///
 /// # Errors
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -85,8 +85,7 @@
 
     /// Reads an integer from 1 up.
     pub fn count(self, name: &str) -> Result<usize, SettingsError> {
-        let positive = |value| as_index(value).filter(|count| *count > 0);
-        self.field(name)?.read("a whole number from 1 up", positive)
+        self.field(name)?.read("a whole number from 1 up", positive_index)
     }
 
     /// Reads a number.
@@ -101,13 +100,12 @@
 
     /// Reads a finite number from 0 up.
     pub fn not_negative(self, name: &str) -> Result<f64, SettingsError> {
-        self.field(name)?.read("a number from 0 up", |value| finite(value).filter(|number| *number >= 0.0))
+        self.field(name)?.read("a number from 0 up", non_negative)
     }
 
     /// Reads a number from 0 to 1.
     pub fn fraction(self, name: &str) -> Result<f64, SettingsError> {
-        let within = |number: &f64| (0.0..=1.0).contains(number);
-        self.field(name)?.read("a number from 0 to 1", |value| finite(value).filter(within))
+        self.field(name)?.read("a number from 0 to 1", fraction)
     }
 
     /// Reads a boolean.
@@ -117,14 +115,12 @@
 
     /// Reads a time in milliseconds from 0 up.
     pub fn time(self, name: &str) -> Result<Duration, SettingsError> {
-        let time = |value| finite(value).filter(|ms| *ms >= 0.0).map(from_ms);
-        self.field(name)?.read("a time in milliseconds", time)
+        self.field(name)?.read("a time in milliseconds", |value| non_negative(value).map(from_ms))
     }
 
     /// Reads a time in milliseconds that is above 0 after rounding to microseconds.
     pub fn positive_time(self, name: &str) -> Result<Duration, SettingsError> {
-        let time = |value| finite(value).map(from_ms).filter(|time| !time.is_zero());
-        self.field(name)?.read("a time in milliseconds above 0", time)
+        self.field(name)?.read("a time in milliseconds above 0", positive_time)
     }
 
     /// Returns the elements of a list.
@@ -184,9 +180,12 @@
     ) -> Result<T, SettingsError> {
         let field = self.field(name)?;
         let found = field.as_text()?;
-        let matching = known.into_iter().find(|(known, _)| *known == found);
-        let unknown = || field.error(Problem::Unknown { found: found.to_owned() });
-        matching.map(|(_, value)| value).ok_or_else(unknown)
+        for (known_name, value) in known {
+            if known_name == found {
+                return Ok(value);
+            }
+        }
+        Err(field.error(Problem::Unknown { found: found.to_owned() }))
     }
 
     /// Returns the value as a boolean.
@@ -196,7 +195,7 @@
 
     /// Returns the value as a finite number above 0.
     pub fn as_positive(self) -> Result<f64, SettingsError> {
-        self.read("a number above 0", |value| finite(value).filter(|number| *number > 0.0))
+        self.read("a number above 0", positive)
     }
 
     /// Returns the value as an index, which must be below `length` if it is known.
@@ -229,10 +228,30 @@
     value.as_u64()?.try_into().ok()
 }
 
+fn positive_index(value: &Value) -> Option<usize> {
+    as_index(value).filter(|index| *index > 0)
+}
+
 fn finite(value: &Value) -> Option<f64> {
     value.as_f64().filter(|number| number.is_finite())
 }
 
+fn non_negative(value: &Value) -> Option<f64> {
+    finite(value).filter(|number| *number >= 0.0)
+}
+
+fn positive(value: &Value) -> Option<f64> {
+    finite(value).filter(|number| *number > 0.0)
+}
+
+fn fraction(value: &Value) -> Option<f64> {
+    finite(value).filter(|number| (0.0..=1.0).contains(number))
+}
+
+fn positive_time(value: &Value) -> Option<Duration> {
+    finite(value).map(from_ms).filter(|time| !time.is_zero())
+}
+
 /// Returns the path from a value to another value inside it, such as `.categories[1].name`.
 fn path(from: &Value, to: &Value) -> Option<String> {
     if std::ptr::eq(from, to) {
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -3,6 +3,14 @@
 use crate::{Fields, Problem, SettingsError};
 use emberflow::LoadReport;
 
+// Names of the figures that the scheduler uses, in the settings and on the wire.
+const BUSY_NAMES: &[&str] = &["busy", "util"];
+const IN_FLIGHT_NAMES: &[&str] = &["rif", "inflight"];
+const WAITING_NAMES: &[&str] = &["q", "queue"];
+const MEMORY_NAMES: &[&str] = &["x0"];
+const DISKS_NAMES: &[&str] = &["x1"];
+/// All figures that the scheduler uses.
+const USED: [&[&str]; 5] = [BUSY_NAMES, IN_FLIGHT_NAMES, WAITING_NAMES, MEMORY_NAMES, DISKS_NAMES];
 /// Names of figures that are part of a load report and that the scheduler does not use.
 const IGNORED: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
 
@@ -57,13 +65,7 @@
 
 /// Whether the scheduler uses a figure of this name, or ignores it on purpose.
 fn is_known(name: &str) -> bool {
-    let mut known = IGNORED.contains(&name);
-    let lookup = |names: &[&str]| {
-        known |= names.contains(&name);
-        Ok::<_, SettingsError>(None)
-    };
-    let _ = build_load_report(lookup);
-    known
+    IGNORED.contains(&name) || USED.iter().any(|names| names.contains(&name))
 }
 
 /// Builds a load report from single figures. `figure` is called once for each figure, with all names that it has in the
@@ -75,10 +77,10 @@
     mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>,
 ) -> Result<LoadReport, E> {
     Ok(LoadReport {
-        busy: figure(&["busy", "util"])?,
-        in_flight: figure(&["rif", "inflight"])?,
-        waiting: figure(&["q", "queue"])?,
-        memory: figure(&["x0"])?,
-        disks: figure(&["x1"])?,
+        busy: figure(BUSY_NAMES)?,
+        in_flight: figure(IN_FLIGHT_NAMES)?,
+        waiting: figure(WAITING_NAMES)?,
+        memory: figure(MEMORY_NAMES)?,
+        disks: figure(DISKS_NAMES)?,
     })
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -86,11 +86,13 @@
         if operation == "NEW_INSTANCE" {
             self.warn_about_unknown_figures(line)?;
         }
-        let handled = catch_unwind(AssertUnwindSafe(|| self.dispatch(operation, number, line, now)));
-        handled.unwrap_or_else(|_| {
-            self.panicked = Some(number);
-            Ok(())
-        })
+        match catch_unwind(AssertUnwindSafe(|| self.dispatch(operation, number, line, now))) {
+            Ok(result) => result,
+            Err(_) => {
+                self.panicked = Some(number);
+                Ok(())
+            }
+        }
     }
 
     fn dispatch(
