--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -13,7 +13,7 @@
 
 const USAGE: &str = "\
 usage: emberflow serve [--config FILE] [--operator FILE]
-                                         serve until SIGTERM; without FILE, by $EDGE_CONFIG
+                                         serve until SIGTERM; without FILE, the configuration is $EDGE_CONFIG
        emberflow check FILE [--operator FILE]
                                          read a configuration and print a summary
        emberflow version
--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -75,7 +75,7 @@
     expect![[r#"
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is missing
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is unknown: galaxy
-        Some(1) emberflow: FILE: `settings.kinds` has 2 elements instead of 1, one for each kind
+        Some(1) emberflow: FILE: `settings.kinds` needs one element for each kind (1), but has 2
         Some(1) emberflow: FILE: `settings.zones[1]` is listed twice: hall-a
         Some(1) emberflow: FILE: `settings.myZone` is 1, past the end of a list of 1
         Some(1) emberflow: FILE: `known.items[0].roster.members[0].locality` is not in the settings: hall-z
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -47,7 +47,7 @@
         element: &'static str,
     },
     /// The list must have one element for each element of another list.
-    #[error("has {found} elements instead of {expected}, one for each {element}")]
+    #[error("needs one element for each {element} ({expected}), but has {found}")]
     WrongLength {
         /// The number of elements in the list.
         found: usize,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -208,11 +208,11 @@
 fn lists_of_different_lengths_and_incomplete_rules_are_reported_by_their_path() {
     expect![[r#"
         domain/kindCores []: `settings.domain.kindCores` has no kind
-        domain/sizeMb [16384.0]: `settings.domain.sizeMb` has 1 elements instead of 2, one for each kind
-        kinds ["std-8"]: `settings.kinds` has 1 elements instead of 2, one for each kind
-        domain/parallelism [1]: `settings.domain.parallelism` has 1 elements instead of 2, one for each class
-        domain/writesTables [true,false,true]: `settings.domain.writesTables` has 3 elements instead of 2, one for each class
-        domain/blockedByLoads []: `settings.domain.blockedByLoads` has 0 elements instead of 2, one for each class
+        domain/sizeMb [16384.0]: `settings.domain.sizeMb` needs one element for each kind (2), but has 1
+        kinds ["std-8"]: `settings.kinds` needs one element for each kind (2), but has 1
+        domain/parallelism [1]: `settings.domain.parallelism` needs one element for each class (2), but has 1
+        domain/writesTables [true,false,true]: `settings.domain.writesTables` needs one element for each class (2), but has 3
+        domain/blockedByLoads []: `settings.domain.blockedByLoads` needs one element for each class (2), but has 0
         domain/blockedByLoads/1 1: `settings.domain.blockedByLoads[1]` is not true or false
         rules/countedOverMs null: `settings.rules.spareAttempts` requires `countedOverMs`, which is missing
         rules {"extraPerRequest":0,"fallMs":1,"overloadFactor":2,"startCapacity":0,"warmUpMs":1}: `settings.rules.extraPerRequest` requires `countedOverMs`, which is missing
@@ -260,7 +260,7 @@
     let unknown_figures = |how: &str, names: &[&str]| {
         let file = with(&[("report", json!({"how": how, "names": names}))]);
         let unknown = unknown_load_report_names(Fields::of(&file).object("settings").expect("settings"))
-            .expect("it reads");
+            .expect("the settings are valid");
         unknown.iter().map(ToString::to_string).collect::<Vec<_>>()
     };
     for known in ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1", "inflight", "queue", "util"]
--- a/crates/simulator-adapter/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -17,7 +17,7 @@
 const REPORTED: [&str; 6] = ["busy", "rif", "q", "x0", "x1", "qps"];
 
 /// How often messages and actions must occur, so that the digest covers them.
-const REQUIRED: [(&str, u64); 24] = [
+const MINIMUM_COUNTS: [(&str, u64); 24] = [
     ("ACCEPT", 1000),
     ("ANNOUNCE broken", 50),
     ("ANNOUNCE patch", 100),
@@ -44,7 +44,7 @@
     ("sent again", 200),
 ];
 
-/// A random source that is the same on every platform.
+/// A source of random numbers that is the same on every platform.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -76,7 +76,7 @@
     actions: BTreeMap<String, u64>,
 }
 
-/// An attempt that has not ended.
+/// An attempt that is in flight.
 struct Attempt {
     instance: u64,
     request: String,
@@ -141,8 +141,8 @@
             .stderr(Stdio::null())
             .spawn();
         let mut adapter = adapter.expect("the adapter starts");
-        let input = adapter.stdin.take().expect("its input");
-        let output = BufReader::new(adapter.stdout.take().expect("its output"));
+        let input = adapter.stdin.take().expect("the input is piped");
+        let output = BufReader::new(adapter.stdout.take().expect("the output is piped"));
         Self {
             random: SplitMix64(seed),
             record,
@@ -178,7 +178,7 @@
             }
         }
         drop(self.input);
-        assert!(self.adapter.wait().expect("it ends").success());
+        assert!(self.adapter.wait().expect("the adapter ends").success());
     }
 
     fn start(&mut self, instance: u64, seed: u64) {
@@ -209,12 +209,15 @@
     fn finish_batch(&mut self, frame: u64) {
         let begin = json!({"op": "BEGIN_BATCH", "atTimeMs": self.now_ms, "frame": frame});
         let lines = format!("{begin}\n{}{{\"op\":\"END\"}}\n", std::mem::take(&mut self.batch));
-        self.input.write_all(lines.as_bytes()).expect("it reads");
+        self.input.write_all(lines.as_bytes()).expect("the adapter reads its input");
         loop {
             let mut line = String::new();
-            assert!(self.output.read_line(&mut line).expect("it writes") > 0, "it ended early after {lines}");
+            assert!(
+                self.output.read_line(&mut line).expect("the adapter writes") > 0,
+                "the adapter ended early after {lines}"
+            );
             self.record.digest.update(&line);
-            let action: Value = serde_json::from_str(&line).expect("it writes JSON");
+            let action: Value = serde_json::from_str(&line).expect("the adapter writes JSON");
             assert_ne!(action["op"], "FAULT", "{action} after {lines}");
             *self.record.actions.entry(kind_of(&action)).or_default() += 1;
             if action["op"] == "READY" {
@@ -230,32 +233,17 @@
         let text = |name: &str| action[name].as_str().unwrap_or_default().to_owned();
         let request = text("ref");
         match action["op"].as_str().unwrap_or_default() {
-            "PASS_ON" => {
-                let attempt_counts = self.attempt_counts.entry((instance, request.clone())).or_default();
-                let (number, abandon_ms) = (*attempt_counts, action["abandonAtMs"].as_f64().expect("a time"));
-                *attempt_counts += 1;
-                if number > 0 {
-                    *self.record.actions.entry("sent again".into()).or_default() += 1;
-                }
-                let (engine, sent_ms) = (text("engine"), self.now_ms);
-                self.attempts.push(Attempt {
-                    instance,
-                    request,
-                    number,
-                    engine,
-                    sent_ms,
-                    abandon_ms,
-                    cancelled: false,
-                });
-            }
+            "PASS_ON" => self.begin_attempt(instance, request, text("engine"), action),
             "ABORT_ATTEMPT" => {
                 let number = action["hop"].as_u64();
-                let its = |attempt: &&mut Attempt| {
-                    attempt.instance == instance
+                for attempt in &mut self.attempts {
+                    if attempt.instance == instance
                         && attempt.request == request
                         && Some(attempt.number) == number
-                };
-                self.attempts.iter_mut().filter(its).for_each(|attempt| attempt.cancelled = true);
+                    {
+                        attempt.cancelled = true;
+                    }
+                }
             }
             "TURN_AWAY" | "ABORT" => {
                 self.unanswered.retain(|unanswered| *unanswered != (instance, request.clone()))
@@ -270,6 +258,25 @@
         }
     }
 
+    fn begin_attempt(&mut self, instance: u64, request: String, engine: String, action: &Value) {
+        let attempt_count = self.attempt_counts.entry((instance, request.clone())).or_default();
+        let number = *attempt_count;
+        *attempt_count += 1;
+        if number > 0 {
+            *self.record.actions.entry("sent again".into()).or_default() += 1;
+        }
+        self.attempts.push(Attempt {
+            instance,
+            request,
+            number,
+            engine,
+            sent_ms: self.now_ms,
+            abandon_ms: action["abandonAtMs"].as_f64().expect("a time"),
+            cancelled: false,
+        });
+    }
+
+    /// Announces the endpoint list to subscribers, wakes instances and ends attempts whose time is up.
     fn deliver_due(&mut self) {
         for instance in std::mem::take(&mut self.subscribers) {
             self.announce(instance);
@@ -295,7 +302,7 @@
         match self.random.below(40) {
             0..12 => self.accept(),
             12..28 => self.end_random_attempt(),
-            28..32 => self.send_progress_note(),
+            28..32 => self.send_progress(),
             32..34 => self.cancel_request(),
             34..36 => {
                 let instance = self.random.below(INSTANCES);
@@ -365,7 +372,7 @@
         json!([busy, self.random.below(9), self.random.below(5), memory, 0.25, 17])
     }
 
-    fn send_progress_note(&mut self) {
+    fn send_progress(&mut self) {
         if self.attempts.is_empty() {
             return;
         }
@@ -407,20 +414,20 @@
     }
 }
 
-/// The kind of a line.
+/// Returns the kind of a line, by its operation, result and mode.
 fn kind_of(line: &Value) -> String {
     let words = ["op", "result", "mode"].iter().filter_map(|name| line[name].as_str());
     words.collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn the_adapter_writes_as_before() {
+fn the_digest_of_the_output_is_unchanged() {
     let mut record = Record::default();
     (0..RUNS).for_each(|seed| Simulation::new(seed, &mut record).run(seed));
     let Record { digest, messages, actions } = record;
-    for (kind, least) in REQUIRED {
+    for (kind, minimum) in MINIMUM_COUNTS {
         let times = actions.get(kind).or(messages.get(kind)).copied().unwrap_or_default();
-        assert!(times >= least, "only {times} times: {kind}");
+        assert!(times >= minimum, "only {times} times: {kind}");
     }
     let lines = |kinds: BTreeMap<String, u64>| -> String {
         kinds.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect()
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -126,7 +126,7 @@
         success: false
         emberflow-simulator-adapter: line 2: `params.categories[0].keyScope` is unknown: galaxy
         success: false
-        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` has 2 elements instead of 1, one for each kind
+        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` needs one element for each kind (1), but has 2
         success: false
         emberflow-simulator-adapter: line 2: `params.report.names[1]` is not text
         success: false
