--- a/src/actions.rs
+++ b/src/actions.rs
@@ -1,26 +1,26 @@
-//! What the scheduler answers with.
+//! The interface through which the scheduler's decisions are carried out.
 
 use crate::{EngineId, RequestId};
 use std::time::Duration;
 
-/// Receives what the scheduler decides; every call takes effect at the time of the input being answered.
+/// Carries out the scheduler's decisions. Each call takes effect at the time of the input that caused it.
 pub trait Actions {
-    /// Sends the request's next attempt; it is abandoned at `until`.
+    /// Sends the request's next attempt to the engine. The attempt times out at `until`.
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
-    /// Sets the grant of the request's next attempt and the priority of all its attempts.
+    /// Sets the memory grant of the request's next attempt, and the priority of all its attempts.
     fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8);
-    /// Stops waiting for one attempt.
+    /// Cancels an attempt in flight.
     fn cancel(&mut self, request: RequestId, attempt: usize);
-    /// Answers the request: not done, a retry is harmless.
+    /// Answers the request without a result. The client may safely retry, after `retry_after` if given.
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>);
-    /// Answers the request: not done, nothing promised.
+    /// Answers the request without a result. An attempt may have run, so a retry is not known to be safe.
     fn fail(&mut self, request: RequestId);
-    /// Requests an engine's load report, where that is allowed.
+    /// Requests a load report from the engine.
     fn probe(&mut self, engine: EngineId);
-    /// Requests a [`Scheduler::wake`](crate::Scheduler::wake) after `wait`.
+    /// Schedules a call of [`Scheduler::wake`](crate::Scheduler::wake) after `wait`.
     fn wake_after(&mut self, wait: Duration);
-    /// Requests the changes of the endpoint list from now on.
+    /// Subscribes to changes of the endpoint list.
     fn watch(&mut self);
-    /// Drops an engine that is gone and has no attempt in flight: its number is free.
+    /// Releases the number of an engine that is removed and has no attempt in flight.
     fn forget(&mut self, engine: EngineId);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,15 @@
-//! emberflow: the front for query engines with limited memory, as a library without I/O, clock or JSON.
+//! The decisions of emberflow, a router for query engines with limited memory, as a library without I/O, clock or
+//! wire format.
 //!
-//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`].
-//! It reports everything that happens by a method call that takes the time and an [`Actions`] sink. The
-//! scheduler answers through that sink before the call returns, and keeps the requests and engines itself.
+//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`]. It
+//! reports each event by a method call that takes the time of the event and an [`Actions`] sink. The scheduler
+//! carries out its decisions through that sink before the call returns, and keeps track of requests and engines.
 //!
-//! Times are spans since the caller's start. Requests, engines and keys are small indices that the caller
-//! gives out.
+//! Times are durations since the caller's start. Requests, engines and keys are known by numbers that the caller
+//! assigns: [`RequestId`], [`EngineId`] and [`KeyId`].
 //!
-//! `handlers` has the inputs, `state` what is remembered, `policy` the decisions, and `scheduler` the order
-//! in which they run.
+//! `settings` and `input` define the data that callers pass in, `handlers` the inputs, `state` the records,
+//! `policy` the decisions, and `scheduler` the order in which the decisions are taken.
 
 mod actions;
 mod fingerprint;
@@ -18,6 +19,7 @@
 mod policy;
 mod samples;
 mod scheduler;
+mod settings;
 mod state;
 
 pub use actions::Actions;
@@ -25,7 +27,8 @@
 pub use handlers::Capacity;
 pub use ids::{EngineId, KeyId, RequestId};
 pub use input::{
-    Arrival, AttemptEnded, AttemptLimits, AttemptOutcome, Effect, Endpoint, EndpointUpdate, EngineKind,
-    Fleet, KeyScope, Lifecycle, LoadReport, ProgressUpdate, RequestClass, RetryBudget, Usage,
+    Arrival, AttemptEnded, AttemptOutcome, Endpoint, EndpointUpdate, Lifecycle, LoadReport, ProgressUpdate,
+    Usage,
 };
 pub use scheduler::Scheduler;
+pub use settings::{AttemptLimits, Effect, EngineKind, Fleet, KeyScope, RequestClass, RetryBudget};
--- /dev/null
+++ b/src/settings.rs
@@ -0,0 +1,126 @@
+//! The settings that a scheduler is built from.
+
+use std::time::Duration;
+
+/// The engines, and the routers in front of them, as they are known at start.
+pub struct Fleet {
+    /// Seed of all random choices.
+    pub seed: u64,
+    /// Number of routers that share the engines; each knows its own requests only.
+    pub router_count: usize,
+    /// The location of this router, which placement prefers among engines that are about equally free.
+    pub home_location: usize,
+    /// The kinds of engines, by [`Endpoint::kind`](crate::Endpoint::kind).
+    pub kinds: Vec<EngineKind>,
+    /// Largest memory grant, as a fraction of the engine's memory.
+    pub max_grant_share: f64,
+    /// Whether engines respect the priority that [`Actions::set_terms`](crate::Actions::set_terms) sets.
+    pub honors_priorities: bool,
+    /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
+    pub shrinks_grants: bool,
+    /// Interval of the [`ProgressUpdate`](crate::ProgressUpdate)s of one attempt; `None` if engines send none.
+    pub progress_interval: Option<Duration>,
+    /// Whether engines report their load only in answer to a probe.
+    pub reports_only_on_probe: bool,
+    /// Whether changes of the endpoint list arrive only after [`Actions::watch`](crate::Actions::watch).
+    pub polls_endpoint_list: bool,
+    /// Upper bound on the time to deliver and handle one message; all safety margins are multiples of it.
+    pub tick: Duration,
+}
+
+/// The size of one kind of engine.
+pub struct EngineKind {
+    /// Cores of one engine.
+    pub cores: f64,
+    /// Memory of one engine in MB.
+    pub memory_mb: f64,
+}
+
+/// One class of requests.
+pub struct RequestClass {
+    /// Fixed part of the latency objective, counted from the arrival.
+    pub latency_objective: Duration,
+    /// Variable part of the latency objective, as a multiple of the request's ideal run.
+    pub objective_stretch: f64,
+    /// The usual deadline, counted from the arrival.
+    pub deadline: Duration,
+    /// Priority weight of a request that is answered within its latency objective.
+    pub priority_weight: f64,
+    /// Fraction of the priority weight that a late answer is worth.
+    pub late_share: f64,
+    /// Whether a request may run more than once.
+    pub effect: Effect,
+    /// Whether requests of one key run one at a time, in the order of arrival.
+    pub keeps_order: bool,
+    /// Engine kinds that its requests may run on; `None` for all.
+    pub kinds: Option<Vec<usize>>,
+    /// Locations that its requests may run in; `None` for all.
+    pub locations: Option<Vec<usize>>,
+    /// Cores that a request keeps busy while it runs.
+    pub threads: f64,
+    /// Whether its requests are bulk loads, which block readers of the same group on the same engine.
+    pub is_bulk_load: bool,
+    /// Whether its requests are blocked by a bulk load of the same group on the same engine.
+    pub waits_for_bulk_loads: bool,
+}
+
+/// Whether a request may run more than once.
+pub enum Effect {
+    /// It may run any number of times.
+    Idempotent,
+    /// It may be repeated with the same key: the engines in `scope` drop repeats for `window`, counted from the
+    /// first attempt.
+    IdempotentWithKey {
+        /// The engines that drop each other's repeats.
+        scope: KeyScope,
+        /// How long an engine remembers the key.
+        window: Duration,
+    },
+    /// It must not run twice.
+    NonIdempotent,
+}
+
+/// The engines that drop each other's repeats of a request with an idempotency key.
+#[derive(PartialEq)]
+pub enum KeyScope {
+    /// All engines.
+    All,
+    /// The engines of one location.
+    Location,
+    /// The engines of one cell.
+    Cell,
+}
+
+/// Limits that apply to every attempt.
+pub struct AttemptLimits {
+    /// Maximum number of attempts of one request, including the first.
+    pub max_attempts: usize,
+    /// Whether attempts may be cancelled.
+    pub may_cancel: bool,
+    /// Whether engines may be probed for their load.
+    pub may_probe: bool,
+    /// Fraction of its capacity that an engine has right after its start.
+    pub start_capacity: f64,
+    /// Time from an engine's start until it has its full capacity.
+    pub warm_up: Duration,
+    /// Load in any `overload_window`, as a multiple of its capacity, that an engine withstands while it warms up.
+    pub overload_factor: f64,
+    /// See `overload_factor`.
+    pub overload_window: Duration,
+    /// Time for which a key's other requests wait after an attempt that may still run; `None` for no wait.
+    pub key_cooldown: Option<Duration>,
+    /// Budget of retries; `None` for no limit.
+    pub retry_budget: Option<RetryBudget>,
+    /// Longest `retry_after` of a rejection; `None` if rejections carry none.
+    pub max_retry_after: Option<Duration>,
+}
+
+/// Limit on retries over a sliding window.
+pub struct RetryBudget {
+    /// Retries that are allowed however few requests arrive.
+    pub min_retries: f64,
+    /// Additional retries for each request that arrived in the window.
+    pub per_request: f64,
+    /// Length of the window.
+    pub window: Duration,
+}
