--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -139,8 +139,8 @@
     scheduler(
         "slow start window halved",
         SLOW_START,
-        "let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6));",
-        "let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6) / 2.0);",
+        "let window = self.attempt_limits.overload_window.mul_f64(factor.min(MAX_WINDOW_FACTOR));",
+        "let window = self.attempt_limits.overload_window.mul_f64(factor.min(MAX_WINDOW_FACTOR) / 2.0);",
     ),
     scheduler(
         "no slow start after a launch",
@@ -158,15 +158,15 @@
     scheduler(
         "a queued request answered long after its deadline",
         DEADLINES,
-        "soon >= request.deadline ||",
-        "soon >= request.deadline + (request.deadline - request.arrived_at) ||",
+        "|| soon >= request.deadline\n",
+        "|| soon >= request.deadline + (request.deadline - request.arrived_at)\n",
     ),
     scheduler("answers too late", DEADLINES, "let soon = now + self.final_answer_lead();", "let soon = now;"),
     scheduler(
         "no wake-up for an attempt in flight",
         DEADLINES,
         "if !self.requests.is_empty() && (self.wake_due",
-        "if any_queued && (self.wake_due",
+        "if self.queued().next().is_some() && (self.wake_due",
     ),
     scheduler("answered again", DEADLINES, "self.record_done(*id);", ""),
     scheduler(
@@ -175,17 +175,12 @@
         "!self.is_done() && !self.is_in_flight()",
         "!self.is_done()",
     ),
-    scheduler(
-        "grant without limit",
-        ESTIMATES,
-        "map_or_else(unestimated, estimated).min(limit)",
-        "map_or_else(unestimated, estimated).min(limit * 2.0)",
-    ),
+    scheduler("grant without limit", ESTIMATES, "grant.min(limit)", "grant.min(limit * 2.0)"),
     scheduler(
         "engines never forgotten",
         DEADLINES,
-        "let Some(left) = self.engine_index.first_forgettable() else",
-        "let Some(left) = self.engine_index.first_forgettable().filter(|_| false) else",
+        "let Some(removed) = self.engine_index.first_forgettable() else",
+        "let Some(removed) = self.engine_index.first_forgettable().filter(|_| false) else",
     ),
     scheduler(
         "a client that left is not noted",
@@ -196,8 +191,8 @@
     scheduler(
         "the end of the process is ignored",
         DEADLINES,
-        "soon >= self.shutdown_at || r.is_queued() && is_too_late(r)",
-        "r.is_queued() && is_too_late(r)",
+        "soon >= self.shutdown_at || request.is_queued()",
+        "request.is_queued()",
     ),
     Mutant {
         name: "unwritten calls kept at a drain",
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,7 +1,8 @@
-//! The scheduler's state as a number, for those who walk through many states and must know one again. It
-//! leaves out what can't influence a later action: times are relative to now, chance is left to the caller,
-//! and engines are known by what is in flight there and not by their numbers.
+//! A fingerprint of the scheduler's state, by which a search recognizes equivalent states. It leaves out everything
+//! that can't influence a later action: times are relative to now, the caller sets the random draws, and engines are
+//! identified by their attempts in flight and not by their numbers.
 
+use crate::policy::MIN_FAILURES;
 use crate::samples::SampleWindow;
 use crate::state::{Attempt, Engine, InFlight, Request, SchedulerState};
 use crate::{Effect, EngineId, RequestId, Scheduler};
@@ -9,34 +10,34 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// How much a scheduler holds of what comes and goes.
+/// Numbers of requests, engines and keys that a scheduler holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldCounts {
     /// Requests that are not finished.
     pub requests: usize,
     /// Engines that are not forgotten.
     pub engines: usize,
-    /// Keys with requests or a cooldown.
+    /// Keys with queued requests or a cooldown.
     pub keys: usize,
 }
 
-/// What the caller knows beside the scheduler's own state.
+/// The context of a fingerprint, which the caller knows.
 pub struct Fingerprint<'a> {
-    /// The time that others are told from.
+    /// The time to which all times are relative.
     pub now: Duration,
-    /// Whether requests may still arrive: else what was learned of their classes can be of no more use.
+    /// Whether requests may still arrive. If not, the estimates of their classes have no further influence.
     pub more_arrivals: bool,
-    /// Whether engines may change places with their like.
+    /// Whether engines of the same state may be interchanged.
     pub engines_interchangeable: bool,
-    /// What the caller holds of an engine.
+    /// Returns a hash of the caller's own state of an engine.
     pub engine_state: &'a dyn Fn(EngineId) -> u64,
 }
 
-/// Places of the open requests in the order of arrival, which stand for their numbers.
+/// Positions of the unfinished requests in the order of arrival, which replace their numbers.
 type Positions = BTreeMap<RequestId, usize>;
 
 impl Scheduler {
-    /// Counts what it holds.
+    /// Counts the requests, engines and keys that the scheduler holds.
     pub fn held_counts(&self) -> HeldCounts {
         HeldCounts {
             requests: self.state.requests.len(),
@@ -45,187 +46,216 @@
         }
     }
 
-    /// Sets where chance goes on from: with it left open, a caller sets each draw.
+    /// Sets the number of random draws so far, from which the next random choice follows.
     pub fn set_random_draws(&mut self, draws: u64) {
-        self.state.draws = draws;
+        self.state.random_draws = draws;
     }
 
-    /// Feeds the state to `into`; two states with the same fingerprint act alike from here on, whatever
-    /// comes, but for chance and, if engines may change places, their numbers.
-    pub fn fingerprint(&self, with: &Fingerprint<'_>, into: &mut impl Hasher) {
-        self.state.fingerprint(with, into);
+    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs, except for
+    /// random choices and, if engines are interchangeable, their numbers.
+    pub fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+        self.state.fingerprint(context, hasher);
     }
 }
 
 impl SchedulerState {
-    fn fingerprint(&self, with: &Fingerprint<'_>, into: &mut impl Hasher) {
-        let now = with.now;
+    fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+        let now = context.now;
+        // Without further requests, only the engines and keys that are still to be forgotten matter.
+        if self.requests.is_empty() && !context.more_arrivals {
+            (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(hasher);
+            return since(now, self.wake_due.max(now)).hash(hasher);
+        }
         let positions: Positions = self.requests.keys().copied().zip(0..).collect();
-        // Where nothing is open and nothing will come, only what is left to be let go counts.
-        if self.requests.is_empty() && !with.more_arrivals {
-            (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(into);
-            return since(now, self.wake_due.max(now)).hash(into);
+        self.hash_engines(&positions, context, hasher);
+        for request in self.requests.values() {
+            self.hash_request(request, context, hasher);
         }
-        let engines = self.engines.iter();
-        let mut engines: Vec<u64> =
-            engines.map(|(id, engine)| self.engine_digest(*id, engine, &positions, with)).collect();
-        if with.engines_interchangeable {
-            engines.sort_unstable();
-        }
-        engines.hash(into);
-        self.requests.values().for_each(|request| self.hash_request(request, with, into));
-        self.hash_key_queues(now, &positions, into);
-        since(now, self.wake_due.max(now)).hash(into);
-        (self.shutdown_at != Duration::MAX).then(|| since(now, self.shutdown_at)).hash(into);
-        self.watching.hash(into);
+        self.hash_key_queues(now, &positions, hasher);
+        since(now, self.wake_due.max(now)).hash(hasher);
+        (self.shutdown_at != Duration::MAX).then(|| since(now, self.shutdown_at)).hash(hasher);
+        self.watching.hash(hasher);
         let probed_at = self.probed_at.max(now.saturating_sub(self.shortest_objective()));
-        self.fleet.reports_only_on_probe.then(|| since(now, probed_at)).hash(into);
-        if self.attempt_limits.retry_budget.is_some() {
-            self.accepted_at.iter().chain(&self.retried_at).for_each(|at| since(now, *at).hash(into));
-            self.retried_at.len().hash(into);
+        self.fleet.reports_only_on_probe.then(|| since(now, probed_at)).hash(hasher);
+        self.hash_retry_budget(now, hasher);
+        self.hash_estimates(context, hasher);
+    }
+
+    fn hash_engines(&self, positions: &Positions, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+        let engines = self.engines.iter();
+        let mut hashes: Vec<u64> =
+            engines.map(|(id, engine)| self.engine_hash(*id, engine, positions, context)).collect();
+        if context.engines_interchangeable {
+            hashes.sort_unstable();
+        }
+        hashes.hash(hasher);
+    }
+
+    fn hash_retry_budget(&self, now: Duration, hasher: &mut impl Hasher) {
+        if self.attempt_limits.retry_budget.is_none() {
+            return;
         }
-        self.hash_estimates(with, into);
+        for at in self.accepted_at.iter().chain(&self.retried_at) {
+            since(now, *at).hash(hasher);
+        }
+        self.retried_at.len().hash(hasher);
     }
 
-    fn hash_key_queues(&self, now: Duration, positions: &Positions, into: &mut impl Hasher) {
+    fn hash_key_queues(&self, now: Duration, positions: &Positions, hasher: &mut impl Hasher) {
         for key_queue in self.key_queues.values() {
-            key_queue.requests.iter().map(|id| positions.get(id).copied()).for_each(|place| place.hash(into));
+            for id in &key_queue.requests {
+                positions.get(id).hash(hasher);
+            }
             let cooldown = key_queue.cooldown.filter(|cooldown| cooldown.until > now);
             let cooldown =
                 cooldown.map(|cooldown| (positions.get(&cooldown.after), since(now, cooldown.until)));
-            cooldown.hash(into);
+            cooldown.hash(hasher);
         }
     }
 
-    fn hash_estimates(&self, with: &Fingerprint<'_>, into: &mut impl Hasher) {
-        let from = with.now.saturating_sub(self.shortest_objective() * 4);
-        hash_samples(&self.shares, with.now, Duration::ZERO, into);
+    fn hash_estimates(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+        let window_start = self.slowdown_window_start(context.now);
+        hash_samples(&self.fleet_shares, context.now, Duration::ZERO, hasher);
         for estimates in &self.estimates {
-            let lasting =
-                [&estimates.work, &estimates.memory_mb, &estimates.work_ratios, &estimates.memory_ratios];
-            // Only their values count, in the order in which they will be let go.
-            lasting.iter().for_each(|window| hash_values(window, into));
-            if with.more_arrivals {
-                hash_values(&estimates.deadlines, into);
+            // The times of these samples have no influence, only their values and order.
+            hash_values(&estimates.work, hasher);
+            hash_values(&estimates.memory_mb, hasher);
+            hash_values(&estimates.work_ratios, hasher);
+            hash_values(&estimates.memory_ratios, hasher);
+            if context.more_arrivals {
+                hash_values(&estimates.deadlines, hasher);
             }
-            hash_samples(&estimates.slowdowns, with.now, from, into);
+            hash_samples(&estimates.slowdowns, context.now, window_start, hasher);
         }
     }
 
-    fn hash_request(&self, request: &Request, with: &Fingerprint<'_>, into: &mut impl Hasher) {
-        let now = with.now;
-        (request.class, request.group, request.phase, request.key).hash(into);
+    fn hash_request(&self, request: &Request, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+        let now = context.now;
+        (request.class, request.group, request.phase, request.key).hash(hasher);
         let estimates =
             [request.estimated_work, request.estimated_memory_mb].map(|estimate| estimate.unwrap_or(-1.0));
-        for figure in [request.ideal_run, request.memory_mb].iter().chain(&estimates) {
-            figure.to_bits().hash(into);
+        for value in [request.ideal_run, request.memory_mb].iter().chain(&estimates) {
+            value.to_bits().hash(hasher);
         }
         for at in [request.arrived_at, request.objective_at, request.deadline] {
-            since(now, at).hash(into);
+            since(now, at).hash(hasher);
         }
-        // Of an attempt that has ended it counts whether it may have run, and when the first such one was sent.
+        // The window of an idempotency key counts from the first attempt that may have run.
         let has_window = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
         let first = request.first_that_may_have_run().filter(|_| has_window);
-        first.map(|attempt| since(now, attempt.sent_at)).hash(into);
+        first.map(|attempt| since(now, attempt.sent_at)).hash(hasher);
         for attempt in &request.attempts {
-            hash_attempt(attempt, now, into);
-            if !with.engines_interchangeable {
-                attempt.engine.hash(into);
+            hash_attempt(attempt, now, hasher);
+            if !context.engines_interchangeable {
+                attempt.engine.hash(hasher);
             }
         }
     }
 
-    fn engine_digest(
+    fn engine_hash(
         &self,
         id: EngineId,
         engine: &Engine,
         positions: &Positions,
-        with: &Fingerprint<'_>,
+        context: &Fingerprint<'_>,
     ) -> u64 {
-        let mut digest = DefaultHasher::new();
-        let (into, now) = (&mut digest, with.now);
-        (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(into);
-        engine.launched.map(|at| since(now, at)).hash(into);
-        self.hash_slow_start(id, engine, now, into);
+        let mut engine_hasher = DefaultHasher::new();
+        let (hasher, now) = (&mut engine_hasher, context.now);
+        (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(hasher);
+        engine.launched.map(|at| since(now, at)).hash(hasher);
+        self.hash_slow_start(id, engine, now, hasher);
         for attempt in &engine.in_flight {
-            hash_in_flight(attempt, positions, now, into);
+            hash_in_flight(attempt, positions, now, hasher);
         }
-        // Which attempts of which requests were here, ended or not.
-        for (place, request) in self.requests.values().enumerate() {
-            let here = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.engine == id);
-            here.for_each(|(attempt, _)| (place, attempt).hash(into));
+        self.hash_attempts_at(id, hasher);
+        self.hash_health(engine, now, hasher);
+        engine.recent_groups.hash(hasher);
+        for (group, at) in &engine.bulk_loads_seen {
+            (group, since(now, *at)).hash(hasher);
+        }
+        (context.engine_state)(id).hash(hasher);
+        engine_hasher.finish()
+    }
+
+    /// Hashes the attempts that were sent to an engine, in flight or ended.
+    fn hash_attempts_at(&self, id: EngineId, hasher: &mut impl Hasher) {
+        for (position, request) in self.requests.values().enumerate() {
+            for (index, attempt) in request.attempts.iter().enumerate() {
+                if attempt.engine == id {
+                    (position, index).hash(hasher);
+                }
+            }
         }
-        self.hash_health(engine, now, into);
-        engine.recent_groups.hash(into);
-        engine.bulk_loads_seen.iter().for_each(|(group, at)| (group, since(now, *at)).hash(into));
-        (with.engine_state)(id).hash(into);
-        digest.finish()
     }
 
-    fn hash_slow_start(&self, id: EngineId, engine: &Engine, now: Duration, into: &mut impl Hasher) {
+    fn hash_slow_start(&self, id: EngineId, engine: &Engine, now: Duration, hasher: &mut impl Hasher) {
         let warming = engine.warming_since.filter(|at| *at + self.attempt_limits.warm_up > now);
-        warming.map(|at| since(now, at)).hash(into);
-        // Where this router's part is under one request, chance sets its window, by number and time.
-        let Some(budget) = self.slow_start_budget(engine, now, self.share()) else { return };
-        let is_small = (0..self.classes.len()).any(|class| self.slow_start_work(class) > budget);
-        let chance = || self.chance(id, engine.listed_at.as_micros() as u64);
-        is_small.then(|| (since(now, engine.listed_at), chance())).hash(into);
+        warming.map(|at| since(now, at)).hash(hasher);
+        let Some(budget) = self.slow_start_budget(engine, now, self.fleet_share()) else { return };
+        // If the budget is smaller than one request, the window is longer and starts at a random offset.
+        let has_longer_window = (0..self.classes.len()).any(|class| self.slow_start_work(class) > budget);
+        let offset = || (since(now, engine.listed_at), self.slow_start_draw(id, engine));
+        has_longer_window.then(offset).hash(hasher);
         let window = self.attempt_limits.overload_window;
-        let from = if is_small { Duration::ZERO } else { now.saturating_sub(window) };
-        hash_samples(&engine.sent_work, now, from, into);
+        let start = if has_longer_window { Duration::ZERO } else { now.saturating_sub(window) };
+        hash_samples(&engine.sent_work, now, start, hasher);
     }
 
-    fn hash_health(&self, engine: &Engine, now: Duration, into: &mut impl Hasher) {
-        let objective = self.shortest_objective();
+    fn hash_health(&self, engine: &Engine, now: Duration, hasher: &mut impl Hasher) {
         let oldest = engine.in_flight.first().map(|attempt| attempt.sent_at);
-        oldest.map(|at| since(now, engine.last_sign_at.max(at))).hash(into);
-        let pause = objective.div_f64(2.0 * self.share()).max(objective);
-        let latest = engine.sent_work.last().filter(|(at, _)| *at + pause > now);
-        latest.map(|(at, _)| since(now, at)).hash(into);
-        hash_samples(&engine.slowdowns, now, now.saturating_sub(objective * 4), into);
-        // Failures are looked back on for four objectives each in a row: those past all that are of one age.
-        let failures = engine.failures.samples().count().max(2) as u32;
-        let oldest = now.saturating_sub(objective * 4 * failures);
+        oldest.map(|at| since(now, engine.last_activity_at.max(at))).hash(hasher);
+        let recovery_interval = self.recovery_interval(self.fleet_share());
+        let last_sent = engine.sent_work.last().filter(|(at, _)| *at + recovery_interval > now);
+        last_sent.map(|(at, _)| since(now, at)).hash(hasher);
+        hash_samples(&engine.slowdowns, now, self.slowdown_window_start(now), hasher);
+        // The exact time of a failure before the longest possible window has no influence.
+        let failures = engine.failures.samples().count().max(MIN_FAILURES);
+        let longest_window_start = self.failure_window_start(now, failures);
         for (at, failure) in engine.failures.samples() {
-            (since(now, at.max(oldest)), failure.to_bits()).hash(into);
+            (since(now, at.max(longest_window_start)), failure.to_bits()).hash(hasher);
         }
-        let short_at = engine.short_at.filter(|at| *at + objective * 2 >= now);
-        short_at.map(|at| since(now, at)).hash(into);
+        let has_shortage = engine.had_memory_shortage_since(self.pressure_window_start(now));
+        let memory_shortage_at = engine.memory_shortage_at.filter(|_| has_shortage);
+        memory_shortage_at.map(|at| since(now, at)).hash(hasher);
         if let Some(report) = &engine.report {
             let load = report.load;
-            let parts = [load.busy, load.waiting, load.memory, load.disks];
-            (since(now, report.at), parts.map(|part| part.map(f64::to_bits))).hash(into);
+            let values = [load.busy, load.waiting, load.memory, load.disks];
+            (since(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
         }
     }
 }
 
-fn hash_attempt(attempt: &Attempt, now: Duration, into: &mut impl Hasher) {
-    (attempt.outcome.is_none(), attempt.may_have_run()).hash(into);
+fn hash_attempt(attempt: &Attempt, now: Duration, hasher: &mut impl Hasher) {
+    (attempt.outcome.is_none(), attempt.may_have_run()).hash(hasher);
     if attempt.outcome.is_some() {
         return;
     }
-    let times = (since(now, attempt.sent_at), since(now, attempt.last_sign_at));
-    (attempt.is_stalled, attempt.cancelled, times).hash(into);
+    let times = (since(now, attempt.sent_at), since(now, attempt.last_activity_at));
+    (attempt.is_stalled, attempt.cancelled, times).hash(hasher);
     let finish = attempt.expected_finish.map(|at| since(now, at));
-    (finish, attempt.grant_mb.to_bits(), attempt.spilled_mb.to_bits()).hash(into);
+    (finish, attempt.grant_mb.to_bits(), attempt.spilled_mb.to_bits()).hash(hasher);
 }
 
-fn hash_in_flight(attempt: &InFlight, positions: &Positions, now: Duration, into: &mut impl Hasher) {
+fn hash_in_flight(attempt: &InFlight, positions: &Positions, now: Duration, hasher: &mut impl Hasher) {
     let sent = since(now, attempt.sent_at);
-    (positions.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(into);
-    (attempt.grant_mb.to_bits(), attempt.threads.to_bits()).hash(into);
+    (positions.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(hasher);
+    (attempt.grant_mb.to_bits(), attempt.threads.to_bits()).hash(hasher);
 }
 
-/// Microseconds from `now` to `at`, below 0 where it has passed.
+/// Returns the microseconds from `now` to `at`, which are negative if `at` has passed.
 fn since(now: Duration, at: Duration) -> i64 {
     at.as_micros() as i64 - now.as_micros() as i64
 }
 
-fn hash_values(window: &SampleWindow, into: &mut impl Hasher) {
-    window.values().for_each(|value| value.to_bits().hash(into));
+fn hash_values(window: &SampleWindow, hasher: &mut impl Hasher) {
+    for value in window.values() {
+        value.to_bits().hash(hasher);
+    }
 }
 
-fn hash_samples(window: &SampleWindow, now: Duration, from: Duration, into: &mut impl Hasher) {
-    let samples = window.samples().filter(|(at, _)| *at >= from);
-    samples.for_each(|(at, value)| (since(now, at), value.to_bits()).hash(into));
+/// Hashes the samples that were taken at or after `start`.
+fn hash_samples(window: &SampleWindow, now: Duration, start: Duration, hasher: &mut impl Hasher) {
+    for (at, value) in window.samples().filter(|(at, _)| *at >= start) {
+        (since(now, at), value.to_bits()).hash(hasher);
+    }
 }
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -1,32 +1,35 @@
-//! The scheduler's inputs: each enters what happened and runs the rules; and what callers may look up.
+//! The scheduler's inputs: each records an event and then applies the rules. Also the queries that callers may make.
 
 use crate::samples::duration;
 use crate::state::{FleetSnapshot, SchedulerState};
-use crate::*;
+use crate::{
+    Actions, Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, LoadReport, ProgressUpdate,
+    RequestId, Scheduler,
+};
 use std::time::Duration;
 
 impl Scheduler {
-    /// A request has arrived.
+    /// Accepts a request that has arrived.
     pub fn accept(&mut self, now: Duration, arrival: Arrival, actions: &mut impl Actions) {
         let request = self.state.learn_from_arrival(now, &arrival);
         self.state.record_accepted(now, arrival.request, request);
         self.settle(now, actions);
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Duration, ended: AttemptEnded, actions: &mut impl Actions) {
         if let Some(load) = ended.load_report {
-            self.state.take_report(now, ended.engine, load, Some(ended.request));
+            self.state.learn_from_load_report(now, ended.engine, load, Some(ended.request));
         }
         if let Some(attempt) = self.state.record_ended(&ended) {
             self.state.cool_down_key(now, &ended);
             let ideal_run = self.state.learn_from_outcome(now, &ended, &attempt);
-            self.state.judge_engine(now, &ended, &attempt, ideal_run);
+            self.state.update_outlier_detection(now, &ended, &attempt, ideal_run);
         }
         self.settle(now, actions);
     }
 
-    /// An engine's answer to a probe, or that none came.
+    /// Handles the end of a probe; `load_report` is `None` if the engine did not answer.
     pub fn probed(
         &mut self,
         now: Duration,
@@ -35,27 +38,27 @@
         actions: &mut impl Actions,
     ) {
         if let Some(load) = load_report {
-            self.state.take_report(now, engine, load, None);
+            self.state.learn_from_load_report(now, engine, load, None);
         }
         self.settle(now, actions);
     }
 
-    /// An engine has told of an attempt that it has not answered yet.
+    /// Handles an engine's progress update for an attempt in flight.
     pub fn progress_updated(
         &mut self,
         now: Duration,
         request: RequestId,
         attempt: usize,
-        note: ProgressUpdate,
+        update: ProgressUpdate,
         actions: &mut impl Actions,
     ) {
-        let is_short = self.state.shows_shortage(request, note);
-        self.state.record_progress(now, request, attempt, note, is_short);
+        let has_memory_shortage = self.state.has_memory_shortage(request, update);
+        self.state.record_progress(now, request, attempt, update, has_memory_shortage);
         self.settle(now, actions);
     }
 
-    /// Clients have withdrawn some requests, which need no answer any more. Those of `half_closed` ones have
-    /// ended their side and may be gone: their requests are not sent again, and what is in flight is awaited.
+    /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests have
+    /// closed their sending side and may be gone: attempts in flight continue, but no further attempt is sent.
     pub fn clients_left(
         &mut self,
         now: Duration,
@@ -67,7 +70,7 @@
         self.settle(now, actions);
     }
 
-    /// The endpoint list has changed.
+    /// Handles an update of the endpoint list.
     pub fn endpoints_changed(
         &mut self,
         now: Duration,
@@ -80,48 +83,49 @@
         self.settle(now, actions);
     }
 
-    /// The endpoint list can't be had for now: its changes are watched anew.
+    /// Handles a failure to read the endpoint list: the scheduler subscribes to its changes again.
     pub fn endpoint_list_failed(&mut self, now: Duration, actions: &mut impl Actions) {
         self.state.watching = false;
         self.settle(now, actions);
     }
 
-    /// The process ends at `by`: nobody waits longer than that.
-    pub fn shutting_down(&mut self, now: Duration, by: Duration, actions: &mut impl Actions) {
-        self.state.record_shutdown(by);
-        actions.wake_after(by.saturating_sub(now + self.state.final_answer_lead()));
+    /// Starts the graceful shutdown. Every open request is answered before `deadline`.
+    pub fn shutting_down(&mut self, now: Duration, deadline: Duration, actions: &mut impl Actions) {
+        self.state.record_shutdown(deadline);
+        actions.wake_after(deadline.saturating_sub(now + self.state.final_answer_lead()));
         self.settle(now, actions);
     }
 
-    /// The wait of an [`Actions::wake_after`] is over.
+    /// Handles the end of the wait that [`Actions::wake_after`] requested.
     pub fn wake(&mut self, now: Duration, actions: &mut impl Actions) {
         self.settle(now, actions);
     }
 
-    /// The work that a request is expected to be, as one core's time.
+    /// Returns the expected work of a request, as time on one core.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
-        duration(self.state.expected(arrival).0)
+        duration(self.state.expected_needs(arrival).work)
     }
 
-    /// Time before a deadline by which a final answer must be on its way.
+    /// Returns the time before a deadline by which the final answer must have been sent.
     pub fn margin(&self) -> Duration {
         self.state.margin()
     }
 
-    /// What may be sent at once, for an admission queue before this.
+    /// Returns the free capacity at this time, for an admission queue in front of the scheduler.
     pub fn capacity(&self, now: Duration) -> Capacity<'_> {
         Capacity { state: &self.state, snapshot: self.state.snapshot(now, true) }
     }
 }
 
-/// What may be sent at once, tier by tier.
+/// The free capacity of the fleet at one time, by tier.
 pub struct Capacity<'a> {
     state: &'a SchedulerState,
     snapshot: FleetSnapshot,
 }
 
 impl Capacity<'_> {
-    /// Whether a request would be sent at once; those after it, in tiers without room for it, would not.
+    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that tier
+    /// are not admitted either.
     pub fn admits(&mut self, arrival: &Arrival) -> bool {
         self.state.would_be_sent(arrival, &mut self.snapshot)
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,38 +1,51 @@
-//! Admission: queued requests are sent in their order where there is room, or rejected.
+//! Admission: sends queued requests in their order where there is capacity, and rejects those that wait too long.
 
-use super::*;
+use super::placement::Placement;
+use crate::samples::{duration, seconds};
+use crate::state::{Engine, FleetSnapshot, InFlight, Request, SchedulerState, Tier};
+use crate::{Actions, Arrival, EngineId, RequestId};
+use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// Longest waits of queued requests, by tier, as parts of the way to the objective.
-const LONGEST_WAIT: [f64; 4] = [0.25, 0.25, 0.5, 0.75];
-/// How far off this router's share may be.
-const SHARE_ERROR: f64 = 4.0;
+/// Longest time in the queue, as a fraction of the objective budget, by tier.
+const MAX_QUEUE_TIME: [f64; Tier::ALL.len()] = [0.25, 0.25, 0.5, 0.75];
+/// Factor by which the measured fleet share of this router may be too low.
+const MAX_FLEET_SHARE_ERROR: f64 = 4.0;
+/// Queued requests that are never rejected for the work before them.
+const MIN_QUEUE_LENGTH: usize = 32;
+/// Engines that are probed at once.
+const PROBES_AT_ONCE: usize = 2;
 
 impl SchedulerState {
-    /// Whether a new request would be sent at once; those after it, in tiers without room for it, would not.
+    /// Returns whether a new request would be sent at once. If not, its tier is blocked for later requests.
     pub fn would_be_sent(&self, arrival: &Arrival, snapshot: &mut FleetSnapshot) -> bool {
         let request = self.expected_request(snapshot.now, arrival);
-        self.would_have_turn(&request, snapshot.now) && self.choose_engine(&request, snapshot).is_some()
+        self.would_be_next_of_its_key(&request, snapshot.now)
+            && self.choose_engine(&request, snapshot).is_some()
     }
 
     /// Sends queued requests, the earliest of each tier first.
     pub fn send_queued(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
-        let (now, mut fired) = (snapshot.now, false);
+        let (now, mut any_sent) = (snapshot.now, false);
         let queued: Vec<RequestId> = self.queued().map(|(id, _)| id).collect();
         snapshot.blocked_tiers.clear();
         for id in queued {
             let request = &self.requests[&id];
-            let may_be_sent =
-                request.attempts.is_empty() || self.may_retry(request, now) && self.retries_left(now) >= 1.0;
-            if may_be_sent
-                && self.has_turn(id, request, now)
+            if self.may_send_attempt(request, now)
+                && self.is_next_of_its_key(id, request, now)
                 && let Some(placement) = self.choose_engine(request, snapshot)
             {
                 let sent = self.send(now, id, &placement, actions);
                 snapshot.count_sent(placement.engine, placement.kind, &sent);
-                fired = true;
+                any_sent = true;
             }
         }
-        fired
+        any_sent
+    }
+
+    /// Returns whether a first attempt, or a retry within the retry budget, is allowed.
+    fn may_send_attempt(&self, request: &Request, now: Duration) -> bool {
+        request.attempts.is_empty() || self.may_retry(request, now) && self.retries_left(now) >= 1.0
     }
 
     /// Sends a request's next attempt.
@@ -41,94 +54,115 @@
         let grant_mb = self.grant_mb(request, to.kind);
         actions.set_terms(id, grant_mb.round(), self.priority(request.class));
         actions.send(id, to.engine, request.deadline.saturating_sub(self.margin()));
-        self.draws += 1;
+        self.random_draws += 1;
         self.record_sent(now, id, to.engine, to.tier, grant_mb)
     }
 
-    /// Where only probes tell: probes two engines of which nothing is known, once in half an objective.
+    /// Probes engines without a recent load report, if engines report their load only in answer to a probe.
     pub fn probe_unknown(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
-        let from = now.saturating_sub(self.shortest_objective() / 2);
-        let any_waits = self.queued().any(|(id, request)| self.has_turn(id, request, now));
+        let window_start = now.saturating_sub(self.probe_interval());
+        let any_waits = self.queued().any(|(id, request)| self.is_next_of_its_key(id, request, now));
         let may_probe = self.fleet.reports_only_on_probe && self.attempt_limits.may_probe;
-        if !any_waits || !may_probe || self.probed_at > from {
+        if !any_waits || !may_probe || self.probed_at > window_start {
             return false;
         }
-        let is_unknown = |engine: &Engine| engine.report.is_none_or(|report| report.at < from);
-        let in_view = snapshot.engines.keys().map(|id| (id, &self.engines[id]));
-        let engines = in_view.filter(|(_, engine)| engine.lifecycle.accepts_requests());
-        let unknown = engines.filter(|(_, engine)| is_unknown(engine)).map(|(id, _)| *id);
-        let mut unknown: Vec<EngineId> = unknown.collect();
-        unknown.sort_by_key(|id| self.chance(*id, now.as_micros() as u64));
-        unknown.into_iter().take(2).for_each(|id| actions.probe(id));
+        let mut unknown = self.engines_without_report_since(window_start, snapshot);
+        unknown.sort_by_key(|id| self.tie_breaker(*id, now.as_micros() as u64));
+        for id in unknown.into_iter().take(PROBES_AT_ONCE) {
+            actions.probe(id);
+        }
         self.probed_at = now;
         false
     }
 
-    /// Rejects requests when the time left cannot cover a run, or after a wait that grows by tier.
-    pub fn reject_too_late(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
-        let overflow = self.overflow(snapshot);
-        let shortest_way = self.shortest_way();
-        let is_too_late = |id: RequestId, request: &Request| match self.has_turn(id, request, snapshot.now) {
-            true => overflow.contains(&id) || self.waits_in_vain(request, snapshot, shortest_way),
-            false => self.turn_comes_too_late(request, snapshot),
+    fn engines_without_report_since(&self, start: Duration, snapshot: &FleetSnapshot) -> Vec<EngineId> {
+        let is_unknown = |engine: &Engine| {
+            engine.lifecycle.accepts_requests() && engine.report.is_none_or(|report| report.at < start)
         };
-        let too_late = self.queued().filter(|(id, request)| is_too_late(*id, request)).map(|(id, _)| id);
-        self.answer_without_result(too_late.collect(), actions)
+        snapshot.engines.keys().copied().filter(|id| is_unknown(&self.engines[id])).collect()
+    }
+
+    /// Rejects queued requests that will miss their objective or have waited for too long.
+    pub fn reject_too_late(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
+        let beyond_capacity = self.requests_beyond_capacity(snapshot);
+        let shortest_budget = self.shortest_objective_budget();
+        let mut too_late = Vec::new();
+        for (id, request) in self.queued() {
+            let is_too_late = if self.is_next_of_its_key(id, request, snapshot.now) {
+                beyond_capacity.contains(&id) || self.will_miss_objective(request, snapshot, shortest_budget)
+            } else {
+                self.key_order_too_late(request, snapshot)
+            };
+            if is_too_late {
+                too_late.push(id);
+            }
+        }
+        self.answer_without_result(too_late, actions)
     }
 
-    /// The shortest way to the objective of any class: requests without estimates wait in one line, with one
-    /// longest wait, since patient ones would keep others out.
-    fn shortest_way(&self) -> Duration {
-        let ways = self.classes.iter().enumerate().map(|(index, class)| {
-            let ideal_run = class.objective_stretch * self.usual_work(index) / class.threads.max(1.0);
-            class.latency_objective + duration(ideal_run)
+    /// Returns the shortest objective budget of a usual request of any class. It limits the queue time of all
+    /// requests without estimates, because those with a long budget would block the others of their tier.
+    fn shortest_objective_budget(&self) -> Duration {
+        let budgets = self.classes.iter().enumerate().map(|(index, class)| {
+            let variable = class.objective_stretch * self.usual_work(index) / class.threads.max(1.0);
+            class.latency_objective + duration(variable)
         });
-        ways.min().unwrap_or(Duration::MAX)
+        budgets.min().unwrap_or(Duration::MAX)
     }
 
-    /// Guards against crowds that no fleet could serve, which each input would go through: queued requests
-    /// behind more work than this router's part of all cores, as far off as it may be, does in their way.
-    fn overflow(&self, snapshot: &FleetSnapshot) -> BTreeSet<RequestId> {
+    /// Returns the queued requests with more work before them than this router's share of all cores can do within
+    /// their objective budget. Guards against floods, which would make the queue, and the cost of each input, grow
+    /// without bound.
+    fn requests_beyond_capacity(&self, snapshot: &FleetSnapshot) -> BTreeSet<RequestId> {
         let kinds = self.fleet.kinds.iter().enumerate();
-        let cores: f64 =
+        let fleet_cores: f64 =
             kinds.map(|(kind, size)| self.engine_index.registered(kind) as f64 * size.cores).sum();
-        let most_cores = SHARE_ERROR * snapshot.share * cores;
-        let (mut work_before, mut overflow) = (0.0, BTreeSet::new());
-        for (place, (id, request)) in self.queued().enumerate() {
+        let max_cores = MAX_FLEET_SHARE_ERROR * snapshot.fleet_share * fleet_cores;
+        let (mut work_before, mut beyond_capacity) = (0.0, BTreeSet::new());
+        for (position, (id, request)) in self.queued().enumerate() {
             let work = work_before + request.ideal_run * self.classes[request.class].threads;
-            if place < SAMPLES || work <= most_cores * seconds(request.way()) {
+            if position < MIN_QUEUE_LENGTH || work <= max_cores * seconds(request.objective_budget()) {
                 work_before = work;
             } else if request.attempts.is_empty() {
-                overflow.insert(id);
+                beyond_capacity.insert(id);
             }
         }
-        overflow
+        beyond_capacity
     }
 
-    /// The time that a request is expected to run for.
+    /// Returns the expected elapsed time of the request's next attempt. It is zero, so that the request is sent
+    /// and measured, if neither the client nor a recent success of the class provides an estimate.
     fn expected_run(&self, request: &Request, snapshot: &FleetSnapshot) -> Duration {
-        // What is learned from those sent judges no class of which none came back lately.
-        let from = snapshot.now.saturating_sub(self.shortest_objective() * 4);
-        let any_came_back = || self.estimates[request.class].slowdowns.since(from).next().is_some();
-        let is_known = request.estimated_work.is_some() || any_came_back();
+        let window_start = self.slowdown_window_start(snapshot.now);
+        let slowdowns = &self.estimates[request.class].slowdowns;
+        let is_known = request.estimated_work.is_some() || slowdowns.since(window_start).next().is_some();
         duration(if is_known { request.ideal_run * snapshot.slowdowns[request.class] } else { 0.0 })
     }
 
-    /// Whether a request that waits for its turn can earn nothing any more.
-    fn turn_comes_too_late(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
-        let earns_late = self.classes[request.class].late_share > 0.0;
-        let latest = if earns_late { request.deadline } else { request.objective_at };
-        snapshot.now + self.expected_run(request, snapshot) > latest
+    /// Returns whether a request that waits for others of its key is worth nothing any more if sent now.
+    fn key_order_too_late(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
+        let has_late_value = self.classes[request.class].late_share > 0.0;
+        let answer_by = if has_late_value { request.deadline } else { request.objective_at };
+        snapshot.now + self.expected_run(request, snapshot) > answer_by
     }
 
-    /// Whether a queued request can't be on time any more, or has waited for too long.
-    fn waits_in_vain(&self, request: &Request, snapshot: &FleetSnapshot, shortest_way: Duration) -> bool {
-        let tiers = snapshot.gateways.iter().map(|gateway| gateway.tier(request));
-        let part = LONGEST_WAIT[tiers.min().unwrap_or(Tier::Largest) as usize];
-        let has_own_line = request.estimated_work.is_some() || request.key.is_some();
-        let way = if has_own_line { request.way() } else { request.way().min(shortest_way) };
+    /// Returns whether a queued request can't meet its objective any more, or has waited for too long.
+    fn will_miss_objective(
+        &self,
+        request: &Request,
+        snapshot: &FleetSnapshot,
+        shortest_budget: Duration,
+    ) -> bool {
+        let tier = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).min();
+        let max_fraction = MAX_QUEUE_TIME[tier.unwrap_or(Tier::Largest) as usize];
+        let shares_queue = request.estimated_work.is_none() && request.key.is_none();
+        let budget = if shares_queue {
+            request.objective_budget().min(shortest_budget)
+        } else {
+            request.objective_budget()
+        };
         snapshot.now + self.expected_run(request, snapshot) > request.objective_at
-            || snapshot.now > request.arrived_at + way.mul_f64(part)
+            || snapshot.now > request.arrived_at + budget.mul_f64(max_fraction)
     }
 }
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,102 +1,144 @@
-//! Deadlines: every request gets one final answer in time, and what is late makes room under pressure.
+//! Deadlines: every request gets one final answer in time, and late attempts are cancelled under pressure.
 
-use super::*;
+use crate::samples::{mean, seconds};
+use crate::state::{FleetSnapshot, Request, SchedulerState};
+use crate::{Actions, RequestId};
+use std::time::Duration;
 
-impl SchedulerState {
-    /// The shortest latency objective: the measure for what is soon and what is long.
-    pub fn shortest_objective(&self) -> Duration {
-        self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(self.fleet.tick)
-    }
+/// Ticks before a deadline by which the final answer must have been sent.
+const MARGIN_TICKS: u32 = 4;
+/// Margins before a deadline at which the scheduler answers a request.
+const FINAL_ANSWER_LEAD_MARGINS: u32 = 3;
+/// Fraction of the mean priority weight per second of work that a late answer must be worth.
+const MIN_LATE_VALUE: f64 = 0.25;
+/// Wake-ups in one shortest latency objective while no request is queued.
+const IDLE_WAKES_PER_OBJECTIVE: u32 = 8;
+/// Ticks between wake-ups while a request is queued.
+const QUEUED_WAKE_TICKS: u32 = 8;
 
-    /// Time before a deadline by which a final answer must be on its way.
+impl SchedulerState {
+    /// Returns the time before a deadline by which the final answer must have been sent.
     pub fn margin(&self) -> Duration {
-        self.fleet.tick * 4
+        self.fleet.tick * MARGIN_TICKS
     }
 
-    /// Time before a deadline at which a final answer is given.
+    /// Returns the time before a deadline at which the scheduler gives the final answer.
     pub fn final_answer_lead(&self) -> Duration {
-        self.margin() * 3
+        self.margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
-    /// One final answer before the deadline ends, or the process, and at once where no further attempt is
-    /// allowed, or is for nobody any more.
+    /// Answers requests without a result before their deadline or the end of the process, and at once if no further
+    /// attempt is allowed or useful.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let soon = now + self.final_answer_lead();
-        let is_too_late = |request: &Request| {
-            let gives_up = || !self.may_retry(request, now) || self.earns_little_late(request, now);
-            !request.is_open() || soon >= request.deadline || !request.attempts.is_empty() && gives_up()
-        };
-        let is_due = |r: &Request| soon >= self.shutdown_at || r.is_queued() && is_too_late(r);
-        let unanswered = self.requests.iter().filter(|(_, request)| !request.is_done());
-        let due = unanswered.filter(|(_, request)| is_due(request)).map(|(id, _)| *id).collect();
+        let mut due = Vec::new();
+        for (id, request) in &self.requests {
+            if !request.is_done() && self.is_answer_due(request, now, soon) {
+                due.push(*id);
+            }
+        }
         self.answer_without_result(due, actions)
     }
 
-    /// Whether a late answer earns little for the work that is left.
-    fn earns_little_late(&self, request: &Request, now: Duration) -> bool {
+    fn is_answer_due(&self, request: &Request, now: Duration, soon: Duration) -> bool {
+        soon >= self.shutdown_at || request.is_queued() && self.is_too_late_to_send(request, now, soon)
+    }
+
+    /// Returns whether a queued request is not sent any more.
+    fn is_too_late_to_send(&self, request: &Request, now: Duration, soon: Duration) -> bool {
+        let is_retry = !request.attempts.is_empty();
+        !request.is_open()
+            || soon >= request.deadline
+            || is_retry && (!self.may_retry(request, now) || self.late_value_below_cost(request, now))
+    }
+
+    /// Returns whether the request is past its objective, and a late answer is worth little for the remaining work.
+    fn late_value_below_cost(&self, request: &Request, now: Duration) -> bool {
+        if now <= request.objective_at {
+            return false;
+        }
         let class = &self.classes[request.class];
-        // What an earlier note promised and has not come does not count.
-        let finish =
-            request.attempts.last().and_then(|attempt| attempt.expected_finish).filter(|at| *at > now);
-        let usual = || self.usual_work(request.class);
-        let work_left = || finish.map_or_else(usual, |finish| seconds(finish - now) * class.threads);
-        let fair_weight = || mean(self.weights_per_second()).unwrap_or(0.0) / 4.0 * work_left();
-        now > request.objective_at && class.late_share * class.priority_weight < fair_weight()
+        let min_weight = mean(self.weights_per_second()).unwrap_or(0.0)
+            * MIN_LATE_VALUE
+            * self.remaining_work(request, now);
+        class.late_share * class.priority_weight < min_weight
     }
 
-    /// Under pressure, attempts past their objective that earn little late make room for those in time.
+    /// Returns the remaining work of a request in seconds: until the expected end of its last attempt, or the usual
+    /// work of its class if no end is expected or the expected end has passed.
+    fn remaining_work(&self, request: &Request, now: Duration) -> f64 {
+        let finish = request.attempts.last().and_then(|attempt| attempt.expected_finish);
+        match finish.filter(|finish| *finish > now) {
+            Some(finish) => seconds(finish - now) * self.classes[request.class].threads,
+            None => self.usual_work(request.class),
+        }
+    }
+
+    /// Cancels attempts at engines under pressure whose late answers are worth less than the capacity that they use.
     pub fn cancel_late_attempts(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
-        let pressed = |attempt: &Attempt| snapshot.engines[&attempt.engine].under_pressure == Some(true);
-        let is_late = |request: &Request| {
-            request.attempts.last().is_some_and(pressed) && self.earns_little_late(request, snapshot.now)
-        };
-        let late = self.in_flight().filter(|(_, request)| !request.is_done() && is_late(request));
-        let ids = late.map(|(id, request)| request.last_attempt(id)).collect();
-        self.cancel(ids, actions)
+        let mut late = Vec::new();
+        for (id, request) in self.in_flight() {
+            if request.is_done() {
+                continue;
+            }
+            let attempt = request.last_attempt(id);
+            let engine = &snapshot.engines[&request.attempts[attempt.attempt].engine];
+            if engine.is_under_pressure() && self.late_value_below_cost(request, snapshot.now) {
+                late.push(attempt);
+            }
+        }
+        self.cancel(late, actions)
     }
 
-    /// Gives requests their final answer; tells whether there were any.
+    /// Rejects requests, or fails those that a client may not repeat. Returns whether there were any.
     pub fn answer_without_result(&mut self, ids: Vec<RequestId>, actions: &mut impl Actions) -> bool {
-        let longest = self.attempt_limits.max_retry_after;
-        let retry_after = longest.map(|longest| self.shortest_objective().min(longest));
+        let max_retry_after = self.attempt_limits.max_retry_after;
+        let retry_after = max_retry_after.map(|longest| self.shortest_objective().min(longest));
         for id in &ids {
-            match self.may_reject(&self.requests[id]) {
-                true => actions.reject(*id, retry_after),
-                false => actions.fail(*id),
+            if self.may_reject(&self.requests[id]) {
+                actions.reject(*id, retry_after);
+            } else {
+                actions.fail(*id);
             }
             self.record_done(*id);
         }
         !ids.is_empty()
     }
 
-    /// Forgets requests that are done, and one engine that has left.
+    /// Forgets finished requests, and one removed engine that no request refers to.
     pub fn forget_finished(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let any_finished = self.remove_finished_requests(snapshot.now);
         self.prune_retry_budget(snapshot.now);
-        // Guards against fleets that are replaced all day: an engine ends with the last request sent there.
-        let Some(left) = self.engine_index.first_forgettable() else { return any_finished };
-        actions.forget(left);
-        snapshot.engines.remove(&left);
-        self.remove_engine(left);
+        // Guards against fleets whose engines are replaced all the time, which would fill the memory.
+        let Some(removed) = self.engine_index.first_forgettable() else { return any_finished };
+        actions.forget(removed);
+        snapshot.engines.remove(&removed);
+        self.remove_engine(removed);
         true
     }
 
-    /// Asks to be woken, and watches the endpoint list.
+    /// Requests the next wake-up, and subscribes to changes of the endpoint list where this is needed.
     pub fn schedule_wake(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         if self.fleet.polls_endpoint_list && !self.watching {
             self.watching = true;
             actions.watch();
         }
-        // What waits to be sent is looked at more often than what is in flight.
-        let any_queued = self.queued().next().is_some();
-        let wait = if any_queued { Duration::ZERO } else { self.shortest_objective() / 8 };
-        let wait = wait.max(self.fleet.tick * 8);
+        let wait = self.wake_interval();
         if !self.requests.is_empty() && (self.wake_due <= now || self.wake_due > now + wait) {
             self.wake_due = now + wait;
             actions.wake_after(wait);
         }
         false
     }
+
+    /// Returns the time until the next wake-up, which is shorter while a request is queued.
+    fn wake_interval(&self) -> Duration {
+        let queued_interval = self.fleet.tick * QUEUED_WAKE_TICKS;
+        if self.queued().next().is_some() {
+            return queued_interval;
+        }
+        queued_interval.max(self.shortest_objective() / IDLE_WAKES_PER_OBJECTIVE)
+    }
 }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,94 +1,139 @@
-//! Estimates: what a request will need, by what its client says and what such requests came to.
+//! Estimates: the resources that a request needs, from its client's estimates and the usage of earlier requests.
 
-use super::*;
+use crate::samples::{SampleWindow, duration, quantile, seconds};
+use crate::state::{Attempt, Needs, Request, SchedulerState};
+use crate::{Arrival, AttemptEnded, AttemptOutcome};
+use std::time::Duration;
 
-/// Margin of a grant over the corrected estimate; the engine's own choice adds as much to the client's.
+/// Memory grant as a multiple of the corrected estimate.
 const GRANT_FACTOR: f64 = 1.25;
-/// The same without a client's estimate: an engine adds half to what the class usually needs.
+/// Memory grant as a multiple of the class's usual memory, for a request without an estimate.
 const GRANT_FACTOR_UNESTIMATED: f64 = 1.5;
-/// Part of the billed needs of a class that such a grant covers.
+/// Fraction of the class's billed requests whose memory such a grant must cover.
 const GRANT_QUANTILE: f64 = 0.9;
 
+/// Priority of bulk loads, because other requests on the engine wait for them.
+const PRIORITY_BULK_LOAD: u8 = 3;
+/// Priority of classes with a high priority weight per second of work.
+const PRIORITY_HIGH: u8 = 2;
+const PRIORITY_NORMAL: u8 = 1;
+/// Fraction of the highest priority weight per second of work from which a class has a high priority.
+const HIGH_WEIGHT_FRACTION: f64 = 0.5;
+
 impl SchedulerState {
-    /// A request's work in seconds and its memory in MB, as corrected by what others came to.
-    pub fn expected(&self, arrival: &Arrival) -> (f64, f64) {
+    /// Returns the needs of a request: the client's estimates, corrected by the ratio of billed to estimated usage of
+    /// its class, or the usual needs of its class.
+    pub fn expected_needs(&self, arrival: &Arrival) -> Needs {
         let estimates = &self.estimates[arrival.class];
-        let ratio = |ratios: &SampleWindow| ratios.median().unwrap_or(1.0);
+        let corrected = |estimate: f64, ratios: &SampleWindow| estimate * ratios.median().unwrap_or(1.0);
         let usual = |samples: &SampleWindow| samples.mean().unwrap_or(0.0);
-        let work = arrival.cost.map(|cost| seconds(cost) * ratio(&estimates.work_ratios));
-        let memory = arrival.memory_mb.map(|memory| memory * ratio(&estimates.memory_ratios));
-        let work = work.unwrap_or_else(|| usual(&estimates.work));
-        (work, memory.unwrap_or_else(|| usual(&estimates.memory_mb)))
+        Needs {
+            work: match arrival.cost {
+                Some(cost) => corrected(seconds(cost), &estimates.work_ratios),
+                None => usual(&estimates.work),
+            },
+            memory_mb: match arrival.memory_mb {
+                Some(memory_mb) => corrected(memory_mb, &estimates.memory_ratios),
+                None => usual(&estimates.memory_mb),
+            },
+        }
     }
 
-    /// A request as it is expected to be.
+    /// Returns the request that an arrival would become.
     pub fn expected_request(&self, now: Duration, arrival: &Arrival) -> Request {
-        // A client's retry has less deadline than usual: so much of the way to the objective is gone.
+        self.new_request(now, arrival, self.expected_needs(arrival), self.elapsed_before_arrival(arrival))
+    }
+
+    /// Returns the time that a client's earlier requests took. A retry has a shorter deadline than usual, and the
+    /// difference also counts against its latency objective.
+    fn elapsed_before_arrival(&self, arrival: &Arrival) -> Duration {
+        if arrival.is_retry == Some(false) {
+            return Duration::ZERO;
+        }
         let usual_deadline = duration(self.estimates[arrival.class].deadlines.median().unwrap_or(0.0));
-        let may_be_retry = arrival.is_retry != Some(false);
-        let spent = usual_deadline.saturating_sub(arrival.deadline) * u32::from(may_be_retry);
-        self.new_request(now, arrival, self.expected(arrival), spent)
+        usual_deadline.saturating_sub(arrival.deadline)
     }
 
-    /// A request as it is expected to be, after taking in what its arrival tells of its class.
+    /// Records the estimates of an arrival, and returns the request.
     pub fn learn_from_arrival(&mut self, now: Duration, arrival: &Arrival) -> Request {
-        // Where clients mark retries, a first request with less deadline than others is not taken for one.
+        // The shorter deadlines of marked retries would make first requests look like retries.
         if arrival.is_retry != Some(true) {
             self.estimates[arrival.class].deadlines.push(now, seconds(arrival.deadline));
         }
-        let (work, _) = self.expected(arrival);
         let request = self.expected_request(now, arrival);
         if arrival.cost.is_some() {
+            let work = self.expected_needs(arrival).work;
             self.estimates[arrival.class].work.push(now, work);
         }
         request
     }
 
-    /// Takes in what an attempt came to; returns the request's ideal run in seconds by that.
+    /// Records the usage of an ended attempt. Returns the request's ideal run in seconds, corrected by that usage if
+    /// the client gave no estimate.
     pub fn learn_from_outcome(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) -> f64 {
+        self.record_memory_usage(now, ended, attempt);
+        let request = &self.requests[&ended.request];
+        if request.estimated_work.is_some() || ended.outcome != AttemptOutcome::Succeeded {
+            return request.ideal_run;
+        }
+        let threads = self.classes[request.class].threads;
+        let work = match &ended.usage {
+            Some(usage) => seconds(usage.cost),
+            None => self.unbilled_work(ended, attempt, threads),
+        };
+        self.estimates[request.class].work.push(now, work);
+        work / threads.max(1.0)
+    }
+
+    fn record_memory_usage(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) {
         let request = &self.requests[&ended.request];
         let estimates = &mut self.estimates[request.class];
-        let succeeded = ended.outcome == AttemptOutcome::Succeeded;
         if let Some(usage) = &ended.usage {
-            estimates.record_usage(now, request, usage);
-        } else if let (Some(estimate), true, false) =
-            (request.estimated_memory_mb, succeeded, self.fleet.shrinks_grants)
-        {
-            // Unbilled, a spill tells the most that was needed, unless a cut grant may be its cause.
-            let needed = attempt.grant_mb + attempt.spilled_mb;
-            estimates.memory_ratios.push(now, if attempt.spilled_mb > 0.0 { needed / estimate } else { 1.0 });
+            return estimates.record_usage(now, request, usage);
         }
-        if request.estimated_work.is_some() || !succeeded {
-            return request.ideal_run;
+        // Without a bill, a spill shows the memory that was needed, unless the engine may have cut the grant.
+        let succeeded = ended.outcome == AttemptOutcome::Succeeded;
+        if let Some(estimate) = request.estimated_memory_mb
+            && succeeded
+            && !self.fleet.shrinks_grants
+        {
+            let needed_mb = attempt.grant_mb + attempt.spilled_mb;
+            let ratio = if attempt.spilled_mb > 0.0 { needed_mb / estimate } else { 1.0 };
+            estimates.memory_ratios.push(now, ratio);
         }
-        // Without an estimate, a request is what it came to, not what such requests come to. Unbilled, its
-        // share of the cores is what it ran on: else a crowd would look like its own work.
-        let threads = self.classes[request.class].threads;
+    }
+
+    /// Returns the work in seconds of a success without a bill, from its elapsed time. Requests that share the cores
+    /// extend the elapsed time, which is corrected by the load that the engine reported with the answer.
+    fn unbilled_work(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
         let report = ended.load_report.and_then(|_| self.engines[&attempt.engine].report);
-        let crowd = report.and_then(|report| report.load.busy).unwrap_or(1.0).max(1.0);
-        let alone = seconds(ended.elapsed) * threads / crowd;
-        let work = ended.usage.map_or(alone, |usage| seconds(usage.cost));
-        estimates.work.push(now, work);
-        work / threads.max(1.0)
+        let cores_load = report.and_then(|report| report.load.busy).unwrap_or(1.0).max(1.0);
+        seconds(ended.elapsed) * threads / cores_load
     }
 
-    /// The memory in MB that a request's next attempt may use at an engine of this kind.
+    /// Returns the memory in MB that a request's next attempt may use at an engine of this kind.
     pub fn grant_mb(&self, request: &Request, kind: usize) -> f64 {
         let limit = self.fleet.max_grant_share * self.fleet.kinds[kind].memory_mb;
-        let billed = || quantile(self.estimates[request.class].memory_mb.values(), GRANT_QUANTILE);
-        let unestimated = || billed().unwrap_or(0.0).max(request.memory_mb * GRANT_FACTOR_UNESTIMATED);
-        let estimated = |estimate| request.memory_mb.max(estimate) * GRANT_FACTOR;
-        request.estimated_memory_mb.map_or_else(unestimated, estimated).min(limit)
+        let grant = match request.estimated_memory_mb {
+            Some(estimate) => request.memory_mb.max(estimate) * GRANT_FACTOR,
+            None => {
+                let billed = quantile(self.estimates[request.class].memory_mb.values(), GRANT_QUANTILE);
+                billed.unwrap_or(0.0).max(request.memory_mb * GRANT_FACTOR_UNESTIMATED)
+            }
+        };
+        grant.min(limit)
     }
 
-    /// Where priorities are heeded: first what others may wait for on an engine, then by weight for the work.
+    /// Returns the priority of a class for engines that respect priorities; a higher number is served first.
     pub fn priority(&self, class: usize) -> u8 {
-        let highest = self.weights_per_second().fold(0.0, f64::max);
-        match &self.classes[class] {
-            _ if !self.fleet.honors_priorities => 1,
-            RequestClass { is_bulk_load: true, .. } => 3,
-            _ if self.weight_per_second(class) >= highest / 2.0 => 2,
-            _ => 1,
+        if !self.fleet.honors_priorities {
+            return PRIORITY_NORMAL;
+        }
+        if self.classes[class].is_bulk_load {
+            return PRIORITY_BULK_LOAD;
         }
+        let highest = self.weights_per_second().fold(0.0, f64::max);
+        let has_high_weight = self.weight_per_second(class) >= highest * HIGH_WEIGHT_FRACTION;
+        if has_high_weight { PRIORITY_HIGH } else { PRIORITY_NORMAL }
     }
 }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,54 +1,95 @@
-//! Load: this router's share of the fleet, and how full an engine is.
+//! Load: this router's share of the fleet, and the projected load of an engine.
 
-use super::*;
+use super::MEMORY_TARGET_FRACTION;
+use crate::samples::seconds;
+use crate::state::{
+    Engine, FleetSnapshot, Gateway, InFlight, ReceivedReport, Request, Resources, SchedulerState,
+};
+use crate::{EngineId, EngineKind, LoadReport, ProgressUpdate, RequestId};
+use std::time::Duration;
 
-/// The load of an engine once it has one request more.
+/// Smallest fleet share, as a fraction of an equal share of all routers.
+const MIN_FLEET_SHARE: f64 = 0.25;
+/// Progress intervals without an update after which an attempt counts as inactive.
+const INACTIVE_ATTEMPT_INTERVALS: u32 = 4;
+
+/// The load of an engine once it has one more request.
 pub struct ProjectedLoad {
-    /// Part of its memory in use.
+    /// Fraction of the memory in use.
     pub memory: f64,
-    /// The sum of that and of the part of its cores in use.
+    /// Sum of the fractions of memory and cores in use.
     pub combined: f64,
 }
 
+impl ProjectedLoad {
+    /// Returns the fraction of the cores in use.
+    pub fn busy(&self) -> f64 {
+        self.combined - self.memory
+    }
+
+    /// Returns the mean of the fractions of memory and cores in use.
+    pub fn mean(&self) -> f64 {
+        self.combined / 2.0
+    }
+}
+
 impl SchedulerState {
-    /// Takes a report in, and samples the share from it; reports that are probed for come when requests are
-    /// queued, and would make the share look large.
-    pub fn take_report(&mut self, now: Duration, id: EngineId, load: LoadReport, ended: Option<RequestId>) {
-        let memory = self.record_report(now, id, load).and_then(|load| load.memory);
-        let sample = memory.filter(|part| *part > 0.0 && !self.fleet.reports_only_on_probe);
-        if let Some(granted) = sample {
-            self.record_share(now, granted, ended);
+    /// Records a load report, and a sample of this router's fleet share from it. Reports that were probed for give no
+    /// sample: they arrive while requests are queued, when the share is above its mean.
+    pub fn learn_from_load_report(
+        &mut self,
+        now: Duration,
+        id: EngineId,
+        load: LoadReport,
+        ended: Option<RequestId>,
+    ) {
+        let granted = self.record_load_report(now, id, load).and_then(|load| load.memory);
+        if let Some(granted) = granted
+            && granted > 0.0
+            && !self.fleet.reports_only_on_probe
+        {
+            self.record_fleet_share(now, granted, ended);
         }
     }
 
-    /// Whether a progress note shows that its engine is short of memory.
-    pub fn shows_shortage(&self, request: RequestId, note: ProgressUpdate) -> bool {
-        let estimated = self.requests.get(&request).is_some_and(|r| r.estimated_memory_mb.is_some());
-        let is_cut = self.fleet.shrinks_grants && estimated;
-        is_cut && matches!(note, ProgressUpdate::Spilling(_)) || note == ProgressUpdate::WaitingForMemory
+    /// Returns whether a progress update shows that the engine is short of memory.
+    pub fn has_memory_shortage(&self, request: RequestId, update: ProgressUpdate) -> bool {
+        match update {
+            ProgressUpdate::WaitingForMemory => true,
+            // The grant covers the estimate, so that a spill means that the engine has cut the grant.
+            ProgressUpdate::Spilling(_) => {
+                let request = self.requests.get(&request);
+                let has_estimate = request.is_some_and(|request| request.estimated_memory_mb.is_some());
+                self.fleet.shrinks_grants && has_estimate
+            }
+            _ => false,
+        }
     }
 
-    /// This router's part of the fleet: that of the memory that engines report granted, else an equal one.
-    pub fn share(&self) -> f64 {
+    /// Returns this router's share of the fleet: the mean of the samples, or an equal share before the first one.
+    pub fn fleet_share(&self) -> f64 {
         let equal = 1.0 / self.fleet.router_count.max(1) as f64;
-        self.shares.mean().map_or(equal, |measured| measured.clamp(equal / 4.0, 1.0))
+        let measured = self.fleet_shares.mean();
+        measured.map_or(equal, |measured| measured.clamp(equal * MIN_FLEET_SHARE, 1.0))
     }
 
-    /// Whether notes of an attempt have stopped: its answer is lost, or its engine is silent.
-    pub fn is_lost(&self, now: Duration, attempt: &InFlight) -> bool {
-        let from = self.fleet.progress_interval.map(|every| now.saturating_sub(every * 4));
-        from.is_some_and(|from| self.requests[&attempt.request].attempts[attempt.attempt].last_sign_at < from)
+    /// Returns whether the progress updates of an attempt have stopped, because the answer was lost or the engine is
+    /// unresponsive.
+    pub fn is_attempt_inactive(&self, now: Duration, attempt: &InFlight) -> bool {
+        let Some(interval) = self.fleet.progress_interval else { return false };
+        let active_since = now.saturating_sub(interval * INACTIVE_ATTEMPT_INTERVALS);
+        self.requests[&attempt.request].attempts[attempt.attempt].last_activity_at < active_since
     }
 
-    /// What this router has in flight at an engine, of attempts sent since `from`.
-    pub fn own_load(&self, now: Duration, engine: &Engine, from: Duration) -> Resources {
+    /// Returns the resources of this router's active attempts at an engine that were sent at or after `start`.
+    pub fn local_load(&self, now: Duration, engine: &Engine, start: Duration) -> Resources {
         let attempts = engine.in_flight.iter();
-        let attempts = attempts.filter(|attempt| attempt.sent_at >= from && !self.is_lost(now, attempt));
-        attempts.map(InFlight::resources).fold(Resources::NONE, Resources::plus)
+        let counted =
+            attempts.filter(|attempt| attempt.sent_at >= start && !self.is_attempt_inactive(now, attempt));
+        counted.map(InFlight::resources).fold(Resources::NONE, Resources::plus)
     }
 
-    /// The load of an engine once it has the request: as reported, with own attempts not shown yet; a report
-    /// fades into the mean of all.
+    /// Returns the load of an engine once it has the request.
     pub fn projected_load(
         &self,
         engine: &Engine,
@@ -56,46 +97,117 @@
         grant_mb: f64,
         snapshot: &FleetSnapshot,
     ) -> ProjectedLoad {
-        let now = snapshot.now;
-        let (share, engine_share) = (snapshot.share, snapshot.engine_share);
-        let (kind, gateway) = (&self.fleet.kinds[engine.kind], &snapshot.gateways[engine.kind]);
-        let threads = self.classes[request.class].threads;
-        let parts_with_request = |own: Resources| Resources {
-            memory: (own.memory + grant_mb) / kind.memory_mb,
-            threads: (own.threads + threads) / kind.cores,
+        let projection = Projection {
+            state: self,
+            snapshot,
+            engine,
+            kind: &self.fleet.kinds[engine.kind],
+            gateway: &snapshot.gateways[engine.kind],
+            local_load: self.local_load(snapshot.now, engine, Duration::ZERO),
+            request: Resources { memory: grant_mb, threads: self.classes[request.class].threads },
         };
-        let objective = self.shortest_objective();
-        let since = |from: Duration| self.own_load(now, engine, from.saturating_sub(objective));
-        // Other routers, as many as the share tells, spread evenly.
-        let own = self.own_load(now, engine, Duration::ZERO);
-        let others = (1.0 / share - 1.0) / gateway.engine_count;
-        let alone = parts_with_request(own.plus(gateway.own.scaled(others)));
-        let fresh = parts_with_request(since(now));
-        let guessed_memory = gateway.reported_memory.map_or(alone.memory, |mean| mean + fresh.memory);
-        let guessed_busy = gateway.reported_busy.map_or(alone.threads, |mean| mean + fresh.threads);
-        let reports_load = |load: &LoadReport| load.memory.is_some() || gateway.reports_in_flight;
-        let Some(report) = engine.report.filter(|report| reports_load(&report.load)) else {
-            // Only own attempts tell them apart: others like what this router likes, or the mean of those
-            // that report. Free cores tell little of an engine's memory, and draw all routers there at once.
-            let new = parts_with_request(Resources::NONE);
-            let alike = (own.memory / kind.memory_mb + own.threads / kind.cores) / engine_share;
-            let new = (new.memory + new.threads) / if gateway.reports_in_flight { 1.0 } else { engine_share };
-            let combined = gateway.reported_memory.map_or(alike + new, |_| guessed_memory + guessed_busy);
-            return ProjectedLoad { memory: guessed_memory, combined };
+        match projection.usable_report() {
+            Some(report) => projection.reported_load(&report),
+            None => projection.unreported_load(),
+        }
+    }
+}
+
+/// The projection of the load of one engine with one more request.
+struct Projection<'a> {
+    state: &'a SchedulerState,
+    snapshot: &'a FleetSnapshot,
+    engine: &'a Engine,
+    kind: &'a EngineKind,
+    gateway: &'a Gateway,
+    /// The resources of this router's attempts at the engine.
+    local_load: Resources,
+    /// The resources of the additional request.
+    request: Resources,
+}
+
+impl Projection<'_> {
+    /// Returns the fractions of the engine that `load` and the additional request use.
+    fn fractions_with_request(&self, load: Resources) -> Resources {
+        Resources {
+            memory: (load.memory + self.request.memory) / self.kind.memory_mb,
+            threads: (load.threads + self.request.threads) / self.kind.cores,
+        }
+    }
+
+    /// Returns the resources of this router's attempts that a report of the time `at` may not include yet.
+    fn local_load_unreported_at(&self, at: Duration) -> Resources {
+        let start = at.saturating_sub(self.state.shortest_objective());
+        self.state.local_load(self.snapshot.now, self.engine, start)
+    }
+
+    /// Returns the engine's last report, if it includes the memory or comparable numbers of requests in flight.
+    fn usable_report(&self) -> Option<ReceivedReport> {
+        let is_usable = |load: &LoadReport| load.memory.is_some() || self.gateway.reports_in_flight;
+        self.engine.report.filter(|report| is_usable(&report.load))
+    }
+
+    /// Returns the load as estimated from the mean of other engines' reports. Without reports it is estimated from this
+    /// router's attempts, on the assumption that as many other routers as the fleet share implies spread the same load
+    /// evenly.
+    fn estimated_load(&self) -> Resources {
+        let other_routers = (1.0 / self.snapshot.fleet_share - 1.0) / self.gateway.engine_count;
+        let all_routers = self.local_load.plus(self.gateway.local_load.scaled(other_routers));
+        let from_local_load = self.fractions_with_request(all_routers);
+        let recent = self.fractions_with_request(self.local_load_unreported_at(self.snapshot.now));
+        Resources {
+            memory: self.gateway.reported_memory.map_or(from_local_load.memory, |mean| mean + recent.memory),
+            threads: self.gateway.reported_busy.map_or(from_local_load.threads, |mean| mean + recent.threads),
+        }
+    }
+
+    /// Returns the load of an engine without a usable report.
+    fn unreported_load(&self) -> ProjectedLoad {
+        let estimated = self.estimated_load();
+        if self.gateway.reported_memory.is_some() {
+            return ProjectedLoad {
+                memory: estimated.memory,
+                combined: estimated.memory + estimated.threads,
+            };
+        }
+        // Only this router's attempts distinguish such engines: the other routers are assumed to prefer the same ones.
+        // Free cores say little about an engine's memory, and would attract all routers to one engine at once.
+        let engine_share = self.snapshot.engine_share;
+        let local = self.local_load;
+        let current = (local.memory / self.kind.memory_mb + local.threads / self.kind.cores) / engine_share;
+        let request = self.fractions_with_request(Resources::NONE);
+        let request_share = if self.gateway.reports_in_flight { 1.0 } else { engine_share };
+        let additional = (request.memory + request.threads) / request_share;
+        ProjectedLoad { memory: estimated.memory, combined: current + additional }
+    }
+
+    /// Returns the load of an engine with a report: the reported load and the attempts that the report does not include
+    /// yet. The older the report, the more the estimate counts.
+    fn reported_load(&self, report: &ReceivedReport) -> ProjectedLoad {
+        let estimated = self.estimated_load();
+        let unreported = self.fractions_with_request(self.local_load_unreported_at(report.at));
+        // Guards against overloaded engines that stopped reporting: this router's attempts there still count.
+        let local = self.fractions_with_request(self.local_load);
+        let age = seconds(self.snapshot.now - report.at) / seconds(self.state.report_aging_time());
+        let aged = |reported: f64, estimated: f64| (reported + estimated * age) / (1.0 + age);
+        let memory = match report.load.memory {
+            Some(memory) => aged(memory + unreported.memory, estimated.memory).max(local.memory),
+            None => estimated.memory,
         };
-        let unseen = parts_with_request(since(report.at));
-        let age = seconds(now - report.at) / seconds(objective * 4);
-        // Guards against engines that have gone quiet under a crowd: own attempts are there.
-        let at_least = parts_with_request(own);
-        let fade = |reported: Option<f64>, unseen: f64, guess: f64, at_least: f64| match reported {
-            Some(reported) => ((reported + unseen + guess * age) / (1.0 + age)).max(at_least),
-            None => guess,
+        let busy = match report.load.busy {
+            Some(busy) => aged(busy + unreported.threads, estimated.threads).max(local.threads),
+            None => estimated.threads,
         };
-        let memory = fade(report.load.memory, unseen.memory, guessed_memory, at_least.memory);
-        let busy = fade(report.load.busy, unseen.threads, guessed_busy, at_least.threads);
-        // A probe tells late, and others probe too: half as far as the guess, it lets requests go as well.
-        let on_probe = self.fleet.reports_only_on_probe;
-        let in_use = if on_probe { guessed_memory.min(memory / MEMORY_TARGET_PART) } else { memory };
-        ProjectedLoad { memory: in_use, combined: memory + busy }
+        ProjectedLoad { memory: self.memory_to_limit(memory, estimated.memory), combined: memory + busy }
+    }
+
+    /// Returns the memory in use that limits admission. Probed reports are late, and other routers probe too, so that
+    /// engines with such a report also accept requests by the estimate.
+    fn memory_to_limit(&self, memory: f64, estimated: f64) -> f64 {
+        if self.state.fleet.reports_only_on_probe {
+            estimated.min(memory / MEMORY_TARGET_FRACTION)
+        } else {
+            memory
+        }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions, one concern a file: methods of the state that the rules in `scheduler.rs` are made of.
+//! The decisions, one concern a file: methods of the state that the rules in `scheduler.rs` call.
 
 mod admission;
 mod deadlines;
@@ -12,28 +12,27 @@
 mod slow_start;
 mod subsetting;
 mod tiers;
+mod windows;
 
-use self::placement::Placement;
-use crate::samples::{SampleWindow, duration, mean, quantile, seconds};
-use crate::state::*;
-use crate::*;
-use std::collections::BTreeSet;
-use std::time::Duration;
+pub use outliers::MIN_FAILURES;
 
-/// Samples of each measurement, and of an engine's last outcomes.
+use crate::state::WindowSizes;
+
+/// Samples in the window of each measurement.
 const SAMPLES: usize = 32;
+/// Outcomes in the window of an engine's latest attempts.
 const OUTCOMES: usize = 8;
-/// Part of an engine's memory, within this router's share, that the target starts at.
-const MEMORY_TARGET_PART: f64 = 0.5;
-/// Latency over the fleet's best from which an engine is under pressure.
+/// Initial memory target, as a fraction of the memory in this router's share of an engine.
+const MEMORY_TARGET_FRACTION: f64 = 0.5;
+/// Elapsed time of an engine's successes, as a multiple of their ideal runs, above which it is under pressure.
 const PRESSURE_SLOWDOWN: f64 = 2.0;
-/// A reported part of cores, disks or memory that counts as all of it.
-const FULL: f64 = 0.95;
+/// Reported fraction of cores, disks or memory from which an engine counts as fully used.
+const FULL_USE: f64 = 0.95;
 
-/// How many samples the state keeps.
+/// Capacities of the sample windows in the state.
 pub const WINDOW_SIZES: WindowSizes = WindowSizes {
     estimates: SAMPLES,
     outcomes: OUTCOMES,
     sent_work: SAMPLES * SAMPLES,
-    shares: SAMPLES * OUTCOMES,
+    fleet_shares: SAMPLES * OUTCOMES,
 };
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -1,22 +1,24 @@
-//! Ordering: requests of one key run one at a time.
+//! Ordering: requests of one key run one at a time, in the order of arrival.
 
-use super::*;
+use crate::state::{Request, SchedulerState};
+use crate::{AttemptEnded, AttemptOutcome, RequestId};
+use std::time::Duration;
 
 impl SchedulerState {
-    /// Whether it is this request's turn among those of its key.
-    pub fn has_turn(&self, id: RequestId, request: &Request, now: Duration) -> bool {
+    /// Returns whether the request is the next one of its key that may be sent, or has no key.
+    pub fn is_next_of_its_key(&self, id: RequestId, request: &Request, now: Duration) -> bool {
         let Some(key_queue) = self.key_queue(request) else { return true };
         key_queue.requests.front() == Some(&id)
             && key_queue.cooldown.is_none_or(|cooldown| cooldown.after == id || cooldown.until <= now)
     }
 
-    /// Whether a new request would have its turn at once.
-    pub fn would_have_turn(&self, request: &Request, now: Duration) -> bool {
+    /// Returns whether a new request would be the next one of its key that may be sent.
+    pub fn would_be_next_of_its_key(&self, request: &Request, now: Duration) -> bool {
         let key_queue = self.key_queue(request);
         key_queue.is_none_or(|queue| queue.requests.is_empty() && !queue.is_cooling_down(now))
     }
 
-    /// Keeps a key's other requests back after an attempt that may still run.
+    /// Starts the cooldown of a key after an attempt that may still run.
     pub fn cool_down_key(&mut self, now: Duration, ended: &AttemptEnded) {
         use AttemptOutcome::{Broken, Cancelled, TimedOut};
         if matches!(ended.outcome, TimedOut | Broken | Cancelled) {
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,93 +1,142 @@
-//! Outliers: engines that fail fast or give no sign get a trickle, and what may be repeated is taken back.
+//! Outlier detection: engines that fail often or are inactive are ejected, so that they get recovery attempts only. Their
+//! attempts are cancelled and retried at other engines.
 
-use super::*;
+use crate::samples::{mean, seconds};
+use crate::state::{Attempt, AttemptId, Engine, EngineView, FleetSnapshot, Request, SchedulerState};
+use crate::{Actions, AttemptEnded, AttemptOutcome};
+use std::time::Duration;
 
-/// Times that a sign is overdue from which attempts are taken back.
-const SILENT: f64 = 1.5;
-/// Failures, and their part of recent outcomes, from which an engine is failing.
-const FEWEST_FAILURES: f64 = 2.0;
-const FAILING_PART: f64 = 0.3;
+/// Inactivity ratio from which an engine is ejected.
+pub const INACTIVITY_RATIO_FOR_EJECTION: f64 = 1.0;
+/// Inactivity ratio from which an engine's attempts are cancelled and retried.
+const INACTIVITY_RATIO_FOR_RETRY: f64 = 1.5;
+/// Expected runs within which an engine must answer, if it sends no progress updates.
+const ACTIVITY_DUE_RUNS: f64 = 3.0;
+/// Progress intervals within which an engine must send a progress update.
+const ACTIVITY_DUE_INTERVALS: f64 = 2.0;
+/// Failures in the window from which an engine is ejected.
+pub const MIN_FAILURES: usize = 2;
+/// Fraction of failures among the outcomes in the window from which an engine is ejected.
+const MIN_FAILURE_RATE: f64 = 0.3;
 
 impl SchedulerState {
-    /// Time without a sign from an engine with attempts in flight, over the time that one is due in.
-    pub fn silence_ratio(&self, engine: &Engine, now: Duration, slowdowns: &[f64]) -> f64 {
-        let Some(oldest) = engine.in_flight.first().map(|attempt| attempt.sent_at) else { return 0.0 };
-        let run = |request: &Request| request.ideal_run * slowdowns[request.class] * 3.0;
+    /// Returns the time that an engine with attempts in flight has been inactive, as a multiple of the time within which
+    /// it should have answered or sent a progress update. It is zero without attempts in flight.
+    pub fn inactivity_ratio(&self, engine: &Engine, now: Duration, slowdowns: &[f64]) -> f64 {
+        let Some(oldest) = engine.in_flight.first() else { return 0.0 };
         let due = match self.fleet.progress_interval {
-            Some(every) => seconds(every) * 2.0,
-            None => self.in_flight_at(engine).map(run).fold(f64::INFINITY, f64::min),
+            Some(interval) => seconds(interval) * ACTIVITY_DUE_INTERVALS,
+            None => {
+                let due_after =
+                    |request: &Request| request.ideal_run * slowdowns[request.class] * ACTIVITY_DUE_RUNS;
+                self.in_flight_at(engine).map(due_after).fold(f64::INFINITY, f64::min)
+            }
         };
-        let silence = seconds(now.saturating_sub(engine.last_sign_at.max(oldest)));
-        silence / due.max(seconds(self.shortest_objective()))
+        let inactive = seconds(now.saturating_sub(engine.last_activity_at.max(oldest.sent_at)));
+        inactive / due.max(seconds(self.shortest_objective()))
     }
 
-    /// Guards against engines that fail fast or are gone: they look free. What goes on is believed longer,
-    /// since the trials of many routers add up.
+    /// Returns whether an engine fails often. Guards against engines that fail fast or are down, which look idle. The
+    /// window grows with consecutive failures, because the recovery attempts of many routers add up.
     pub fn is_failing(&self, engine: &Engine, now: Duration) -> bool {
-        let in_a_row = engine.failures.since(Duration::ZERO).take_while(|failure| *failure > 0.0).count();
-        let lookback = self.shortest_objective() * 4 * in_a_row.max(2) as u32;
-        let recent = || engine.failures.since(now.saturating_sub(lookback));
-        recent().sum::<f64>() >= FEWEST_FAILURES && mean(recent()).is_some_and(|part| part >= FAILING_PART)
+        let newest_first = engine.failures.since(Duration::ZERO);
+        let consecutive = newest_first.take_while(|failure| *failure > 0.0).count();
+        let window_start = self.failure_window_start(now, consecutive.max(MIN_FAILURES));
+        let recent = || engine.failures.since(window_start);
+        recent().sum::<f64>() >= MIN_FAILURES as f64
+            && mean(recent()).is_some_and(|rate| rate >= MIN_FAILURE_RATE)
     }
 
-    /// Takes in what an attempt's outcome tells of its engine.
-    pub fn judge_engine(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run: f64) {
+    /// Records the outcome of an attempt for its engine: failures, slowdowns and shortages.
+    pub fn update_outlier_detection(
+        &mut self,
+        now: Duration,
+        ended: &AttemptEnded,
+        attempt: &Attempt,
+        ideal_run: f64,
+    ) {
         use AttemptOutcome::{
             Broken, Cancelled, Failed, NotSent, Overloaded, Succeeded, TimedOut, Unreachable,
         };
-        let tick = self.fleet.tick;
         let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
         if matches!(ended.outcome, Succeeded | Failed | Overloaded) {
-            engine.last_sign_at = now;
+            engine.last_activity_at = now;
         }
         let last = engine.failures.last();
-        let just_failed = last.is_some_and(|(at, failure)| failure > 0.0 && at + tick >= now);
-        let all_broken = just_failed && engine.in_flight.is_empty();
+        let just_failed = last.is_some_and(|(at, failure)| failure > 0.0 && at + self.fleet.tick >= now);
         match ended.outcome {
             Succeeded => {
-                // Over an idle engine's run, not the best of late: in lasting overload that drifts up.
-                let slowdown = seconds(now - attempt.sent_at) / (ideal_run + seconds(tick));
-                self.estimates[self.requests[&ended.request].class].slowdowns.push(now, slowdown);
-                engine.slowdowns.push(now, slowdown);
                 engine.failures.push(now, 0.0);
+                self.record_slowdown(now, ended, attempt, ideal_run);
             }
-            Overloaded => engine.short_at = Some(now),
+            Overloaded => engine.memory_shortage_at = Some(now),
             Failed | TimedOut => engine.failures.push(now, 1.0),
-            // Guards against lost machines and locations, whose connects fail or whose attempts all break at
-            // once: two failures, and it warms up when it is back, which the endpoint list tells late.
-            outcome if outcome == Unreachable || outcome == Broken && all_broken => {
-                (0..2).for_each(|_| engine.failures.push(now, 1.0));
-                engine.warming_since = Some(now);
-            }
-            // Any other break counts once: a cut may mean nothing.
+            Unreachable => eject_until_warm(engine, now),
+            // Guards against lost machines and locations, whose connections all break at once.
+            Broken if just_failed && engine.in_flight.is_empty() => eject_until_warm(engine, now),
+            // A single broken connection counts as one failure, since the engine may still be up.
             Broken if !just_failed => engine.failures.push(now, 1.0),
-            Broken | Unreachable | Cancelled | NotSent => {}
+            Broken | Cancelled | NotSent => {}
         }
     }
 
-    /// Whether an outlier may get another attempt: a trickle of one at a time, after a pause.
-    pub fn may_trickle(&self, engine: &Engine, snapshot: &FleetSnapshot) -> bool {
-        let objective = self.shortest_objective();
-        let pause = objective.div_f64(2.0 * snapshot.engine_share).max(objective);
+    /// Records the elapsed time of a success as a multiple of the run on an idle engine. Recent runs would be no stable
+    /// reference, because they get longer in a lasting overload.
+    fn record_slowdown(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run: f64) {
+        let slowdown = seconds(now - attempt.sent_at) / (ideal_run + seconds(self.fleet.tick));
+        let class = self.requests[&ended.request].class;
+        self.estimates[class].slowdowns.push(now, slowdown);
+        let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
+        engine.slowdowns.push(now, slowdown);
+    }
+
+    /// Returns whether an ejected engine may get a recovery attempt: one at a time, and one in each interval.
+    pub fn may_send_recovery_attempt(&self, engine: &Engine, snapshot: &FleetSnapshot) -> bool {
+        let interval = self.recovery_interval(snapshot.engine_share);
         let last = engine.sent_work.last();
-        engine.in_flight.is_empty() && last.is_none_or(|(at, _)| at + pause <= snapshot.now)
+        engine.in_flight.is_empty() && last.is_none_or(|(at, _)| at + interval <= snapshot.now)
     }
 
-    /// Guards against engines, and single answers, of which nothing comes: takes back what may be repeated.
-    pub fn cancel_when_silent(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
-        let (now, mut fired) = (snapshot.now, false);
+    /// Cancels and retries the attempts of inactive engines, and single attempts that are inactive.
+    pub fn cancel_inactive(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
+        let (now, mut any_cancelled) = (snapshot.now, false);
         for (id, view) in &snapshot.engines {
-            let is_silent = view.silence_ratio >= SILENT;
-            let attempts = self.engines[id].in_flight.iter();
-            let attempts = attempts.filter(|attempt| is_silent || self.is_lost(now, attempt));
-            let attempts = attempts.map(|attempt| attempt.id()).collect();
-            if self.migrate(now, attempts, actions) {
-                // It would look free once its attempts are taken back.
+            let inactive = self.inactive_attempts(&self.engines[id], view, now);
+            if !self.cancel_and_retry(now, inactive, actions) {
+                continue;
+            }
+            any_cancelled = true;
+            if is_engine_inactive(view) {
+                // Without attempts in flight, the engine would look idle.
                 let engine = self.engines.get_mut(id).expect("an engine of the snapshot");
-                (0..2).filter(|_| is_silent).for_each(|_| engine.failures.push(now, 1.0));
-                fired = true;
+                record_ejection(engine, now);
             }
         }
-        fired
+        any_cancelled
+    }
+
+    fn inactive_attempts(&self, engine: &Engine, view: &EngineView, now: Duration) -> Vec<AttemptId> {
+        let attempts = engine.in_flight.iter();
+        let inactive =
+            attempts.filter(|attempt| is_engine_inactive(view) || self.is_attempt_inactive(now, attempt));
+        inactive.map(|attempt| attempt.id()).collect()
     }
 }
+
+/// Returns whether the engine's attempts are to be retried elsewhere.
+fn is_engine_inactive(view: &EngineView) -> bool {
+    view.inactivity_ratio >= INACTIVITY_RATIO_FOR_RETRY
+}
+
+/// Records as many failures as eject an engine.
+fn record_ejection(engine: &mut Engine, now: Duration) {
+    for _ in 0..MIN_FAILURES {
+        engine.failures.push(now, 1.0);
+    }
+}
+
+/// Ejects an engine that is down. It will warm up when it is back, and the endpoint list may show that late.
+fn eject_until_warm(engine: &mut Engine, now: Duration) {
+    record_ejection(engine, now);
+    engine.warming_since = Some(now);
+}
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,140 +1,188 @@
-//! Placement: which engine a request is sent to.
+//! Placement: the engine that a request is sent to.
 
-use super::*;
+use super::{FULL_USE, PRESSURE_SLOWDOWN};
+use crate::state::{Engine, EngineView, FleetSnapshot, Request, SchedulerState, Tier};
+use crate::{Effect, EngineId, KeyScope};
+use std::time::Duration;
 
-/// Difference in free capacity, as a part of the engine, that counts as a tie.
-const TIE: f64 = 1.0 / 8.0;
+/// Difference in the free fraction of engines that counts as a tie.
+const FREE_CAPACITY_TIE: f64 = 1.0 / 8.0;
 
-/// An engine that has room for a request, the tier there, and the part of the engine that stays free.
+/// An engine with capacity for a request.
 pub struct Placement {
     pub engine: EngineId,
     pub kind: usize,
     pub tier: Tier,
-    free_part: f64,
+    /// Fraction of the engine that stays free with the request.
+    free_fraction: f64,
 }
 
-/// An engine that a request may be sent to.
+impl Placement {
+    fn slot(&self) -> Slot {
+        (self.kind, self.tier)
+    }
+}
+
+/// A tier of an engine kind.
+type Slot = (usize, Tier);
+
+/// An engine that is eligible for a request.
 struct Candidate<'a> {
     id: EngineId,
     engine: &'a Engine,
     view: &'a EngineView,
 }
 
-/// What a request needs of an engine of one kind.
-struct Needs {
+/// The tier and the memory grant of a request at engines of one kind.
+struct TierAndGrant {
     tier: Tier,
     grant_mb: f64,
 }
 
+/// The eligible engines of a request, by whether they have capacity.
+#[derive(Default)]
+struct Capacities {
+    free: Vec<Placement>,
+    full: Vec<Slot>,
+}
+
 impl SchedulerState {
-    /// The engine with most free capacity, if any has some, for a request that is to go now; later ones of a
-    /// tier wait behind the first that has none.
+    /// Returns the engine with the most free capacity for a request, if any has enough. A request without a placement
+    /// blocks its tiers for later requests.
     pub fn choose_engine(&self, request: &Request, snapshot: &mut FleetSnapshot) -> Option<Placement> {
-        let mut tiers = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).enumerate();
-        if tiers.all(|slot| snapshot.blocked_tiers.contains(&slot)) {
+        let mut slots = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).enumerate();
+        if slots.all(|slot| snapshot.blocked_tiers.contains(&slot)) {
             return None;
         }
-        let needs_of = |(kind, gateway): (usize, &Gateway)| Needs {
-            tier: gateway.tier(request),
-            grant_mb: self.grant_mb(request, kind),
-        };
-        let needs: Vec<Needs> = snapshot.gateways.iter().enumerate().map(needs_of).collect();
-        let (mut free, mut full) = (Vec::new(), Vec::new());
+        let Capacities { free, mut full } = self.capacities(request, snapshot);
+        snapshot.engines_examined += snapshot.engines.len() as u64;
+        // A request that may use a part of the engines only must not block the others.
+        if self.may_use_all_engines(request) {
+            full.retain(|slot| !free.iter().any(|placement| placement.slot() == *slot));
+            snapshot.blocked_tiers.extend(full);
+        }
+        self.best_placement(request, free, snapshot.now)
+    }
+
+    fn capacities(&self, request: &Request, snapshot: &FleetSnapshot) -> Capacities {
+        let by_kind = self.tiers_and_grants(request, snapshot);
+        let mut capacities = Capacities::default();
         for candidate in self.candidates(request, snapshot) {
             let (engine, kind) = (candidate.id, candidate.engine.kind);
-            let tier = needs[kind].tier;
+            let tier = by_kind[kind].tier;
             if snapshot.blocked_tiers.contains(&(kind, tier)) {
                 continue;
             }
-            match self.free_at(&candidate, request, &needs[kind], snapshot) {
-                Some(free_part) => free.push(Placement { engine, kind, tier, free_part }),
-                None => full.push((kind, tier)),
+            match self.free_fraction(&candidate, request, &by_kind[kind], snapshot) {
+                Some(free_fraction) => {
+                    capacities.free.push(Placement { engine, kind, tier, free_fraction });
+                }
+                None => capacities.full.push((kind, tier)),
             }
         }
-        snapshot.engines_examined += snapshot.engines.len() as u64;
-        // Whoever had the choice of all engines keeps later ones of the tier behind it.
-        if self.may_go_anywhere(request) {
-            let slot = |placement: &Placement| (placement.kind, placement.tier);
-            full.retain(|full| !free.iter().any(|placement| slot(placement) == *full));
-            snapshot.blocked_tiers.extend(full);
-        }
-        self.best_place(request, free, snapshot.now)
+        capacities
     }
 
-    /// Engines that a request may be sent to: outliers by a trickle, unless all look bad.
+    fn tiers_and_grants(&self, request: &Request, snapshot: &FleetSnapshot) -> Vec<TierAndGrant> {
+        let gateways = snapshot.gateways.iter().enumerate();
+        let of_kind = gateways.map(|(kind, gateway)| TierAndGrant {
+            tier: gateway.tier(request),
+            grant_mb: self.grant_mb(request, kind),
+        });
+        of_kind.collect()
+    }
+
+    /// Returns the engines that are eligible for the request. An ejected outlier is eligible only for a recovery
+    /// attempt, unless every engine is ejected.
     fn candidates<'a>(&'a self, request: &Request, snapshot: &'a FleetSnapshot) -> Vec<Candidate<'a>> {
-        let in_view =
-            snapshot.engines.iter().map(|(id, view)| Candidate { id: *id, engine: &self.engines[id], view });
-        let mut candidates: Vec<Candidate<'a>> = in_view
-            .filter(|Candidate { id, engine, .. }| {
-                self.is_allowed(request, engine) && self.fits_slow_start(*id, engine, request, snapshot)
-            })
-            .collect();
+        let mut candidates = Vec::new();
+        for (id, view) in &snapshot.engines {
+            let engine = &self.engines[id];
+            if self.is_allowed(request, engine) && self.fits_slow_start(*id, engine, request, snapshot) {
+                candidates.push(Candidate { id: *id, engine, view });
+            }
+        }
         if candidates.iter().any(|candidate| !candidate.view.is_outlier) {
-            candidates.retain(|Candidate { engine, view, .. }| {
-                !view.is_outlier || self.may_trickle(engine, snapshot)
+            candidates.retain(|candidate| {
+                !candidate.view.is_outlier || self.may_send_recovery_attempt(candidate.engine, snapshot)
             });
         }
         candidates
     }
 
-    /// Part of an engine that stays free once it has the request; `None` where it has no room for it.
-    fn free_at(
+    /// Returns the fraction of an engine that stays free with the request; `None` if the engine lacks the capacity.
+    fn free_fraction(
         &self,
         candidate: &Candidate<'_>,
         request: &Request,
-        needs: &Needs,
+        needs: &TierAndGrant,
         snapshot: &FleetSnapshot,
     ) -> Option<f64> {
-        let Needs { tier, grant_mb } = *needs;
+        let TierAndGrant { tier, grant_mb } = *needs;
         let Candidate { engine, view, .. } = *candidate;
         let gateway = &snapshot.gateways[engine.kind];
         let load = self.projected_load(engine, request, grant_mb, snapshot);
-        let is_guess = engine.report.is_none() || self.fleet.reports_only_on_probe;
-        let limit = if is_guess { gateway.unreported_fill } else { 1.0 };
-        // A shortage noted since the last report, as for most engines when routers are many.
-        let from = snapshot.now.saturating_sub(self.shortest_objective() * 2);
-        let reported_at = engine.report.map_or(from, |report| report.at.max(from));
-        let is_short = engine.short_at.is_some_and(|at| at > reported_at);
-        // Requests in flight tell of more than all cores; where cores are reported themselves, pressure does.
-        let is_crowded = gateway.reports_in_flight && load.combined - load.memory > PRESSURE_SLOWDOWN * FULL;
-        let fits = load.memory <= limit && !is_short && !is_crowded;
-        let has_capacity = fits || gateway.own.threads == 0.0 || tier <= Tier::Small;
-        let free_part = 1.0 - load.combined / 2.0 * view.relative_slowdown;
-        (has_capacity && self.has_slot((engine, view), request, tier, snapshot)).then_some(free_part)
+        let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
+        let memory_limit = if is_memory_estimated { gateway.unreported_fill } else { 1.0 };
+        // Where the engine reports its busy cores, pressure covers an overload of the cores.
+        let is_overloaded = gateway.reports_in_flight && load.busy() > PRESSURE_SLOWDOWN * FULL_USE;
+        let fits = load.memory <= memory_limit
+            && !self.has_unreported_shortage(engine, snapshot.now)
+            && !is_overloaded;
+        let has_capacity = fits || gateway.local_load.threads == 0.0 || tier <= Tier::Small;
+        let free_fraction = 1.0 - load.mean() * view.relative_slowdown;
+        (has_capacity && self.has_slot(candidate.engine, view, request, tier, snapshot))
+            .then_some(free_fraction)
     }
 
-    /// The engine with most free capacity; engines not tried yet and without loads in the way come first.
-    fn best_place(&self, request: &Request, mut free: Vec<Placement>, now: Duration) -> Option<Placement> {
-        let was_tried = |id: EngineId| request.was_sent_to(id);
-        let has_load = |id: EngineId| self.would_wait_for_load(id, request, now);
-        for avoided in [&was_tried as &dyn Fn(EngineId) -> bool, &has_load] {
-            if free.iter().any(|placement| !avoided(placement.engine)) {
-                free.retain(|placement| !avoided(placement.engine));
-            }
-        }
-        let most = free.iter().map(|placement| placement.free_part).fold(f64::NEG_INFINITY, f64::max);
-        free.retain(|placement| placement.free_part >= most - TIE);
-        // Near ties only: to where the group was read, to the home location.
-        let preference = |id: EngineId| {
-            let engine = &self.engines[&id];
-            let has_group = request.group.is_some_and(|group| engine.recent_groups.contains(&group));
-            (has_group, engine.location == self.fleet.home_location, self.chance(id, self.draws))
-        };
-        free.into_iter().max_by_key(|placement| preference(placement.engine))
+    /// Returns whether an engine was recently short of memory and has sent no load report since. With many routers, most
+    /// engines send this router reports too rarely.
+    fn has_unreported_shortage(&self, engine: &Engine, now: Duration) -> bool {
+        let window_start = self.pressure_window_start(now);
+        let reported_at = engine.report.map_or(window_start, |report| report.at.max(window_start));
+        engine.memory_shortage_at.is_some_and(|at| at > reported_at)
+    }
+
+    /// Returns the placement with the most free capacity. Engines that the request was not sent to yet, and those
+    /// without a bulk load in its way, are preferred.
+    fn best_placement(
+        &self,
+        request: &Request,
+        mut free: Vec<Placement>,
+        now: Duration,
+    ) -> Option<Placement> {
+        avoid(&mut free, |engine| request.was_sent_to(engine));
+        avoid(&mut free, |engine| self.would_wait_for_bulk_load(engine, request, now));
+        let fractions = free.iter().map(|placement| placement.free_fraction);
+        let max_free = fractions.fold(f64::NEG_INFINITY, f64::max);
+        free.retain(|placement| placement.free_fraction >= max_free - FREE_CAPACITY_TIE);
+        free.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
     }
 
-    /// Guards against waiting behind loads: an own one, or one that an attempt lately waited for.
-    fn would_wait_for_load(&self, id: EngineId, request: &Request, now: Duration) -> bool {
+    /// Orders engines with about the same free capacity: first those that have read the request's group, then those in
+    /// the home location, then at random.
+    fn tie_preference(&self, id: EngineId, request: &Request) -> (bool, bool, u64) {
         let engine = &self.engines[&id];
-        let from = now.saturating_sub(self.shortest_objective() * 2);
-        let noted = request.group.and_then(|group| engine.bulk_loads_seen.get(&group));
-        let mut loads = self.in_flight_at(engine).filter(|other| self.classes[other.class].is_bulk_load);
-        self.classes[request.class].waits_for_bulk_loads
-            && (noted.is_some_and(|at| *at >= from) || loads.any(|load| load.group == request.group))
+        let has_read_group = request.group.is_some_and(|group| engine.recent_groups.contains(&group));
+        let is_at_home = engine.location == self.fleet.home_location;
+        (has_read_group, is_at_home, self.tie_breaker(id, self.random_draws))
     }
 
-    /// What a request's class may be sent to, by placement and by the engines that drop its repeats.
+    /// Returns whether the request would wait for a bulk load at the engine: one that this router has sent, or one that
+    /// another attempt has recently waited for.
+    fn would_wait_for_bulk_load(&self, id: EngineId, request: &Request, now: Duration) -> bool {
+        if !self.classes[request.class].waits_for_bulk_loads {
+            return false;
+        }
+        let engine = &self.engines[&id];
+        let window_start = self.bulk_load_window_start(now);
+        let seen_at = request.group.and_then(|group| engine.bulk_loads_seen.get(&group));
+        let is_in_the_way =
+            |other: &Request| self.classes[other.class].is_bulk_load && other.group == request.group;
+        seen_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_in_the_way)
+    }
+
+    /// Returns whether the engine accepts requests, and the request's class and earlier attempts allow the engine.
     fn is_allowed(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.classes[request.class];
         let is_placed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
@@ -151,11 +199,19 @@
         engine.lifecycle.accepts_requests() && is_placed && in_scope
     }
 
-    /// Whether neither placement nor an earlier attempt keeps it from engines that others may be sent to.
-    fn may_go_anywhere(&self, request: &Request) -> bool {
+    /// Returns whether neither its class's locations nor an earlier attempt restrict the request to some engines.
+    fn may_use_all_engines(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
-        let is_bound =
+        let is_restricted_by_retry =
             matches!(&class.effect, Effect::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
-        class.locations.is_none() && (!is_bound || request.first_that_may_have_run().is_none())
+        let may_have_run = request.first_that_may_have_run().is_some();
+        class.locations.is_none() && !(is_restricted_by_retry && may_have_run)
+    }
+}
+
+/// Removes the placements at engines to avoid, unless there are no others.
+fn avoid(placements: &mut Vec<Placement>, is_avoided: impl Fn(EngineId) -> bool) {
+    if placements.iter().any(|placement| !is_avoided(placement.engine)) {
+        placements.retain(|placement| !is_avoided(placement.engine));
     }
 }
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -1,106 +1,210 @@
-//! Pressure: how the fleet does at the time of an input, and what may fill of it.
+//! Pressure: the condition of the fleet at the time of an input, and the memory targets that follow from it.
 
-use super::*;
+use super::outliers::INACTIVITY_RATIO_FOR_EJECTION;
+use super::{FULL_USE, MEMORY_TARGET_FRACTION, PRESSURE_SLOWDOWN};
+use crate::EngineKind;
+use crate::samples::{mean, median};
+use crate::state::{
+    Engine, EngineView, EngineViews, FleetSnapshot, Gateway, ReceivedReport, Resources, SchedulerState, Tier,
+};
+use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// The first threshold, as a part of the memory that goes with one core.
-const UNBLOCKED_PART: f64 = 1.0 / 64.0;
+/// Memory of requests that are not limited, as a fraction of the memory per core.
+const UNBLOCKED_FRACTION: f64 = 1.0 / 64.0;
+/// Largest change of the memory target by pressure, as a fraction of its initial value.
+const TARGET_RANGE: f64 = 0.5;
+/// Fraction of an engine's memory to fill if its load is estimated: halfway from the initial target to all.
+const UNREPORTED_FILL: f64 = (1.0 + MEMORY_TARGET_FRACTION) / 2.0;
+/// Limits of an engine's slowdown relative to the fleet's.
+const MIN_RELATIVE_SLOWDOWN: f64 = 0.5;
+const MAX_RELATIVE_SLOWDOWN: f64 = 4.0;
+
+/// An engine of a gateway and its condition.
+type Member<'a> = (&'a Engine, &'a EngineView);
 
 impl SchedulerState {
-    /// The fleet at the time of an input; without `may_send` only the engines with something in flight.
+    /// Returns the fleet at the time of an input. Without `may_send`, it contains the engines with attempts in flight
+    /// only, and no gateways.
     pub fn snapshot(&self, now: Duration, may_send: bool) -> FleetSnapshot {
-        let from = now.saturating_sub(self.shortest_objective() * 4);
-        let recent = self.estimates.iter().flat_map(|estimates| estimates.slowdowns.since(from));
-        let fleet_slowdown = quantile(recent, 0.5).unwrap_or(1.0).max(1.0);
-        let usual = |slowdowns: &SampleWindow| quantile(slowdowns.since(from), 0.5).unwrap_or(1.0).max(1.0);
-        let slowdowns: Vec<f64> = self.estimates.iter().map(|class| usual(&class.slowdowns)).collect();
-        let view = |engine: &Engine| {
-            let own = quantile(engine.slowdowns.since(from), 0.5);
-            let silence_ratio = self.silence_ratio(engine, now, &slowdowns);
-            EngineView {
-                under_pressure: self.under_pressure(engine, now, own.map(|own| own > PRESSURE_SLOWDOWN)),
-                silence_ratio,
-                is_outlier: silence_ratio >= 1.0 || self.is_failing(engine, now),
-                limit_factor: (PRESSURE_SLOWDOWN / own.unwrap_or(fleet_slowdown)).min(1.0),
-                relative_slowdown: own.map_or(1.0, |own| (own / fleet_slowdown).clamp(0.5, 4.0)),
-            }
-        };
-        let engines = self.engines_in_view(may_send).into_iter().map(|id| (id, &self.engines[&id]));
-        let mut engines: EngineViews = engines.map(|(id, engine)| (id, view(engine))).collect();
-        // Where nothing recent tells of an engine, as for most when routers are many, the others tell.
-        let count = |pressure| engines.values().filter(|view| view.under_pressure == Some(pressure)).count();
-        if count(true) > count(false) {
-            engines.values_mut().for_each(|view| view.under_pressure = view.under_pressure.or(Some(true)));
-        }
-        let (share, kinds) = (self.share(), 0..if may_send { self.fleet.kinds.len() } else { 0 });
-        let gateways = kinds.map(|kind| self.gateway(now, kind, share, &engines)).collect();
-        let engines_examined = engines.len() as u64;
+        let slowdowns = self.class_slowdowns(now);
+        let mut engines = self.engine_views(now, may_send, &slowdowns);
+        assume_pressure_of_majority(&mut engines);
+        let fleet_share = self.fleet_share();
+        let kind_count = if may_send { self.fleet.kinds.len() } else { 0 };
+        let gateways = (0..kind_count).map(|kind| self.gateway(now, kind, fleet_share, &engines)).collect();
         FleetSnapshot {
             now,
             slowdowns,
-            share,
-            engine_share: self.engine_share(share),
-            slow_start_share: self.slow_start_share(share),
+            fleet_share,
+            engine_share: self.engine_share(fleet_share),
+            slow_start_share: self.slow_start_share(fleet_share),
+            engines_examined: engines.len() as u64,
             engines,
             gateways,
             blocked_tiers: BTreeSet::new(),
-            engines_examined,
         }
     }
 
-    /// The figures of one engine kind. The memory target moves with the pressure that its engines show,
-    /// from half to 1.5 of its start.
-    fn gateway(&self, now: Duration, kind: usize, share: f64, views: &EngineViews) -> Gateway {
+    /// Returns the typical elapsed time of recent successes as a multiple of the ideal run, by request class.
+    fn class_slowdowns(&self, now: Duration) -> Vec<f64> {
+        let window_start = self.slowdown_window_start(now);
+        let classes = self.estimates.iter();
+        classes.map(|class| at_least_ideal(class.slowdowns.median_since(window_start))).collect()
+    }
+
+    fn engine_views(&self, now: Duration, may_send: bool, slowdowns: &[f64]) -> EngineViews {
+        let window_start = self.slowdown_window_start(now);
+        let recent = self.estimates.iter().flat_map(|class| class.slowdowns.since(window_start));
+        let fleet_slowdown = at_least_ideal(median(recent));
+        let in_view = self.engines_in_view(may_send).into_iter();
+        let view = |id| self.engine_view(&self.engines[&id], now, fleet_slowdown, slowdowns);
+        in_view.map(|id| (id, view(id))).collect()
+    }
+
+    fn engine_view(
+        &self,
+        engine: &Engine,
+        now: Duration,
+        fleet_slowdown: f64,
+        slowdowns: &[f64],
+    ) -> EngineView {
+        let slowdown = engine.slowdowns.median_since(self.slowdown_window_start(now));
+        let is_slow = slowdown.map(|slowdown| slowdown > PRESSURE_SLOWDOWN);
+        let inactivity_ratio = self.inactivity_ratio(engine, now, slowdowns);
+        let relative = |slowdown: f64| slowdown / fleet_slowdown;
+        EngineView {
+            under_pressure: self.under_pressure(engine, now, is_slow),
+            inactivity_ratio,
+            is_outlier: inactivity_ratio >= INACTIVITY_RATIO_FOR_EJECTION || self.is_failing(engine, now),
+            limit_factor: (PRESSURE_SLOWDOWN / slowdown.unwrap_or(fleet_slowdown)).min(1.0),
+            relative_slowdown: slowdown.map_or(1.0, |slowdown| {
+                relative(slowdown).clamp(MIN_RELATIVE_SLOWDOWN, MAX_RELATIVE_SLOWDOWN)
+            }),
+        }
+    }
+
+    /// Returns whether an engine is under pressure: it was recently short of memory, reports full use, or is slow. It is
+    /// `None` if there is no recent measurement.
+    fn under_pressure(&self, engine: &Engine, now: Duration, is_slow: Option<bool>) -> Option<bool> {
+        let window_start = self.pressure_window_start(now);
+        if engine.had_memory_shortage_since(window_start) {
+            return Some(true);
+        }
+        let report = engine.report.filter(|report| report.at >= window_start);
+        let is_full = report.map(|report| reports_full_use(&report));
+        match (is_full, is_slow) {
+            (Some(is_full), Some(is_slow)) => Some(is_full || is_slow),
+            (is_full, is_slow) => is_full.or(is_slow),
+        }
+    }
+
+    /// Returns the measurements and targets of one engine kind. The memory target changes with the pressure of its
+    /// engines.
+    fn gateway(&self, now: Duration, kind: usize, fleet_share: f64, views: &EngineViews) -> Gateway {
         let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
-        let of_kind = |engine: &Engine| engine.kind == kind && engine.lifecycle.accepts_requests();
-        let in_view = views.iter().map(|(id, view)| (&self.engines[id], view));
-        let members: Vec<(&Engine, &EngineView)> = in_view.filter(|(engine, _)| of_kind(engine)).collect();
-        let engines = || members.iter().copied();
-        let headroom = |view: &EngineView| match view.under_pressure {
-            Some(true) => -1.0,
-            Some(false) => 1.0,
-            None => 0.0,
-        };
-        let target_factor = 1.0 + mean(engines().map(|(_, view)| headroom(view))).unwrap_or(0.0) / 2.0;
-        let in_flight = || engines().flat_map(|(engine, _)| &engine.in_flight);
-        let count = |tier| in_flight().filter(|attempt| attempt.tier == tier).count() as f64;
-        let own = engines().map(|(engine, _)| self.own_load(now, engine, Duration::ZERO));
-        let pressed = || engines().filter(|(_, view)| view.under_pressure == Some(true));
-        // What waits at a jammed engine takes no more than its part, or one request, from the others.
-        let one_request = self.classes.iter().map(|class| class.threads).fold(1.0, f64::max);
-        let most = one_request.max(cores * self.engine_share(share));
-        let threads = |tier| pressed().map(|(engine, _)| engine.threads_in_flight(tier).min(most)).sum();
-        // The few that were probed tell nothing of the others.
-        let may_compare = !self.fleet.reports_only_on_probe;
-        let reports = || engines().filter_map(|(engine, _)| engine.report.as_ref()).filter(|_| may_compare);
+        let members = self.accepting_members(kind, views);
+        let target_factor = target_factor(&members);
+        let reports = self.comparable_reports(&members);
+        let local_loads = members.iter().map(|(engine, _)| self.local_load(now, engine, Duration::ZERO));
         Gateway {
-            reported_memory: mean(reports().filter_map(|report| report.load.memory)),
-            // What is in flight comes and goes too fast for a mean of old reports.
-            reported_busy: mean(reports().filter_map(|r| r.load.busy.filter(|_| r.load.in_flight.is_none()))),
-            reports_in_flight: reports().any(|report| report.load.in_flight.is_some()),
-            own: own.fold(Resources::NONE, Resources::plus),
-            pressed_cores: pressed().map(|(_, view)| view.limit_factor * cores).sum(),
-            pressed_threads: [Tier::Unblocked, Tier::Small, Tier::Medium, Tier::Largest].map(threads),
-            unblocked_mb: memory_mb / cores * UNBLOCKED_PART,
-            memory_target_mb: memory_mb * share * MEMORY_TARGET_PART * target_factor,
-            unreported_fill: (1.0 + MEMORY_TARGET_PART) / 2.0 * target_factor.min(1.0),
+            unblocked_mb: memory_mb / cores * UNBLOCKED_FRACTION,
+            memory_target_mb: memory_mb * fleet_share * MEMORY_TARGET_FRACTION * target_factor,
+            unreported_fill: UNREPORTED_FILL * target_factor.min(1.0),
             engine_count: self.engine_index.accepting(kind).max(1) as f64,
-            small_count: count(Tier::Small),
-            medium_count: count(Tier::Medium),
+            small_count: count_in_flight(&members, Tier::Small),
+            medium_count: count_in_flight(&members, Tier::Medium),
+            reported_memory: mean(reports.iter().filter_map(|report| report.load.memory)),
+            reported_busy: mean(reports.iter().filter_map(|report| directly_reported_busy(report))),
+            reports_in_flight: reports.iter().any(|report| report.load.in_flight.is_some()),
+            local_load: local_loads.fold(Resources::NONE, Resources::plus),
+            threads_under_pressure: self.threads_under_pressure(&members, cores, fleet_share),
+            cores_under_pressure: cores_under_pressure(&members, cores),
         }
     }
 
-    /// Whether an engine shows pressure; `None` where nothing recent tells.
-    fn under_pressure(&self, engine: &Engine, now: Duration, is_slow: Option<bool>) -> Option<bool> {
-        let from = now.saturating_sub(self.shortest_objective() * 2);
-        if engine.short_at.is_some_and(|at| at >= from) {
-            return Some(true);
+    fn accepting_members<'a>(&'a self, kind: usize, views: &'a EngineViews) -> Vec<Member<'a>> {
+        let in_view = views.iter().map(|(id, view)| (&self.engines[id], view));
+        in_view.filter(|(engine, _)| engine.kind == kind && engine.lifecycle.accepts_requests()).collect()
+    }
+
+    /// Returns the load reports from which the load of other engines is estimated. The few engines that were probed are
+    /// no sample of the others.
+    fn comparable_reports<'a>(&self, members: &[Member<'a>]) -> Vec<&'a ReceivedReport> {
+        if self.fleet.reports_only_on_probe {
+            return Vec::new();
         }
-        let report = engine.report.filter(|report| report.at >= from);
-        let is_full = report.map(|ReceivedReport { load, .. }| {
-            let crowding = if load.in_flight.is_some() { PRESSURE_SLOWDOWN } else { 1.0 };
-            let parts = [load.busy.map(|busy| busy / crowding), load.memory, load.disks];
-            parts.into_iter().flatten().any(|part| part >= FULL) || load.waiting.is_some_and(|w| w >= 1.0)
-        });
-        [is_full, is_slow].into_iter().flatten().reduce(|full, slow| full || slow)
+        members.iter().filter_map(|(engine, _)| engine.report.as_ref()).collect()
+    }
+
+    /// Returns the threads of this router's attempts at engines under pressure, by tier. Caps the threads counted for one
+    /// engine, so that it cannot use up the limit of all engines.
+    fn threads_under_pressure(
+        &self,
+        members: &[Member<'_>],
+        cores: f64,
+        fleet_share: f64,
+    ) -> [f64; Tier::ALL.len()] {
+        let largest_request = self.classes.iter().map(|class| class.threads).fold(1.0, f64::max);
+        let max_per_engine = largest_request.max(cores * self.engine_share(fleet_share));
+        Tier::ALL.map(|tier| {
+            let under_pressure = members.iter().filter(|(_, view)| view.is_under_pressure());
+            under_pressure.map(|(engine, _)| engine.threads_in_flight(tier).min(max_per_engine)).sum()
+        })
+    }
+}
+
+/// Returns the slowdown, or that of an ideal run if it is lower or unknown.
+fn at_least_ideal(slowdown: Option<f64>) -> f64 {
+    slowdown.unwrap_or(1.0).max(1.0)
+}
+
+/// Assumes that engines without a recent measurement are under pressure if most of the others are. With many routers,
+/// most engines have no recent measurement.
+fn assume_pressure_of_majority(engines: &mut EngineViews) {
+    let count = |pressure| engines.values().filter(|view| view.under_pressure == Some(pressure)).count();
+    if count(true) <= count(false) {
+        return;
     }
+    for view in engines.values_mut() {
+        view.under_pressure = view.under_pressure.or(Some(true));
+    }
+}
+
+/// Returns whether a report shows full use of cores, memory or disks, or requests that wait for memory.
+fn reports_full_use(report: &ReceivedReport) -> bool {
+    let load = &report.load;
+    // Requests in flight, from which the busy cores are estimated, may exceed the cores without a slowdown.
+    let max_busy = if load.in_flight.is_some() { PRESSURE_SLOWDOWN } else { 1.0 };
+    let uses = [load.busy.map(|busy| busy / max_busy), load.memory, load.disks];
+    uses.into_iter().flatten().any(|used| used >= FULL_USE)
+        || load.waiting.is_some_and(|waiting| waiting >= 1.0)
+}
+
+/// Returns the busy cores of a report, unless they are estimated from the requests in flight, which change too fast for a
+/// mean over reports of different ages.
+fn directly_reported_busy(report: &ReceivedReport) -> Option<f64> {
+    report.load.busy.filter(|_| report.load.in_flight.is_none())
+}
+
+/// Returns the factor by which pressure changes the memory target: lower if most engines are under pressure, higher if
+/// most are not.
+fn target_factor(members: &[Member<'_>]) -> f64 {
+    let headroom = |view: &EngineView| match view.under_pressure {
+        Some(true) => -1.0,
+        Some(false) => 1.0,
+        None => 0.0,
+    };
+    let mean_headroom = mean(members.iter().map(|(_, view)| headroom(view))).unwrap_or(0.0);
+    1.0 + mean_headroom * TARGET_RANGE
+}
+
+fn count_in_flight(members: &[Member<'_>], tier: Tier) -> f64 {
+    let in_flight = members.iter().flat_map(|(engine, _)| &engine.in_flight);
+    in_flight.filter(|attempt| attempt.tier == tier).count() as f64
+}
+
+fn cores_under_pressure(members: &[Member<'_>], cores: f64) -> f64 {
+    let under_pressure = members.iter().filter(|(_, view)| view.is_under_pressure());
+    under_pressure.map(|(_, view)| view.limit_factor * cores).sum()
 }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,24 +1,30 @@
-//! Retries: when another attempt is allowed, and which attempts are taken back for one.
+//! Retries: when another attempt is allowed, and which attempts are cancelled for a retry.
 
-use super::*;
+use crate::samples::seconds;
+use crate::state::{AttemptId, FleetSnapshot, Request, SchedulerState};
+use crate::{Actions, Effect, KeyScope};
+use std::time::Duration;
 
-/// Remaining time over an undisturbed run's from which an attempt is slow; the same without progress notes.
-const SLOW_REMAINDER: f64 = 3.0;
-const SLOW_WITHOUT_NOTES: f64 = 8.0;
+/// Remaining time of an attempt, in expected runs, from which the attempt is slow.
+const SLOW_REMAINING_RUNS: f64 = 3.0;
+/// Elapsed time of an attempt, in expected runs, from which the attempt is slow if engines send no progress updates.
+const SLOW_ELAPSED_RUNS: f64 = 8.0;
+/// Time left before the deadline, in ideal runs, that a retry must have.
+const MIN_TIME_LEFT_RUNS: f64 = 2.0;
 
 impl SchedulerState {
-    /// Whether effects and limits allow another attempt: never while one is in flight.
+    /// Returns whether another attempt is allowed: the request may run again, and has attempts left.
     pub fn may_retry(&self, request: &Request, now: Duration) -> bool {
         let soon = now + self.margin();
-        let is_harmless = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
+        let may_run_again = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
             (Effect::Idempotent, _) | (_, None) => true,
             (Effect::NonIdempotent, Some(_)) => false,
             (Effect::IdempotentWithKey { window, .. }, Some(first)) => soon < first.sent_at + *window,
         };
-        is_harmless && request.attempts.len() < self.attempt_limits.max_attempts
+        may_run_again && request.attempts.len() < self.attempt_limits.max_attempts
     }
 
-    /// Whether a client may be told that its retry is harmless.
+    /// Returns whether the request may be rejected: its client may safely retry.
     pub fn may_reject(&self, request: &Request) -> bool {
         match &self.classes[request.class].effect {
             Effect::Idempotent | Effect::IdempotentWithKey { scope: KeyScope::All, .. } => true,
@@ -26,7 +32,7 @@
         }
     }
 
-    /// Retries that the budget still holds.
+    /// Returns the number of retries that the budget still allows.
     pub fn retries_left(&self, now: Duration) -> f64 {
         let Some(budget) = &self.attempt_limits.retry_budget else { return f64::INFINITY };
         let accepted = self.accepted_at.iter().filter(|at| **at + budget.window > now).count() as f64;
@@ -34,39 +40,51 @@
         budget.min_retries + budget.per_request * accepted - retried
     }
 
-    /// Guards against attempts that take many times their expected run without cause: only a request's first
-    /// attempt, since a second one as slow shows a costly request.
+    /// Cancels and retries attempts that are much slower than expected. Only first attempts are retried: if the second
+    /// one is as slow, the request itself is the cause.
     pub fn cancel_slow_attempts(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
-        let first = self.in_flight().filter(|(_, request)| request.attempts.len() == 1);
-        let slow = first.filter(|(_, request)| self.is_slow(request, snapshot));
-        let ids = slow.map(|(id, request)| request.last_attempt(id)).collect();
-        self.migrate(snapshot.now, ids, actions)
+        let mut slow = Vec::new();
+        for (id, request) in self.in_flight() {
+            if request.attempts.len() == 1 && self.is_slow(request, snapshot) {
+                slow.push(request.last_attempt(id));
+            }
+        }
+        self.cancel_and_retry(snapshot.now, slow, actions)
     }
 
-    /// Whether a request's only attempt takes many times its expected run.
+    /// Returns whether the first attempt of a request is much slower than expected.
     fn is_slow(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
         let (now, attempt) = (snapshot.now, &request.attempts[0]);
-        let run = snapshot.slowdowns[request.class] * request.ideal_run;
-        let left = attempt.expected_finish.map(|finish| seconds(finish.saturating_sub(now)));
-        let has_no_notes = self.fleet.progress_interval.is_none();
-        let slack = seconds(self.shortest_objective());
+        let expected_run = snapshot.slowdowns[request.class] * request.ideal_run;
+        let remaining = attempt.expected_finish.map(|finish| seconds(finish.saturating_sub(now)));
+        let max_remaining = SLOW_REMAINING_RUNS * expected_run + seconds(self.fleet.tick);
+        let sends_no_progress = self.fleet.progress_interval.is_none();
+        let max_elapsed = SLOW_ELAPSED_RUNS * expected_run + seconds(self.shortest_objective());
         attempt.is_stalled
-            || left.is_some_and(|left| left > SLOW_REMAINDER * run + seconds(self.fleet.tick))
-            || has_no_notes && seconds(now - attempt.sent_at) > SLOW_WITHOUT_NOTES * run + slack
+            || remaining.is_some_and(|remaining| remaining > max_remaining)
+            || sends_no_progress && seconds(now - attempt.sent_at) > max_elapsed
     }
 
-    /// Takes back those of the attempts whose requests may still be sent again, within the retry budget.
-    pub fn migrate(&mut self, now: Duration, mut ids: Vec<AttemptId>, actions: &mut impl Actions) -> bool {
-        let may_migrate = |request: &Request| {
-            let in_time = seconds(request.deadline.saturating_sub(now)) > 2.0 * request.ideal_run;
-            request.is_open() && in_time && self.may_retry(request, now)
-        };
-        ids.retain(|id| may_migrate(&self.requests[&id.request]));
+    /// Cancels the attempts whose requests may be retried, within the retry budget. Returns whether there were any.
+    pub fn cancel_and_retry(
+        &mut self,
+        now: Duration,
+        mut ids: Vec<AttemptId>,
+        actions: &mut impl Actions,
+    ) -> bool {
+        ids.retain(|id| self.is_worth_retrying(&self.requests[&id.request], now));
         ids.truncate(self.retries_left(now) as usize);
         self.cancel(ids, actions)
     }
 
-    /// Takes attempts back, where that is allowed, and once.
+    fn is_worth_retrying(&self, request: &Request, now: Duration) -> bool {
+        let time_left = seconds(request.deadline.saturating_sub(now));
+        request.is_open()
+            && time_left > MIN_TIME_LEFT_RUNS * request.ideal_run
+            && self.may_retry(request, now)
+    }
+
+    /// Cancels attempts that are not cancelled yet, if cancelling is allowed. Returns whether there were any.
     pub fn cancel(&mut self, mut ids: Vec<AttemptId>, actions: &mut impl Actions) -> bool {
         let may_cancel = self.attempt_limits.may_cancel;
         ids.retain(|id| may_cancel && !self.requests[&id.request].attempts[id.attempt].cancelled);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,14 +1,22 @@
-//! Slow start: an engine that has just started gets no more than it can take.
+//! Slow start: limits the work that is sent to an engine while it warms up.
 
-use super::*;
+use crate::EngineId;
+use crate::samples::seconds;
+use crate::state::{Engine, FleetSnapshot, Request, SchedulerState};
+use std::time::Duration;
 
-/// Part of the cores that is busy at the capacity which a warm-up is measured by.
+/// Fraction of the cores that is busy at the capacity of an engine.
 const BUSY_AT_CAPACITY: f64 = 0.85;
+/// Factor by which a window for a single request is longer than its budget requires, so that the routers together
+/// use half of the engine's budget at most.
+const SINGLE_REQUEST_WINDOW_FACTOR: f64 = 2.0;
+/// Upper bound on the length of such a window, in overload windows.
+const MAX_WINDOW_FACTOR: f64 = 1e6;
 
 impl SchedulerState {
-    /// Guards warming engines: this router's part of what a starting engine takes in any window, by the usual
-    /// work of the request class. With many routers that is under one request: then one in a longer window,
-    /// from a point in it that chance sets, so that the parts still add up, to half of the whole at most.
+    /// Returns whether the request fits into this router's share of the work that an engine accepts in a window while it
+    /// warms up. If that share is smaller than one request, the router may send one request in a longer window. The
+    /// window starts at a random offset, so that the requests of all routers spread over it.
     pub fn fits_slow_start(
         &self,
         id: EngineId,
@@ -21,25 +29,36 @@
             return true;
         };
         let usual = self.slow_start_work(request.class);
-        let times = if usual > budget { 2.0 * usual / budget } else { 1.0 };
-        let window = self.attempt_limits.overload_window.mul_f64(times.min(1e6));
+        let factor = if usual > budget { SINGLE_REQUEST_WINDOW_FACTOR * usual / budget } else { 1.0 };
+        let window = self.attempt_limits.overload_window.mul_f64(factor.min(MAX_WINDOW_FACTOR));
         let sent: f64 = engine.sent_work.since(now.saturating_sub(window)).sum();
-        let offset = self.chance(id, engine.listed_at.as_micros() as u64) as f64 / u64::MAX as f64;
-        let has_begun = times == 1.0 || now >= engine.listed_at + window.mul_f64(offset);
+        let offset = window.mul_f64(self.slow_start_offset(id, engine));
+        let has_begun = factor == 1.0 || now >= engine.listed_at + offset;
         sent + usual <= budget.max(usual) && has_begun
     }
 
-    /// Usual work in seconds that this router may send an engine in any window; `None` once it is warm.
+    /// Returns the random offset of this router's longer window, as a fraction of the window.
+    fn slow_start_offset(&self, id: EngineId, engine: &Engine) -> f64 {
+        self.slow_start_draw(id, engine) as f64 / u64::MAX as f64
+    }
+
+    /// Returns the random number from which the offset of this router's longer window follows.
+    pub fn slow_start_draw(&self, id: EngineId, engine: &Engine) -> u64 {
+        self.tie_breaker(id, engine.listed_at.as_micros() as u64)
+    }
+
+    /// Returns the work in seconds that a router with this share may send to an engine in any overload window; `None`
+    /// once the engine has warmed up.
     pub fn slow_start_budget(&self, engine: &Engine, now: Duration, share: f64) -> Option<f64> {
         let limits = &self.attempt_limits;
         let age = now.saturating_sub(engine.warming_since?);
         let warmth = Some(seconds(age) / seconds(limits.warm_up)).filter(|warmth| *warmth < 1.0)?;
-        let part = limits.start_capacity + (1.0 - limits.start_capacity) * warmth;
-        let capacity = self.fleet.kinds[engine.kind].cores * BUSY_AT_CAPACITY * part;
+        let capacity_fraction = limits.start_capacity + (1.0 - limits.start_capacity) * warmth;
+        let capacity = self.fleet.kinds[engine.kind].cores * BUSY_AT_CAPACITY * capacity_fraction;
         Some(limits.overload_factor * capacity * seconds(limits.overload_window) * share)
     }
 
-    /// Work in seconds that a request of this class counts for.
+    /// Returns the work in seconds that a request of this class counts as during slow start.
     pub fn slow_start_work(&self, class: usize) -> f64 {
         self.usual_work(class).max(seconds(self.fleet.tick))
     }
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -1,54 +1,69 @@
-//! Tiers: requests are sorted by their memory, and under pressure each tier has a limit of its own.
+//! Tiers: requests are classified by their memory, and each tier has its own limit at engines under pressure.
 
-use super::*;
+use crate::state::{Engine, EngineView, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
 
-/// Parts of the memory target that small and medium requests may fill together.
-const SMALL_PART: f64 = 0.3;
-const MEDIUM_PART: f64 = 0.6;
-/// Threads a core that small and medium requests hold under pressure.
+/// Fraction of the memory target below which all small requests together stay.
+const SMALL_FRACTION: f64 = 0.3;
+/// Fraction of the memory target below which all medium requests together stay.
+const MEDIUM_FRACTION: f64 = 0.6;
+/// Threads per core that small requests may use at engines under pressure.
 const SMALL_THREADS_PER_CORE: f64 = 4.0;
+/// Threads per core that requests of the other tiers may use at engines under pressure.
 const MEDIUM_THREADS_PER_CORE: f64 = 1.0;
 
 impl Gateway {
-    /// The tier of a request, by parts of the target over the mean count per engine, the new one included.
+    /// Returns the tier of a request. The memory threshold of a tier is its fraction of the target, divided by the mean
+    /// number of its requests per engine, including this one.
     pub fn tier(&self, request: &Request) -> Tier {
-        let limit = |part: f64, count: f64| self.memory_target_mb * part * self.engine_count / (count + 1.0);
-        match request.estimated_work.map(|_| request.memory_mb) {
-            None => Tier::Medium,
-            Some(memory) if memory < self.unblocked_mb => Tier::Unblocked,
-            Some(memory) if memory < limit(SMALL_PART, self.small_count) => Tier::Small,
-            Some(memory) if memory < limit(MEDIUM_PART, self.medium_count) => Tier::Medium,
-            Some(_) => Tier::Largest,
+        if request.estimated_work.is_none() {
+            return Tier::Medium;
+        }
+        let threshold =
+            |fraction: f64, count: f64| self.memory_target_mb * fraction * self.engine_count / (count + 1.0);
+        let memory_mb = request.memory_mb;
+        if memory_mb < self.unblocked_mb {
+            Tier::Unblocked
+        } else if memory_mb < threshold(SMALL_FRACTION, self.small_count) {
+            Tier::Small
+        } else if memory_mb < threshold(MEDIUM_FRACTION, self.medium_count) {
+            Tier::Medium
+        } else {
+            Tier::Largest
         }
     }
 }
 
 impl SchedulerState {
-    /// Whether the tier has a slot open at an engine: largest one at a time, the others bound under pressure.
-    /// Guards against surges and slow fleets: limits shrink as latency rises. Guards against many routers,
-    /// whose one query at each engine adds up: parts under one are pooled over the engines under pressure.
+    /// Returns whether a tier has a free slot at an engine. Largest requests run one at a time. The others are limited
+    /// under pressure, by fewer threads the higher the engine's latency. If the limit is smaller than one request, as
+    /// with many routers, the limits of all engines under pressure are pooled.
     pub fn has_slot(
         &self,
-        (engine, view): (&Engine, &EngineView),
+        engine: &Engine,
+        view: &EngineView,
         request: &Request,
         tier: Tier,
         snapshot: &FleetSnapshot,
     ) -> bool {
-        let share = snapshot.engine_share;
-        let gateway = &snapshot.gateways[engine.kind];
         let threads = self.classes[request.class].threads;
-        let per_core = if tier == Tier::Small { SMALL_THREADS_PER_CORE } else { MEDIUM_THREADS_PER_CORE };
-        let limit = self.fleet.kinds[engine.kind].cores * share * per_core;
         let in_flight = engine.threads_in_flight(tier);
-        let lowered = limit * view.limit_factor;
-        let pool = gateway.pressed_cores * share * per_core;
-        let pooled = gateway.pressed_threads[tier as usize];
-        match tier {
-            Tier::Unblocked => true,
-            Tier::Largest if in_flight > 0.0 => false,
-            _ if view.under_pressure != Some(true) => true,
-            _ if limit < threads => pooled == 0.0 || pooled + threads <= pool,
-            _ => in_flight == 0.0 || tier != Tier::Largest && in_flight + threads <= lowered,
+        if tier == Tier::Unblocked {
+            return true;
+        }
+        if tier == Tier::Largest && in_flight > 0.0 {
+            return false;
+        }
+        if !view.is_under_pressure() {
+            return true;
+        }
+        let per_core = if tier == Tier::Small { SMALL_THREADS_PER_CORE } else { MEDIUM_THREADS_PER_CORE };
+        let limit = self.fleet.kinds[engine.kind].cores * snapshot.engine_share * per_core;
+        if limit < threads {
+            let gateway = &snapshot.gateways[engine.kind];
+            let pooled_limit = gateway.cores_under_pressure * snapshot.engine_share * per_core;
+            let pooled = gateway.threads_under_pressure[tier as usize];
+            return pooled == 0.0 || pooled + threads <= pooled_limit;
         }
+        in_flight == 0.0 || tier != Tier::Largest && in_flight + threads <= limit * view.limit_factor
     }
 }
--- /dev/null
+++ b/src/policy/windows.rs
@@ -0,0 +1,63 @@
+//! Time windows and intervals of the decisions. Most are multiples of the shortest latency objective.
+
+use crate::state::SchedulerState;
+use std::time::Duration;
+
+/// Shortest latency objectives in the window of slowdowns.
+const SLOWDOWN_WINDOW_OBJECTIVES: u32 = 4;
+/// Shortest latency objectives for which a sign of pressure counts.
+const PRESSURE_WINDOW_OBJECTIVES: u32 = 2;
+/// Shortest latency objectives for which a bulk load that was seen counts.
+const BULK_LOAD_WINDOW_OBJECTIVES: u32 = 2;
+/// Shortest latency objectives in the window of failures, for each consecutive failure.
+const FAILURE_WINDOW_OBJECTIVES: u32 = 4;
+/// Shortest latency objectives after which a load report counts as much as the estimate from other engines.
+const REPORT_AGING_OBJECTIVES: u32 = 4;
+/// Probes of unknown engines in one shortest latency objective.
+const PROBES_PER_OBJECTIVE: u32 = 2;
+/// Recovery attempts of all routers together in one shortest latency objective.
+const RECOVERY_ATTEMPTS_PER_OBJECTIVE: f64 = 2.0;
+
+impl SchedulerState {
+    /// Returns the shortest latency objective of all classes.
+    pub fn shortest_objective(&self) -> Duration {
+        self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(self.fleet.tick)
+    }
+
+    /// Returns the start of the window in which slowdowns count.
+    pub fn slowdown_window_start(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.shortest_objective() * SLOWDOWN_WINDOW_OBJECTIVES)
+    }
+
+    /// Returns the start of the window in which a load report or a shortage of memory shows pressure.
+    pub fn pressure_window_start(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.shortest_objective() * PRESSURE_WINDOW_OBJECTIVES)
+    }
+
+    /// Returns the start of the window in which a bulk load that was seen counts.
+    pub fn bulk_load_window_start(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.shortest_objective() * BULK_LOAD_WINDOW_OBJECTIVES)
+    }
+
+    /// Returns the start of the window in which failures count, which grows with the number of consecutive failures.
+    pub fn failure_window_start(&self, now: Duration, consecutive_failures: usize) -> Duration {
+        let objectives = FAILURE_WINDOW_OBJECTIVES * consecutive_failures as u32;
+        now.saturating_sub(self.shortest_objective() * objectives)
+    }
+
+    /// Returns the age at which a load report counts as much as the estimate from other engines.
+    pub fn report_aging_time(&self) -> Duration {
+        self.shortest_objective() * REPORT_AGING_OBJECTIVES
+    }
+
+    /// Returns the interval between probes of unknown engines, and the age at which a report counts as unknown.
+    pub fn probe_interval(&self) -> Duration {
+        self.shortest_objective() / PROBES_PER_OBJECTIVE
+    }
+
+    /// Returns the interval between recovery attempts of a router with this share of the engine.
+    pub fn recovery_interval(&self, share: f64) -> Duration {
+        let objective = self.shortest_objective();
+        objective.div_f64(RECOVERY_ATTEMPTS_PER_OBJECTIVE * share).max(objective)
+    }
+}
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -1,9 +1,13 @@
-//! The last few samples of a measurement; figures are worked out when they are needed.
+//! Windows over the latest samples of a measurement, and statistics over samples.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The last samples of one measurement, each with its time.
+/// Longest time that [`duration`] returns, in microseconds: about eleven days.
+const MAX_MICROSECONDS: f64 = 1e12;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// The latest samples of one measurement, each with its time.
 #[derive(Clone)]
 pub struct SampleWindow {
     samples: VecDeque<(Duration, f64)>,
@@ -11,12 +15,12 @@
 }
 
 impl SampleWindow {
-    /// An empty window that keeps the last `capacity` samples.
+    /// Creates an empty window over the latest `capacity` samples.
     pub fn with_capacity(capacity: usize) -> Self {
         Self { samples: VecDeque::new(), capacity }
     }
 
-    /// Adds a sample, and drops the oldest from a full window.
+    /// Adds a sample, and drops the oldest one if the window is full.
     pub fn push(&mut self, now: Duration, value: f64) {
         if self.samples.len() == self.capacity {
             self.samples.pop_front();
@@ -24,57 +28,68 @@
         self.samples.push_back((now, value));
     }
 
-    /// Time and value of the newest sample.
+    /// Returns time and value of the newest sample.
     pub fn last(&self) -> Option<(Duration, f64)> {
         self.samples.back().copied()
     }
 
-    /// Time and value of each sample, oldest first.
+    /// Returns time and value of each sample, oldest first.
     pub fn samples(&self) -> impl Iterator<Item = (Duration, f64)> {
         self.samples.iter().copied()
     }
 
-    /// The values, oldest first.
+    /// Returns the values, oldest first.
     pub fn values(&self) -> impl Iterator<Item = f64> {
         self.samples.iter().map(|(_, value)| *value)
     }
 
-    /// The values sampled at or after `from`, newest first.
-    pub fn since(&self, from: Duration) -> impl Iterator<Item = f64> {
-        self.samples.iter().rev().take_while(move |(at, _)| *at >= from).map(|(_, value)| *value)
+    /// Returns the values that were sampled at or after `start`, newest first.
+    pub fn since(&self, start: Duration) -> impl Iterator<Item = f64> {
+        self.samples.iter().rev().take_while(move |(at, _)| *at >= start).map(|(_, value)| *value)
     }
 
-    /// Mean of all values.
+    /// Returns the mean of all values.
     pub fn mean(&self) -> Option<f64> {
         mean(self.values())
     }
 
-    /// Median of all values.
+    /// Returns the median of all values.
     pub fn median(&self) -> Option<f64> {
-        quantile(self.values(), 0.5)
+        median(self.values())
+    }
+
+    /// Returns the median of the values that were sampled at or after `start`.
+    pub fn median_since(&self, start: Duration) -> Option<f64> {
+        median(self.since(start))
     }
 }
 
-/// The mean; `None` of no values.
+/// Returns the mean; `None` if there are no values.
 pub fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     (count > 0.0).then(|| sum / count)
 }
 
-/// The value that `part` of the others lie below; `None` of no values.
-pub fn quantile(values: impl Iterator<Item = f64>, part: f64) -> Option<f64> {
+/// Returns the median; `None` if there are no values.
+pub fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
+    quantile(values, 0.5)
+}
+
+/// Returns the value that a `fraction` of the other values is below; `None` if there are no values.
+pub fn quantile(values: impl Iterator<Item = f64>, fraction: f64) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     let last = values.len().checked_sub(1)?;
-    let (_, value, _) = values.select_nth_unstable_by((last as f64 * part).round() as usize, f64::total_cmp);
+    let index = (last as f64 * fraction).round() as usize;
+    let (_, value, _) = values.select_nth_unstable_by(index, f64::total_cmp);
     Some(*value)
 }
 
-/// A time in seconds.
+/// Converts a time to seconds.
 pub fn seconds(time: Duration) -> f64 {
     time.as_secs_f64()
 }
 
-/// Seconds as a time in whole microseconds, from zero to some eleven days.
+/// Converts seconds to a time in whole microseconds, limited to the range from zero to about eleven days.
 pub fn duration(seconds: f64) -> Duration {
-    Duration::from_micros((seconds * 1e6).clamp(0.0, 1e12) as u64)
+    Duration::from_micros((seconds * MICROSECONDS_PER_SECOND).clamp(0.0, MAX_MICROSECONDS) as u64)
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,36 +1,36 @@
-//! The scheduler: its state, and the ordered list of rules that run after each input.
+//! The scheduler: its state, and the ordered list of rules that is applied after each input.
 
 use crate::policy::WINDOW_SIZES;
 use crate::state::{FleetSnapshot, SchedulerState};
-use crate::*;
+use crate::{Actions, AttemptLimits, Fleet, RequestClass};
 use std::time::Duration;
 
-/// Decides what is sent where and when; see the crate's description.
+/// Decides which request is sent to which engine and when; see the description of the crate.
 #[derive(Clone)]
 pub struct Scheduler {
     pub(crate) state: SchedulerState,
 }
 
-/// One rule: a condition and an effect; tells whether it fired.
+/// A rule takes one kind of decision, and returns whether the rules must be applied again from the first.
 type Rule<A> = fn(&mut SchedulerState, &mut FleetSnapshot, &mut A) -> bool;
 
 impl Scheduler {
-    /// A scheduler that knows of no engine and no request yet.
+    /// Creates a scheduler without engines and requests.
     pub fn new(fleet: Fleet, classes: Vec<RequestClass>, attempt_limits: AttemptLimits) -> Self {
         Self { state: SchedulerState::new(fleet, classes, attempt_limits, WINDOW_SIZES) }
     }
 
-    /// How many engines all inputs so far have looked at: their cost in counted work.
+    /// Returns how many engines all inputs so far have examined, which measures their cost without a clock.
     pub fn engines_examined(&self) -> u64 {
         self.state.engines_examined
     }
 
-    /// Runs the rules in their order, from the first again after each that fires, until none does.
+    /// Applies the rules in order, and starts again at the first after each one that returns true.
     pub(crate) fn settle<A: Actions>(&mut self, now: Duration, actions: &mut A) {
         let rules: [Rule<A>; 9] = [
             SchedulerState::forget_finished,
             SchedulerState::answer_when_due,
-            SchedulerState::cancel_when_silent,
+            SchedulerState::cancel_inactive,
             SchedulerState::cancel_slow_attempts,
             SchedulerState::cancel_late_attempts,
             SchedulerState::send_queued,
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// An attempt in flight at an engine, with what capacity and tiers are counted by.
+/// An attempt in flight at an engine, with its tier and the resources that are reserved for it.
 #[derive(Clone)]
 pub struct InFlight {
     pub request: RequestId,
@@ -18,18 +18,18 @@
 }
 
 impl InFlight {
-    /// Names the attempt.
+    /// Returns the id of the attempt.
     pub fn id(&self) -> AttemptId {
         AttemptId { request: self.request, attempt: self.attempt }
     }
 
-    /// What it holds at its engine.
+    /// Returns the resources that are reserved for the attempt at its engine.
     pub fn resources(&self) -> Resources {
         Resources { memory: self.grant_mb, threads: self.threads }
     }
 }
 
-/// A load report and when it came.
+/// A load report and the time at which it arrived.
 #[derive(Clone, Copy)]
 pub struct ReceivedReport {
     pub at: Duration,
@@ -43,33 +43,36 @@
     pub kind: usize,
     pub cell: u64,
     pub lifecycle: Lifecycle,
+    /// Time of the last start, as listed.
     pub launched: Option<Duration>,
-    /// When this router learned of that launch.
+    /// Time at which this router first listed the engine with that start.
     pub listed_at: Duration,
+    /// Start of the warm-up.
     pub warming_since: Option<Duration>,
-    /// In the order of sending.
+    /// Attempts in the order in which they were sent.
     pub in_flight: Vec<InFlight>,
-    /// Requests not forgotten yet that have an attempt there, whether in flight or ended.
+    /// Requests with an attempt at this engine, in flight or ended, that are not forgotten yet.
     pub request_count: usize,
-    /// Usual work in seconds of each attempt sent there.
+    /// Usual work in seconds of each attempt that was sent.
     pub sent_work: SampleWindow,
-    /// Time to a success over that of an ideal run.
+    /// Elapsed time of each success as a multiple of the ideal run.
     pub slowdowns: SampleWindow,
-    /// 1 for a failed attempt, 0 for a success.
+    /// 1 for each failed attempt, 0 for each success.
     pub failures: SampleWindow,
-    /// When an answer or a progress note came last.
-    pub last_sign_at: Duration,
-    /// When it last was short of memory or refused an attempt.
-    pub short_at: Option<Duration>,
+    /// Time of the last answer or progress update.
+    pub last_activity_at: Duration,
+    /// Time at which the engine was last known to be short of memory or to reject an attempt.
+    pub memory_shortage_at: Option<Duration>,
+    /// The last load report.
     pub report: Option<ReceivedReport>,
-    /// Groups that were read there, newest first.
+    /// Groups of the requests sent here, newest first.
     pub recent_groups: VecDeque<u64>,
-    /// Groups that a load held there, and when an attempt last told of it.
+    /// Groups that a bulk load blocks here, with the time of the last progress update that reported it.
     pub bulk_loads_seen: BTreeMap<u64, Duration>,
 }
 
 impl Engine {
-    /// An engine as it is first listed, or starts anew.
+    /// Creates the state of an engine that is listed for the first time or has restarted.
     pub fn new(row: &Endpoint, now: Duration, sizes: WindowSizes) -> Self {
         Self {
             location: row.location,
@@ -84,26 +87,26 @@
             sent_work: SampleWindow::with_capacity(sizes.sent_work),
             slowdowns: SampleWindow::with_capacity(sizes.estimates),
             failures: SampleWindow::with_capacity(sizes.outcomes),
-            last_sign_at: now,
-            short_at: None,
+            last_activity_at: now,
+            memory_shortage_at: None,
             report: None,
             recent_groups: VecDeque::new(),
             bulk_loads_seen: BTreeMap::new(),
         }
     }
 
-    /// Whether a row of the list tells of a launch that was not known.
+    /// Returns whether the row contains another start than the one that is known.
     pub fn has_restarted(&self, row: &Endpoint) -> bool {
         row.launched.is_some() && row.launched != self.launched
     }
 
-    /// Whether a row of the list tells anything new.
+    /// Returns whether the row changes the state of the engine.
     pub fn differs_from(&self, row: &Endpoint) -> bool {
         self.lifecycle != row.lifecycle || self.has_restarted(row)
     }
 
-    /// Notes the group that it reads, and keeps the last `capacity` of them.
-    pub fn note_group(&mut self, group: Option<u64>, capacity: usize) {
+    /// Records the group of a request, and drops the oldest of more than `capacity` groups.
+    pub fn record_group(&mut self, group: Option<u64>, capacity: usize) {
         if let Some(group) = group {
             self.recent_groups.retain(|other| *other != group);
             self.recent_groups.truncate(capacity - 1);
@@ -111,7 +114,12 @@
         }
     }
 
-    /// Threads of a tier's attempts in flight.
+    /// Returns whether a shortage of memory was seen at or after `start`.
+    pub fn had_memory_shortage_since(&self, start: Duration) -> bool {
+        self.memory_shortage_at.is_some_and(|at| at >= start)
+    }
+
+    /// Returns the threads of one tier's attempts in flight.
     pub fn threads_in_flight(&self, tier: Tier) -> f64 {
         self.in_flight.iter().filter(|attempt| attempt.tier == tier).map(|attempt| attempt.threads).sum()
     }
--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -1,31 +1,32 @@
-//! Engines by what decisions look for, kept up to date by each change, so that no input goes through all of them.
+//! Indexes over the engines, updated with each change, so that an input does not examine the whole fleet.
 
 use super::Engine;
 use crate::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A kind of engine in one location: to placement rules its engines are alike.
+/// An engine kind and a location. Placement rules do not distinguish the engines of one group.
 type Group = (usize, usize);
 
-/// What is known of all engines together.
+/// The engines by use, kind, cell and rank.
 #[derive(Clone, Default)]
 pub struct EngineIndex {
     /// Engines with an attempt in flight.
     busy: BTreeSet<EngineId>,
     /// Deregistered engines that no request refers to.
     forgettable: BTreeSet<EngineId>,
-    /// By kind: how many engines accept requests, and how many are not deregistered.
+    /// Number of engines that accept requests, by kind.
     accepting: BTreeMap<usize, usize>,
+    /// Number of engines that are not deregistered, by kind.
     registered: BTreeMap<usize, usize>,
     by_cell: BTreeMap<u64, BTreeSet<EngineId>>,
-    /// Engines that accept requests, in the order of their ranks.
+    /// Engines that accept requests, by group and in the order of their ranks.
     ranked: BTreeMap<Group, BTreeSet<(u64, EngineId)>>,
     /// The engines that this router uses; `None` for all.
     subset: Option<BTreeSet<EngineId>>,
 }
 
 impl EngineIndex {
-    /// Enters an engine; `rank` orders it among those of its group.
+    /// Adds an engine. `rank` orders the engines of a group.
     pub fn insert(&mut self, id: EngineId, engine: &Engine, rank: u64) {
         self.by_cell.entry(engine.cell).or_default().insert(id);
         if engine.lifecycle.accepts_requests() {
@@ -38,7 +39,7 @@
         self.update_use(id, engine);
     }
 
-    /// Takes an engine out, as it was entered.
+    /// Removes an engine. Its state and rank must be those that it was added with.
     pub fn remove(&mut self, id: EngineId, engine: &Engine, rank: u64) {
         remove_member(&mut self.by_cell, engine.cell, &id);
         if engine.lifecycle.accepts_requests() {
@@ -52,64 +53,67 @@
         self.forgettable.remove(&id);
     }
 
-    /// Enters that attempts at an engine, or requests that refer to it, have changed.
+    /// Updates the indexes after a change of the attempts at an engine or of the requests that refer to it.
     pub fn update_use(&mut self, id: EngineId, engine: &Engine) {
         set_member(&mut self.busy, id, !engine.in_flight.is_empty());
         let is_forgettable = engine.lifecycle.is_deregistered() && engine.request_count == 0;
         set_member(&mut self.forgettable, id, is_forgettable);
     }
 
-    /// Engines with an attempt in flight.
+    /// Returns the engines with an attempt in flight.
     pub fn busy(&self) -> &BTreeSet<EngineId> {
         &self.busy
     }
 
-    /// A deregistered engine that no request refers to.
+    /// Returns a deregistered engine that no request refers to.
     pub fn first_forgettable(&self) -> Option<EngineId> {
         self.forgettable.first().copied()
     }
 
-    /// How many engines of a kind accept requests.
+    /// Returns the number of engines of a kind that accept requests.
     pub fn accepting(&self, kind: usize) -> usize {
         self.accepting.get(&kind).copied().unwrap_or(0)
     }
 
-    /// How many engines of a kind are not deregistered.
+    /// Returns the number of engines of a kind that are not deregistered.
     pub fn registered(&self, kind: usize) -> usize {
         self.registered.get(&kind).copied().unwrap_or(0)
     }
 
-    /// How many engines accept requests.
+    /// Returns the number of engines that accept requests.
     pub fn accepting_in_all(&self) -> usize {
         self.accepting.values().sum()
     }
 
-    /// The engines of one cell.
+    /// Returns the engines of one cell.
     pub fn in_cell(&self, cell: u64) -> impl Iterator<Item = EngineId> {
         self.by_cell.get(&cell).into_iter().flatten().copied()
     }
 
-    /// The engines that this router uses; `None` for all.
+    /// Returns the engines that this router uses; `None` for all.
     pub fn subset(&self) -> Option<&BTreeSet<EngineId>> {
         self.subset.as_ref()
     }
 
-    /// Uses all engines.
+    /// Uses all engines from now on.
     pub fn use_all(&mut self) {
         self.subset = None;
     }
 
-    /// Uses the first engines of each group by rank: in all about `size`, and of each group `least` or all of it.
-    pub fn use_subset(&mut self, size: usize, least: usize) {
-        let all = self.accepting_in_all().max(1);
-        let first = |group: &BTreeSet<(u64, EngineId)>| {
-            let part = (size * group.len()).div_ceil(all).max(least);
-            group.iter().take(part).map(|(_, id)| *id).collect::<Vec<_>>()
-        };
-        self.subset = Some(self.ranked.values().flat_map(first).collect());
+    /// Uses a subset of about `size` engines from now on: of each group the first by rank, in proportion to its
+    /// size, but at least `min_per_group` or the whole group.
+    pub fn use_subset(&mut self, size: usize, min_per_group: usize) {
+        let total = self.accepting_in_all().max(1);
+        let mut subset = BTreeSet::new();
+        for group in self.ranked.values() {
+            let count = (size * group.len()).div_ceil(total).max(min_per_group);
+            subset.extend(group.iter().take(count).map(|(_, id)| *id));
+        }
+        self.subset = Some(subset);
     }
 }
 
+/// Adds the engine to the set or removes it.
 fn set_member(set: &mut BTreeSet<EngineId>, id: EngineId, is_member: bool) {
     if is_member {
         set.insert(id);
@@ -118,7 +122,7 @@
     }
 }
 
-/// Removes a member of one of many sets, and the set with its last member.
+/// Removes a member from the set of a key, and the set once it is empty.
 fn remove_member<K: Ord, T: Ord>(sets: &mut BTreeMap<K, BTreeSet<T>>, key: K, member: &T) {
     let Some(set) = sets.get_mut(&key) else { return };
     set.remove(member);
--- a/src/state/estimates.rs
+++ b/src/state/estimates.rs
@@ -1,4 +1,4 @@
-//! What was learned of the requests of one class.
+//! Measurements of the requests of one class, from which later requests are estimated.
 
 use super::Request;
 use crate::Usage;
@@ -8,23 +8,24 @@
 /// Measurements of one request class.
 #[derive(Clone)]
 pub struct ClassEstimates {
-    /// Seconds of one core.
+    /// Work in seconds on one core.
     pub work: SampleWindow,
-    /// MB billed.
+    /// Memory in MB, as billed.
     pub memory_mb: SampleWindow,
-    /// Billed over estimated.
+    /// Billed work as a multiple of the client's estimate.
     pub work_ratios: SampleWindow,
+    /// Billed memory as a multiple of the client's estimate.
     pub memory_ratios: SampleWindow,
-    /// Time to a success over that of an ideal run.
+    /// Elapsed time of each success as a multiple of the ideal run.
     pub slowdowns: SampleWindow,
-    /// Seconds that clients wait at most.
+    /// Deadlines in seconds, counted from the arrival.
     pub deadlines: SampleWindow,
 }
 
 impl ClassEstimates {
-    /// Empty windows of so many samples.
-    pub fn new(samples: usize) -> Self {
-        let window = || SampleWindow::with_capacity(samples);
+    /// Creates empty windows over the latest `capacity` samples.
+    pub fn new(capacity: usize) -> Self {
+        let window = || SampleWindow::with_capacity(capacity);
         Self {
             work: window(),
             memory_mb: window(),
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Enters what a request was billed, by itself and over the client's estimates.
+    /// Records the billed usage of a request, also relative to the client's estimates. The work itself is recorded
+    /// by the caller.
     pub fn record_usage(&mut self, now: Duration, request: &Request, usage: &Usage) {
         self.memory_mb.push(now, usage.memory_mb);
         if let Some(estimate) = request.estimated_memory_mb {
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -1,26 +1,26 @@
-//! The requests of one key whose order counts.
+//! The requests of one ordering key.
 
 use crate::RequestId;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests of one key in the order of arrival.
+/// The requests of one key, in the order of arrival.
 #[derive(Clone, Default)]
 pub struct KeyQueue {
     pub requests: VecDeque<RequestId>,
     pub cooldown: Option<Cooldown>,
 }
 
-/// The time in which a key's other requests wait, since an attempt of one of them may still run.
+/// A period in which the other requests of a key wait, because an attempt may still run.
 #[derive(Clone, Copy)]
 pub struct Cooldown {
-    /// The request of that attempt.
+    /// The request of that attempt, which may be sent again during the cooldown.
     pub after: RequestId,
     pub until: Duration,
 }
 
 impl KeyQueue {
-    /// Whether the cooldown, if any, still lasts.
+    /// Returns whether a cooldown is in progress.
     pub fn is_cooling_down(&self, now: Duration) -> bool {
         self.cooldown.is_some_and(|cooldown| cooldown.until > now)
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,6 @@
-//! What the scheduler remembers of requests, engines and keys; it decides nothing.
+//! The scheduler's records of requests, engines and keys. No decision is taken here.
 
+mod endpoints;
 mod engine;
 mod engine_index;
 mod estimates;
@@ -13,7 +14,7 @@
 pub use engine_index::EngineIndex;
 pub use estimates::ClassEstimates;
 pub use key_queue::{Cooldown, KeyQueue};
-pub use request::{Attempt, AttemptId, Request, RequestPhase};
+pub use request::{Attempt, AttemptId, Needs, Request, RequestPhase};
 pub use resources::Resources;
 pub use snapshot::{EngineView, EngineViews, FleetSnapshot, Gateway, Tier};
 
@@ -24,20 +25,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many samples each kind of window keeps.
+/// Capacities of the sample windows.
 #[derive(Clone, Copy)]
 pub struct WindowSizes {
-    /// Of each estimate and of an engine's slowdowns.
+    /// Samples of each estimate of a class, and of an engine's slowdowns.
     pub estimates: usize,
-    /// Of an engine's failures, and the groups that it has read.
+    /// Outcomes of an engine's attempts, and groups that it has read.
     pub outcomes: usize,
-    /// Of the work sent to an engine.
+    /// Samples of the work sent to an engine.
     pub sent_work: usize,
-    /// Of this router's share.
-    pub shares: usize,
+    /// Samples of this router's share of the fleet.
+    pub fleet_shares: usize,
 }
 
-/// All that the scheduler knows.
+/// The complete state of the scheduler.
 #[derive(Clone)]
 pub struct SchedulerState {
     pub fleet: Arc<Fleet>,
@@ -46,30 +47,33 @@
     pub window_sizes: WindowSizes,
     pub requests: BTreeMap<RequestId, Request>,
     pub engines: BTreeMap<EngineId, Engine>,
-    /// Follows from `engines`.
+    /// Indexes over `engines`.
     pub engine_index: EngineIndex,
-    /// Engines that were looked at so far, for the cost of an input in counted work.
+    /// Engines that were examined so far, which measures the cost of inputs without a clock.
     pub engines_examined: u64,
     pub key_queues: BTreeMap<KeyId, KeyQueue>,
-    /// By request class.
+    /// Measurements by request class.
     pub estimates: Vec<ClassEstimates>,
-    /// This router's part of the memory that engines reported as granted.
-    pub shares: SampleWindow,
-    /// When requests were accepted and retries were sent, as far back as the retry budget counts.
+    /// This router's fraction of the memory that engines reported as granted.
+    pub fleet_shares: SampleWindow,
+    /// Times at which requests were accepted, within the window of the retry budget.
     pub accepted_at: VecDeque<Duration>,
+    /// Times at which retries were sent, within the window of the retry budget.
     pub retried_at: VecDeque<Duration>,
-    /// The wake-up that was requested last.
+    /// Time of the wake-up that was requested last.
     pub wake_due: Duration,
+    /// Time of the last probes.
     pub probed_at: Duration,
+    /// Deadline of the graceful shutdown; `Duration::MAX` before it starts.
     pub shutdown_at: Duration,
-    /// Whether the changes of the endpoint list were requested.
+    /// Whether the scheduler is subscribed to changes of the endpoint list.
     pub watching: bool,
-    /// Draws of chance so far.
-    pub draws: u64,
+    /// Number of random choices so far.
+    pub random_draws: u64,
 }
 
 impl SchedulerState {
-    /// The state of a scheduler that knows of no engine and no request.
+    /// Creates the state of a scheduler without engines and requests.
     pub fn new(
         fleet: Fleet,
         classes: Vec<RequestClass>,
@@ -87,54 +91,54 @@
             engine_index: EngineIndex::default(),
             engines_examined: 0,
             key_queues: BTreeMap::new(),
-            shares: SampleWindow::with_capacity(window_sizes.shares),
+            fleet_shares: SampleWindow::with_capacity(window_sizes.fleet_shares),
             accepted_at: VecDeque::new(),
             retried_at: VecDeque::new(),
             wake_due: Duration::ZERO,
             probed_at: Duration::ZERO,
             shutdown_at: Duration::MAX,
             watching: false,
-            draws: 0,
+            random_draws: 0,
         }
     }
 
-    /// Requests that wait to be sent, in the order of arrival.
+    /// Returns the requests that wait to be sent, in the order of arrival.
     pub fn queued(&self) -> impl Iterator<Item = (RequestId, &Request)> {
         self.requests.iter().filter(|(_, request)| request.is_queued()).map(|(id, request)| (*id, request))
     }
 
-    /// Requests with an attempt in flight, in the order of arrival.
+    /// Returns the requests with an attempt in flight, in the order of arrival.
     pub fn in_flight(&self) -> impl Iterator<Item = (RequestId, &Request)> {
         self.requests.iter().filter(|(_, request)| request.is_in_flight()).map(|(id, request)| (*id, request))
     }
 
-    /// Requests with an attempt in flight at one engine, in the order of sending.
+    /// Returns the requests with an attempt in flight at one engine, in the order in which they were sent.
     pub fn in_flight_at(&self, engine: &Engine) -> impl Iterator<Item = &Request> {
         engine.in_flight.iter().map(|attempt| &self.requests[&attempt.request])
     }
 
-    /// The queue of a request's key.
+    /// Returns the queue of a request's key.
     pub fn key_queue(&self, request: &Request) -> Option<&KeyQueue> {
         request.key.and_then(|key| self.key_queues.get(&key))
     }
 
-    /// Usual work of a class in seconds.
+    /// Returns the usual work of a class in seconds.
     pub fn usual_work(&self, class: usize) -> f64 {
         self.estimates[class].work.mean().unwrap_or(0.0)
     }
 
-    /// Priority weight of a class for a second of its usual work.
+    /// Returns the priority weight of a class per second of its usual work.
     pub fn weight_per_second(&self, class: usize) -> f64 {
         self.classes[class].priority_weight / self.estimates[class].work.mean().unwrap_or(f64::INFINITY)
     }
 
-    /// The same of each class.
+    /// Returns the priority weight per second of usual work for each class.
     pub fn weights_per_second(&self) -> impl Iterator<Item = f64> {
         (0..self.classes.len()).map(|class| self.weight_per_second(class))
     }
 
-    /// Chance: a number that follows from seed, draw and engine.
-    pub fn chance(&self, engine: EngineId, draw: u64) -> u64 {
+    /// Returns a pseudo-random number that depends on the seed, the draw and the engine only.
+    pub fn tie_breaker(&self, engine: EngineId, draw: u64) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.fleet.seed, draw, engine).hash(&mut hasher);
         hasher.finish()
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -1,19 +1,16 @@
-//! Entering what happened: nothing here chooses.
+//! Records requests, attempts and load reports. No decision is taken here.
 
 use super::{
-    Attempt, AttemptId, Cooldown, Engine, InFlight, ReceivedReport, Request, RequestPhase, SchedulerState,
+    Attempt, AttemptId, Cooldown, InFlight, Needs, ReceivedReport, Request, RequestPhase, SchedulerState,
     Tier,
 };
 use crate::samples::{duration, mean, seconds};
-use crate::{
-    Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, Lifecycle, LoadReport, ProgressUpdate,
-    RequestId,
-};
+use crate::{Arrival, AttemptEnded, EngineId, LoadReport, ProgressUpdate, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 impl SchedulerState {
-    /// Enters a request that was accepted.
+    /// Records a request that was accepted.
     pub fn record_accepted(&mut self, now: Duration, id: RequestId, request: Request) {
         if let Some(key) = request.key {
             self.key_queues.entry(key).or_default().requests.push_back(id);
@@ -22,17 +19,17 @@
         self.accepted_at.push_back(now);
     }
 
-    /// A request as it arrives, with the work in seconds and the memory in MB that are expected of it;
-    /// `spent` of the way to its objective is gone.
+    /// Creates a request with the needs that are expected of it. `elapsed_before_arrival` is the part of the latency
+    /// objective that earlier requests of the same client used up.
     pub fn new_request(
         &self,
         now: Duration,
         arrival: &Arrival,
-        (work, memory_mb): (f64, f64),
-        spent: Duration,
+        expected: Needs,
+        elapsed_before_arrival: Duration,
     ) -> Request {
         let class = &self.classes[arrival.class];
-        let ideal_run = work / class.threads.max(1.0);
+        let ideal_run = expected.work / class.threads.max(1.0);
         let arrived_at = now.saturating_sub(arrival.waited);
         let deadline = (arrived_at + arrival.deadline).min(self.shutdown_at);
         let objective = arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run);
@@ -42,17 +39,17 @@
             estimated_work: arrival.cost.map(seconds),
             estimated_memory_mb: arrival.memory_mb,
             ideal_run,
-            memory_mb,
+            memory_mb: expected.memory_mb,
             group: arrival.group,
             arrived_at,
-            objective_at: objective.saturating_sub(spent).min(deadline),
+            objective_at: objective.saturating_sub(elapsed_before_arrival).min(deadline),
             deadline,
             phase: RequestPhase::Open,
             attempts: Vec::new(),
         }
     }
 
-    /// Enters an attempt that is being sent.
+    /// Records that an attempt is sent, and returns it.
     pub fn record_sent(
         &mut self,
         now: Duration,
@@ -74,21 +71,26 @@
         let engine = self.engines.get_mut(&to).expect("a listed engine");
         engine.in_flight.push(sent.clone());
         engine.sent_work.push(now, usual_work);
-        engine.note_group(request.group, self.window_sizes.outcomes);
+        engine.record_group(request.group, self.window_sizes.outcomes);
         engine.request_count += usize::from(is_first_there);
         self.engine_index.update_use(to, engine);
         sent
     }
 
-    /// Enters that an attempt is being cancelled.
+    /// Records that an attempt is cancelled.
     pub fn record_cancelled(&mut self, id: AttemptId) {
         let request = self.requests.get_mut(&id.request).expect("a request in flight");
         request.attempts[id.attempt].cancelled = true;
     }
 
-    /// Enters a load report and returns it. Where it does not tell the part of the cores that is busy, the
-    /// requests in flight do, by the mean threads of this router's own.
-    pub fn record_report(&mut self, now: Duration, id: EngineId, mut load: LoadReport) -> Option<LoadReport> {
+    /// Records a load report and returns it; `None` for an unknown engine. If the report lacks the busy cores, they
+    /// are estimated from its requests in flight and the mean threads of this router's requests.
+    pub fn record_load_report(
+        &mut self,
+        now: Duration,
+        id: EngineId,
+        mut load: LoadReport,
+    ) -> Option<LoadReport> {
         let kind = self.engines.get(&id)?.kind;
         load.in_flight = load.in_flight.filter(|_| load.busy.is_none());
         if let Some(in_flight) = load.in_flight {
@@ -99,19 +101,20 @@
         Some(load)
     }
 
-    /// Enters a sample of this router's share: what its attempts hold, but for the one that ended, over what
-    /// the fleet does with as much granted everywhere. At one engine alone, those with an own attempt would
-    /// count too often.
-    pub fn record_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
+    /// Records a sample of this router's share of the fleet: the memory granted to its attempts, without the ended
+    /// one, divided by the memory that the fleet grants if every engine grants the reported fraction. A sample of
+    /// the reporting engine alone would be too high, since most reports come with an answer to this router.
+    pub fn record_fleet_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
         let others = self.in_flight().filter(|(request, _)| Some(*request) != ended);
-        let own: f64 = others.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant_mb).sum();
+        let local_mb: f64 =
+            others.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant_mb).sum();
         let kinds = self.fleet.kinds.iter().enumerate();
-        let memory = kinds.map(|(kind, size)| self.engine_index.accepting(kind) as f64 * size.memory_mb);
-        let all: f64 = memory.sum();
-        self.shares.push(now, (own / (granted * all.max(1.0))).min(1.0));
+        let fleet_mb: f64 =
+            kinds.map(|(kind, size)| self.engine_index.accepting(kind) as f64 * size.memory_mb).sum();
+        self.fleet_shares.push(now, (local_mb / (granted * fleet_mb.max(1.0))).min(1.0));
     }
 
-    /// Enters the end of an attempt and returns the attempt, unless nothing is known of it.
+    /// Records the end of an attempt and returns the attempt; `None` if the attempt is unknown.
     pub fn record_ended(&mut self, ended: &AttemptEnded) -> Option<Attempt> {
         let request = self.requests.get_mut(&ended.request)?;
         if ended.request_done {
@@ -125,7 +128,7 @@
         Some(attempt.clone())
     }
 
-    /// Enters that a key's other requests wait after an attempt of this one.
+    /// Starts the cooldown of a request's key, in which the other requests of the key wait.
     pub fn record_cooldown(&mut self, now: Duration, id: RequestId) {
         let key = self.requests.get(&id).and_then(|request| request.key);
         if let (Some(key), Some(cooldown)) = (key, self.attempt_limits.key_cooldown) {
@@ -134,21 +137,21 @@
         }
     }
 
-    /// Enters what an engine told of an attempt, and whether that shows a shortage of memory.
+    /// Records a progress update of an attempt, and whether the update shows a shortage of memory.
     pub fn record_progress(
         &mut self,
         now: Duration,
         id: RequestId,
         attempt: usize,
-        note: ProgressUpdate,
-        is_short: bool,
+        update: ProgressUpdate,
+        has_memory_shortage: bool,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(attempt) else { return };
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
-        engine.last_sign_at = now;
-        attempt.last_sign_at = now;
-        match note {
+        engine.last_activity_at = now;
+        attempt.last_activity_at = now;
+        match update {
             ProgressUpdate::Fraction(done) if done > 0.0 => attempt.expect_finish(now, done),
             ProgressUpdate::Spilling(missing_mb) => attempt.spilled_mb = attempt.spilled_mb.max(missing_mb),
             ProgressUpdate::WaitingForMemory => attempt.is_stalled = true,
@@ -158,12 +161,12 @@
             }
             ProgressUpdate::Running | ProgressUpdate::Fraction(_) => {}
         }
-        if is_short {
-            engine.short_at = Some(now);
+        if has_memory_shortage {
+            engine.memory_shortage_at = Some(now);
         }
     }
 
-    /// Enters that clients stopped waiting for some requests, and that those of others may be gone.
+    /// Marks withdrawn requests as done, and those of half-closed clients as abandoned.
     pub fn record_clients_left(&mut self, withdrawn: &[RequestId], half_closed: &[RequestId]) {
         for id in withdrawn {
             self.record_done(*id);
@@ -177,78 +180,21 @@
         }
     }
 
-    /// Enters that a request needs no answer any more.
+    /// Marks a request as done: it needs no further answer.
     pub fn record_done(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.phase = RequestPhase::Done);
     }
 
-    /// Enters rows of the endpoint list. An engine that started anew keeps what is still in flight there.
-    pub fn record_endpoints(&mut self, now: Duration, update: EndpointUpdate, rows: Vec<Endpoint>) {
-        if update == EndpointUpdate::FullList {
-            self.record_all_removed(&rows);
-        }
-        for row in rows {
-            match self.engines.get(&row.engine) {
-                None => self.record_new_engine(now, &row),
-                Some(engine) if engine.differs_from(&row) => self.record_changed_engine(now, &row),
-                // A complete list repeats thousands of rows: they cost a look each.
-                Some(_) => {}
-            }
-        }
-    }
-
-    fn record_new_engine(&mut self, now: Duration, row: &Endpoint) {
-        let engine = Engine::new(row, now, self.window_sizes);
-        self.engine_index.insert(row.engine, &engine, self.rank(row.engine));
-        self.engines.insert(row.engine, engine);
-    }
-
-    fn record_changed_engine(&mut self, now: Duration, row: &Endpoint) {
-        let rank = self.rank(row.engine);
-        let engine = self.engines.get_mut(&row.engine).expect("an engine of the table");
-        self.engine_index.remove(row.engine, engine, rank);
-        engine.lifecycle = row.lifecycle;
-        if engine.has_restarted(row) {
-            let new = Engine::new(row, now, self.window_sizes);
-            let before = std::mem::replace(engine, new);
-            engine.in_flight = before.in_flight;
-            engine.request_count = before.request_count;
-            engine.sent_work = before.sent_work;
-        }
-        self.engine_index.insert(row.engine, engine, rank);
-    }
-
-    /// Enters that all engines are gone but those of a complete list's rows, which follow.
-    fn record_all_removed(&mut self, rows: &[Endpoint]) {
-        let listed: BTreeSet<EngineId> = rows.iter().map(|row| row.engine).collect();
-        let unlisted = self.engines.keys().copied().filter(|id| !listed.contains(id));
-        for id in unlisted.collect::<Vec<_>>() {
-            let rank = self.rank(id);
-            let engine = self.engines.get_mut(&id).expect("an engine of the table");
-            self.engine_index.remove(id, engine, rank);
-            engine.lifecycle = Lifecycle::Removed;
-            self.engine_index.insert(id, engine, rank);
-        }
-    }
-
-    /// Removes an engine that nothing refers to any more.
-    pub fn remove_engine(&mut self, id: EngineId) {
-        let rank = self.rank(id);
-        if let Some(engine) = self.engines.remove(&id) {
-            self.engine_index.remove(id, &engine, rank);
-        }
-    }
-
-    /// Enters when the process ends: nobody waits longer than that.
-    pub fn record_shutdown(&mut self, by: Duration) {
-        self.shutdown_at = by;
+    /// Records the deadline of the graceful shutdown, which also limits the deadlines of all open requests.
+    pub fn record_shutdown(&mut self, deadline: Duration) {
+        self.shutdown_at = deadline;
         for request in self.requests.values_mut() {
-            request.deadline = request.deadline.min(by);
-            request.objective_at = request.objective_at.min(by);
+            request.deadline = request.deadline.min(deadline);
+            request.objective_at = request.objective_at.min(deadline);
         }
     }
 
-    /// Removes requests that are done and have nothing in flight; tells whether there were any.
+    /// Removes requests that are done and have no attempt in flight. Returns whether there were any.
     pub fn remove_finished_requests(&mut self, now: Duration) -> bool {
         let finished = self.requests.extract_if(.., |_, request| request.is_finished());
         let finished: BTreeMap<RequestId, Request> = finished.collect();
@@ -256,7 +202,7 @@
             return false;
         }
         for request in finished.values() {
-            self.record_forgotten(request);
+            self.release_engines(request);
         }
         for key_queue in self.key_queues.values_mut() {
             key_queue.requests.retain(|id| !finished.contains_key(id));
@@ -266,8 +212,8 @@
         true
     }
 
-    /// Enters that a request refers to its engines no more.
-    fn record_forgotten(&mut self, request: &Request) {
+    /// Releases the engines that a removed request referred to.
+    fn release_engines(&mut self, request: &Request) {
         let engines: BTreeSet<EngineId> = request.attempts.iter().map(|attempt| attempt.engine).collect();
         for id in engines {
             if let Some(engine) = self.engines.get_mut(&id) {
@@ -277,7 +223,7 @@
         }
     }
 
-    /// Drops times that the retry budget does not count any more.
+    /// Drops times that are older than the window of the retry budget.
     pub fn prune_retry_budget(&mut self, now: Duration) {
         let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.window);
         for times in [&mut self.accepted_at, &mut self.retried_at] {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -4,31 +4,41 @@
 use crate::{AttemptOutcome, EngineId, KeyId, RequestId};
 use std::time::Duration;
 
-/// What is still owed to a request's client.
+/// Whether the client of a request still needs an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestPhase {
-    /// An answer.
+    /// The client waits for an answer.
     Open,
-    /// An answer, but the client may be gone: nothing more is sent.
+    /// The client needs an answer but may be gone. No further attempt is sent.
     Abandoned,
-    /// Nothing: it was answered or withdrawn.
+    /// The request was answered or withdrawn.
     Done,
 }
 
+/// The resources that a request needs.
+#[derive(Clone, Copy)]
+pub struct Needs {
+    /// Work in seconds on one core.
+    pub work: f64,
+    pub memory_mb: f64,
+}
+
 /// A request that was accepted.
 #[derive(Clone)]
 pub struct Request {
     pub class: usize,
     pub key: Option<KeyId>,
-    /// The client's own estimates: seconds of one core, and MB.
+    /// The client's estimate of the work, in seconds on one core.
     pub estimated_work: Option<f64>,
+    /// The client's estimate of the memory in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// Seconds that it runs for on an idle engine, and MB, as corrected by what such requests were billed.
+    /// Expected time in seconds on an idle engine, with the client's estimate corrected by earlier usage.
     pub ideal_run: f64,
+    /// Expected memory in MB, with the client's estimate corrected by earlier usage.
     pub memory_mb: f64,
     pub group: Option<u64>,
     pub arrived_at: Duration,
-    /// An answer until then is on time.
+    /// The end of the latency objective.
     pub objective_at: Duration,
     pub deadline: Duration,
     pub phase: RequestPhase,
@@ -36,86 +46,86 @@
 }
 
 impl Request {
-    /// The time in which it would be answered on time.
-    pub fn way(&self) -> Duration {
+    /// Returns the time from the arrival to the end of the latency objective.
+    pub fn objective_budget(&self) -> Duration {
         self.objective_at.saturating_sub(self.arrived_at)
     }
 
-    /// Whether nothing is owed to its client any more.
+    /// Returns whether the request needs no further answer.
     pub fn is_done(&self) -> bool {
         self.phase == RequestPhase::Done
     }
 
-    /// Whether an answer is owed to a client that waits.
+    /// Returns whether the client waits for an answer.
     pub fn is_open(&self) -> bool {
         self.phase == RequestPhase::Open
     }
 
-    /// Whether one of its attempts was sent to an engine.
+    /// Returns whether an attempt was sent to the engine.
     pub fn was_sent_to(&self, engine: EngineId) -> bool {
         self.attempts.iter().any(|attempt| attempt.engine == engine)
     }
 
-    /// Whether an attempt has not ended yet.
+    /// Returns whether an attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.last().is_some_and(|attempt| attempt.outcome.is_none())
     }
 
-    /// Its last attempt; it has this number and was sent.
+    /// Returns the id of the last attempt of this request, whose number is `request`.
     pub fn last_attempt(&self, request: RequestId) -> AttemptId {
         AttemptId { request, attempt: self.attempts.len() - 1 }
     }
 
-    /// Whether it waits to be sent, for the first time or again.
+    /// Returns whether the request waits to be sent, for the first time or again.
     pub fn is_queued(&self) -> bool {
         !self.is_done() && !self.is_in_flight()
     }
 
-    /// Whether nothing of it is owed or in flight.
+    /// Returns whether the request is done and has no attempt in flight.
     pub fn is_finished(&self) -> bool {
         self.is_done() && self.attempts.iter().all(|attempt| attempt.outcome.is_some())
     }
 
-    /// The first attempt that may have run: the window of a request with a key counts from it, and its engine
-    /// sets where repeats are dropped.
+    /// Returns the first attempt that may have run. The window of an idempotency key counts from this attempt, and its
+    /// scope from this attempt's engine.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 }
 
-/// Names an attempt: its request and its place among the request's attempts.
+/// Identifies an attempt by its request and its index among the request's attempts.
 #[derive(Clone, Copy)]
 pub struct AttemptId {
     pub request: RequestId,
     pub attempt: usize,
 }
 
-/// One sending of a request.
+/// One attempt of a request.
 #[derive(Clone)]
 pub struct Attempt {
     pub engine: EngineId,
     pub sent_at: Duration,
-    /// When it was sent or a progress note of it came.
-    pub last_sign_at: Duration,
+    /// Time of the last progress update, or of sending.
+    pub last_activity_at: Duration,
     pub grant_mb: f64,
-    /// `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
     pub cancelled: bool,
-    /// Whether it was noted as waiting for memory or for a load.
+    /// Whether the engine reported that the attempt waits for memory or for a bulk load.
     pub is_stalled: bool,
-    /// Most MB that were noted as missing.
+    /// Largest shortage of memory in MB that the engine reported.
     pub spilled_mb: f64,
-    /// When it should finish, by the last note of how much was done.
+    /// Expected end, from the last progress update with a fraction.
     pub expected_finish: Option<Duration>,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent now.
     pub fn new(now: Duration, engine: EngineId, grant_mb: f64) -> Self {
         Self {
             engine,
             sent_at: now,
-            last_sign_at: now,
+            last_activity_at: now,
             grant_mb,
             outcome: None,
             cancelled: false,
@@ -125,13 +135,13 @@
         }
     }
 
-    /// Whether the engine may have run it; so far as is known, one in flight may.
+    /// Returns whether the engine may have run the attempt, which includes an attempt in flight.
     pub fn may_have_run(&self) -> bool {
         let never_ran = [AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::NotSent];
         self.outcome.is_none_or(|outcome| !never_ran.contains(&outcome))
     }
 
-    /// Expects the rest to take as long for its size as the part that is done.
+    /// Updates the expected end, at the pace of the fraction that is done.
     pub fn expect_finish(&mut self, now: Duration, done: f64) {
         let left = seconds(now - self.sent_at) * (1.0 - done).max(0.0) / done;
         self.expected_finish = Some(now + duration(left));
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -1,6 +1,6 @@
-//! Memory and cores, which requests use together.
+//! Memory and threads that attempts reserve at engines.
 
-/// MB and threads, or the parts of an engine's memory and cores that they make.
+/// An amount of memory and threads: in MB and threads, or as fractions of an engine's memory and cores.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Resources {
     pub memory: f64,
@@ -8,15 +8,15 @@
 }
 
 impl Resources {
-    /// Nothing of either.
+    /// No memory and no threads.
     pub const NONE: Self = Self { memory: 0.0, threads: 0.0 };
 
-    /// The sum of both.
+    /// Returns the sum of two amounts.
     pub fn plus(self, other: Self) -> Self {
         Self { memory: self.memory + other.memory, threads: self.threads + other.threads }
     }
 
-    /// Both times the same factor.
+    /// Returns the amount times a factor.
     pub fn scaled(self, factor: f64) -> Self {
         Self { memory: self.memory * factor, threads: self.threads * factor }
     }
