--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -1,47 +1,53 @@
-//! The state of the fleet as one pass over the rules sees it.
+//! The state of the fleet at the time of an input, as the rules use it.
 
 use super::{InFlight, Resources};
 use crate::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests by the memory that they need.
+/// Requests by the memory that they need, relative to the memory target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// So little that it is not limited.
+    /// Requests that are too small to be limited.
     Unblocked,
     Small,
     Medium,
-    /// One at a time on an engine.
+    /// Requests that run one at a time on an engine.
     Largest,
 }
 
-/// The fleet at the time of an input; sending a request keeps it up to date.
+impl Tier {
+    /// All tiers, in ascending order of memory.
+    pub const ALL: [Self; 4] = [Self::Unblocked, Self::Small, Self::Medium, Self::Largest];
+}
+
+/// The fleet at the time of an input. Sending a request updates it.
 pub struct FleetSnapshot {
     pub now: Duration,
-    /// By request class: usual time to a success over that of an ideal run.
+    /// Typical elapsed time of a success as a multiple of the ideal run, by request class.
     pub slowdowns: Vec<f64>,
-    /// This router's part of the fleet.
-    pub share: f64,
-    /// Its part of an engine that it uses, and of what such an engine takes while it warms up.
+    /// Fraction of the fleet that this router uses.
+    pub fleet_share: f64,
+    /// Fraction of one engine that this router uses, if it uses the engine at all.
     pub engine_share: f64,
+    /// Fraction of the slow-start budget of one engine that this router uses.
     pub slow_start_share: f64,
     pub engines: EngineViews,
-    /// By engine kind; empty where nothing is to be sent.
+    /// Gateways by engine kind; empty if no request is queued.
     pub gateways: Vec<Gateway>,
-    /// Tiers of an engine kind that have no room: later requests of the tier wait behind an earlier one.
+    /// Tiers of an engine kind without capacity. Later requests of such a tier wait behind the first one.
     pub blocked_tiers: BTreeSet<(usize, Tier)>,
-    /// Engines that were looked at.
+    /// Number of engines that were examined.
     pub engines_examined: u64,
 }
 
 impl FleetSnapshot {
-    /// Counts an attempt that was sent to an engine of this kind.
+    /// Adds an attempt that was sent to an engine of this kind.
     pub fn count_sent(&mut self, engine: EngineId, kind: usize, sent: &InFlight) {
-        let under_pressure = self.engines[&engine].under_pressure == Some(true);
+        let is_under_pressure = self.engines[&engine].is_under_pressure();
         let gateway = &mut self.gateways[kind];
-        gateway.own = gateway.own.plus(sent.resources());
-        gateway.pressed_threads[sent.tier as usize] += sent.threads * f64::from(under_pressure);
+        gateway.local_load = gateway.local_load.plus(sent.resources());
+        gateway.threads_under_pressure[sent.tier as usize] += sent.threads * f64::from(is_under_pressure);
         gateway.small_count += f64::from(sent.tier == Tier::Small);
         gateway.medium_count += f64::from(sent.tier == Tier::Medium);
     }
@@ -50,41 +56,51 @@
 /// The engines of a snapshot.
 pub type EngineViews = BTreeMap<EngineId, EngineView>;
 
-/// How one engine does.
+/// The condition of one engine.
 pub struct EngineView {
-    /// `None` where nothing recent tells.
+    /// Whether the engine is under pressure; `None` if no recent measurement shows it.
     pub under_pressure: Option<bool>,
-    /// Time without a sign over the time that one is due in.
-    pub silence_ratio: f64,
-    /// Whether it gets only a trickle.
+    /// Time without activity, as a multiple of the time within which the engine should have shown some.
+    pub inactivity_ratio: f64,
+    /// Whether the engine is ejected and gets recovery attempts only.
     pub is_outlier: bool,
-    /// Part of the limits under pressure that its latency leaves.
+    /// Factor by which the engine's latency lowers its limits under pressure, at most 1.
     pub limit_factor: f64,
-    /// Its slowdown over the fleet's.
+    /// The engine's slowdown relative to that of the fleet.
     pub relative_slowdown: f64,
 }
 
-/// The figures behind one engine kind's thresholds.
+impl EngineView {
+    /// Returns whether the engine is known to be under pressure.
+    pub fn is_under_pressure(&self) -> bool {
+        self.under_pressure == Some(true)
+    }
+}
+
+/// The measurements and targets from which the thresholds of one engine kind are computed.
 pub struct Gateway {
     /// Requests below this many MB are not limited.
     pub unblocked_mb: f64,
-    /// Memory of one engine that this router aims to fill.
+    /// Memory in MB of one engine that this router intends to fill.
     pub memory_target_mb: f64,
-    /// Part of an engine's memory that may fill where nothing reports how full it is.
+    /// Largest fraction of an engine's memory to fill if its load is estimated and not reported.
     pub unreported_fill: f64,
+    /// Number of engines that accept requests.
     pub engine_count: f64,
-    /// Requests in flight by tier.
+    /// Attempts of the small tier in flight.
     pub small_count: f64,
+    /// Attempts of the medium tier in flight.
     pub medium_count: f64,
-    /// Mean parts of memory and cores that its engines reported in use.
+    /// Mean fraction of memory in use, as reported.
     pub reported_memory: Option<f64>,
+    /// Mean fraction of cores in use, as reported.
     pub reported_busy: Option<f64>,
-    /// Whether its engines report how many requests they hold.
+    /// Whether the engines report their number of requests in flight.
     pub reports_in_flight: bool,
-    /// What this router has in flight.
-    pub own: Resources,
-    /// Of that, threads by tier at engines under pressure.
-    pub pressed_threads: [f64; 4],
-    /// Cores of these engines that count there.
-    pub pressed_cores: f64,
+    /// Resources of this router's attempts in flight.
+    pub local_load: Resources,
+    /// Threads of this router's attempts at engines under pressure, by tier.
+    pub threads_under_pressure: [f64; Tier::ALL.len()],
+    /// Cores of the engines under pressure, lowered by their latency.
+    pub cores_under_pressure: f64,
 }
