--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -40,8 +40,8 @@
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
 /// The folder of the engine pool.
 const ENGINE_POOL: &str = "crates/router/src/engine_pool/";
-const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt.rs";
-const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection.rs";
+const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt_lifecycle.rs";
+const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection_lifecycle.rs";
 const POOL_ENDPOINTS: &str = "crates/router/src/engine_pool/endpoints.rs";
 const POOL_REPLIES: &str = "crates/router/src/engine_pool/replies.rs";
 const POOL_RESULT_PAGES: &str = "crates/router/src/engine_pool/result_pages.rs";
@@ -209,7 +209,7 @@
     Mutant {
         name: "a second attempt where an answer is owed",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(slot) && ",
+        from: "let is_separate = !excluded.contains(&slot) && ",
         to: "let is_separate = ",
     },
     Mutant {
@@ -275,14 +275,14 @@
     Mutant {
         name: "a withdrawal that is not passed on",
         file: SERVER_CLIENTS,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
+        from: "        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &[], &accepted, &mut self.dispatcher);\n",
     },
     Mutant {
         name: "a client that ended its side is sent for",
         file: SERVER_CLIENTS,
-        from: "        self.scheduler.clients_left(now, &withdrawn, &accepted, &mut self.dispatcher);\n",
-        to: "        self.scheduler.clients_left(now, &withdrawn, &[], &mut self.dispatcher);\n",
+        from: "        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);\n",
+        to: "        self.scheduler.clients_left(now, &cancelled, &[], &mut self.dispatcher);\n",
     },
     Mutant {
         name: "what waits for a connection is sent for a client that ended its side",
@@ -311,8 +311,8 @@
     Mutant {
         name: "a shut client is never finished",
         file: CLIENTS,
-        from: "client.takes_no_input() && client.awaits_nothing()",
-        to: "client.takes_no_input() && !client.awaits_nothing()",
+        from: "!client.accepts_lines() && client.is_idle()",
+        to: "!client.accepts_lines() && !client.is_idle()",
     },
     Mutant {
         name: "half a line is skipped",
--- a/crates/router/tests/digest.rs
+++ b/crates/router/tests/digest.rs
@@ -63,15 +63,15 @@
     ("reloads", 50),
     ("graceful shutdowns", 30),
     ("processes ended", 10),
-    ("requests_withdrawn", 500),
-    ("requests_refused_at_the_door", 200),
+    ("requests_cancelled", 500),
+    ("requests_rejected_at_admission", 200),
     ("attempts_overloaded", 200),
     ("attempts_failed", 100),
     ("attempts_timed_out", 200),
     ("attempts_unreachable", 200),
     ("attempts_broken", 200),
-    ("attempts_void", 200),
-    ("attempts_taken_back", 200),
+    ("attempts_not_sent", 200),
+    ("attempts_cancelled_before_retry", 200),
     ("connections_silent", 100),
     ("engine_input_malformed", 50),
     ("engine_input_cut_short", 50),
@@ -325,7 +325,7 @@
             let idlest = self.server.dispatcher.clients.longest_idle(now);
             return idlest
                 .into_iter()
-                .for_each(|slot| self.server.close_client(slot, CloseReason::Idle, "to make room"));
+                .for_each(|slot| self.server.close_client(slot, CloseReason::ReplacedWhileIdle));
         }
         self.connection_count += 1;
         let capacity = if self.random.one_in(6) { 40 } else { usize::MAX };
@@ -683,7 +683,7 @@
         let texts = [None, Some(OPERATORS_FILES[0]), Some(OPERATORS_FILES[1])];
         let text = self.random.pick(&texts);
         let file = configuration(&mut RandomSource(1), 1);
-        self.server.apply_teams(bootstrap(&file, text).orders.teams);
+        self.server.apply_teams(bootstrap(&file, text).operator_config.teams);
         self.recorder.count("reloads");
     }
 
