--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -29,7 +29,7 @@
     pub more_arrivals: bool,
     /// Whether engines of the same state may be interchanged.
     pub engines_interchangeable: bool,
-    /// Returns a hash of the caller's own state of an engine.
+    /// Returns a hash of the state of an engine that the caller holds.
     pub engine_state: &'a dyn Fn(EngineId) -> u64,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sets the number of random draws so far, from which the next random choice follows.
+    /// Sets the counter of random draws, which determines the next random choice.
     pub fn set_random_draws(&mut self, draws: u64) {
         self.state.random_draws = draws;
     }
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -58,7 +58,7 @@
     }
 
     /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests have
-    /// closed their sending side and may be gone: attempts in flight continue, but no further attempt is sent.
+    /// closed their sending side and may have left: attempts in flight continue, but no further attempt is sent.
     pub fn clients_left(
         &mut self,
         now: Duration,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,9 +1,9 @@
-//! Numbers that the caller gives to requests, engines and keys. Each kind is a type of its own, so that the
-//! compiler rejects an engine's number where a request's is meant.
+//! Numbers that the caller assigns to requests, engines and keys. They are separate types, so that the compiler rejects
+//! the number of an engine in place of that of a request.
 
 use std::fmt::{Debug, Display, Formatter, Result};
 
-/// Defines the type of one kind of number, which is printed as the bare number.
+/// Defines the type of one kind of id, which is printed as the bare number.
 macro_rules! id_type {
     ($(#[$doc:meta])* $name:ident($number:ty)) => {
         $(#[$doc])*
@@ -12,12 +12,12 @@
         pub struct $name(pub $number);
 
         impl $name {
-            /// Makes the id of an index into the caller's own table.
+            /// Converts an index into a table of the caller to an id.
             pub const fn from_index(index: usize) -> Self {
                 Self(index as $number)
             }
 
-            /// Returns the id as an index into the caller's own table.
+            /// Converts the id to an index into a table of the caller.
             pub const fn index(self) -> usize {
                 self.0 as usize
             }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -56,7 +56,7 @@
 
     /// Records the estimates of an arrival, and returns the request.
     pub fn learn_from_arrival(&mut self, now: Duration, arrival: &Arrival) -> Request {
-        // The shorter deadlines of marked retries would make first requests look like retries.
+        // The shorter deadlines of marked retries would lower the usual deadline.
         if arrival.is_retry != Some(true) {
             self.estimates[arrival.class].deadlines.push(now, seconds(arrival.deadline));
         }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -36,7 +36,7 @@
         inactive / due.max(seconds(self.shortest_objective()))
     }
 
-    /// Returns whether an engine fails often. Guards against engines that fail fast or are down, which look idle. The
+    /// Returns whether an engine fails often. Guards against engines that fail fast or are down, and so seem idle. The
     /// window grows with consecutive failures, because the recovery attempts of many routers add up.
     pub fn is_failing(&self, engine: &Engine, now: Duration) -> bool {
         let newest_first = engine.failures.since(Duration::ZERO);
@@ -107,7 +107,7 @@
             }
             any_cancelled = true;
             if is_engine_inactive(view) {
-                // Without attempts in flight, the engine would look idle.
+                // Without attempts in flight, the engine would count as idle.
                 let engine = self.engines.get_mut(id).expect("an engine of the snapshot");
                 record_ejection(engine, now);
             }
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -1,4 +1,4 @@
-//! Tiers: requests are classified by their memory, and each tier has its own limit at engines under pressure.
+//! Tiers: requests are classified by their memory, and each tier has a limit at engines under pressure.
 
 use crate::state::{Engine, EngineView, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
 
--- a/src/policy/windows.rs
+++ b/src/policy/windows.rs
@@ -5,7 +5,7 @@
 
 /// Shortest latency objectives in the window of slowdowns.
 const SLOWDOWN_WINDOW_OBJECTIVES: u32 = 4;
-/// Shortest latency objectives for which a sign of pressure counts.
+/// Shortest latency objectives for which a measurement of pressure counts.
 const PRESSURE_WINDOW_OBJECTIVES: u32 = 2;
 /// Shortest latency objectives for which a bulk load that was seen counts.
 const BULK_LOAD_WINDOW_OBJECTIVES: u32 = 2;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -20,7 +20,7 @@
         Self { state: SchedulerState::new(fleet, classes, attempt_limits, WINDOW_SIZES) }
     }
 
-    /// Returns how many engines all inputs so far have examined, which measures their cost without a clock.
+    /// Returns the number of engines examined by all inputs, which measures their cost without a clock.
     pub fn engines_examined(&self) -> u64 {
         self.state.engines_examined
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,7 +6,7 @@
 pub struct Fleet {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Number of routers that share the engines; each knows its own requests only.
+    /// Number of routers that share the engines. None of them knows the requests of the others.
     pub router_count: usize,
     /// The location of this router, which placement prefers among engines that are about equally free.
     pub home_location: usize,
--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -1,4 +1,4 @@
-//! Indexes over the engines, updated with each change, so that an input does not examine the whole fleet.
+//! Indexes over the engines, updated with each change, so that an input does not examine every engine.
 
 use super::Engine;
 use crate::EngineId;
@@ -101,7 +101,7 @@
     }
 
     /// Uses a subset of about `size` engines from now on: of each group the first by rank, in proportion to its
-    /// size, but at least `min_per_group` or the whole group.
+    /// size, but at least `min_per_group` or all of them.
     pub fn use_subset(&mut self, size: usize, min_per_group: usize) {
         let total = self.accepting_in_all().max(1);
         let mut subset = BTreeSet::new();
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -49,7 +49,7 @@
     pub engines: BTreeMap<EngineId, Engine>,
     /// Indexes over `engines`.
     pub engine_index: EngineIndex,
-    /// Engines that were examined so far, which measures the cost of inputs without a clock.
+    /// Number of engines examined by all inputs, which measures their cost without a clock.
     pub engines_examined: u64,
     pub key_queues: BTreeMap<KeyId, KeyQueue>,
     /// Measurements by request class.
@@ -68,7 +68,7 @@
     pub shutdown_at: Duration,
     /// Whether the scheduler is subscribed to changes of the endpoint list.
     pub watching: bool,
-    /// Number of random choices so far.
+    /// Counter of random choices.
     pub random_draws: u64,
 }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -9,7 +9,7 @@
 pub enum RequestPhase {
     /// The client waits for an answer.
     Open,
-    /// The client needs an answer but may be gone. No further attempt is sent.
+    /// The client needs an answer but may have left. No further attempt is sent.
     Abandoned,
     /// The request was answered or withdrawn.
     Done,
