--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -22,7 +22,7 @@
 }
 
 impl ProjectedLoad {
-    /// Returns the fraction of the cores in use.
+    /// Returns the combined load without the memory: the fraction of the cores in use, if the engine reports its load.
     pub fn busy(&self) -> f64 {
         self.combined - self.memory
     }
@@ -147,9 +147,9 @@
         self.engine.report.filter(|report| is_usable(&report.load))
     }
 
-    /// Returns the load as estimated from the mean of other engines' reports. Without reports it is estimated from this
-    /// router's attempts, on the assumption that as many other routers as the fleet share implies spread the same load
-    /// evenly.
+    /// Returns the load as estimated from the mean of all reports of the engine kind. Without reports it is estimated from
+    /// this router's attempts: the fleet share implies the number of other routers, and each of them is assumed to have the
+    /// same load and to spread it evenly.
     fn estimated_load(&self) -> Resources {
         let other_routers = (1.0 / self.snapshot.fleet_share - 1.0) / self.gateway.engine_count;
         let all_routers = self.local_load.plus(self.gateway.local_load.scaled(other_routers));
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -128,8 +128,8 @@
         in_view.filter(|(engine, _)| engine.kind == kind && engine.lifecycle.accepts_requests()).collect()
     }
 
-    /// Returns the load reports from which the load of other engines is estimated. The few engines that were probed are
-    /// no sample of the others.
+    /// Returns the load reports from which the load of other engines is estimated. Probed reports are not used: the few
+    /// engines that were probed are not representative.
     fn comparable_reports<'a>(&self, members: &[Member<'a>]) -> Vec<&'a ReceivedReport> {
         if self.fleet.reports_only_on_probe {
             return Vec::new();
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -52,8 +52,8 @@
     pub fn slow_start_budget(&self, engine: &Engine, now: Duration, share: f64) -> Option<f64> {
         let limits = &self.attempt_limits;
         let age = now.saturating_sub(engine.warming_since?);
-        let warmth = Some(seconds(age) / seconds(limits.warm_up)).filter(|warmth| *warmth < 1.0)?;
-        let capacity_fraction = limits.start_capacity + (1.0 - limits.start_capacity) * warmth;
+        let progress = Some(seconds(age) / seconds(limits.warm_up)).filter(|progress| *progress < 1.0)?;
+        let capacity_fraction = limits.start_capacity + (1.0 - limits.start_capacity) * progress;
         let capacity = self.fleet.kinds[engine.kind].cores * BUSY_AT_CAPACITY * capacity_fraction;
         Some(limits.overload_factor * capacity * seconds(limits.overload_window) * share)
     }
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -2,9 +2,9 @@
 
 use crate::state::{Engine, EngineView, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
 
-/// Fraction of the memory target below which all small requests together stay.
+/// Fraction of the memory target that small requests may fill together.
 const SMALL_FRACTION: f64 = 0.3;
-/// Fraction of the memory target below which all medium requests together stay.
+/// Fraction of the memory target that medium requests may fill together.
 const MEDIUM_FRACTION: f64 = 0.6;
 /// Threads per core that small requests may use at engines under pressure.
 const SMALL_THREADS_PER_CORE: f64 = 4.0;
