--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! What clients send, and how they leave: malformed input, withdrawals, half-closed and reset connections.
+//! Client connections: malformed input, cancellations, half-closed and reset connections.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -6,14 +6,14 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Lines of all clients that the router reads before it looks at all sockets again.
-const LINES_READ_PER_TURN: usize = 64;
-/// Bytes that one line may have under the limits of these tests.
-const MOST_BYTES_OF_A_LINE: usize = 8192;
+/// Lines of all clients that the router reads in one iteration of its loop.
+const LINES_READ_PER_ITERATION: usize = 64;
+/// Limit of the bytes of a line under the limits of these tests.
+const MAX_LINE_BYTES: usize = 8192;
 
 #[test]
 fn malformed_client_input_gets_the_standard_errors_and_reaches_no_engine() {
-    let mut router = RouterHarness::start("client-input", 1, &settings(5000, 8000));
+    let mut router = RouterHarness::start("client-input", 1, &ordinary_settings());
     let mut client = router.connect_client();
     let malformed_lines = [
         "{oops",
@@ -35,11 +35,11 @@
         router.record_answer(&mut client);
     }
     for id in (1..=32).chain([1, 33]) {
-        client.send_request(id, "lookup", 8000);
+        client.send_request(id, "lookup");
     }
     router.record_answers(&mut client, 2);
     let mut client_of_same_request = router.connect_client();
-    client_of_same_request.send_request(2, "lookup", 8000);
+    client_of_same_request.send_request(2, "lookup");
     router.record_answer(&mut client_of_same_request);
     let mut client_without_line_end = router.connect_client();
     // The router may close the connection before all of it is written.
@@ -71,17 +71,17 @@
 }
 
 #[test]
-fn a_half_closed_client_is_answered_and_a_withdrawn_request_is_cancelled() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("half-closed", &settings(5000, 8000));
+fn a_half_closed_client_is_answered_and_a_cancelled_request_reaches_its_engine_as_a_cancellation() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("half-closed", &ordinary_settings());
     let mut other_client = router.connect_client();
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_command(&mut engine);
     client.shut_down_sending();
-    other_client.send_request(2, "lookup", 8000);
+    other_client.send_request(2, "lookup");
     router.record_command(&mut engine);
-    other_client.send_line(&withdraw_line(2));
+    other_client.cancel(2);
     router.record_command(&mut engine);
-    other_client.send_request(3, "lookup", 8000);
+    other_client.send_request(3, "lookup");
     router.record_command(&mut engine);
     other_client.send_line(r#"{"jsonrpc":"2.0","id":4,"method":"withdraw","params":{"id":3}}"#);
     router.record_command(&mut engine);
@@ -101,30 +101,30 @@
     .assert_eq(&router.finish(&["requests_succeeded", "requests_cancelled", "attempts_cancelled"]));
 }
 
-/// One request fills the engine and others are queued; their clients leave, each in another way, in the same instant
-/// as the first result frees capacity.
+/// One request fills the engine and others are queued. Their clients cancel, half-close, reset or close at the same
+/// moment as the first result frees capacity.
 #[test]
-fn a_queued_request_is_not_sent_however_its_client_leaves() {
+fn a_queued_request_is_not_sent_however_its_client_disconnects() {
     let mut router = RouterHarness::start("leaves", 1, &long_queueing_settings());
     let mut clients = router.connect_clients(6);
     let mut engine = router.engine(0);
-    clients[0].send_filling_request(1);
+    clients[0].send(&filling_request(1));
     engine.record_next_call(&mut router);
     for (client, id) in clients[1..].iter_mut().zip(2..) {
-        client.send_filling_request(id);
+        client.send(&filling_request(id));
         client.status(99);
     }
     let mut new_client = router.connect_client();
     let mut half_closed = router.while_stopped(|_| {
         engine.send_result(1, ROWS);
-        // Behind other lines of the same client.
-        clients[1].send_line(&vec![status_line(98); 30].join("\n"));
-        clients[1].send_line(&withdraw_line(2));
+        // The cancellation follows other lines of the same client.
+        clients[1].send_bytes(&status_line(98).repeat(30));
+        clients[1].cancel(2);
         clients[4].shut_down_sending();
-        new_client.send_filling_request(7);
+        new_client.send(&filling_request(7));
         let half_closed = clients.remove(4);
         clients.remove(3).reset();
-        // The others close, but for the first two.
+        // All other clients close, except for the first two.
         clients.truncate(2);
         half_closed
     });
@@ -142,13 +142,13 @@
     .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_cancelled"]));
 }
 
-/// Longer than the router takes to act on a withdrawal that it has read.
-const LONGER_THAN_A_WITHDRAWAL_TAKES: Duration = Duration::from_millis(150);
+/// Time within which the router acts on a cancellation that it has read.
+const MAX_CANCELLATION_TIME: Duration = Duration::from_millis(150);
 
-/// Has so many requests run at once, so that as many connections to the engine stand.
+/// Runs requests concurrently, which establishes one connection to the engine for each.
 fn connect_to_engine(client: &mut TestClient, engine: &mut TestEngine, requests: RangeInclusive<u64>) {
     for request in requests.clone() {
-        client.send_request(request, "lookup", 60_000);
+        client.send_request_within(LONG_REQUEST_TIMEOUT, request, "lookup");
     }
     for _ in requests.clone() {
         engine.next_call();
@@ -161,20 +161,20 @@
     }
 }
 
-/// Sends requests from 1 on and has each answered, until the router leaves one unread since the client reads none of
-/// the answers; returns how many were answered, at most one less than `most`.
+/// Sends requests from 1 on and answers each, until the router leaves a request unread because the client reads no
+/// answer. Returns the number of answered requests, which is less than `max_requests`.
 fn fill_answers_until_unread(
     router: &RouterHarness,
     client: &mut TestClient,
     engine: &mut TestEngine,
     rows: &str,
-    most: u64,
+    max_requests: u64,
 ) -> u64 {
     let mut answered = 0;
     loop {
         let request = answered + 1;
-        client.send_request(request, "lookup", 60_000);
-        if request == most || !router.forwards_from(client, engine) {
+        client.send_request_within(LONG_REQUEST_TIMEOUT, request, "lookup");
+        if request == max_requests || !router.forwards_from(client, engine) {
             return answered;
         }
         engine.next_command();
@@ -183,23 +183,23 @@
     }
 }
 
-/// The router does not read from a client that does not read its answers: meanwhile the client sends a request and its
-/// withdrawal, and both stand in its socket when it reads on.
+/// The router does not read from a client that does not read its answers. Meanwhile the client sends a request and its
+/// cancellation, and both are in the socket when the router reads again.
 #[test]
-fn a_request_withdrawn_before_it_was_read_is_not_sent() {
+fn a_request_cancelled_before_it_was_read_is_not_sent() {
     let limits = ResourceLimits::with_descriptors(4096);
-    // On a busy machine it takes long until the answers are read: nothing is to be rejected for that.
-    let router = RouterHarness::start_with_limits(limits, "withdrawn-unread", 1, &long_queueing_settings());
-    let (mut router, mut client, mut engine) = with_client_and_engine(router);
+    // The settings keep the router from rejecting requests while a busy machine delays the answers.
+    let (mut router, mut client, mut engine) =
+        start_one_engine_with_limits(limits, "cancelled-unread", &long_queueing_settings());
     connect_to_engine(&mut client, &mut engine, 2001..=2004);
     let rows = ROWS.repeat(7500);
     let unread_request = 1 + fill_answers_until_unread(&router, &mut client, &mut engine, &rows, 500);
     router.record(format!("stops reading: {}", unread_request < 500));
     for request in [1002, 1001, 1003] {
-        client.send_request(request, "lookup", 60_000);
+        client.send_request_within(LONG_REQUEST_TIMEOUT, request, "lookup");
     }
-    client.send_line(&withdraw_line(1002));
-    std::thread::sleep(LONGER_THAN_A_WITHDRAWAL_TAKES);
+    client.cancel(1002);
+    std::thread::sleep(MAX_CANCELLATION_TIME);
     let all_complete = (1..unread_request).all(|_| client.read_line().contains(r#""result""#));
     router.record(format!("all answers complete: {all_complete}"));
     let mut further_calls = engine.answer_calls(3);
@@ -223,7 +223,7 @@
     ]));
 }
 
-/// Sends what no line may hold, until neither side's kernel takes more.
+/// Sends a line without end until the buffers of both sockets are full.
 fn fill_sockets_without_line_end(client: &TestClient) {
     let mut socket = client.socket();
     socket.set_nonblocking(true).expect("a socket can be non-blocking");
@@ -239,35 +239,35 @@
     socket.set_nonblocking(false).expect("a socket can be blocking");
 }
 
-/// A router that closes a client's connection with unread input.
+/// A router that closes a client's connection while input of the client is unread.
 struct ClosingRouter {
     router: RouterHarness,
     client: TestClient,
-    /// They stay connected, so that each has its turn.
+    /// They stay connected, so that the router reads a line of each.
     _other_clients: Vec<TestClient>,
 }
 
-/// Starts a router with many clients, one of them without a line's end, which sends what `send` says, of which so many
-/// bytes arrive before the router reads any. The router reads a line of each client in turn and closes that client's
-/// connection before it reads from it again, so that the rest of its input stands unread in the socket.
+/// Starts a router with many clients, one of which sends a line without end by `send`. `arriving_bytes` of that line
+/// arrive before the router reads any. The router reads one line of each client per iteration. It closes the connection
+/// of that client before it reads from it again, so that the rest of the line is unread in the socket.
 fn close_with_unread_input(
     name: &str,
     arriving_bytes: usize,
     send: impl FnOnce(&mut TestClient),
 ) -> ClosingRouter {
     let limits = ResourceLimits::with_descriptors(4096);
-    let router = RouterHarness::start_with_limits(limits, name, 1, &settings(5000, 8000));
-    let mut other_clients = router.connect_clients(LINES_READ_PER_TURN);
+    let router = RouterHarness::start_with_limits(limits, name, 1, &ordinary_settings());
+    let mut other_clients = router.connect_clients(LINES_READ_PER_ITERATION);
     for client in &mut other_clients {
         client.status(1);
     }
     let mut client = router.connect_client();
     client.status(1);
-    // Nothing that comes next may fall into a turn of the router's loop that has begun.
+    // The router must read none of the following input in an iteration that has already begun.
     router.wait_until_asleep();
     router.stop();
     for client in &mut other_clients {
-        client.send_line(&vec![status_line(2); 2].join("\n"));
+        client.send_bytes(&status_line(2).repeat(2));
     }
     router.wait_until_delivered();
     send(&mut client);
@@ -278,7 +278,7 @@
 
 #[test]
 fn a_connection_closed_with_unread_input_delivers_its_last_answer() {
-    let more_than_a_line = vec![b'['; 5 * MOST_BYTES_OF_A_LINE];
+    let more_than_a_line = vec![b'['; 5 * MAX_LINE_BYTES];
     let mut closing = close_with_unread_input("unending", more_than_a_line.len(), |client| {
         client.send_bytes(&more_than_a_line);
     });
@@ -293,10 +293,10 @@
     .assert_eq(&router.finish(&["client_input_refused", "clients_drained"]));
 }
 
-/// More is unread than one turn reads, and than the kernel holds for the router: it reads on until all is read.
+/// The unread input exceeds both the limit of an iteration and the socket's buffer. The router reads all of it.
 #[test]
 fn a_connection_closed_with_much_unread_input_delivers_its_last_answer() {
-    let mut closing = close_with_unread_input("unending-much", 2 * MOST_BYTES_OF_A_LINE, |client| {
+    let mut closing = close_with_unread_input("unending-much", 2 * MAX_LINE_BYTES, |client| {
         fill_sockets_without_line_end(client);
     });
     let (answer, is_closed_without_reset) = closing.client.read_to_end();
--- a/crates/router/tests/sockets/discovery.rs
+++ b/crates/router/tests/sockets/discovery.rs
@@ -1,22 +1,27 @@
-//! The endpoint list: drains, restarts, malformed frames, and a discovery service that is lost or silent.
+//! The endpoint list: draining and restarted engines, malformed frames, and a lost or inactive discovery service.
 
 use crate::harness::*;
 use expect_test::expect;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A part of a frame, in bytes.
+const INCOMPLETE_FRAME_BYTES: usize = 20;
+/// Longer than the 2.5 s for which the discovery service may be inactive.
+const LONGER_THAN_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2600);
+
 #[test]
 fn a_removed_engine_answers_its_calls_and_a_new_engine_at_its_address_is_another() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("removed", &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("removed", &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_command(&mut engine);
-    let frame = change_frame(2, &[EngineChange::removed(0, address), EngineChange::ready(7, address)]);
+    let frame = change_frame(2, &[removed_engine(0, address), ready_engine(7, address)]);
     let (first, second) = frame.split_at(11);
     discovery.send(first);
     discovery.send(second);
     router.wait_for_log(&log_lines::discovery_event(2));
-    client.send_request(2, "lookup", 8000);
+    client.send_request(2, "lookup");
     router.record_command(&mut engine);
     engine.send_result(1, "from the removed engine\t\t\n");
     router.record_answer(&mut client);
@@ -35,10 +40,10 @@
 
 #[test]
 fn a_malformed_frame_changes_nothing_and_discovery_is_dialled_again() {
-    let mut router = RouterHarness::start("frame", 1, &settings(5000, 8000));
+    let mut router = RouterHarness::start("frame", 1, &ordinary_settings());
     let address = router.engine_address(0);
-    let gap = change_frame(5, &[EngineChange::removed(0, address)]);
-    let unknown_kind = unknown_kind_frame(2, &[EngineChange::ready(0, address)]);
+    let gap = change_frame(5, &[removed_engine(0, address)]);
+    let unknown_kind = change_frame(2, &[engine_of_unknown_kind(0, address)]);
     let too_long = vec![255; 16];
     for frame in [gap, unknown_kind, too_long] {
         let mut discovery = router.accept_discovery();
@@ -46,7 +51,7 @@
         assert_eq!(discovery.read_more().unwrap_or(0), 0, "the router closes the connection");
     }
     let (mut router, mut client, mut engine) = with_client_and_engine(router);
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_command(&mut engine);
     expect![[r#"
         discovery dialled after event 1
@@ -59,15 +64,15 @@
 }
 
 #[test]
-fn attempts_end_when_the_list_announces_that_their_engine_restarted() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("restarted", &settings(5000, 8000));
+fn attempts_end_when_the_endpoint_list_announces_a_restart_of_their_engine() {
+    let (mut router, mut client, mut engine) = start_with_one_engine("restarted", &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_command(&mut engine);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is past 1970");
     let after_the_connection = now + Duration::from_secs(1);
-    let restart = EngineChange::restarted(0, address, after_the_connection.as_millis() as u64);
+    let restart = restarted_engine(0, address, after_the_connection.as_millis() as u64);
     discovery.send_changes(2, &[restart]);
     router.record_commands(&mut engine, 2);
     engine.send_result(1, "x\t\t\n");
@@ -84,47 +89,47 @@
 }
 
 #[test]
-fn discovery_is_dialled_again_in_time_after_a_break_or_silence() {
-    let mut router = RouterHarness::start("quiet", 1, &settings(5000, 8000));
+fn discovery_is_dialled_again_in_time_after_a_close_or_inactivity() {
+    let mut router = RouterHarness::start("inactive", 1, &ordinary_settings());
     let address = router.engine_address(0);
-    let frame = change_frame(2, &[EngineChange::ready(0, address)]);
-    let mut broken = router.accept_discovery();
-    broken.send(&frame[..20]);
-    drop(broken);
-    let broken_at = Instant::now();
-    let mut silent = router.accept_discovery();
-    let in_time_after_break = broken_at.elapsed().as_secs() < 2;
-    silent.send(&frame);
-    silent.send(&frame[..20]);
-    let silent_since = Instant::now();
+    let frame = change_frame(2, &[ready_engine(0, address)]);
+    let mut closed = router.accept_discovery();
+    closed.send(&frame[..INCOMPLETE_FRAME_BYTES]);
+    drop(closed);
+    let closed_at = Instant::now();
+    let mut inactive = router.accept_discovery();
+    let in_time_after_close = closed_at.elapsed() < Duration::from_secs(2);
+    inactive.send(&frame);
+    inactive.send(&frame[..INCOMPLETE_FRAME_BYTES]);
+    let inactive_since = Instant::now();
     let _redialled = router.accept_discovery();
-    let in_time_after_silence = silent_since.elapsed().as_secs() < 4;
-    router.record(format!("within 2 s after a break: {in_time_after_break}"));
-    router.record(format!("within 4 s after silence: {in_time_after_silence}"));
+    let in_time_after_inactivity = inactive_since.elapsed() < Duration::from_secs(4);
+    router.record(format!("within 2 s after a close: {in_time_after_close}"));
+    router.record(format!("within 4 s without a frame: {in_time_after_inactivity}"));
     expect![[r#"
         discovery dialled after event 1
         discovery dialled after event 1
         discovery dialled after event 2
-        within 2 s after a break: true
-        within 4 s after silence: true
+        within 2 s after a close: true
+        within 4 s without a frame: true
         exit status Some(0): discovery_dialled=3 list_events=2
     "#]]
     .assert_eq(&router.finish(&["list_events", "discovery_dialled"]));
 }
 
-/// An engine drains in the same instant as its result frees capacity for the queued request.
+/// An engine drains at the same moment as its result frees capacity for the queued request.
 #[test]
 fn a_queued_request_is_not_sent_to_an_engine_that_drains_as_it_gains_capacity() {
     let (mut router, mut client, mut engine) = start_with_one_engine("drains", &long_queueing_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
-    client.send_filling_request(1);
+    client.send(&filling_request(1));
     engine.record_next_call(&mut router);
-    client.send_filling_request(2);
+    client.send(&filling_request(2));
     client.status(99);
     router.while_stopped(|_| {
         engine.send_result(1, ROWS);
-        discovery.send_changes(2, &[EngineChange::draining(0, address)]);
+        discovery.send_changes(2, &[draining_engine(0, address)]);
     });
     router.record_answer(&mut client).record_further_calls(&mut engine, 0);
     expect![[r#"
@@ -137,27 +142,27 @@
     .assert_eq(&router.finish(&["requests_rejected"]));
 }
 
-/// Discovery sends an event while the process is stopped for longer than discovery may be silent.
+/// Discovery sends an event while the process is stopped for longer than the discovery timeout.
 #[test]
 fn unread_events_count_before_a_timeout_and_before_discovery_moves() {
-    let mut router = RouterHarness::start("spoken", 1, &settings(5000, 8000));
+    let mut router = RouterHarness::start("unread-event", 1, &ordinary_settings());
     let mut previous = router.accept_discovery();
     let address = router.engine_address(0);
     router.while_stopped(|_| {
-        previous.send_changes(2, &[EngineChange::ready(0, address)]);
-        std::thread::sleep(Duration::from_millis(2600));
+        previous.send_changes(2, &[ready_engine(0, address)]);
+        std::thread::sleep(LONGER_THAN_DISCOVERY_TIMEOUT);
     });
     router.wait_for_log(&log_lines::discovery_event(2));
     let moved_configuration = router.move_discovery();
-    // A drain stands unread as the file moves discovery; the new one sends nothing.
+    // An event with a draining engine is unread when the configuration moves discovery. The new service sends nothing.
     router.while_stopped(|router| {
         router.write_configuration(&moved_configuration);
         router.signal("-HUP");
-        previous.send_changes(3, &[EngineChange::draining(0, address)]);
+        previous.send_changes(3, &[draining_engine(0, address)]);
     });
-    let _silent = router.accept_discovery();
+    let _inactive = router.accept_discovery();
     let mut client = router.connect_client();
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_answer(&mut client);
     expect![[r#"
         discovery dialled after event 1
@@ -167,24 +172,26 @@
     "#]].assert_eq(&router.finish(&["discovery_dialled", "attempts_sent", "reloads"]));
 }
 
-/// Idle clients use all descriptors while discovery is down and returns in the same instant: the router still dials
-/// it, answers the open request, and serves a new client by the engine that does not drain.
+/// Idle clients use all descriptors at the moment in which discovery returns. The router still dials discovery, answers
+/// the open request, and serves a new client by the engine that is not draining.
 #[test]
 fn idle_clients_do_not_keep_the_router_from_a_discovery_that_returns() {
     let limits = ResourceLimits::with_descriptors(24);
     let mut router = RouterHarness::start_with_limits(limits, "returns", 2, &long_queueing_settings());
     let lost_discovery = router.accept_discovery();
     let mut waiting_client = router.connect_client();
-    waiting_client.send_request(1, "lookup", 60_000);
+    waiting_client.send_request_within(LONG_REQUEST_TIMEOUT, 1, "lookup");
     let mut engines = router.two_engines_by_first_command();
     engines[0].next_call();
-    let drain = EngineChange::draining(router.number_of(&engines[0]), engines[0].address());
+    let drain = draining_engine(router.number_of(&engines[0]), engines[0].address());
     let discovery_address = router.close_discovery_listener();
     drop(lost_discovery);
     router.wait_for_log(log_lines::DISCOVERY_LOST);
     let idle_clients = router.while_stopped(|router| {
         let mut idle_clients = router.connect_clients(22);
-        idle_clients.iter_mut().for_each(|client| client.send_line(&status_line(1)));
+        for client in &mut idle_clients {
+            client.send_bytes(&status_line(1));
+        }
         idle_clients
     });
     router.listen_for_discovery(discovery_address);
@@ -192,7 +199,7 @@
     discovery.send_changes(2, &[drain]);
     router.wait_for_log(&log_lines::discovery_event(2));
     let mut new_client = router.connect_client();
-    new_client.send_request(2, "lookup", 60_000);
+    new_client.send_request_within(LONG_REQUEST_TIMEOUT, 2, "lookup");
     router.record(engines[1].next_call());
     engines[1].send_result(2, ROWS);
     engines[0].send_result(1, ROWS);
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -1,18 +1,23 @@
-//! Connections to engines: health checks before use, resets, malformed input, and calls that were not written yet.
+//! Connections to engines: health checks before use, resets, malformed input, and unwritten calls.
 
 use crate::harness::*;
-use emberflow_router::resp;
+use emberflow_peer_protocol::engine::EngineReply;
+use emberflow_peer_protocol::resp::encode_array;
 use expect_test::expect;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longer than an idle connection is trusted where it has a second to come up.
-const LONGER_THAN_A_SECOND: Duration = Duration::from_millis(1100);
+/// Longer than a connection may be idle without a health check, where the connect timeout is 1 s.
+const LONGER_THAN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1100);
+/// The same where the connect timeout is 2 s.
+const LONGER_THAN_LONG_CONNECT_TIMEOUT: Duration = Duration::from_millis(2100);
+/// A part of an engine's reply, in bytes.
+const INCOMPLETE_REPLY_BYTES: usize = 6;
 
 #[test]
 fn a_reset_fails_a_sent_call_and_a_refused_connection_rejects_it() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("reset", &settings(5000, 8000));
-    client.send_request(1, "post", 8000);
+    let (mut router, mut client, mut engine) = start_with_one_engine("reset", &ordinary_settings());
+    client.send_request(1, "post");
     router.record_command(&mut engine);
     drop(engine);
     router.record_answer(&mut client);
@@ -23,9 +28,9 @@
     "#]]
     .assert_eq(&router.finish(&["attempts_broken", "attempts_unreachable"]));
 
-    let mut router = RouterHarness::start("refused", 0, &settings(5000, 8000));
+    let mut router = RouterHarness::start("refused", 0, &ordinary_settings());
     let mut client = router.connect_client();
-    client.send_request(1, "post", 8000);
+    client.send_request(1, "post");
     router.record_answer(&mut client);
     expect![[r#"
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
@@ -35,13 +40,10 @@
 
 #[test]
 fn an_idle_connection_must_answer_a_ping_before_it_is_used() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("silent", &settings(1000, 8000));
-    client.send_request(1, "lookup", 8000);
-    router.record_command(&mut engine);
-    engine.send_result(1, "x\t\t\n");
-    router.record_answer(&mut client);
-    std::thread::sleep(LONGER_THAN_A_SECOND);
-    client.send_request(2, "lookup", 8000);
+    let (mut router, mut client, mut engine) = start_with_one_engine("unresponsive", &settings(1000, 8000));
+    router.record_served(&mut client, &mut engine, 1, "lookup", "x\t\t\n");
+    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
+    client.send_request(2, "lookup");
     router.record_commands(&mut engine, 3);
     engine.send_result(2, "y\t\t\n");
     router.record_answer(&mut client);
@@ -62,17 +64,14 @@
     let (mut router, mut client, mut engine) = start_with_one_engine("waiting", &settings(2000, 8000));
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
-    client.send_request(1, "lookup", 8000);
-    router.record_command(&mut engine);
-    engine.send_result(1, "x\t\t\n");
-    router.record_answer(&mut client);
-    std::thread::sleep(Duration::from_millis(2100));
+    router.record_served(&mut client, &mut engine, 1, "lookup", "x\t\t\n");
+    std::thread::sleep(LONGER_THAN_LONG_CONNECT_TIMEOUT);
     discovery.send_heartbeat(1);
-    client.send_request(2, "post", 8000);
+    client.send_request(2, "post");
     router.record_command(&mut engine);
-    discovery.send_changes(2, &[EngineChange::draining(0, address)]);
+    discovery.send_changes(2, &[draining_engine(0, address)]);
     router.record_answer(&mut client);
-    engine.send(0, "PONG", "-", "");
+    engine.send(0, EngineReply::Pong);
     let transcript = router.finish(&["attempts_not_sent", "connections_silent"]);
     expect![[r#"
         discovery dialled after event 1
@@ -87,7 +86,7 @@
 
 #[test]
 fn malformed_engine_input_closes_the_connection_and_fails_its_attempts() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("engine-input", &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("engine-input", &ordinary_settings());
     let malformed_messages = [
         ("DANCE", "-"),
         ("HIT", "pages=0"),
@@ -98,11 +97,11 @@
     ];
     serve_request(&mut client, &mut engine, 1, "lookup", "");
     for (id, (word, fields)) in (100..).step_by(10).zip(malformed_messages) {
-        client.send_request(id, "post", 8000);
+        client.send_request(id, "post");
         engine.next_call();
-        engine.send(id, word, fields, "");
+        engine.send_words(id, word, fields);
         router.record_answer(&mut client);
-        // Results in between, so that the engine is not ejected as an outlier.
+        // Successful requests keep the engine from being ejected as an outlier.
         for successful in id + 1..id + 5 {
             serve_request(&mut client, &mut engine, successful, "lookup", "");
         }
@@ -121,10 +120,10 @@
 
 #[test]
 fn a_call_not_written_before_a_reset_moves_to_another_connection() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("moves", &settings(1000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("reassigned", &settings(1000, 8000));
     serve_first_request(&mut client, &mut engine, "post");
-    std::thread::sleep(LONGER_THAN_A_SECOND);
-    client.send_request(2, "post", 8000);
+    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
+    client.send_request(2, "post");
     router.record_command(&mut engine);
     engine.close_connection_of(1);
     router.record_command(&mut engine);
@@ -141,10 +140,10 @@
 
 #[test]
 fn a_response_sent_before_the_engine_closed_counts() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("closed", &settings(5000, 8000));
-    client.send_request(1, "post", 8000);
+    let (mut router, mut client, mut engine) = start_with_one_engine("closed", &ordinary_settings());
+    client.send_request(1, "post");
     router.record_command(&mut engine);
-    client.send_request(2, "post", 8000);
+    client.send_request(2, "post");
     router.record_command(&mut engine);
     engine.send_result(1, "done\t\t\n");
     drop(engine);
@@ -159,23 +158,23 @@
     .assert_eq(&router.finish(&["attempts_succeeded", "attempts_broken"]));
 }
 
-/// How the client or the engine of a call leaves; returns the client if it still reads.
-type Leave = fn(&mut TestDiscovery, TestClient, SocketAddr) -> Option<TestClient>;
+/// Disconnects the client of a call, or drains its engine. Returns the client if it still reads.
+type Departure = fn(&mut TestDiscovery, TestClient, SocketAddr) -> Option<TestClient>;
 
-/// A call waits until an idle connection has answered a ping; `leave` comes in the same instant as the answer.
-/// Returns what became of the call.
-fn leave_as_the_ping_is_answered(name: &str, leave: Leave) -> String {
+/// Has a call wait for the health check of an idle connection, and runs `depart` at the same moment as the engine
+/// answers the health check. Returns the outcome of the call.
+fn depart_as_the_ping_is_answered(name: &str, depart: Departure) -> String {
     let (mut router, mut client, mut engine) = start_with_one_engine(name, &settings(1000, 8000));
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
     serve_first_request(&mut client, &mut engine, "lookup");
-    std::thread::sleep(LONGER_THAN_A_SECOND);
+    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
     discovery.send_heartbeat(1);
-    client.send_request(2, "post", 8000);
+    client.send_request(2, "post");
     assert_eq!(engine.next_command(), "PING 0");
     let remaining = router.while_stopped(|_| {
-        engine.send_on(0, 0, "PONG", "-", "");
-        leave(&mut discovery, client, address)
+        engine.send_on(0, 0, EngineReply::Pong);
+        depart(&mut discovery, client, address)
     });
     let is_rejected = remaining.is_some_and(|mut client| client.read_line().contains("-32011"));
     let further_calls = engine.answer_calls(0);
@@ -185,21 +184,21 @@
 
 /// The client shuts down its sending side or closes, or the engine drains or is missing from a complete list.
 #[test]
-fn a_call_waiting_for_a_connection_is_not_sent_once_its_client_or_engine_left() {
+fn a_call_waiting_for_a_connection_is_not_sent_once_its_client_or_engine_departed() {
     let outcomes = [
-        leave_as_the_ping_is_answered("ping-half-close", |_, client, _| {
+        depart_as_the_ping_is_answered("ping-half-close", |_, client, _| {
             client.shut_down_sending();
             Some(client)
         }),
-        leave_as_the_ping_is_answered("ping-close", |_, client, _| {
+        depart_as_the_ping_is_answered("ping-close", |_, client, _| {
             drop(client);
             None
         }),
-        leave_as_the_ping_is_answered("ping-drain", |discovery, client, address| {
-            discovery.send_changes(2, &[EngineChange::draining(0, address)]);
+        depart_as_the_ping_is_answered("ping-drain", |discovery, client, address| {
+            discovery.send_changes(2, &[draining_engine(0, address)]);
             Some(client)
         }),
-        leave_as_the_ping_is_answered("ping-complete-list", |discovery, client, _| {
+        depart_as_the_ping_is_answered("ping-complete-list", |discovery, client, _| {
             discovery.send(&empty_list_frame(2));
             Some(client)
         }),
@@ -217,16 +216,16 @@
     .assert_eq(&outcomes.concat());
 }
 
-/// A connection is reset before the call that waits on it was written, and its client leaves in the same instant.
+/// A connection is reset before its waiting call was written, and the client half-closes at the same moment.
 #[test]
-fn a_call_on_a_reset_connection_is_not_moved_once_its_client_left() {
+fn a_call_on_a_reset_connection_is_not_moved_once_its_client_half_closed() {
     let (mut router, mut client, mut engine) = start_with_one_engine("not-moved", &settings(1000, 8000));
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     engine.record_next_call(&mut router);
     engine.send_result(1, ROWS);
     client.read_line();
-    std::thread::sleep(LONGER_THAN_A_SECOND);
-    client.send_request(2, "lookup", 8000);
+    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
+    client.send_request(2, "lookup");
     router.record_command(&mut engine);
     router.while_stopped(|_| {
         engine.close_connection_of(1);
@@ -244,18 +243,18 @@
     .assert_eq(&router.finish(&["attempts_not_sent", "connections_dialled"]));
 }
 
-/// An engine drains, the connection with a written call is reset and SIGTERM comes, all at once.
+/// At the same moment, an engine drains, its connection with a written call is reset, and the router gets SIGTERM.
 #[test]
 fn a_reset_during_drain_and_shutdown_fails_a_non_idempotent_request_once() {
-    let mut router = RouterHarness::start("reset-drain-shutdown", 2, &settings(5000, 8000));
+    let mut router = RouterHarness::start("reset-drain-shutdown", 2, &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let mut client = router.connect_client();
-    client.send_request(1, "post", 8000);
+    client.send_request(1, "post");
     let mut engines = router.two_engines_by_first_command();
     engines[0].next_call();
-    let drain = EngineChange::draining(router.number_of(&engines[0]), engines[0].address());
+    let drain = draining_engine(router.number_of(&engines[0]), engines[0].address());
     router.while_stopped(|router| {
-        engines[0].send_bytes(0, &resp::encode_array(&[b"half an answer"])[..6]);
+        engines[0].send_bytes(0, &encode_array(&[b"half an answer"])[..INCOMPLETE_REPLY_BYTES]);
         engines[0].close_connection_of(1);
         discovery.send_changes(2, &[drain]);
         router.signal("-TERM");
--- a/crates/router/tests/sockets/harness/client.rs
+++ b/crates/router/tests/sockets/harness/client.rs
@@ -1,33 +1,59 @@
 //! A client of the router, which sends JSON-RPC lines and reads the answers.
 
+use emberflow_peer_protocol::client::{ClientRequest, encode_cancellation, encode_status_request};
+use emberflow_peer_protocol::request_id;
+use serde_json::Value;
 use socket2::SockRef;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// The statement of every request: `select 1`, in base64.
-const STATEMENT: &str = "c2VsZWN0IDE=";
-/// Memory that a request needs so that no other like it fits into an engine beside it.
-const MOST_OF_AN_ENGINE_MB: u32 = 12_000;
-/// What [`TestClient::read_line`] returns once the router has closed the connection.
+/// The timeout of an ordinary request.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
+/// The timeout of a request that may be queued for long.
+pub const LONG_REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// The result of [`TestClient::read_line`] once the router has closed the connection.
 pub const CLOSED: &str = "closed";
 
-/// The line of a request that needs little of an engine. `fields` are further parameters in JSON, each with a comma
-/// behind it.
-pub fn request_line(fields: &str, id: u64, class: &str, timeout_ms: u64) -> String {
-    format!(
-        r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{{fields}"req":"{id:016x}","timeout":{timeout_ms},"ms":50.0,"memory":96,"data":"{STATEMENT}"}}}}"#
-    ) + "\n"
+/// The statement of every request.
+const STATEMENT: &[u8] = b"select 1";
+/// Estimates of an ordinary request, many of which fit into an engine.
+const ORDINARY_WORK_MS: f64 = 50.0;
+const ORDINARY_MEMORY_MB: f64 = 96.0;
+/// Estimate of the work of a large request.
+const LARGE_WORK_MS: f64 = 2000.0;
+/// Estimate of the memory of which only one request fits into an engine.
+const MOST_OF_AN_ENGINE_MB: f64 = 12_000.0;
+
+/// Returns a request that needs little of an engine.
+pub fn request(id: u64, class: &str, timeout: Duration) -> ClientRequest {
+    let request = ClientRequest::new(id, class, &request_id(id), timeout, STATEMENT);
+    ClientRequest { work_ms: ORDINARY_WORK_MS, memory_mb: ORDINARY_MEMORY_MB, ..request }
 }
 
-/// The line, without its end, that withdraws a request.
-pub fn withdraw_line(id: u64) -> String {
-    format!(r#"{{"jsonrpc":"2.0","method":"withdraw","params":{{"req":"{id:016x}"}}}}"#)
+/// Returns a short lookup that needs most of an engine's memory, so that other such requests are queued.
+pub fn filling_request(id: u64) -> ClientRequest {
+    ClientRequest { memory_mb: MOST_OF_AN_ENGINE_MB, ..request(id, "lookup", LONG_REQUEST_TIMEOUT) }
 }
 
-/// The line, without its end, that asks for the router's status.
-pub fn status_line(id: u64) -> String {
-    format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"status"}}"#)
+/// Returns a lookup of a team that needs most of an engine's memory for two seconds.
+pub fn large_request(team: &str, id: u64, timeout: Duration) -> ClientRequest {
+    ClientRequest {
+        team: Some(team.to_owned()),
+        work_ms: LARGE_WORK_MS,
+        memory_mb: MOST_OF_AN_ENGINE_MB,
+        ..request(id, "lookup", timeout)
+    }
+}
+
+/// Returns the line that cancels a request.
+pub fn cancellation_line(id: u64) -> Vec<u8> {
+    encode_cancellation(&request_id(id))
+}
+
+/// Returns the line that requests the router's status.
+pub fn status_line(id: u64) -> Vec<u8> {
+    encode_status_request(id)
 }
 
 /// A client's connection to the router.
@@ -39,71 +65,73 @@
         Self(BufReader::new(socket))
     }
 
-    /// The socket, for what has no method here.
+    /// Returns the socket, for operations without a method here.
     pub fn socket(&self) -> &TcpStream {
         self.0.get_ref()
     }
 
-    /// Sends bytes that may be a part of a line, or many lines.
+    /// Sends bytes: a part of a line, or any number of lines.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("the router reads from its client");
     }
 
-    /// Sends a line, or several with line ends between them.
+    /// Sends a text as a line.
     pub fn send_line(&mut self, line: &str) {
         self.send_bytes(format!("{line}\n").as_bytes());
     }
 
-    /// The next line, or [`CLOSED`].
+    /// Returns the next line, or [`CLOSED`].
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line or the end of the connection");
         if line.is_empty() { CLOSED.into() } else { line.trim_end().into() }
     }
 
-    /// All that comes until the router closes the connection, and whether it was closed without a reset.
+    /// Returns all text until the router closes the connection, and whether the connection was closed without a reset.
     pub fn read_to_end(&mut self) -> (String, bool) {
         let mut text = String::new();
         let end = self.0.read_to_string(&mut text);
         (text.trim_end().to_owned(), end.is_ok())
     }
 
-    /// Sends a request of a class.
-    pub fn send_request(&mut self, id: u64, class: &str, timeout_ms: u64) {
-        self.send_request_with("", id, class, timeout_ms);
+    /// Sends an ordinary request of a class.
+    pub fn send_request(&mut self, id: u64, class: &str) {
+        self.send(&request(id, class, REQUEST_TIMEOUT));
+    }
+
+    /// Sends an ordinary request of a class with another timeout.
+    pub fn send_request_within(&mut self, timeout: Duration, id: u64, class: &str) {
+        self.send(&request(id, class, timeout));
     }
 
-    /// Sends a request with further parameters; see [`request_line`].
-    pub fn send_request_with(&mut self, fields: &str, id: u64, class: &str, timeout_ms: u64) {
-        self.send_line(request_line(fields, id, class, timeout_ms).trim_end());
+    /// Sends an ordinary request with the further parameters of a JSON object, whose values may be invalid.
+    pub fn send_request_with(&mut self, parameters: &Value, id: u64, class: &str) {
+        let further_parameters = parameters.as_object().expect("parameters are an object").clone();
+        self.send(&ClientRequest { further_parameters, ..request(id, class, REQUEST_TIMEOUT) });
     }
 
-    /// Sends a lookup of two seconds that needs most of an engine's memory, for a team.
-    pub fn send_large_request(&mut self, team: &str, id: u64, timeout_ms: u64, fields: &str) {
-        self.send_line(&format!(
-            r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{"team":"{team}",{fields}"req":"{id:016x}","timeout":{timeout_ms},"ms":2000,"memory":{MOST_OF_AN_ENGINE_MB},"data":"{STATEMENT}"}}}}"#
-        ));
+    /// Sends a request.
+    pub fn send(&mut self, request: &ClientRequest) {
+        self.send_bytes(&request.encode());
     }
 
-    /// Sends a short lookup that needs most of an engine's memory, so that others like it are queued.
-    pub fn send_filling_request(&mut self, id: u64) {
-        self.send_line(&format!(
-            r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{"req":"{id:016x}","timeout":60000,"ms":50,"memory":{MOST_OF_AN_ENGINE_MB},"data":"{STATEMENT}"}}}}"#
-        ));
+    /// Cancels a request.
+    pub fn cancel(&mut self, id: u64) {
+        self.send_bytes(&cancellation_line(id));
     }
 
-    /// Asks for the router's status and returns the answer: all that was sent before has been read by then.
+    /// Requests the router's status and returns the response. The router has then read all earlier lines.
     pub fn status(&mut self, id: u64) -> String {
-        self.send_line(&status_line(id));
+        self.send_bytes(&status_line(id));
         self.read_line()
     }
 
-    /// Ends its sending side; the client still reads.
+    /// Shuts down the sending side. The client still reads.
     pub fn shut_down_sending(&self) {
         self.socket().shutdown(Shutdown::Write).expect("the sending side was open");
     }
 
-    /// Ends the connection by a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         SockRef::from(self.socket()).set_linger(Some(Duration::ZERO)).expect("a socket takes SO_LINGER");
     }
--- a/crates/router/tests/sockets/harness/configuration.rs
+++ b/crates/router/tests/sockets/harness/configuration.rs
@@ -1,9 +1,11 @@
 //! The configuration files of the routers under test.
 
+use super::discovery::ready_engine;
+use emberflow_peer_protocol::discovery::{Endpoint, SettingNames, known_list};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// Settings with `CONNECT_TIMEOUT_MS` and `DEADLINE_MS` to be filled in by [`settings`].
+/// Settings in which [`settings`] replaces `CONNECT_TIMEOUT_MS` and `DEADLINE_MS`.
 const SETTINGS_TEMPLATE: &str = r#"{"caps":{"cancel":true,"connectTimeoutMs":CONNECT_TIMEOUT_MS,"idleCloseMs":15000.0,
 "maxRetryAfterMs":400.0,"mostTries":3,"retryAfter":true,"streamsPerConn":32},
 "categories":[{"deadlineMs":DEADLINE_MS,"gain":1,"lateShare":0,"name":"lookup","onTimeMs":2000.0,"repeat":"repeatable"},
@@ -13,7 +15,12 @@
 "rules":{"fallMs":1000.0,"overloadFactor":2.5,"startCapacity":0.3,"warmUpMs":9000.0},"tickMs":5.0,
 "zones":["hall-a"]}"#;
 
-/// A complete configuration, but for the address at `LISTEN`.
+/// The zones and kinds of [`SETTINGS_TEMPLATE`].
+const SETTING_NAMES: SettingNames<'_> = SettingNames { zones: &["hall-a"], kinds: &["std-8"] };
+/// The event of the endpoint list in the configuration.
+const FIRST_EVENT: u64 = 1;
+
+/// A complete configuration, except for the address at `LISTEN`.
 const MINIMAL_CONFIGURATION: &str = r#"{"name":"n0","listen":"LISTEN","seed":"1","limits":{"memory_mb":64,"sockets":256},
 "bulletin":"127.0.0.1:1","known":{"no":0,"items":[]},"settings":{"caps":{"cancel":true,"connectTimeoutMs":250,
 "idleCloseMs":15000,"mostTries":3,"retryAfter":false,"streamsPerConn":32},"categories":[{"deadlineMs":8000,
@@ -27,7 +34,7 @@
     teams: {list: [{name: "audit"}, {name: "posting", most_waiting: 3}], waits: {field: "tell", every_s: 3600}},
 }"#;
 
-/// What a router may use.
+/// The resource limits of a router.
 #[derive(Clone, Copy)]
 pub struct ResourceLimits {
     pub memory_mb: u32,
@@ -41,30 +48,40 @@
 }
 
 impl ResourceLimits {
-    /// The usual memory with other descriptors.
+    /// Returns the default limit of memory with another limit of descriptors.
     pub fn with_descriptors(descriptors: u32) -> Self {
         Self { descriptors, ..Self::default() }
     }
 }
 
-/// Settings with two request classes, `lookup`, which is idempotent, and `post`, which is not.
+/// Returns settings with two request classes: `lookup`, which is idempotent, and `post`, which is not.
 pub fn settings(connect_timeout_ms: u64, deadline_ms: u64) -> String {
     SETTINGS_TEMPLATE
         .replace("CONNECT_TIMEOUT_MS", &connect_timeout_ms.to_string())
         .replace("DEADLINE_MS", &deadline_ms.to_string())
 }
 
-/// Settings under which requests that have no capacity stay queued for long.
+/// Returns the settings of most tests: connections may take 5 s, and requests 8 s.
+pub fn ordinary_settings() -> String {
+    settings(5000, 8000)
+}
+
+/// Returns settings with which connections may take 5 s, and requests 60 s.
+pub fn long_deadline_settings() -> String {
+    settings(5000, 60_000)
+}
+
+/// Returns settings with which requests stay queued for long if there is no capacity.
 pub fn long_queueing_settings() -> String {
-    settings(5000, 60_000).replace("2000.0", "40000.0")
+    long_deadline_settings().replace("2000.0", "40000.0")
 }
 
-/// A small configuration for a router that listens at an address.
+/// Returns a small configuration of a router that listens at an address.
 pub fn minimal_configuration(listen: SocketAddr) -> String {
     MINIMAL_CONFIGURATION.replace("LISTEN", &listen.to_string())
 }
 
-/// The configuration of a router on a loopback host, with its discovery service and the engines of its list.
+/// Returns the configuration of a router on a loopback host, with its discovery service and the engines of its list.
 pub fn configuration_text(
     host: Ipv4Addr,
     limits: ResourceLimits,
@@ -72,19 +89,13 @@
     engines: &[SocketAddr],
     settings: &str,
 ) -> String {
-    let members: Vec<String> = engines.iter().enumerate().map(member).collect();
     let ResourceLimits { memory_mb, descriptors } = limits;
+    let endpoints: Vec<Endpoint> =
+        (0..).zip(engines).map(|(id, address)| ready_engine(id, *address)).collect();
+    let known = known_list(FIRST_EVENT, &endpoints, &SETTING_NAMES);
     format!(
         r#"{{"name":"n0","listen":"{host}:0","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{descriptors}}},
-            "bulletin":"{discovery}","known":{{"no":1,"items":[{{"no":1,"roster":{{"revision":1,"complete":true,"members":[{}]}}}}]}},
-            "settings":{settings}}}"#,
-        members.join(",")
-    )
-}
-
-fn member((index, address): (usize, &SocketAddr)) -> String {
-    format!(
-        r#"{{"id":"s-{index:08x}","host_port":"{address}","locality":"hall-a","flavor":"std-8","cell":0,"phase":"ready","size":1,"up_since_ms":0}}"#
+            "bulletin":"{discovery}","known":{known},"settings":{settings}}}"#
     )
 }
 
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -1,80 +1,94 @@
-//! An engine of the router's list, with all connections that the router makes to it.
+//! An engine of the router's endpoint list, with all connections that the router makes to it.
 
 use super::client::CLOSED;
 use super::{POLL_INTERVAL, RouterHarness, TEST_TIMEOUT, local_address};
-use emberflow_router::resp;
+use emberflow_peer_protocol::engine::{Call, EngineCommand, EngineReply, Progress};
+use emberflow_peer_protocol::request_id;
+use emberflow_peer_protocol::resp::{encode_array, take_array};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A page of results with three columns.
+/// A page of a result with three columns.
 pub const ROWS: &str = "a\tb\tc\n";
 
-/// How long an engine is watched for calls that should not come.
+/// Time for which an engine is observed for calls that must not arrive.
 const QUIET_TIME: Duration = Duration::from_millis(300);
+/// Bytes read at once from a connection.
+const CHUNK_BYTES: usize = 4096;
+/// The name of the call's field whose value differs between runs.
+const TIME_LEFT_FIELD: &str = "budget=";
 
-/// One connection of the router to an engine.
+/// A connection of the router to an engine.
 struct EngineConnection {
-    /// None once either side has closed it.
+    /// `None` once either side has closed the connection.
     socket: Option<TcpStream>,
     input: Vec<u8>,
 }
 
-/// A test engine; the test answers each command itself.
+/// A command as the transcript shows it.
+struct ReceivedCommand {
+    /// The words of the command without the time left, or [`CLOSED`] if a connection was closed.
+    text: String,
+    /// The request, if the command is a call.
+    call: Option<u64>,
+}
+
+/// A test engine. The test sends the reply to each command itself.
 pub struct TestEngine {
     listener: TcpListener,
     connections: Vec<EngineConnection>,
-    /// The index of the connection that each request came on last, by its id.
-    /// The budgets in milliseconds of the last calls, by request.
-    budget_by_request: BTreeMap<String, u64>,
-    connection_by_request: BTreeMap<String, usize>,
-    /// Commands that the test has not looked at.
-    commands: VecDeque<String>,
-}
-
-/// The request that a `GET` names; none for other commands.
-fn request_of_call(command: &str) -> Option<u64> {
-    let id = command.strip_prefix("GET ")?.get(..16)?;
-    u64::from_str_radix(id, 16).ok()
+    /// The time left that the last call of each request has named.
+    time_left_by_request: BTreeMap<u64, Duration>,
+    /// The index of the connection on which the last command for each request arrived.
+    connection_by_request: BTreeMap<u64, usize>,
+    /// Commands that the test has not taken.
+    commands: VecDeque<ReceivedCommand>,
 }
 
-/// A word of a command without the field whose value changes from run to run.
-/// The budget in milliseconds among the fields of a call.
-fn budget(word: &str) -> Option<u64> {
-    word.split(',').find_map(|field| field.strip_prefix("budget="))?.parse().ok()
+/// Returns the text of a command without the time left.
+fn transcript_text(words: &[String]) -> String {
+    let words = words.iter().map(|word| {
+        let fields = word.split(',').filter(|field| !field.starts_with(TIME_LEFT_FIELD));
+        fields.collect::<Vec<_>>().join(",")
+    });
+    words.collect::<Vec<_>>().join(" ")
 }
 
-fn without_budget(word: &str) -> String {
-    let fields = word.split(',').filter(|field| !field.starts_with("budget="));
-    fields.collect::<Vec<_>>().join(",")
+fn parse_request(id: &str) -> u64 {
+    u64::from_str_radix(id, 16).expect("an id is a hexadecimal number")
 }
 
 impl TestEngine {
-    /// An engine whose connections come to a listener.
+    /// Creates an engine that accepts the connections of a listener.
     pub fn new(listener: &TcpListener) -> Self {
         listener.set_nonblocking(true).expect("a listener can be non-blocking");
         Self {
             listener: listener.try_clone().expect("a listener can be cloned"),
             connections: Vec::new(),
-            budget_by_request: BTreeMap::new(),
+            time_left_by_request: BTreeMap::new(),
             connection_by_request: BTreeMap::new(),
             commands: VecDeque::new(),
         }
     }
 
-    /// The address it listens on.
+    /// Returns the address on which the engine listens.
     pub fn address(&self) -> SocketAddr {
         local_address(&self.listener)
     }
 
-    /// The next command, without the field of its budget, or that a connection was closed.
+    /// Returns the next command without the time left, or [`CLOSED`] if a connection was closed.
     pub fn next_command(&mut self) -> String {
+        self.take_command().text
+    }
+
+    fn take_command(&mut self) -> ReceivedCommand {
         assert!(self.has_command_within(TEST_TIMEOUT), "no command within {TEST_TIMEOUT:?}");
         self.commands.pop_front().expect("there is a command")
     }
 
-    /// Waits for a command for so long.
+    /// Waits for a command. Returns whether one has arrived within `time`.
     pub fn has_command_within(&mut self, time: Duration) -> bool {
         let end = Instant::now() + time;
         while self.commands.is_empty() && Instant::now() < end {
@@ -98,7 +112,7 @@
         let EngineConnection { socket, input } = &mut self.connections[index];
         let Some(open) = socket else { return };
         open.set_nonblocking(true).expect("a socket can be non-blocking");
-        let mut chunk = [0; 4096];
+        let mut chunk = [0; CHUNK_BYTES];
         match open.read(&mut chunk) {
             Ok(0) => *socket = None,
             Ok(count) => input.extend(&chunk[..count]),
@@ -106,49 +120,57 @@
             Err(_) => *socket = None,
         }
         let was_closed = socket.is_none();
-        while let Some(resp::Array { parts, length }) =
-            resp::parse_array(input).expect("the router sends well-formed commands")
+        while let Some(words) =
+            take_array(&mut self.connections[index].input).expect("the router sends well-formed commands")
         {
-            let words: Vec<_> = parts.iter().map(|part| String::from_utf8_lossy(part).into_owned()).collect();
-            input.drain(..length);
-            self.connection_by_request.insert(words[1].clone(), index);
-            let mut budgets = words.iter().filter_map(|word| budget(word));
-            if let Some(budget) = budgets.next() {
-                self.budget_by_request.insert(words[1].clone(), budget);
-            }
-            self.commands
-                .push_back(words.iter().map(|word| without_budget(word)).collect::<Vec<_>>().join(" "));
+            self.receive_command(index, &words);
         }
         if was_closed {
-            self.commands.push_back(CLOSED.into());
+            self.commands.push_back(ReceivedCommand { text: CLOSED.into(), call: None });
+        }
+    }
+
+    /// Records a command that has arrived on a connection.
+    fn receive_command(&mut self, connection: usize, words: &[String]) {
+        let request = parse_request(&words[1]);
+        self.connection_by_request.insert(request, connection);
+        let mut received = ReceivedCommand { text: transcript_text(words), call: None };
+        if let EngineCommand::Call(Call { fields, .. }) = EngineCommand::decode(words) {
+            let time_left = fields.time_left.expect("a call names the time left");
+            self.time_left_by_request.insert(request, time_left);
+            received.call = Some(request);
         }
+        self.commands.push_back(received);
     }
 
-    /// The next call; other commands before it are dropped.
+    /// Returns the next call. Drops other commands before it.
     pub fn next_call(&mut self) -> String {
+        self.take_call().text
+    }
+
+    /// Returns the request of the next call. Drops other commands before it.
+    pub fn next_request(&mut self) -> u64 {
+        self.take_call().call.expect("a call names its request")
+    }
+
+    fn take_call(&mut self) -> ReceivedCommand {
         loop {
-            let command = self.next_command();
-            if command.starts_with("GET") {
+            let command = self.take_command();
+            if command.call.is_some() {
                 return command;
             }
         }
     }
 
-    /// The request of the next call.
-    pub fn next_request(&mut self) -> u64 {
-        request_of_call(&self.next_call()).expect("a call names its request")
-    }
-
-    /// Records the next call in the transcript; returns its request.
+    /// Records the next call in the transcript. Returns its request.
     pub fn record_next_call(&mut self, router: &mut RouterHarness) -> u64 {
-        let call = self.next_call();
-        let request = request_of_call(&call).expect("a call names its request");
-        router.record(call);
-        request
+        let ReceivedCommand { text, call } = self.take_call();
+        router.record(text);
+        call.expect("a call names its request")
     }
 
-    /// Waits for `awaited` calls, and then until none comes for a while; answers each with [`ROWS`] and returns
-    /// their requests.
+    /// Waits for `awaited` calls, and then until no call arrives for [`QUIET_TIME`]. Answers each call with [`ROWS`],
+    /// and returns the requests.
     pub fn answer_calls(&mut self, awaited: usize) -> Vec<u64> {
         let mut requests = Vec::new();
         loop {
@@ -156,59 +178,73 @@
             if !self.has_command_within(timeout) {
                 return requests;
             }
-            let command = self.commands.pop_front().expect("there is a command");
-            if let Some(request) = request_of_call(&command) {
+            if let Some(request) = self.take_command().call {
                 requests.push(request);
                 self.send_result(request, ROWS);
             }
         }
     }
 
-    /// The index of the connection that a request came on last.
-    /// The budget of a request's last call.
-    pub fn budget_of(&self, request: u64) -> Duration {
-        Duration::from_millis(self.budget_by_request[&format!("{request:016x}")])
+    /// Returns the time left that the last call of a request has named.
+    pub fn time_left_of(&self, request: u64) -> Duration {
+        self.time_left_by_request[&request]
     }
 
+    /// Returns the index of the connection on which the last command for a request arrived, or 0 without one.
     pub fn connection_of(&self, request: u64) -> usize {
-        self.connection_by_request.get(&format!("{request:016x}")).copied().unwrap_or_default()
+        self.connection_by_request.get(&request).copied().unwrap_or_default()
     }
 
     /// Sends the result of a request, in one page.
     pub fn send_result(&mut self, request: u64, rows: &str) {
-        self.send(request, "HIT", "pages=1", rows);
+        self.send_first_page(request, 1, rows);
     }
 
-    /// Says that the engine stalls on a request.
+    /// Sends the first of `pages` pages of a result.
+    pub fn send_first_page(&mut self, request: u64, pages: u32, rows: &str) {
+        self.send(request, EngineReply::Result { pages, used: None, rows: rows.as_bytes() });
+    }
+
+    /// Sends a further page of a result.
+    pub fn send_page(&mut self, request: u64, page: u32, rows: &str) {
+        self.send(request, EngineReply::Page { page, rows: rows.as_bytes() });
+    }
+
+    /// Reports that a request is stalled until memory is free.
     pub fn send_stalled(&mut self, request: u64) {
-        self.send(request, "INFO", "detail=stall,v=1", "");
+        self.send(request, EngineReply::Progress(Some(Progress::StalledByMemory)));
     }
 
-    /// Refuses a request for want of capacity.
+    /// Rejects a request for lack of capacity.
     pub fn send_overloaded(&mut self, request: u64) {
-        self.send(request, "SHED", "-", "");
+        self.send(request, EngineReply::Overloaded);
+    }
+
+    /// Sends a reply on the connection on which the last command for its request arrived.
+    pub fn send(&mut self, request: u64, reply: EngineReply<'_>) {
+        self.send_on(self.connection_of(request), request, reply);
     }
 
-    /// Sends a message on the connection that its request came on.
-    pub fn send(&mut self, request: u64, word: &str, fields: &str, body: &str) {
-        self.send_on(self.connection_of(request), request, word, fields, body);
+    /// Sends a reply on a connection.
+    pub fn send_on(&mut self, connection: usize, request: u64, reply: EngineReply<'_>) {
+        self.send_bytes(connection, &reply.encode(&request_id(request)));
     }
 
-    /// Sends a message on a connection.
-    pub fn send_on(&mut self, connection: usize, request: u64, word: &str, fields: &str, body: &str) {
-        let id = format!("{request:016x}");
-        let words = [id.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()];
-        self.send_bytes(connection, &resp::encode_array(&words));
+    /// Sends a reply of any type and fields, which may be malformed.
+    pub fn send_words(&mut self, request: u64, word: &str, fields: &str) {
+        let id = request_id(request);
+        let words = [id.as_bytes(), word.as_bytes(), fields.as_bytes(), b""];
+        self.send_bytes(self.connection_of(request), &encode_array(&words));
     }
 
-    /// Sends bytes that may be a part of a message, or none.
+    /// Sends bytes: a part of a reply, or any bytes.
     pub fn send_bytes(&mut self, connection: usize, bytes: &[u8]) {
         let mut socket = self.connections[connection].socket.as_ref().expect("the connection is open");
         socket.set_nonblocking(false).expect("a socket can be blocking");
         socket.write_all(bytes).expect("the router reads from its engine");
     }
 
-    /// Closes the connection that a request came on.
+    /// Closes the connection on which the last command for a request arrived.
     pub fn close_connection_of(&mut self, request: u64) {
         let index = self.connection_of(request);
         self.connections[index].socket = None;
--- a/crates/router/tests/sockets/harness/kernel.rs
+++ b/crates/router/tests/sockets/harness/kernel.rs
@@ -1,14 +1,14 @@
-//! What the kernel tells of the router's process and of the sockets around it. Tests wait for it instead of for a
-//! time: on a busy machine, what one side of a loopback connection has written may reach the other later.
+//! The state of the router's process and of the sockets around it, as the kernel reports it. Tests wait for states
+//! instead of for times, because bytes on a loopback connection may arrive late on a busy machine.
 
 use super::{POLL_INTERVAL, RouterHarness, TEST_TIMEOUT, TestClient, TestEngine, local_address_of};
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Instant;
 
-/// A process that sleeps with nothing on its way to it is idle after so many polls.
+/// Number of polls after which a process that sleeps with nothing in transit to it counts as idle.
 const IDLE_POLLS: usize = 10;
-/// A process that is found asleep so often in a row has done all that was there to do.
+/// Number of consecutive polls that must find a process asleep for it to count as asleep.
 const ASLEEP_POLLS: usize = 3;
 /// The state of a socket whose connection is not yet established, in `/proc/net/tcp`.
 const SYN_RECEIVED: &str = "03";
@@ -19,9 +19,9 @@
     local: String,
     remote: String,
     state: String,
-    /// Bytes written that the other side's kernel has not acknowledged, with one for the end of the stream.
+    /// Bytes written that the other side's kernel has not acknowledged; the end of the stream counts as one.
     unacknowledged: u64,
-    /// Bytes that have arrived and were not read.
+    /// Bytes that have arrived and have not been read.
     unread: u64,
 }
 
@@ -41,33 +41,33 @@
     }
 }
 
-/// All IPv4 sockets of this network namespace.
+/// Returns all IPv4 sockets of this network namespace.
 fn tcp_sockets() -> Vec<TcpSocket> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel lists its sockets");
     table.lines().filter_map(TcpSocket::parse).collect()
 }
 
-/// A host as `/proc/net/tcp` writes it, with the separator before the port.
+/// Returns a host as `/proc/net/tcp` writes it, with the separator before the port.
 fn host_prefix(address: SocketAddr) -> String {
     let IpAddr::V4(host) = address.ip() else { panic!("tests use IPv4 addresses only") };
     format!("{:08X}:", u32::from_ne_bytes(host.octets()))
 }
 
-/// An address as `/proc/net/tcp` writes it.
+/// Returns an address as `/proc/net/tcp` writes it.
 fn row_address(address: SocketAddr) -> String {
     format!("{}{:04X}", host_prefix(address), address.port())
 }
 
-fn wait_until(what: &str, condition: impl Fn() -> bool) {
+fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "{what}: not within {TEST_TIMEOUT:?}");
+        assert!(Instant::now() < end, "{description}: not within {TEST_TIMEOUT:?}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 impl RouterHarness {
-    /// The state of the router's process as `/proc` names it: `T` for stopped, `S` for asleep.
+    /// Returns the state of the router's process as `/proc` names it: `T` for stopped, `S` for asleep.
     pub fn process_state(&self) -> char {
         let path = format!("/proc/{}/stat", self.process.id());
         let stat = std::fs::read_to_string(path).expect("the process is there");
@@ -75,7 +75,8 @@
         fields.chars().next().expect("the state follows the command's name")
     }
 
-    /// The sockets on which the test's peers write to the router, and its connections that are not yet established.
+    /// Returns the sockets on which the test's peers write to the router, and the router's connections that are not yet
+    /// established.
     fn sockets_to_router(&self) -> Vec<TcpSocket> {
         let router = row_address(self.address);
         let host = host_prefix(self.address);
@@ -89,14 +90,14 @@
             .collect()
     }
 
-    /// Waits until all that was written to the router has reached its sockets.
+    /// Waits until all bytes written to the router have reached its sockets.
     pub fn wait_until_delivered(&self) {
-        wait_until("all that was written is delivered", || {
+        wait_until("all bytes written to the router are delivered", || {
             self.sockets_to_router().iter().all(TcpSocket::is_settled)
         });
     }
 
-    /// Waits until the router sleeps with nothing on its way to it.
+    /// Waits until the router sleeps with nothing in transit to it.
     pub fn wait_until_asleep(&self) {
         let polls = Cell::new(0);
         wait_until("the router sleeps", || {
@@ -107,7 +108,7 @@
         });
     }
 
-    /// Waits until so many bytes of a client have arrived that the router has not read.
+    /// Waits until `bytes` of a client have arrived that the router has not read.
     pub fn wait_until_unread(&self, client: &TestClient, bytes: u64) {
         let client_address = row_address(local_address_of(client.socket()));
         let router_address = row_address(self.address);
@@ -118,8 +119,8 @@
         });
     }
 
-    /// Whether the router passes on to the engine what a client has sent: true once a command has come, and false
-    /// once the router sleeps although all of it was delivered.
+    /// Whether the router forwards the input of a client to the engine: true once a command has arrived, and false once
+    /// the router sleeps although all input was delivered.
     pub fn forwards_from(&self, client: &TestClient, engine: &mut TestEngine) -> bool {
         let client_address = row_address(local_address_of(client.socket()));
         let engine_address = row_address(engine.address());
@@ -133,9 +134,9 @@
             if engine.has_command_within(POLL_INTERVAL) {
                 return true;
             }
-            let nothing_on_its_way =
+            let is_all_delivered =
                 tcp_sockets().iter().filter(|socket| is_between(socket)).all(TcpSocket::is_settled);
-            let is_idle = nothing_on_its_way && self.process_state() == 'S';
+            let is_idle = is_all_delivered && self.process_state() == 'S';
             idle_polls = if is_idle { idle_polls + 1 } else { 0 };
         }
         false
--- a/crates/router/tests/sockets/harness/log_lines.rs
+++ b/crates/router/tests/sockets/harness/log_lines.rs
@@ -1,10 +1,10 @@
 //! Parts of the router's log lines that tests wait for or count.
 
-/// The line with the counters that a graceful shutdown ends with.
+/// The counters, logged at the end of a graceful shutdown.
 pub const COUNTERS_AT_EXIT: &str = "counters at exit";
-/// The counters that are logged at a signal.
+/// The counters, logged at a signal.
 pub const COUNTERS: &str = "counters";
-/// A reload that failed, and left everything as it was.
+/// A reload has failed. The previous configuration stays in effect.
 pub const RELOAD_FAILED: &str = "configuration not reloaded";
 /// A reload read the configuration of another router.
 pub const CONFIGURATION_OF_ANOTHER: &str = "`name` is `n1`, the file configures another router";
--- a/crates/router/tests/sockets/harness/mod.rs
+++ b/crates/router/tests/sockets/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the router's binary between small test peers on loopback: clients, engines and a discovery service.
+//! Starts the router's binary between test peers on loopback: clients, engines and a discovery service.
 //!
 //! A test records what the peers receive in the transcript of its [`RouterHarness`] and compares that, together with
 //! the counters that the router logs at exit, with the expected text.
@@ -10,12 +10,18 @@
 mod kernel;
 pub mod log_lines;
 
-pub use client::{TestClient, request_line, status_line, withdraw_line};
+pub use client::{
+    LONG_REQUEST_TIMEOUT, REQUEST_TIMEOUT, TestClient, cancellation_line, filling_request, large_request,
+    request, status_line,
+};
 pub use configuration::{
-    ResourceLimits, TWO_TEAMS, long_queueing_settings, minimal_configuration, settings,
-    write_configuration_file,
+    ResourceLimits, TWO_TEAMS, long_deadline_settings, long_queueing_settings, minimal_configuration,
+    ordinary_settings, settings, write_configuration_file,
+};
+pub use discovery::{
+    TestDiscovery, change_frame, draining_engine, empty_list_frame, engine_of_unknown_kind, ready_engine,
+    removed_engine, restarted_engine,
 };
-pub use discovery::{EngineChange, TestDiscovery, change_frame, empty_list_frame, unknown_kind_frame};
 pub use engine::{ROWS, TestEngine};
 
 use configuration::configuration_text;
@@ -29,13 +35,13 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long a test waits for something that has to happen before it fails.
+/// Time for which a test waits for an event before it fails.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// The id of a client's first request in most tests.
 const FIRST_REQUEST: u64 = 1;
-/// The operator's file stands beside the configuration.
+/// Extension of the operator's file, which is in the directory of the configuration.
 const OPERATOR_FILE_EXTENSION: &str = "json5";
-/// Between two looks at something that gives no event.
+/// Interval of polling a condition.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A running router, the sockets its peers listen on, and the transcript of the test.
@@ -51,11 +57,11 @@
     transcript: String,
 }
 
-/// What a router is started with; [`RouterHarness::start`] and its like fill in the rest.
+/// The options with which a router is started.
 struct StartOptions<'a> {
     log_level: &'a str,
     limits: ResourceLimits,
-    /// Names the files of this test.
+    /// The name of the test's files.
     name: &'a str,
     engine_count: usize,
     settings: &'a str,
@@ -69,20 +75,20 @@
     }
 }
 
-/// Guards against two tests that write the same files while both run.
+/// Panics if two tests use the same name, since they would write the same files.
 fn claim_name(name: &str) {
     static CLAIMED: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
     let mut claimed = CLAIMED.lock().unwrap_or_else(PoisonError::into_inner);
     assert!(claimed.insert(name.to_owned()), "two routers are named `{name}`");
 }
 
-/// A loopback address for each router, so that a port that one has released is never another's.
+/// Returns a loopback address for each router, so that no router gets a port that another has released.
 fn next_loopback_address() -> Ipv4Addr {
     static NEXT_SUBNET: AtomicU8 = AtomicU8::new(2);
     Ipv4Addr::new(127, 0, NEXT_SUBNET.fetch_add(1, Ordering::Relaxed), 1)
 }
 
-/// Waits for the next connection to a listener.
+/// Returns the next connection to a listener.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("a listener can be non-blocking");
     for _ in 0..TEST_TIMEOUT.as_millis() {
@@ -95,24 +101,24 @@
     panic!("no connection within {TEST_TIMEOUT:?}");
 }
 
-/// Sets the options of every socket of a test peer.
+/// Sets the options that every socket of a test peer has.
 pub fn with_test_timeout(socket: TcpStream) -> TcpStream {
     socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket takes a read timeout");
     socket.set_nodelay(true).expect("a socket takes TCP_NODELAY");
     socket
 }
 
-/// The address that a listener is bound to.
+/// Returns the address of a listener.
 pub fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound listener has an address")
 }
 
-/// The address of this side of a connection.
+/// Returns the local address of a connection.
 pub fn local_address_of(socket: &TcpStream) -> SocketAddr {
     socket.local_addr().expect("a connected socket has an address")
 }
 
-/// The router's binary, without settings from the environment.
+/// Returns a command that runs the router's binary without settings from the environment.
 pub fn router_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_emberflow"));
     command.env_remove("EDGE_CONFIG").env_remove("EDGE_LISTEN").env_remove("RUST_LOG");
@@ -134,14 +140,32 @@
     with_client_and_engine(RouterHarness::start_with_operator_file(name, 1, settings, text))
 }
 
-/// Connects a client to a router and takes on the role of its first engine.
+/// Starts a router with one engine and resource limits, and connects a client to it.
+pub fn start_one_engine_with_limits(
+    limits: ResourceLimits,
+    name: &str,
+    settings: &str,
+) -> (RouterHarness, TestClient, TestEngine) {
+    with_client_and_engine(RouterHarness::start_with_limits(limits, name, 1, settings))
+}
+
+/// Starts a router with two engines and sends it a non-idempotent request. The engine that receives the call comes first.
+pub fn start_with_two_engines(name: &str) -> (RouterHarness, TestClient, Vec<TestEngine>) {
+    let router = RouterHarness::start(name, 2, &ordinary_settings());
+    let mut client = router.connect_client();
+    client.send_request(FIRST_REQUEST, "post");
+    let engines = router.two_engines_by_first_command();
+    (router, client, engines)
+}
+
+/// Connects a client to a router and takes over its first engine.
 pub fn with_client_and_engine(router: RouterHarness) -> (RouterHarness, TestClient, TestEngine) {
     let client = router.connect_client();
     let engine = router.engine(0);
     (router, client, engine)
 }
 
-/// Has the engine answer a request with `rows`; returns what the client is answered.
+/// Sends a request, which the engine answers with `rows`. Returns the client's answer.
 pub fn serve_request(
     client: &mut TestClient,
     engine: &mut TestEngine,
@@ -149,20 +173,20 @@
     class: &str,
     rows: &str,
 ) -> String {
-    client.send_request(id, class, 8000);
+    client.send_request(id, class);
     assert_eq!(engine.next_request(), id);
     engine.send_result(id, rows);
     client.read_line()
 }
 
-/// Has the engine answer the client's first request, so that a connection to the engine stands.
+/// Serves the client's first request, which establishes a connection to the engine.
 pub fn serve_first_request(client: &mut TestClient, engine: &mut TestEngine, class: &str) {
     serve_request(client, engine, FIRST_REQUEST, class, ROWS);
 }
 
 impl RouterHarness {
-    /// Starts a router. `name` tells the files of tests apart. Without engines, its list names one where nothing
-    /// listens.
+    /// Starts a router. `name` distinguishes the files of tests. Without engines, the endpoint list names an address on
+    /// which nothing listens.
     pub fn start(name: &str, engine_count: usize, settings: &str) -> Self {
         Self::start_with_options(StartOptions::new(name, engine_count, settings))
     }
@@ -173,7 +197,7 @@
         Self::start_with_options(StartOptions { operator_text: Some(text), ..options })
     }
 
-    /// Starts a router within limits of memory and descriptors.
+    /// Starts a router with limits of memory and descriptors.
     pub fn start_with_limits(
         limits: ResourceLimits,
         name: &str,
@@ -184,7 +208,7 @@
         Self::start_with_options(StartOptions { limits, ..options })
     }
 
-    /// Starts a router that also logs what it does with each line of its clients.
+    /// Starts a router that also logs how it handles each line of its clients.
     pub fn start_with_debug_log(name: &str, engine_count: usize, settings: &str) -> Self {
         let options = StartOptions::new(name, engine_count, settings);
         Self::start_with_options(StartOptions { log_level: "debug", ..options })
@@ -227,7 +251,7 @@
         }
     }
 
-    /// Connects so many clients.
+    /// Connects clients.
     pub fn connect_clients(&self, count: usize) -> Vec<TestClient> {
         (0..count).map(|_| self.connect_client()).collect()
     }
@@ -238,17 +262,17 @@
         TestClient::new(with_test_timeout(socket))
     }
 
-    /// The engine at an index of the list.
+    /// Returns the engine at an index of the endpoint list.
     pub fn engine(&self, index: usize) -> TestEngine {
         TestEngine::new(&self.engine_listeners[index])
     }
 
-    /// The address of the engine at an index of the list.
+    /// Returns the address of the engine at an index of the endpoint list.
     pub fn engine_address(&self, index: usize) -> SocketAddr {
         local_address(&self.engine_listeners[index])
     }
 
-    /// Both engines of a router with two, the one that receives the first command in front.
+    /// Returns both engines of a router with two. The engine that receives the first command comes first.
     pub fn two_engines_by_first_command(&self) -> Vec<TestEngine> {
         let mut engines: Vec<_> = self.engine_listeners.iter().map(TestEngine::new).collect();
         let first = (0..)
@@ -259,7 +283,7 @@
         engines
     }
 
-    /// Accepts the router's connection to discovery and records which event it resumes after.
+    /// Accepts the router's connection to discovery, and records after which event the router resumes.
     pub fn accept_discovery(&mut self) -> TestDiscovery {
         let mut discovery = TestDiscovery::new(accept(&self.discovery_listener));
         let last_event = discovery.read_resume_event();
@@ -267,7 +291,7 @@
         discovery
     }
 
-    /// Has discovery listen on another port; returns the configuration that names it.
+    /// Moves discovery to another port. Returns the configuration with the new address.
     pub fn move_discovery(&mut self) -> String {
         let host = local_address(&self.discovery_listener).ip();
         let moved = TcpListener::bind((host, 0)).expect("a loopback port is free");
@@ -277,7 +301,7 @@
         self.configuration_text.replace(&previous_address, &moved_address)
     }
 
-    /// Refuses further connections to discovery; returns the address that they were made to.
+    /// Refuses further connections to discovery. Returns the address on which discovery listened.
     pub fn close_discovery_listener(&mut self) -> SocketAddr {
         let address = local_address(&self.discovery_listener);
         let unused = TcpListener::bind((address.ip(), 0)).expect("a loopback port is free");
@@ -290,7 +314,7 @@
         self.discovery_listener = TcpListener::bind(address).expect("the address was released before");
     }
 
-    /// Writes the file that the router reads at its next reload.
+    /// Writes the configuration that the router reads at its next reload.
     pub fn write_configuration(&self, text: &str) {
         std::fs::write(&self.configuration_path, text).expect("the test directory is writable");
     }
@@ -307,12 +331,12 @@
         self
     }
 
-    /// Adds the next command of an engine to the transcript.
+    /// Adds the next command sent to an engine to the transcript.
     pub fn record_command(&mut self, engine: &mut TestEngine) -> &mut Self {
         self.record(engine.next_command())
     }
 
-    /// Adds the next commands of an engine to the transcript.
+    /// Adds the next commands sent to an engine to the transcript.
     pub fn record_commands(&mut self, engine: &mut TestEngine, count: usize) -> &mut Self {
         for _ in 0..count {
             self.record_command(engine);
@@ -320,12 +344,27 @@
         self
     }
 
-    /// Adds the next line that a client is sent to the transcript.
+    /// Adds the next line sent to a client to the transcript.
     pub fn record_answer(&mut self, client: &mut TestClient) -> &mut Self {
         self.record(client.read_line())
     }
 
-    /// Adds the next lines that a client is sent to the transcript.
+    /// Sends a request, which the engine answers with `rows`. Adds the call and the answer to the transcript.
+    pub fn record_served(
+        &mut self,
+        client: &mut TestClient,
+        engine: &mut TestEngine,
+        id: u64,
+        class: &str,
+        rows: &str,
+    ) -> &mut Self {
+        client.send_request(id, class);
+        self.record_command(engine);
+        engine.send_result(id, rows);
+        self.record_answer(client)
+    }
+
+    /// Adds the next lines sent to a client to the transcript.
     pub fn record_answers(&mut self, client: &mut TestClient, count: usize) -> &mut Self {
         for _ in 0..count {
             self.record_answer(client);
@@ -333,34 +372,35 @@
         self
     }
 
-    /// Records the requests of the calls that an engine still gets, in ascending order: `awaited` ones and those
-    /// that come within a while after. Each is answered.
+    /// Answers the further calls to an engine, and records their requests in ascending order; see
+    /// [`TestEngine::answer_calls`].
     pub fn record_further_calls(&mut self, engine: &mut TestEngine, awaited: usize) -> &mut Self {
         let mut requests = engine.answer_calls(awaited);
         requests.sort_unstable();
         self.record(format!("further calls: {requests:?}"))
     }
 
-    /// The number in the endpoint list of an engine.
+    /// Returns the id of an engine in the endpoint list.
     pub fn number_of(&self, engine: &TestEngine) -> u32 {
         let address = engine.address();
         let index = self.engine_listeners.iter().position(|listener| local_address(listener) == address);
         index.expect("the engine is one of this router's") as u32
     }
 
-    /// Sends the router a signal, named as `kill` takes it: `-TERM`.
+    /// Sends the router a signal, as an option of `kill`: `-TERM`.
     pub fn signal(&self, signal: &str) {
         let mut kill = Command::new("kill");
         kill.arg(signal).arg(self.process.id().to_string());
         kill.status().expect("`kill` is installed");
     }
 
-    /// Waits until the router logs a line with `awaited`.
+    /// Waits until the router logs a line that contains `awaited`.
     pub fn wait_for_log(&mut self, awaited: &str) {
         self.count_log_lines_before(awaited, awaited);
     }
 
-    /// Waits until the router logs a line with `awaited`; returns how many lines before it have `counted`.
+    /// Waits until the router logs a line that contains `awaited`. Returns the number of earlier lines that contain
+    /// `counted`.
     pub fn count_log_lines_before(&mut self, awaited: &str, counted: &str) -> usize {
         let mut count = 0;
         let mut line = String::new();
@@ -386,8 +426,8 @@
         self.signal("-CONT");
     }
 
-    /// Stops the process while `action` runs and until what it sent has arrived, so that the router then finds all of
-    /// it at once.
+    /// Stops the process while `action` runs and until all bytes sent by `action` have arrived. The router then finds
+    /// all of them in the same iteration.
     pub fn while_stopped<T>(&self, action: impl FnOnce(&Self) -> T) -> T {
         self.stop();
         let result = action(self);
@@ -396,7 +436,7 @@
         result
     }
 
-    /// Shuts the router down gracefully; returns the transcript, which ends with the exit status and those of the
+    /// Shuts the router down gracefully. Returns the transcript, which ends with the exit status and with those of the
     /// named counters that are not 0.
     pub fn finish(&mut self, counters: &[&str]) -> String {
         if self.process.try_wait().expect("the process can be waited for").is_none() {
@@ -422,7 +462,7 @@
     }
 }
 
-/// The address at the end of the first line that a router logs.
+/// Returns the address at the end of the first line that a router logs.
 fn read_listen_address(log: &mut impl BufRead) -> SocketAddr {
     let mut line = String::new();
     log.read_line(&mut line).expect("the log is UTF-8");
--- a/crates/router/tests/sockets/limits.rs
+++ b/crates/router/tests/sockets/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of descriptors, memory and time, and fairness among clients that flood the router.
+//! Limits of descriptors, memory and time, and fairness under floods of clients.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -7,13 +7,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Longer than what a client sent may be on its way; a client that was silent for so long counts as idle.
-const LONGER_THAN_A_CROSSING: Duration = Duration::from_millis(60);
+/// Longer than bytes of a client may be in transit. A client that was inactive for this time counts as idle.
+const LONGER_THAN_TRANSIT_TIME: Duration = Duration::from_millis(60);
+
+/// A timeout that expires during a flood.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[test]
-fn at_the_client_limit_silent_and_then_longest_idle_connections_are_closed() {
+fn at_the_client_limit_unused_and_then_longest_idle_connections_are_closed() {
     let limits = ResourceLimits::with_descriptors(12);
-    let mut router = RouterHarness::start_with_limits(limits, "client-limit", 1, &settings(5000, 8000));
+    let mut router = RouterHarness::start_with_limits(limits, "client-limit", 1, &ordinary_settings());
     let silent_client = 3;
     let mut clients = Vec::new();
     for index in 0..8 {
@@ -37,22 +40,22 @@
 #[test]
 fn a_client_that_does_not_read_is_not_read_from_until_it_does() {
     const MORE_THAN_THE_KERNEL_BUFFERS: u64 = 2000;
-    const PAGES: u64 = 8;
+    const PAGES: u32 = 8;
     let limits = ResourceLimits { memory_mb: 4, descriptors: 64 };
-    let router = RouterHarness::start_with_limits(limits, "slow", 1, &settings(5000, 60_000));
-    let (mut router, mut client, mut engine) = with_client_and_engine(router);
+    let (mut router, mut client, mut engine) =
+        start_one_engine_with_limits(limits, "slow", &long_deadline_settings());
     let page = "x\ty\tz\n".repeat(1000);
     let mut id = 1;
-    client.send_request(id, "lookup", 60_000);
+    client.send_request_within(LONG_REQUEST_TIMEOUT, id, "lookup");
     while id < MORE_THAN_THE_KERNEL_BUFFERS && router.forwards_from(&client, &mut engine) {
         engine.next_command();
-        engine.send(id, "HIT", &format!("pages={PAGES}"), &page);
+        engine.send_first_page(id, PAGES, &page);
         for number in 1..PAGES {
             engine.next_command();
-            engine.send(id, "PART", &format!("page={number}"), &page);
+            engine.send_page(id, number, &page);
         }
         id += 1;
-        client.send_request(id, "lookup", 60_000);
+        client.send_request_within(LONG_REQUEST_TIMEOUT, id, "lookup");
     }
     let unread = id;
     router.record(format!("stops reading: {}", unread < MORE_THAN_THE_KERNEL_BUFFERS));
@@ -71,7 +74,7 @@
         "attempts_sent",
         "engine_input_malformed",
     ]);
-    // How many requests fit before that depends on the buffers of the kernel.
+    // The number of requests that fit depends on the buffers of the kernel.
     let transcript =
         transcript.replace(&format!("={unread}"), "=SENT").replace(&format!("={}", unread - 1), "=SENT-1");
     expect![[r#"
@@ -84,8 +87,8 @@
 }
 
 #[test]
-fn silent_clients_and_those_that_stop_within_a_line_are_closed_in_time() {
-    let mut router = RouterHarness::start("stalled", 1, &settings(5000, 8000));
+fn inactive_clients_and_those_with_an_incomplete_line_are_closed_in_time() {
+    let mut router = RouterHarness::start("stalled", 1, &ordinary_settings());
     let started_at = Instant::now();
     let mut silent = router.connect_client();
     let mut stalled = router.connect_client();
@@ -93,14 +96,14 @@
     let mut waiting = router.connect_client();
     stalled.send_bytes(b"{\"jsonrpc\"");
     idle.status(1);
-    waiting.send_request(1, "lookup", 8000);
+    waiting.send_request(1, "lookup");
     let mut engine = router.engine(0);
     engine.next_call();
     router.record_answer(&mut silent).record_answers(&mut stalled, 2);
     router.record(format!("within 3 s: {}", started_at.elapsed().as_secs() < 3));
     router.record_answer(&mut idle);
     router.record(format!("idle for more than 4 s: {}", started_at.elapsed().as_secs() >= 4));
-    // A client that waits for an answer is kept until it has it.
+    // A client with an open request stays connected until it is answered.
     router.record_answer(&mut waiting);
     expect![[r#"
         closed
@@ -114,10 +117,10 @@
     "#]].assert_eq(&router.finish(&["clients_idle", "clients_stalled"]));
 }
 
-/// A frame that removes the engine of the event before and announces another at the same address.
+/// Returns a frame that removes the engine of the previous event and announces another at the same address.
 fn replace_engine(event: u64, address: SocketAddr) -> Vec<u8> {
     let removed = event as u32 - 2;
-    change_frame(event, &[EngineChange::removed(removed, address), EngineChange::ready(removed + 1, address)])
+    change_frame(event, &[removed_engine(removed, address), ready_engine(removed + 1, address)])
 }
 
 #[test]
@@ -125,8 +128,8 @@
     const ENGINES_PER_ROUND: u64 = 300;
     const CLIENTS_PER_ROUND: u64 = 200;
     const FIRST_EVENT: u64 = 2;
-    const MOST_TIMERS: u64 = 20;
-    let mut router = RouterHarness::start("churn", 1, &settings(5000, 8000));
+    const MAX_TIMERS: u64 = 20;
+    let mut router = RouterHarness::start("churn", 1, &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
     let mut engine = router.engine(0);
@@ -158,25 +161,25 @@
         "held_timers",
     ]);
     let (transcript, timers) = transcript.trim().rsplit_once("held_timers=").expect("the last counter");
-    let few_timers = timers.parse::<u64>().is_ok_and(|count| count < MOST_TIMERS);
+    let few_timers = timers.parse::<u64>().is_ok_and(|count| count < MAX_TIMERS);
     expect![[r#"
         discovery dialled after event 1
         exit status Some(0): clients_admitted=2000 engines_forgotten=3000 requests_succeeded=200 held_clients=0 held_requests=0 held_engines=1 held_connections=1 held_attempts=0 few timers: true"#]]
     .assert_eq(&format!("{transcript}few timers: {few_timers}"));
 }
 
-/// A new connection must not be closed for those behind it while its request stands unread.
+/// A new connection must not be closed in favour of later ones while its request is unread.
 #[test]
 fn a_connection_with_unread_input_is_not_closed_for_others() {
     let limits = ResourceLimits::with_descriptors(24);
-    let router = RouterHarness::start_with_limits(limits, "unread", 1, &settings(5000, 8000));
-    let (mut router, mut known_client, mut engine) = with_client_and_engine(router);
+    let (mut router, mut known_client, mut engine) =
+        start_one_engine_with_limits(limits, "unread", &ordinary_settings());
     known_client.status(1);
-    std::thread::sleep(LONGER_THAN_A_CROSSING);
+    std::thread::sleep(LONGER_THAN_TRANSIT_TIME);
     let (mut new_client, _silent_clients) = router.while_stopped(|router| {
-        known_client.send_request(1, "lookup", 8000);
+        known_client.send_request(1, "lookup");
         let mut new_client = router.connect_client();
-        new_client.send_request(2, "lookup", 8000);
+        new_client.send_request(2, "lookup");
         (new_client, router.connect_clients(20))
     });
     for _ in 0..2 {
@@ -193,8 +196,8 @@
 }
 
 #[test]
-fn lines_of_a_flood_are_read_in_turn_with_those_of_others() {
-    let mut router = RouterHarness::start_with_debug_log("flood", 1, &settings(5000, 8000));
+fn lines_of_a_flood_are_interleaved_with_those_of_other_clients() {
+    let mut router = RouterHarness::start_with_debug_log("flood", 1, &ordinary_settings());
     let mut flooding_clients = router.connect_clients(3);
     let mut client = router.connect_client();
     for client in flooding_clients.iter_mut().chain([&mut client]) {
@@ -204,12 +207,12 @@
         for flooding_client in &mut flooding_clients {
             flooding_client.send_line(&vec!["nonsense"; 100].join("\n"));
         }
-        client.send_request(2, "lookup", 8000);
+        client.send_request(2, "lookup");
     });
     let lines_before =
         router.count_log_lines_before(log_lines::FIRST_REQUEST, log_lines::CLIENT_LINE_REJECTED);
-    let in_turn = lines_before <= flooding_clients.len();
-    router.record(format!("at most one line of each flooding client before the request: {in_turn}"));
+    let is_interleaved = lines_before <= flooding_clients.len();
+    router.record(format!("at most one line of each flooding client before the request: {is_interleaved}"));
     router.engine(0).next_call();
     expect![[r#"
         at most one line of each flooding client before the request: true
@@ -218,7 +221,7 @@
     .assert_eq(&router.finish(&["client_input_refused"]));
 }
 
-/// Sends bytes on a connection of its own, as far as the router reads them, and reads all that is answered.
+/// Opens a connection, sends as many of the bytes as the router reads, and discards all answers.
 fn flood(router: SocketAddr, bytes: Vec<u8>) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let Ok(mut socket) = TcpStream::connect(router) else { return };
@@ -227,37 +230,36 @@
             let mut chunk = [0; 4096];
             while reading_side.read(&mut chunk).is_ok_and(|count| count > 0) {}
         });
-        // A router that has closed the connection reads no more.
+        // The router may close the connection before it has read all bytes.
         let _ = socket.write_all(&bytes);
         let _ = socket.shutdown(Shutdown::Write);
         reader.join().expect("the reader only stops at the end of the connection");
     })
 }
 
-/// Floods of noise, a line without end, empty lines, withdrawn requests and requests that time out soon.
+/// Starts floods of noise, of a line without end, of empty lines, of cancelled requests and of requests with a short
+/// timeout.
 fn start_floods(router: SocketAddr) -> Vec<JoinHandle<()>> {
     let noise = (0u32..200_000).map(|index| (index.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
     let without_line_end = vec![b'['; 3_000_000];
     let empty_lines = vec![b'\n'; 20_000];
-    let withdrawn = (1000..1200).flat_map(|id| {
-        let request = request_line("", id, "lookup", 8000);
-        (request + &withdraw_line(id) + "\n").into_bytes()
-    });
-    let short_timeouts = (2000..2300).flat_map(|id| request_line("", id, "lookup", 500).into_bytes());
+    let cancelled = (1000..1200)
+        .flat_map(|id| [request(id, "lookup", REQUEST_TIMEOUT).encode(), cancellation_line(id)].concat());
+    let short_timeouts = (2000..2300).flat_map(|id| request(id, "lookup", SHORT_TIMEOUT).encode());
     let inputs: [Vec<u8>; 5] =
-        [noise, without_line_end, empty_lines, withdrawn.collect(), short_timeouts.collect()];
+        [noise, without_line_end, empty_lines, cancelled.collect(), short_timeouts.collect()];
     inputs.into_iter().map(|bytes| flood(router, bytes)).collect()
 }
 
 #[test]
 fn a_well_behaved_client_is_answered_during_floods() {
-    let router = RouterHarness::start("floods", 1, &settings(5000, 8000));
+    let router = RouterHarness::start("floods", 1, &ordinary_settings());
     let floods = start_floods(router.address);
     let silent_clients = router.connect_clients(60);
     let (mut router, mut client, mut engine) = with_client_and_engine(router);
     let mut complete_answers = 0;
     for id in 1..=20 {
-        client.send_request(id, "lookup", 8000);
+        client.send_request(id, "lookup");
         while engine.next_request() != id {}
         engine.send_result(id, ROWS);
         let answer = format!(r#"{{"jsonrpc":"2.0","id":{id},"result":{{"data":"YQliCWMK"}}}}"#);
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -1,7 +1,7 @@
 //! The router's binary between test peers on loopback: its clients, its engines and the discovery service.
 //!
-//! Many of these tests stop the process while both sides of a race are put into its sockets, so that it finds them at
-//! once (docs/ending.md).
+//! Many of these tests stop the process while both events of a race arrive at its sockets, so that the router finds both
+//! in the same iteration (docs/ending.md).
 
 mod clients;
 mod discovery;
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -1,4 +1,4 @@
-//! What a start or SIGHUP reads: the configuration and the operator's file, complete, malformed or half written.
+//! Reading the configuration and the operator's file at start and at SIGHUP: complete, malformed or incomplete files.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -8,11 +8,11 @@
 #[test]
 fn a_reloaded_operator_file_moves_queued_requests_or_changes_nothing() {
     let (mut router, mut client, mut engine) =
-        start_one_engine_with_operator_file("operator-reload", &settings(5000, 60_000), TWO_TEAMS);
+        start_one_engine_with_operator_file("operator-reload", &long_deadline_settings(), TWO_TEAMS);
     for id in 1..=3 {
-        client.send_large_request("posting", id, 60_000, "");
+        client.send(&large_request("posting", id, LONG_REQUEST_TIMEOUT));
     }
-    client.send_large_request("audit", 4, 60_000, "");
+    client.send(&large_request("audit", 4, LONG_REQUEST_TIMEOUT));
     let mut id = engine.record_next_call(&mut router);
     let operator_files = [
         (log_lines::RELOAD_FAILED, "{teams: {list: [{name: 'audit', share: -1}]}}"),
@@ -28,7 +28,7 @@
         router.record_answer(&mut client);
         id = engine.record_next_call(&mut router);
     }
-    // Without teams, the last queued request goes to the scheduler, which does not queue it for long.
+    // Without teams, the last queued request moves to the scheduler, which rejects it after a short time in its queue.
     router.write_operator_file("{}");
     router.signal("-HUP");
     router.wait_for_log(log_lines::TEAMS_REMOVED);
@@ -49,16 +49,16 @@
 
 #[test]
 fn a_reloaded_configuration_moves_discovery_and_a_malformed_one_changes_nothing() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("reload", &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("reload", &ordinary_settings());
     let address = router.engine_address(0);
     let mut previous_discovery = router.accept_discovery();
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_command(&mut engine);
     router.write_configuration("{\"name\":");
     router.signal("-HUP");
     router.wait_for_log(log_lines::RELOAD_FAILED);
     // A repeated event is ignored, and the connection stays.
-    previous_discovery.send(&change_frame(2, &[EngineChange::ready(7, address)]).repeat(2));
+    previous_discovery.send(&change_frame(2, &[ready_engine(7, address)]).repeat(2));
     let moved_configuration = router.move_discovery();
     let mut other_client = router.connect_client();
     router.record(other_client.status(1));
@@ -87,10 +87,10 @@
     ]));
 }
 
-/// At SIGHUP the file may still be half written, or be another router's; changed settings need a restart.
+/// At SIGHUP the file may be incomplete, or belong to another router. Changed settings take effect at a restart.
 #[test]
-fn a_half_written_configuration_is_read_once_complete_and_anothers_never() {
-    let mut router = RouterHarness::start("half-written", 1, &settings(5000, 8000));
+fn an_incomplete_configuration_is_read_once_complete_and_one_of_another_router_never() {
+    let mut router = RouterHarness::start("incomplete-file", 1, &ordinary_settings());
     let _previous_discovery = router.accept_discovery();
     let complete = router.move_discovery().replace("\"lookup\"", "\"view\"");
     router.write_configuration(&complete.replace("\"n0\"", "\"n1\""));
@@ -100,9 +100,9 @@
     router.write_configuration(&complete);
     router.wait_for_log(log_lines::SETTINGS_NEED_RESTART);
     let _moved_discovery = router.accept_discovery();
-    // The request class of the start is still served.
+    // The request classes are those of the start.
     let (mut router, mut client, mut engine) = with_client_and_engine(router);
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_further_calls(&mut engine, 1).record_answer(&mut client);
     expect![[r#"
         discovery dialled after event 1
@@ -114,7 +114,7 @@
     .assert_eq(&router.finish(&["reloads", "reloads_refused"]));
 }
 
-/// The exit code of a command and the first line of its standard error, without the directory of the tests.
+/// Returns the exit code of a command and the first line of its standard error, without the directory of the tests.
 fn failure_of(mut command: Command) -> String {
     let output = command.output().expect("the router's binary starts");
     let errors = String::from_utf8_lossy(&output.stderr).replace(env!("CARGO_TARGET_TMPDIR"), "");
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_failed_start_prints_one_line_with_its_cause() {
-    let running = RouterHarness::start("address-in-use", 0, &settings(5000, 8000));
+    let running = RouterHarness::start("address-in-use", 0, &ordinary_settings());
     let address_in_use = serve_text("same-address", &minimal_configuration(running.address));
     let failures = [
         failure_of(command_with(&["serve"])),
--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -1,21 +1,24 @@
-//! How requests are served: attempts, retries, results and deadlines.
+//! Serving requests: attempts, retries, results and deadlines.
 
 use crate::harness::*;
+use emberflow_peer_protocol::engine::{EngineReply, Progress, UsedResources};
 use expect_test::expect;
+use serde_json::json;
 use std::time::Duration;
 
 #[test]
 fn serves_a_request_page_by_page_and_shuts_down_gracefully() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("serve", &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("serve", &ordinary_settings());
     router.record(client.status(1));
-    client.send_request(2, "lookup", 8000);
+    client.send_request(2, "lookup");
     router.record_command(&mut engine);
-    engine.send(2, "INFO", "detail=advance,v=0.5", "");
+    engine.send(2, EngineReply::Progress(Some(Progress::PartDone(0.5))));
     engine.send_result(9, "of an unknown request");
-    engine.send(2, "HIT", "pages=3,cost=48.0,need=90", ROWS);
+    let used = Some(UsedResources { work_ms: 48.0, memory_mb: 90.0 });
+    engine.send(2, EngineReply::Result { pages: 3, used, rows: ROWS.as_bytes() });
     router.record_commands(&mut engine, 2);
-    engine.send(2, "PART", "page=2", "g\th\ti\n");
-    engine.send(2, "PART", "page=1", "d\te\tf\n");
+    engine.send_page(2, 2, "g\th\ti\n");
+    engine.send_page(2, 1, "d\te\tf\n");
     router.record_answer(&mut client);
     let counters = [
         "requests_accepted",
@@ -37,14 +40,11 @@
 
 #[test]
 fn an_overloaded_engine_is_retried_elsewhere_and_a_fault_fails_the_request() {
-    let mut router = RouterHarness::start("full", 2, &settings(5000, 8000));
-    let mut client = router.connect_client();
-    client.send_request(1, "post", 8000);
-    let mut engines = router.two_engines_by_first_command();
+    let (mut router, mut client, mut engines) = start_with_two_engines("full");
     router.record_command(&mut engines[0]);
     engines[0].send_overloaded(1);
     router.record_command(&mut engines[1]);
-    engines[1].send(1, "FAULT", "-", "");
+    engines[1].send(1, EngineReply::Failed);
     router.record_answer(&mut client);
     expect![[r#"
         GET 0000000000000001 queue=post,mem=120,prio=2 select 1
@@ -57,14 +57,11 @@
 
 #[test]
 fn a_timed_out_attempt_is_cancelled_and_its_late_response_ignored() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("timed-out", &settings(5000, 8000));
-    client.send_request(1, "lookup", 1500);
+    let (mut router, mut client, mut engine) = start_with_one_engine("timed-out", &ordinary_settings());
+    client.send_request_within(Duration::from_millis(1500), 1, "lookup");
     router.record_commands(&mut engine, 2).record_answer(&mut client);
     engine.send_result(1, "late\t\t\n");
-    client.send_request(2, "lookup", 8000);
-    router.record_command(&mut engine);
-    engine.send_result(2, "in time\t\t\n");
-    router.record_answer(&mut client);
+    router.record_served(&mut client, &mut engine, 2, "lookup", "in time\t\t\n");
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         DROP 0000000000000001
@@ -81,18 +78,18 @@
 
 #[test]
 fn a_retry_avoids_the_connection_that_may_still_answer_an_earlier_attempt() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("late-response", &settings(5000, 8000));
-    client.send_request(1, "lookup", 8000);
+    let (mut router, mut client, mut engine) = start_with_one_engine("late-response", &ordinary_settings());
+    client.send_request(1, "lookup");
     router.record_command(&mut engine);
     engine.send_overloaded(1);
     router.record_command(&mut engine);
-    // A stalled first attempt is withdrawn and retried; there is no other engine.
-    client.send_request(2, "lookup", 8000);
+    // A stalled first attempt is cancelled and retried at the same engine, since there is no other.
+    client.send_request(2, "lookup");
     router.record_command(&mut engine);
     let first_connection = engine.connection_of(2);
     engine.send_stalled(2);
     router.record_command(&mut engine);
-    engine.send_on(first_connection, 2, "SHED", "-", "");
+    engine.send_on(first_connection, 2, EngineReply::Overloaded);
     router.record_command(&mut engine);
     engine.send_result(2, "from the second attempt\t\t\n");
     router.record_answer(&mut client);
@@ -115,18 +112,18 @@
 #[test]
 fn repeated_and_unexpected_responses_leave_their_connection_usable() {
     let limits = ResourceLimits::with_descriptors(4);
-    let router = RouterHarness::start_with_limits(limits, "repeated", 1, &settings(5000, 8000));
-    let (mut router, mut client, mut engine) = with_client_and_engine(router);
-    client.send_request(1, "post", 8000);
-    client.send_request(2, "post", 8000);
+    let (mut router, mut client, mut engine) =
+        start_one_engine_with_limits(limits, "repeated", &ordinary_settings());
+    client.send_request(1, "post");
+    client.send_request(2, "post");
     router.record_commands(&mut engine, 2);
     engine.send_result(9, "unknown\n");
-    engine.send(1, "PART", "page=1", "not requested\n");
-    engine.send(1, "HIT", "pages=2", "a\t\t\n");
-    engine.send(1, "HIT", "pages=2", "a\t\t\n");
-    engine.send(1, "PART", "page=7", "beyond\n");
-    engine.send(1, "PART", "page=1", "b\t\t\n");
-    engine.send(1, "PART", "page=1", "b\t\t\n");
+    engine.send_page(1, 1, "not requested\n");
+    engine.send_first_page(1, 2, "a\t\t\n");
+    engine.send_first_page(1, 2, "a\t\t\n");
+    engine.send_page(1, 7, "beyond\n");
+    engine.send_page(1, 1, "b\t\t\n");
+    engine.send_page(1, 1, "b\t\t\n");
     engine.send_result(2, "c\t\t\n");
     router.record_answers(&mut client, 2);
     expect![[r#"
@@ -147,16 +144,16 @@
 #[test]
 fn malformed_results_are_retried_if_idempotent_and_never_forwarded() {
     let (mut router, mut client, mut engine) =
-        start_with_one_engine("malformed-result", &settings(5000, 8000));
+        start_with_one_engine("malformed-result", &ordinary_settings());
     for (id, body) in [(1, "noise"), (2, "two\tcolumns\n"), (3, "a\tb\tc\nand a half")] {
-        client.send_request(id, "lookup", 8000);
+        client.send_request(id, "lookup");
         engine.next_command();
         engine.send_result(id, body);
         router.record_commands(&mut engine, 2);
         engine.send_result(id, ROWS);
         router.record_answer(&mut client);
     }
-    client.send_request(4, "post", 8000);
+    client.send_request(4, "post");
     engine.next_command();
     engine.send_result(4, "noise");
     router.record_answer(&mut client);
@@ -179,20 +176,20 @@
 #[test]
 fn truncated_and_missing_responses_are_detected_on_their_connection_and_retried() {
     let (mut router, mut client, mut engine) = start_with_one_engine("truncated", &settings(300, 8000));
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     engine.next_call();
     let truncated = b"*4\r\n$16\r\n00000";
     engine.send_bytes(engine.connection_of(1), truncated);
     engine.next_call();
     engine.send_result(1, ROWS);
     router.record_answer(&mut client);
-    client.send_request(2, "lookup", 8000);
+    client.send_request(2, "lookup");
     engine.next_call();
-    engine.send(2, "HIT", "pages=2", ROWS);
+    engine.send_first_page(2, 2, ROWS);
     engine.next_call();
     engine.send_result(2, "d\te\tf\n");
     router.record_answer(&mut client);
-    client.send_request(3, "lookup", 8000);
+    client.send_request(3, "lookup");
     engine.next_call();
     engine.next_call();
     engine.send_result(3, "g\th\ti\n");
@@ -208,10 +205,10 @@
 
 #[test]
 fn requests_with_one_subject_run_one_at_a_time_in_order() {
-    let ordered = settings(5000, 8000).replace(r#""name":"post""#, r#""keepOrder":true,"name":"post""#);
+    let ordered = ordinary_settings().replace(r#""name":"post""#, r#""keepOrder":true,"name":"post""#);
     let (mut router, mut client, mut engine) = start_with_one_engine("order", &ordered);
     for (id, subject) in [(1, "a"), (2, "a"), (3, "b")] {
-        client.send_request_with(&format!(r#""subject":"{subject}","#), id, "post", 8000);
+        client.send_request_with(&json!({"subject": subject}), id, "post");
         if id != 2 {
             router.record_command(&mut engine);
         }
@@ -228,12 +225,12 @@
     .assert_eq(&router.finish(&["requests_succeeded", "requests_failed"]));
 }
 
-/// The router reads the engine's response only after the client's deadline: a non-idempotent request is neither sent
-/// again nor answered twice.
+/// The router reads the engine's response only after the client's deadline. A non-idempotent request is neither retried
+/// nor answered twice.
 #[test]
 fn a_response_read_together_with_the_expired_deadline_gives_one_answer() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("late-deadline", &settings(5000, 8000));
-    client.send_request(1, "post", 700);
+    let (mut router, mut client, mut engine) = start_with_one_engine("late-deadline", &ordinary_settings());
+    client.send_request_within(Duration::from_millis(700), 1, "post");
     engine.record_next_call(&mut router);
     router.while_stopped(|_| {
         engine.send_result(1, ROWS);
@@ -251,26 +248,26 @@
     .assert_eq(&router.finish(&["requests_succeeded", "requests_failed"]));
 }
 
-/// Where the settings allow no hedged requests, the withdrawal of an attempt and the retry must not overtake each
-/// other on two connections.
+/// Without hedged requests, two attempts must not run at once, although the cancellation of the first and the retry may
+/// travel over two connections.
 #[test]
-fn a_withdrawn_attempt_is_retried_once_its_engine_confirmed_the_withdrawal() {
+fn a_cancelled_attempt_is_retried_once_its_engine_acknowledged_the_cancellation() {
     let without_hedging =
         settings(1000, 60_000).replace("\"mostTries\":3", "\"mostTries\":3,\"mayDuplicate\":false");
-    let (mut router, mut client, mut engine) = start_with_one_engine("confirmed", &without_hedging);
-    client.send_request(1, "lookup", 60_000);
+    let (mut router, mut client, mut engine) = start_with_one_engine("acknowledged", &without_hedging);
+    client.send_request_within(LONG_REQUEST_TIMEOUT, 1, "lookup");
     engine.record_next_call(&mut router);
     engine.send_stalled(1);
     router.record_commands(&mut engine, 2);
     let early = engine.has_command_within(Duration::from_millis(100));
-    router.record(format!("retried before the engine confirmed: {early}"));
-    engine.send(1, "PONG", "-", "");
+    router.record(format!("retried before the acknowledgement: {early}"));
+    engine.send(1, EngineReply::Pong);
     engine.record_next_call(&mut router);
     engine.send_stalled(1);
     router.while_stopped(|_| engine.send_result(1, ROWS));
     router.record_answer(&mut client);
-    // The connection of an engine that does not confirm is closed first.
-    client.send_request(2, "lookup", 60_000);
+    // The connection of an engine that does not acknowledge is closed before the retry.
+    client.send_request_within(LONG_REQUEST_TIMEOUT, 2, "lookup");
     engine.record_next_call(&mut router);
     engine.send_stalled(2);
     router.record_commands(&mut engine, 3);
@@ -281,7 +278,7 @@
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         DROP 0000000000000001
         PING 0000000000000001
-        retried before the engine confirmed: false
+        retried before the acknowledgement: false
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
         GET 0000000000000002 queue=lookup,mem=120,prio=2 select 1
@@ -299,22 +296,27 @@
     ]));
 }
 
-/// A process that is not scheduled while it polls sees lines late, several at once: each counts from when it can have
-/// come, so that no deadline passed on is longer than what its client has left.
+/// A process that is suspended while it polls reads several lines late. The deadline of each counts from the earliest
+/// time at which the line can have arrived, so that no call names more time than its client has left.
 #[test]
-fn lines_that_a_late_wake_up_hid_count_from_when_they_can_have_come() {
+fn deadlines_of_lines_read_late_count_from_their_earliest_arrival() {
     const PAUSE: Duration = Duration::from_millis(300);
     const SLACK: Duration = Duration::from_millis(150);
-    let (router, mut client, mut engine) = start_with_one_engine("late-wake-up", &settings(5000, 8000));
+    let (router, mut client, mut engine) = start_with_one_engine("late-wake-up", &ordinary_settings());
     router.wait_until_asleep();
     router.stop();
     for request in [1, 2] {
-        client.send_request(request, "lookup", 8000);
+        client.send_request(request, "lookup");
         std::thread::sleep(PAUSE);
     }
     router.resume();
     engine.next_call();
     engine.next_call();
-    let left = Duration::from_secs(8) - PAUSE * 2;
-    assert!(engine.budget_of(1) <= left + SLACK, "{:?} passed on, {left:?} left", engine.budget_of(1));
+    let sent_requests = 2;
+    let client_time_left = REQUEST_TIMEOUT - PAUSE * sent_requests;
+    let call_time_left = engine.time_left_of(1);
+    assert!(
+        call_time_left <= client_time_left + SLACK,
+        "the call names {call_time_left:?}, the client has {client_time_left:?} left"
+    );
 }
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -6,17 +6,20 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Longer than the process serves on after SIGTERM in any case; after that it ends once no request is open.
+/// Longer than the time for which the process serves after SIGTERM in any case. Afterwards it ends once no request is open.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(750);
-/// Longer than the router waits between two looks at whether it may end.
-const SHUTDOWN_POLL: Duration = Duration::from_millis(50);
+/// Longer than the interval in which the router checks whether it may end.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// A timeout that outlasts the graceful shutdown by far.
+const RESTART_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
 #[test]
 fn graceful_shutdown_rejects_idempotent_and_fails_non_idempotent_requests() {
     let (mut router, mut client, mut engine) = start_with_one_engine("restart", &settings(5000, 600));
-    client.send_request(1, "lookup", 600_000);
+    client.send_request_within(RESTART_REQUEST_TIMEOUT, 1, "lookup");
     router.record_command(&mut engine);
-    client.send_request(2, "post", 600_000);
+    client.send_request_within(RESTART_REQUEST_TIMEOUT, 2, "post");
     router.record_command(&mut engine);
     router.signal("-TERM");
     let mut other_client = router.connect_client();
@@ -52,23 +55,23 @@
     expect![[r#"Some(0)"#]].assert_eq(&format!("{:?}", status.code()));
 }
 
-/// As the process may end, one request stands unread in a socket and one in a connection that was not accepted.
+/// When the process may end, one request is unread in a socket and one in a connection that was not accepted.
 #[test]
 fn graceful_shutdown_answers_unread_requests_and_pending_connections() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("last", &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("last", &ordinary_settings());
     let mut known_client = router.connect_client();
     known_client.status(99);
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     engine.record_next_call(&mut router);
     router.signal("-TERM");
     router.wait_for_log(log_lines::COUNTERS);
     std::thread::sleep(SHUTDOWN_GRACE);
     let mut new_client = router.while_stopped(|router| {
         engine.send_result(1, ROWS);
-        known_client.send_request(2, "lookup", 8000);
+        known_client.send_request(2, "lookup");
         let mut new_client = router.connect_client();
-        new_client.send_request(3, "lookup", 8000);
-        std::thread::sleep(SHUTDOWN_POLL);
+        new_client.send_request(3, "lookup");
+        std::thread::sleep(SHUTDOWN_CHECK_INTERVAL);
         new_client
     });
     router.record_further_calls(&mut engine, 2);
--- a/crates/router/tests/sockets/teams.rs
+++ b/crates/router/tests/sockets/teams.rs
@@ -1,23 +1,29 @@
-//! Queues of teams: shares, urgency, timeouts and withdrawals.
+//! Queues of teams: shares, urgency, timeouts and cancellations.
 
 use crate::harness::*;
+use emberflow_peer_protocol::client::ClientRequest;
 use expect_test::expect;
+use serde_json::json;
 use std::time::{Duration, Instant};
 
 /// An operator's file with a team whose budget is used up by one request.
 const TEAM_WITH_BUDGET: &str = "{teams: {list: [{name: 'audit', share: 1, \
                                 budget: {work_s: 1, per_s: 60, burst_s: 1}}]}}";
 
+/// A timeout that expires in a team's queue.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
+
 #[test]
 fn teams_share_capacity_and_urgent_requests_pass_queued_ones() {
     let (mut router, mut client, mut engine) =
-        start_one_engine_with_operator_file("teams-share", &settings(5000, 60_000), TWO_TEAMS);
+        start_one_engine_with_operator_file("teams-share", &long_deadline_settings(), TWO_TEAMS);
     for id in 1..=4 {
-        client.send_large_request("posting", id, 60_000, "");
+        client.send(&large_request("posting", id, LONG_REQUEST_TIMEOUT));
     }
-    client.send_large_request("audit", 5, 60_000, "");
-    client.send_large_request("audit", 6, 60_000, r#""urgency":3,"#);
-    client.send_large_request("posting", 7, 60_000, "");
+    client.send(&large_request("audit", 5, LONG_REQUEST_TIMEOUT));
+    let urgent = ClientRequest { urgency: Some(3), ..large_request("audit", 6, LONG_REQUEST_TIMEOUT) };
+    client.send(&urgent);
+    client.send(&large_request("posting", 7, LONG_REQUEST_TIMEOUT));
     router.record_answer(&mut client);
     for _ in 0..6 {
         let id = engine.record_next_call(&mut router);
@@ -48,27 +54,32 @@
 }
 
 #[test]
-fn queued_requests_of_teams_are_rejected_in_time_withdrawn_and_answered_at_shutdown() {
+fn queued_requests_of_teams_are_rejected_in_time_cancelled_and_answered_at_shutdown() {
     let (mut router, mut client, mut engine) =
-        start_one_engine_with_operator_file("teams-queue", &settings(5000, 60_000), TWO_TEAMS);
-    client.send_large_request("audit", 1, 60_000, "");
+        start_one_engine_with_operator_file("teams-queue", &long_deadline_settings(), TWO_TEAMS);
+    client.send(&large_request("audit", 1, LONG_REQUEST_TIMEOUT));
     router.record(engine.next_call());
-    // One more is queued by the scheduler, the rest in the team's queue.
-    client.send_large_request("audit", 2, 60_000, "");
-    client.send_large_request("audit", 3, 500, "");
-    client.send_large_request("audit", 4, 60_000, "");
-    client.send_line(&withdraw_line(4));
+    // The scheduler queues one more request, and the team's queue the others.
+    client.send(&large_request("audit", 2, LONG_REQUEST_TIMEOUT));
+    client.send(&large_request("audit", 3, SHORT_TIMEOUT));
+    client.send(&large_request("audit", 4, LONG_REQUEST_TIMEOUT));
+    client.cancel(4);
     let sent_at = Instant::now();
     router.record_answer(&mut client);
-    assert!(sent_at.elapsed() < Duration::from_millis(500), "rejected before its timeout");
-    for (team, urgency) in [("7", "0"), ("\"a\"", "4"), ("\"a\"", "-1"), ("\"a\"", "\"x\"")] {
-        client.send_request_with(&format!(r#""team":{team},"urgency":{urgency},"#), 8, "lookup", 8000);
+    assert!(sent_at.elapsed() < SHORT_TIMEOUT, "rejected before its timeout");
+    let invalid_parameters = [
+        json!({"team": 7, "urgency": 0}),
+        json!({"team": "a", "urgency": 4}),
+        json!({"team": "a", "urgency": -1}),
+        json!({"team": "a", "urgency": "x"}),
+        json!({"team": "x".repeat(129)}),
+    ];
+    for parameters in invalid_parameters {
+        client.send_request_with(&parameters, 8, "lookup");
         router.record_answer(&mut client);
     }
-    client.send_request_with(&format!(r#""team":"{}","#, "x".repeat(129)), 8, "lookup", 8000);
-    router.record_answer(&mut client);
-    // Graceful shutdown answers requests in a team's queue like those that the scheduler queues.
-    client.send_large_request("nobody", 5, 60_000, "");
+    // Graceful shutdown answers the requests in a team's queue like those in the scheduler's queue.
+    client.send(&large_request("nobody", 5, LONG_REQUEST_TIMEOUT));
     router.signal("-TERM");
     let mut answers = [client.read_line(), client.read_line(), client.read_line()];
     answers.sort();
@@ -88,15 +99,16 @@
     "#]].assert_eq(&router.finish(&["requests_rejected", "requests_cancelled", "held_requests"]));
 }
 
-/// Of two requests in a team's queue, one client shuts down its sending side and the other closes.
+/// Two requests are in a team's queue. One client shuts down its sending side, and the other closes.
 #[test]
-fn a_request_queued_for_its_team_is_rejected_once_its_client_left() {
+fn a_request_queued_for_its_team_is_rejected_once_its_client_disconnected() {
     let settings = long_queueing_settings();
-    let mut router = RouterHarness::start_with_operator_file("team-left", 1, &settings, TEAM_WITH_BUDGET);
+    let mut router =
+        RouterHarness::start_with_operator_file("team-disconnected", 1, &settings, TEAM_WITH_BUDGET);
     let mut clients = router.connect_clients(3);
     let mut engine = router.engine(0);
     for (client, id) in clients.iter_mut().zip(1..) {
-        client.send_large_request("audit", id, 60_000, "");
+        client.send(&large_request("audit", id, LONG_REQUEST_TIMEOUT));
         client.status(99);
     }
     let first = engine.record_next_call(&mut router);
@@ -117,19 +129,19 @@
     .assert_eq(&router.finish(&["requests_rejected", "requests_succeeded", "requests_cancelled"]));
 }
 
-/// Requests in a team's queue are withdrawn in the same instant as capacity for them is freed.
+/// Requests in a team's queue are cancelled at the same moment as capacity for them is freed.
 #[test]
-fn a_request_queued_for_its_team_is_not_sent_once_it_is_withdrawn() {
+fn a_request_queued_for_its_team_is_not_sent_once_it_is_cancelled() {
     let (mut router, mut client, mut engine) =
-        start_one_engine_with_operator_file("team-withdrawn", &long_queueing_settings(), TEAM_WITH_BUDGET);
+        start_one_engine_with_operator_file("team-cancelled", &long_queueing_settings(), TEAM_WITH_BUDGET);
     for id in 1..=3 {
-        client.send_large_request("audit", id, 60_000, "");
+        client.send(&large_request("audit", id, LONG_REQUEST_TIMEOUT));
         client.status(99);
     }
     let first = engine.record_next_call(&mut router);
     router.while_stopped(|_| {
         engine.send_result(first, ROWS);
-        client.send_line(&(withdraw_line(2) + "\n" + &withdraw_line(3)));
+        client.send_bytes(&[cancellation_line(2), cancellation_line(3)].concat());
     });
     router.record_answer(&mut client).record_further_calls(&mut engine, 0);
     expect![[r#"
