--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -171,7 +171,7 @@
         self.table.get(slot).is_some_and(|client| client.has_cancelled(name, id))
     }
 
-    /// Whether a client's input has ended so long ago that nothing can be in transit.
+    /// Whether a client's input has ended and nothing that the client sent before can be in transit.
     pub fn has_ended_input(&self, slot: Slot, now: Duration) -> bool {
         let ended_at = self.table.get(slot).and_then(|client| client.ended_at);
         ended_at.is_some_and(|at| at + MAX_TRANSIT_TIME < now)
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -71,7 +71,7 @@
 impl Actions for Dispatcher {
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         let Some(row) = self.requests.get_mut(request) else {
-            return self.context.counters.must(false, "an_attempt_of_an_answered_request");
+            return self.context.counters.check_invariant(false, "an_attempt_of_an_answered_request");
         };
         let call = Call {
             request,
@@ -110,13 +110,13 @@
         let retry_after_ms = retry_after.map(whole_ms).filter(|ms| *ms > 0);
         let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Rejected, REJECTED_MESSAGE, retry_after_ms);
         let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
-        self.context.counters.must(was_open, "a_second_answer");
+        self.context.counters.check_invariant(was_open, "a_second_answer");
     }
 
     fn fail(&mut self, request: RequestId) {
         let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, FAILED_MESSAGE, None);
         let was_open = self.answer_request(request, RequestOutcome::Failed, line);
-        self.context.counters.must(was_open, "a_second_answer");
+        self.context.counters.check_invariant(was_open, "a_second_answer");
     }
 
     /// Never called: the configuration of a router on sockets disables health checks by the scheduler.
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -22,7 +22,7 @@
 use crate::slots::{Slot, Slots};
 use attempt::Attempt;
 use connection::Connection;
-use emberflow::{AttemptEnded, EngineId, ProgressNote, RequestId};
+use emberflow::{AttemptEnded, EngineId, ProgressUpdate, RequestId};
 use endpoints::Engine;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
         request: RequestId,
         /// The attempt's number within its request.
         attempt: usize,
-        progress: ProgressNote,
+        progress: ProgressUpdate,
     },
 }
 
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -35,12 +35,12 @@
         let id = attempt.id.clone();
         let excluded = attempt.excluded_connections.clone();
         if attempt.resend_disabled || !self.is_ready(engine) {
-            return self.end(slot, AttemptOutcome::Void, None, context);
+            return self.end(slot, AttemptOutcome::NotSent, None, context);
         }
         match self.select_connection(engine, &id, &excluded, context) {
             Some(connection) => self.enqueue_call(slot, connection, context),
             // The router's connection limit is no fault of the engine, so the attempt does not count against it.
-            None => self.end(slot, AttemptOutcome::Void, None, context),
+            None => self.end(slot, AttemptOutcome::NotSent, None, context),
         }
     }
 
@@ -51,7 +51,7 @@
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.resend_disabled = true;
         if attempt.call_offset.is_none() {
-            self.end(slot, AttemptOutcome::Void, None, context);
+            self.end(slot, AttemptOutcome::NotSent, None, context);
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Cancels an attempt whose request gets no further attempt.
     pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
-        self.abandon(attempt, AttemptOutcome::Withdrawn, AttemptOutcome::Void, context);
+        self.abandon(attempt, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, context);
     }
 
     /// Cancels an attempt whose request may be sent again.
@@ -202,7 +202,7 @@
 
 /// Returns the connection on which the engine may still reply to an attempt that ends with `outcome`.
 fn late_connection(attempt: &Attempt, outcome: AttemptOutcome) -> Option<Slot> {
-    let was_abandoned = matches!(outcome, AttemptOutcome::Withdrawn | AttemptOutcome::TimedOut);
+    let was_abandoned = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
     // An engine sends no reply to an attempt after it has acknowledged the cancellation.
     attempt.connection.filter(|_| was_abandoned && !attempt.is_cancelled())
 }
@@ -229,7 +229,7 @@
         AttemptOutcome::TimedOut => "attempts_timed_out",
         AttemptOutcome::Unreachable => "attempts_unreachable",
         AttemptOutcome::Broken => "attempts_broken",
-        AttemptOutcome::Withdrawn => "attempts_cancelled",
-        AttemptOutcome::Void => "attempts_not_sent",
+        AttemptOutcome::Cancelled => "attempts_cancelled",
+        AttemptOutcome::NotSent => "attempts_not_sent",
     }
 }
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -131,9 +131,8 @@
         }
     }
 
-    /// Closes a connection and ends or moves the attempts on it. A reachable engine may reset a new or an idle
-    /// connection without a fault of its own, so a call of which no byte was written moves to another connection,
-    /// once.
+    /// Closes a connection and ends or moves the attempts on it. A reset of a new or an idle connection is no fault of a
+    /// reachable engine, so an unwritten call moves to another connection, once.
     pub fn close_connection(
         &mut self,
         slot: Slot,
@@ -172,7 +171,7 @@
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.connection = None;
         if attempt.is_cancelled() {
-            return self.end(slot, AttemptOutcome::Withdrawn, None, context);
+            return self.end(slot, AttemptOutcome::Cancelled, None, context);
         }
         if attempt.has_begun(written) {
             return self.end(slot, AttemptOutcome::Broken, None, context);
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -152,7 +152,7 @@
             let now = self.dispatcher.context.now();
             match event {
                 PoolEvent::Progress { request, attempt, progress } => {
-                    self.scheduler.progress_noted(now, request, attempt, progress, &mut self.dispatcher);
+                    self.scheduler.progress_updated(now, request, attempt, progress, &mut self.dispatcher);
                 }
                 PoolEvent::Ended { ended, body, late_connection } => {
                     if let Some(connection) = late_connection {
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -42,7 +42,7 @@
     is_table: bool,
 }
 
-/// The state after the tokens of a statement read so far.
+/// The state of the scan after each token of a statement.
 #[derive(Default)]
 struct Scanner<'a> {
     /// The first name of a qualified name, if a dot may follow.
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -1,10 +1,11 @@
-//! The codecs alone: the same messages are decoded however their bytes are split.
+//! Codecs: messages are decoded alike however their bytes are split, and malformed input is rejected.
 
 use emberflow_router::{discovery, jsonrpc, resp, ring::Ring, statement};
 use expect_test::expect;
 
-/// What `parse` decodes from input that arrives in two parts, split at every offset; all must be the same.
-fn split_everywhere(input: &[u8], parse: impl Fn(&mut Ring) -> Option<String>) -> String {
+/// Returns the messages that `parse` decodes from the input. Checks that `parse` decodes the same messages from input
+/// that arrives in two parts, for every split.
+fn decode_with_every_split(input: &[u8], parse: impl Fn(&mut Ring) -> Option<String>) -> String {
     let parse_parts = |first: &[u8], second: &[u8]| {
         let mut ring = Ring::default();
         let mut lines = Vec::new();
@@ -48,11 +49,11 @@
         9b1f | HIT | pages=2,cost=812.5,need=96,use=util:0.61;queue:0 | a\tb\tc\n\r\n
         9b1f | INFO | - | 
     "#]]
-    .assert_eq(&split_everywhere(&input.concat(), parse));
+    .assert_eq(&decode_with_every_split(&input.concat(), parse));
 }
 
 #[test]
-fn malformed_arrays_are_refused_with_their_error() {
+fn malformed_arrays_are_rejected_with_their_error() {
     let malformed: [&[u8]; 9] = [
         b"hello",
         b"*x\r\n",
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn requests_are_decoded_line_by_line_and_refused_with_the_standard_codes() {
+fn requests_are_decoded_line_by_line_and_rejected_with_the_standard_codes() {
     let lines = r#"{"jsonrpc":"2.0","id":7,"method":"report","params":{"req":"9b1f03aa5c7e2d41"}}
 {"jsonrpc":"2.0","method":"withdraw","params":{"req":"9b1f03aa5c7e2d41"}}
 {"jsonrpc":"2.0","id":7,"method
@@ -127,11 +128,11 @@
         Err((None, -32600, "`id` is not a whole number from 1 up"))
         Err((Some(4), -32600, "`method` is not text"))
         Err((None, -32700, "malformed JSON: EOF while parsing a value at line 1 column 0"))"#]]
-    .assert_eq(&split_everywhere(lines.as_bytes(), parse));
+    .assert_eq(&decode_with_every_split(lines.as_bytes(), parse));
 }
 
 #[test]
-fn frames_are_decoded_once_complete_and_malformed_ones_refused() {
+fn frames_are_decoded_once_complete_and_malformed_ones_rejected() {
     let record =
         [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x23, 0x82, 1, 2, 3, 0, 4, 0, 0, 15, 160, 0, 0, 0, 0, 0, 0, 1, 0];
     let frame = |number: u64, kind: u8, payload: &[u8]| {
@@ -161,7 +162,7 @@
         41 Some(FullList) ["00c41f7a 10.1.0.9:9090 Draining 2 3 4 256"]
         42 Some(Changes) []
         42 None []"#]]
-    .assert_eq(&split_everywhere(&good, parse));
+    .assert_eq(&decode_with_every_split(&good, parse));
     let mut unknown_state = record;
     unknown_state[10] = 7;
     let malformed =
