--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -159,19 +159,22 @@
     /// Decodes the first reply in `bytes` and returns it with its length. Returns `None` until it is complete.
     pub fn decode(bytes: &[u8]) -> Result<Option<(Self, usize)>, EngineProtocolError> {
         let Some(array) = resp::parse_array(bytes)? else { return Ok(None) };
-        let part = |at: usize| array.parts.get(at).copied().unwrap_or_default();
-        let text = |at: usize, name: &'static str| {
-            let text = std::str::from_utf8(part(at));
-            text.map(str::to_owned).map_err(|source| EngineProtocolError::NotUtf8 { part: name, source })
-        };
-        let id = text(0, "id")?;
-        let kind = ReplyKind::decode(&text(1, "type")?);
-        let fields = ReplyFields(text(2, "fields")?);
-        let body = part(3).to_vec();
+        // A missing part counts as empty.
+        let mut parts = array.parts.iter().copied();
+        let mut next_part = || parts.next().unwrap_or_default();
+        let id = decode_text(next_part(), "id")?;
+        let kind = ReplyKind::decode(&decode_text(next_part(), "type")?);
+        let fields = ReplyFields(decode_text(next_part(), "fields")?);
+        let body = next_part().to_vec();
         Ok(Some((Self { id, kind, fields, body }, array.length)))
     }
 }
 
+fn decode_text(part: &[u8], name: &'static str) -> Result<String, EngineProtocolError> {
+    let text = std::str::from_utf8(part);
+    text.map(str::to_owned).map_err(|source| EngineProtocolError::NotUtf8 { part: name, source })
+}
+
 /// The fields of a reply, as `name=value` separated by commas.
 pub(super) struct ReplyFields(String);
 
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -7,6 +7,10 @@
 const CLAUSE_KEYWORDS: [&[u8]; 8] =
     [b"select", b"from", b"where", b"group", b"order", b"set", b"values", b"on"];
 
+const LINE_COMMENT_START: &[u8] = b"--";
+const BLOCK_COMMENT_START: &[u8] = b"/*";
+const BLOCK_COMMENT_END: &[u8] = b"*/";
+
 /// Returns the group of the first table whose schema has a number. Schemas without a number, such as `staging`, are
 /// skipped, as are comments and string literals. Other names with a dot, such as the columns of an alias, count only if
 /// no table is named after a keyword or in the list of a `FROM` clause.
@@ -114,8 +118,8 @@
 /// Splits the first token off `bytes`, which must not be empty.
 fn split_token(bytes: &[u8]) -> (Token<'_>, &[u8]) {
     let first = bytes[0];
-    let is_line_comment = bytes.starts_with(b"--");
-    let is_block_comment = bytes.starts_with(b"/*");
+    let is_line_comment = bytes.starts_with(LINE_COMMENT_START);
+    let is_block_comment = bytes.starts_with(BLOCK_COMMENT_START);
     let length = match first {
         _ if is_line_comment => length_before(bytes, |byte| byte == b'\n'),
         _ if is_block_comment => block_comment_length(bytes),
@@ -146,13 +150,12 @@
 
 /// Returns the length of the quoted text at the front of `bytes`, in which a doubled quote is an escaped quote.
 fn quoted_length(bytes: &[u8], quote: u8) -> usize {
+    let escaped_quote = [quote, quote];
     let mut at = 1;
     while at < bytes.len() {
-        let is_quote = bytes[at] == quote;
-        let is_doubled = is_quote && bytes.get(at + 1) == Some(&quote);
-        if is_doubled {
-            at += 2;
-        } else if is_quote {
+        if bytes[at..].starts_with(&escaped_quote) {
+            at += escaped_quote.len();
+        } else if bytes[at] == quote {
             return at + 1;
         } else {
             at += 1;
@@ -166,17 +169,17 @@
     let mut depth = 0;
     let mut at = 0;
     while at < bytes.len() {
-        match bytes.get(at..at + 2) {
-            Some(b"/*") => {
-                depth += 1;
-                at += 2;
-            }
-            Some(b"*/") if depth == 1 => return at + 2,
-            Some(b"*/") => {
-                depth -= 1;
-                at += 2;
+        if bytes[at..].starts_with(BLOCK_COMMENT_START) {
+            depth += 1;
+            at += BLOCK_COMMENT_START.len();
+        } else if bytes[at..].starts_with(BLOCK_COMMENT_END) {
+            depth -= 1;
+            at += BLOCK_COMMENT_END.len();
+            if depth == 0 {
+                return at;
             }
-            _ => at += 1,
+        } else {
+            at += 1;
         }
     }
     bytes.len()
--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -74,15 +74,12 @@
 fn a_half_closed_client_is_answered_and_a_cancelled_request_reaches_its_engine_as_a_cancellation() {
     let (mut router, mut client, mut engine) = start_with_one_engine("half-closed", &ordinary_settings());
     let mut other_client = router.connect_client();
-    client.send_request(1, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
     client.shut_down_sending();
-    other_client.send_request(2, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut other_client, &mut engine, 2, "lookup");
     other_client.cancel(2);
     router.record_command(&mut engine);
-    other_client.send_request(3, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut other_client, &mut engine, 3, "lookup");
     other_client.send_line(r#"{"jsonrpc":"2.0","id":4,"method":"withdraw","params":{"id":3}}"#);
     router.record_command(&mut engine);
     engine.send_result(2, "withdrawn\t\t\n");
@@ -247,6 +244,16 @@
     _other_clients: Vec<TestClient>,
 }
 
+impl ClosingRouter {
+    /// Reads until the router closes the connection. Returns the transcript with the answer, and with whether the
+    /// connection was closed without a reset.
+    fn finish(mut self) -> String {
+        let (answer, is_closed_without_reset) = self.client.read_to_end();
+        self.router.record(answer).record(format!("closed without a reset: {is_closed_without_reset}"));
+        self.router.finish(&["client_input_refused", "clients_drained"])
+    }
+}
+
 /// Starts a router with many clients, one of which sends a line without end by `send`. `arriving_bytes` of that line
 /// arrive before the router reads any. The router reads one line of each client per iteration. It closes the connection
 /// of that client before it reads from it again, so that the rest of the line is unread in the socket.
@@ -279,33 +286,27 @@
 #[test]
 fn a_connection_closed_with_unread_input_delivers_its_last_answer() {
     let more_than_a_line = vec![b'['; 5 * MAX_LINE_BYTES];
-    let mut closing = close_with_unread_input("unending", more_than_a_line.len(), |client| {
+    let closing = close_with_unread_input("unending", more_than_a_line.len(), |client| {
         client.send_bytes(&more_than_a_line);
     });
-    let (answer, is_closed_without_reset) = closing.client.read_to_end();
-    let router = &mut closing.router;
-    router.record(answer).record(format!("closed without a reset: {is_closed_without_reset}"));
     expect![[r#"
         {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
         closed without a reset: true
         exit status Some(0): client_input_refused=1 clients_drained=1
     "#]]
-    .assert_eq(&router.finish(&["client_input_refused", "clients_drained"]));
+    .assert_eq(&closing.finish());
 }
 
 /// The unread input exceeds both the limit of an iteration and the socket's buffer. The router reads all of it.
 #[test]
 fn a_connection_closed_with_much_unread_input_delivers_its_last_answer() {
-    let mut closing = close_with_unread_input("unending-much", 2 * MAX_LINE_BYTES, |client| {
+    let closing = close_with_unread_input("unending-much", 2 * MAX_LINE_BYTES, |client| {
         fill_sockets_without_line_end(client);
     });
-    let (answer, is_closed_without_reset) = closing.client.read_to_end();
-    let router = &mut closing.router;
-    router.record(answer).record(format!("closed without a reset: {is_closed_without_reset}"));
     expect![[r#"
         {"error":{"code":-32700,"message":"a line without end"},"id":null,"jsonrpc":"2.0"}
         closed without a reset: true
         exit status Some(0): client_input_refused=1 clients_drained=1
     "#]]
-    .assert_eq(&router.finish(&["client_input_refused", "clients_drained"]));
+    .assert_eq(&closing.finish());
 }
--- a/crates/router/tests/sockets/discovery.rs
+++ b/crates/router/tests/sockets/discovery.rs
@@ -14,17 +14,14 @@
     let (mut router, mut client, mut engine) = start_with_one_engine("removed", &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
-    client.send_request(1, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
     let frame = change_frame(2, &[removed_engine(0, address), ready_engine(7, address)]);
     let (first, second) = frame.split_at(11);
     discovery.send(first);
     discovery.send(second);
     router.wait_for_log(&log_lines::discovery_event(2));
-    client.send_request(2, "lookup");
-    router.record_command(&mut engine);
-    engine.send_result(1, "from the removed engine\t\t\n");
-    router.record_answer(&mut client);
+    router.record_forwarded(&mut client, &mut engine, 2, "lookup");
+    router.record_result(&mut client, &mut engine, 1, "from the removed engine\t\t\n");
     drop(discovery);
     let _discovery = router.accept_discovery();
     expect![[r#"
@@ -51,8 +48,7 @@
         assert_eq!(discovery.read_more().unwrap_or(0), 0, "the router closes the connection");
     }
     let (mut router, mut client, mut engine) = with_client_and_engine(router);
-    client.send_request(1, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
     expect![[r#"
         discovery dialled after event 1
         discovery dialled after event 1
@@ -68,15 +64,13 @@
     let (mut router, mut client, mut engine) = start_with_one_engine("restarted", &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
-    client.send_request(1, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is past 1970");
     let after_the_connection = now + Duration::from_secs(1);
     let restart = restarted_engine(0, address, after_the_connection.as_millis() as u64);
     discovery.send_changes(2, &[restart]);
     router.record_commands(&mut engine, 2);
-    engine.send_result(1, "x\t\t\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 1, "x\t\t\n");
     expect![[r#"
         discovery dialled after event 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
@@ -156,8 +150,7 @@
     let moved_configuration = router.move_discovery();
     // An event with a draining engine is unread when the configuration moves discovery. The new service sends nothing.
     router.while_stopped(|router| {
-        router.write_configuration(&moved_configuration);
-        router.signal("-HUP");
+        router.reload_configuration(&moved_configuration);
         previous.send_changes(3, &[draining_engine(0, address)]);
     });
     let _inactive = router.accept_discovery();
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -7,18 +7,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longer than a connection may be idle without a health check, where the connect timeout is 1 s.
-const LONGER_THAN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1100);
-/// The same where the connect timeout is 2 s.
-const LONGER_THAN_LONG_CONNECT_TIMEOUT: Duration = Duration::from_millis(2100);
+/// The connect timeout, after which an idle connection needs a health check.
+const SHORT_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const LONGER_THAN_SHORT_CONNECT_TIMEOUT: Duration = Duration::from_millis(1100);
+/// The same for the test in which the health check must not expire.
+const MEDIUM_CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
+const LONGER_THAN_MEDIUM_CONNECT_TIMEOUT: Duration = Duration::from_millis(2100);
 /// A part of an engine's reply, in bytes.
 const INCOMPLETE_REPLY_BYTES: usize = 6;
 
 #[test]
 fn a_reset_fails_a_sent_call_and_a_refused_connection_rejects_it() {
     let (mut router, mut client, mut engine) = start_with_one_engine("reset", &ordinary_settings());
-    client.send_request(1, "post");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "post");
     drop(engine);
     router.record_answer(&mut client);
     expect![[r#"
@@ -40,13 +41,13 @@
 
 #[test]
 fn an_idle_connection_must_answer_a_ping_before_it_is_used() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("unresponsive", &settings(1000, 8000));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("unresponsive", &settings(SHORT_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     router.record_served(&mut client, &mut engine, 1, "lookup", "x\t\t\n");
-    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
+    std::thread::sleep(LONGER_THAN_SHORT_CONNECT_TIMEOUT);
     client.send_request(2, "lookup");
     router.record_commands(&mut engine, 3);
-    engine.send_result(2, "y\t\t\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 2, "y\t\t\n");
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"eAkJCg=="}}
@@ -61,14 +62,14 @@
 
 #[test]
 fn a_call_waiting_for_a_connection_is_not_sent_once_its_engine_drains() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("waiting", &settings(2000, 8000));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("waiting", &settings(MEDIUM_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
     router.record_served(&mut client, &mut engine, 1, "lookup", "x\t\t\n");
-    std::thread::sleep(LONGER_THAN_LONG_CONNECT_TIMEOUT);
+    std::thread::sleep(LONGER_THAN_MEDIUM_CONNECT_TIMEOUT);
     discovery.send_heartbeat(1);
-    client.send_request(2, "post");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 2, "post");
     discovery.send_changes(2, &[draining_engine(0, address)]);
     router.record_answer(&mut client);
     engine.send(0, EngineReply::Pong);
@@ -120,15 +121,14 @@
 
 #[test]
 fn a_call_not_written_before_a_reset_moves_to_another_connection() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("reassigned", &settings(1000, 8000));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("reassigned", &settings(SHORT_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     serve_first_request(&mut client, &mut engine, "post");
-    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
-    client.send_request(2, "post");
-    router.record_command(&mut engine);
+    std::thread::sleep(LONGER_THAN_SHORT_CONNECT_TIMEOUT);
+    router.record_forwarded(&mut client, &mut engine, 2, "post");
     engine.close_connection_of(1);
     router.record_command(&mut engine);
-    engine.send_result(2, "y\t\t\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 2, "y\t\t\n");
     expect![[r#"
         PING 0
         GET 0000000000000002 queue=post,mem=120,prio=2 select 1
@@ -141,10 +141,8 @@
 #[test]
 fn a_response_sent_before_the_engine_closed_counts() {
     let (mut router, mut client, mut engine) = start_with_one_engine("closed", &ordinary_settings());
-    client.send_request(1, "post");
-    router.record_command(&mut engine);
-    client.send_request(2, "post");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "post");
+    router.record_forwarded(&mut client, &mut engine, 2, "post");
     engine.send_result(1, "done\t\t\n");
     drop(engine);
     router.record_answers(&mut client, 2);
@@ -164,11 +162,12 @@
 /// Has a call wait for the health check of an idle connection, and runs `depart` at the same moment as the engine
 /// answers the health check. Returns the outcome of the call.
 fn depart_as_the_ping_is_answered(name: &str, depart: Departure) -> String {
-    let (mut router, mut client, mut engine) = start_with_one_engine(name, &settings(1000, 8000));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine(name, &settings(SHORT_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
     serve_first_request(&mut client, &mut engine, "lookup");
-    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
+    std::thread::sleep(LONGER_THAN_SHORT_CONNECT_TIMEOUT);
     discovery.send_heartbeat(1);
     client.send_request(2, "post");
     assert_eq!(engine.next_command(), "PING 0");
@@ -219,14 +218,14 @@
 /// A connection is reset before its waiting call was written, and the client half-closes at the same moment.
 #[test]
 fn a_call_on_a_reset_connection_is_not_moved_once_its_client_half_closed() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("not-moved", &settings(1000, 8000));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("not-moved", &settings(SHORT_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     client.send_request(1, "lookup");
     engine.record_next_call(&mut router);
     engine.send_result(1, ROWS);
     client.read_line();
-    std::thread::sleep(LONGER_THAN_CONNECT_TIMEOUT);
-    client.send_request(2, "lookup");
-    router.record_command(&mut engine);
+    std::thread::sleep(LONGER_THAN_SHORT_CONNECT_TIMEOUT);
+    router.record_forwarded(&mut client, &mut engine, 2, "lookup");
     router.while_stopped(|_| {
         engine.close_connection_of(1);
         client.shut_down_sending();
--- a/crates/router/tests/sockets/harness/configuration.rs
+++ b/crates/router/tests/sockets/harness/configuration.rs
@@ -1,9 +1,14 @@
 //! The configuration files of the routers under test.
 
+use super::client::{LONG_REQUEST_TIMEOUT, REQUEST_TIMEOUT};
 use super::discovery::ready_engine;
 use emberflow_peer_protocol::discovery::{Endpoint, SettingNames, known_list};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The connect timeout of most tests.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Settings in which [`settings`] replaces `CONNECT_TIMEOUT_MS` and `DEADLINE_MS`.
 const SETTINGS_TEMPLATE: &str = r#"{"caps":{"cancel":true,"connectTimeoutMs":CONNECT_TIMEOUT_MS,"idleCloseMs":15000.0,
@@ -55,20 +60,20 @@
 }
 
 /// Returns settings with two request classes: `lookup`, which is idempotent, and `post`, which is not.
-pub fn settings(connect_timeout_ms: u64, deadline_ms: u64) -> String {
+pub fn settings(connect_timeout: Duration, deadline: Duration) -> String {
     SETTINGS_TEMPLATE
-        .replace("CONNECT_TIMEOUT_MS", &connect_timeout_ms.to_string())
-        .replace("DEADLINE_MS", &deadline_ms.to_string())
+        .replace("CONNECT_TIMEOUT_MS", &connect_timeout.as_millis().to_string())
+        .replace("DEADLINE_MS", &deadline.as_millis().to_string())
 }
 
-/// Returns the settings of most tests: connections may take 5 s, and requests 8 s.
+/// Returns the settings of most tests.
 pub fn ordinary_settings() -> String {
-    settings(5000, 8000)
+    settings(CONNECT_TIMEOUT, REQUEST_TIMEOUT)
 }
 
-/// Returns settings with which connections may take 5 s, and requests 60 s.
+/// Returns settings whose requests may take long.
 pub fn long_deadline_settings() -> String {
-    settings(5000, 60_000)
+    settings(CONNECT_TIMEOUT, LONG_REQUEST_TIMEOUT)
 }
 
 /// Returns settings with which requests stay queued for long if there is no capacity.
--- a/crates/router/tests/sockets/harness/mod.rs
+++ b/crates/router/tests/sockets/harness/mod.rs
@@ -15,8 +15,8 @@
     request, status_line,
 };
 pub use configuration::{
-    ResourceLimits, TWO_TEAMS, long_deadline_settings, long_queueing_settings, minimal_configuration,
-    ordinary_settings, settings, write_configuration_file,
+    CONNECT_TIMEOUT, ResourceLimits, TWO_TEAMS, long_deadline_settings, long_queueing_settings,
+    minimal_configuration, ordinary_settings, settings, write_configuration_file,
 };
 pub use discovery::{
     TestDiscovery, change_frame, draining_engine, empty_list_frame, engine_of_unknown_kind, ready_engine,
@@ -314,15 +314,22 @@
         self.discovery_listener = TcpListener::bind(address).expect("the address was released before");
     }
 
+    /// Writes the configuration, and has the router reload it.
+    pub fn reload_configuration(&self, text: &str) {
+        self.write_configuration(text);
+        self.signal("-HUP");
+    }
+
     /// Writes the configuration that the router reads at its next reload.
     pub fn write_configuration(&self, text: &str) {
         std::fs::write(&self.configuration_path, text).expect("the test directory is writable");
     }
 
-    /// Writes the operator's file that the router reads at its next reload.
-    pub fn write_operator_file(&self, text: &str) {
+    /// Writes the operator's file, and has the router reload it.
+    pub fn reload_operator_file(&self, text: &str) {
         let path = self.configuration_path.with_extension(OPERATOR_FILE_EXTENSION);
         std::fs::write(path, text).expect("the test directory is writable");
+        self.signal("-HUP");
     }
 
     /// Adds a line to the transcript.
@@ -349,21 +356,42 @@
         self.record(client.read_line())
     }
 
-    /// Sends a request, which the engine answers with `rows`. Adds the call and the answer to the transcript.
-    pub fn record_served(
+    /// Sends a request, and adds the next command sent to the engine to the transcript.
+    pub fn record_forwarded(
         &mut self,
         client: &mut TestClient,
         engine: &mut TestEngine,
         id: u64,
         class: &str,
-        rows: &str,
     ) -> &mut Self {
         client.send_request(id, class);
-        self.record_command(engine);
+        self.record_command(engine)
+    }
+
+    /// Has the engine answer a request with `rows`, and adds the client's answer to the transcript.
+    pub fn record_result(
+        &mut self,
+        client: &mut TestClient,
+        engine: &mut TestEngine,
+        id: u64,
+        rows: &str,
+    ) -> &mut Self {
         engine.send_result(id, rows);
         self.record_answer(client)
     }
 
+    /// Sends a request, which the engine answers with `rows`. Adds the call and the answer to the transcript.
+    pub fn record_served(
+        &mut self,
+        client: &mut TestClient,
+        engine: &mut TestEngine,
+        id: u64,
+        class: &str,
+        rows: &str,
+    ) -> &mut Self {
+        self.record_forwarded(client, engine, id, class).record_result(client, engine, id, rows)
+    }
+
     /// Adds the next lines sent to a client to the transcript.
     pub fn record_answers(&mut self, client: &mut TestClient, count: usize) -> &mut Self {
         for _ in 0..count {
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -19,22 +19,18 @@
         (log_lines::TEAM_REMOVED, "{teams: {list: [{name: 'audit', share: 5}]}}"),
     ];
     for (awaited, text) in operator_files {
-        router.write_operator_file(text);
-        router.signal("-HUP");
+        router.reload_operator_file(text);
         router.wait_for_log(awaited);
     }
     for _ in 0..2 {
-        engine.send_result(id, "1\t2\t3\n");
-        router.record_answer(&mut client);
+        router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
         id = engine.record_next_call(&mut router);
     }
     // Without teams, the last queued request moves to the scheduler, which rejects it after a short time in its queue.
-    router.write_operator_file("{}");
-    router.signal("-HUP");
+    router.reload_operator_file("{}");
     router.wait_for_log(log_lines::TEAMS_REMOVED);
     router.record_answer(&mut client);
-    engine.send_result(id, "1\t2\t3\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"MQkyCTMK"}}
@@ -52,21 +48,17 @@
     let (mut router, mut client, mut engine) = start_with_one_engine("reload", &ordinary_settings());
     let address = router.engine_address(0);
     let mut previous_discovery = router.accept_discovery();
-    client.send_request(1, "lookup");
-    router.record_command(&mut engine);
-    router.write_configuration("{\"name\":");
-    router.signal("-HUP");
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
+    router.reload_configuration("{\"name\":");
     router.wait_for_log(log_lines::RELOAD_FAILED);
     // A repeated event is ignored, and the connection stays.
     previous_discovery.send(&change_frame(2, &[ready_engine(7, address)]).repeat(2));
     let moved_configuration = router.move_discovery();
     let mut other_client = router.connect_client();
     router.record(other_client.status(1));
-    router.write_configuration(&moved_configuration);
-    router.signal("-HUP");
+    router.reload_configuration(&moved_configuration);
     let _moved_discovery = router.accept_discovery();
-    engine.send_result(1, "x\t\t\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 1, "x\t\t\n");
     router.record(format!("the previous discovery reads {:?} bytes", previous_discovery.read_more().ok()));
     router.signal("-TERM");
     router.signal("-HUP");
@@ -93,8 +85,7 @@
     let mut router = RouterHarness::start("incomplete-file", 1, &ordinary_settings());
     let _previous_discovery = router.accept_discovery();
     let complete = router.move_discovery().replace("\"lookup\"", "\"view\"");
-    router.write_configuration(&complete.replace("\"n0\"", "\"n1\""));
-    router.signal("-HUP");
+    router.reload_configuration(&complete.replace("\"n0\"", "\"n1\""));
     router.wait_for_log(log_lines::CONFIGURATION_OF_ANOTHER);
     router.write_configuration(&complete[..complete.len() / 2]);
     router.write_configuration(&complete);
--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -10,8 +10,7 @@
 fn serves_a_request_page_by_page_and_shuts_down_gracefully() {
     let (mut router, mut client, mut engine) = start_with_one_engine("serve", &ordinary_settings());
     router.record(client.status(1));
-    client.send_request(2, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 2, "lookup");
     engine.send(2, EngineReply::Progress(Some(Progress::PartDone(0.5))));
     engine.send_result(9, "of an unknown request");
     let used = Some(UsedResources { work_ms: 48.0, memory_mb: 90.0 });
@@ -79,20 +78,17 @@
 #[test]
 fn a_retry_avoids_the_connection_that_may_still_answer_an_earlier_attempt() {
     let (mut router, mut client, mut engine) = start_with_one_engine("late-response", &ordinary_settings());
-    client.send_request(1, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
     engine.send_overloaded(1);
     router.record_command(&mut engine);
     // A stalled first attempt is cancelled and retried at the same engine, since there is no other.
-    client.send_request(2, "lookup");
-    router.record_command(&mut engine);
+    router.record_forwarded(&mut client, &mut engine, 2, "lookup");
     let first_connection = engine.connection_of(2);
     engine.send_stalled(2);
     router.record_command(&mut engine);
     engine.send_on(first_connection, 2, EngineReply::Overloaded);
     router.record_command(&mut engine);
-    engine.send_result(2, "from the second attempt\t\t\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 2, "from the second attempt\t\t\n");
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
@@ -150,13 +146,11 @@
         engine.next_command();
         engine.send_result(id, body);
         router.record_commands(&mut engine, 2);
-        engine.send_result(id, ROWS);
-        router.record_answer(&mut client);
+        router.record_result(&mut client, &mut engine, id, ROWS);
     }
     client.send_request(4, "post");
     engine.next_command();
-    engine.send_result(4, "noise");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 4, "noise");
     expect![[r#"
         closed
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
@@ -175,25 +169,23 @@
 
 #[test]
 fn truncated_and_missing_responses_are_detected_on_their_connection_and_retried() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("truncated", &settings(300, 8000));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("truncated", &settings(Duration::from_millis(300), REQUEST_TIMEOUT));
     client.send_request(1, "lookup");
     engine.next_call();
     let truncated = b"*4\r\n$16\r\n00000";
     engine.send_bytes(engine.connection_of(1), truncated);
     engine.next_call();
-    engine.send_result(1, ROWS);
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 1, ROWS);
     client.send_request(2, "lookup");
     engine.next_call();
     engine.send_first_page(2, 2, ROWS);
     engine.next_call();
-    engine.send_result(2, "d\te\tf\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 2, "d\te\tf\n");
     client.send_request(3, "lookup");
     engine.next_call();
     engine.next_call();
-    engine.send_result(3, "g\th\ti\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 3, "g\th\ti\n");
     expect![[r#"
         {"jsonrpc":"2.0","id":1,"result":{"data":"YQliCWMK"}}
         {"jsonrpc":"2.0","id":2,"result":{"data":"ZAllCWYK"}}
@@ -252,8 +244,8 @@
 /// travel over two connections.
 #[test]
 fn a_cancelled_attempt_is_retried_once_its_engine_acknowledged_the_cancellation() {
-    let without_hedging =
-        settings(1000, 60_000).replace("\"mostTries\":3", "\"mostTries\":3,\"mayDuplicate\":false");
+    let without_hedging = settings(Duration::from_secs(1), LONG_REQUEST_TIMEOUT)
+        .replace("\"mostTries\":3", "\"mostTries\":3,\"mayDuplicate\":false");
     let (mut router, mut client, mut engine) = start_with_one_engine("acknowledged", &without_hedging);
     client.send_request_within(LONG_REQUEST_TIMEOUT, 1, "lookup");
     engine.record_next_call(&mut router);
@@ -272,8 +264,7 @@
     engine.send_stalled(2);
     router.record_commands(&mut engine, 3);
     engine.record_next_call(&mut router);
-    engine.send_result(2, ROWS);
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 2, ROWS);
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
         DROP 0000000000000001
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -11,12 +11,15 @@
 /// Longer than the interval in which the router checks whether it may end.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A timeout that outlasts the graceful shutdown by far.
+/// The deadline of the settings, which limits the time of a graceful shutdown.
+const SHUTDOWN_DEADLINE: Duration = Duration::from_millis(600);
+/// A timeout that outlasts the graceful shutdown.
 const RESTART_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
 #[test]
 fn graceful_shutdown_rejects_idempotent_and_fails_non_idempotent_requests() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("restart", &settings(5000, 600));
+    let (mut router, mut client, mut engine) =
+        start_with_one_engine("restart", &settings(CONNECT_TIMEOUT, SHUTDOWN_DEADLINE));
     client.send_request_within(RESTART_REQUEST_TIMEOUT, 1, "lookup");
     router.record_command(&mut engine);
     client.send_request_within(RESTART_REQUEST_TIMEOUT, 2, "post");
@@ -46,7 +49,8 @@
 
 #[test]
 fn repeated_sigterm_shuts_down_gracefully() {
-    let mut router = RouterHarness::start("repeated-sigterm", 1, &settings(5000, 600));
+    let mut router =
+        RouterHarness::start("repeated-sigterm", 1, &settings(CONNECT_TIMEOUT, SHUTDOWN_DEADLINE));
     let kill_repeatedly = format!("while kill -TERM {} 2>/dev/null; do :; done", router.process.id());
     let mut signals = Command::new("sh").arg("-c").arg(kill_repeatedly).spawn().expect("a shell starts");
     router.log.read_to_string(&mut String::new()).expect("the log is UTF-8");
--- a/crates/router/tests/sockets/teams.rs
+++ b/crates/router/tests/sockets/teams.rs
@@ -27,8 +27,7 @@
     router.record_answer(&mut client);
     for _ in 0..6 {
         let id = engine.record_next_call(&mut router);
-        engine.send_result(id, "1\t2\t3\n");
-        router.record_answer(&mut client);
+        router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
     }
     expect![[r#"
         {"error":{"code":-32011,"message":"bounced: a retry is harmless"},"id":7,"jsonrpc":"2.0"}
