--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -9,7 +9,7 @@
 use crate::ring::Filled;
 use crate::slots::Slot;
 use crate::timers::Timer;
-use emberflow::{AttemptOutcome, LoadReport};
+use emberflow::{AttemptOutcome, EngineId, LoadReport};
 use std::io::Read;
 
 /// Bytes read from a connection in one iteration of the event loop.
@@ -22,10 +22,11 @@
     /// more to read.
     pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
+        let engine = connection.engine;
         let filled = connection.input.fill(from, MAX_READ_BYTES_PER_ITERATION);
         if let Err(error) = self.process_input(slot, context) {
             context.counters.count("engine_input_malformed");
-            log::warn!("malformed engine input: connection={slot:?} error=\"{error}\"");
+            self.log_malformed_input(engine, slot, &error);
             self.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
             return false;
         }
@@ -42,6 +43,13 @@
         matches!(filled, Ok(Filled::Enough)) && self.connections.get(slot).is_some()
     }
 
+    fn log_malformed_input(&self, engine: EngineId, slot: Slot, error: &EngineProtocolError) {
+        let address = self.engines.get(&engine).map_or_else(String::new, |entry| entry.address.to_string());
+        log::warn!(
+            "malformed engine input: engine={engine} address={address} connection={slot:?} error=\"{error}\""
+        );
+    }
+
     /// Sets the time by which a reply that has begun to arrive must be complete.
     fn expect_complete_reply(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -1,5 +1,6 @@
 //! Codecs: messages are decoded alike however their bytes are split, and malformed input is rejected.
 
+use emberflow_peer_protocol::resp::encode_array;
 use emberflow_router::{discovery, jsonrpc, resp, ring::Ring, statement};
 use expect_test::expect;
 
@@ -27,14 +28,14 @@
 #[test]
 fn arrays_are_decoded_once_they_are_complete() {
     let input = [
-        resp::encode_array(&[
+        encode_array(&[
             b"9b1f",
             b"HIT",
             b"pages=2,cost=812.5,need=96,use=util:0.61;queue:0",
             b"a\tb\tc\n\r\n",
         ]),
-        resp::encode_array(&[b"9b1f", b"INFO", b"-", b""]),
-        resp::encode_array(&[]),
+        encode_array(&[b"9b1f", b"INFO", b"-", b""]),
+        encode_array(&[]),
     ];
     let parse = |ring: &mut Ring| {
         let (line, length) = {
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -3,15 +3,15 @@
 use super::{Call, EnginePool, PoolEvent};
 use crate::context::Context;
 use crate::discovery::EndpointRecord;
-use crate::resp;
 use crate::slots::Slot;
 use emberflow::{Lifecycle, RequestId};
+use emberflow_peer_protocol::engine::EngineReply;
 use expect_test::expect;
 use std::io::{self, Cursor, Read, Write};
 use std::time::Duration;
 
 const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
-const REQUEST_ID_BYTES: &[u8] = REQUEST_ID.as_bytes();
+const HEALTH_CHECK_ID: &str = "0";
 /// A timeout that no test reaches.
 const LONG: Duration = Duration::from_secs(20);
 /// The idle timeout of engines.
@@ -49,8 +49,9 @@
             .expect("writing to memory never fails");
     }
 
-    fn receive(&mut self, parts: &[&[u8]]) {
-        let mut socket = OpenSocket(Cursor::new(resp::encode_array(parts)));
+    /// Has the pool read a reply of the engine under an id.
+    fn receive(&mut self, id: &str, reply: EngineReply<'_>) {
+        let mut socket = OpenSocket(Cursor::new(reply.encode(id)));
         self.pool.read(self.connection, &mut socket, &mut self.context);
     }
 
@@ -156,10 +157,10 @@
     fixture.establish();
     let open_at_health_check = fixture.check_connection(timeout * 2);
     fixture.context.now = timeout * 3;
-    fixture.receive(&[b"0", b"PONG", b"-", b""]);
+    fixture.receive(HEALTH_CHECK_ID, EngineReply::Pong);
     let open_after_pong = fixture.check_connection(timeout * 3);
     fixture.context.now = timeout * 10;
-    fixture.receive(&[REQUEST_ID_BYTES, b"HIT", b"pages=1", b"a\tb\tc\n"]);
+    fixture.receive(REQUEST_ID, EngineReply::Result { pages: 1, used: None, rows: b"a\tb\tc\n" });
     fixture.pool.attempt_overdue(fixture.attempt, &mut fixture.context);
     let event = match fixture.pool.events.pop_front() {
         Some(PoolEvent::Ended { ended, body, .. }) => {
