--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Closes the connections that have been idle for [`IDLE_TIMEOUT`].
+    /// Closes the connections that have been idle for `IDLE_TIMEOUT`.
     pub fn close_idle_connections(&mut self, now: Duration) {
         self.connections.retain(|connection| {
             !connection.open.is_empty() || connection.last_used_at + IDLE_TIMEOUT >= now
--- a/crates/teams/src/service_rate.rs
+++ b/crates/teams/src/service_rate.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the seconds of work dispatched per second; `None` with fewer than [`MIN_SAMPLES`] dispatches.
+    /// Returns the seconds of work dispatched per second; `None` with fewer than `MIN_SAMPLES` dispatches.
     pub fn work_per_second(&self, now: Duration) -> Option<f64> {
         let first = self.dispatches.front().filter(|_| self.dispatches.len() >= MIN_SAMPLES)?;
         let work: f64 = self.dispatches.iter().skip(1).map(|dispatch| dispatch.work).sum();
