--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -106,7 +106,7 @@
     let mut clients = router.connect_clients(6);
     let mut engine = router.engine(0);
     clients[0].send(&filling_request(1));
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     for (client, id) in clients[1..].iter_mut().zip(2..) {
         client.send(&filling_request(id));
         client.status(99);
--- a/crates/router/tests/sockets/discovery.rs
+++ b/crates/router/tests/sockets/discovery.rs
@@ -118,7 +118,7 @@
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
     client.send(&filling_request(1));
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     client.send(&filling_request(2));
     client.status(99);
     router.while_stopped(|_| {
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -221,7 +221,7 @@
     let (mut router, mut client, mut engine) =
         start_with_one_engine("not-moved", &settings(SHORT_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     client.send_request(1, "lookup");
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     engine.send_result(1, ROWS);
     client.read_line();
     std::thread::sleep(LONGER_THAN_SHORT_CONNECT_TIMEOUT);
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -1,7 +1,7 @@
 //! An engine of the router's endpoint list, with all connections that the router makes to it.
 
 use super::client::CLOSED;
-use super::{POLL_INTERVAL, RouterHarness, TEST_TIMEOUT, local_address};
+use super::sockets::{POLL_INTERVAL, TEST_TIMEOUT, local_address};
 use emberflow_peer_protocol::engine::{Call, EngineCommand, EngineReply, Progress};
 use emberflow_peer_protocol::request_id;
 use emberflow_peer_protocol::resp::{encode_array, take_array};
@@ -145,30 +145,26 @@
 
     /// Returns the next call. Drops other commands before it.
     pub fn next_call(&mut self) -> String {
-        self.take_call().text
+        let (_, text) = self.take_call();
+        text
     }
 
     /// Returns the request of the next call. Drops other commands before it.
     pub fn next_request(&mut self) -> u64 {
-        self.take_call().call.expect("a call names its request")
+        let (request, _) = self.take_call();
+        request
     }
 
-    fn take_call(&mut self) -> ReceivedCommand {
+    /// Returns the request and the text of the next call. Drops other commands before it.
+    pub fn take_call(&mut self) -> (u64, String) {
         loop {
             let command = self.take_command();
-            if command.call.is_some() {
-                return command;
+            if let Some(request) = command.call {
+                return (request, command.text);
             }
         }
     }
 
-    /// Records the next call in the transcript. Returns its request.
-    pub fn record_next_call(&mut self, router: &mut RouterHarness) -> u64 {
-        let ReceivedCommand { text, call } = self.take_call();
-        router.record(text);
-        call.expect("a call names its request")
-    }
-
     /// Waits for `awaited` calls, and then until no call arrives for [`QUIET_TIME`]. Answers each call with [`ROWS`],
     /// and returns the requests.
     pub fn answer_calls(&mut self, awaited: usize) -> Vec<u64> {
--- a/crates/router/tests/sockets/harness/kernel.rs
+++ b/crates/router/tests/sockets/harness/kernel.rs
@@ -1,7 +1,10 @@
 //! The state of the router's process and of the sockets around it, as the kernel reports it. Tests wait for states
 //! instead of for times, because bytes on a loopback connection may arrive late on a busy machine.
 
-use super::{POLL_INTERVAL, RouterHarness, TEST_TIMEOUT, TestClient, TestEngine, local_address_of};
+use super::client::TestClient;
+use super::engine::TestEngine;
+use super::process::RouterHarness;
+use super::sockets::{POLL_INTERVAL, TEST_TIMEOUT, local_address_of};
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Instant;
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -13,7 +13,7 @@
         client.send(&large_request("posting", id, LONG_REQUEST_TIMEOUT));
     }
     client.send(&large_request("audit", 4, LONG_REQUEST_TIMEOUT));
-    let mut id = engine.record_next_call(&mut router);
+    let mut id = router.record_next_call(&mut engine);
     let operator_files = [
         (log_lines::RELOAD_FAILED, "{teams: {list: [{name: 'audit', share: -1}]}}"),
         (log_lines::TEAM_REMOVED, "{teams: {list: [{name: 'audit', share: 5}]}}"),
@@ -24,7 +24,7 @@
     }
     for _ in 0..2 {
         router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
-        id = engine.record_next_call(&mut router);
+        id = router.record_next_call(&mut engine);
     }
     // Without teams, the last queued request moves to the scheduler, which rejects it after a short time in its queue.
     router.reload_operator_file("{}");
--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -223,7 +223,7 @@
 fn a_response_read_together_with_the_expired_deadline_gives_one_answer() {
     let (mut router, mut client, mut engine) = start_with_one_engine("late-deadline", &ordinary_settings());
     client.send_request_within(Duration::from_millis(700), 1, "post");
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     router.while_stopped(|_| {
         engine.send_result(1, ROWS);
         std::thread::sleep(Duration::from_millis(800));
@@ -248,22 +248,22 @@
         .replace("\"mostTries\":3", "\"mostTries\":3,\"mayDuplicate\":false");
     let (mut router, mut client, mut engine) = start_with_one_engine("acknowledged", &without_hedging);
     client.send_request_within(LONG_REQUEST_TIMEOUT, 1, "lookup");
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     engine.send_stalled(1);
     router.record_commands(&mut engine, 2);
     let early = engine.has_command_within(Duration::from_millis(100));
     router.record(format!("retried before the acknowledgement: {early}"));
     engine.send(1, EngineReply::Pong);
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     engine.send_stalled(1);
     router.while_stopped(|_| engine.send_result(1, ROWS));
     router.record_answer(&mut client);
     // The connection of an engine that does not acknowledge is closed before the retry.
     client.send_request_within(LONG_REQUEST_TIMEOUT, 2, "lookup");
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     engine.send_stalled(2);
     router.record_commands(&mut engine, 3);
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     router.record_result(&mut client, &mut engine, 2, ROWS);
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=120,prio=2 select 1
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -66,7 +66,7 @@
     let mut known_client = router.connect_client();
     known_client.status(99);
     client.send_request(1, "lookup");
-    engine.record_next_call(&mut router);
+    router.record_next_call(&mut engine);
     router.signal("-TERM");
     router.wait_for_log(log_lines::COUNTERS);
     std::thread::sleep(SHUTDOWN_GRACE);
--- a/crates/router/tests/sockets/teams.rs
+++ b/crates/router/tests/sockets/teams.rs
@@ -26,7 +26,7 @@
     client.send(&large_request("posting", 7, LONG_REQUEST_TIMEOUT));
     router.record_answer(&mut client);
     for _ in 0..6 {
-        let id = engine.record_next_call(&mut router);
+        let id = router.record_next_call(&mut engine);
         router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
     }
     expect![[r#"
@@ -110,7 +110,7 @@
         client.send(&large_request("audit", id, LONG_REQUEST_TIMEOUT));
         client.status(99);
     }
-    let first = engine.record_next_call(&mut router);
+    let first = router.record_next_call(&mut engine);
     router.while_stopped(|_| {
         engine.send_result(first, ROWS);
         drop(clients.pop());
@@ -137,7 +137,7 @@
         client.send(&large_request("audit", id, LONG_REQUEST_TIMEOUT));
         client.status(99);
     }
-    let first = engine.record_next_call(&mut router);
+    let first = router.record_next_call(&mut engine);
     router.while_stopped(|_| {
         engine.send_result(first, ROWS);
         client.send_bytes(&[cancellation_line(2), cancellation_line(3)].concat());
