--- a/crates/soak/src/connections.rs
+++ b/crates/soak/src/connections.rs
@@ -46,10 +46,10 @@
         self.entries.clear();
     }
 
-    /// Removes the connections for which `is_kept` returns false.
-    pub fn retain(&mut self, is_kept: impl Fn(&C) -> bool) {
+    /// Removes the connections for which `is_retained` returns false.
+    pub fn retain(&mut self, is_retained: impl Fn(&C) -> bool) {
         for entry in &mut self.entries {
-            if entry.as_ref().is_some_and(|connection| !is_kept(connection)) {
+            if entry.as_ref().is_some_and(|connection| !is_retained(connection)) {
                 *entry = None;
             }
         }
--- a/crates/soak/tests/faults.rs
+++ b/crates/soak/tests/faults.rs
@@ -1,9 +1,9 @@
-//! A short soak: a few seeds with all faults, at the usual number of engines and at many times that.
+//! A short soak: a few seeds with all kinds of faults, with the usual number of engines and with twenty times as many.
 
 use emberflow_soak::options::RunOptions;
 use emberflow_soak::run::run_seed;
 
-fn play(seed: u64, engines: u16) {
+fn check_run(seed: u64, engines: u16) {
     let options = RunOptions {
         seconds: 8.0,
         routers: 3,
@@ -23,10 +23,10 @@
 
 #[test]
 fn a_usual_fleet_under_overlapping_faults_keeps_all_invariants() {
-    (1..=2).for_each(|seed| play(seed, 48));
+    (1..=2).for_each(|seed| check_run(seed, 48));
 }
 
 #[test]
 fn a_large_fleet_under_overlapping_faults_keeps_all_invariants() {
-    (3..=4).for_each(|seed| play(seed, 960));
+    (3..=4).for_each(|seed| check_run(seed, 960));
 }
--- a/crates/soak/tests/large_fleet.rs
+++ b/crates/soak/tests/large_fleet.rs
@@ -1,11 +1,11 @@
-//! The incident of `docs/incidents/large-fleet-lost-requests.md`: thousands of engines before a router that has a part of
-//! a core lost requests that a router with few engines served.
+//! The incident of `docs/incidents/large-fleet-lost-requests.md`: a router with a fraction of a core and thousands of
+//! engines lost requests, which the same router with few engines served.
 
 use emberflow_soak::options::RunOptions;
 use emberflow_soak::report::Report;
 use emberflow_soak::run::run_seed;
 
-/// A router that has a fifth of a core, and no other fault.
+/// Runs routers with a fifth of a core and no other fault.
 fn report_with(engines: u16) -> Report {
     let options = RunOptions {
         seconds: 5.0,
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn few_engines_before_a_router_with_a_part_of_a_core_lose_nothing() {
+fn a_router_with_a_fraction_of_a_core_and_few_engines_loses_no_request() {
     let report = report_with(80);
     assert!(report.violations.is_empty(), "{}", report.text(false));
 }
 
 #[test]
-fn thousands_of_engines_before_a_router_with_a_part_of_a_core_lose_nothing() {
+fn a_router_with_a_fraction_of_a_core_and_thousands_of_engines_loses_no_request() {
     let report = report_with(3200);
     assert!(report.violations.is_empty(), "{}", report.text(false));
 }
