--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::sockets::{Stream, StreamState};
 use crate::statements::{result_rows, statement, work_ms};
 use emberflow_peer_protocol::client::{
-    ClientRequest, Outcome, Response, RouterMessage, encode_cancellation, encode_status_request, take_line,
+    ClientRequest, Outcome, Response, RouterMessage, encode_cancellation, encode_status_request,
 };
 use emberflow_peer_protocol::request_id;
 use mio::net::TcpStream;
@@ -227,7 +227,7 @@
     }
 
     fn take_line(&mut self, index: usize) -> Option<Vec<u8>> {
-        take_line(&mut self.connections.get_mut(index)?.stream.input)
+        self.connections.get_mut(index)?.stream.take_line()
     }
 
     fn handle_line(&mut self, index: usize, line: &[u8], now: Duration, records: &mut Records) {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -117,7 +117,7 @@
         let Some(subscriber) = self.subscribers.get_mut(index) else { return };
         let state = subscriber.stream.fill(Duration::ZERO);
         if subscriber.last_event.is_none() {
-            subscriber.last_event = decode_resume_event(&subscriber.stream.input);
+            subscriber.last_event = decode_resume_event(subscriber.stream.input());
         }
         if state == StreamState::Ended {
             self.subscribers.remove(index);
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,6 +1,7 @@
 //! Runs real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed, and checks
 //! the invariants of the service by the records of clients and engines alone.
 
+pub mod arrivals;
 pub mod classes;
 pub mod clients;
 pub mod config;
--- a/crates/soak/src/sockets.rs
+++ b/crates/soak/src/sockets.rs
@@ -1,8 +1,9 @@
 //! Non-blocking connections with buffers, addressed by tokens.
 
+use crate::arrivals::Arrivals;
+use emberflow_peer_protocol::client::take_line;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
-use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
 
@@ -17,21 +18,12 @@
     Ended,
 }
 
-/// The arrival of a part of the input.
-struct Arrival {
-    /// Offset of the part's end in all bytes that the connection has received.
-    end_offset: u64,
-    at: Duration,
-}
-
 /// A connection and its buffers.
 pub struct Stream {
     socket: TcpStream,
     /// Bytes that were read and not yet consumed.
-    pub input: Vec<u8>,
-    arrivals: VecDeque<Arrival>,
-    /// Bytes that were removed from the input by [`consume`](Self::consume).
-    consumed_bytes: u64,
+    input: Vec<u8>,
+    arrivals: Arrivals,
     output: Vec<u8>,
     /// Whether writing is suspended.
     pub is_muted: bool,
@@ -48,39 +40,37 @@
         Ok(Self {
             socket,
             input: Vec::new(),
-            arrivals: VecDeque::new(),
-            consumed_bytes: 0,
+            arrivals: Arrivals::default(),
             output: Vec::new(),
             is_muted: false,
             write_size: None,
         })
     }
 
+    /// Returns the bytes that were read and not yet consumed.
+    pub fn input(&self) -> &[u8] {
+        &self.input
+    }
+
     /// Reads all bytes that have arrived.
     pub fn fill(&mut self, now: Duration) -> StreamState {
         let length_before = self.input.len();
         let state = self.read();
-        if self.input.len() > length_before {
-            let end_offset = self.consumed_bytes + self.input.len() as u64;
-            self.arrivals.push_back(Arrival { end_offset, at: now });
-        }
+        self.arrivals.receive(self.input.len() - length_before, now);
         state
     }
 
     /// Removes bytes from the front of the input; returns when the last of them arrived.
     pub fn consume(&mut self, count: usize) -> Duration {
         self.input.drain(..count);
-        self.consumed_bytes += count as u64;
-        while let Some(arrival) = self.arrivals.front() {
-            let Arrival { end_offset, at } = *arrival;
-            if end_offset <= self.consumed_bytes {
-                self.arrivals.pop_front();
-            }
-            if end_offset >= self.consumed_bytes {
-                return at;
-            }
-        }
-        Duration::ZERO
+        self.arrivals.consume(count)
+    }
+
+    /// Removes the first complete line from the input.
+    pub fn take_line(&mut self) -> Option<Vec<u8>> {
+        let line = take_line(&mut self.input)?;
+        self.arrivals.consume(line.len());
+        Some(line)
     }
 
     fn read(&mut self) -> StreamState {
