--- a/crates/emulator/src/skewed.rs
+++ b/crates/emulator/src/skewed.rs
@@ -17,12 +17,13 @@
 const ENGINES: u32 = 3;
 /// Connections of the flooding team, which needs more open requests than one connection allows.
 const FLOODING_CONNECTIONS: usize = 4;
-/// Rates of each connection, as multiples of the profiles' rates.
+/// Rates of a connection of the flooding team, and of another team, as multiples of the rates below.
 const FLOOD_FACTOR: f64 = 2.5;
 const ORDINARY_FACTOR: f64 = 1.2;
 const REPORTS_PER_SECOND: f64 = 8.0;
 const URGENT_LOOKUPS_PER_SECOND: f64 = 1.0;
 const LOOKUP_URGENCY: u8 = 2;
+/// The deadline of all requests.
 const DEADLINE: Duration = Duration::from_secs(12);
 /// Seconds of each window in which the teams' shares are compared.
 const WINDOW_S: u64 = 10;
