--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -95,7 +95,7 @@
     Ok(Some(Length { value, encoded_bytes: 1 + line_bytes }))
 }
 
-/// Decodes a number of decimal digits, without a sign.
+/// Decodes an unsigned decimal number.
 fn parse_digits(digits: &[u8]) -> Option<usize> {
     if !digits.iter().all(u8::is_ascii_digit) {
         return None;
