--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -1,11 +1,13 @@
-//! The scheduling module alone: requests, endpoint changes, progress notes and wake-ups in every order.
+//! The module model: the scheduler alone, with requests, endpoint changes, progress updates and wake-ups in every order.
 //!
-//! The scheduler inside is the real one. What the environment observes is recorded beside it, and the invariants rely
-//! on that record alone.
+//! The model runs the router's scheduler and records the observations of its environment. The invariants rely on these
+//! records alone.
 
 pub mod apply;
 pub mod counterexample;
+pub mod effects;
 pub mod event;
+pub mod inputs;
 pub mod invariants;
 pub mod scenario;
 pub mod scenarios;
@@ -23,18 +25,18 @@
 use std::time::Duration;
 use transition::Transition;
 
-/// Ticks before a deadline by which a final answer must be on its way.
-const MARGIN_TICKS: u32 = 4;
+/// Ticks from the latest time of a final answer to the deadline.
+const FINAL_ANSWER_LEAD_TICKS: u32 = 4;
 
-/// A scenario together with the settings that the scheduler starts with.
+/// A scenario together with the initial settings of the scheduler.
 pub struct ModuleModel {
-    /// The row of the table of scenarios.
+    /// The scenario.
     pub scenario: &'static Scenario,
     /// The scheduler's settings of the fleet.
     pub fleet: Fleet,
     /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// The scheduler's limits of every attempt.
+    /// The scheduler's limits of attempts.
     pub attempt_limits: AttemptLimits,
 }
 
@@ -47,28 +49,28 @@
 }
 
 impl ModuleModel {
-    /// The model of a scenario.
+    /// Returns the model of a scenario.
     pub fn new(scenario: &'static Scenario) -> Self {
         let (fleet, classes, attempt_limits) = scenario.settings();
         Self { scenario, fleet, classes, attempt_limits }
     }
 
-    /// The kind of an engine; the first where the scenario names none.
+    /// Returns the kind of an engine; the first kind if the scenario names none.
     pub fn kind(&self, engine: EngineId) -> usize {
         self.kinds.get(engine.index()).copied().unwrap_or(0)
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     pub fn class_of(&self, request: RequestId) -> &RequestClass {
         &self.classes[self.requests[request.index()].class]
     }
 
-    /// The time before a deadline by which a final answer must be on its way.
-    pub fn margin(&self) -> Duration {
-        self.fleet.tick * MARGIN_TICKS
+    /// Returns the time from the latest time of a final answer to the deadline.
+    pub fn final_answer_lead(&self) -> Duration {
+        self.fleet.tick * FINAL_ANSWER_LEAD_TICKS
     }
 
-    /// How long engines remember the key of a request that is idempotent with a key.
+    /// Returns the time for which engines remember the idempotency key of a request; `None` without a key.
     pub fn retry_window(&self, request: RequestId) -> Option<Duration> {
         match &self.class_of(request).effect {
             Effect::IdempotentWithKey { window, .. } => Some(*window),
@@ -76,14 +78,14 @@
         }
     }
 
-    /// The arrival of the request with this position in the scenario.
-    pub fn arrival(&self, position: usize) -> Arrival {
-        let request = &self.requests[position];
+    /// Returns the arrival of the request with this index in the scenario.
+    pub fn arrival(&self, index: usize) -> Arrival {
+        let request = &self.requests[index];
         Arrival {
-            request: RequestId::from_index(position),
+            request: RequestId::from_index(index),
             class: request.class,
             key: request.key,
-            cost: (request.cost_ms > 0).then(|| Duration::from_millis(request.cost_ms)),
+            cost: (request.work_ms > 0).then(|| Duration::from_millis(request.work_ms)),
             memory_mb: (request.memory_mb > 0.0).then_some(request.memory_mb),
             deadline: self.classes[request.class].deadline,
             waited: Duration::ZERO,
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -1,4 +1,4 @@
-//! Prints a path of the module model as a trace in the style of `tests/traces/`.
+//! Prints a path of the module model as a test in the style of `tests/traces/`.
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
@@ -8,7 +8,7 @@
 use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressUpdate};
 use std::fmt::Write;
 
-/// A test that takes the same path, ready to be pasted among the traces.
+/// Returns the source of a test that takes the path, to be pasted into `tests/traces/`.
 pub fn test(model: &ModuleModel, path: &[Step<ModuleModel>]) -> String {
     let name = model.name.replace([' ', '-'], "_");
     let setup = match model.setup.text {
@@ -19,31 +19,32 @@
     let _ = writeln!(text, "#[test]\nfn {name}() {{");
     let engines: Vec<_> = model.engines.iter().map(|engine| (engine.location, engine.cell)).collect();
     let _ = writeln!(text, "    let mut trace = Trace::small(&{engines:?}, {setup});");
-    let mut clock = None;
+    let mut previous_time = None;
     for Step { state, transition } in path {
         let Some(call) = trace_call(model, state, *transition) else { continue };
         let now = state.now.as_millis() as u64;
-        let moved = if clock.replace(now) == Some(now) { String::new() } else { format!(".at({now})") };
-        let _ = writeln!(text, "    trace{moved}{call};");
+        let is_same_time = previous_time.replace(now) == Some(now);
+        let time = if is_same_time { String::new() } else { format!(".at({now})") };
+        let _ = writeln!(text, "    trace{time}{call};");
     }
     text + "    expect![[\"\"]].assert_eq(&trace.decisions());\n}\n"
 }
 
-/// The call of the trace that makes a transition, with the draw before it where chance matters; `None` for time that
-/// passes.
+/// Returns the trace's call for a transition, after a call that sets the random draw if that is not 0. Returns `None` for
+/// the passing of time, which the next call's time expresses.
 fn trace_call(model: &ModuleModel, state: &ModuleState, transition: Transition) -> Option<String> {
     let (draw, call) = match transition {
         Transition::Arrive { draw } => (draw, arrival_call(model, state)),
         Transition::EndAttempt { request, outcome, draw } => (draw, end_call(state, request, outcome)),
-        Transition::NoteProgress { request, note, draw } => (draw, note_call(state, request, note)),
+        Transition::UpdateProgress { request, update, draw } => (draw, progress_call(state, request, update)),
         Transition::ChangeEndpoint { engine, change, draw } => (draw, endpoint_call(state, engine, change)),
         Transition::EmptyEndpointList => (0, ".list_emptied()".to_owned()),
         Transition::FailEndpointList => (0, ".endpoint_list_failed()".to_owned()),
         Transition::ClientLeaves { request, draw } => (draw, format!(".withdrawn({request})")),
         Transition::WakeUp { draw } => (draw, ".wake_now()".to_owned()),
         Transition::ShutDown => {
-            let by = state.now + model.classes[0].deadline;
-            (0, format!(".shutting_down({})", by.as_millis()))
+            let deadline = state.now + model.classes[0].deadline;
+            (0, format!(".shutting_down({})", deadline.as_millis()))
         }
         Transition::PassTime => return None,
     };
@@ -54,7 +55,7 @@
     let request = &model.requests[state.requests.len()];
     format!(
         ".accept_keyed({}, {}, {:?}, {:?})",
-        request.class, request.cost_ms, request.memory_mb, request.key
+        request.class, request.work_ms, request.memory_mb, request.key
     )
 }
 
@@ -62,14 +63,14 @@
     let record = &state.requests[request];
     let attempt = record.attempts.len() - 1;
     let engine = record.attempts[attempt].engine;
-    let is_over = !record.is_open() && outcome != AttemptOutcome::Succeeded;
-    let method = if is_over { "ended_after_answer" } else { "ended" };
+    let is_answered = !record.is_open() && outcome != AttemptOutcome::Succeeded;
+    let method = if is_answered { "ended_after_answer" } else { "ended" };
     format!(".{method}({request}, {attempt}, {engine}, AttemptOutcome::{outcome:?})")
 }
 
-fn note_call(state: &ModuleState, request: usize, note: ProgressUpdate) -> String {
+fn progress_call(state: &ModuleState, request: usize, update: ProgressUpdate) -> String {
     let attempt = state.requests[request].attempts.len() - 1;
-    format!(".progress_updated({request}, {attempt}, ProgressUpdate::{note:?})")
+    format!(".progress_updated({request}, {attempt}, ProgressUpdate::{update:?})")
 }
 
 fn endpoint_call(state: &ModuleState, engine: EngineId, change: EndpointChange) -> String {
--- /dev/null
+++ b/crates/model-checker/src/module_model/effects.rs
@@ -0,0 +1,95 @@
+//! The effects of the scheduler's actions on the environment of the module model.
+
+use super::ModuleModel;
+use super::event::{Event, EventLog};
+use super::state::{AttemptRecord, FinalAnswer, ModuleState, SentWork};
+use crate::invariants::first_violated;
+use emberflow::{EngineId, RequestId};
+use std::time::Duration;
+
+/// A time span that is longer than any deadline.
+const LONG_TIME: Duration = Duration::from_secs(3600);
+/// A memory grant that no engine allows, in MB.
+const EXCESSIVE_GRANT_MB: f64 = u32::MAX as f64;
+
+/// Checks the invariants at an event, before the event changes the state.
+pub fn check(model: &ModuleModel, state: &mut ModuleState, event: &Event) {
+    state.violated = state.violated.or_else(|| first_violated(model, state, event));
+}
+
+/// Checks and applies the scheduler's actions, up to the first violation.
+pub fn apply_events(model: &ModuleModel, state: &mut ModuleState, events: EventLog) {
+    for event in events.0 {
+        check(model, state, &event);
+        if state.violated.is_some() {
+            return;
+        }
+        apply_event(model, state, event);
+    }
+}
+
+fn apply_event(model: &ModuleModel, state: &mut ModuleState, event: Event) {
+    match event {
+        Event::Send { request, engine, times_out_at } => send(model, state, request, engine, times_out_at),
+        Event::Cancel { request, attempt } => {
+            state.requests[request.index()].attempts[attempt].is_cancelled = true;
+        }
+        Event::Reject { request } => {
+            state.requests[request.index()].answer = Some(FinalAnswer::Rejected);
+        }
+        Event::Fail { request } => state.requests[request.index()].answer = Some(FinalAnswer::Failed),
+        Event::WakeAfter { wait } => {
+            state.wake_ups.push(state.now + wait);
+            state.wake_ups.sort_unstable();
+            state.wake_ups.dedup();
+        }
+        Event::Watch => state.is_watching = true,
+        Event::Forget { engine } => state.engine_records[engine.index()].is_forgotten = true,
+        Event::Grant { .. }
+        | Event::Probe { .. }
+        | Event::Serve { .. }
+        | Event::TimePasses { .. }
+        | Event::Terminal => {}
+    }
+}
+
+fn send(
+    model: &ModuleModel,
+    state: &mut ModuleState,
+    request: RequestId,
+    engine: EngineId,
+    times_out_at: Duration,
+) {
+    let record = &mut state.requests[request.index()];
+    if !record.attempts.is_empty() {
+        state.retry_times.push(state.now);
+    }
+    record.attempts.push(AttemptRecord {
+        engine,
+        sent_at: state.now,
+        times_out_at,
+        outcome: None,
+        is_cancelled: false,
+        progress_updates: 0,
+    });
+    let seconds = model.requests[request.index()].work_seconds();
+    state.engine_records[engine.index()].sent.push(SentWork { at: state.now, seconds });
+}
+
+/// Returns events that a faulty scheduler could emit after an input, before it has done anything.
+pub fn hypothetical_events(model: &ModuleModel, state: &ModuleState) -> Vec<Event> {
+    let mut events = vec![Event::TimePasses { to: state.now + LONG_TIME }, Event::Terminal];
+    let engines = (0..state.engine_records.len()).map(EngineId::from_index);
+    for (index, record) in state.requests.iter().enumerate() {
+        let request = RequestId::from_index(index);
+        let times_out_at = record.deadline - model.final_answer_lead();
+        events.extend([Event::Reject { request }, Event::Fail { request }, Event::Serve { request }]);
+        events.push(Event::Grant { request, grant_mb: EXCESSIVE_GRANT_MB });
+        events.extend((0..record.attempts.len()).map(|attempt| Event::Cancel { request, attempt }));
+        events.extend(engines.clone().map(|engine| Event::Send { request, engine, times_out_at }));
+        let times_out_at = state.now + LONG_TIME;
+        events.push(Event::Send { request, engine: EngineId::default(), times_out_at });
+    }
+    events.extend(engines.map(|engine| Event::Forget { engine }));
+    events
+}
--- a/crates/model-checker/src/module_model/event.rs
+++ b/crates/model-checker/src/module_model/event.rs
@@ -1,58 +1,61 @@
-//! What the scheduler does, as its environment observes it.
+//! The scheduler's actions, as its environment observes them.
 
 use emberflow::{Actions, EngineId, RequestId};
 use std::time::Duration;
 
-/// No input may lead to more events than this.
+/// Largest number of events after one input.
 const MAX_EVENTS_PER_INPUT: usize = 1000;
 
-/// An action of the scheduler, or one of three things that happen around it.
+/// An action of the scheduler, an answer to a client, the passing of time, or the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// An attempt is sent to an engine, with the time at which it times out.
-    Send { request: RequestId, engine: EngineId, until: Duration },
-    /// The terms of the attempt that is sent next: its memory grant.
-    Terms { request: RequestId, grant_mb: f64 },
+    /// An attempt is sent to an engine.
+    Send { request: RequestId, engine: EngineId, times_out_at: Duration },
+    /// The memory grant of the attempt that is sent next.
+    Grant { request: RequestId, grant_mb: f64 },
     /// An attempt is cancelled.
     Cancel { request: RequestId, attempt: usize },
     /// A request is rejected, so that its client may retry.
     Reject { request: RequestId },
     /// A request fails.
     Fail { request: RequestId },
-    /// The scheduler asks to be woken after so long.
+    /// The scheduler requests a wake-up after `wait`.
     WakeAfter { wait: Duration },
-    /// The scheduler asks for the endpoint list.
+    /// The scheduler requests the endpoint list.
     Watch,
-    /// An engine is probed.
+    /// The scheduler sends a health check to an engine.
     Probe { engine: EngineId },
-    /// An engine's number may be reused.
+    /// The scheduler releases an engine's number.
     Forget { engine: EngineId },
-    /// The environment passes a result on to the client.
+    /// The environment passes a result to the client.
     Serve { request: RequestId },
-    /// Time passes until then.
+    /// Time passes until `to`.
     TimePasses { to: Duration },
-    /// No transition is enabled any more.
+    /// No transition is enabled.
     Terminal,
 }
 
-/// The events of one input, in order.
+/// The events after one input, in order.
 #[derive(Default)]
 pub struct EventLog(pub Vec<Event>);
 
 impl EventLog {
-    /// Appends an event; panics at an input that the scheduler never comes to an end with.
+    /// Appends an event. Panics beyond [`MAX_EVENTS_PER_INPUT`], because the scheduler then processes the input forever.
     fn push(&mut self, event: Event) {
-        assert!(self.0.len() < MAX_EVENTS_PER_INPUT, "an input without end: {event:?}");
+        assert!(
+            self.0.len() < MAX_EVENTS_PER_INPUT,
+            "more than {MAX_EVENTS_PER_INPUT} events after one input: {event:?}"
+        );
         self.0.push(event);
     }
 }
 
 impl Actions for EventLog {
-    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
-        self.push(Event::Send { request, engine, until });
+    fn send(&mut self, request: RequestId, engine: EngineId, times_out_at: Duration) {
+        self.push(Event::Send { request, engine, times_out_at });
     }
     fn set_terms(&mut self, request: RequestId, grant_mb: f64, _: u8) {
-        self.push(Event::Terms { request, grant_mb });
+        self.push(Event::Grant { request, grant_mb });
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         self.push(Event::Cancel { request, attempt });
--- /dev/null
+++ b/crates/model-checker/src/module_model/inputs.rs
@@ -0,0 +1,145 @@
+//! The inputs of the module model: each function changes the environment and passes one input to the scheduler.
+
+use super::ModuleModel;
+use super::effects::check;
+use super::event::{Event, EventLog};
+use super::scenario::EndpointChange;
+use super::state::{FinalAnswer, KeyCooldown, ModuleState, RequestRecord};
+use super::transition::next_instant;
+use emberflow::{
+    AttemptEnded, AttemptOutcome, EndpointUpdate, EngineId, Lifecycle, ProgressUpdate, RequestId,
+};
+
+/// Lets the next request arrive.
+pub fn arrive(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
+    let arrival = model.arrival(state.requests.len());
+    let deadline = state.now + arrival.deadline;
+    state.requests.push(RequestRecord { arrived: state.now, deadline, ..RequestRecord::default() });
+    state.scheduler.accept(state.now, arrival, events);
+}
+
+/// Reports the progress of the attempt in flight.
+pub fn update_progress(
+    state: &mut ModuleState,
+    request: usize,
+    update: ProgressUpdate,
+    events: &mut EventLog,
+) {
+    let attempt = state.requests[request].attempts.len() - 1;
+    state.requests[request].attempts[attempt].progress_updates += 1;
+    let id = RequestId::from_index(request);
+    state.scheduler.progress_updated(state.now, id, attempt, update, events);
+}
+
+/// Reports a change of an engine.
+pub fn change_endpoint(
+    model: &ModuleModel,
+    state: &mut ModuleState,
+    engine: EngineId,
+    change: EndpointChange,
+    events: &mut EventLog,
+) {
+    state.endpoint_changes += 1;
+    let record = &mut state.engine_records[engine.index()];
+    match change {
+        EndpointChange::Drains => record.lifecycle = Lifecycle::Draining,
+        EndpointChange::Removed => record.lifecycle = Lifecycle::Removed,
+        EndpointChange::Returns => record.lifecycle = Lifecycle::Ready,
+        EndpointChange::Restarts => {
+            record.lifecycle = Lifecycle::Ready;
+            record.launched = Some(state.now);
+            record.sent.clear();
+        }
+    }
+    let endpoints = vec![state.endpoint(model, engine)];
+    state.scheduler.endpoints_changed(state.now, EndpointUpdate::Changes, endpoints, events);
+}
+
+/// Reports an empty endpoint list.
+pub fn empty_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+    state.endpoint_changes += 1;
+    for engine in &mut state.engine_records {
+        engine.lifecycle = Lifecycle::Removed;
+    }
+    state.scheduler.endpoints_changed(state.now, EndpointUpdate::FullList, Vec::new(), events);
+}
+
+/// Reports that the endpoint list could not be read.
+pub fn fail_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+    state.endpoint_changes += 1;
+    state.is_watching = false;
+    state.scheduler.endpoint_list_failed(state.now, events);
+}
+
+/// Reports that the client of a request has disconnected.
+pub fn client_leaves(state: &mut ModuleState, request: usize, events: &mut EventLog) {
+    state.departures += 1;
+    state.requests[request].answer = Some(FinalAnswer::ClientLeft);
+    state.scheduler.clients_left(state.now, &[RequestId::from_index(request)], &[], events);
+}
+
+/// Wakes the scheduler.
+pub fn wake_up(state: &mut ModuleState, events: &mut EventLog) {
+    let now = state.now;
+    state.wake_ups.retain(|at| *at > now);
+    state.scheduler.wake(now, events);
+}
+
+/// Begins a graceful shutdown.
+pub fn shut_down(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
+    let deadline = state.now + model.classes[0].deadline;
+    state.shutdown_deadline = Some(deadline);
+    state.scheduler.shutting_down(state.now, deadline, events);
+}
+
+/// Advances the clock to the next instant at which something may change.
+pub fn pass_time(model: &ModuleModel, state: &mut ModuleState) {
+    let to = next_instant(model, state).unwrap_or(state.now);
+    check(model, state, &Event::TimePasses { to });
+    state.now = to;
+}
+
+/// Ends the attempt in flight. A result is first passed on to the client, if the request is still open.
+pub fn end_attempt(
+    model: &ModuleModel,
+    state: &mut ModuleState,
+    request: usize,
+    outcome: AttemptOutcome,
+    events: &mut EventLog,
+) {
+    let id = RequestId::from_index(request);
+    if outcome == AttemptOutcome::Succeeded && state.requests[request].is_open() {
+        check(model, state, &Event::Serve { request: id });
+        state.requests[request].answer = Some(FinalAnswer::Served);
+    }
+    let request_done = !state.requests[request].is_open();
+    let attempt = state.requests[request].attempts.len() - 1;
+    let record = &mut state.requests[request].attempts[attempt];
+    record.outcome = Some(outcome);
+    let (engine, elapsed) = (record.engine, state.now - record.sent_at);
+    begin_key_cooldown(model, state, request, outcome);
+    let ended = AttemptEnded {
+        request: id,
+        attempt,
+        engine,
+        outcome,
+        elapsed,
+        usage: None,
+        load_report: model.load_report,
+        request_done,
+    };
+    state.scheduler.attempt_ended(state.now, ended, events);
+}
+
+/// Begins the cooldown of a request's key if the ended attempt may still be executed.
+fn begin_key_cooldown(model: &ModuleModel, state: &mut ModuleState, request: usize, outcome: AttemptOutcome) {
+    let may_still_run =
+        matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Cancelled);
+    let cooldown = model.attempt_limits.key_cooldown.filter(|_| may_still_run);
+    let (Some(key), Some(cooldown)) = (model.requests[request].key, cooldown) else { return };
+    // The cooldown of a later attempt does not end the cooldown of an earlier one.
+    let now = state.now;
+    state.key_cooldowns.retain(|cooldown| cooldown.until > now);
+    let request = RequestId::from_index(request);
+    state.key_cooldowns.push(KeyCooldown { key, request, until: now + cooldown });
+}
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -7,7 +7,7 @@
 use emberflow::{Effect, EndpointUpdate, KeyId, KeyScope, Lifecycle, RequestId};
 use std::time::Duration;
 
-/// Allows for rounding where sums of work are compared.
+/// Relative tolerance for the rounding of sums of work.
 const ROUNDING: f64 = 1e-9;
 
 /// All invariants of the module model.
@@ -19,7 +19,7 @@
     },
     Invariant {
         name: "in time",
-        description: "a request is answered before its deadline ends",
+        description: "a request is answered before its deadline and before the process ends",
         is_violated: answers_late,
     },
     Invariant {
@@ -28,7 +28,7 @@
         is_violated: sends_after_answer,
     },
     Invariant {
-        name: "one attempt out",
+        name: "one attempt in flight",
         description: "a request has at most one attempt in flight",
         is_violated: sends_second_attempt,
     },
@@ -38,38 +38,38 @@
         is_violated: repeats_non_idempotent,
     },
     Invariant {
-        name: "keyed",
-        description: "a request with an idempotency key that may have run is sent again only within its scope and window",
+        name: "idempotency key",
+        description: "a request with an idempotency key that may have run is sent again only within the key's scope and window",
         is_violated: repeats_outside_scope_or_window,
     },
     Invariant {
-        name: "honest reject",
-        description: "a rejection comes only where a retry is harmless",
+        name: "safe rejection",
+        description: "a request is rejected only if the client may safely retry it",
         is_violated: rejects_unsafely,
     },
     Invariant {
-        name: "drains",
-        description: "nothing new goes to an engine that is draining or removed",
+        name: "draining",
+        description: "no attempt is sent to an engine that is draining or removed",
         is_violated: sends_to_draining_engine,
     },
     Invariant {
-        name: "cold budget",
-        description: "an engine that is warming up gets no more than its part in any window",
+        name: "slow start",
+        description: "an engine that is warming up gets at most this router's part of its budget in any window",
         is_violated: overloads_warming_engine,
     },
     Invariant {
         name: "key order",
-        description: "requests of one key run one at a time, in their order",
+        description: "requests of one key run one at a time, in the order of arrival",
         is_violated: sends_out_of_order,
     },
     Invariant {
         name: "key cooldown",
-        description: "a key is not used for a while after an attempt that may still run",
+        description: "no request of a key is sent during the cooldown after an attempt that may still run",
         is_violated: sends_during_cooldown,
     },
     Invariant {
         name: "placement",
-        description: "every attempt goes where its request class is placed",
+        description: "every attempt is sent to an engine of the kinds and locations of its request class",
         is_violated: sends_outside_placement,
     },
     Invariant {
@@ -78,28 +78,28 @@
         is_violated: exceeds_attempt_limit,
     },
     Invariant {
-        name: "attempt budget",
+        name: "retry budget",
         description: "retries stay within their budget",
         is_violated: exceeds_retry_budget,
     },
     Invariant {
         name: "cancel",
-        description: "only an attempt in flight is cancelled, and once",
+        description: "only an attempt in flight is cancelled, and only once",
         is_violated: cancels_nothing,
     },
     Invariant {
         name: "grant",
-        description: "a memory grant stays within what an engine allows",
+        description: "a memory grant is within the largest grant of an engine",
         is_violated: grants_too_much,
     },
     Invariant {
         name: "wake-ups",
-        description: "an open request always has a wake-up due",
+        description: "a wake-up is due while a request is open",
         is_violated: lacks_wake_up,
     },
     Invariant {
         name: "clean end",
-        description: "nothing is left of a run that has ended",
+        description: "after a run no request, attempt or removed engine remains",
         is_violated: leaves_something_behind,
     },
 ];
@@ -108,7 +108,7 @@
     &state.requests[request.index()]
 }
 
-/// The open request that the event sends, unless an attempt of it is in flight.
+/// Returns the request that the event sends, if it is open without an attempt in flight.
 fn sent_request<'a>(state: &'a ModuleState, event: &Event) -> Option<&'a RequestRecord> {
     let Event::Send { request, .. } = event else { return None };
     Some(record(state, request)).filter(|record| record.is_queued())
@@ -126,9 +126,10 @@
 fn answers_late(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::TimePasses { to } = event else { return false };
     let is_late = |request: &RequestRecord| {
-        request.is_open() && (request.deadline <= *to || state.shutdown_at.is_some_and(|by| by <= *to))
+        request.is_open()
+            && (request.deadline <= *to || state.shutdown_deadline.is_some_and(|deadline| deadline <= *to))
     };
-    // Where no wake-up is due, `lacks_wake_up` is violated instead.
+    // Without a due wake-up, `lacks_wake_up` is violated instead.
     !state.wake_ups.is_empty() && state.requests.iter().any(is_late)
 }
 
@@ -161,7 +162,7 @@
         KeyScope::Location => first_engine.location == engine.location,
         KeyScope::Cell => first_engine.cell == engine.cell,
     };
-    !knows_key || state.now >= first.sent + *window
+    !knows_key || state.now >= first.sent_at + *window
 }
 
 fn rejects_unsafely(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
@@ -180,8 +181,9 @@
     state.engine_records[engine.index()].lifecycle != Lifecycle::Ready
 }
 
-/// The budget of an engine that is warming up: its capacity by now, times the overload factor, over the overload window,
-/// divided by the number of routers. Where that is less than one request, one may go in a window as much longer.
+/// Whether the event sends more to an engine that is warming up than this router's budget in the overload window. The
+/// budget is the engine's current capacity times the overload factor, over the window, divided by the number of routers.
+/// If it is less than one request, one request is allowed in a window that is longer by the same factor.
 fn overloads_warming_engine(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let record = &state.engine_records[engine.index()];
@@ -195,7 +197,7 @@
     let capacity = cores * (limits.start_capacity + (1.0 - limits.start_capacity) * warmth);
     let budget = limits.overload_factor * capacity * limits.overload_window.as_secs_f64()
         / model.fleet.router_count as f64;
-    let seconds = model.requests[request.index()].cost_ms as f64 / 1e3;
+    let seconds = model.requests[request.index()].work_seconds();
     let window = limits.overload_window.mul_f64((seconds / budget).max(1.0));
     let is_recent = |work: &&SentWork| work.at + window > state.now;
     let recent: f64 = record.sent.iter().filter(is_recent).map(|work| work.seconds).sum();
@@ -207,9 +209,9 @@
     let position = request.index();
     let ordering_key = model.requests[position].key.filter(|_| model.class_of(*request).keeps_order);
     let Some(key) = ordering_key else { return false };
-    let is_ahead =
+    let precedes =
         |earlier: usize| model.requests[earlier].key == Some(key) && state.requests[earlier].is_unfinished();
-    state.requests[position].is_queued() && (0..position).any(is_ahead)
+    state.requests[position].is_queued() && (0..position).any(precedes)
 }
 
 fn sends_during_cooldown(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
@@ -239,7 +241,7 @@
     let Some(budget) = &model.attempt_limits.retry_budget else { return false };
     let is_retry = sent_request(state, event).is_some_and(|record| !record.attempts.is_empty());
     let is_recent = |at: Duration| at + budget.window > state.now;
-    let retries = state.retries.iter().filter(|at| is_recent(**at)).count() as f64;
+    let retries = state.retry_times.iter().filter(|at| is_recent(**at)).count() as f64;
     let requests = state.requests.iter().filter(|request| is_recent(request.arrived)).count() as f64;
     is_retry && retries + 1.0 > budget.min_retries + budget.per_request * requests
 }
@@ -252,7 +254,7 @@
 }
 
 fn grants_too_much(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
-    let Event::Terms { grant_mb, .. } = event else { return false };
+    let Event::Grant { grant_mb, .. } = event else { return false };
     let fleet = &model.fleet;
     let largest = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_share).fold(0.0, f64::max);
     *grant_mb > largest.round()
@@ -267,7 +269,7 @@
     *event == Event::Terminal && !is_quiescent(state)
 }
 
-/// Whether every request is finished, and the scheduler holds nothing more once no engine is listed.
+/// Whether every request is finished, and the scheduler holds no request and no engine after an empty endpoint list.
 fn is_quiescent(state: &ModuleState) -> bool {
     if state.requests.iter().any(RequestRecord::is_unfinished) {
         return false;
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -1,18 +1,21 @@
-//! The shape of a scenario of the module model.
+//! The definition of a scenario of the module model.
 
 use crate::trace;
 use emberflow::{AttemptLimits, AttemptOutcome, Fleet, KeyId, LoadReport, ProgressUpdate, RequestClass};
 use std::time::Duration;
 
-/// A change to the settings that the repository's traces start from, and its source text for counterexamples.
+/// A change of the settings of the repository's traces, and its source text for counterexamples.
 pub struct Setup {
     /// The source text of the change.
     pub text: &'static str,
-    /// Makes the change.
+    /// Applies the change.
     pub change: fn(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
 }
 
-/// A `Setup` from one closure: the change itself and its source text.
+/// Returns a `Setup` with a closure and the source text of its body.
+///
+/// A counterexample contains the source text, so that the body may name only items that tests in `tests/traces/` can
+/// name.
 #[macro_export]
 macro_rules! setup {
     (|$fleet:ident, $classes:ident, $attempt_limits:ident| $body:block) => {
@@ -28,86 +31,110 @@
     };
 }
 
-/// Where an engine is.
+/// The place of an engine.
 #[derive(Clone, Copy)]
 pub struct EngineSpec {
-    /// Its location.
+    /// The engine's location.
     pub location: usize,
-    /// Its cell, within which idempotency keys are known.
+    /// The engine's cell, within which idempotency keys are known.
     pub cell: u64,
 }
 
+/// The index of the class of idempotent requests in the settings of the traces.
+pub const IDEMPOTENT: usize = 0;
+/// The index of the class with idempotency keys that are known within a cell.
+pub const KEYED_IN_CELL: usize = 1;
+/// The index of the class with idempotency keys that are known within a location.
+pub const KEYED_IN_LOCATION: usize = 2;
+/// The index of the class with idempotency keys that every engine knows.
+pub const KEYED_EVERYWHERE: usize = 3;
+/// The index of the class of non-idempotent requests.
+pub const NON_IDEMPOTENT: usize = 4;
+/// The estimated work of a request, in milliseconds on one core.
+const WORK_MS: u64 = 20;
+/// The estimated memory of a request, in MB.
+const MEMORY_MB: f64 = 300.0;
+const MS_PER_SECOND: f64 = 1e3;
+
 /// A request that may arrive.
 #[derive(Clone, Copy)]
 pub struct RequestSpec {
-    /// The position of its class in the settings.
+    /// The index of the request class in the settings.
     pub class: usize,
-    /// The key by which requests are kept in order.
+    /// The key of requests that are executed in order.
     pub key: Option<KeyId>,
-    /// The estimate of its work in milliseconds; 0 for none.
-    pub cost_ms: u64,
-    /// The estimate of its memory in MB; 0 for none.
+    /// The estimated work, in milliseconds on one core; 0 for no estimate.
+    pub work_ms: u64,
+    /// The estimated memory, in MB; 0 for no estimate.
     pub memory_mb: f64,
 }
 
-/// What the endpoint list may report of an engine.
+impl RequestSpec {
+    /// Returns the estimated work, in seconds on one core.
+    pub fn work_seconds(&self) -> f64 {
+        self.work_ms as f64 / MS_PER_SECOND
+    }
+}
+
+/// A change of an engine that the endpoint list reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// It drains: no new attempt may be sent to it.
+    /// The engine is draining: no new attempt may be sent to it.
     Drains,
-    /// It is no longer listed.
+    /// The engine was removed from the list.
     Removed,
-    /// It is ready again after draining.
+    /// The engine is ready again after draining.
     Returns,
-    /// Its process was started anew.
+    /// The engine's process was restarted.
     Restarts,
 }
 
-/// A scenario of the module model: which requests and engines there are, and what may happen to them.
+/// A scenario of the module model: its requests and engines, and the transitions that are possible.
 pub struct Scenario {
-    /// The name by which the command line and tests know it.
+    /// The name on the command line and in tests.
     pub name: &'static str,
-    /// What happens in it, in a sentence.
+    /// A description in one sentence.
     pub description: &'static str,
-    /// How the settings differ from those of the traces.
+    /// The change of the settings of the traces.
     pub setup: Setup,
-    /// Where each engine is.
+    /// The place of each engine.
     pub engines: &'static [EngineSpec],
-    /// The kind of each engine; the first kind for those that are not named.
+    /// The kind of each engine; engines without an entry have the first kind.
     pub kinds: &'static [usize],
-    /// The requests in the order in which they arrive, each at any time.
+    /// The requests in the order of arrival. Each may arrive at any time.
     pub requests: &'static [RequestSpec],
-    /// The outcomes that an attempt may have by itself.
+    /// The outcomes that an attempt may have unless it is abandoned or has timed out.
     pub outcomes: &'static [AttemptOutcome],
-    /// The progress notes that an engine may send.
-    pub progress_notes: &'static [ProgressUpdate],
-    /// How many progress notes each attempt may have.
-    pub max_notes: u8,
-    /// How often the endpoint list may change.
+    /// The progress updates that an engine may send.
+    pub progress_updates: &'static [ProgressUpdate],
+    /// Largest number of progress updates of an attempt.
+    pub max_progress_updates: u8,
+    /// Largest number of changes and failures of the endpoint list.
     pub max_endpoint_changes: u8,
-    /// How many clients may leave.
+    /// Largest number of clients that disconnect.
     pub max_departures: u8,
-    /// What the endpoint list may report.
+    /// The changes that the endpoint list may report.
     pub endpoint_changes: &'static [EndpointChange],
-    /// Whether the endpoint list may fail or come back empty.
+    /// Whether the endpoint list may fail or be empty.
     pub list_may_fail: bool,
     /// Whether the process may shut down.
     pub shuts_down: bool,
-    /// The load report that comes with every answer.
+    /// The load report in every answer.
     pub load_report: Option<LoadReport>,
-    /// How late a wake-up may come.
+    /// Largest delay of a wake-up.
     pub wake_up_delay: Duration,
-    /// Whether time also stops right before, at and after each latency objective.
+    /// Whether time also stops immediately before, at and immediately after each latency objective.
     pub stops_around_objective: bool,
-    /// Whether engines with equal states are one case. Off where the order of engines by number matters.
+    /// Whether states that differ only in the numbers of equal engines are one state. `false` if the scheduler's result
+    /// depends on the order of engines.
     pub interchangeable_engines: bool,
-    /// Number of transitions after which no state is expanded; `None` to explore all.
+    /// Number of transitions after which no state is expanded; `None` for no limit.
     pub max_depth: Option<usize>,
-    /// Whether it belongs to the short set.
+    /// Whether the scenario belongs to the short set.
     pub in_short_set: bool,
 }
 
-/// All outcomes that an attempt may have by itself.
+/// All outcomes that an attempt may have unless it is abandoned.
 pub const ALL_OUTCOMES: &[AttemptOutcome] = &[
     AttemptOutcome::Succeeded,
     AttemptOutcome::Failed,
@@ -119,17 +146,17 @@
 ];
 
 impl Scenario {
-    /// One idempotent request at one engine, whose attempts may have any outcome; nothing else happens.
+    /// One idempotent request at one engine, with every outcome of its attempts and no other transition.
     pub const BASE: Scenario = Scenario {
         name: "base",
         description: "one idempotent request at one engine",
         setup: setup!(|fleet, classes, attempt_limits| {}),
         engines: &[engine(0, 0)],
         kinds: &[0],
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         outcomes: ALL_OUTCOMES,
-        progress_notes: &[],
-        max_notes: 0,
+        progress_updates: &[],
+        max_progress_updates: 0,
         max_endpoint_changes: 0,
         max_departures: 0,
         endpoint_changes: &[],
@@ -143,7 +170,7 @@
         in_short_set: true,
     };
 
-    /// The settings that the scheduler starts with.
+    /// Returns the initial settings of the scheduler.
     pub fn settings(&self) -> (Fleet, Vec<RequestClass>, AttemptLimits) {
         let (mut fleet, mut classes, mut attempt_limits) = trace::small();
         (self.setup.change)(&mut fleet, &mut classes, &mut attempt_limits);
@@ -151,17 +178,17 @@
     }
 }
 
-/// An engine in a location and cell.
+/// Returns an engine in a location and cell.
 pub const fn engine(location: usize, cell: u64) -> EngineSpec {
     EngineSpec { location, cell }
 }
 
-/// A request of a class, without a key.
+/// Returns a request of a class, without a key.
 pub const fn request(class: usize) -> RequestSpec {
-    RequestSpec { class, key: None, cost_ms: 20, memory_mb: 300.0 }
+    RequestSpec { class, key: None, work_ms: WORK_MS, memory_mb: MEMORY_MB }
 }
 
-/// A request of a class, with a key.
+/// Returns a request of a class, with a key.
 pub const fn keyed_request(class: usize, key: u32) -> RequestSpec {
     RequestSpec { key: Some(KeyId(key)), ..request(class) }
 }
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -1,22 +1,19 @@
 //! The scenarios of the module model. Each is small enough to be explored completely, unless it names a `max_depth`.
 
 use super::scenario::{
-    EndpointChange, EngineSpec, RequestSpec, Scenario, Setup, engine, keyed_request, request,
+    EndpointChange, EngineSpec, IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, KEYED_IN_LOCATION,
+    NON_IDEMPOTENT, RequestSpec, Scenario, Setup, engine, keyed_request, request,
 };
 use crate::setup;
 use emberflow::{AttemptOutcome, LoadReport, ProgressUpdate, RetryBudget};
 use std::time::Duration;
 
-const fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
-}
-
 const ALL_CHANGES: &[EndpointChange] =
     &[EndpointChange::Drains, EndpointChange::Removed, EndpointChange::Returns, EndpointChange::Restarts];
-/// Outcomes that differ in what they prove: it succeeded, it failed, it never ran, its fate is unknown.
+/// One outcome of each effect: success, failure, an attempt that never ran, and one that may have run.
 const MAIN_OUTCOMES: &[AttemptOutcome] =
     &[AttemptOutcome::Succeeded, AttemptOutcome::Failed, AttemptOutcome::Overloaded, AttemptOutcome::Broken];
-/// Outcomes after which the attempt may still run, and outcomes that prove that it does not.
+/// The main outcomes and a timeout, after which the attempt may still run.
 const OUTCOMES_THAT_MAY_RUN: &[AttemptOutcome] = &[
     AttemptOutcome::Succeeded,
     AttemptOutcome::Failed,
@@ -24,13 +21,21 @@
     AttemptOutcome::TimedOut,
     AttemptOutcome::Broken,
 ];
-const ALL_NOTES: &[ProgressUpdate] = &[
+const ALL_PROGRESS_UPDATES: &[ProgressUpdate] = &[
     ProgressUpdate::Running,
     ProgressUpdate::Fraction(0.1),
     ProgressUpdate::Spilling(200.0),
     ProgressUpdate::WaitingForMemory,
     ProgressUpdate::WaitingForLoad,
 ];
+/// The delay of a late wake-up.
+const LATE_WAKE_UP: Duration = Duration::from_millis(8);
+/// Work of a request that fits once into the first overload window of an engine, in milliseconds on one core.
+const WARMING_WORK_MS: u64 = 210;
+/// Memory of a request that needs most of an engine's memory, in MB.
+const LARGE_MEMORY_MB: f64 = 12000.0;
+/// Depth to which "three requests" is explored.
+const THREE_REQUESTS_DEPTH: usize = 6;
 const THREE_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(0, 0)];
 /// Two engines in one cell, and one in another cell and location.
 const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
@@ -38,7 +43,7 @@
 const FULL_ENGINE: LoadReport =
     LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
 
-/// Two classes whose requests of one key run in order, a cooldown of keys, and no cancellation.
+/// Two classes whose requests of one key run in order, a key cooldown, and no cancellation.
 const KEYS_IN_ORDER_WITHOUT_CANCEL: Setup = setup!(|fleet, classes, attempt_limits| {
     classes[0].keeps_order = true;
     classes[4].keeps_order = true;
@@ -50,9 +55,9 @@
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "idempotent",
-        description: "one idempotent request, three engines, every outcome, one endpoint change, a client that leaves",
+        description: "one idempotent request, three engines, every outcome, one endpoint change, a client that disconnects",
         engines: THREE_ENGINES,
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         max_endpoint_changes: 1,
         endpoint_changes: ALL_CHANGES,
         max_departures: 1,
@@ -60,9 +65,9 @@
     },
     Scenario {
         name: "non-idempotent",
-        description: "one non-idempotent request, three engines, every outcome, two endpoint changes, a client that leaves",
+        description: "one non-idempotent request, three engines, every outcome, two endpoint changes, a client that disconnects",
         engines: THREE_ENGINES,
-        requests: &[request(4)],
+        requests: &[request(NON_IDEMPOTENT)],
         max_endpoint_changes: 2,
         endpoint_changes: ALL_CHANGES,
         max_departures: 1,
@@ -71,55 +76,55 @@
     },
     Scenario {
         name: "drain under an attempt",
-        description: "a drain in the instant of an attempt's end, and between a rejection elsewhere and the next attempt",
+        description: "an engine that drains at the end of an attempt, or between a rejection elsewhere and the retry",
         engines: THREE_ENGINES,
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Returns],
         ..Scenario::BASE
     },
     Scenario {
-        name: "keyed in a cell",
+        name: "idempotency key in a cell",
         description: "one request with an idempotency key known within its cell, three engines in two cells, a window shorter than the deadline",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(1)],
+        requests: &[request(KEYED_IN_CELL)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Restarts],
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
-        name: "keyed in a location",
-        description: "the same within a location",
+        name: "idempotency key in location",
+        description: "the same with a key known within its location",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(2)],
+        requests: &[request(KEYED_IN_LOCATION)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
         ..Scenario::BASE
     },
     Scenario {
-        name: "keyed everywhere",
-        description: "the same with a key that all engines know",
+        name: "idempotency key everywhere",
+        description: "the same with a key known to all engines",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(3)],
+        requests: &[request(KEYED_EVERYWHERE)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
         ..Scenario::BASE
     },
     Scenario {
         name: "restart under an attempt",
-        description: "an engine that restarts under an attempt and is listed again before the attempt's end is known",
+        description: "an engine that restarts during an attempt and is listed again before the end of the attempt is known",
         engines: TWO_ENGINES,
-        requests: &[request(1)],
+        requests: &[request(KEYED_IN_CELL)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Removed, EndpointChange::Restarts],
         ..Scenario::BASE
     },
     Scenario {
-        name: "placed",
-        description: "a request bound to one kind and one location, engines of every other",
+        name: "placement",
+        description: "a request placed on one kind and one location, engines that match neither, one or both",
         setup: setup!(|fleet, classes, attempt_limits| {
             fleet.kinds.push(emberflow::EngineKind { cores: 8.0, memory_mb: 16000.0 });
             classes[0].kinds = Some(vec![1]);
@@ -127,48 +132,48 @@
         }),
         engines: &[engine(1, 0), engine(0, 0), engine(1, 0)],
         kinds: &[1, 1, 0],
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         max_endpoint_changes: 1,
         endpoint_changes: ALL_CHANGES,
         ..Scenario::BASE
     },
     Scenario {
-        name: "notes",
-        description: "one idempotent request, two engines, two notes of any kind to each attempt",
+        name: "progress updates",
+        description: "one idempotent request, two engines, two progress updates of any kind for each attempt",
         engines: TWO_ENGINES,
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
-        progress_notes: ALL_NOTES,
-        max_notes: 2,
+        progress_updates: ALL_PROGRESS_UPDATES,
+        max_progress_updates: 2,
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
         name: "silent engine",
-        description: "progress notes that come or not: attempts cancelled for silence, a late first answer after that",
+        description: "progress updates that may be missing: attempts cancelled for inactivity, and a late answer to a cancelled attempt",
         engines: TWO_ENGINES,
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
-        progress_notes: &[ProgressUpdate::Running],
-        max_notes: 3,
+        progress_updates: &[ProgressUpdate::Running],
+        max_progress_updates: 3,
         stops_around_objective: true,
-        wake_up_delay: ms(8),
+        wake_up_delay: LATE_WAKE_UP,
         ..Scenario::BASE
     },
     Scenario {
         name: "late wake-ups",
-        description: "a single engine, wake-ups up to 8 ms late, times right before, at and after the latency objective",
-        requests: &[request(0)],
-        wake_up_delay: ms(8),
+        description: "one engine, wake-ups up to 8 ms late, times immediately before, at and after the latency objective",
+        requests: &[request(IDEMPOTENT)],
+        wake_up_delay: LATE_WAKE_UP,
         stops_around_objective: true,
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
         name: "no engine",
-        description: "no engine until the endpoint list reports one, which may be lost again",
+        description: "no engine until the endpoint list reports one, which may be removed again",
         engines: &[engine(0, 0)],
-        requests: &[request(4)],
+        requests: &[request(NON_IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 3,
         endpoint_changes: ALL_CHANGES,
@@ -177,13 +182,13 @@
         ..Scenario::BASE
     },
     Scenario {
-        name: "list asked",
-        description: "an endpoint list that is polled, fails and comes back empty",
+        name: "polled endpoint list",
+        description: "an endpoint list that is polled, fails and is empty",
         setup: setup!(|fleet, classes, attempt_limits| {
             fleet.polls_endpoint_list = true;
         }),
         engines: TWO_ENGINES,
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Returns, EndpointChange::Restarts],
@@ -191,21 +196,21 @@
         ..Scenario::BASE
     },
     Scenario {
-        name: "closing",
-        description: "the process shuts down while an attempt with an idempotency key is in flight",
+        name: "shutdown under an attempt",
+        description: "a graceful shutdown while an attempt with an idempotency key is in flight",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(1)],
+        requests: &[request(KEYED_IN_CELL)],
         outcomes: MAIN_OUTCOMES,
         shuts_down: true,
         max_departures: 1,
-        wake_up_delay: ms(8),
+        wake_up_delay: LATE_WAKE_UP,
         ..Scenario::BASE
     },
     Scenario {
-        name: "closing late",
-        description: "the process ends earlier than the deadline of a non-idempotent request",
+        name: "shutdown before a deadline",
+        description: "a process that ends before the deadline of a non-idempotent request",
         engines: TWO_ENGINES,
-        requests: &[request(4), request(0)],
+        requests: &[request(NON_IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         shuts_down: true,
         in_short_set: false,
@@ -213,20 +218,20 @@
     },
     Scenario {
         name: "one key",
-        description: "two idempotent requests of one key that has a cooldown, one engine",
+        description: "two idempotent requests of one key with a cooldown, one engine",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
         }),
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(0, 1), keyed_request(0, 1)],
+        requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(IDEMPOTENT, 1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Broken],
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
-        name: "a turn that never comes",
-        description: "a request of unknown work and a short deadline behind one of its key that stays in flight, late wake-ups",
+        name: "blocked by key order",
+        description: "a request with unknown work and a short deadline behind a request of its key that stays in flight, late wake-ups",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
@@ -235,79 +240,89 @@
             attempt_limits.may_cancel = false;
         }),
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(4, 1), RequestSpec { cost_ms: 0, ..keyed_request(0, 1) }],
+        requests: &[
+            keyed_request(NON_IDEMPOTENT, 1),
+            RequestSpec { work_ms: 0, ..keyed_request(IDEMPOTENT, 1) },
+        ],
         outcomes: &[AttemptOutcome::Succeeded],
-        wake_up_delay: ms(8),
+        wake_up_delay: LATE_WAKE_UP,
         ..Scenario::BASE
     },
     Scenario {
         name: "one key, non-idempotent",
-        description: "two non-idempotent requests of one key that has a cooldown, no cancellation, a client that leaves its attempt in flight",
+        description: "two non-idempotent requests of one key with a cooldown, no cancellation, a client that disconnects during an attempt",
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[4].keeps_order = true;
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
             attempt_limits.may_cancel = false;
         }),
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(4, 1), keyed_request(4, 1)],
+        requests: &[keyed_request(NON_IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
         name: "one key, two effects",
-        description: "an idempotent request, whose retries need no cooldown, and a non-idempotent one of its key that does",
+        description: "an idempotent request, whose retries need no cooldown, and a non-idempotent one of the same key, which needs one",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(0, 1), keyed_request(4, 1)],
+        requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
         name: "three of one key",
-        description: "a non-idempotent request between two idempotent ones of its key: one cooldown after another",
+        description: "a non-idempotent request between two idempotent ones of the same key: successive cooldowns",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(0, 1), keyed_request(4, 1), keyed_request(0, 1)],
+        requests: &[
+            keyed_request(IDEMPOTENT, 1),
+            keyed_request(NON_IDEMPOTENT, 1),
+            keyed_request(IDEMPOTENT, 1),
+        ],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
         ..Scenario::BASE
     },
     Scenario {
-        name: "attempt budget",
+        name: "retry budget",
         description: "two idempotent requests, one engine, a retry budget that suffices for one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
             let window = std::time::Duration::from_millis(400);
             attempt_limits.retry_budget = Some(RetryBudget { min_retries: 1.0, per_request: 0.0, window });
         }),
         engines: &[engine(0, 0)],
-        requests: &[request(0), request(0)],
+        requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Failed],
         interchangeable_engines: false,
         ..Scenario::BASE
     },
     Scenario {
-        name: "attempt budget at two",
-        description: "the same at two engines, with progress notes that report a wait for load",
+        name: "retry budget, two engines",
+        description: "the same at two engines, with progress updates that report a wait for load",
         setup: setup!(|fleet, classes, attempt_limits| {
             let window = std::time::Duration::from_millis(400);
             attempt_limits.retry_budget = Some(RetryBudget { min_retries: 0.5, per_request: 0.5, window });
         }),
         engines: TWO_ENGINES,
-        requests: &[request(0), request(0)],
+        requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        progress_notes: &[ProgressUpdate::WaitingForLoad],
-        max_notes: 1,
+        progress_updates: &[ProgressUpdate::WaitingForLoad],
+        max_progress_updates: 1,
         interchangeable_engines: false,
         in_short_set: false,
         ..Scenario::BASE
     },
     Scenario {
-        name: "cold engine",
-        description: "an engine that restarts while two requests arrive, a window with capacity for one at first",
+        name: "warming engine",
+        description: "an engine that restarts while two requests arrive, and whose first window has capacity for one",
         engines: &[engine(0, 0)],
-        requests: &[RequestSpec { cost_ms: 210, ..request(0) }, RequestSpec { cost_ms: 210, ..request(0) }],
+        requests: &[
+            RequestSpec { work_ms: WARMING_WORK_MS, ..request(IDEMPOTENT) },
+            RequestSpec { work_ms: WARMING_WORK_MS, ..request(IDEMPOTENT) },
+        ],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Restarts],
@@ -315,24 +330,24 @@
         ..Scenario::BASE
     },
     Scenario {
-        name: "cold engine, small part",
+        name: "warming engine, small part",
         description: "the same for one of forty routers, whose part is less than one request",
         setup: setup!(|fleet, classes, attempt_limits| {
             fleet.router_count = 40;
             attempt_limits.warm_up = std::time::Duration::from_millis(2000);
         }),
         engines: &[engine(0, 0)],
-        requests: &[request(0), request(0)],
+        requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Restarts],
         ..Scenario::BASE
     },
     Scenario {
-        name: "pressed engine",
-        description: "answers that report a full engine, large and small requests",
+        name: "engine under pressure",
+        description: "answers that report a full engine, a large and a small request",
         engines: &[engine(0, 0)],
-        requests: &[request(0), RequestSpec { memory_mb: 12000.0, ..request(0) }],
+        requests: &[request(IDEMPOTENT), RequestSpec { memory_mb: LARGE_MEMORY_MB, ..request(IDEMPOTENT) }],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         load_report: Some(FULL_ENGINE),
         in_short_set: false,
@@ -340,23 +355,23 @@
     },
     Scenario {
         name: "no estimates",
-        description: "a request without estimates, which may cost anything",
+        description: "a request without estimates",
         engines: TWO_ENGINES,
-        requests: &[RequestSpec { cost_ms: 0, memory_mb: 0.0, ..request(0) }],
+        requests: &[RequestSpec { work_ms: 0, memory_mb: 0.0, ..request(IDEMPOTENT) }],
         max_departures: 1,
         ..Scenario::BASE
     },
     Scenario {
-        name: "may not cancel",
-        description: "attempts that may not be cancelled, with every reason to",
+        name: "no cancellation",
+        description: "attempts that may not be cancelled, with progress updates that would lead to a cancellation",
         setup: setup!(|fleet, classes, attempt_limits| {
             attempt_limits.may_cancel = false;
         }),
         engines: TWO_ENGINES,
-        requests: &[request(0)],
+        requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
-        progress_notes: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
-        max_notes: 1,
+        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
+        max_progress_updates: 1,
         max_departures: 1,
         ..Scenario::BASE
     },
@@ -364,7 +379,7 @@
         name: "two effects",
         description: "a non-idempotent and an idempotent request at two engines, one drain",
         engines: TWO_ENGINES,
-        requests: &[request(4), request(0)],
+        requests: &[request(NON_IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains],
@@ -372,24 +387,24 @@
         ..Scenario::BASE
     },
     Scenario {
-        name: "two keyed",
+        name: "two idempotency keys",
         description: "two requests with idempotency keys known within a cell at two engines of two cells",
         engines: &[engine(0, 0), engine(1, 1)],
-        requests: &[request(1), request(1)],
+        requests: &[request(KEYED_IN_CELL), request(KEYED_IN_CELL)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
         ..Scenario::BASE
     },
     Scenario {
         name: "three requests",
-        description: "an idempotent, a keyed and a non-idempotent request at three engines in two cells",
+        description: "an idempotent request, one with an idempotency key and a non-idempotent one at three engines in two cells",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(0), request(1), request(4)],
+        requests: &[request(IDEMPOTENT), request(KEYED_IN_CELL), request(NON_IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 1,
         endpoint_changes: ALL_CHANGES,
         max_departures: 1,
-        max_depth: Some(6),
+        max_depth: Some(THREE_REQUESTS_DEPTH),
         in_short_set: false,
         ..Scenario::BASE
     },
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the module model: the scheduler, and what its environment knows to be true.
+//! The state of the module model: the scheduler, and the records of its environment.
 
 use super::ModuleModel;
 use super::scenario::EngineSpec;
@@ -6,21 +6,21 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// An attempt as its engine knows it.
+/// An attempt, as known to its engine.
 #[derive(Clone)]
 pub struct AttemptRecord {
-    /// The engine it was sent to.
+    /// The engine to which the attempt was sent.
     pub engine: EngineId,
-    /// When it was sent.
-    pub sent: Duration,
-    /// When it times out.
-    pub until: Duration,
-    /// How it ended; `None` while it is in flight.
+    /// The time of sending.
+    pub sent_at: Duration,
+    /// The time at which the attempt times out.
+    pub times_out_at: Duration,
+    /// The outcome; `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
-    /// Whether the scheduler cancelled it.
+    /// Whether the scheduler has cancelled the attempt.
     pub is_cancelled: bool,
-    /// How many progress notes the engine has sent.
-    pub notes: u8,
+    /// Number of progress updates that the engine has sent.
+    pub progress_updates: u8,
 }
 
 impl AttemptRecord {
@@ -33,54 +33,54 @@
     }
 }
 
-/// The final answer to a request, or that its client has left.
+/// The final answer to a request, or the client's disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// A result was passed on.
+    /// A result was passed to the client.
     Served,
-    /// It was rejected.
+    /// The request was rejected.
     Rejected,
-    /// It failed.
+    /// The request failed.
     Failed,
-    /// Its client left before any answer.
+    /// The client disconnected before any answer.
     ClientLeft,
 }
 
-/// A request that has arrived, as its client knows it.
+/// A request that has arrived, as known to its client.
 #[derive(Clone, Default)]
 pub struct RequestRecord {
-    /// When it arrived.
+    /// The time of arrival.
     pub arrived: Duration,
-    /// By when it must be answered.
+    /// The time by which the request must be answered.
     pub deadline: Duration,
-    /// Its final answer; `None` while it is open.
+    /// The final answer; `None` while the request is open.
     pub answer: Option<FinalAnswer>,
-    /// Its attempts, in the order in which they were sent.
+    /// The attempts in the order of sending.
     pub attempts: Vec<AttemptRecord>,
 }
 
 impl RequestRecord {
-    /// The attempt in flight.
+    /// Returns the attempt in flight.
     pub fn in_flight(&self) -> Option<&AttemptRecord> {
         self.attempts.last().filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether it has no final answer yet.
+    /// Whether the request has no final answer yet.
     pub fn is_open(&self) -> bool {
         self.answer.is_none()
     }
 
-    /// Whether it is open and waits for an engine.
+    /// Whether the request is open without an attempt in flight.
     pub fn is_queued(&self) -> bool {
         self.is_open() && self.in_flight().is_none()
     }
 
-    /// Whether it is open or still has an attempt in flight.
+    /// Whether the request is open or has an attempt in flight.
     pub fn is_unfinished(&self) -> bool {
         self.is_open() || self.in_flight().is_some()
     }
 
-    /// The first attempt that an engine may have executed.
+    /// Returns the first attempt that an engine may have executed.
     pub fn first_that_may_have_run(&self) -> Option<&AttemptRecord> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
@@ -89,26 +89,26 @@
 /// Work sent to an engine.
 #[derive(Clone, Copy)]
 pub struct SentWork {
-    /// When it was sent.
+    /// The time of sending.
     pub at: Duration,
-    /// The estimate of its work in seconds.
+    /// The estimated work, in seconds on one core.
     pub seconds: f64,
 }
 
-/// An engine as its environment knows it.
+/// An engine, as known to its environment.
 #[derive(Clone)]
 pub struct EngineRecord {
-    /// What the endpoint list last reported.
+    /// The lifecycle that the endpoint list reported last.
     pub lifecycle: Lifecycle,
-    /// Whether the scheduler has let its number go.
+    /// Whether the scheduler has released the engine's number.
     pub is_forgotten: bool,
-    /// When its process was started, if that was while the model ran.
+    /// The time of the last restart; `None` without a restart.
     pub launched: Option<Duration>,
-    /// What was sent to it since then.
+    /// The work sent since the last restart.
     pub sent: Vec<SentWork>,
 }
 
-/// A time in which no other request of a key may run, since an earlier attempt may still be executed.
+/// A period in which no other request of a key may run, because an earlier attempt may still be executed.
 #[derive(Clone, Copy)]
 pub struct KeyCooldown {
     /// The key.
@@ -126,49 +126,49 @@
     pub now: Duration,
     /// The system under test.
     pub scheduler: Scheduler,
-    /// The requests that have arrived, in that order.
+    /// The requests that have arrived, in the order of arrival.
     pub requests: Vec<RequestRecord>,
     /// The engines, by number.
     pub engine_records: Vec<EngineRecord>,
-    /// When the scheduler asked to be woken, sorted.
+    /// The times of the requested wake-ups, sorted.
     pub wake_ups: Vec<Duration>,
-    /// When further attempts of any request were sent.
-    pub retries: Vec<Duration>,
+    /// The times at which retries of any request were sent.
+    pub retry_times: Vec<Duration>,
     /// The cooldowns that have not ended.
     pub key_cooldowns: Vec<KeyCooldown>,
-    /// How often the endpoint list has changed or failed.
+    /// Number of changes and failures of the endpoint list.
     pub endpoint_changes: u8,
-    /// How many clients have left.
+    /// Number of clients that have disconnected.
     pub departures: u8,
-    /// By when the process ends, once it shuts down.
-    pub shutdown_at: Option<Duration>,
-    /// Whether the scheduler has asked for the endpoint list.
+    /// The time at which the process ends; `None` before the shutdown begins.
+    pub shutdown_deadline: Option<Duration>,
+    /// Whether the scheduler has requested the endpoint list.
     pub is_watching: bool,
-    /// The first invariant that was violated.
+    /// The name of the first violated invariant.
     pub violated: Option<&'static str>,
-    /// Equal for states with equal futures.
+    /// A number that is equal for states with equal futures.
     pub fingerprint: u64,
 }
 
 impl ModuleState {
-    /// The endpoint list's row of an engine.
+    /// Returns the endpoint list's record of an engine.
     pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
         let EngineSpec { location, cell } = model.engines[engine.index()];
         let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
         Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
     }
 
-    /// Whether an open request waits for an engine, so that any input may lead to an attempt.
+    /// Whether an open request has no attempt in flight, so that any input may lead to an attempt.
     pub fn has_queued_request(&self) -> bool {
         self.requests.iter().any(RequestRecord::is_queued)
     }
 
-    /// Whether another request may still arrive.
+    /// Whether another request may arrive.
     pub fn expects_arrival(&self, model: &ModuleModel) -> bool {
         self.requests.len() < model.requests.len()
     }
 
-    /// Computes the fingerprint anew. Times count relative to now, and only as far as they matter for the future.
+    /// Recomputes the fingerprint. It includes times relative to now, and only those that influence a later state.
     pub fn update_fingerprint(&mut self, model: &ModuleModel) {
         let mut hasher = DefaultHasher::new();
         let engine_fingerprint = |engine| self.engine_fingerprint(model, engine);
@@ -189,7 +189,7 @@
         self.fingerprint = hasher.finish();
     }
 
-    /// What the environment knows of an engine.
+    /// Returns the fingerprint of the environment's record of an engine.
     fn engine_fingerprint(&self, model: &ModuleModel, engine: EngineId) -> u64 {
         let engine = &self.engine_records[engine.index()];
         let mut hasher = DefaultHasher::new();
@@ -210,8 +210,10 @@
             if !request.is_unfinished() {
                 continue;
             }
-            let last = request.attempts.last().map(|attempt| (attempt.notes, attempt.is_cancelled));
-            let times_out_in = request.in_flight().map(|attempt| attempt.until.saturating_sub(self.now));
+            let last =
+                request.attempts.last().map(|attempt| (attempt.progress_updates, attempt.is_cancelled));
+            let times_out_in =
+                request.in_flight().map(|attempt| attempt.times_out_at.saturating_sub(self.now));
             (last, times_out_in, request.attempts.len()).hash(hasher);
             (request.deadline.saturating_sub(self.now), self.now - request.arrived).hash(hasher);
         }
@@ -226,8 +228,8 @@
             (cooldown.key, cooldown.request, cooldown.until.saturating_sub(self.now)).hash(hasher);
         }
         if model.attempt_limits.retry_budget.is_some() {
-            self.retries.iter().for_each(|at| (self.now - *at).hash(hasher));
+            self.retry_times.iter().for_each(|at| (self.now - *at).hash(hasher));
         }
-        self.shutdown_at.map(|by| by.saturating_sub(self.now)).hash(hasher);
+        self.shutdown_deadline.map(|deadline| deadline.saturating_sub(self.now)).hash(hasher);
     }
 }
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -1,4 +1,4 @@
-//! The transitions of the module model, and which of them are enabled in a state.
+//! The transitions of the module model, and the conditions that enable them.
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
@@ -7,32 +7,32 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The smallest difference between two times that matters.
+/// Smallest difference between two times at which time stops.
 const SMALLEST_TIME_STEP: Duration = Duration::from_millis(1);
-/// Ways in which chance may order engines: enough for two attempts in a row among three engines.
-const CHANCE_DRAWS: u64 = 6;
+/// Number of random draws that are explored: one for each order of three engines.
+const RANDOM_DRAWS: u64 = 6;
 
-/// One input to the scheduler, or time that passes. A draw is the state of the random generator before the input,
-/// where an engine may be chosen by chance.
+/// An input to the scheduler, or the passing of time. A draw is the state of the random generator before an input after
+/// which the scheduler may choose an engine at random.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Transition {
     /// The next request arrives.
     Arrive { draw: u64 },
-    /// The attempt of a request that is in flight ends.
+    /// The attempt in flight of a request ends.
     EndAttempt { request: usize, outcome: AttemptOutcome, draw: u64 },
-    /// An engine sends a progress note on the attempt in flight.
-    NoteProgress { request: usize, note: ProgressUpdate, draw: u64 },
+    /// An engine sends a progress update on the attempt in flight.
+    UpdateProgress { request: usize, update: ProgressUpdate, draw: u64 },
     /// The endpoint list reports a change of an engine.
     ChangeEndpoint { engine: EngineId, change: EndpointChange, draw: u64 },
-    /// The endpoint list comes back empty.
+    /// The endpoint list is empty.
     EmptyEndpointList,
-    /// The endpoint list can't be read.
+    /// The endpoint list cannot be read.
     FailEndpointList,
-    /// The client of an open request leaves.
+    /// The client of an open request disconnects.
     ClientLeaves { request: usize, draw: u64 },
-    /// A wake-up that the scheduler asked for.
+    /// A wake-up that the scheduler has requested.
     WakeUp { draw: u64 },
-    /// The process begins to shut down.
+    /// A graceful shutdown begins.
     ShutDown,
     /// Time passes to the next instant at which something may change.
     PassTime,
@@ -52,25 +52,25 @@
     append_time_transitions(model, state, transitions);
 }
 
-/// The draws to explore before an input; one where no engine can be chosen.
+/// Returns the draws to explore before an input; a single draw if no engine can be chosen.
 fn draws(model: &ModuleModel, may_send: bool) -> Range<u64> {
-    if may_send && model.engines.len() > 1 { 0..CHANCE_DRAWS } else { 0..1 }
+    if may_send && model.engines.len() > 1 { 0..RANDOM_DRAWS } else { 0..1 }
 }
 
 fn accepts_arrival(model: &ModuleModel, state: &ModuleState) -> bool {
-    state.expects_arrival(model) && state.shutdown_at.is_none()
+    state.expects_arrival(model) && state.shutdown_deadline.is_none()
 }
 
-/// Whether the end of an attempt is expected right away: it was abandoned or has timed out.
+/// Whether an attempt must end now, because it is abandoned or has timed out.
 fn ends_at_once(state: &ModuleState, request: &RequestRecord, attempt: &AttemptRecord) -> bool {
-    is_abandoned(request, attempt) || attempt.until <= state.now
+    is_abandoned(request, attempt) || attempt.times_out_at <= state.now
 }
 
 fn is_abandoned(request: &RequestRecord, attempt: &AttemptRecord) -> bool {
     attempt.is_cancelled || !request.is_open()
 }
 
-/// The outcomes that the attempt in flight may have now.
+/// Returns the outcomes that the attempt in flight may have now.
 fn possible_outcomes(
     model: &ModuleModel,
     state: &ModuleState,
@@ -81,10 +81,10 @@
         return &[AttemptOutcome::Cancelled, AttemptOutcome::NotSent];
     }
     if attempt.is_cancelled {
-        // An answer that was already on its way arrives nevertheless.
+        // An answer that the engine sent before the cancellation still arrives.
         return &[AttemptOutcome::Cancelled, AttemptOutcome::NotSent, AttemptOutcome::Succeeded];
     }
-    if attempt.until <= state.now {
+    if attempt.times_out_at <= state.now {
         return &[AttemptOutcome::TimedOut, AttemptOutcome::Unreachable];
     }
     model.scenario.outcomes
@@ -99,12 +99,12 @@
             let draws = draws(model, may_retry || has_queued_request);
             transitions.extend(draws.map(|draw| Transition::EndAttempt { request, outcome, draw }));
         }
-        if is_abandoned(record, attempt) || attempt.notes >= model.max_notes {
+        if is_abandoned(record, attempt) || attempt.progress_updates >= model.max_progress_updates {
             continue;
         }
-        for note in model.progress_notes.iter().copied() {
+        for update in model.progress_updates.iter().copied() {
             let draws = draws(model, has_queued_request);
-            transitions.extend(draws.map(|draw| Transition::NoteProgress { request, note, draw }));
+            transitions.extend(draws.map(|draw| Transition::UpdateProgress { request, update, draw }));
         }
     }
 }
@@ -155,7 +155,7 @@
         let draws = draws(model, state.has_queued_request());
         transitions.extend(draws.map(|draw| Transition::WakeUp { draw }));
     }
-    if model.shuts_down && state.shutdown_at.is_none() && !state.requests.is_empty() {
+    if model.shuts_down && state.shutdown_deadline.is_none() && !state.requests.is_empty() {
         transitions.push(Transition::ShutDown);
     }
     let awaits_end = state
@@ -168,7 +168,7 @@
     }
 }
 
-/// The next time at which something may change.
+/// Returns the next time at which something may change.
 pub fn next_instant(model: &ModuleModel, state: &ModuleState) -> Option<Duration> {
     let mut instants = Vec::new();
     for wake_up in &state.wake_ups {
@@ -180,9 +180,9 @@
     if state.requests.iter().any(RequestRecord::is_open) {
         let cooldown_ends = state.key_cooldowns.iter().map(|cooldown| cooldown.until);
         instants.extend(cooldown_ends.flat_map(before_and_at));
-        instants.extend(state.shutdown_at);
+        instants.extend(state.shutdown_deadline);
     }
-    // At the end of a warming engine's window another request may fit.
+    // Another request may fit at the end of the overload window of an engine that is warming up.
     if state.expects_arrival(model) {
         let warming = state.engine_records.iter().filter(|engine| engine.launched.is_some());
         let window = model.attempt_limits.overload_window;
@@ -194,18 +194,18 @@
 
 fn append_request_instants(
     model: &ModuleModel,
-    number: RequestId,
+    id: RequestId,
     request: &RequestRecord,
     instants: &mut Vec<Duration>,
 ) {
     instants.push(request.deadline);
-    instants.extend(request.in_flight().map(|attempt| attempt.until));
+    instants.extend(request.in_flight().map(|attempt| attempt.times_out_at));
     if model.stops_around_objective {
-        let objective = request.arrived + model.class_of(number).latency_objective;
+        let objective = request.arrived + model.class_of(id).latency_objective;
         instants.extend([objective - SMALLEST_TIME_STEP, objective, objective + SMALLEST_TIME_STEP]);
     }
-    if let (Some(window), Some(attempt)) = (model.retry_window(number), request.first_that_may_have_run()) {
-        instants.extend(before_and_at(attempt.sent + window - model.margin()));
+    if let (Some(window), Some(attempt)) = (model.retry_window(id), request.first_that_may_have_run()) {
+        instants.extend(before_and_at(attempt.sent_at + window - model.final_answer_lead()));
     }
 }
 
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -1,4 +1,4 @@
-//! The short set of scenarios, explored completely, and what the search itself must do: find, stop and report.
+//! The complete exploration of scenarios of the short set, and the search itself: finding, stopping and reporting.
 
 use emberflow_model_checker::mutants::{MUTANTS, edited};
 use emberflow_model_checker::registry::scenario;
@@ -9,7 +9,7 @@
 
 const WIDE: Bounds = Bounds { time: Duration::from_secs(600), memory_mb: 8000, max_depth: None };
 
-/// All invariants hold in the scenario of that name, in every reachable state.
+/// Checks that all invariants hold in every reachable state of a scenario.
 fn holds(name: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
     let report = (scenario.check)(WIDE.time, WIDE.memory_mb);
@@ -17,7 +17,7 @@
     assert!(report.extent.terminal_states > 0, "{name} never ends");
 }
 
-/// Replays a recorded path: it is still there, and violates nothing.
+/// Checks that a recorded path can be replayed and violates no invariant.
 fn follow(name: &str, path: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
     assert_eq!((scenario.replay)(path), Ok(()), "{name}");
@@ -40,12 +40,12 @@
 
 #[test]
 fn the_process_ends_while_an_attempt_with_a_key_is_in_flight() {
-    holds("closing");
+    holds("shutdown under an attempt");
 }
 
 #[test]
 fn a_retry_budget_that_suffices_for_one_of_two_requests() {
-    holds("attempt budget");
+    holds("retry budget");
 }
 
 #[test]
@@ -55,12 +55,12 @@
 
 #[test]
 fn a_part_of_a_warming_engine_that_is_under_one_request() {
-    holds("cold engine, small part");
+    holds("warming engine, small part");
 }
 
 #[test]
 fn a_placement_whose_engines_leave_and_return() {
-    holds("placed");
+    holds("placement");
 }
 
 #[test]
@@ -160,7 +160,7 @@
         .assert_eq(&error.to_string());
 }
 
-/// A model of numbers: from n to n + 1 and 2 n, up to a hundred; `odd` is violated at 77.
+/// A model of numbers up to 100 with transitions from n to n + 1 and 2 n. The invariant `odd` is violated at 77.
 struct Numbers;
 
 impl Model for Numbers {
