--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -15,20 +15,20 @@
                                           plant each fault in a copy and print which invariant caught it
        emberflow-model-checker help
 options of an exploration: --short        only the scenarios of the short set
-                           --time S       stop after so many seconds (300)
-                           --memory MB    stop when the process holds so much (8000)
-                           --threads N    as many threads (all cores)
-exit: 0 all hold, 1 an invariant is violated, 2 bad arguments, 3 stopped before all was explored";
+                           --time S       stop after S seconds (300)
+                           --memory MB    stop when the process uses more than MB of memory (8000)
+                           --threads N    number of threads (all cores)
+exit: 0 all hold, 1 an invariant is violated, 2 bad arguments, 3 stopped before every state was explored";
 
-/// The line of output that names a violated invariant begins with this.
+/// The beginning of the output line that names a violated invariant.
 pub const VIOLATION_PREFIX: &str = "violated invariant: ";
 /// The exit code for bad arguments.
 const EXIT_USAGE: u8 = 2;
-/// The exit code for an exploration that a limit has stopped.
+/// The exit code for an exploration that a limit stopped.
 const EXIT_INCOMPLETE: u8 = 3;
-/// The time that all scenarios together may take, unless `--time` says otherwise.
+/// Time limit of all scenarios together, without `--time`.
 const DEFAULT_TIME: Duration = Duration::from_secs(300);
-/// The memory that the process may hold, in MiB, unless `--memory` says otherwise.
+/// Memory limit of the process in MiB, without `--memory`.
 const DEFAULT_MEMORY_MB: u64 = 8000;
 
 enum Command {
@@ -43,7 +43,7 @@
     short_set_only: bool,
     time: Duration,
     memory_mb: u64,
-    /// 0 for as many as there are cores.
+    /// Number of threads; 0 for one for each core.
     threads: usize,
 }
 
@@ -127,7 +127,7 @@
     Ok(entries.into_iter().filter(is_selected).collect())
 }
 
-/// Explores scenarios one after another; `is_full_set` if every invariant must be exercised by them.
+/// Explores scenarios one after another. `is_full_set` says that every invariant must be exercised.
 fn run_exploration(entries: &[Entry], is_full_set: bool, options: &Options) -> ExitCode {
     let thread_pool = rayon::ThreadPoolBuilder::new().num_threads(options.threads).build_global();
     if let Err(error) = thread_pool {
@@ -152,7 +152,7 @@
         }
     }
     if !incomplete.is_empty() {
-        println!("\nincomplete, so nothing is known of the rest: {}", incomplete.join(", "));
+        println!("\nincomplete, so the unexplored states are not checked: {}", incomplete.join(", "));
         return ExitCode::from(EXIT_INCOMPLETE);
     }
     conclude(is_full_set, begun.elapsed())
@@ -197,18 +197,19 @@
 /// Concludes an exploration in which every invariant held.
 fn conclude(is_full_set: bool, elapsed: Duration) -> ExitCode {
     let invariants = invariants();
-    let is_idle = |invariant: &&InvariantEntry| !invariant.is_exercised();
-    let idle: Vec<_> = invariants.iter().filter(is_idle).map(|invariant| invariant.name).collect();
-    if is_full_set && !idle.is_empty() {
+    let is_unexercised = |invariant: &&InvariantEntry| !invariant.is_exercised();
+    let unexercised: Vec<_> =
+        invariants.iter().filter(is_unexercised).map(|invariant| invariant.name).collect();
+    if is_full_set && !unexercised.is_empty() {
         println!(
-            "\ninvariants that no state could have violated, so that they prove nothing: {}",
-            idle.join(", ")
+            "\ninvariants that were not exercised, so that they prove nothing: {}",
+            unexercised.join(", ")
         );
         return ExitCode::FAILURE;
     }
     println!(
         "\nall invariants hold, {} of {} exercised, {:.0} s",
-        invariants.len() - idle.len(),
+        invariants.len() - unexercised.len(),
         invariants.len(),
         elapsed.as_secs_f64()
     );
--- a/crates/model-checker/src/connection_model/invariants.rs
+++ b/crates/model-checker/src/connection_model/invariants.rs
@@ -14,7 +14,7 @@
         is_violated: ends_twice_or_late,
     },
     Invariant {
-        name: "honest end",
+        name: "truthful outcome",
         description: "an attempt whose outcome says that it never ran has not arrived completely at an engine",
         is_violated: denies_arrival,
     },
@@ -29,7 +29,7 @@
         is_violated: alters_result,
     },
     Invariant {
-        name: "own answer",
+        name: "matching answer",
         description: "a well-formed answer ends only the attempt that it answers",
         is_violated: ends_another_attempt,
     },
--- a/crates/model-checker/src/invariants.rs
+++ b/crates/model-checker/src/invariants.rs
@@ -1,24 +1,24 @@
-//! What every model has in common: events that the system under test emits, and invariants over them.
+//! The common part of all models: events of the system under test, and invariants over them.
 //!
-//! An invariant looks at the state before an event and decides whether the event violates it. It relies on what the
-//! environment observed, and never asks the system under test what that believes.
+//! An invariant examines the state before an event and decides whether the event violates it. It relies on the records of
+//! the environment and not on the state of the system under test.
 
 use crate::search::Model;
 use crate::witness;
 
 /// A property that must hold at every event of a model.
 pub struct Invariant<M: ObservedModel> {
-    /// A short name, unique among all models.
+    /// A short name, which is unique among all models.
     pub name: &'static str,
     /// The property in one sentence.
     pub description: &'static str,
-    /// Whether the event violates the property in that state.
+    /// Whether the event violates the property in the state before it.
     pub is_violated: fn(&M, &M::State, &M::Event) -> bool,
 }
 
 /// A model whose system under test is checked by its observable events.
 pub trait ObservedModel: Model + Sized + 'static {
-    /// Something observable that the system under test does, the passing of time, or the end of a run.
+    /// An observable action of the system under test, the passing of time, or the end of a run.
     type Event;
     /// All invariants of the model.
     const INVARIANTS: &'static [Invariant<Self>];
@@ -26,7 +26,7 @@
     const FIRST_WITNESS_BIT: usize;
 }
 
-/// The name of the first invariant that an event violates.
+/// Returns the name of the first invariant that an event violates.
 pub fn first_violated<M: ObservedModel>(
     model: &M,
     state: &M::State,
@@ -36,9 +36,10 @@
     violated.map(|invariant| invariant.name)
 }
 
-/// Records which invariants each of these hypothetical events would violate, and no other with it, in that state.
+/// Records the invariants that hypothetical events would violate in a state. An event counts only if it violates exactly
+/// one invariant.
 ///
-/// The events are built only while some invariant of the model has not been exercised yet.
+/// The events are computed only while some invariant of the model has not been exercised.
 pub fn record_exercised<M: ObservedModel>(
     model: &M,
     state: &M::State,
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,7 +1,7 @@
-//! Explicit-state model checker for emberflow's decisions, connections and queues.
+//! Explicit-state model checker for emberflow's scheduler, connections and queues.
 //!
-//! Each model runs the real code (never a copy of its rules) against a scripted environment. The search visits every
-//! reachable state of a small scenario and reports a shortest path on which an invariant is violated.
+//! Each model runs the router's code against a scripted environment. The search visits every reachable state of a small
+//! scenario and reports a shortest path on which an invariant is violated.
 
 pub mod command;
 pub mod connection_model;
@@ -17,7 +17,7 @@
 pub mod wire;
 pub mod witness;
 
-/// The fixture that the repository's traces start from, so that a counterexample can be pasted among them.
+/// The fixture of the repository's traces, so that a counterexample can be pasted into `tests/traces/`.
 #[allow(dead_code, reason = "the model checker uses the settings alone")]
 #[path = "../../../tests/trace/mod.rs"]
 pub mod trace;
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -1,18 +1,18 @@
-//! Faults planted on purpose: each is one small edit of the code, made in a copy, which the exploration must catch.
+//! Mutants: small faults that are planted in a copy of the code, one at a time, and that an exploration must detect.
 
 mod runner;
 
 pub use runner::{EditError, edited, run};
 
-/// One planted fault.
+/// One fault, as an edit of a source file.
 pub struct Mutant {
     /// A short name, unique among all mutants.
     pub name: &'static str,
-    /// The file of the repository that is edited.
+    /// The edited file of the repository.
     pub file: &'static str,
-    /// The text that is replaced; it must occur in the file exactly once.
+    /// The replaced text, which must occur in the file exactly once.
     pub from: &'static str,
-    /// The text that takes its place.
+    /// The replacement.
     pub to: &'static str,
 }
 
@@ -54,7 +54,7 @@
     Mutant { name, file, from, to }
 }
 
-/// All faults.
+/// All mutants.
 pub const MUTANTS: &[Mutant] = &[
     scheduler(
         "attempt limit off by one",
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -1,4 +1,4 @@
-//! Plants mutants in a copy of the repository, builds each, and runs the exploration on it.
+//! Plants each mutant in a copy of the repository, builds the model checker there and runs it.
 
 use super::{DISCOVERY, ENGINE_POOL, MUTANTS, Mutant};
 use crate::command::VIOLATION_PREFIX;
@@ -7,16 +7,18 @@
 use std::process::{Command, ExitCode, Output};
 use std::time::{Duration, Instant};
 
-/// What of the repository a build of the model checker needs.
+/// The parts of the repository that a build of the model checker needs.
 const COPIED_PARTS: [&str; 6] = ["src", "benches", "crates", "tests", "Cargo.toml", "Cargo.lock"];
 /// The copy, below the root of the repository.
 const COPY: &str = "target/mutants/tree";
-/// The target folder of builds in the copy.
+/// The target folder of the builds of the copy.
 const TARGET: &str = "target/mutants/built";
-/// The program that such a build makes.
+/// The program that these builds produce.
 const PROGRAM: &str = "target/mutants/built/release/emberflow-model-checker";
-/// The exit code of a process that has panicked.
+/// The exit code of a process that panicked.
 const EXIT_PANIC: i32 = 101;
+/// The exit code for an unknown mutant.
+const EXIT_USAGE: u8 = 2;
 
 /// An edit that does not apply exactly once.
 #[derive(Debug, thiserror::Error)]
@@ -27,7 +29,7 @@
     from: &'static str,
 }
 
-/// Why a mutant could not be planted or explored.
+/// The reason why a mutant could not be planted or explored.
 #[derive(Debug, thiserror::Error)]
 enum PlantError {
     #[error("copying {part}: {source}")]
@@ -38,26 +40,26 @@
     Edit(#[from] EditError),
     #[error("running {program}: {source}")]
     Run { program: &'static str, source: std::io::Error },
-    #[error("it does not build: {0}")]
+    #[error("the mutant does not build: {0}")]
     Build(String),
 }
 
 /// The result of one mutant.
 struct Outcome {
-    /// The invariant that was violated, or a panic; `None` if nothing caught the mutant.
+    /// The violated invariant, or a panic; `None` if the mutant was not caught.
     caught_by: Option<String>,
     scenario: String,
     build_time: Duration,
     check_time: Duration,
 }
 
-/// Plants the named mutants, or all; fails unless each is caught.
+/// Plants the named mutants, or all, and fails unless each is caught.
 pub fn run(names: &[String]) -> ExitCode {
     let is_unknown = |name: &&String| MUTANTS.iter().all(|mutant| mutant.name != name.as_str());
     if let Some(name) = names.iter().find(is_unknown) {
         eprintln!("emberflow-model-checker: no mutant `{name}`; there are:");
         MUTANTS.iter().for_each(|mutant| eprintln!("  {}", mutant.name));
-        return ExitCode::from(2);
+        return ExitCode::from(EXIT_USAGE);
     }
     let is_selected = |mutant: &&Mutant| names.is_empty() || names.iter().any(|name| name == mutant.name);
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -97,7 +99,7 @@
     let begun = Instant::now();
     build(root, &copy)?;
     let (build_time, begun) = (begun.elapsed(), Instant::now());
-    // Most are caught in the scenarios closest to them; all scenarios are for those that are not.
+    // Most mutants are caught in the scenarios closest to them, which is faster than all scenarios.
     let mut checked = check(root, &closest_scenarios(mutant))?;
     if checked.status.success() {
         checked = check(root, &[])?;
@@ -138,7 +140,7 @@
         .map_err(|source| PlantError::Run { program: PROGRAM, source })
 }
 
-/// The arguments that select the scenarios round the file that a mutant edits.
+/// Returns the arguments that select the scenarios closest to the edited file.
 fn closest_scenarios(mutant: &Mutant) -> Vec<&'static str> {
     let connections = connection_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
     let router = router_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
@@ -153,14 +155,14 @@
     }
 }
 
-/// The invariant that the output names, or a panic: an assertion of the code itself has noticed the mutant as well.
+/// Returns the violated invariant in the output, or "a panic" if an assertion of the code has detected the mutant.
 fn caught_by(output: &str, exit_code: Option<i32>) -> Option<String> {
     let violation = output.lines().find_map(|line| line.strip_prefix(VIOLATION_PREFIX));
     let invariant = violation.and_then(|violation| violation.split(':').next()).map(str::to_owned);
     invariant.or_else(|| (exit_code == Some(EXIT_PANIC)).then(|| "a panic".to_owned()))
 }
 
-/// The text with the fault in it; an edit that does not apply exactly once is an error.
+/// Returns the text with the fault. An edit that does not apply exactly once is an error.
 pub fn edited(text: &str, mutant: &Mutant) -> Result<String, EditError> {
     match text.matches(mutant.from).count() {
         1 => Ok(text.replace(mutant.from, mutant.to)),
@@ -168,7 +170,7 @@
     }
 }
 
-/// Makes `to` the same as `from`; files that are the same already stay untouched.
+/// Copies `from` to `to` and removes other files there. Equal files are not written, so that they are not rebuilt.
 fn mirror(from: &Path, to: &Path) -> std::io::Result<()> {
     if !from.is_dir() {
         return mirror_file(from, to);
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -1,4 +1,4 @@
-//! All scenarios and invariants, of whatever model, as the command line and the tests see them.
+//! The scenarios and invariants of all models, in the form that the command line and the tests use.
 
 use crate::connection_model::{self, scenario::ConnectionScenario};
 use crate::discovery_model::{self, scenario::DiscoveryScenario};
@@ -12,7 +12,7 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Explores one scenario within limits of time and of memory in MiB.
+/// Explores one scenario within limits of wall-clock time and of memory in MiB.
 pub type Check = Box<dyn Fn(Duration, u64) -> CheckReport>;
 
 /// Replays a path in one scenario.
@@ -20,22 +20,22 @@
 
 /// A scenario of any model.
 pub struct Entry {
-    /// The name by which the command line and tests know it.
+    /// The name on the command line and in tests.
     pub name: &'static str,
-    /// What happens in it, in a sentence.
+    /// A description in one sentence.
     pub description: &'static str,
-    /// Whether it belongs to the short set.
+    /// Whether the scenario belongs to the short set.
     pub in_short_set: bool,
-    /// Explores it within limits of time and of memory in MiB.
+    /// Explores the scenario within limits of wall-clock time and of memory in MiB.
     pub check: Check,
-    /// Replays a recorded path, with one transition a line, as a counterexample prints it.
+    /// Replays a recorded path with one transition on each line, in the form that a counterexample prints.
     pub replay: Replay,
 }
 
-/// Why a recorded path can't be replayed to its end.
+/// The reason why a recorded path cannot be replayed to its end.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ReplayError {
-    /// The model does not allow the transition in that state.
+    /// The transition is not enabled.
     #[error("{transition} is not among the enabled transitions [{enabled}]")]
     NotEnabled {
         /// The line of the recorded path.
@@ -43,7 +43,7 @@
         /// The transitions that are enabled instead.
         enabled: String,
     },
-    /// An invariant is violated on the way.
+    /// An invariant is violated.
     #[error("{invariant} is violated at {transition}")]
     Violated {
         /// The name of the invariant.
@@ -53,11 +53,11 @@
     },
 }
 
-/// What the exploration of a scenario found.
+/// The result of the exploration of a scenario.
 pub struct CheckReport {
     /// The figures of the search.
     pub extent: Extent,
-    /// The first violation.
+    /// The first violation, if there is one.
     pub violation: Option<Counterexample>,
 }
 
@@ -68,7 +68,7 @@
     pub invariant: &'static str,
     /// The length of the path.
     pub transitions: usize,
-    /// The path as a test.
+    /// The source of a test that takes the path.
     pub test: String,
 }
 
@@ -78,18 +78,18 @@
     pub name: &'static str,
     /// The property in one sentence.
     pub description: &'static str,
-    /// Its bit in the record of exercised invariants.
+    /// The invariant's bit in the record of exercised invariants.
     witness_bit: usize,
 }
 
 impl InvariantEntry {
-    /// Whether some state explored in this process could have violated it, and no other invariant, by one event.
+    /// Whether, in some state explored by this process, one event would violate this invariant and no other.
     pub fn is_exercised(&self) -> bool {
         witness::is_exercised(self.witness_bit)
     }
 }
 
-/// All scenarios.
+/// Returns all scenarios.
 pub fn scenarios() -> Vec<Entry> {
     let mut entries: Vec<Entry> = module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
     entries.extend(connection_model::scenarios::SCENARIOS.iter().map(connection_entry));
@@ -105,7 +105,7 @@
     scenarios().into_iter().find(|entry| entry.name == name)
 }
 
-/// All invariants.
+/// Returns all invariants.
 pub fn invariants() -> Vec<InvariantEntry> {
     let mut entries = Vec::new();
     append_invariants::<ModuleModel>(&mut entries);
@@ -156,7 +156,7 @@
     entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
-/// The entry of a scenario whose counterexamples are recorded paths.
+/// Returns the entry of a scenario whose counterexamples are recorded paths.
 fn entry<M: Model>(
     model: &'static M,
     name: &'static str,
@@ -190,7 +190,7 @@
     CheckReport { extent: report.extent, violation }
 }
 
-/// A path as a test, ready to be pasted into `tests/walk.rs`: one transition a line.
+/// Returns the source of a test that replays a path, to be pasted into `tests/walk.rs`.
 fn recorded_path_test<M: Model>(scenario: &str, path: &[Step<M>]) -> String
 where
     M::Transition: Debug,
@@ -200,7 +200,7 @@
     format!("#[test]\nfn {name}_holds() {{\n    follow({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
 }
 
-/// Takes the transitions that are printed one a line, and checks every state on the way.
+/// Takes the transitions of a recorded path, and checks every state.
 fn replay<M: Model>(model: &M, path: &str) -> Result<(), ReplayError>
 where
     M::Transition: Debug,
--- a/crates/model-checker/src/router_model/invariants.rs
+++ b/crates/model-checker/src/router_model/invariants.rs
@@ -10,7 +10,7 @@
 pub const INVARIANTS: &[Invariant<RouterScenario>] = &[
     Invariant {
         name: "one line",
-        description: "no request gets two answers, and no answer belongs to no request",
+        description: "a request gets at most one answer, and every answer belongs to a request of the client",
         is_violated: answers_twice,
     },
     Invariant {
@@ -19,13 +19,13 @@
         is_violated: answers_late,
     },
     Invariant {
-        name: "an engine's own result",
+        name: "unaltered result",
         description: "a result is an engine's answer to the request",
         is_violated: alters_result,
     },
     Invariant {
         name: "runs once",
-        description: "a non-idempotent request arrives at an engine again only if every engine before rejected it as overloaded",
+        description: "a non-idempotent request arrives at an engine again only if all its earlier calls were rejected as overloaded",
         is_violated: runs_again,
     },
     Invariant {
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -1,7 +1,7 @@
 //! Breadth-first search over the states of a model.
 //!
-//! Levels are visited in order, so the first violation is found on a shortest path, and the same one on every run.
-//! Of the visited states only their fingerprints and the way back are kept in memory.
+//! Levels are visited in order, so that every run finds the same first violation, on a shortest path. For each visited state
+//! only its fingerprint and its origin stay in memory.
 
 use rayon::prelude::*;
 use std::collections::HashMap;
@@ -9,32 +9,34 @@
 use std::hash::{BuildHasherDefault, Hasher};
 use std::time::{Duration, Instant};
 
-/// The clock of every model begins here, so that times before the start can be represented.
+/// The initial time of every model. It is above 0, so that times before the start can be represented.
 pub const START_TIME: Duration = Duration::from_secs(20);
 
-/// States that are expanded in parallel before the limits are checked again.
+/// Number of states that are expanded in parallel between two checks of the limits.
 const BATCH_SIZE: usize = 4096;
-/// Marks the initial state among the origins, which no transition leads to.
+/// The transition of the initial state's origin.
 const NO_TRANSITION: u32 = u32::MAX;
-/// Bytes of a page of memory, in which the kernel reports the resident set.
+/// Bytes of a memory page, in which the kernel reports the resident set.
 const PAGE_BYTES: u64 = 4096;
+const BYTES_PER_MIB: u64 = 1 << 20;
 
-/// A transition system: an initial state, the transitions enabled in a state, and where each of them leads.
+/// A transition system: an initial state, the transitions enabled in a state, and their successor states.
 pub trait Model: Sync {
     /// A state of the system under test together with its environment.
     type State: Send + Sync + Clone;
     /// One input or event of the environment.
     type Transition: Send + Sync + Copy;
 
-    /// The state in which the search begins.
+    /// Returns the initial state.
     fn initial_state(&self) -> Self::State;
     /// Appends the transitions that are enabled in a state, always in the same order.
     fn transitions(&self, state: &Self::State, transitions: &mut Vec<Self::Transition>);
-    /// The state that a transition leads to.
+    /// Returns the state that a transition leads to.
     fn apply(&self, state: &Self::State, transition: &Self::Transition) -> Self::State;
-    /// A number that is equal for states with equal futures.
+    /// Returns a number that is equal for states with equal futures.
     fn fingerprint(&self, state: &Self::State) -> u64;
-    /// The name of the invariant violated on the way into a state; `is_terminal` if no transition is enabled in it.
+    /// Returns the name of the invariant that was violated by the transition into a state. `is_terminal` says that no
+    /// transition is enabled in the state.
     fn violated(&self, state: &Self::State, is_terminal: bool) -> Option<&'static str>;
 }
 
@@ -49,20 +51,20 @@
     pub max_depth: Option<usize>,
 }
 
-/// How much of the state space a search has covered.
+/// The part of the state space that a search has covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coverage {
     /// Every reachable state.
     Complete,
     /// Every state within [`Bounds::max_depth`].
     ToDepth,
-    /// The time limit was reached first.
+    /// The states before the time limit was reached.
     OutOfTime,
-    /// The memory limit was reached first.
+    /// The states before the memory limit was reached.
     OutOfMemory,
 }
 
-/// A violated invariant, and a shortest path to it.
+/// A violated invariant and a shortest path to the violation.
 pub struct Violation<M: Model> {
     /// The name of the invariant.
     pub invariant: &'static str,
@@ -81,13 +83,13 @@
 /// Figures of a search.
 #[derive(Clone, Debug)]
 pub struct Extent {
-    /// Distinct states reached.
+    /// Number of distinct states.
     pub states: usize,
-    /// States in which no transition is enabled.
+    /// Number of states without an enabled transition.
     pub terminal_states: usize,
-    /// The length of the longest path that was followed.
+    /// The length of the longest explored path.
     pub depth: usize,
-    /// How much of the state space was covered.
+    /// The covered part of the state space.
     pub coverage: Coverage,
     /// Wall-clock time of the search.
     pub elapsed: Duration,
@@ -103,7 +105,7 @@
     pub violation: Option<Violation<M>>,
 }
 
-/// Fingerprints are hashes already, so that the table of origins uses them as they are.
+/// Returns fingerprints unchanged, because they are hashes already.
 #[derive(Default)]
 struct IdentityHasher(u64);
 
@@ -112,14 +114,15 @@
         self.0
     }
     fn write(&mut self, _: &[u8]) {
-        unreachable!("only whole fingerprints are looked up");
+        unreachable!("the table of origins hashes only fingerprints");
     }
     fn write_u64(&mut self, fingerprint: u64) {
         self.0 = fingerprint;
     }
 }
 
-/// How each state was first reached: from which state, by which of the transitions enabled there.
+/// The first way to each state, by fingerprint: the fingerprint of the preceding state, and the index of the transition
+/// among those enabled there.
 type Origins = HashMap<u64, (u64, u32), BuildHasherDefault<IdentityHasher>>;
 
 /// Visits the reachable states of a model until all are visited, an invariant is violated or a limit is reached.
@@ -140,23 +143,24 @@
     SearchReport { extent: search.extent, violation }
 }
 
-/// Why a search ended before every state was visited.
+/// The reason why a search ended before every state was visited.
 enum Stop {
     LimitReached(Coverage),
     Violated { invariant: &'static str, fingerprint: u64 },
 }
 
-/// What the expansion of one state found.
+/// The result of the expansion of one state.
 struct Expansion<State> {
     fingerprint: u64,
     violated: Option<&'static str>,
     is_terminal: bool,
-    /// States that were not known before this batch, with the position of the transition that leads there.
+    /// The successor states that were unknown before this batch.
     successors: Vec<Successor<State>>,
 }
 
 struct Successor<State> {
     fingerprint: u64,
+    /// The index of the transition among those enabled in the preceding state.
     transition: u32,
     state: State,
 }
@@ -198,7 +202,7 @@
         Ok(())
     }
 
-    /// Expands all states of one level, and returns the states of the next.
+    /// Expands all states of one level, and returns the states of the next level.
     fn expand_level(&mut self, level: Vec<M::State>) -> Result<Vec<M::State>, Stop> {
         let mut next_level = Vec::new();
         let mut remaining = level.into_iter();
@@ -208,7 +212,7 @@
                 return Ok(next_level);
             }
             let expansions: Vec<_> = batch.par_iter().map(|state| self.expand(state)).collect();
-            // Taken in the order of the batch, whichever thread was first, so that every run does the same.
+            // Records in the order of the batch, so that the result does not depend on the order of the threads.
             for expansion in expansions {
                 self.record(expansion, &mut next_level)?;
             }
@@ -224,18 +228,15 @@
         if violated.is_some() {
             transitions.clear();
         }
-        let successors = transitions.iter().zip(0..).filter_map(|(transition, position)| {
-            let state = self.model.apply(state, transition);
-            let fingerprint = self.model.fingerprint(&state);
-            let is_new = !self.origins.contains_key(&fingerprint);
-            is_new.then_some(Successor { fingerprint, transition: position, state })
-        });
-        Expansion {
-            fingerprint: self.model.fingerprint(state),
-            violated,
-            is_terminal,
-            successors: successors.collect(),
+        let mut successors = Vec::new();
+        for (transition, index) in transitions.iter().zip(0..) {
+            let successor = self.model.apply(state, transition);
+            let fingerprint = self.model.fingerprint(&successor);
+            if !self.origins.contains_key(&fingerprint) {
+                successors.push(Successor { fingerprint, transition: index, state: successor });
+            }
         }
+        Expansion { fingerprint: self.model.fingerprint(state), violated, is_terminal, successors }
     }
 
     fn record(&mut self, expansion: Expansion<M::State>, next_level: &mut Vec<M::State>) -> Result<(), Stop> {
@@ -263,20 +264,22 @@
         Ok(())
     }
 
-    /// The path by which a state was first reached, computed anew from the initial state.
+    /// Returns the path by which a state was first reached, recomputed from the initial state.
     fn path_to(&self, fingerprint: u64) -> Vec<Step<M>> {
-        let mut positions = Vec::new();
-        let mut at = fingerprint;
-        while let Some((from, position)) = self.origins.get(&at).filter(|origin| origin.1 != NO_TRANSITION) {
-            positions.push(*position as usize);
-            at = *from;
+        let mut indices = Vec::new();
+        let mut current = fingerprint;
+        while let Some((origin, index)) =
+            self.origins.get(&current).filter(|(_, index)| *index != NO_TRANSITION)
+        {
+            indices.push(*index as usize);
+            current = *origin;
         }
         let mut state = self.model.initial_state();
         let mut path = Vec::new();
-        for position in positions.into_iter().rev() {
+        for index in indices.into_iter().rev() {
             let mut transitions = Vec::new();
             self.model.transitions(&state, &mut transitions);
-            let transition = transitions[position];
+            let transition = transitions[index];
             let next = self.model.apply(&state, &transition);
             path.push(Step { state: std::mem::replace(&mut state, next), transition });
         }
@@ -284,9 +287,9 @@
     }
 }
 
-/// The resident memory of this process, in MiB; zero where the kernel does not tell.
+/// Returns the resident memory of this process, in MiB; 0 if the kernel does not report it.
 pub fn resident_mb() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
-    (pages.unwrap_or(0) * PAGE_BYTES) >> 20
+    pages.unwrap_or(0) * PAGE_BYTES / BYTES_PER_MIB
 }
--- a/crates/model-checker/src/witness.rs
+++ b/crates/model-checker/src/witness.rs
@@ -1,17 +1,17 @@
-//! Which invariants were exercised over all scenarios explored: some state could have violated them, and no other
-//! invariant, by one event of the system under test. An invariant that is never exercised proves nothing.
+//! The record of exercised invariants over all explored scenarios. An invariant is exercised if, in some state, one event
+//! of the system under test would violate it and no other invariant. An invariant that is never exercised proves nothing.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The first bit of the module's invariants.
+/// The first bit of the invariants of the module model.
 pub const MODULE: usize = 0;
-/// The first bit of the connections' invariants.
+/// The first bit of the invariants of the connection model.
 pub const CONNECTIONS: usize = 20;
-/// The first bit of the router's invariants.
+/// The first bit of the invariants of the router model.
 pub const ROUTER: usize = 30;
-/// The first bit of the discovery reader's invariants.
+/// The first bit of the invariants of the discovery model.
 pub const DISCOVERY: usize = 40;
-/// The first bit of the team queues' invariants.
+/// The first bit of the invariants of the queue model.
 pub const QUEUES: usize = 50;
 
 /// One bit for each invariant that was exercised in this process.
@@ -22,13 +22,14 @@
     EXERCISED.load(Ordering::Relaxed) & (1 << bit) != 0
 }
 
-/// Whether all of `count` invariants were exercised, whose bits begin at `first`.
+/// Whether all of the `count` invariants whose bits begin at `first` were exercised.
 pub fn all_exercised(first: usize, count: usize) -> bool {
     let all = ((1 << count) - 1) << first;
     EXERCISED.load(Ordering::Relaxed) & all == all
 }
 
-/// Records the invariant that one event would violate, unless it would violate several or none.
+/// Records the invariant that one event would violate, if it would violate exactly one. `violated` has an item for each
+/// invariant, the first with the bit `first`.
 pub fn record(first: usize, violated: impl Iterator<Item = bool>) {
     let positions: Vec<usize> =
         violated.enumerate().filter(|(_, violated)| *violated).map(|(position, _)| position).collect();
--- a/crates/teams/src/queues/wait_estimate.rs
+++ b/crates/teams/src/queues/wait_estimate.rs
@@ -17,8 +17,8 @@
         Some(self.service_rate.estimate(seconds, position))
     }
 
-    /// Returns the computed seconds until a request of this arrival is dispatched. `None` as the arrival stands for a
-    /// request that arrives now.
+    /// Returns the computed seconds until a request of this arrival is dispatched. The arrival is `None` for a request
+    /// that arrives now.
     pub(super) fn wait_seconds(
         &self,
         now: Duration,
--- a/crates/teams/src/team_queue.rs
+++ b/crates/teams/src/team_queue.rs
@@ -126,8 +126,8 @@
         self.work.iter().sum()
     }
 
-    /// Returns the expected work that is dispatched before a request of this urgency and arrival. `None` stands for a
-    /// request that arrives now.
+    /// Returns the expected work that is dispatched before a request of this urgency and arrival. The arrival is `None`
+    /// for a request that arrives now.
     pub(crate) fn work_before(
         &self,
         urgency: u8,
