--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -131,9 +131,8 @@
         }
     }
 
-    /// Closes a connection and ends or moves the attempts on it. A reachable engine may reset a new or an idle
-    /// connection without a fault of its own, so a call of which no byte was written moves to another connection,
-    /// once.
+    /// Closes a connection and ends or moves the attempts on it. A reset of a new or an idle connection is no fault of a
+    /// reachable engine, so an unwritten call moves to another connection, once.
     pub fn close_connection(
         &mut self,
         slot: Slot,
--- a/crates/simulator-adapter/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -1,5 +1,5 @@
-//! Guards the adapter's behaviour while its code changes: seeded runs of valid input, and one digest over all bytes that
-//! it writes. The input follows what was written before, so that attempts end and requests are retried.
+//! Guards the adapter's behaviour against changes of its code: runs with valid input from seeds, and one digest of all
+//! bytes of output. The input reacts to the previous output, so that attempts end and requests are retried.
 
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -13,11 +13,11 @@
 const INSTANCES: u64 = 2;
 const ENGINES: u64 = 5;
 /// An engine whose attempts end only when they are cancelled or time out.
-const SILENT: &str = "e:1";
+const UNRESPONSIVE_ENGINE: &str = "e:1";
 const REPORTED: [&str; 6] = ["busy", "rif", "q", "x0", "x1", "qps"];
 
-/// Messages and actions that have to occur that often, or the digest would say little.
-const REQUIRED: [(&str, u64); 24] = [
+/// How often messages and actions must occur, so that the digest covers them.
+const MINIMUM_COUNTS: [(&str, u64); 24] = [
     ("ACCEPT", 1000),
     ("ANNOUNCE broken", 50),
     ("ANNOUNCE patch", 100),
@@ -44,7 +44,7 @@
     ("sent again", 200),
 ];
 
-/// A random source that is the same on every platform.
+/// A source of random numbers that is the same on every platform.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -55,8 +55,8 @@
         mixed ^ (mixed >> 31)
     }
 
-    fn below(&mut self, end_attempt: u64) -> u64 {
-        self.number() % end_attempt.max(1)
+    fn below(&mut self, end: u64) -> u64 {
+        self.number() % end.max(1)
     }
 
     fn one_in(&mut self, count: u64) -> bool {
@@ -76,7 +76,7 @@
     actions: BTreeMap<String, u64>,
 }
 
-/// An attempt that has not ended.
+/// An attempt that is in flight.
 struct Attempt {
     instance: u64,
     request: String,
@@ -97,13 +97,13 @@
     /// Lines of the batch that is being built.
     batch: String,
     attempts: Vec<Attempt>,
-    /// By instance and request, its attempts so far.
+    /// The number of attempts, by instance and request.
     attempt_counts: BTreeMap<(u64, String), u64>,
     /// Requests without a final answer.
     unanswered: Vec<(u64, String)>,
-    /// When instances are to be woken.
+    /// The times at which instances are to be woken, with their numbers.
     wakes: Vec<(f64, u64)>,
-    /// Engines that instances want a health check of.
+    /// Health checks that were requested: the instance and the engine.
     probes: Vec<(u64, String)>,
     subscribers: Vec<u64>,
     requests: u64,
@@ -141,8 +141,8 @@
             .stderr(Stdio::null())
             .spawn();
         let mut adapter = adapter.expect("the adapter starts");
-        let input = adapter.stdin.take().expect("its input");
-        let output = BufReader::new(adapter.stdout.take().expect("its output"));
+        let input = adapter.stdin.take().expect("the input is piped");
+        let output = BufReader::new(adapter.stdout.take().expect("the output is piped"));
         Self {
             random: SplitMix64(seed),
             record,
@@ -178,7 +178,7 @@
             }
         }
         drop(self.input);
-        assert!(self.adapter.wait().expect("it ends").success());
+        assert!(self.adapter.wait().expect("the adapter ends").success());
     }
 
     fn start(&mut self, instance: u64, seed: u64) {
@@ -209,12 +209,15 @@
     fn finish_batch(&mut self, frame: u64) {
         let begin = json!({"op": "BEGIN_BATCH", "atTimeMs": self.now_ms, "frame": frame});
         let lines = format!("{begin}\n{}{{\"op\":\"END\"}}\n", std::mem::take(&mut self.batch));
-        self.input.write_all(lines.as_bytes()).expect("it reads");
+        self.input.write_all(lines.as_bytes()).expect("the adapter reads its input");
         loop {
             let mut line = String::new();
-            assert!(self.output.read_line(&mut line).expect("it writes") > 0, "it ended early after {lines}");
+            assert!(
+                self.output.read_line(&mut line).expect("the adapter writes") > 0,
+                "the adapter ended early after {lines}"
+            );
             self.record.digest.update(&line);
-            let action: Value = serde_json::from_str(&line).expect("it writes JSON");
+            let action: Value = serde_json::from_str(&line).expect("the adapter writes JSON");
             assert_ne!(action["op"], "FAULT", "{action} after {lines}");
             *self.record.actions.entry(kind_of(&action)).or_default() += 1;
             if action["op"] == "READY" {
@@ -230,32 +233,17 @@
         let text = |name: &str| action[name].as_str().unwrap_or_default().to_owned();
         let request = text("ref");
         match action["op"].as_str().unwrap_or_default() {
-            "PASS_ON" => {
-                let attempt_counts = self.attempt_counts.entry((instance, request.clone())).or_default();
-                let (number, abandon_ms) = (*attempt_counts, action["abandonAtMs"].as_f64().expect("a time"));
-                *attempt_counts += 1;
-                if number > 0 {
-                    *self.record.actions.entry("sent again".into()).or_default() += 1;
-                }
-                let (engine, sent_ms) = (text("engine"), self.now_ms);
-                self.attempts.push(Attempt {
-                    instance,
-                    request,
-                    number,
-                    engine,
-                    sent_ms,
-                    abandon_ms,
-                    cancelled: false,
-                });
-            }
+            "PASS_ON" => self.begin_attempt(instance, request, text("engine"), action),
             "ABORT_ATTEMPT" => {
                 let number = action["hop"].as_u64();
-                let its = |attempt: &&mut Attempt| {
-                    attempt.instance == instance
+                for attempt in &mut self.attempts {
+                    if attempt.instance == instance
                         && attempt.request == request
                         && Some(attempt.number) == number
-                };
-                self.attempts.iter_mut().filter(its).for_each(|attempt| attempt.cancelled = true);
+                    {
+                        attempt.cancelled = true;
+                    }
+                }
             }
             "TURN_AWAY" | "ABORT" => {
                 self.unanswered.retain(|unanswered| *unanswered != (instance, request.clone()))
@@ -270,6 +258,25 @@
         }
     }
 
+    fn begin_attempt(&mut self, instance: u64, request: String, engine: String, action: &Value) {
+        let attempt_count = self.attempt_counts.entry((instance, request.clone())).or_default();
+        let number = *attempt_count;
+        *attempt_count += 1;
+        if number > 0 {
+            *self.record.actions.entry("sent again".into()).or_default() += 1;
+        }
+        self.attempts.push(Attempt {
+            instance,
+            request,
+            number,
+            engine,
+            sent_ms: self.now_ms,
+            abandon_ms: action["abandonAtMs"].as_f64().expect("a time"),
+            cancelled: false,
+        });
+    }
+
+    /// Announces the endpoint list to subscribers, wakes instances and ends attempts whose time is up.
     fn deliver_due(&mut self) {
         for instance in std::mem::take(&mut self.subscribers) {
             self.announce(instance);
@@ -295,7 +302,7 @@
         match self.random.below(40) {
             0..12 => self.accept(),
             12..28 => self.end_random_attempt(),
-            28..32 => self.send_progress_note(),
+            28..32 => self.send_progress(),
             32..34 => self.cancel_request(),
             34..36 => {
                 let instance = self.random.below(INSTANCES);
@@ -336,7 +343,7 @@
         let common = ["success"; 9];
         let rare = ["failure", "overloaded", "overloaded", "unreachable", "broken", "void"];
         let result = self.random.pick(&[&common[..], &rare].concat());
-        if self.attempts[at].engine == SILENT && !self.attempts[at].cancelled {
+        if self.attempts[at].engine == UNRESPONSIVE_ENGINE && !self.attempts[at].cancelled {
             return;
         }
         let result = if self.attempts[at].cancelled && !self.random.one_in(4) { "withdrawn" } else { result };
@@ -365,7 +372,7 @@
         json!([busy, self.random.below(9), self.random.below(5), memory, 0.25, 17])
     }
 
-    fn send_progress_note(&mut self) {
+    fn send_progress(&mut self) {
         if self.attempts.is_empty() {
             return;
         }
@@ -385,7 +392,7 @@
         self.send(json!({"op": "CANCELLED_BY_CLIENT", "who": instance, "ref": request}));
     }
 
-    /// Announces the whole endpoint list, changes of it, or that it can't be read.
+    /// Announces the complete endpoint list, changes of it, or that it cannot be read.
     fn announce(&mut self, instance: u64) {
         let first = self.tables < INSTANCES;
         let mode =
@@ -407,20 +414,20 @@
     }
 }
 
-/// The kind of a line.
+/// Returns the kind of a line, by its operation, result and mode.
 fn kind_of(line: &Value) -> String {
     let words = ["op", "result", "mode"].iter().filter_map(|name| line[name].as_str());
     words.collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn the_adapter_writes_as_before() {
+fn the_digest_of_the_output_is_unchanged() {
     let mut record = Record::default();
     (0..RUNS).for_each(|seed| Simulation::new(seed, &mut record).run(seed));
     let Record { digest, messages, actions } = record;
-    for (kind, least) in REQUIRED {
+    for (kind, minimum) in MINIMUM_COUNTS {
         let times = actions.get(kind).or(messages.get(kind)).copied().unwrap_or_default();
-        assert!(times >= least, "only {times} times: {kind}");
+        assert!(times >= minimum, "only {times} times: {kind}");
     }
     let lines = |kinds: BTreeMap<String, u64>| -> String {
         kinds.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect()
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -49,7 +49,7 @@
     answered: BTreeSet<u64>,
     next_id: u64,
     last_used_at: Duration,
-    /// False for connections that ask for the router's status or stay idle.
+    /// False for connections with a status request and for idle ones.
     is_for_requests: bool,
 }
 
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Closes the connections that have been idle for [`IDLE_TIMEOUT`].
+    /// Closes the connections that have been idle for `IDLE_TIMEOUT`.
     pub fn close_idle_connections(&mut self, now: Duration) {
         self.connections.retain(|connection| {
             !connection.open.is_empty() || connection.last_used_at + IDLE_TIMEOUT >= now
