--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::former_names::current_name;
+use crate::former_names::current_scenario_name;
 use crate::mutants;
 use crate::registry::{CheckReport, Entry, InvariantEntry, invariants, scenarios};
 use crate::search::Coverage;
@@ -116,12 +116,12 @@
 /// Returns the scenarios with these names or former names, or all. The error is the first unknown name.
 fn selected<'a>(names: &'a [String], options: &Options) -> Result<Vec<Entry>, &'a str> {
     let entries = scenarios();
-    let is_unknown = |name: &&String| entries.iter().all(|entry| entry.name != current_name(name));
+    let is_unknown = |name: &&String| entries.iter().all(|entry| entry.name != current_scenario_name(name));
     if let Some(name) = names.iter().find(is_unknown) {
         return Err(name);
     }
     let is_selected = |entry: &Entry| {
-        let is_named = names.is_empty() || names.iter().any(|name| current_name(name) == entry.name);
+        let is_named = names.is_empty() || names.iter().any(|name| current_scenario_name(name) == entry.name);
         is_named && (entry.in_short_set || !options.short_set_only)
     };
     Ok(entries.into_iter().filter(is_selected).collect())
--- a/crates/model-checker/src/former_names.rs
+++ b/crates/model-checker/src/former_names.rs
@@ -1,7 +1,7 @@
-//! The former names of scenarios, which the command line still accepts.
+//! The former names of scenarios and mutants, which the command line still accepts.
 
-/// Each former name with the current name of the scenario.
-const FORMER_NAMES: &[(&str, &str)] = &[
+/// Each former name of a scenario with the current name.
+pub const FORMER_SCENARIO_NAMES: &[(&str, &str)] = &[
     ("keyed in a cell", "idempotency key in a cell"),
     ("keyed in a location", "idempotency key in location"),
     ("keyed everywhere", "idempotency key everywhere"),
@@ -25,8 +25,51 @@
     ("a team that floods", "a team above its share"),
 ];
 
-/// Returns the current name of a scenario; a name that is not a former one is returned as it is.
-pub fn current_name(name: &str) -> &str {
-    let former = FORMER_NAMES.iter().find(|(former, _)| *former == name);
-    former.map_or(name, |(_, current)| current)
+/// Each former name of a mutant with the current name.
+pub const FORMER_MUTANT_NAMES: &[(&str, &str)] = &[
+    ("a client that left is not noted", "a disconnect is not recorded"),
+    ("reject for anything", "unsafe rejection"),
+    ("waiting calls left at a drain", "queued calls remain at a drain"),
+    ("a second attempt where an answer is owed", "a retry where a late answer may arrive"),
+    ("a call that began to leave is sent anew", "a partly written call is sent again"),
+    ("given up unwritten though it left", "a written call ends as not sent"),
+    ("idle connections are kept", "idle connections stay open"),
+    ("a second answer begins a result anew", "a second answer restarts a result"),
+    ("an answer ends whatever is there", "an answer ends any attempt"),
+    ("an answered request goes on", "an answered request is not cancelled"),
+    ("an open request is taken again", "an open request is accepted again"),
+    ("a client that left is still waited for", "requests of a closed client stay open"),
+    ("a withdrawal that is not passed on", "a cancellation is not passed on"),
+    ("a client that ended its side is sent for", "a half-close is not passed on"),
+    (
+        "what waits for a connection is sent for a client that ended its side",
+        "a queued call for a half-closed client",
+    ),
+    ("the scheduler is not told of the shutdown", "the scheduler misses the shutdown"),
+    ("leaves with requests open", "stops with open requests"),
+    ("silent clients are kept", "idle clients stay connected"),
+    ("a shut client is never finished", "a closed client is never removed"),
+    ("a change taken after a gap", "a change accepted after a gap"),
+    ("an event taken twice", "an event accepted twice"),
+    ("a lost event not noticed", "a lost event not detected"),
+    ("the last event forgotten", "the last event not recorded"),
+    ("half a frame kept over a new connection", "half a frame kept on reconnection"),
+    ("urgency does not count", "urgency ignored"),
+    ("what is given back stays charged", "an ended request stays charged"),
+    ("turns are not charged", "dispatches are not charged"),
+];
+
+/// Returns the current name of a scenario. A name that is not a former name is returned unchanged.
+pub fn current_scenario_name(name: &str) -> &str {
+    current_name(FORMER_SCENARIO_NAMES, name)
+}
+
+/// Returns the current name of a mutant. A name that is not a former name is returned unchanged.
+pub fn current_mutant_name(name: &str) -> &str {
+    current_name(FORMER_MUTANT_NAMES, name)
+}
+
+fn current_name<'a>(former_names: &[(&str, &'a str)], name: &'a str) -> &'a str {
+    let entry = former_names.iter().find(|(former, _)| *former == name);
+    entry.map_or(name, |(_, current)| current)
 }
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -2,6 +2,7 @@
 
 use super::{DISCOVERY, ENGINE_POOL, MUTANTS, Mutant};
 use crate::command::VIOLATION_PREFIX;
+use crate::former_names::current_mutant_name;
 use crate::{connection_model, discovery_model, queue_model, router_model};
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Output};
@@ -55,13 +56,15 @@
 
 /// Plants the named mutants, or all, and fails unless each is caught.
 pub fn run(names: &[String]) -> ExitCode {
-    let is_unknown = |name: &&String| MUTANTS.iter().all(|mutant| mutant.name != name.as_str());
+    let is_unknown = |name: &&String| MUTANTS.iter().all(|mutant| mutant.name != current_mutant_name(name));
     if let Some(name) = names.iter().find(is_unknown) {
         eprintln!("emberflow-model-checker: no mutant `{name}`; there are:");
         MUTANTS.iter().for_each(|mutant| eprintln!("  {}", mutant.name));
         return ExitCode::from(EXIT_USAGE);
     }
-    let is_selected = |mutant: &&Mutant| names.is_empty() || names.iter().any(|name| name == mutant.name);
+    let is_selected = |mutant: &&Mutant| {
+        names.is_empty() || names.iter().any(|name| current_mutant_name(name) == mutant.name)
+    };
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let (mut caught, mut all) = (0, 0);
     println!("{:40} {:24} {:>8} {:>8}  in", "mutant", "caught by", "build s", "check s");
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::connection_model::{self, scenario::ConnectionScenario};
 use crate::discovery_model::{self, scenario::DiscoveryScenario};
-use crate::former_names::current_name;
+use crate::former_names::current_scenario_name;
 use crate::invariants::ObservedModel;
 use crate::module_model::{self, ModuleModel, counterexample, scenario::Scenario};
 use crate::queue_model::{self, scenario::QueueScenario};
@@ -101,7 +101,7 @@
 
 /// Returns the scenario with this name or former name.
 pub fn scenario(name: &str) -> Option<Entry> {
-    let name = current_name(name);
+    let name = current_scenario_name(name);
     scenarios().into_iter().find(|entry| entry.name == name)
 }
 
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -1,5 +1,6 @@
 //! The complete exploration of scenarios of the short set, and the search itself: finding, stopping and reporting.
 
+use emberflow_model_checker::former_names::{FORMER_MUTANT_NAMES, FORMER_SCENARIO_NAMES};
 use emberflow_model_checker::mutants::{MUTANTS, edited};
 use emberflow_model_checker::registry::scenario;
 use emberflow_model_checker::search::{Bounds, Coverage, Model, explore};
@@ -212,6 +213,17 @@
     }
 }
 
+#[test]
+fn former_names_are_those_of_existing_scenarios_and_mutants() {
+    for (former, current) in FORMER_SCENARIO_NAMES {
+        let entry = scenario(former).unwrap_or_else(|| panic!("{former} names no scenario"));
+        assert_eq!(entry.name, *current);
+    }
+    for (former, current) in FORMER_MUTANT_NAMES {
+        assert!(MUTANTS.iter().any(|mutant| mutant.name == *current), "{former} names no mutant");
+    }
+}
+
 #[test]
 fn bad_arguments_exit_with_2_and_an_incomplete_exploration_with_3() {
     let run = |words: &[&str]| {
