--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -1,18 +1,18 @@
-//! Faults planted on purpose: each is one small edit of the code, made in a copy, which the exploration must catch.
+//! Mutants: small faults that are planted in a copy of the code, one at a time, and that an exploration must detect.
 
 mod runner;
 
 pub use runner::{EditError, edited, run};
 
-/// One planted fault.
+/// One fault, as an edit of a source file.
 pub struct Mutant {
     /// A short name, unique among all mutants.
     pub name: &'static str,
-    /// The file of the repository that is edited.
+    /// The edited file of the repository.
     pub file: &'static str,
-    /// The text that is replaced; it must occur in the file exactly once.
+    /// The replaced text, which must occur in the file exactly once.
     pub from: &'static str,
-    /// The text that takes its place.
+    /// The replacement.
     pub to: &'static str,
 }
 
@@ -54,7 +54,7 @@
     Mutant { name, file, from, to }
 }
 
-/// All faults.
+/// All mutants.
 pub const MUTANTS: &[Mutant] = &[
     scheduler(
         "attempt limit off by one",
@@ -93,12 +93,7 @@
         "(Effect::NonIdempotent, Some(_)) => false",
         "(Effect::NonIdempotent, Some(_)) => true",
     ),
-    scheduler(
-        "reject for anything",
-        RETRIES,
-        "_ => request.first_that_may_have_run().is_none(),",
-        "_ => true,",
-    ),
+    scheduler("unsafe rejection", RETRIES, "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     scheduler(
         "a broken attempt never ran",
         REQUEST_STATE,
@@ -183,7 +178,7 @@
         "let Some(removed) = self.engine_index.first_forgettable().filter(|_| false) else",
     ),
     scheduler(
-        "a client that left is not noted",
+        "a disconnect is not recorded",
         RECORDING,
         "for id in withdrawn {\n            self.record_done(*id);\n        }",
         "let _ = withdrawn;",
@@ -201,31 +196,31 @@
         to: "attempt.call_offset == Some(connection.output.passed() + 1)",
     },
     Mutant {
-        name: "waiting calls left at a drain",
+        name: "queued calls remain at a drain",
         file: POOL_ENDPOINTS,
         from: "let mut unsent = connection.waiting.clone();",
         to: "let mut unsent = Vec::new();",
     },
     Mutant {
-        name: "a second attempt where an answer is owed",
+        name: "a retry where a late answer may arrive",
         file: POOL_CONNECTION,
         from: "let is_separate = !excluded.contains(&slot) && ",
         to: "let is_separate = ",
     },
     Mutant {
-        name: "a call that began to leave is sent anew",
+        name: "a partly written call is sent again",
         file: POOL_CONNECTION,
         from: "if attempt.has_begun(written) {",
         to: "if attempt.has_begun(written.saturating_sub(1 << 40)) {",
     },
     Mutant {
-        name: "given up unwritten though it left",
+        name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
         from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent,",
         to: "if attempt.id.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent,",
     },
     Mutant {
-        name: "idle connections are kept",
+        name: "idle connections stay open",
         file: POOL_ATTEMPT,
         from: "context.timers.set(idle_due, Timer::ConnectionIdle(connection_slot));",
         to: "",
@@ -237,13 +232,13 @@
         to: "self.pages.iter().any(Option::is_some)",
     },
     Mutant {
-        name: "a second answer begins a result anew",
+        name: "a second answer restarts a result",
         file: POOL_REPLIES,
         from: "if attempt.result.is_some() {",
         to: "if attempt.result.is_some() && attempt.number > 9 {",
     },
     Mutant {
-        name: "an answer ends whatever is there",
+        name: "an answer ends any attempt",
         file: POOL_REPLIES,
         from: "match self.attempt_named(connection, &reply.id) {",
         to: "match self.attempt_named(connection, &reply.id).or_else(|| self.connections.get(connection)?.attempts.values().next().copied()) {",
@@ -255,61 +250,61 @@
         to: "",
     },
     Mutant {
-        name: "an answered request goes on",
+        name: "an answered request is not cancelled",
         file: DISPATCH,
         from: "            self.engines.cancel(*attempt, &mut self.context);\n        }\n        Some(request)",
         to: "            let _ = attempt;\n        }\n        Some(request)",
     },
     Mutant {
-        name: "an open request is taken again",
+        name: "an open request is accepted again",
         file: REQUEST_TABLE,
         from: "self.names.contains(name)",
         to: "self.names.contains(name) && name.is_empty()",
     },
     Mutant {
-        name: "a client that left is still waited for",
+        name: "requests of a closed client stay open",
         file: SERVER_CLIENTS,
         from: "        client.open.into_values().collect()",
         to: "        drop(client.open);\n        Vec::new()",
     },
     Mutant {
-        name: "a withdrawal that is not passed on",
+        name: "a cancellation is not passed on",
         file: SERVER_CLIENTS,
         from: "        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &[], &accepted, &mut self.dispatcher);\n",
     },
     Mutant {
-        name: "a client that ended its side is sent for",
+        name: "a half-close is not passed on",
         file: SERVER_CLIENTS,
         from: "        self.scheduler.clients_left(now, &cancelled, &accepted, &mut self.dispatcher);\n",
         to: "        self.scheduler.clients_left(now, &cancelled, &[], &mut self.dispatcher);\n",
     },
     Mutant {
-        name: "what waits for a connection is sent for a client that ended its side",
+        name: "a queued call for a half-closed client",
         file: SERVER_CLIENTS,
         from: "                engines.disable_resend(*attempt, context);\n",
         to: "                let _ = (attempt, &engines, &context);\n",
     },
     Mutant {
-        name: "the scheduler is not told of the shutdown",
+        name: "the scheduler misses the shutdown",
         file: SERVER_SHUTDOWN,
         from: "        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);\n",
         to: "",
     },
     Mutant {
-        name: "leaves with requests open",
+        name: "stops with open requests",
         file: SERVER_SHUTDOWN,
         from: "        requests.is_empty() && clients",
         to: "        let _ = requests;\n        clients",
     },
     Mutant {
-        name: "silent clients are kept",
+        name: "idle clients stay connected",
         file: CLIENTS,
         from: "            IdleCheck::Idle\n",
         to: "            IdleCheck::CheckAgain(now + IDLE_TIMEOUT)\n",
     },
     Mutant {
-        name: "a shut client is never finished",
+        name: "a closed client is never removed",
         file: CLIENTS,
         from: "!client.accepts_lines() && client.is_idle()",
         to: "!client.accepts_lines() && !client.is_idle()",
@@ -320,28 +315,28 @@
         from: "        self.scanned_for_line = 0;\n",
         to: "",
     },
-    discovery("a change taken after a gap", "number != last + 1", "number == u64::MAX"),
-    discovery("an event taken twice", "if number <= last =>", "if number < last =>"),
-    discovery("a lost event not noticed", "if number > last =>", "if number == u64::MAX =>"),
+    discovery("a change accepted after a gap", "number != last + 1", "number == u64::MAX"),
+    discovery("an event accepted twice", "if number <= last =>", "if number < last =>"),
+    discovery("a lost event not detected", "if number > last =>", "if number == u64::MAX =>"),
     discovery(
         "an unknown kind listed",
         "endpoint.kind >= self.kind_count",
         "endpoint.kind > self.kind_count",
     ),
-    discovery("the last event forgotten", "self.last_event = number;", ""),
+    discovery("the last event not recorded", "self.last_event = number;", ""),
     discovery(
-        "half a frame kept over a new connection",
+        "half a frame kept on reconnection",
         "Self { input: Ring::default(), subscribed: false, ..*self }",
         "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
-        name: "urgency does not count",
+        name: "urgency ignored",
         file: TEAM_QUEUE,
         from: "let urgency = if ignores_urgency { 0 } else { request.urgency };",
         to: "let urgency = 0;",
     },
     Mutant {
-        name: "what is given back stays charged",
+        name: "an ended request stays charged",
         file: TEAM_CHARGING,
         from: "self.key_order.forget(request);\n        self.team_queues[team].end_charge(charged);",
         to: "self.key_order.forget(request);",
@@ -353,7 +348,7 @@
         to: "            if new_indices.get(request.team()).is_some() { self.insert_waiting(now, id, request) }\n        }",
     },
     Mutant {
-        name: "turns are not charged",
+        name: "dispatches are not charged",
         file: FAIR_ORDER,
         from: "flow.start = former_start.saturating_add(virtual_time(work, flow.share));",
         to: "flow.start = former_start.saturating_add(virtual_time(work * 0.0, flow.share));",
