--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -104,12 +104,12 @@
     /// size, but at least `min_per_group` or all of them.
     pub fn use_subset(&mut self, size: usize, min_per_group: usize) {
         let total = self.accepting_in_all().max(1);
-        let mut subset = BTreeSet::new();
+        let mut subset = Vec::new();
         for group in self.ranked.values() {
             let count = (size * group.len()).div_ceil(total).max(min_per_group);
             subset.extend(group.iter().take(count).map(|(_, id)| *id));
         }
-        self.subset = Some(subset);
+        self.subset = Some(subset.into_iter().collect());
     }
 }
 
