--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Default)]
 pub struct Ring {
     bytes: VecDeque<u8>,
-    /// Number of all bytes consumed or sent so far.
+    /// Number of all bytes consumed or sent.
     passed: u64,
 }
 
@@ -38,12 +38,12 @@
         self.bytes.is_empty()
     }
 
-    /// Returns the offset of the buffer's end in the whole stream.
+    /// Returns the offset of the buffer's end in the stream of all bytes.
     pub fn end(&self) -> u64 {
         self.passed + self.bytes.len() as u64
     }
 
-    /// Returns the offset of the buffer's front in the whole stream.
+    /// Returns the offset of the buffer's front in the stream of all bytes.
     pub fn passed(&self) -> u64 {
         self.passed
     }
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -1,4 +1,4 @@
-//! What a start or SIGHUP reads: the configuration and the operator's file, complete, malformed or half written.
+//! Reading the configuration and the operator's file at start and at SIGHUP: complete, malformed or incomplete files.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -8,33 +8,29 @@
 #[test]
 fn a_reloaded_operator_file_moves_queued_requests_or_changes_nothing() {
     let (mut router, mut client, mut engine) =
-        start_one_engine_with_operator_file("operator-reload", &settings(5000, 60_000), TWO_TEAMS);
+        start_one_engine_with_operator_file("operator-reload", &long_deadline_settings(), TWO_TEAMS);
     for id in 1..=3 {
-        client.send_large_request("posting", id, 60_000, "");
+        client.send(&large_request("posting", id, LONG_REQUEST_TIMEOUT));
     }
-    client.send_large_request("audit", 4, 60_000, "");
+    client.send(&large_request("audit", 4, LONG_REQUEST_TIMEOUT));
     let mut id = engine.record_next_call(&mut router);
     let operator_files = [
         (log_lines::RELOAD_FAILED, "{teams: {list: [{name: 'audit', share: -1}]}}"),
         (log_lines::TEAM_REMOVED, "{teams: {list: [{name: 'audit', share: 5}]}}"),
     ];
     for (awaited, text) in operator_files {
-        router.write_operator_file(text);
-        router.signal("-HUP");
+        router.reload_operator_file(text);
         router.wait_for_log(awaited);
     }
     for _ in 0..2 {
-        engine.send_result(id, "1\t2\t3\n");
-        router.record_answer(&mut client);
+        router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
         id = engine.record_next_call(&mut router);
     }
-    // Without teams, the last queued request goes to the scheduler, which does not queue it for long.
-    router.write_operator_file("{}");
-    router.signal("-HUP");
+    // Without teams, the last queued request moves to the scheduler, which rejects it after a short time in its queue.
+    router.reload_operator_file("{}");
     router.wait_for_log(log_lines::TEAMS_REMOVED);
     router.record_answer(&mut client);
-    engine.send_result(id, "1\t2\t3\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, id, "1\t2\t3\n");
     expect![[r#"
         GET 0000000000000001 queue=lookup,mem=6554,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"MQkyCTMK"}}
@@ -49,24 +45,20 @@
 
 #[test]
 fn a_reloaded_configuration_moves_discovery_and_a_malformed_one_changes_nothing() {
-    let (mut router, mut client, mut engine) = start_with_one_engine("reload", &settings(5000, 8000));
+    let (mut router, mut client, mut engine) = start_with_one_engine("reload", &ordinary_settings());
     let address = router.engine_address(0);
     let mut previous_discovery = router.accept_discovery();
-    client.send_request(1, "lookup", 8000);
-    router.record_command(&mut engine);
-    router.write_configuration("{\"name\":");
-    router.signal("-HUP");
+    router.record_forwarded(&mut client, &mut engine, 1, "lookup");
+    router.reload_configuration("{\"name\":");
     router.wait_for_log(log_lines::RELOAD_FAILED);
     // A repeated event is ignored, and the connection stays.
-    previous_discovery.send(&change_frame(2, &[EngineChange::ready(7, address)]).repeat(2));
+    previous_discovery.send(&change_frame(2, &[ready_engine(7, address)]).repeat(2));
     let moved_configuration = router.move_discovery();
     let mut other_client = router.connect_client();
     router.record(other_client.status(1));
-    router.write_configuration(&moved_configuration);
-    router.signal("-HUP");
+    router.reload_configuration(&moved_configuration);
     let _moved_discovery = router.accept_discovery();
-    engine.send_result(1, "x\t\t\n");
-    router.record_answer(&mut client);
+    router.record_result(&mut client, &mut engine, 1, "x\t\t\n");
     router.record(format!("the previous discovery reads {:?} bytes", previous_discovery.read_more().ok()));
     router.signal("-TERM");
     router.signal("-HUP");
@@ -87,22 +79,21 @@
     ]));
 }
 
-/// At SIGHUP the file may still be half written, or be another router's; changed settings need a restart.
+/// At SIGHUP the file may be incomplete, or belong to another router. Changed settings take effect at a restart.
 #[test]
-fn a_half_written_configuration_is_read_once_complete_and_anothers_never() {
-    let mut router = RouterHarness::start("half-written", 1, &settings(5000, 8000));
+fn an_incomplete_configuration_is_read_once_complete_and_one_of_another_router_never() {
+    let mut router = RouterHarness::start("incomplete-file", 1, &ordinary_settings());
     let _previous_discovery = router.accept_discovery();
     let complete = router.move_discovery().replace("\"lookup\"", "\"view\"");
-    router.write_configuration(&complete.replace("\"n0\"", "\"n1\""));
-    router.signal("-HUP");
+    router.reload_configuration(&complete.replace("\"n0\"", "\"n1\""));
     router.wait_for_log(log_lines::CONFIGURATION_OF_ANOTHER);
     router.write_configuration(&complete[..complete.len() / 2]);
     router.write_configuration(&complete);
     router.wait_for_log(log_lines::SETTINGS_NEED_RESTART);
     let _moved_discovery = router.accept_discovery();
-    // The request class of the start is still served.
+    // The request classes are those of the start.
     let (mut router, mut client, mut engine) = with_client_and_engine(router);
-    client.send_request(1, "lookup", 8000);
+    client.send_request(1, "lookup");
     router.record_further_calls(&mut engine, 1).record_answer(&mut client);
     expect![[r#"
         discovery dialled after event 1
@@ -114,7 +105,7 @@
     .assert_eq(&router.finish(&["reloads", "reloads_refused"]));
 }
 
-/// The exit code of a command and the first line of its standard error, without the directory of the tests.
+/// Returns the exit code of a command and the first line of its standard error, without the directory of the tests.
 fn failure_of(mut command: Command) -> String {
     let output = command.output().expect("the router's binary starts");
     let errors = String::from_utf8_lossy(&output.stderr).replace(env!("CARGO_TARGET_TMPDIR"), "");
@@ -139,7 +130,7 @@
 
 #[test]
 fn a_failed_start_prints_one_line_with_its_cause() {
-    let running = RouterHarness::start("address-in-use", 0, &settings(5000, 8000));
+    let running = RouterHarness::start("address-in-use", 0, &ordinary_settings());
     let address_in_use = serve_text("same-address", &minimal_configuration(running.address));
     let failures = [
         failure_of(command_with(&["serve"])),
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -1,15 +1,21 @@
 //! Attempts and their connections to engines, without sockets.
 
-use super::*;
+use super::{Call, EnginePool, PoolEvent};
 use crate::context::Context;
 use crate::discovery::EndpointRecord;
-use crate::resp;
-use emberflow::Lifecycle;
+use crate::slots::Slot;
+use emberflow::{Lifecycle, RequestId};
+use emberflow_peer_protocol::engine::EngineReply;
 use expect_test::expect;
 use std::io::{self, Cursor, Read, Write};
+use std::time::Duration;
 
 const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
-const REQUEST_ID_BYTES: &[u8] = b"9b1f03aa5c7e2d41";
+const HEALTH_CHECK_ID: &str = "0";
+/// A timeout that no test reaches.
+const LONG: Duration = Duration::from_secs(20);
+/// The idle timeout of engines.
+const IDLE_CLOSE: Duration = Duration::from_secs(20);
 
 /// A pool with one ready engine and an attempt that was sent to it.
 struct Fixture {
@@ -17,26 +23,16 @@
     pool: EnginePool,
     attempt: Slot,
     connection: Slot,
-    /// What was written to the engine.
+    /// The bytes written to the engine.
     written: Vec<u8>,
 }
 
 impl Fixture {
     fn new(connect_timeout: Duration, deadline: Duration) -> Self {
         let mut context = Context::default();
-        let mut pool = EnginePool::new(1, connect_timeout, Duration::from_secs(20), 1);
+        let mut pool = EnginePool::new(1, connect_timeout, IDLE_CLOSE, 1);
         let engine = pool.update_endpoint(&record(Lifecycle::Ready), &mut context).engine;
-        let call = Call {
-            request: RequestId(0),
-            number: 0,
-            id: REQUEST_ID,
-            class: "report",
-            idempotency_key: None,
-            statement: b"",
-            grant_mb: 0.0,
-            priority: 1,
-            deadline,
-        };
+        let call = call(0, REQUEST_ID, deadline);
         let attempt = pool.send(engine, call, &[], &mut context);
         let connection = pool.connection_of(attempt).expect("the engine is ready");
         Self { context, pool, attempt, connection, written: Vec::new() }
@@ -53,8 +49,9 @@
             .expect("writing to memory never fails");
     }
 
-    fn receive(&mut self, parts: &[&[u8]]) {
-        let mut socket = OpenSocket(Cursor::new(resp::encode_array(parts)));
+    /// Has the pool read a reply of the engine under an id.
+    fn receive(&mut self, id: &str, reply: EngineReply<'_>) {
+        let mut socket = OpenSocket(Cursor::new(reply.encode(id)));
         self.pool.read(self.connection, &mut socket, &mut self.context);
     }
 
@@ -65,6 +62,21 @@
     }
 }
 
+/// Returns a call without a statement or a memory grant.
+fn call(request: u32, id: &str, deadline: Duration) -> Call<'_> {
+    Call {
+        request: RequestId(request),
+        number: 0,
+        id,
+        class: "report",
+        idempotency_key: None,
+        statement: b"",
+        grant_mb: 0.0,
+        priority: 1,
+        deadline,
+    }
+}
+
 fn record(lifecycle: Lifecycle) -> EndpointRecord {
     EndpointRecord {
         id: 7,
@@ -77,7 +89,7 @@
     }
 }
 
-/// A socket from which some bytes can be read, and which stays open without more.
+/// A socket that delivers some bytes and then blocks.
 struct OpenSocket(Cursor<Vec<u8>>);
 
 impl Read for OpenSocket {
@@ -104,8 +116,7 @@
 
 #[test]
 fn a_changed_priority_of_an_attempt_in_flight_is_sent_to_its_engine() {
-    let long = Duration::from_secs(20);
-    let mut fixture = Fixture::new(long, long);
+    let mut fixture = Fixture::new(LONG, LONG);
     fixture.pool.update_priority(fixture.attempt, 3, &mut fixture.context);
     fixture.establish();
     fixture.pool.update_priority(fixture.attempt, 2, &mut fixture.context);
@@ -116,12 +127,11 @@
         .assert_eq(&lines.join(" "));
 }
 
-/// Found by the model checker: such calls were written to a draining engine once it read again.
+/// Guards against calls that are written to a draining engine once its socket accepts bytes again.
 #[test]
 fn calls_blocked_by_a_full_socket_are_retracted_when_their_engine_drains() {
     let drain_after = |accepted: usize| {
-        let long = Duration::from_secs(20);
-        let mut fixture = Fixture::new(long, long);
+        let mut fixture = Fixture::new(LONG, LONG);
         fixture.pool.connection_established(fixture.connection, &mut fixture.context);
         let mut socket = FullSocket(accepted);
         fixture
@@ -147,10 +157,10 @@
     fixture.establish();
     let open_at_health_check = fixture.check_connection(timeout * 2);
     fixture.context.now = timeout * 3;
-    fixture.receive(&[b"0", b"PONG", b"-", b""]);
+    fixture.receive(HEALTH_CHECK_ID, EngineReply::Pong);
     let open_after_pong = fixture.check_connection(timeout * 3);
     fixture.context.now = timeout * 10;
-    fixture.receive(&[REQUEST_ID_BYTES, b"HIT", b"pages=1", b"a\tb\tc\n"]);
+    fixture.receive(REQUEST_ID, EngineReply::Result { pages: 1, used: None, rows: b"a\tb\tc\n" });
     fixture.pool.attempt_overdue(fixture.attempt, &mut fixture.context);
     let event = match fixture.pool.events.pop_front() {
         Some(PoolEvent::Ended { ended, body, .. }) => {
@@ -165,9 +175,9 @@
         ));
 }
 
-/// Guards against a deadline passed on that is longer than what the client has left.
+/// Guards against a call that names more time than its client has left.
 #[test]
-fn a_call_that_waited_for_its_connection_names_the_time_that_is_left() {
+fn a_call_that_waited_for_its_connection_names_the_time_left() {
     let second = Duration::from_secs(1);
     let mut fixture = Fixture::new(second, second * 2);
     fixture.context.now = second / 2;
@@ -183,32 +193,21 @@
     assert!(text.contains("budget=1000"), "{text}");
 }
 
-/// Guards against large fleets: each engine that is chosen needs a connection, and idle ones may hold them all.
+/// Guards against idle connections of a large fleet that use up the connection limit.
 #[test]
-fn an_idle_connection_makes_room_for_another_engine() {
-    let long = Duration::from_secs(20);
-    let mut fixture = Fixture::new(long, long);
+fn an_idle_connection_is_closed_for_a_call_to_another_engine() {
+    let mut fixture = Fixture::new(LONG, LONG);
     fixture.establish();
     let context = &mut fixture.context;
     let other = EndpointRecord { id: 8, ..record(Lifecycle::Ready) };
     let engine = fixture.pool.update_endpoint(&other, context).engine;
-    let call = |request| Call {
-        request,
-        number: 0,
-        id: "00000000000000aa",
-        class: "report",
-        idempotency_key: None,
-        statement: b"",
-        grant_mb: 0.0,
-        priority: 1,
-        deadline: long,
-    };
-    fixture.pool.send(engine, call(RequestId(1)), &[], context);
-    let refused = fixture.pool.size().connections;
+    let other_id = "00000000000000aa";
+    fixture.pool.send(engine, call(1, other_id, LONG), &[], context);
+    let connections_before = fixture.pool.size().connections;
     fixture.pool.cancel(fixture.attempt, context);
-    let attempt = fixture.pool.send(engine, call(RequestId(2)), &[], context);
+    let attempt = fixture.pool.send(engine, call(2, other_id, LONG), &[], context);
     let connection = fixture.pool.connection_of(attempt);
-    assert_eq!((refused, fixture.pool.size().connections), (1, 1));
+    assert_eq!((connections_before, fixture.pool.size().connections), (1, 1));
     assert!(connection.is_some_and(|connection| connection != fixture.connection));
     expect!["attempts_cancelled=1 attempts_not_sent=1 attempts_sent=3 connections_closed_for_capacity=1 connections_dialled=2 connections_over_the_limit=1"]
         .assert_eq(&fixture.context.counters.to_string());
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -11,8 +11,13 @@
         .stderr(Stdio::piped())
         .spawn();
     let mut adapter = adapter.expect("the adapter starts");
-    adapter.stdin.take().expect("its input").write_all(input.as_bytes()).expect("it reads");
-    let done = adapter.wait_with_output().expect("it ends");
+    adapter
+        .stdin
+        .take()
+        .expect("the input is piped")
+        .write_all(input.as_bytes())
+        .expect("the adapter reads its input");
+    let done = adapter.wait_with_output().expect("the adapter ends");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
     format!("{}{}success: {}\n", text(done.stdout), text(done.stderr), done.status.success())
 }
@@ -121,7 +126,7 @@
         success: false
         emberflow-simulator-adapter: line 2: `params.categories[0].keyScope` is unknown: galaxy
         success: false
-        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` has 2 elements instead of 1, one for each kind
+        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` needs one element for each kind (1), but has 2
         success: false
         emberflow-simulator-adapter: line 2: `params.report.names[1]` is not text
         success: false
@@ -136,7 +141,7 @@
     let params = PARAMS.replace(r#""how":"none","names":[]"#, r#""how":"answers","names":["q","moon"]"#);
     expect![[r#"
         {"frame":1,"op":"READY"}
-        emberflow-simulator-adapter: `params.report.names[1]` is unknown: moon, so it goes unread
+        emberflow-simulator-adapter: `params.report.names[1]` is unknown: moon (ignored)
         success: true
     "#]]
     .assert_eq(&start_instances(&[params.clone(), params]));
