--- a/benches/large_fleet.rs
+++ b/benches/large_fleet.rs
@@ -40,6 +40,10 @@
         self.next.0 += 1;
     }
 
+    fn list(&mut self, update: EndpointUpdate, rows: Vec<Endpoint>) {
+        self.scheduler.endpoints_changed(self.now(), update, rows, &mut Sends::default());
+    }
+
     fn succeed_oldest(&mut self) {
         let Some((request, engine)) = self.in_flight.pop_front() else { return };
         let ended = AttemptEnded {
@@ -56,7 +60,7 @@
     }
 }
 
-fn inputs(criterion: &mut Criterion) {
+fn accept_and_succeed(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("accepted and succeeded");
     for engines in SIZES {
         let mut served = Served::new(engines);
@@ -68,6 +72,9 @@
         });
     }
     group.finish();
+}
+
+fn change_one_row(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one row of the list");
     for engines in SIZES {
         let mut served = Served::new(engines);
@@ -76,31 +83,27 @@
             bencher.iter(|| {
                 is_ready = !is_ready;
                 let lifecycle = if is_ready { Lifecycle::Ready } else { Lifecycle::Draining };
-                let rows = vec![endpoint(EngineId(0), lifecycle)];
-                let now = served.now();
-                served.scheduler.endpoints_changed(now, EndpointUpdate::Changes, rows, &mut Sends::default());
+                served.list(EndpointUpdate::Changes, vec![endpoint(EngineId(0), lifecycle)]);
             });
         });
     }
     group.finish();
+}
+
+fn repeat_full_list(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("complete list repeated");
     for engines in SIZES {
         let mut served = Served::new(engines);
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
-                let rows = (0..engines).map(|engine| endpoint(EngineId(engine), Lifecycle::Ready)).collect();
-                let now = served.now();
-                served.scheduler.endpoints_changed(
-                    now,
-                    EndpointUpdate::FullList,
-                    rows,
-                    &mut Sends::default(),
-                );
+                let ids = (0..engines).map(EngineId);
+                let rows = ids.map(|engine| endpoint(engine, Lifecycle::Ready)).collect();
+                served.list(EndpointUpdate::FullList, rows);
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, inputs);
+criterion_group!(benches, accept_and_succeed, change_one_row, repeat_full_list);
 criterion_main!(benches);
--- /dev/null
+++ b/tests/digest/engines.rs
@@ -0,0 +1,75 @@
+//! The engines of a run: their load reports, and their rows in the endpoint list.
+
+use crate::random::Random;
+use crate::settings::{endpoint, machine};
+use crate::simulation::Simulation;
+use emberflow::{EndpointUpdate, EngineId, LoadReport};
+
+impl Simulation {
+    /// Returns the load that an engine reports, with the fields that engines report in this run.
+    pub(super) fn load_report(&mut self, engine: EngineId) -> Option<LoadReport> {
+        let attempts = self.running.values().filter(|running| running.engine == engine).count() as f64;
+        let (environment, random) = (&self.environment, &mut self.random);
+        let waiting = random.maybe(20, |random| random.below(3) as f64);
+        Some(LoadReport {
+            busy: environment.reports_busy.then(|| (attempts / 4.0 * random.between(0.5, 1.5)).min(1.0)),
+            in_flight: environment.reports_in_flight.then(|| attempts + random.below(4) as f64),
+            waiting,
+            memory: environment.reports_memory.then(|| (attempts / 6.0 * random.between(0.5, 1.5)).min(1.0)),
+            disks: random.maybe(20, Random::fraction),
+        })
+    }
+
+    /// Ends a probe, with a load report if the engine answers.
+    pub(super) fn answer_probe(&mut self, engine: EngineId) {
+        let answers = self.machines.get(&engine).is_some_and(|machine| !machine.silent && !machine.removed);
+        let load_report = if answers && !self.random.percent(10) { self.load_report(engine) } else { None };
+        self.scheduler.probed(self.now, engine, load_report, &mut self.log);
+    }
+
+    /// Sends the rows of all engines.
+    pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
+        let rows = self.machines.iter().map(|(engine, machine)| endpoint(*engine, machine)).collect();
+        self.scheduler.endpoints_changed(self.now, update, rows, &mut self.log);
+        self.carry_out();
+    }
+
+    /// Adds an engine, or changes one at random.
+    pub(super) fn change_engines(&mut self) {
+        let engines: Vec<EngineId> = self.machines.keys().copied().collect();
+        let (random, now) = (&mut self.random, self.now);
+        let change = random.below(10);
+        if engines.is_empty() || change == 0 {
+            let free = engines.last().map_or(EngineId(0), |last| EngineId(last.0 + 1));
+            let launched = random.maybe(50, |random| now.saturating_sub(random.time(0, 500)));
+            self.machines.insert(free, machine(random, self.kinds, launched));
+            let full = self.random.percent(30);
+            return self.update_endpoints(if full {
+                EndpointUpdate::FullList
+            } else {
+                EndpointUpdate::Changes
+            });
+        }
+        let engine = random.one_of(&engines);
+        let machine = self.machines.get_mut(&engine).expect("a listed engine");
+        match change {
+            1 => machine.ready = !machine.ready,
+            2 => (machine.ready, machine.removed) = (false, true),
+            3 | 4 => {
+                (machine.ready, machine.removed, machine.launched) = (true, false, Some(now));
+                (machine.silent, machine.fails, machine.slowness) = (false, false, 1.0);
+            }
+            5 => machine.silent = !machine.silent,
+            6 => machine.fails = !machine.fails,
+            7 => machine.slowness = random.one_of(&[1.0, 2.0, 6.0, 20.0]),
+            8 => {
+                let rows = self.machines.iter().filter(|_| !random.percent(20));
+                let rows = rows.map(|(engine, machine)| endpoint(*engine, machine)).collect();
+                return self.scheduler.endpoints_changed(now, EndpointUpdate::FullList, rows, &mut self.log);
+            }
+            _ => machine.ready = true,
+        }
+        let row = endpoint(engine, machine);
+        self.scheduler.endpoints_changed(now, EndpointUpdate::Changes, vec![row], &mut self.log);
+    }
+}
