--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -13,7 +13,7 @@
     pub fn accept(&mut self, now: Duration, arrival: Arrival, actions: &mut impl Actions) {
         let request = self.state.learn_from_arrival(now, &arrival);
         self.state.record_accepted(now, arrival.request, request);
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles the end of an attempt.
@@ -26,7 +26,7 @@
             let ideal_run = self.state.learn_from_outcome(now, &ended, &attempt);
             self.state.update_outlier_detection(now, &ended, &attempt, ideal_run);
         }
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles the end of a probe; `load_report` is `None` if the engine did not answer.
@@ -40,7 +40,7 @@
         if let Some(load) = load_report {
             self.state.learn_from_load_report(now, engine, load, None);
         }
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles an engine's progress update for an attempt in flight.
@@ -54,7 +54,7 @@
     ) {
         let has_memory_shortage = self.state.has_memory_shortage(request, update);
         self.state.record_progress(now, request, attempt, update, has_memory_shortage);
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests have
@@ -67,7 +67,7 @@
         actions: &mut impl Actions,
     ) {
         self.state.record_clients_left(withdrawn, half_closed);
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles an update of the endpoint list.
@@ -80,25 +80,25 @@
     ) {
         self.state.record_endpoints(now, update, rows);
         self.state.choose_subset();
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles a failure to read the endpoint list: the scheduler subscribes to its changes again.
     pub fn endpoint_list_failed(&mut self, now: Duration, actions: &mut impl Actions) {
         self.state.watching = false;
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Starts the graceful shutdown. Every open request is answered before `deadline`.
     pub fn shutting_down(&mut self, now: Duration, deadline: Duration, actions: &mut impl Actions) {
         self.state.record_shutdown(deadline);
         actions.wake_after(deadline.saturating_sub(now + self.state.final_answer_lead()));
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles the end of the wait that [`Actions::wake_after`] requested.
     pub fn wake(&mut self, now: Duration, actions: &mut impl Actions) {
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Returns the expected work of a request, as time on one core.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -26,7 +26,7 @@
     }
 
     /// Applies the rules in order, and starts again at the first after each one that returns true.
-    pub(crate) fn settle<A: Actions>(&mut self, now: Duration, actions: &mut A) {
+    pub(crate) fn apply_rules<A: Actions>(&mut self, now: Duration, actions: &mut A) {
         let rules: [Rule<A>; 9] = [
             SchedulerState::forget_finished,
             SchedulerState::answer_when_due,
