--- a/benches/large_fleet.rs
+++ b/benches/large_fleet.rs
@@ -1,5 +1,5 @@
-//! The time of one input by the number of engines: a request that succeeds, a change of one row of the endpoint list, and a
-//! full list without changes.
+//! The time of one input by the number of engines: a request that succeeds, a change of one row of the
+//! endpoint list, and a full list without changes.
 
 #[path = "../tests/common/large_fleet.rs"]
 mod fixture;
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,6 +1,6 @@
-//! A fingerprint of the scheduler's state, by which a search recognizes equivalent states. It leaves out everything
-//! that can't influence a later action: times are relative to now, the caller sets the random draws, and engines are
-//! identified by their attempts in flight and not by their numbers.
+//! A fingerprint of the scheduler's state, by which a search recognizes equivalent states. It leaves out
+//! everything that can't influence a later action: times are relative to now, the caller sets the random
+//! draws, and engines are identified by their attempts in flight and not by their numbers.
 
 use crate::policy::MIN_FAILURES;
 use crate::samples::SampleWindow;
@@ -51,8 +51,8 @@
         self.state.random_draws = draws;
     }
 
-    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs, except for
-    /// random choices and, if engines are interchangeable, their numbers.
+    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs,
+    /// except for random choices and, if engines are interchangeable, their numbers.
     pub fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
         self.state.fingerprint(context, hasher);
     }
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -1,4 +1,5 @@
-//! The scheduler's inputs: each records an event and then applies the rules. Also the queries that callers may make.
+//! The scheduler's inputs: each records an event and then applies the rules. Also the queries that callers
+//! may make.
 
 use crate::samples::duration;
 use crate::state::{FleetSnapshot, SchedulerState};
@@ -57,8 +58,9 @@
         self.apply_rules(now, actions);
     }
 
-    /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests have
-    /// closed their sending side and may have left: attempts in flight continue, but no further attempt is sent.
+    /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests
+    /// have closed their sending side and may have left: attempts in flight continue, but no further attempt
+    /// is sent.
     pub fn clients_left(
         &mut self,
         now: Duration,
@@ -124,8 +126,8 @@
 }
 
 impl Capacity<'_> {
-    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that tier
-    /// are not admitted either.
+    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that
+    /// tier are not admitted either.
     pub fn admits(&mut self, arrival: &Arrival) -> bool {
         self.state.would_be_sent(arrival, &mut self.snapshot)
     }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,5 +1,5 @@
-//! Numbers that the caller assigns to requests, engines and keys. They are separate types, so that the compiler rejects
-//! the number of an engine in place of that of a request.
+//! Numbers that the caller assigns to requests, engines and keys. They are separate types, so that the
+//! compiler rejects the number of an engine in place of that of a request.
 
 use std::fmt::{Debug, Display, Formatter, Result};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
-//! The decisions of emberflow, a router for query engines with limited memory, as a library without I/O, clock or
-//! wire format.
+//! The decisions of emberflow, a router for query engines with limited memory, as a library without I/O,
+//! clock or wire format.
 //!
 //! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`]. It
-//! reports each event by a method call that takes the time of the event and an [`Actions`] sink. The scheduler
-//! carries out its decisions through that sink before the call returns, and keeps track of requests and engines.
+//! reports each event by a method call that takes the time of the event and an [`Actions`] sink. The
+//! scheduler carries out its decisions through that sink before the call returns, and keeps track of requests
+//! and engines.
 //!
-//! Times are durations since the caller's start. Requests, engines and keys are known by numbers that the caller
-//! assigns: [`RequestId`], [`EngineId`] and [`KeyId`].
+//! Times are durations since the caller's start. Requests, engines and keys are known by numbers that the
+//! caller assigns: [`RequestId`], [`EngineId`] and [`KeyId`].
 //!
 //! `settings` and `input` define the data that callers pass in, `handlers` the inputs, `state` the records,
 //! `policy` the decisions, and `scheduler` the order in which the decisions are taken.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: sends queued requests in their order where there is capacity, and rejects those that wait too long.
+//! Admission: sends queued requests in their order where there is capacity, and rejects those that wait too
+//! long.
 
 use super::placement::Placement;
 use crate::samples::{duration, seconds};
@@ -17,7 +18,8 @@
 const PROBES_AT_ONCE: usize = 2;
 
 impl SchedulerState {
-    /// Returns whether a new request would be sent at once. If not, its tier is blocked for later requests.
+    /// Returns whether a new request would be sent at once. Tiers without capacity for it are blocked for
+    /// later requests.
     pub fn would_be_sent(&self, arrival: &Arrival, snapshot: &mut FleetSnapshot) -> bool {
         let request = self.expected_request(snapshot.now, arrival);
         self.would_be_next_of_its_key(&request, snapshot.now)
@@ -111,9 +113,9 @@
         budgets.min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns the queued requests with more work before them than this router's share of all cores can do within
-    /// their objective budget. Guards against floods, which would make the queue, and the cost of each input, grow
-    /// without bound.
+    /// Returns the queued requests with more work before them than this router's share of all cores can do
+    /// within their objective budget. Guards against floods, which would make the queue, and the cost of each
+    /// input, grow without bound.
     fn requests_beyond_capacity(&self, snapshot: &FleetSnapshot) -> BTreeSet<RequestId> {
         let kinds = self.fleet.kinds.iter().enumerate();
         let fleet_cores: f64 =
@@ -131,8 +133,8 @@
         beyond_capacity
     }
 
-    /// Returns the expected elapsed time of the request's next attempt. It is zero, so that the request is sent
-    /// and measured, if neither the client nor a recent success of the class provides an estimate.
+    /// Returns the expected elapsed time of the request's next attempt. It is zero, so that the request is
+    /// sent and measured, if neither the client nor a recent success of the class provides an estimate.
     fn expected_run(&self, request: &Request, snapshot: &FleetSnapshot) -> Duration {
         let window_start = self.slowdown_window_start(snapshot.now);
         let slowdowns = &self.estimates[request.class].slowdowns;
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -9,11 +9,12 @@
 const MARGIN_TICKS: u32 = 4;
 /// Margins before a deadline at which the scheduler answers a request.
 const FINAL_ANSWER_LEAD_MARGINS: u32 = 3;
-/// Fraction of the mean priority weight per second of work that a late answer must be worth.
+/// Priority weight that a late answer must have per second of remaining work, as a fraction of the mean of
+/// all classes.
 const MIN_LATE_VALUE: f64 = 0.25;
 /// Wake-ups in one shortest latency objective while no request is queued.
 const IDLE_WAKES_PER_OBJECTIVE: u32 = 8;
-/// Ticks between wake-ups while a request is queued.
+/// Ticks between wake-ups while a request is queued, and at least between all others.
 const QUEUED_WAKE_TICKS: u32 = 8;
 
 impl SchedulerState {
@@ -27,8 +28,8 @@
         self.margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
-    /// Answers requests without a result before their deadline or the end of the process, and at once if no further
-    /// attempt is allowed or useful.
+    /// Answers requests without a result before their deadline or the end of the process, and at once if no
+    /// further attempt is allowed or useful.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let soon = now + self.final_answer_lead();
@@ -53,7 +54,8 @@
             || is_retry && (!self.may_retry(request, now) || self.late_value_below_cost(request, now))
     }
 
-    /// Returns whether the request is past its objective, and a late answer is worth little for the remaining work.
+    /// Returns whether the request is past its objective, and a late answer is worth little for the remaining
+    /// work.
     fn late_value_below_cost(&self, request: &Request, now: Duration) -> bool {
         if now <= request.objective_at {
             return false;
@@ -65,8 +67,8 @@
         class.late_share * class.priority_weight < min_weight
     }
 
-    /// Returns the remaining work of a request in seconds: until the expected end of its last attempt, or the usual
-    /// work of its class if no end is expected or the expected end has passed.
+    /// Returns the remaining work of a request in seconds: until the expected end of its last attempt, or the
+    /// usual work of its class if no end is expected or the expected end has passed.
     fn remaining_work(&self, request: &Request, now: Duration) -> f64 {
         let finish = request.attempts.last().and_then(|attempt| attempt.expected_finish);
         match finish.filter(|finish| *finish > now) {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Cancels attempts at engines under pressure whose late answers are worth less than the capacity that they use.
+    /// Cancels attempts at engines under pressure whose late answers are worth less than the capacity that
+    /// they use.
     pub fn cancel_late_attempts(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let mut late = Vec::new();
         for (id, request) in self.in_flight() {
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,4 +1,5 @@
-//! Estimates: the resources that a request needs, from its client's estimates and the usage of earlier requests.
+//! Estimates: the resources that a request needs, from its client's estimates and the usage of earlier
+//! requests.
 
 use crate::samples::{SampleWindow, duration, quantile, seconds};
 use crate::state::{Attempt, Needs, Request, SchedulerState};
@@ -21,8 +22,8 @@
 const HIGH_WEIGHT_FRACTION: f64 = 0.5;
 
 impl SchedulerState {
-    /// Returns the needs of a request: the client's estimates, corrected by the ratio of billed to estimated usage of
-    /// its class, or the usual needs of its class.
+    /// Returns the needs of a request: the client's estimates, corrected by the ratio of billed to estimated
+    /// usage of its class, or the usual needs of its class.
     pub fn expected_needs(&self, arrival: &Arrival) -> Needs {
         let estimates = &self.estimates[arrival.class];
         let corrected = |estimate: f64, ratios: &SampleWindow| estimate * ratios.median().unwrap_or(1.0);
@@ -44,8 +45,8 @@
         self.new_request(now, arrival, self.expected_needs(arrival), self.elapsed_before_arrival(arrival))
     }
 
-    /// Returns the time that a client's earlier requests took. A retry has a shorter deadline than usual, and the
-    /// difference also counts against its latency objective.
+    /// Returns the time that a client's earlier requests took. A retry has a shorter deadline than usual, and
+    /// the difference also counts against its latency objective.
     fn elapsed_before_arrival(&self, arrival: &Arrival) -> Duration {
         if arrival.is_retry == Some(false) {
             return Duration::ZERO;
@@ -68,8 +69,8 @@
         request
     }
 
-    /// Records the usage of an ended attempt. Returns the request's ideal run in seconds, corrected by that usage if
-    /// the client gave no estimate.
+    /// Records the usage of an ended attempt. Returns the request's ideal run in seconds, corrected by that
+    /// usage if the client gave no estimate.
     pub fn learn_from_outcome(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) -> f64 {
         self.record_memory_usage(now, ended, attempt);
         let request = &self.requests[&ended.request];
@@ -103,8 +104,9 @@
         }
     }
 
-    /// Returns the work in seconds of a success without a bill, from its elapsed time. Requests that share the cores
-    /// extend the elapsed time, which is corrected by the load that the engine reported with the answer.
+    /// Returns the work in seconds of a success without a bill, from its elapsed time. Requests that share
+    /// the cores extend the elapsed time, which is corrected by the load that the engine reported with the
+    /// answer.
     fn unbilled_work(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
         let report = ended.load_report.and_then(|_| self.engines[&attempt.engine].report);
         let cores_load = report.and_then(|report| report.load.busy).unwrap_or(1.0).max(1.0);
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -22,7 +22,8 @@
 }
 
 impl ProjectedLoad {
-    /// Returns the combined load without the memory: the fraction of the cores in use, if the engine reports its load.
+    /// Returns the combined load without the memory: the fraction of the cores in use, if the engine reports
+    /// its load.
     pub fn busy(&self) -> f64 {
         self.combined - self.memory
     }
@@ -34,8 +35,8 @@
 }
 
 impl SchedulerState {
-    /// Records a load report, and a sample of this router's fleet share from it. Reports that were probed for give no
-    /// sample: they arrive while requests are queued, when the share is above its mean.
+    /// Records a load report, and a sample of this router's fleet share from it. Reports that were probed for
+    /// give no sample: they arrive while requests are queued, when the share is above its mean.
     pub fn learn_from_load_report(
         &mut self,
         now: Duration,
@@ -66,22 +67,24 @@
         }
     }
 
-    /// Returns this router's share of the fleet: the mean of the samples, or an equal share before the first one.
+    /// Returns this router's share of the fleet: the mean of the samples, or an equal share before the first
+    /// one.
     pub fn fleet_share(&self) -> f64 {
         let equal = 1.0 / self.fleet.router_count.max(1) as f64;
         let measured = self.fleet_shares.mean();
         measured.map_or(equal, |measured| measured.clamp(equal * MIN_FLEET_SHARE, 1.0))
     }
 
-    /// Returns whether the progress updates of an attempt have stopped, because the answer was lost or the engine is
-    /// unresponsive.
+    /// Returns whether the progress updates of an attempt have stopped, because the answer was lost or the
+    /// engine is unresponsive.
     pub fn is_attempt_inactive(&self, now: Duration, attempt: &InFlight) -> bool {
         let Some(interval) = self.fleet.progress_interval else { return false };
         let active_since = now.saturating_sub(interval * INACTIVE_ATTEMPT_INTERVALS);
         self.requests[&attempt.request].attempts[attempt.attempt].last_activity_at < active_since
     }
 
-    /// Returns the resources of this router's active attempts at an engine that were sent at or after `start`.
+    /// Returns the resources of this router's active attempts at an engine that were sent at or after
+    /// `start`.
     pub fn local_load(&self, now: Duration, engine: &Engine, start: Duration) -> Resources {
         let attempts = engine.in_flight.iter();
         let counted =
@@ -141,15 +144,16 @@
         self.state.local_load(self.snapshot.now, self.engine, start)
     }
 
-    /// Returns the engine's last report, if it includes the memory or comparable numbers of requests in flight.
+    /// Returns the engine's last report, if it includes the memory or comparable numbers of requests in
+    /// flight.
     fn usable_report(&self) -> Option<ReceivedReport> {
         let is_usable = |load: &LoadReport| load.memory.is_some() || self.gateway.reports_in_flight;
         self.engine.report.filter(|report| is_usable(&report.load))
     }
 
-    /// Returns the load as estimated from the mean of all reports of the engine kind. Without reports it is estimated from
-    /// this router's attempts: the fleet share implies the number of other routers, and each of them is assumed to have the
-    /// same load and to spread it evenly.
+    /// Returns the load as estimated from the mean of all reports of the engine kind. Without reports it is
+    /// estimated from this router's attempts: the fleet share implies the number of other routers, and each
+    /// of them is assumed to have the same load and to spread it evenly.
     fn estimated_load(&self) -> Resources {
         let other_routers = (1.0 / self.snapshot.fleet_share - 1.0) / self.gateway.engine_count;
         let all_routers = self.local_load.plus(self.gateway.local_load.scaled(other_routers));
@@ -170,8 +174,9 @@
                 combined: estimated.memory + estimated.threads,
             };
         }
-        // Only this router's attempts distinguish such engines: the other routers are assumed to prefer the same ones.
-        // Free cores say little about an engine's memory, and would attract all routers to one engine at once.
+        // Only this router's attempts distinguish such engines: the other routers are assumed to prefer the
+        // same ones. Free cores say little about an engine's memory, and would attract all routers to one
+        // engine at once.
         let engine_share = self.snapshot.engine_share;
         let local = self.local_load;
         let current = (local.memory / self.kind.memory_mb + local.threads / self.kind.cores) / engine_share;
@@ -181,8 +186,8 @@
         ProjectedLoad { memory: estimated.memory, combined: current + additional }
     }
 
-    /// Returns the load of an engine with a report: the reported load and the attempts that the report does not include
-    /// yet. The older the report, the more the estimate counts.
+    /// Returns the load of an engine with a report: the reported load and the attempts that the report does
+    /// not include yet. The older the report, the more the estimate counts.
     fn reported_load(&self, report: &ReceivedReport) -> ProjectedLoad {
         let estimated = self.estimated_load();
         let unreported = self.fractions_with_request(self.local_load_unreported_at(report.at));
@@ -201,8 +206,8 @@
         ProjectedLoad { memory: self.memory_to_limit(memory, estimated.memory), combined: memory + busy }
     }
 
-    /// Returns the memory in use that limits admission. Probed reports are late, and other routers probe too, so that
-    /// engines with such a report also accept requests by the estimate.
+    /// Returns the memory in use that limits admission. Probed reports are late, and other routers probe too,
+    /// so that engines with such a report also accept requests by the estimate.
     fn memory_to_limit(&self, memory: f64, estimated: f64) -> f64 {
         if self.state.fleet.reports_only_on_probe {
             estimated.min(memory / MEMORY_TARGET_FRACTION)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -24,7 +24,8 @@
 const OUTCOMES: usize = 8;
 /// Initial memory target, as a fraction of the memory in this router's share of an engine.
 const MEMORY_TARGET_FRACTION: f64 = 0.5;
-/// Elapsed time of an engine's successes, as a multiple of their ideal runs, above which it is under pressure.
+/// Elapsed time of an engine's successes, as a multiple of their ideal runs, above which it is under
+/// pressure.
 const PRESSURE_SLOWDOWN: f64 = 2.0;
 /// Reported fraction of cores, disks or memory from which an engine counts as fully used.
 const FULL_USE: f64 = 0.95;
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: engines that fail often or are inactive are ejected, so that they get recovery attempts only. Their
-//! attempts are cancelled and retried at other engines.
+//! Outlier detection: engines that fail often or are inactive are ejected, so that they get recovery attempts
+//! only. Their attempts are cancelled and retried at other engines.
 
 use crate::samples::{mean, seconds};
 use crate::state::{Attempt, AttemptId, Engine, EngineView, FleetSnapshot, Request, SchedulerState};
@@ -20,8 +20,8 @@
 const MIN_FAILURE_RATE: f64 = 0.3;
 
 impl SchedulerState {
-    /// Returns the time that an engine with attempts in flight has been inactive, as a multiple of the time within which
-    /// it should have answered or sent a progress update. It is zero without attempts in flight.
+    /// Returns the time that an engine with attempts in flight has been inactive, as a multiple of the time
+    /// within which it should have answered or sent a progress update. It is zero without attempts in flight.
     pub fn inactivity_ratio(&self, engine: &Engine, now: Duration, slowdowns: &[f64]) -> f64 {
         let Some(oldest) = engine.in_flight.first() else { return 0.0 };
         let due = match self.fleet.progress_interval {
@@ -36,8 +36,9 @@
         inactive / due.max(seconds(self.shortest_objective()))
     }
 
-    /// Returns whether an engine fails often. Guards against engines that fail fast or are down, and so seem idle. The
-    /// window grows with consecutive failures, because the recovery attempts of many routers add up.
+    /// Returns whether an engine fails often. Guards against engines that fail fast or are down, and so seem
+    /// idle. The window grows with consecutive failures, because the recovery attempts of many routers add
+    /// up.
     pub fn is_failing(&self, engine: &Engine, now: Duration) -> bool {
         let newest_first = engine.failures.since(Duration::ZERO);
         let consecutive = newest_first.take_while(|failure| *failure > 0.0).count();
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Records the elapsed time of a success as a multiple of the run on an idle engine. Recent runs would be no stable
-    /// reference, because they get longer in a lasting overload.
+    /// Records the elapsed time of a success as a multiple of the run on an idle engine. Recent runs would be
+    /// no stable reference, because they get longer in a lasting overload.
     fn record_slowdown(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run: f64) {
         let slowdown = seconds(now - attempt.sent_at) / (ideal_run + seconds(self.fleet.tick));
         let class = self.requests[&ended.request].class;
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -5,7 +5,7 @@
 use crate::{Effect, EngineId, KeyScope};
 use std::time::Duration;
 
-/// Difference in the free fraction of engines that counts as a tie.
+/// Largest difference in the free fraction of engines that counts as a tie.
 const FREE_CAPACITY_TIE: f64 = 1.0 / 8.0;
 
 /// An engine with capacity for a request.
@@ -47,8 +47,8 @@
 }
 
 impl SchedulerState {
-    /// Returns the engine with the most free capacity for a request, if any has enough. A request without a placement
-    /// blocks its tiers for later requests.
+    /// Returns the engine with the most free capacity for a request, if any has enough. If no engine of a
+    /// kind has capacity for the request, its tier is blocked at that kind for later requests.
     pub fn choose_engine(&self, request: &Request, snapshot: &mut FleetSnapshot) -> Option<Placement> {
         let mut slots = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).enumerate();
         if slots.all(|slot| snapshot.blocked_tiers.contains(&slot)) {
@@ -56,7 +56,7 @@
         }
         let Capacities { free, mut full } = self.capacities(request, snapshot);
         snapshot.engines_examined += snapshot.engines.len() as u64;
-        // A request that may use a part of the engines only must not block the others.
+        // A request that may use only some of the engines must not block requests that may use others.
         if self.may_use_all_engines(request) {
             full.retain(|slot| !free.iter().any(|placement| placement.slot() == *slot));
             snapshot.blocked_tiers.extend(full);
@@ -92,8 +92,8 @@
         of_kind.collect()
     }
 
-    /// Returns the engines that are eligible for the request. An ejected outlier is eligible only for a recovery
-    /// attempt, unless every engine is ejected.
+    /// Returns the engines that are eligible for the request. An ejected outlier is eligible only for a
+    /// recovery attempt, unless every engine is ejected.
     fn candidates<'a>(&'a self, request: &Request, snapshot: &'a FleetSnapshot) -> Vec<Candidate<'a>> {
         let mut candidates = Vec::new();
         for (id, view) in &snapshot.engines {
@@ -110,7 +110,8 @@
         candidates
     }
 
-    /// Returns the fraction of an engine that stays free with the request; `None` if the engine lacks the capacity.
+    /// Returns the fraction of an engine that stays free with the request; `None` if the engine lacks the
+    /// capacity.
     fn free_fraction(
         &self,
         candidate: &Candidate<'_>,
@@ -135,16 +136,16 @@
             .then_some(free_fraction)
     }
 
-    /// Returns whether an engine was recently short of memory and has sent no load report since. With many routers, most
-    /// engines send this router reports too rarely.
+    /// Returns whether an engine was recently short of memory and has sent no load report since. With many
+    /// routers, most engines send this router reports too rarely.
     fn has_unreported_shortage(&self, engine: &Engine, now: Duration) -> bool {
         let window_start = self.pressure_window_start(now);
         let reported_at = engine.report.map_or(window_start, |report| report.at.max(window_start));
         engine.memory_shortage_at.is_some_and(|at| at > reported_at)
     }
 
-    /// Returns the placement with the most free capacity. Engines that the request was not sent to yet, and those
-    /// without a bulk load in its way, are preferred.
+    /// Returns the placement with the most free capacity. Engines that the request was not sent to yet, and
+    /// those without a bulk load in its way, are preferred.
     fn best_placement(
         &self,
         request: &Request,
@@ -159,8 +160,8 @@
         free.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
     }
 
-    /// Orders engines with about the same free capacity: first those that have read the request's group, then those in
-    /// the home location, then at random.
+    /// Orders engines with about the same free capacity: first those that have read the request's group, then
+    /// those in the home location, then at random.
     fn tie_preference(&self, id: EngineId, request: &Request) -> (bool, bool, u64) {
         let engine = &self.engines[&id];
         let has_read_group = request.group.is_some_and(|group| engine.recent_groups.contains(&group));
@@ -168,8 +169,8 @@
         (has_read_group, is_at_home, self.tie_breaker(id, self.random_draws))
     }
 
-    /// Returns whether the request would wait for a bulk load at the engine: one that this router has sent, or one that
-    /// another attempt has recently waited for.
+    /// Returns whether the request would wait for a bulk load at the engine: one that this router has sent,
+    /// or one that another attempt has recently waited for.
     fn would_wait_for_bulk_load(&self, id: EngineId, request: &Request, now: Duration) -> bool {
         if !self.classes[request.class].waits_for_bulk_loads {
             return false;
@@ -182,7 +183,8 @@
         seen_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_in_the_way)
     }
 
-    /// Returns whether the engine accepts requests, and the request's class and earlier attempts allow the engine.
+    /// Returns whether the engine accepts requests, and the request's class and earlier attempts allow the
+    /// engine.
     fn is_allowed(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.classes[request.class];
         let is_placed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
@@ -199,7 +201,8 @@
         engine.lifecycle.accepts_requests() && is_placed && in_scope
     }
 
-    /// Returns whether neither its class's locations nor an earlier attempt restrict the request to some engines.
+    /// Returns whether neither its class's locations nor an earlier attempt restrict the request to some
+    /// engines.
     fn may_use_all_engines(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
         let is_restricted_by_retry =
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -24,8 +24,8 @@
 type Member<'a> = (&'a Engine, &'a EngineView);
 
 impl SchedulerState {
-    /// Returns the fleet at the time of an input. Without `may_send`, it contains the engines with attempts in flight
-    /// only, and no gateways.
+    /// Returns the fleet at the time of an input. Without `may_send`, it contains the engines with attempts
+    /// in flight only, and no gateways.
     pub fn snapshot(&self, now: Duration, may_send: bool) -> FleetSnapshot {
         let slowdowns = self.class_slowdowns(now);
         let mut engines = self.engine_views(now, may_send, &slowdowns);
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Returns whether an engine is under pressure: it was recently short of memory, reports full use, or is slow. It is
-    /// `None` if there is no recent measurement.
+    /// Returns whether an engine is under pressure: it was recently short of memory, reports full use, or is
+    /// slow. Returns `None` if there is no recent measurement.
     fn under_pressure(&self, engine: &Engine, now: Duration, is_slow: Option<bool>) -> Option<bool> {
         let window_start = self.pressure_window_start(now);
         if engine.had_memory_shortage_since(window_start) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Returns the measurements and targets of one engine kind. The memory target changes with the pressure of its
-    /// engines.
+    /// Returns the measurements and targets of one engine kind. The memory target changes with the pressure
+    /// of its engines.
     fn gateway(&self, now: Duration, kind: usize, fleet_share: f64, views: &EngineViews) -> Gateway {
         let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
         let members = self.accepting_members(kind, views);
@@ -128,8 +128,8 @@
         in_view.filter(|(engine, _)| engine.kind == kind && engine.lifecycle.accepts_requests()).collect()
     }
 
-    /// Returns the load reports from which the load of other engines is estimated. Probed reports are not used: the few
-    /// engines that were probed are not representative.
+    /// Returns the load reports from which the load of other engines is estimated. Probed reports are not
+    /// used: the few engines that were probed are not representative.
     fn comparable_reports<'a>(&self, members: &[Member<'a>]) -> Vec<&'a ReceivedReport> {
         if self.fleet.reports_only_on_probe {
             return Vec::new();
@@ -137,8 +137,8 @@
         members.iter().filter_map(|(engine, _)| engine.report.as_ref()).collect()
     }
 
-    /// Returns the threads of this router's attempts at engines under pressure, by tier. Caps the threads counted for one
-    /// engine, so that it cannot use up the limit of all engines.
+    /// Returns the threads of this router's attempts at engines under pressure, by tier. Caps the threads
+    /// counted for one engine, so that it cannot use up the limit of all engines.
     fn threads_under_pressure(
         &self,
         members: &[Member<'_>],
@@ -159,8 +159,8 @@
     slowdown.unwrap_or(1.0).max(1.0)
 }
 
-/// Assumes that engines without a recent measurement are under pressure if most of the others are. With many routers,
-/// most engines have no recent measurement.
+/// Assumes that engines without a recent measurement are under pressure if most of the others are. With many
+/// routers, most engines have no recent measurement.
 fn assume_pressure_of_majority(engines: &mut EngineViews) {
     let count = |pressure| engines.values().filter(|view| view.under_pressure == Some(pressure)).count();
     if count(true) <= count(false) {
@@ -181,14 +181,14 @@
         || load.waiting.is_some_and(|waiting| waiting >= 1.0)
 }
 
-/// Returns the busy cores of a report, unless they are estimated from the requests in flight, which change too fast for a
-/// mean over reports of different ages.
+/// Returns the busy cores of a report, unless they are estimated from the requests in flight, which change
+/// too fast for a mean over reports of different ages.
 fn directly_reported_busy(report: &ReceivedReport) -> Option<f64> {
     report.load.busy.filter(|_| report.load.in_flight.is_none())
 }
 
-/// Returns the factor by which pressure changes the memory target: lower if most engines are under pressure, higher if
-/// most are not.
+/// Returns the factor by which pressure changes the memory target: lower if most engines are under pressure,
+/// higher if most are not.
 fn target_factor(members: &[Member<'_>]) -> f64 {
     let headroom = |view: &EngineView| match view.under_pressure {
         Some(true) => -1.0,
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -7,7 +7,8 @@
 
 /// Remaining time of an attempt, in expected runs, from which the attempt is slow.
 const SLOW_REMAINING_RUNS: f64 = 3.0;
-/// Elapsed time of an attempt, in expected runs, from which the attempt is slow if engines send no progress updates.
+/// Elapsed time of an attempt, in expected runs, from which the attempt is slow if engines send no progress
+/// updates.
 const SLOW_ELAPSED_RUNS: f64 = 8.0;
 /// Time left before the deadline, in ideal runs, that a retry must have.
 const MIN_TIME_LEFT_RUNS: f64 = 2.0;
@@ -40,8 +41,8 @@
         budget.min_retries + budget.per_request * accepted - retried
     }
 
-    /// Cancels and retries attempts that are much slower than expected. Only first attempts are retried: if the second
-    /// one is as slow, the request itself is the cause.
+    /// Cancels and retries attempts that are much slower than expected. Only first attempts are retried: if
+    /// the second one is as slow, the request itself is the cause.
     pub fn cancel_slow_attempts(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let mut slow = Vec::new();
         for (id, request) in self.in_flight() {
@@ -65,7 +66,8 @@
             || sends_no_progress && seconds(now - attempt.sent_at) > max_elapsed
     }
 
-    /// Cancels the attempts whose requests may be retried, within the retry budget. Returns whether there were any.
+    /// Cancels the attempts whose requests may be retried, within the retry budget. Returns whether there
+    /// were any.
     pub fn cancel_and_retry(
         &mut self,
         now: Duration,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,16 +7,17 @@
 
 /// Fraction of the cores that is busy at the capacity of an engine.
 const BUSY_AT_CAPACITY: f64 = 0.85;
-/// Factor by which a window for a single request is longer than its budget requires, so that the routers together
-/// use half of the engine's budget at most.
+/// Factor by which a window for a single request is longer than its budget requires, so that the routers
+/// together use half of the engine's budget at most.
 const SINGLE_REQUEST_WINDOW_FACTOR: f64 = 2.0;
 /// Upper bound on the length of such a window, in overload windows.
 const MAX_WINDOW_FACTOR: f64 = 1e6;
 
 impl SchedulerState {
-    /// Returns whether the request fits into this router's share of the work that an engine accepts in a window while it
-    /// warms up. If that share is smaller than one request, the router may send one request in a longer window. The
-    /// window starts at a random offset, so that the requests of all routers spread over it.
+    /// Returns whether the request fits into this router's share of the work that an engine accepts in a
+    /// window while it warms up. If that share is smaller than one request, the router may send one request
+    /// in a longer window. The window starts at a random offset, so that the requests of all routers spread
+    /// over it.
     pub fn fits_slow_start(
         &self,
         id: EngineId,
@@ -47,8 +48,8 @@
         self.tie_breaker(id, engine.listed_at.as_micros() as u64)
     }
 
-    /// Returns the work in seconds that a router with this share may send to an engine in any overload window; `None`
-    /// once the engine has warmed up.
+    /// Returns the work in seconds that a router with this share may send to an engine in any overload
+    /// window; `None` once the engine has warmed up.
     pub fn slow_start_budget(&self, engine: &Engine, now: Duration, share: f64) -> Option<f64> {
         let limits = &self.attempt_limits;
         let age = now.saturating_sub(engine.warming_since?);
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -1,5 +1,5 @@
-//! Subsetting: in a large fleet, a router uses a subset of the engines, so that the cost of an input and the number of
-//! connections do not grow with the fleet.
+//! Subsetting: in a large fleet, a router uses a subset of the engines, so that the cost of an input and the
+//! number of connections do not grow with the fleet.
 
 use crate::state::{Request, SchedulerState};
 use crate::{Effect, EngineId, KeyScope};
@@ -11,7 +11,8 @@
 const MIN_SUBSET_OF_GROUP: usize = 8;
 /// Smallest size of a subset as a multiple of the router's equal part of the engines.
 const MIN_SUBSET_EQUAL_PARTS: usize = 4;
-/// The draw that ranks engines. The seed of a router is part of the draw, so that the subsets of routers differ.
+/// The draw that ranks engines. The seed of a router is part of the draw, so that the subsets of routers
+/// differ.
 const RANK_DRAW: u64 = u64::MAX;
 /// Largest number of routers that use the same engine, as a multiple of the mean, that slow start allows for.
 const SLOW_START_SPREAD: f64 = 2.0;
@@ -22,8 +23,8 @@
         self.tie_breaker(id, RANK_DRAW)
     }
 
-    /// Chooses the engines that this router uses. An engine keeps its rank, so that a change of the endpoint list
-    /// changes few engines of the subset.
+    /// Chooses the engines that this router uses. An engine keeps its rank, so that a change of the endpoint
+    /// list changes few engines of the subset.
     pub fn choose_subset(&mut self) {
         let engines = self.engine_index.accepting_in_all();
         let equal_part = engines / self.fleet.router_count.max(1);
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Returns the engines that an input has to examine: those with attempts in flight and, with `may_send`, those that
-    /// a queued request may be sent to.
+    /// Returns the engines that an input has to examine: those with attempts in flight and, with `may_send`,
+    /// those that a queued request may be sent to.
     pub fn engines_in_view(&self, may_send: bool) -> Vec<EngineId> {
         let busy = self.engine_index.busy();
         if !may_send {
@@ -65,14 +66,14 @@
         Some(self.engines[&first.engine].cell)
     }
 
-    /// Returns this router's share of an engine in its subset. It is larger than the fleet share, because only some of
-    /// the other routers use the same engine.
+    /// Returns this router's share of an engine in its subset. It is larger than the fleet share, because
+    /// only some of the other routers use the same engine.
     pub fn engine_share(&self, fleet_share: f64) -> f64 {
         (fleet_share * self.subset_factor()).min(1.0)
     }
 
-    /// Returns this router's share of an engine's slow-start budget. It allows for engines that more routers use than
-    /// the mean.
+    /// Returns this router's share of an engine's slow-start budget. It allows for engines that more routers
+    /// use than the mean.
     pub fn slow_start_share(&self, fleet_share: f64) -> f64 {
         let factor = self.subset_factor() / SLOW_START_SPREAD;
         if factor > 1.0 { (fleet_share * factor).min(1.0) } else { fleet_share }
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -12,8 +12,8 @@
 const MEDIUM_THREADS_PER_CORE: f64 = 1.0;
 
 impl Gateway {
-    /// Returns the tier of a request. The memory threshold of a tier is its fraction of the target, divided by the mean
-    /// number of its requests per engine, including this one.
+    /// Returns the tier of a request. The memory threshold of a tier is its fraction of the target, divided
+    /// by the mean number of its requests per engine, including this one.
     pub fn tier(&self, request: &Request) -> Tier {
         if request.estimated_work.is_none() {
             return Tier::Medium;
@@ -34,9 +34,9 @@
 }
 
 impl SchedulerState {
-    /// Returns whether a tier has a free slot at an engine. Largest requests run one at a time. The others are limited
-    /// under pressure, by fewer threads the higher the engine's latency. If the limit is smaller than one request, as
-    /// with many routers, the limits of all engines under pressure are pooled.
+    /// Returns whether a tier has a free slot at an engine. Largest requests run one at a time. The others
+    /// are limited under pressure, by fewer threads the higher the engine's latency. If the limit is smaller
+    /// than one request, as with many routers, the limits of all engines under pressure are pooled.
     pub fn has_slot(
         &self,
         engine: &Engine,
--- a/src/policy/windows.rs
+++ b/src/policy/windows.rs
@@ -39,7 +39,8 @@
         now.saturating_sub(self.shortest_objective() * BULK_LOAD_WINDOW_OBJECTIVES)
     }
 
-    /// Returns the start of the window in which failures count, which grows with the number of consecutive failures.
+    /// Returns the start of the window in which failures count, which grows with the number of consecutive
+    /// failures.
     pub fn failure_window_start(&self, now: Duration, consecutive_failures: usize) -> Duration {
         let objectives = FAILURE_WINDOW_OBJECTIVES * consecutive_failures as u32;
         now.saturating_sub(self.shortest_objective() * objectives)
@@ -50,7 +51,8 @@
         self.shortest_objective() * REPORT_AGING_OBJECTIVES
     }
 
-    /// Returns the interval between probes of unknown engines, and the age at which a report counts as unknown.
+    /// Returns the interval between probes of unknown engines, and the age at which a report counts as
+    /// unknown.
     pub fn probe_interval(&self) -> Duration {
         self.shortest_objective() / PROBES_PER_OBJECTIVE
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -18,7 +18,8 @@
     pub honors_priorities: bool,
     /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
     pub shrinks_grants: bool,
-    /// Interval of the [`ProgressUpdate`](crate::ProgressUpdate)s of one attempt; `None` if engines send none.
+    /// Interval of the [`ProgressUpdate`](crate::ProgressUpdate)s of one attempt; `None` if engines send
+    /// none.
     pub progress_interval: Option<Duration>,
     /// Whether engines report their load only in answer to a probe.
     pub reports_only_on_probe: bool,
@@ -68,8 +69,8 @@
 pub enum Effect {
     /// It may run any number of times.
     Idempotent,
-    /// It may be repeated with the same key: the engines in `scope` drop repeats for `window`, counted from the
-    /// first attempt.
+    /// It may be repeated with the same key: the engines in `scope` drop repeats for `window`, counted from
+    /// the first attempt.
     IdempotentWithKey {
         /// The engines that drop each other's repeats.
         scope: KeyScope,
@@ -103,7 +104,8 @@
     pub start_capacity: f64,
     /// Time from an engine's start until it has its full capacity.
     pub warm_up: Duration,
-    /// Load in any `overload_window`, as a multiple of its capacity, that an engine withstands while it warms up.
+    /// Load in any `overload_window`, as a multiple of its capacity, that an engine withstands while it warms
+    /// up.
     pub overload_factor: f64,
     /// See `overload_factor`.
     pub overload_window: Duration,
--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -100,8 +100,8 @@
         self.subset = None;
     }
 
-    /// Uses a subset of about `size` engines from now on: of each group the first by rank, in proportion to its
-    /// size, but at least `min_per_group` or all of them.
+    /// Uses a subset of about `size` engines from now on: of each group the first by rank, in proportion to
+    /// its size, but at least `min_per_group` or all of them.
     pub fn use_subset(&mut self, size: usize, min_per_group: usize) {
         let total = self.accepting_in_all().max(1);
         let mut subset = Vec::new();
--- a/src/state/estimates.rs
+++ b/src/state/estimates.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Records the billed usage of a request, also relative to the client's estimates. The work itself is recorded
-    /// by the caller.
+    /// Records the billed usage of a request, also relative to the client's estimates. The work itself is
+    /// recorded by the caller.
     pub fn record_usage(&mut self, now: Duration, request: &Request, usage: &Usage) {
         self.memory_mb.push(now, usage.memory_mb);
         if let Some(estimate) = request.estimated_memory_mb {
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -19,8 +19,8 @@
         self.accepted_at.push_back(now);
     }
 
-    /// Creates a request with the needs that are expected of it. `elapsed_before_arrival` is the part of the latency
-    /// objective that earlier requests of the same client used up.
+    /// Creates a request with the needs that are expected of it. `elapsed_before_arrival` is the part of the
+    /// latency objective that earlier requests of the same client used up.
     pub fn new_request(
         &self,
         now: Duration,
@@ -83,8 +83,8 @@
         request.attempts[id.attempt].cancelled = true;
     }
 
-    /// Records a load report and returns it; `None` for an unknown engine. If the report lacks the busy cores, they
-    /// are estimated from its requests in flight and the mean threads of this router's requests.
+    /// Records a load report and returns it; `None` for an unknown engine. If the report lacks the busy
+    /// cores, they are estimated from its requests in flight and the mean threads of this router's requests.
     pub fn record_load_report(
         &mut self,
         now: Duration,
@@ -101,9 +101,10 @@
         Some(load)
     }
 
-    /// Records a sample of this router's share of the fleet: the memory granted to its attempts, without the ended
-    /// one, divided by the memory that the fleet grants if every engine grants the reported fraction. A sample of
-    /// the reporting engine alone would be too high, since most reports come with an answer to this router.
+    /// Records a sample of this router's share of the fleet: the memory granted to its attempts, without the
+    /// ended one, divided by the memory that the fleet grants if every engine grants the reported fraction. A
+    /// sample of the reporting engine alone would be too high, since most reports come with an answer to this
+    /// router.
     pub fn record_fleet_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
         let others = self.in_flight().filter(|(request, _)| Some(*request) != ended);
         let local_mb: f64 =
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -86,8 +86,8 @@
         self.is_done() && self.attempts.iter().all(|attempt| attempt.outcome.is_some())
     }
 
-    /// Returns the first attempt that may have run. The window of an idempotency key counts from this attempt, and its
-    /// scope from this attempt's engine.
+    /// Returns the first attempt that may have run. The window of an idempotency key counts from this
+    /// attempt, and its scope from this attempt's engine.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -1,4 +1,5 @@
-//! A scheduler with a large fleet, for the test that counts the engines an input examines and the bench that times it.
+//! A scheduler with a large fleet, for the test that counts the engines an input examines and the bench that
+//! times it.
 
 use emberflow::*;
 use std::time::Duration;
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -1,8 +1,9 @@
-//! A guard for refactorings, which must not change any decision: one digest over all actions of a scheduler in thousands
-//! of random runs with random settings.
+//! A guard for refactorings, which must not change any decision: one digest over all actions of a scheduler
+//! in thousands of random runs with random settings.
 //!
-//! The digest covers numbers, indices, times in nanoseconds and the bits of floats, but no names, which a refactoring may
-//! change. Each decision influences the rest of its run, so that a single difference changes the digest.
+//! The digest covers numbers, indices, times in nanoseconds and the bits of floats, but no names, which a
+//! refactoring may change. Each decision influences the rest of its run, so that a single difference changes
+//! the digest.
 
 #[path = "digest/attempts.rs"]
 mod attempts;
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -62,8 +62,9 @@
     (fleet, classes(), attempt_limits)
 }
 
-/// Settings like [`base`] with short times, so that a request is finished after few steps. Request classes: 0 idempotent,
-/// 1 to 3 with an idempotency key in a cell, in a location and in the whole fleet, 4 non-idempotent.
+/// Settings like [`base`] with short times, so that a request is finished after few steps. Request classes: 0
+/// idempotent, 1 to 3 with an idempotency key in a cell, in a location and in the whole fleet, 4
+/// non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
     let window = ms(120);
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -1,5 +1,5 @@
-//! Short traces of decisions, one for each limit and each failure. `UPDATE_EXPECT=1` renews the expected texts; read the
-//! diff before it is committed.
+//! Short traces of decisions, one for each limit and each failure. `UPDATE_EXPECT=1` renews the expected
+//! texts; read the diff before it is committed.
 
 mod admission;
 mod deadlines;
@@ -34,8 +34,8 @@
     Some(LoadReport { in_flight: Some(requests), ..LoadReport::default() })
 }
 
-/// Continues a trace with a request without estimates that succeeds after an elapsed time in milliseconds, with a report
-/// of the engine's requests in flight, and with a second such request, which is sent at once.
+/// Continues a trace with a request without estimates that succeeds after an elapsed time in milliseconds,
+/// with a report of the engine's requests in flight, and with a second such request, which is sent at once.
 fn measure_without_estimates(trace: &mut Trace, elapsed: u64, requests_in_flight: f64) {
     trace.accept(SHORT, 0, 0.0).at(elapsed).succeeded_after(0, 0, elapsed, in_flight(requests_in_flight));
     trace.accept(SHORT, 0, 0.0);
