--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -1,4 +1,5 @@
-//! The scheduler's inputs: each records an event and then applies the rules. Also the queries that callers may make.
+//! The scheduler's inputs: each records an event and then applies the rules. Also the queries that callers
+//! may make.
 
 use crate::samples::duration;
 use crate::state::{FleetSnapshot, SchedulerState};
@@ -13,7 +14,7 @@
     pub fn accept(&mut self, now: Duration, arrival: Arrival, actions: &mut impl Actions) {
         let request = self.state.learn_from_arrival(now, &arrival);
         self.state.record_accepted(now, arrival.request, request);
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles the end of an attempt.
@@ -26,7 +27,7 @@
             let ideal_run = self.state.learn_from_outcome(now, &ended, &attempt);
             self.state.update_outlier_detection(now, &ended, &attempt, ideal_run);
         }
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles the end of a probe; `load_report` is `None` if the engine did not answer.
@@ -40,7 +41,7 @@
         if let Some(load) = load_report {
             self.state.learn_from_load_report(now, engine, load, None);
         }
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles an engine's progress update for an attempt in flight.
@@ -54,11 +55,12 @@
     ) {
         let has_memory_shortage = self.state.has_memory_shortage(request, update);
         self.state.record_progress(now, request, attempt, update, has_memory_shortage);
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
-    /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests have
-    /// closed their sending side and may have left: attempts in flight continue, but no further attempt is sent.
+    /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests
+    /// have closed their sending side and may have left: attempts in flight continue, but no further attempt
+    /// is sent.
     pub fn clients_left(
         &mut self,
         now: Duration,
@@ -67,7 +69,7 @@
         actions: &mut impl Actions,
     ) {
         self.state.record_clients_left(withdrawn, half_closed);
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles an update of the endpoint list.
@@ -80,25 +82,25 @@
     ) {
         self.state.record_endpoints(now, update, rows);
         self.state.choose_subset();
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles a failure to read the endpoint list: the scheduler subscribes to its changes again.
     pub fn endpoint_list_failed(&mut self, now: Duration, actions: &mut impl Actions) {
         self.state.watching = false;
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Starts the graceful shutdown. Every open request is answered before `deadline`.
     pub fn shutting_down(&mut self, now: Duration, deadline: Duration, actions: &mut impl Actions) {
         self.state.record_shutdown(deadline);
         actions.wake_after(deadline.saturating_sub(now + self.state.final_answer_lead()));
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Handles the end of the wait that [`Actions::wake_after`] requested.
     pub fn wake(&mut self, now: Duration, actions: &mut impl Actions) {
-        self.settle(now, actions);
+        self.apply_rules(now, actions);
     }
 
     /// Returns the expected work of a request, as time on one core.
@@ -124,8 +126,8 @@
 }
 
 impl Capacity<'_> {
-    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that tier
-    /// are not admitted either.
+    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that
+    /// tier are not admitted either.
     pub fn admits(&mut self, arrival: &Arrival) -> bool {
         self.state.would_be_sent(arrival, &mut self.snapshot)
     }
