--- a/src/policy/windows.rs
+++ b/src/policy/windows.rs
@@ -3,15 +3,16 @@
 use crate::state::SchedulerState;
 use std::time::Duration;
 
-/// Shortest latency objectives in the window of slowdowns.
+/// Length of the window of slowdowns, in shortest latency objectives.
 const SLOWDOWN_WINDOW_OBJECTIVES: u32 = 4;
-/// Shortest latency objectives for which a measurement of pressure counts.
+/// Length of the window of measurements of pressure, in shortest latency objectives.
 const PRESSURE_WINDOW_OBJECTIVES: u32 = 2;
-/// Shortest latency objectives for which a bulk load that was seen counts.
+/// Length of the window of bulk loads that were seen, in shortest latency objectives.
 const BULK_LOAD_WINDOW_OBJECTIVES: u32 = 2;
-/// Shortest latency objectives in the window of failures, for each consecutive failure.
+/// Length of the window of failures for each consecutive failure, in shortest latency objectives.
 const FAILURE_WINDOW_OBJECTIVES: u32 = 4;
-/// Shortest latency objectives after which a load report counts as much as the estimate from other engines.
+/// Age at which a load report counts as much as the estimate from other engines, in shortest latency
+/// objectives.
 const REPORT_AGING_OBJECTIVES: u32 = 4;
 /// Probes of unknown engines in one shortest latency objective.
 const PROBES_PER_OBJECTIVE: u32 = 2;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -18,8 +18,7 @@
     pub honors_priorities: bool,
     /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
     pub shrinks_grants: bool,
-    /// Interval of the [`ProgressUpdate`](crate::ProgressUpdate)s of one attempt; `None` if engines send
-    /// none.
+    /// Interval between progress updates of one attempt; `None` if engines send none.
     pub progress_interval: Option<Duration>,
     /// Whether engines report their load only in answer to a probe.
     pub reports_only_on_probe: bool,
