--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -61,11 +61,13 @@
     state.expects_arrival(model) && state.shutdown_deadline.is_none()
 }
 
-/// Whether an attempt must end now, because it is abandoned or has timed out.
-fn ends_at_once(state: &ModuleState, request: &RequestRecord, attempt: &AttemptRecord) -> bool {
+/// Whether a request has an attempt in flight that must end now, because it is abandoned or has timed out.
+fn awaits_end(state: &ModuleState, request: &RequestRecord) -> bool {
+    let Some(attempt) = request.in_flight() else { return false };
     is_abandoned(request, attempt) || attempt.times_out_at <= state.now
 }
 
+/// Whether an attempt is cancelled, or its request is answered or its client has disconnected.
 fn is_abandoned(request: &RequestRecord, attempt: &AttemptRecord) -> bool {
     attempt.is_cancelled || !request.is_open()
 }
@@ -158,10 +160,7 @@
     if model.shuts_down && state.shutdown_deadline.is_none() && !state.requests.is_empty() {
         transitions.push(Transition::ShutDown);
     }
-    let awaits_end = state
-        .requests
-        .iter()
-        .any(|request| request.in_flight().is_some_and(|attempt| ends_at_once(state, request, attempt)));
+    let awaits_end = state.requests.iter().any(|request| awaits_end(state, request));
     let awaits_wake_up = next_wake_up.is_some_and(|at| at + model.wake_up_delay <= state.now);
     if !awaits_end && !awaits_wake_up && next_instant(model, state).is_some() {
         transitions.push(Transition::PassTime);
@@ -186,8 +185,8 @@
     if state.expects_arrival(model) {
         let warming = state.engine_records.iter().filter(|engine| engine.launched.is_some());
         let window = model.attempt_limits.overload_window;
-        instants
-            .extend(warming.flat_map(|engine| &engine.sent).flat_map(|work| before_and_at(work.at + window)));
+        let sent_work = warming.flat_map(|engine| &engine.sent);
+        instants.extend(sent_work.flat_map(|work| before_and_at(work.at + window)));
     }
     instants.into_iter().filter(|at| *at > state.now).min()
 }
--- a/crates/teams/src/queues/dispatch_order.rs
+++ b/crates/teams/src/queues/dispatch_order.rs
@@ -11,13 +11,17 @@
 impl Queues {
     /// Returns the first request of each lane of each team, in the order of dispatch.
     pub fn dispatch_order(&self) -> impl Iterator<Item = RequestId> {
-        let teams = self.organization_order.active_flows().flat_map(|organization| {
-            let members = &self.members[organization];
-            self.team_orders[organization].active_flows().map(|flow| members[flow])
-        });
+        let organizations = self.organization_order.active_flows();
+        let teams = organizations.flat_map(|organization| self.team_order(organization));
         teams.flat_map(|team| self.team_queues[team].heads(&self.waiting))
     }
 
+    /// Returns the teams of an organization that have waiting requests, in the order in which they are served.
+    fn team_order(&self, organization: usize) -> impl Iterator<Item = usize> {
+        let members = &self.members[organization];
+        self.team_orders[organization].active_flows().map(move |flow| members[flow])
+    }
+
     /// Returns the first request in the order of dispatch that `fits` accepts. A request with a key is replaced by the
     /// first waiting request with that key.
     pub fn next_fitting(&self, mut fits: impl FnMut(RequestId) -> bool) -> Option<RequestId> {
