--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -221,9 +221,9 @@
         for command in connection.take_commands() {
             self.handle(index, now, &command, is_silent);
         }
-        let Some(connection) = &mut self.connections[index] else { return };
-        connection.write();
-        if state == ConnectionState::Closed || connection.is_over_limit() {
+        let Some(open) = &mut self.connections[index] else { return };
+        open.write();
+        if state == ConnectionState::Closed || open.is_over_limit() {
             self.close(index);
         }
     }
--- a/crates/emulator/src/table.rs
+++ b/crates/emulator/src/table.rs
@@ -41,8 +41,8 @@
         groups.entry((outcome.team, outcome.class)).or_default().push(outcome);
     }
     let mut text = line("team", "class", &COLUMNS.map(|column| column.title.to_owned()));
-    for ((team, class), outcomes) in groups {
-        text += &line(team, class, &figures(&outcomes).map(|figure| figure.to_string()));
+    for ((team, class), group) in groups {
+        text += &line(team, class, &figures(&group).map(|figure| figure.to_string()));
     }
     text
 }
--- a/crates/model-checker/src/discovery_model/state.rs
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -124,13 +124,13 @@
     }
 
     fn accept(&mut self, scenario: &DiscoveryScenario, Frame { number, event }: Frame) {
-        let accepted = event.map(|EndpointEvent { update, endpoints }| AcceptedEndpoints {
+        let content = event.map(|EndpointEvent { update, endpoints }| AcceptedEndpoints {
             is_snapshot: update == EndpointUpdate::FullList,
             endpoints: endpoints.iter().map(|endpoint| (endpoint.id, endpoint.is_ready())).collect(),
         });
-        let event = Event::Accepts { number, accepted };
-        self.check(scenario, &event);
-        let Event::Accepts { accepted: Some(accepted), .. } = event else { return };
+        let accept = Event::Accepts { number, accepted: content };
+        self.check(scenario, &accept);
+        let Event::Accepts { accepted: Some(accepted), .. } = accept else { return };
         if accepted.is_snapshot {
             self.received.clear();
         }
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -13,13 +13,13 @@
 /// Returns the initial state, in which every engine has just been listed as ready.
 pub fn initial_state(model: &ModuleModel) -> ModuleState {
     let (fleet, classes, attempt_limits) = model.scenario.settings();
-    let engine =
+    let record =
         EngineRecord { lifecycle: Lifecycle::Ready, is_forgotten: false, launched: None, sent: Vec::new() };
     let mut state = ModuleState {
         now: START_TIME,
         scheduler: Scheduler::new(fleet, classes, attempt_limits),
         requests: Vec::new(),
-        engine_records: vec![engine; model.engines.len()],
+        engine_records: vec![record; model.engines.len()],
         wake_ups: Vec::new(),
         retry_times: Vec::new(),
         key_cooldowns: Vec::new(),
--- a/crates/model-checker/src/module_model/effects.rs
+++ b/crates/model-checker/src/module_model/effects.rs
@@ -87,8 +87,8 @@
         events.push(Event::Grant { request, grant_mb: EXCESSIVE_GRANT_MB });
         events.extend((0..record.attempts.len()).map(|attempt| Event::Cancel { request, attempt }));
         events.extend(engines.clone().map(|engine| Event::Send { request, engine, times_out_at }));
-        let times_out_at = state.now + LONG_TIME;
-        events.push(Event::Send { request, engine: EngineId::default(), times_out_at });
+        let too_late = state.now + LONG_TIME;
+        events.push(Event::Send { request, engine: EngineId::default(), times_out_at: too_late });
     }
     events.extend(engines.map(|engine| Event::Forget { engine }));
     events
--- a/crates/model-checker/src/module_model/inputs.rs
+++ b/crates/model-checker/src/module_model/inputs.rs
@@ -139,7 +139,7 @@
     let (Some(key), Some(cooldown)) = (model.requests[request].key, cooldown) else { return };
     // The cooldown of a later attempt does not end the cooldown of an earlier one.
     let now = state.now;
-    state.key_cooldowns.retain(|cooldown| cooldown.until > now);
+    state.key_cooldowns.retain(|earlier| earlier.until > now);
     let request = RequestId::from_index(request);
     state.key_cooldowns.push(KeyCooldown { key, request, until: now + cooldown });
 }
--- a/crates/model-checker/src/queue_model/invariants.rs
+++ b/crates/model-checker/src/queue_model/invariants.rs
@@ -83,6 +83,6 @@
         }
     }
     let waiting = state.statuses.iter().filter(|status| **status == RequestStatus::Waiting).count();
-    let is_wrongly_charged = |(work, charged): (&f64, &f64)| (work - charged).abs() > ROUNDING_S;
+    let is_wrongly_charged = |(work, charge): (&f64, &f64)| (work - charge).abs() > ROUNDING_S;
     waiting != *count || in_flight.iter().zip(charged).any(is_wrongly_charged)
 }
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -155,12 +155,12 @@
 
     #[test]
     fn answers_split_anywhere_are_read_alike(bytes in answers(), at in any::<usize>()) {
-        let parse = |bytes: &[u8]| {
+        let parse = |received: &[u8]| {
             let owned = |array: resp::Array<'_>| {
                 let parts: Vec<Vec<u8>> = array.parts.iter().map(|part| part.to_vec()).collect();
                 (parts, array.length)
             };
-            resp::parse_array(bytes).map(|parsed| parsed.map(owned))
+            resp::parse_array(received).map(|parsed| parsed.map(owned))
         };
         let (front, back) = bytes.split_at(at % (bytes.len() + 1));
         let single: Vec<&[u8]> = bytes.chunks(1).collect();
@@ -170,9 +170,9 @@
 
     #[test]
     fn frames_split_anywhere_are_read_alike(bytes in frames(), at in any::<usize>()) {
-        let parse = |bytes: &[u8]| {
+        let parse = |received: &[u8]| {
             let endpoints = |event: discovery::EndpointEvent| (event.update, event.endpoints.len());
-            let parsed = discovery::parse_frame(bytes).map_err(|error| error.to_string());
+            let parsed = discovery::parse_frame(received).map_err(|error| error.to_string());
             parsed.map(|parsed| parsed.map(|(frame, length)| ((frame.number, frame.event.map(endpoints)), length)))
         };
         let (front, back) = bytes.split_at(at % (bytes.len() + 1));
--- a/crates/operator/src/team_config.rs
+++ b/crates/operator/src/team_config.rs
@@ -121,14 +121,14 @@
             builder.add_team(index, team)?;
         }
         builder.quotas.validate()?;
-        let wait_notice_interval = wait_notices.as_ref().map_or(Duration::ZERO, |form| form.interval.0);
+        let wait_notice_interval = wait_notices.as_ref().map_or(Duration::ZERO, |notices| notices.interval.0);
         Ok(Self {
             quotas: builder.quotas,
             names: builder.names,
             indices: builder.indices,
             team_field: team_field.map_or_else(|| DEFAULT_TEAM_FIELD.to_owned(), |name| name.0),
             urgency_field: urgency_field.map_or_else(|| DEFAULT_URGENCY_FIELD.to_owned(), |name| name.0),
-            wait_notice_field: wait_notices.map(|form| form.field.0),
+            wait_notice_field: wait_notices.map(|notices| notices.field.0),
             wait_notice_interval,
         })
     }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -148,18 +148,21 @@
 
 /// Reads the configuration and the operator's file, if one is given; returns the first error in either.
 fn read_files(path: &Path, operator: Option<&Path>, listen: Option<&str>) -> Result<Bootstrap, ConfigError> {
-    let in_file = |path: &Path, source| ConfigError::InFile { path: path.into(), source: Box::new(source) };
     let text = read_text(path)?;
     let file =
         serde_json::from_str(&text).map_err(|source| ConfigError::Json { path: path.into(), source })?;
-    let mut bootstrap = Bootstrap::read(&file, listen).map_err(|error| in_file(path, error))?;
-    if let Some(path) = operator {
-        let text = read_text(path)?;
-        bootstrap.read_operator_file(&text).map_err(|error| in_file(path, error))?;
+    let mut bootstrap = Bootstrap::read(&file, listen).map_err(|error| error_in_file(path, error))?;
+    if let Some(operator) = operator {
+        let operator_text = read_text(operator)?;
+        bootstrap.read_operator_file(&operator_text).map_err(|error| error_in_file(operator, error))?;
     }
     Ok(bootstrap)
 }
 
+fn error_in_file(path: &Path, source: ConfigError) -> ConfigError {
+    ConfigError::InFile { path: path.into(), source: Box::new(source) }
+}
+
 fn read_text(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: path.into(), source })
 }
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -43,7 +43,7 @@
             entry.launched = Some(launched);
             self.close_connections_before(engine, launched, context);
         }
-        let launched = self.engines.get(&engine).and_then(|entry| entry.launched);
+        let launched = self.engines.get(&engine).and_then(|known| known.launched);
         Endpoint {
             engine,
             location: record.location,
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -52,7 +52,7 @@
         let queue_position =
             connection.map(|connection| connection.waiting.iter().position(|waiting| *waiting == slot));
         (attempt.request, attempt.number).hash(hasher);
-        attempt.connection.and_then(|connection| indexes.get(&connection)).hash(hasher);
+        attempt.connection.and_then(|assigned| indexes.get(&assigned)).hash(hasher);
         (has_begun, queue_position).hash(hasher);
     }
 }
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -108,8 +108,8 @@
     /// Takes a call of which no byte was written out of a connection's output, so that it is encoded again with the
     /// time left by then. Such a call can only be at the front of the output.
     fn requeue_unwritten_call(&mut self, slot: Slot) {
-        let Some(connection) = self.connections.get(slot) else { return };
-        let carried: Vec<Slot> = connection.attempts.values().copied().collect();
+        let Some(carrier) = self.connections.get(slot) else { return };
+        let carried: Vec<Slot> = carrier.attempts.values().copied().collect();
         let retracted = carried.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
         if let Some(attempt) = retracted
             && let Some(connection) = self.connections.get_mut(slot)
--- a/crates/router/src/event_loop/accepting.rs
+++ b/crates/router/src/event_loop/accepting.rs
@@ -73,8 +73,8 @@
     }
 
     fn register_client(&mut self, socket: TcpStream, address: SocketAddr) {
-        let slot = self.server.dispatcher.clients.table.next();
-        let record_readiness = move |router_loop: &mut Self| router_loop.client_became_ready(slot);
+        let next_slot = self.server.dispatcher.clients.table.next();
+        let record_readiness = move |router_loop: &mut Self| router_loop.client_became_ready(next_slot);
         match RegisteredSocket::register(&self.loop_handle, socket, record_readiness) {
             Ok(registered) => {
                 let slot = self.server.accept_client();
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -136,7 +136,7 @@
 fn frames_are_decoded_once_complete_and_malformed_ones_rejected() {
     let record =
         [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x23, 0x82, 1, 2, 3, 0, 4, 0, 0, 15, 160, 0, 0, 0, 0, 0, 0, 1, 0];
-    let frame = |number: u64, kind: u8, payload: &[u8]| {
+    let frame_bytes = |number: u64, kind: u8, payload: &[u8]| {
         let length = 9 + payload.len() as u32;
         [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
     };
@@ -158,7 +158,7 @@
         ring.consume(length);
         Some(text)
     };
-    let good = [frame(41, 1, &record), frame(42, 2, &[]), frame(42, 0, &[])].concat();
+    let good = [frame_bytes(41, 1, &record), frame_bytes(42, 2, &[]), frame_bytes(42, 0, &[])].concat();
     expect![[r#"
         41 Some(FullList) ["00c41f7a 10.1.0.9:9090 Draining 2 3 4 256"]
         42 Some(Changes) []
@@ -166,8 +166,13 @@
     .assert_eq(&decode_with_every_split(&good, parse));
     let mut unknown_state = record;
     unknown_state[10] = 7;
-    let malformed =
-        [frame(1, 3, &[]), frame(1, 2, &record[1..]), frame(1, 1, &unknown_state), vec![255; 4], vec![0; 4]];
+    let malformed = [
+        frame_bytes(1, 3, &[]),
+        frame_bytes(1, 2, &record[1..]),
+        frame_bytes(1, 1, &unknown_state),
+        vec![255; 4],
+        vec![0; 4],
+    ];
     let errors: String = malformed
         .iter()
         .map(|bytes| format!("{:?}\n", discovery::parse_frame(bytes).err().map(|error| error.to_string())))
--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -273,8 +273,8 @@
     // The router must read none of the following input in an iteration that has already begun.
     router.wait_until_asleep();
     router.stop();
-    for client in &mut other_clients {
-        client.send_bytes(&status_line(2).repeat(2));
+    for other_client in &mut other_clients {
+        other_client.send_bytes(&status_line(2).repeat(2));
     }
     router.wait_until_delivered();
     send(&mut client);
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -29,14 +29,14 @@
     "#]]
     .assert_eq(&router.finish(&["attempts_broken", "attempts_unreachable"]));
 
-    let mut router = RouterHarness::start("refused", 0, &ordinary_settings());
-    let mut client = router.connect_client();
-    client.send_request(1, "post");
-    router.record_answer(&mut client);
+    let mut router_without_engine = RouterHarness::start("refused", 0, &ordinary_settings());
+    let mut rejected_client = router_without_engine.connect_client();
+    rejected_client.send_request(1, "post");
+    router_without_engine.record_answer(&mut rejected_client);
     expect![[r#"
         {"error":{"code":-32011,"data":{"holdoff":400},"message":"bounced: a retry is harmless"},"id":1,"jsonrpc":"2.0"}
         exit status Some(0): attempts_unreachable=3
-    "#]].assert_eq(&router.finish(&["attempts_broken", "attempts_unreachable"]));
+    "#]].assert_eq(&router_without_engine.finish(&["attempts_broken", "attempts_unreachable"]));
 }
 
 #[test]
@@ -175,7 +175,7 @@
         engine.send_on(0, 0, EngineReply::Pong);
         depart(&mut discovery, client, address)
     });
-    let is_rejected = remaining.is_some_and(|mut client| client.read_line().contains("-32011"));
+    let is_rejected = remaining.is_some_and(|mut reader| reader.read_line().contains("-32011"));
     let further_calls = engine.answer_calls(0);
     let transcript = router.finish(&["attempts_not_sent"]);
     format!("{name}: further calls {further_calls:?}, rejected {is_rejected}; {transcript}")
--- a/crates/router/tests/sockets/limits.rs
+++ b/crates/router/tests/sockets/limits.rs
@@ -59,8 +59,10 @@
     }
     let unread = id;
     router.record(format!("stops reading: {}", unread < MORE_THAN_THE_KERNEL_BUFFERS));
-    let is_answer_to = |line: &str, id| line.starts_with(&format!(r#"{{"jsonrpc":"2.0","id":{id},"result""#));
-    let all_in_order = (1..unread).all(|id| is_answer_to(&client.read_line(), id));
+    let is_answer_to = |line: &str, answered: u64| {
+        line.starts_with(&format!(r#"{{"jsonrpc":"2.0","id":{answered},"result""#))
+    };
+    let all_in_order = (1..unread).all(|answered| is_answer_to(&client.read_line(), answered));
     router.record(format!("all answers complete and in order: {all_in_order}"));
     let next_call = engine.next_command().replace(&format!("{unread:016x}"), "the unread request");
     router.record(next_call);
@@ -200,8 +202,8 @@
     let mut router = RouterHarness::start_with_debug_log("flood", 1, &ordinary_settings());
     let mut flooding_clients = router.connect_clients(3);
     let mut client = router.connect_client();
-    for client in flooding_clients.iter_mut().chain([&mut client]) {
-        client.status(1);
+    for connected in flooding_clients.iter_mut().chain([&mut client]) {
+        connected.status(1);
     }
     router.while_stopped(|_| {
         for flooding_client in &mut flooding_clients {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -40,8 +40,8 @@
     let count = cores.len();
     let memory = domain.rows_for_each("sizeMb", count, "kind")?;
     params.optional("kinds", |params, name| params.rows_for_each(name, count, "kind").map(drop))?;
-    let engine_kind = |(cores, memory): (Fields<'_>, Fields<'_>)| {
-        Ok(EngineKind { cores: cores.as_positive()?, memory_mb: memory.as_positive()? })
+    let engine_kind = |(kind_cores, kind_memory): (Fields<'_>, Fields<'_>)| {
+        Ok(EngineKind { cores: kind_cores.as_positive()?, memory_mb: kind_memory.as_positive()? })
     };
     cores.zip(memory).map(engine_kind).collect()
 }
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -30,8 +30,8 @@
 
 /// Starts an instance with each of these settings.
 fn start_instances(params: &[String]) -> String {
-    let line = |(who, params): (usize, &String)| {
-        format!(r#"{{"op":"NEW_INSTANCE","who":{who},"rngSeed":5,"params":{}}}"#, params.replace('\n', ""))
+    let line = |(who, settings): (usize, &String)| {
+        format!(r#"{{"op":"NEW_INSTANCE","who":{who},"rngSeed":5,"params":{}}}"#, settings.replace('\n', ""))
             + "\n"
     };
     let lines: String = params.iter().enumerate().map(line).collect();
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -220,9 +220,9 @@
             self.handle_line(index, &line, now, records);
         }
         if state == StreamState::Ended
-            && let Some(connection) = self.connections.remove(index)
+            && let Some(ended) = self.connections.remove(index)
         {
-            record_connection_end(connection.open.values(), now, records);
+            record_connection_end(ended.open.values(), now, records);
         }
     }
 
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -202,8 +202,8 @@
         connection.stream.is_muted = fault == EngineFault::Mute;
         connection.stream.write_size = (fault == EngineFault::SmallWrites).then_some(SMALL_WRITE_BYTES);
         self.handle_commands(index, now, records);
-        let Some(connection) = self.connections.get_mut(index) else { return };
-        if state == StreamState::Ended || connection.stream.flush() == StreamState::Ended {
+        let Some(open) = self.connections.get_mut(index) else { return };
+        if state == StreamState::Ended || open.stream.flush() == StreamState::Ended {
             self.close(index, now, records);
         }
     }
--- a/crates/soak/src/engines/calls.rs
+++ b/crates/soak/src/engines/calls.rs
@@ -112,8 +112,8 @@
         now: Duration,
         records: &mut Records,
     ) {
-        let Some(EngineConnection { engine, .. }) = self.connections.get(connection) else { return };
-        let engine_index = *engine;
+        let Some(carrier) = self.connections.get(connection) else { return };
+        let engine_index = carrier.engine;
         let Some(request) = records.requests.get_mut(&call.request_id) else { return };
         let engine = &mut self.engines[engine_index];
         let refusal = engine.refusal();
--- a/crates/teams/benches/decisions.rs
+++ b/crates/teams/benches/decisions.rs
@@ -79,8 +79,8 @@
             queues.dispatch(now, request);
             dispatched.push(request);
             if queues.len() < REQUESTS as usize / 2 {
-                for request in dispatched.drain(..) {
-                    queues.requeue(now, request);
+                for in_flight in dispatched.drain(..) {
+                    queues.requeue(now, in_flight);
                 }
             }
         });
--- a/crates/teams/src/quotas.rs
+++ b/crates/teams/src/quotas.rs
@@ -95,7 +95,7 @@
     /// Returns the fraction of all engines' time that a team gets while every team has requests, from 0 to 1.
     pub fn overall_share(&self, team: usize) -> f64 {
         let Team { organization, share, .. } = self.teams[team];
-        let organizations_sum: f64 = self.organizations.iter().map(|organization| organization.share).sum();
+        let organizations_sum: f64 = self.organizations.iter().map(|other| other.share).sum();
         let members = self.teams.iter().filter(|member| member.organization == organization);
         let members_sum: f64 = members.map(|member| member.share).sum();
         self.organizations[organization].share / organizations_sum * share / members_sum
--- a/crates/teams/tests/scenarios/priorities.rs
+++ b/crates/teams/tests/scenarios/priorities.rs
@@ -65,15 +65,15 @@
         scenario.log(format!("request {first} is the first with the key of request 3"));
     }
     let first_log = scenario.take_log();
-    let mut scenario = Scenario::of(one_organization(&[(1.0, None), (1.0, None)]));
-    scenario.enqueue_with(keyed(1, 0)).enqueue_with(keyed(0, 3));
-    let next = scenario.queues.next_fitting(|_| true);
-    scenario.log(format!("the next fitting request is {next:?}"));
+    let mut second_scenario = Scenario::of(one_organization(&[(1.0, None), (1.0, None)]));
+    second_scenario.enqueue_with(keyed(1, 0)).enqueue_with(keyed(0, 3));
+    let next = second_scenario.queues.next_fitting(|_| true);
+    second_scenario.log(format!("the next fitting request is {next:?}"));
     expect![[r#"
         0     request 0 is the first with the key of request 3
         0     request 1 is the first with the key of request 3
         0     request 3 is the first with the key of request 3
         0     the next fitting request is Some(0)
     "#]]
-    .assert_eq(&(first_log + &scenario.take_log()));
+    .assert_eq(&(first_log + &second_scenario.take_log()));
 }
--- a/crates/teams/tests/scenarios/quotas.rs
+++ b/crates/teams/tests/scenarios/quotas.rs
@@ -18,8 +18,8 @@
     scenario.settle(0, Outcome::Refunded).settle(1, Outcome::Refunded).log_budget(1);
     // The second team loses its budget.
     scenario.queues.reconfigure(ms(0), one_organization(&[(1.0, None), (1.0, None)]), &[Some(0), Some(1)]);
-    let charged = [scenario.queues.in_flight_charge(0), scenario.queues.in_flight_charge(1)];
-    scenario.log_budget(1).log(format!("{charged:?} charged"));
+    let charged_after = [scenario.queues.in_flight_charge(0), scenario.queues.in_flight_charge(1)];
+    scenario.log_budget(1).log(format!("{charged_after:?} charged"));
     expect![[r#"
         0     request 0 is dispatched
         0     team 1 has 100 ms of its budget left
--- a/crates/teams/tests/scenarios/shares.rs
+++ b/crates/teams/tests/scenarios/shares.rs
@@ -29,10 +29,10 @@
 
 #[test]
 fn organizations_are_served_by_share_and_teams_share_their_organization() {
-    let team = |organization| Team { organization, share: 1.0, allowance: None, max_waiting: 5 };
+    let team_of = |organization| Team { organization, share: 1.0, allowance: None, max_waiting: 5 };
     let quotas = Quotas {
         organizations: vec![Organization { share: 1.0 }, Organization { share: 1.0 }],
-        teams: vec![team(0), team(0), team(1)],
+        teams: vec![team_of(0), team_of(0), team_of(1)],
     };
     let overall_shares: Vec<f64> = (0..3).map(|at| quotas.overall_share(at)).collect();
     let mut scenario = Scenario::of(quotas);
--- a/crates/teams/tests/simulation/figures.rs
+++ b/crates/teams/tests/simulation/figures.rs
@@ -115,8 +115,8 @@
     }
 
     pub fn record_idle_teams(&mut self, now: Duration) {
-        let idle = &mut self.idle[window(now)];
-        for (idle, waiting) in idle.iter_mut().zip(&self.waiting) {
+        let idle_in_window = &mut self.idle[window(now)];
+        for (idle, waiting) in idle_in_window.iter_mut().zip(&self.waiting) {
             *idle |= *waiting == 0;
         }
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -194,7 +194,7 @@
         // Guards against overloaded engines that stopped reporting: this router's attempts there still count.
         let local = self.fractions_with_request(self.local_load);
         let age = seconds(self.snapshot.now - report.at) / seconds(self.state.report_aging_time());
-        let aged = |reported: f64, estimated: f64| (reported + estimated * age) / (1.0 + age);
+        let aged = |reported: f64, estimate: f64| (reported + estimate * age) / (1.0 + age);
         let memory = match report.load.memory {
             Some(memory) => aged(memory + unreported.memory, estimated.memory).max(local.memory),
             None => estimated.memory,
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -72,14 +72,13 @@
         let slowdown = engine.slowdowns.median_since(self.slowdown_window_start(now));
         let is_slow = slowdown.map(|slowdown| slowdown > PRESSURE_SLOWDOWN);
         let inactivity_ratio = self.inactivity_ratio(engine, now, slowdowns);
-        let relative = |slowdown: f64| slowdown / fleet_slowdown;
         EngineView {
             under_pressure: self.under_pressure(engine, now, is_slow),
             inactivity_ratio,
             is_outlier: inactivity_ratio >= INACTIVITY_RATIO_FOR_EJECTION || self.is_failing(engine, now),
             limit_factor: (PRESSURE_SLOWDOWN / slowdown.unwrap_or(fleet_slowdown)).min(1.0),
             relative_slowdown: slowdown.map_or(1.0, |slowdown| {
-                relative(slowdown).clamp(MIN_RELATIVE_SLOWDOWN, MAX_RELATIVE_SLOWDOWN)
+                (slowdown / fleet_slowdown).clamp(MIN_RELATIVE_SLOWDOWN, MAX_RELATIVE_SLOWDOWN)
             }),
         }
     }
--- a/tests/digest/engines.rs
+++ b/tests/digest/engines.rs
@@ -64,7 +64,7 @@
             7 => machine.slowness = random.one_of(&[1.0, 2.0, 6.0, 20.0]),
             8 => {
                 let rows = self.machines.iter().filter(|_| !random.percent(20));
-                let rows = rows.map(|(engine, machine)| endpoint(*engine, machine)).collect();
+                let rows = rows.map(|(listed, state)| endpoint(*listed, state)).collect();
                 return self.scheduler.endpoints_changed(now, EndpointUpdate::FullList, rows, &mut self.log);
             }
             _ => machine.ready = true,
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -64,16 +64,19 @@
     }
 }
 
-pub fn fleet(random: &mut Random) -> Fleet {
-    let kind = |random: &mut Random| EngineKind {
+fn engine_kind(random: &mut Random) -> EngineKind {
+    EngineKind {
         cores: random.one_of(&[2.0, 4.0, 8.0]),
         memory_mb: random.one_of(&[2000.0, 8000.0, 16000.0]),
-    };
+    }
+}
+
+pub fn fleet(random: &mut Random) -> Fleet {
     Fleet {
         seed: random.next(),
         router_count: random.one_of(&[1, 1, 1, 2, 8, 40]),
         home_location: random.below(3),
-        kinds: (0..=random.below(3)).map(|_| kind(random)).collect(),
+        kinds: (0..=random.below(3)).map(|_| engine_kind(random)).collect(),
         max_grant_share: random.one_of(&[0.25, 0.5, 0.9]),
         honors_priorities: random.percent(50),
         shrinks_grants: random.percent(40),
