--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,9 @@
 //! Decodes the operator's file, which is JSON5. An invalid file is rejected with the line and the path of the first
 //! error. Features that the file does not mention are off.
 
+// Engineers learn the crate from its documentation, so every public item must be explained.
+#![warn(missing_docs)]
+
 mod error;
 mod forms;
 mod limits;
--- a/crates/peer-protocol/src/client.rs
+++ b/crates/peer-protocol/src/client.rs
@@ -30,7 +30,9 @@
     pub work_ms: f64,
     /// The estimate of the memory, in MB.
     pub memory_mb: f64,
+    /// The bytes of the statement, which the line carries in base64.
     pub statement: Vec<u8>,
+    /// The name of the team in the operator's file; `None` omits the parameter.
     pub team: Option<String>,
     /// 0 for ordinary requests, up to 3.
     pub urgency: Option<u8>,
@@ -116,6 +118,7 @@
 pub struct Response {
     /// The id of the message that is answered.
     pub id: u64,
+    /// The result, the status or the error in the answer.
     pub outcome: Outcome,
 }
 
@@ -123,15 +126,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A result; `None` in place of rows that are missing or not valid base64.
-    Result { rows: Option<Vec<u8>> },
+    Result {
+        /// The rows of all pages, decoded from base64.
+        rows: Option<Vec<u8>>,
+    },
     /// The answer to a status request.
-    Status { is_serving: bool },
+    Status {
+        /// Whether the router accepts requests.
+        is_serving: bool,
+    },
     /// A retry is harmless, after `retry_after` if the router names it.
-    Rejected { retry_after: Option<Duration> },
+    Rejected {
+        /// Time that the client waits before the retry.
+        retry_after: Option<Duration>,
+    },
     /// The request may have run.
     Failed,
     /// Any other error: the request itself is invalid.
-    Invalid { code: i64 },
+    Invalid {
+        /// The error code of JSON-RPC.
+        code: i64,
+    },
 }
 
 /// The router's estimate of a request's wait.
@@ -139,8 +154,11 @@
 pub struct WaitAnnouncement {
     /// The id of the message with the request.
     pub id: u64,
+    /// Lower end of the range that should contain nine of ten waits, in seconds.
     pub least_s: f64,
+    /// Median of the estimated wait, in seconds.
     pub likely_s: f64,
+    /// Upper end of the range that should contain nine of ten waits, in seconds.
     pub most_s: f64,
 }
 
--- a/crates/peer-protocol/src/discovery.rs
+++ b/crates/peer-protocol/src/discovery.rs
@@ -100,7 +100,9 @@
 /// The lists of the router's settings in which zones and kinds have their indices.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingNames<'a> {
+    /// Names of the zones; [`Endpoint::zone`] is an index into this list.
     pub zones: &'a [&'a str],
+    /// Names of the kinds of engines; [`Endpoint::kind`] is an index into this list.
     pub kinds: &'a [&'a str],
 }
 
--- a/crates/peer-protocol/src/engine.rs
+++ b/crates/peer-protocol/src/engine.rs
@@ -12,15 +12,34 @@
     /// Runs a statement.
     Call(Call),
     /// Ends a call without a reply.
-    Cancel { request_id: String },
+    Cancel {
+        /// The id of the request that the call serves.
+        request_id: String,
+    },
     /// Changes the priority of a call; no reply.
-    SetPriority { request_id: String, priority: String },
+    SetPriority {
+        /// The id of the request that the call serves.
+        request_id: String,
+        /// The new priority as text, which is a number from 0 to 3 in a valid command.
+        priority: String,
+    },
     /// Requests a page of a result, from 1.
-    ReadPage { request_id: String, page: String },
+    ReadPage {
+        /// The id of the request that the call serves.
+        request_id: String,
+        /// Index of the page as text; the reply with the result carries page 0.
+        page: String,
+    },
     /// Ends the pages of a result; no reply.
-    ClosePages { request_id: String },
+    ClosePages {
+        /// The id of the request that the call serves.
+        request_id: String,
+    },
     /// Requests a pong with the same tag.
-    Ping { tag: String },
+    Ping {
+        /// An id that the router chooses and the pong repeats.
+        tag: String,
+    },
     /// Words that the protocol does not have.
     Unknown(Vec<String>),
 }
@@ -47,8 +66,11 @@
 /// A call: one attempt of a request as its engine reads it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
+    /// The id of the request, under which the engine replies.
     pub request_id: String,
+    /// The optional parameters of the call.
     pub fields: CallFields,
+    /// The text of the statement.
     pub statement: String,
 }
 
@@ -114,9 +136,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineReply<'a> {
     /// The first page of a result, and the number of all its pages.
-    Result { pages: u32, used: Option<UsedResources>, rows: &'a [u8] },
+    Result {
+        /// Number of pages of the result, of which this reply carries the first.
+        pages: u32,
+        /// Resources that the call has used; `None` omits them from the reply.
+        used: Option<UsedResources>,
+        /// The rows of the first page, as lines with columns separated by tabs.
+        rows: &'a [u8],
+    },
     /// A further page of a result, from 1.
-    Page { page: u32, rows: &'a [u8] },
+    Page {
+        /// Index of the page; the first page of a result has index 0.
+        page: u32,
+        /// The rows of the page, as lines with columns separated by tabs.
+        rows: &'a [u8],
+    },
     /// The engine is full; the call has not run.
     Overloaded,
     /// The call has failed and may have run.
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -13,6 +13,9 @@
 //! | `withdraw`, `holdoff`, `waiting` | cancellation, Retry-After, [`WaitAnnouncement`](client::WaitAnnouncement) |
 //! | bulletin, roster, `phase` | discovery, endpoint list, [`EngineState`](discovery::EngineState) |
 
+// Engineers learn the crate from its documentation, so every public item must be explained.
+#![warn(missing_docs)]
+
 pub mod client;
 pub mod discovery;
 pub mod engine;
--- a/crates/peer-protocol/src/resp.rs
+++ b/crates/peer-protocol/src/resp.rs
@@ -13,14 +13,24 @@
 /// Why bytes are not a RESP array of bulk strings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RespError {
+    /// An array or a bulk string begins with the wrong type byte.
     #[error("byte {found:#04x} in place of {expected:?}")]
-    UnexpectedByte { found: u8, expected: char },
+    UnexpectedByte {
+        /// The byte in the input.
+        found: u8,
+        /// The type byte that the protocol requires.
+        expected: char,
+    },
+    /// A length has no digits, too many digits, or no CR LF after its digits.
     #[error("a length that is not a number of at most {MAX_LENGTH_DIGITS} digits")]
     MalformedLength,
+    /// The array announces this number of parts, which exceeds the limit.
     #[error("an array of {0} parts")]
     TooManyParts(usize),
+    /// A part announces this number of bytes, which exceeds the limit.
     #[error("a part of {0} bytes")]
     PartTooLong(usize),
+    /// The bytes of a part are not followed by CR LF.
     #[error("a part without its terminator")]
     UnterminatedPart,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,6 +4,9 @@
 //! [`Fields`] reads single values and names their path in errors. Each of the other modules decodes one part of the
 //! settings, which the caller passes as an object.
 
+// Engineers learn the crate from its documentation, so every public item must be explained.
+#![warn(missing_docs)]
+
 mod attempt_limits;
 mod error;
 mod fields;
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -7,6 +7,9 @@
 //! The crate uses no socket and no clock: teams and requests are numbers, and the caller passes the time since the
 //! start. The router's admission queue is built on it.
 
+// Engineers learn the crate from its documentation, so every public item must be explained.
+#![warn(missing_docs)]
+
 pub mod budget;
 pub mod fair_order;
 pub mod queues;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,9 @@
 //! `settings` and `input` define the data that callers pass in, `handlers` the inputs, `state` the records,
 //! `policy` the decisions, and `scheduler` the order in which the decisions are taken.
 
+// Engineers learn the crate from its documentation, so every public item must be explained.
+#![warn(missing_docs)]
+
 mod actions;
 mod fingerprint;
 mod handlers;
