--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -57,6 +57,7 @@
 /// The connections of all clients.
 #[derive(Clone, Default)]
 pub struct Clients {
+    /// The open connections.
     pub table: Slots<Client>,
     /// Limit of the bytes of a line.
     max_line_bytes: usize,
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -31,8 +31,13 @@
 
 /// The outcome of reading a client's input up to its next line.
 pub enum ReadOutcome {
-    /// A line, and the earliest time at which its last byte can have been received.
-    Line { line: Vec<u8>, received_at: Duration },
+    /// A complete line has arrived.
+    Line {
+        /// The line without its newline.
+        line: Vec<u8>,
+        /// Earliest time at which the newline can have been received.
+        received_at: Duration,
+    },
     /// The line exceeds the limit. All further input is discarded.
     TooLong,
     /// Input was read and discarded.
@@ -57,6 +62,7 @@
 #[derive(Clone)]
 pub struct Client {
     input: Ring,
+    /// Bytes to be written to the client.
     pub output: Ring,
     /// Bytes at the front of the input that hold no newline.
     scanned_for_line: usize,
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -19,6 +19,7 @@
 /// How a request was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
+    /// An attempt succeeded, and its result was sent to the client.
     Succeeded,
     /// The request was not run, so a retry is harmless.
     Rejected,
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -33,6 +33,7 @@
 pub enum PoolEvent {
     /// An attempt has ended.
     Ended {
+        /// The attempt, its outcome, and the usage and load that the engine reported.
         ended: AttemptEnded,
         /// The result, if the attempt succeeded.
         body: Option<Vec<u8>>,
@@ -41,9 +42,11 @@
     },
     /// An engine reported the progress of an attempt.
     Progress {
+        /// The request that the attempt serves.
         request: RequestId,
         /// The attempt's number within its request.
         attempt: usize,
+        /// The stage or the completed fraction of the attempt.
         progress: ProgressUpdate,
     },
 }
@@ -60,8 +63,11 @@
 /// The number of engines, connections and attempts in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
+    /// Number of engines, with those that are draining or no longer listed.
     pub engines: usize,
+    /// Number of connections, with those that are not established yet.
     pub connections: usize,
+    /// Number of attempts that have not ended, with those whose calls are not written yet.
     pub attempts: usize,
 }
 
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -8,16 +8,21 @@
 
 /// An attempt to be sent. The request's id, class, idempotency key and statement are forwarded unchanged.
 pub struct Call<'a> {
+    /// The request that the attempt serves.
     pub request: RequestId,
     /// The attempt's number within its request, from 0.
     pub number: usize,
     /// The request's id on the wire.
     pub id: &'a str,
+    /// The request class, by its name in the settings.
     pub class: &'a str,
+    /// The client's key by which the engine recognizes a repeated request.
     pub idempotency_key: Option<&'a str>,
+    /// The bytes of the statement, decoded from base64.
     pub statement: &'a [u8],
     /// Memory granted to the attempt, in MB. A grant below 1 MB is not sent.
     pub grant_mb: f64,
+    /// The attempt's priority at the engine; a higher number is served first.
     pub priority: u8,
     /// Time at which the attempt times out.
     pub deadline: Duration,
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -17,7 +17,9 @@
 /// no fault of the engine, and unwritten calls move to another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
+    /// The engine has accepted the connection or reset it.
     Reachable,
+    /// The connection could not be established, or the engine has restarted or was removed from the list.
     Unreachable,
 }
 
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -26,20 +26,43 @@
     /// The bytes are not a RESP array.
     #[error("decoding a reply: {0}")]
     Resp(#[from] RespError),
+    /// The id, the type or the fields of a reply are not UTF-8.
     #[error("decoding the {part} of a reply: {source}")]
-    NotUtf8 { part: &'static str, source: Utf8Error },
+    NotUtf8 {
+        /// Name of the part: `id`, `type` or `fields`.
+        part: &'static str,
+        /// The decoding error, with the position of the first invalid byte.
+        source: Utf8Error,
+    },
+    /// A reply to an attempt in flight has this type, which the protocol does not define.
     #[error("reply of unknown type `{0}`")]
     UnknownReply(String),
+    /// A numeric field of a reply or a load report is not a finite number.
     #[error("field `{name}` is not a number: {value}")]
-    NotANumber { name: String, value: String },
+    NotANumber {
+        /// Name of the field on the wire.
+        name: String,
+        /// The text in place of a number.
+        value: String,
+    },
+    /// A result has this number of pages, which is below 1 or above the limit.
     #[error("result of {0} pages")]
     PageCount(f64),
+    /// A further page of a result does not carry its index.
     #[error("page without its number")]
     NoPageNumber,
+    /// A progress report has an unknown kind, or no valid figure for its kind.
     #[error("unknown progress report: detail={detail:?} value={value:?}")]
-    UnknownProgress { detail: Option<String>, value: Option<f64> },
+    UnknownProgress {
+        /// The kind of the report (`detail`).
+        detail: Option<String>,
+        /// The figure of the report (`v`).
+        value: Option<f64>,
+    },
+    /// A page is not UTF-8, ends within a row, or has a row without exactly three columns.
     #[error("page that is not made of complete rows of three columns")]
     MalformedRows,
+    /// All pages of a result have this number of bytes together, which exceeds the limit.
     #[error("result of {0} bytes")]
     ResultTooLarge(usize),
 }
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -14,13 +14,28 @@
     NoPath,
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
-    Read { path: PathBuf, source: std::io::Error },
+    Read {
+        /// Path of the file.
+        path: PathBuf,
+        /// The error of the system call, or of decoding the file as UTF-8.
+        source: std::io::Error,
+    },
     /// The configuration file is not JSON.
     #[error("{}: {source}", path.display())]
-    Json { path: PathBuf, source: serde_json::Error },
+    Json {
+        /// Path of the file.
+        path: PathBuf,
+        /// The first syntax error, with its line and column.
+        source: serde_json::Error,
+    },
     /// A file has an invalid value.
     #[error("{}: {source}", path.display())]
-    InFile { path: PathBuf, source: Box<ConfigError> },
+    InFile {
+        /// Path of the file.
+        path: PathBuf,
+        /// The first invalid value.
+        source: Box<ConfigError>,
+    },
     /// A value of the configuration file is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -29,13 +44,26 @@
     OperatorFile(#[from] OperatorConfigError),
     /// An address cannot be parsed.
     #[error("`{field}` is not an address with a port: {text}")]
-    Address { field: &'static str, text: String },
+    Address {
+        /// Name of the setting; `listen` also for an address from EDGE_LISTEN.
+        field: &'static str,
+        /// The value in place of an address.
+        text: String,
+    },
     /// The seed cannot be parsed.
     #[error("`seed` is not hexadecimal: {text}")]
-    Seed { text: String, source: ParseIntError },
+    Seed {
+        /// The value in place of a seed.
+        text: String,
+        /// The reason: no digits, a character that is no digit, or a number beyond 64 bits.
+        source: ParseIntError,
+    },
     /// The file of a reload configures a router with another name.
     #[error("`name` is `{name}`, the file configures another router")]
-    OtherRouter { name: String },
+    OtherRouter {
+        /// The router's name in the file of the reload.
+        name: String,
+    },
 }
 
 /// Errors that prevent a router from starting, or end it.
@@ -46,10 +74,20 @@
     Config(#[from] ConfigError),
     /// The listening socket cannot be opened.
     #[error("listening on {address}: {source}")]
-    Listen { address: SocketAddr, source: std::io::Error },
+    Listen {
+        /// The address on which the router was to accept clients.
+        address: SocketAddr,
+        /// The error of the system call.
+        source: std::io::Error,
+    },
     /// The event loop failed while it did `action`.
     #[error("{action}: {source}")]
-    EventLoop { action: &'static str, source: calloop::Error },
+    EventLoop {
+        /// The operation that failed, such as `waiting for events`.
+        action: &'static str,
+        /// The error of the event loop's library.
+        source: calloop::Error,
+    },
 }
 
 impl ServeError {
@@ -76,20 +114,43 @@
     Read(std::io::Error),
     /// A frame is shorter than its header, or longer than the limit.
     #[error("invalid frame length of {bytes} bytes")]
-    FrameLength { bytes: usize },
+    FrameLength {
+        /// The length in the frame, which counts the header and the payload.
+        bytes: usize,
+    },
     /// The kind of a frame is unknown, or its payload does not fit the kind.
     #[error("invalid frame of kind {kind} with a payload of {bytes} bytes")]
-    FrameKind { kind: u8, bytes: usize },
+    FrameKind {
+        /// The kind on the wire.
+        kind: u8,
+        /// Length of the payload.
+        bytes: usize,
+    },
     /// An endpoint's state is unknown.
     #[error("unknown endpoint state {0}")]
     EndpointState(u8),
     /// The settings do not name an endpoint's kind or location.
     #[error("endpoint of kind {kind} in location {location}, which the settings do not name")]
-    UnknownKindOrLocation { kind: usize, location: usize },
+    UnknownKindOrLocation {
+        /// Index of the endpoint's kind among the kinds of the settings.
+        kind: usize,
+        /// Index of the endpoint's location among the locations of the settings.
+        location: usize,
+    },
     /// The service has sent more events than were received.
     #[error("events are missing: heartbeat for event {number}, last event received is {last}")]
-    MissedEvents { number: u64, last: u64 },
+    MissedEvents {
+        /// Number of the service's last event, which the heartbeat carries.
+        number: u64,
+        /// Number of the last event that the router received.
+        last: u64,
+    },
     /// A list of changes does not follow the last event.
     #[error("events are missing: changes with event {number}, last event received is {last}")]
-    EventGap { number: u64, last: u64 },
+    EventGap {
+        /// Number of the event with the changes.
+        number: u64,
+        /// Number of the last event that the router received.
+        last: u64,
+    },
 }
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -20,9 +20,14 @@
 /// The code of an error response. The protocol adds `Rejected` and `Failed` to the codes of JSON-RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCode {
+    /// The line is not JSON, too long or incomplete.
     ParseError,
+    /// The message is not a valid JSON-RPC request, conflicts with an open request, or exceeds the limit of its
+    /// connection.
     InvalidRequest,
+    /// The method is not a request class of the settings.
     MethodNotFound,
+    /// A parameter is missing or invalid.
     InvalidParams,
     /// The request was not run, so a retry is harmless.
     Rejected,
@@ -50,6 +55,7 @@
 pub struct RequestError {
     /// The message's id, if the error response can carry it.
     pub id: Option<u64>,
+    /// The cause of the error.
     pub kind: RequestErrorKind,
 }
 
@@ -68,28 +74,40 @@
 /// The cause of an error response. Its text is the message of the response.
 #[derive(Debug, Error)]
 pub enum RequestErrorKind {
+    /// The line is not JSON.
     #[error("malformed JSON: {0}")]
     MalformedJson(#[from] serde_json::Error),
+    /// The line exceeds the limit of bytes. The router discards all further input of the client.
     #[error("a line without end")]
     LineTooLong,
+    /// The client sent the beginning of a line and did not send its end in time. The router closes the connection.
     #[error("a line that stopped short")]
     LineIncomplete,
+    /// The line is JSON, but not an object.
     #[error("a request is one object")]
     NotAnObject,
+    /// The member `jsonrpc` is absent or has another value.
     #[error("`jsonrpc` is not 2.0")]
     Version,
+    /// The id is neither null nor a positive integer.
     #[error("`id` is not a whole number from 1 up")]
     Id,
+    /// The method is absent or not a string.
     #[error("`method` is not text")]
     Method,
+    /// The settings name no request class like this method.
     #[error("no method `{0}`")]
     UnknownMethod(String),
+    /// A status request is a notification, so that its answer would have no id.
     #[error("`status` without an id")]
     StatusWithoutId,
+    /// A request is a notification, so that its answer would have no id.
     #[error("a task without an id")]
     RequestWithoutId,
+    /// An open request on the same connection has the same message id.
     #[error("`id` is open already")]
     IdOpen,
+    /// An open request of this or another client has the same name (`req`).
     #[error("`req` is open already")]
     NameOpen,
     /// The limit of the client's connection is reached.
@@ -98,8 +116,10 @@
     /// The limit of the router is reached.
     #[error("too many tasks are open")]
     TooManyOpen,
+    /// The client has shut down its sending side, so it may have disconnected.
     #[error("its client has left")]
     ClientLeft,
+    /// A parameter is missing or invalid; the error names it.
     #[error("{0}")]
     InvalidParams(#[source] Box<dyn StdError + Send + Sync>),
 }
@@ -135,6 +155,7 @@
 pub struct RpcRequest {
     /// `None` for a notification.
     pub id: Option<u64>,
+    /// The request class, [`STATUS_METHOD`] or [`CANCEL_METHOD`] in a valid message.
     pub method: String,
     /// The parameters; null if the message has none.
     pub params: Value,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -3,6 +3,9 @@
 //! [`command::run`] is the program. To embed the router, read a configuration with [`bootstrap::Bootstrap`] and serve
 //! with [`event_loop::RouterLoop::run`], which returns after SIGTERM.
 
+// Engineers learn the crate from its documentation, so every public item must be explained.
+#![warn(missing_docs)]
+
 pub mod admission_queue;
 pub mod bootstrap;
 pub mod clients;
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -17,16 +17,27 @@
 /// An error in the encoding of a RESP array.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum RespError {
+    /// The array announces this number of parts, which exceeds the limit.
     #[error("array of {0} parts")]
     TooManyParts(usize),
+    /// A part announces this number of bytes, which exceeds the limit.
     #[error("part of {0} bytes")]
     PartTooLong(usize),
+    /// The bytes of a part are not followed by CR LF.
     #[error("part without its terminator")]
     UnterminatedPart,
+    /// An array or a bulk string begins with the wrong type byte.
     #[error("byte {found} in place of `{expected}`")]
-    UnexpectedByte { found: u8, expected: char },
+    UnexpectedByte {
+        /// The byte in the input.
+        found: u8,
+        /// The type byte that the protocol requires.
+        expected: char,
+    },
+    /// No newline follows within the longest valid length.
     #[error("length without its terminator")]
     UnterminatedLength,
+    /// A length is not made of decimal digits and CR LF.
     #[error("length that is not a number")]
     MalformedLength,
 }
@@ -34,6 +45,7 @@
 /// A decoded array.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Array<'a> {
+    /// The contents of the bulk strings, in order.
     pub parts: Vec<&'a [u8]>,
     /// Length of the encoded array in bytes.
     pub length: usize,
