--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -127,7 +127,7 @@
         GET 0000000000000002 queue=post,mem=120,prio=2 select 1
         {"jsonrpc":"2.0","id":1,"result":{"data":"YQkJCmIJCQo="}}
         {"jsonrpc":"2.0","id":2,"result":{"data":"YwkJCg=="}}
-        exit status Some(0): connections_dialled=1 engine_answers_without_attempt=2 engine_answers_repeated=3
+        exit status Some(0): connections_dialled=1 engine_answers_repeated=3 engine_answers_without_attempt=2
     "#]]
     .assert_eq(&router.finish(&[
         "engine_answers_repeated",
