--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -7,6 +7,7 @@
 };
 use emberflow_model_checker::search::Model;
 use emberflow_model_checker::{connection_model, module_model, router_model};
+use emberflow_peer_protocol::resp::encode_array;
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::ring::Ring;
 use emberflow_router::{discovery, jsonrpc, resp};
@@ -104,7 +105,7 @@
 fn answers() -> impl Strategy<Value = Vec<u8>> {
     let part = prop::collection::vec(any::<u8>(), 0..12);
     let well_formed = prop::collection::vec(part, 0..10)
-        .prop_map(|parts| resp::encode_array(&parts.iter().map(Vec::as_slice).collect::<Vec<_>>()));
+        .prop_map(|parts| encode_array(&parts.iter().map(Vec::as_slice).collect::<Vec<_>>()));
     let noise = prop_oneof![
         prop::collection::vec(any::<u8>(), 0..16),
         "[*$][0-9]{0,9}\r?\n?".prop_map(String::into_bytes)
