--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -180,8 +180,8 @@
     scheduler(
         "a disconnect is not recorded",
         RECORDING,
-        "for id in withdrawn {\n            self.record_done(*id);\n        }",
-        "let _ = withdrawn;",
+        "for id in cancelled {\n            self.record_done(*id);\n        }",
+        "let _ = cancelled;",
     ),
     scheduler(
         "the end of the process is ignored",
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -58,17 +58,17 @@
         self.apply_rules(now, actions);
     }
 
-    /// Handles clients that left. `withdrawn` requests need no answer. The clients of `half_closed` requests
+    /// Handles clients that left. `cancelled` requests need no answer. The clients of `half_closed` requests
     /// have closed their sending side and may have left: attempts in flight continue, but no further attempt
     /// is sent.
     pub fn clients_left(
         &mut self,
         now: Duration,
-        withdrawn: &[RequestId],
+        cancelled: &[RequestId],
         half_closed: &[RequestId],
         actions: &mut impl Actions,
     ) {
-        self.state.record_clients_left(withdrawn, half_closed);
+        self.state.record_clients_left(cancelled, half_closed);
         self.apply_rules(now, actions);
     }
 
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -167,9 +167,9 @@
         }
     }
 
-    /// Marks withdrawn requests as done, and those of half-closed clients as abandoned.
-    pub fn record_clients_left(&mut self, withdrawn: &[RequestId], half_closed: &[RequestId]) {
-        for id in withdrawn {
+    /// Marks cancelled requests as done, and those of half-closed clients as abandoned.
+    pub fn record_clients_left(&mut self, cancelled: &[RequestId], half_closed: &[RequestId]) {
+        for id in cancelled {
             self.record_done(*id);
         }
         for id in half_closed {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -11,7 +11,7 @@
     Open,
     /// The client needs an answer but may have left. No further attempt is sent.
     Abandoned,
-    /// The request was answered or withdrawn.
+    /// The request was answered or cancelled.
     Done,
 }
 
