--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -4,7 +4,7 @@
 
 use crate::policy::MIN_FAILURES;
 use crate::samples::SampleWindow;
-use crate::state::{Attempt, Engine, InFlight, Request, SchedulerState};
+use crate::state::{Attempt, Engine, InFlightAttempt, Request, SchedulerState};
 use crate::{Effect, EngineId, RequestId, Scheduler};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -236,7 +236,7 @@
     (finish, attempt.grant_mb.to_bits(), attempt.spilled_mb.to_bits()).hash(hasher);
 }
 
-fn hash_in_flight(attempt: &InFlight, positions: &Positions, now: Duration, hasher: &mut impl Hasher) {
+fn hash_in_flight(attempt: &InFlightAttempt, positions: &Positions, now: Duration, hasher: &mut impl Hasher) {
     let sent = since(now, attempt.sent_at);
     (positions.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(hasher);
     (attempt.grant_mb.to_bits(), attempt.threads.to_bits()).hash(hasher);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,7 +3,7 @@
 
 use super::placement::Placement;
 use crate::samples::{duration, seconds};
-use crate::state::{Engine, FleetSnapshot, InFlight, Request, SchedulerState, Tier};
+use crate::state::{Engine, FleetSnapshot, InFlightAttempt, Request, SchedulerState, Tier};
 use crate::{Actions, Arrival, EngineId, RequestId};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     }
 
     /// Sends a request's next attempt.
-    fn send(&mut self, now: Duration, id: RequestId, to: &Placement, actions: &mut impl Actions) -> InFlight {
+    fn send(&mut self, now: Duration, id: RequestId, to: &Placement, actions: &mut impl Actions) -> InFlightAttempt {
         let request = &self.requests[&id];
         let grant_mb = self.grant_mb(request, to.kind);
         actions.set_terms(id, grant_mb.round(), self.priority(request.class));
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -3,7 +3,7 @@
 use super::MEMORY_TARGET_FRACTION;
 use crate::samples::seconds;
 use crate::state::{
-    Engine, FleetSnapshot, Gateway, InFlight, ReceivedReport, Request, Resources, SchedulerState,
+    Engine, FleetSnapshot, Gateway, InFlightAttempt, ReceivedReport, Request, Resources, SchedulerState,
 };
 use crate::{EngineId, EngineKind, LoadReport, ProgressUpdate, RequestId};
 use std::time::Duration;
@@ -77,7 +77,7 @@
 
     /// Returns whether the progress updates of an attempt have stopped, because the answer was lost or the
     /// engine is unresponsive.
-    pub fn is_attempt_inactive(&self, now: Duration, attempt: &InFlight) -> bool {
+    pub fn is_attempt_inactive(&self, now: Duration, attempt: &InFlightAttempt) -> bool {
         let Some(interval) = self.fleet.progress_interval else { return false };
         let active_since = now.saturating_sub(interval * INACTIVE_ATTEMPT_INTERVALS);
         self.requests[&attempt.request].attempts[attempt.attempt].last_activity_at < active_since
@@ -89,7 +89,7 @@
         let attempts = engine.in_flight.iter();
         let counted =
             attempts.filter(|attempt| attempt.sent_at >= start && !self.is_attempt_inactive(now, attempt));
-        counted.map(InFlight::resources).fold(Resources::NONE, Resources::plus)
+        counted.map(InFlightAttempt::resources).fold(Resources::NONE, Resources::plus)
     }
 
     /// Returns the load of an engine once it has the request.
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -8,7 +8,7 @@
 
 /// An attempt in flight at an engine, with its tier and the resources that are reserved for it.
 #[derive(Clone)]
-pub struct InFlight {
+pub struct InFlightAttempt {
     pub request: RequestId,
     pub attempt: usize,
     pub sent_at: Duration,
@@ -17,7 +17,7 @@
     pub threads: f64,
 }
 
-impl InFlight {
+impl InFlightAttempt {
     /// Returns the id of the attempt.
     pub fn id(&self) -> AttemptId {
         AttemptId { request: self.request, attempt: self.attempt }
@@ -50,7 +50,7 @@
     /// Start of the warm-up.
     pub warming_since: Option<Duration>,
     /// Attempts in the order in which they were sent.
-    pub in_flight: Vec<InFlight>,
+    pub in_flight: Vec<InFlightAttempt>,
     /// Requests with an attempt at this engine, in flight or ended, that are not forgotten yet.
     pub request_count: usize,
     /// Usual work in seconds of each attempt that was sent.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,7 +10,7 @@
 mod resources;
 mod snapshot;
 
-pub use engine::{Engine, InFlight, ReceivedReport};
+pub use engine::{Engine, InFlightAttempt, ReceivedReport};
 pub use engine_index::EngineIndex;
 pub use estimates::ClassEstimates;
 pub use key_queue::{Cooldown, KeyQueue};
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -1,7 +1,7 @@
 //! Records requests, attempts and load reports. No decision is taken here.
 
 use super::{
-    Attempt, AttemptId, Cooldown, InFlight, Needs, ReceivedReport, Request, RequestPhase, SchedulerState,
+    Attempt, AttemptId, Cooldown, InFlightAttempt, Needs, ReceivedReport, Request, RequestPhase, SchedulerState,
     Tier,
 };
 use crate::samples::{duration, mean, seconds};
@@ -57,7 +57,7 @@
         to: EngineId,
         tier: Tier,
         grant_mb: f64,
-    ) -> InFlight {
+    ) -> InFlightAttempt {
         let class = self.requests[&id].class;
         let usual_work = self.usual_work(class);
         let request = self.requests.get_mut(&id).expect("a queued request");
@@ -66,7 +66,7 @@
         }
         let (attempt, threads) = (request.attempts.len(), self.classes[class].threads);
         let is_first_there = !request.was_sent_to(to);
-        let sent = InFlight { request: id, attempt, sent_at: now, tier, grant_mb, threads };
+        let sent = InFlightAttempt { request: id, attempt, sent_at: now, tier, grant_mb, threads };
         request.attempts.push(Attempt::new(now, to, grant_mb));
         let engine = self.engines.get_mut(&to).expect("a listed engine");
         engine.in_flight.push(sent.clone());
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -1,6 +1,6 @@
 //! The state of the fleet at the time of an input, as the rules use it.
 
-use super::{InFlight, Resources};
+use super::{InFlightAttempt, Resources};
 use crate::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -43,7 +43,7 @@
 
 impl FleetSnapshot {
     /// Adds an attempt that was sent to an engine of this kind.
-    pub fn count_sent(&mut self, engine: EngineId, kind: usize, sent: &InFlight) {
+    pub fn count_sent(&mut self, engine: EngineId, kind: usize, sent: &InFlightAttempt) {
         let is_under_pressure = self.engines[&engine].is_under_pressure();
         let gateway = &mut self.gateways[kind];
         gateway.local_load = gateway.local_load.plus(sent.resources());
