--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Memory of requests that are not limited, as a fraction of the memory per core.
-const UNBLOCKED_FRACTION: f64 = 1.0 / 64.0;
+const UNLIMITED_FRACTION: f64 = 1.0 / 64.0;
 /// Largest change of the memory target by pressure, as a fraction of its initial value.
 const TARGET_RANGE: f64 = 0.5;
 /// Fraction of an engine's memory to fill if its load is estimated: halfway from the initial target to all.
@@ -107,7 +107,7 @@
         let reports = self.comparable_reports(&members);
         let local_loads = members.iter().map(|(engine, _)| self.local_load(now, engine, Duration::ZERO));
         Gateway {
-            unblocked_mb: memory_mb / cores * UNBLOCKED_FRACTION,
+            unlimited_below_mb: memory_mb / cores * UNLIMITED_FRACTION,
             memory_target_mb: memory_mb * fleet_share * MEMORY_TARGET_FRACTION * target_factor,
             unreported_fill: UNREPORTED_FILL * target_factor.min(1.0),
             engine_count: self.engine_index.accepting(kind).max(1) as f64,
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -21,8 +21,8 @@
         let threshold =
             |fraction: f64, count: f64| self.memory_target_mb * fraction * self.engine_count / (count + 1.0);
         let memory_mb = request.memory_mb;
-        if memory_mb < self.unblocked_mb {
-            Tier::Unblocked
+        if memory_mb < self.unlimited_below_mb {
+            Tier::Unlimited
         } else if memory_mb < threshold(SMALL_FRACTION, self.small_count) {
             Tier::Small
         } else if memory_mb < threshold(MEDIUM_FRACTION, self.medium_count) {
@@ -47,7 +47,7 @@
     ) -> bool {
         let threads = self.classes[request.class].threads;
         let in_flight = engine.threads_in_flight(tier);
-        if tier == Tier::Unblocked {
+        if tier == Tier::Unlimited {
             return true;
         }
         if tier == Tier::Largest && in_flight > 0.0 {
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     /// Requests that are too small to be limited.
-    Unblocked,
+    Unlimited,
     Small,
     Medium,
     /// Requests that run one at a time on an engine.
@@ -18,7 +18,7 @@
 
 impl Tier {
     /// All tiers, in ascending order of memory.
-    pub const ALL: [Self; 4] = [Self::Unblocked, Self::Small, Self::Medium, Self::Largest];
+    pub const ALL: [Self; 4] = [Self::Unlimited, Self::Small, Self::Medium, Self::Largest];
 }
 
 /// The fleet at the time of an input. Sending a request updates it.
@@ -80,7 +80,7 @@
 /// The measurements and targets from which the thresholds of one engine kind are computed.
 pub struct Gateway {
     /// Requests below this many MB are not limited.
-    pub unblocked_mb: f64,
+    pub unlimited_below_mb: f64,
     /// Memory in MB of one engine that this router intends to fill.
     pub memory_target_mb: f64,
     /// Largest fraction of an engine's memory to fill if its load is estimated and not reported.
