--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -70,7 +70,7 @@
             return false;
         }
         let mut unknown = self.engines_without_report_since(window_start, snapshot);
-        unknown.sort_by_key(|id| self.tie_breaker(*id, now.as_micros() as u64));
+        unknown.sort_by_key(|id| self.pseudo_random(*id, now.as_micros() as u64));
         for id in unknown.into_iter().take(PROBES_AT_ONCE) {
             actions.probe(id);
         }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -166,7 +166,7 @@
         let engine = &self.engines[&id];
         let has_read_group = request.group.is_some_and(|group| engine.recent_groups.contains(&group));
         let is_at_home = engine.location == self.fleet.home_location;
-        (has_read_group, is_at_home, self.tie_breaker(id, self.random_draws))
+        (has_read_group, is_at_home, self.pseudo_random(id, self.random_draws))
     }
 
     /// Returns whether the request would wait for a bulk load at the engine: one that this router has sent,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -45,7 +45,7 @@
 
     /// Returns the random number from which the offset of this router's longer window follows.
     pub fn slow_start_draw(&self, id: EngineId, engine: &Engine) -> u64 {
-        self.tie_breaker(id, engine.listed_at.as_micros() as u64)
+        self.pseudo_random(id, engine.listed_at.as_micros() as u64)
     }
 
     /// Returns the work in seconds that a router with this share may send to an engine in any overload
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -20,7 +20,7 @@
 impl SchedulerState {
     /// Returns the rank of an engine in the choice of a subset, lowest first.
     pub fn rank(&self, id: EngineId) -> u64 {
-        self.tie_breaker(id, RANK_DRAW)
+        self.pseudo_random(id, RANK_DRAW)
     }
 
     /// Chooses the engines that this router uses. An engine keeps its rank, so that a change of the endpoint
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns a pseudo-random number that depends on the seed, the draw and the engine only.
-    pub fn tie_breaker(&self, engine: EngineId, draw: u64) -> u64 {
+    pub fn pseudo_random(&self, engine: EngineId, draw: u64) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.fleet.seed, draw, engine).hash(&mut hasher);
         hasher.finish()
