--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -57,7 +57,7 @@
         let window_start = self.slowdown_window_start(now);
         let recent = self.estimates.iter().flat_map(|class| class.slowdowns.since(window_start));
         let fleet_slowdown = at_least_ideal(median(recent));
-        let in_view = self.engines_in_view(may_send).into_iter();
+        let in_view = self.engines_to_examine(may_send).into_iter();
         let view = |id| self.engine_view(&self.engines[&id], now, fleet_slowdown, slowdowns);
         in_view.map(|id| (id, view(id))).collect()
     }
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -9,13 +9,13 @@
 const MIN_SUBSET_SIZE: usize = 96;
 /// Smallest number of engines of each kind and location in a subset, so that placement has a choice.
 const MIN_SUBSET_OF_GROUP: usize = 8;
-/// Smallest size of a subset as a multiple of the router's equal part of the engines.
-const MIN_SUBSET_EQUAL_PARTS: usize = 4;
+/// Smallest size of a subset as a multiple of the router's equal share of the engines.
+const MIN_SUBSET_EQUAL_SHARES: usize = 4;
 /// The draw that ranks engines. The seed of a router is part of the draw, so that the subsets of routers
 /// differ.
 const RANK_DRAW: u64 = u64::MAX;
 /// Largest number of routers that use the same engine, as a multiple of the mean, that slow start allows for.
-const SLOW_START_SPREAD: f64 = 2.0;
+const MAX_ROUTERS_PER_ENGINE_RATIO: f64 = 2.0;
 
 impl SchedulerState {
     /// Returns the rank of an engine in the choice of a subset, lowest first.
@@ -26,9 +26,9 @@
     /// Chooses the engines that this router uses. An engine keeps its rank, so that a change of the endpoint
     /// list changes few engines of the subset.
     pub fn choose_subset(&mut self) {
-        let engines = self.engine_index.accepting_in_all();
-        let equal_part = engines / self.fleet.router_count.max(1);
-        let size = MIN_SUBSET_SIZE.max(MIN_SUBSET_EQUAL_PARTS * equal_part);
+        let engines = self.engine_index.accepting_total();
+        let equal_share = engines / self.fleet.router_count.max(1);
+        let size = MIN_SUBSET_SIZE.max(MIN_SUBSET_EQUAL_SHARES * equal_share);
         if engines <= size {
             self.engine_index.use_all();
         } else {
@@ -38,7 +38,7 @@
 
     /// Returns the engines that an input has to examine: those with attempts in flight and, with `may_send`,
     /// those that a queued request may be sent to.
-    pub fn engines_in_view(&self, may_send: bool) -> Vec<EngineId> {
+    pub fn engines_to_examine(&self, may_send: bool) -> Vec<EngineId> {
         let busy = self.engine_index.busy();
         if !may_send {
             return busy.iter().copied().collect();
@@ -69,19 +69,19 @@
     /// Returns this router's share of an engine in its subset. It is larger than the fleet share, because
     /// only some of the other routers use the same engine.
     pub fn engine_share(&self, fleet_share: f64) -> f64 {
-        (fleet_share * self.subset_factor()).min(1.0)
+        (fleet_share * self.fleet_to_subset_ratio()).min(1.0)
     }
 
     /// Returns this router's share of an engine's slow-start budget. It allows for engines that more routers
     /// use than the mean.
     pub fn slow_start_share(&self, fleet_share: f64) -> f64 {
-        let factor = self.subset_factor() / SLOW_START_SPREAD;
+        let factor = self.fleet_to_subset_ratio() / MAX_ROUTERS_PER_ENGINE_RATIO;
         if factor > 1.0 { (fleet_share * factor).min(1.0) } else { fleet_share }
     }
 
     /// Returns the number of engines in the fleet as a multiple of those in the subset.
-    fn subset_factor(&self) -> f64 {
+    fn fleet_to_subset_ratio(&self) -> f64 {
         let used = self.engine_index.subset().map(BTreeSet::len).filter(|used| *used > 0);
-        used.map_or(1.0, |used| (self.engine_index.accepting_in_all() as f64 / used as f64).max(1.0))
+        used.map_or(1.0, |used| (self.engine_index.accepting_total() as f64 / used as f64).max(1.0))
     }
 }
--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the number of engines that accept requests.
-    pub fn accepting_in_all(&self) -> usize {
+    pub fn accepting_total(&self) -> usize {
         self.accepting.values().sum()
     }
 
@@ -103,7 +103,7 @@
     /// Uses a subset of about `size` engines from now on: of each group the first by rank, in proportion to
     /// its size, but at least `min_per_group` or all of them.
     pub fn use_subset(&mut self, size: usize, min_per_group: usize) {
-        let total = self.accepting_in_all().max(1);
+        let total = self.accepting_total().max(1);
         let mut subset = Vec::new();
         for group in self.ranked.values() {
             let count = (size * group.len()).div_ceil(total).max(min_per_group);
