--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -11,9 +11,9 @@
 /// Inactivity ratio from which an engine's attempts are cancelled and retried.
 const INACTIVITY_RATIO_FOR_RETRY: f64 = 1.5;
 /// Expected runs within which an engine must answer, if it sends no progress updates.
-const ACTIVITY_DUE_RUNS: f64 = 3.0;
+const INACTIVE_AFTER_RUNS: f64 = 3.0;
 /// Progress intervals within which an engine must send a progress update.
-const ACTIVITY_DUE_INTERVALS: f64 = 2.0;
+const INACTIVE_AFTER_PROGRESS_INTERVALS: f64 = 2.0;
 /// Failures in the window from which an engine is ejected.
 pub const MIN_FAILURES: usize = 2;
 /// Fraction of failures among the outcomes in the window from which an engine is ejected.
@@ -24,16 +24,16 @@
     /// within which it should have answered or sent a progress update. It is zero without attempts in flight.
     pub fn inactivity_ratio(&self, engine: &Engine, now: Duration, slowdowns: &[f64]) -> f64 {
         let Some(oldest) = engine.in_flight.first() else { return 0.0 };
-        let due = match self.fleet.progress_interval {
-            Some(interval) => seconds(interval) * ACTIVITY_DUE_INTERVALS,
+        let activity_timeout = match self.fleet.progress_interval {
+            Some(interval) => seconds(interval) * INACTIVE_AFTER_PROGRESS_INTERVALS,
             None => {
-                let due_after =
-                    |request: &Request| request.ideal_run * slowdowns[request.class] * ACTIVITY_DUE_RUNS;
-                self.in_flight_at(engine).map(due_after).fold(f64::INFINITY, f64::min)
+                let timeout_of =
+                    |request: &Request| request.ideal_run * slowdowns[request.class] * INACTIVE_AFTER_RUNS;
+                self.in_flight_at(engine).map(timeout_of).fold(f64::INFINITY, f64::min)
             }
         };
         let inactive = seconds(now.saturating_sub(engine.last_activity_at.max(oldest.sent_at)));
-        inactive / due.max(seconds(self.shortest_objective()))
+        inactive / activity_timeout.max(seconds(self.shortest_objective()))
     }
 
     /// Returns whether an engine fails often. Guards against engines that fail fast or are down, and so seem
@@ -64,7 +64,7 @@
             engine.last_activity_at = now;
         }
         let last = engine.failures.last();
-        let just_failed = last.is_some_and(|(at, failure)| failure > 0.0 && at + self.fleet.tick >= now);
+        let failed_within_last_tick = last.is_some_and(|(at, failure)| failure > 0.0 && at + self.fleet.tick >= now);
         match ended.outcome {
             Succeeded => {
                 engine.failures.push(now, 0.0);
@@ -72,11 +72,11 @@
             }
             Overloaded => engine.memory_shortage_at = Some(now),
             Failed | TimedOut => engine.failures.push(now, 1.0),
-            Unreachable => eject_until_warm(engine, now),
+            Unreachable => eject_and_restart_warm_up(engine, now),
             // Guards against lost machines and locations, whose connections all break at once.
-            Broken if just_failed && engine.in_flight.is_empty() => eject_until_warm(engine, now),
+            Broken if failed_within_last_tick && engine.in_flight.is_empty() => eject_and_restart_warm_up(engine, now),
             // A single broken connection counts as one failure, since the engine may still be up.
-            Broken if !just_failed => engine.failures.push(now, 1.0),
+            Broken if !failed_within_last_tick => engine.failures.push(now, 1.0),
             Broken | Cancelled | NotSent => {}
         }
     }
@@ -137,7 +137,7 @@
 }
 
 /// Ejects an engine that is down. It will warm up when it is back, and the endpoint list may show that late.
-fn eject_until_warm(engine: &mut Engine, now: Duration) {
+fn eject_and_restart_warm_up(engine: &mut Engine, now: Duration) {
     record_ejection(engine, now);
     engine.warming_since = Some(now);
 }
