--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -153,10 +153,10 @@
     scheduler(
         "a queued request answered long after its deadline",
         DEADLINES,
-        "|| soon >= request.deadline\n",
-        "|| soon >= request.deadline + (request.deadline - request.arrived_at)\n",
+        "|| due_by >= request.deadline\n",
+        "|| due_by >= request.deadline + (request.deadline - request.arrived_at)\n",
     ),
-    scheduler("answers too late", DEADLINES, "let soon = now + self.final_answer_lead();", "let soon = now;"),
+    scheduler("answers too late", DEADLINES, "let due_by = now + self.final_answer_lead();", "let due_by = now;"),
     scheduler(
         "no wake-up for an attempt in flight",
         DEADLINES,
@@ -186,7 +186,7 @@
     scheduler(
         "the end of the process is ignored",
         DEADLINES,
-        "soon >= self.shutdown_at || request.is_queued()",
+        "due_by >= self.shutdown_at || request.is_queued()",
         "request.is_queued()",
     ),
     Mutant {
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -59,7 +59,7 @@
             key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
-            margin: self.scheduler.margin() * DISPATCH_MARGIN_INTERVALS,
+            margin: self.scheduler.answer_margin() * DISPATCH_MARGIN_INTERVALS,
             wants_wait_notices: team.wants_wait_notices,
         }
     }
@@ -96,7 +96,7 @@
     /// timer expires at the latest after one interval of the scheduler.
     fn schedule_admission_timer(&mut self, now: Duration) {
         let next_deadline = self.admission_queue.as_ref().and_then(AdmissionQueue::next_deadline);
-        let due = next_deadline.map(|at| at.min(now + self.scheduler.margin()));
+        let due = next_deadline.map(|at| at.min(now + self.scheduler.answer_margin()));
         if due == self.admission_timer {
             return;
         }
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -109,8 +109,8 @@
     }
 
     /// Returns the time before a deadline by which the final answer must have been sent.
-    pub fn margin(&self) -> Duration {
-        self.state.margin()
+    pub fn answer_margin(&self) -> Duration {
+        self.state.answer_margin()
     }
 
     /// Returns the free capacity at this time, for an admission queue in front of the scheduler.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -55,7 +55,7 @@
         let request = &self.requests[&id];
         let grant_mb = self.grant_mb(request, to.kind);
         actions.set_terms(id, grant_mb.round(), self.priority(request.class));
-        actions.send(id, to.engine, request.deadline.saturating_sub(self.margin()));
+        actions.send(id, to.engine, request.deadline.saturating_sub(self.answer_margin()));
         self.random_draws += 1;
         self.record_sent(now, id, to.engine, to.tier, grant_mb)
     }
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Ticks before a deadline by which the final answer must have been sent.
-const MARGIN_TICKS: u32 = 4;
+const ANSWER_MARGIN_TICKS: u32 = 4;
 /// Margins before a deadline at which the scheduler answers a request.
 const FINAL_ANSWER_LEAD_MARGINS: u32 = 3;
 /// Priority weight that a late answer must have per second of remaining work, as a fraction of the mean of
@@ -19,38 +19,38 @@
 
 impl SchedulerState {
     /// Returns the time before a deadline by which the final answer must have been sent.
-    pub fn margin(&self) -> Duration {
-        self.fleet.tick * MARGIN_TICKS
+    pub fn answer_margin(&self) -> Duration {
+        self.fleet.tick * ANSWER_MARGIN_TICKS
     }
 
     /// Returns the time before a deadline at which the scheduler gives the final answer.
     pub fn final_answer_lead(&self) -> Duration {
-        self.margin() * FINAL_ANSWER_LEAD_MARGINS
+        self.answer_margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
     /// Answers requests without a result before their deadline or the end of the process, and at once if no
     /// further attempt is allowed or useful.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
-        let soon = now + self.final_answer_lead();
+        let due_by = now + self.final_answer_lead();
         let mut due = Vec::new();
         for (id, request) in &self.requests {
-            if !request.is_done() && self.is_answer_due(request, now, soon) {
+            if !request.is_done() && self.is_answer_due(request, now, due_by) {
                 due.push(*id);
             }
         }
         self.answer_without_result(due, actions)
     }
 
-    fn is_answer_due(&self, request: &Request, now: Duration, soon: Duration) -> bool {
-        soon >= self.shutdown_at || request.is_queued() && self.is_too_late_to_send(request, now, soon)
+    fn is_answer_due(&self, request: &Request, now: Duration, due_by: Duration) -> bool {
+        due_by >= self.shutdown_at || request.is_queued() && self.is_too_late_to_send(request, now, due_by)
     }
 
     /// Returns whether a queued request is not sent any more.
-    fn is_too_late_to_send(&self, request: &Request, now: Duration, soon: Duration) -> bool {
+    fn is_too_late_to_send(&self, request: &Request, now: Duration, due_by: Duration) -> bool {
         let is_retry = !request.attempts.is_empty();
         !request.is_open()
-            || soon >= request.deadline
+            || due_by >= request.deadline
             || is_retry && (!self.may_retry(request, now) || self.late_value_below_cost(request, now))
     }
 
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -16,11 +16,11 @@
 impl SchedulerState {
     /// Returns whether another attempt is allowed: the request may run again, and has attempts left.
     pub fn may_retry(&self, request: &Request, now: Duration) -> bool {
-        let soon = now + self.margin();
+        let delivered_by = now + self.answer_margin();
         let may_run_again = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
             (Effect::Idempotent, _) | (_, None) => true,
             (Effect::NonIdempotent, Some(_)) => false,
-            (Effect::IdempotentWithKey { window, .. }, Some(first)) => soon < first.sent_at + *window,
+            (Effect::IdempotentWithKey { window, .. }, Some(first)) => delivered_by < first.sent_at + *window,
         };
         may_run_again && request.attempts.len() < self.attempt_limits.max_attempts
     }
--- a/tests/digest/clients.rs
+++ b/tests/digest/clients.rs
@@ -72,6 +72,6 @@
             self.log.add(ADMITS, &[u64::from(capacity.admits(arrival))]);
         }
         let work = self.scheduler.expected_work(&arrivals[0]);
-        self.log.add(EXPECTED_WORK, &[nanoseconds(work), nanoseconds(self.scheduler.margin())]);
+        self.log.add(EXPECTED_WORK, &[nanoseconds(work), nanoseconds(self.scheduler.answer_margin())]);
     }
 }
