--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Longest time in the queue, as a fraction of the objective budget, by tier.
-const MAX_QUEUE_TIME: [f64; Tier::ALL.len()] = [0.25, 0.25, 0.5, 0.75];
+const MAX_QUEUE_TIME_FRACTION: [f64; Tier::ALL.len()] = [0.25, 0.25, 0.5, 0.75];
 /// Factor by which the measured fleet share of this router may be too low.
 const MAX_FLEET_SHARE_ERROR: f64 = 4.0;
 /// Queued requests that are never rejected for the work before them.
@@ -61,17 +61,17 @@
     }
 
     /// Probes engines without a recent load report, if engines report their load only in answer to a probe.
-    pub fn probe_unknown(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
+    pub fn probe_unreported_engines(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let window_start = now.saturating_sub(self.probe_interval());
-        let any_waits = self.queued().any(|(id, request)| self.is_next_of_its_key(id, request, now));
+        let any_request_ready = self.queued().any(|(id, request)| self.is_next_of_its_key(id, request, now));
         let may_probe = self.fleet.reports_only_on_probe && self.attempt_limits.may_probe;
-        if !any_waits || !may_probe || self.probed_at > window_start {
+        if !any_request_ready || !may_probe || self.probed_at > window_start {
             return false;
         }
-        let mut unknown = self.engines_without_report_since(window_start, snapshot);
-        unknown.sort_by_key(|id| self.pseudo_random(*id, now.as_micros() as u64));
-        for id in unknown.into_iter().take(PROBES_AT_ONCE) {
+        let mut unreported = self.engines_without_report_since(window_start, snapshot);
+        unreported.sort_by_key(|id| self.pseudo_random(*id, now.as_micros() as u64));
+        for id in unreported.into_iter().take(PROBES_AT_ONCE) {
             actions.probe(id);
         }
         self.probed_at = now;
@@ -79,10 +79,10 @@
     }
 
     fn engines_without_report_since(&self, start: Duration, snapshot: &FleetSnapshot) -> Vec<EngineId> {
-        let is_unknown = |engine: &Engine| {
+        let lacks_recent_report = |engine: &Engine| {
             engine.lifecycle.accepts_requests() && engine.report.is_none_or(|report| report.at < start)
         };
-        snapshot.engines.keys().copied().filter(|id| is_unknown(&self.engines[id])).collect()
+        snapshot.engines.keys().copied().filter(|id| lacks_recent_report(&self.engines[id])).collect()
     }
 
     /// Rejects queued requests that will miss their objective or have waited for too long.
@@ -94,7 +94,7 @@
             let is_too_late = if self.is_next_of_its_key(id, request, snapshot.now) {
                 beyond_capacity.contains(&id) || self.will_miss_objective(request, snapshot, shortest_budget)
             } else {
-                self.key_order_too_late(request, snapshot)
+                self.will_be_answered_too_late(request, snapshot)
             };
             if is_too_late {
                 too_late.push(id);
@@ -143,7 +143,7 @@
     }
 
     /// Returns whether a request that waits for others of its key is worth nothing any more if sent now.
-    fn key_order_too_late(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
+    fn will_be_answered_too_late(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
         let has_late_value = self.classes[request.class].late_share > 0.0;
         let answer_by = if has_late_value { request.deadline } else { request.objective_at };
         snapshot.now + self.expected_run(request, snapshot) > answer_by
@@ -157,7 +157,7 @@
         shortest_budget: Duration,
     ) -> bool {
         let tier = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).min();
-        let max_fraction = MAX_QUEUE_TIME[tier.unwrap_or(Tier::Largest) as usize];
+        let max_fraction = MAX_QUEUE_TIME_FRACTION[tier.unwrap_or(Tier::Largest) as usize];
         let shares_queue = request.estimated_work.is_none() && request.key.is_none();
         let budget = if shares_queue {
             request.objective_budget().min(shortest_budget)
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -34,7 +34,7 @@
             SchedulerState::cancel_slow_attempts,
             SchedulerState::cancel_late_attempts,
             SchedulerState::send_queued,
-            SchedulerState::probe_unknown,
+            SchedulerState::probe_unreported_engines,
             SchedulerState::reject_too_late,
             SchedulerState::schedule_wake,
         ];
