--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -124,7 +124,7 @@
         let gateway = &snapshot.gateways[engine.kind];
         let load = self.projected_load(engine, request, grant_mb, snapshot);
         let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
-        let memory_limit = if is_memory_estimated { gateway.unreported_fill } else { 1.0 };
+        let memory_limit = if is_memory_estimated { gateway.unreported_memory_limit } else { 1.0 };
         // Where the engine reports its busy cores, pressure covers an overload of the cores.
         let is_overloaded = gateway.reports_in_flight && load.busy() > PRESSURE_SLOWDOWN * FULL_USE;
         let fits = load.memory <= memory_limit
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -13,9 +13,9 @@
 /// Memory of requests that are not limited, as a fraction of the memory per core.
 const UNLIMITED_FRACTION: f64 = 1.0 / 64.0;
 /// Largest change of the memory target by pressure, as a fraction of its initial value.
-const TARGET_RANGE: f64 = 0.5;
+const MAX_TARGET_CHANGE: f64 = 0.5;
 /// Fraction of an engine's memory to fill if its load is estimated: halfway from the initial target to all.
-const UNREPORTED_FILL: f64 = (1.0 + MEMORY_TARGET_FRACTION) / 2.0;
+const UNREPORTED_MEMORY_LIMIT: f64 = (1.0 + MEMORY_TARGET_FRACTION) / 2.0;
 /// Limits of an engine's slowdown relative to the fleet's.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.5;
 const MAX_RELATIVE_SLOWDOWN: f64 = 4.0;
@@ -109,7 +109,7 @@
         Gateway {
             unlimited_below_mb: memory_mb / cores * UNLIMITED_FRACTION,
             memory_target_mb: memory_mb * fleet_share * MEMORY_TARGET_FRACTION * target_factor,
-            unreported_fill: UNREPORTED_FILL * target_factor.min(1.0),
+            unreported_memory_limit: UNREPORTED_MEMORY_LIMIT * target_factor.min(1.0),
             engine_count: self.engine_index.accepting(kind).max(1) as f64,
             small_count: count_in_flight(&members, Tier::Small),
             medium_count: count_in_flight(&members, Tier::Medium),
@@ -195,7 +195,7 @@
         None => 0.0,
     };
     let mean_headroom = mean(members.iter().map(|(_, view)| headroom(view))).unwrap_or(0.0);
-    1.0 + mean_headroom * TARGET_RANGE
+    1.0 + mean_headroom * MAX_TARGET_CHANGE
 }
 
 fn count_in_flight(members: &[Member<'_>], tier: Tier) -> f64 {
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -84,7 +84,7 @@
     /// Memory in MB of one engine that this router intends to fill.
     pub memory_target_mb: f64,
     /// Largest fraction of an engine's memory to fill if its load is estimated and not reported.
-    pub unreported_fill: f64,
+    pub unreported_memory_limit: f64,
     /// Number of engines that accept requests.
     pub engine_count: f64,
     /// Attempts of the small tier in flight.
