--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -78,14 +78,14 @@
     scheduler(
         "drained engine allowed",
         PLACEMENT,
-        "engine.lifecycle.accepts_requests() && is_placed && in_scope",
-        "is_placed && in_scope",
+        "engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope",
+        "is_allowed_by_class && is_in_key_scope",
     ),
     scheduler(
         "placement ignored",
         PLACEMENT,
-        "engine.lifecycle.accepts_requests() && is_placed && in_scope",
-        "engine.lifecycle.accepts_requests() && in_scope",
+        "engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope",
+        "engine.lifecycle.accepts_requests() && is_in_key_scope",
     ),
     scheduler(
         "non-idempotent sent again",
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -18,13 +18,13 @@
 }
 
 impl Placement {
-    fn slot(&self) -> Slot {
+    fn tier_of_kind(&self) -> TierOfKind {
         (self.kind, self.tier)
     }
 }
 
 /// A tier of an engine kind.
-type Slot = (usize, Tier);
+type TierOfKind = (usize, Tier);
 
 /// An engine that is eligible for a request.
 struct Candidate<'a> {
@@ -41,32 +41,32 @@
 
 /// The eligible engines of a request, by whether they have capacity.
 #[derive(Default)]
-struct Capacities {
-    free: Vec<Placement>,
-    full: Vec<Slot>,
+struct PlacementOptions {
+    available: Vec<Placement>,
+    full_tiers: Vec<TierOfKind>,
 }
 
 impl SchedulerState {
     /// Returns the engine with the most free capacity for a request, if any has enough. If no engine of a
     /// kind has capacity for the request, its tier is blocked at that kind for later requests.
     pub fn choose_engine(&self, request: &Request, snapshot: &mut FleetSnapshot) -> Option<Placement> {
-        let mut slots = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).enumerate();
-        if slots.all(|slot| snapshot.blocked_tiers.contains(&slot)) {
+        let mut tiers = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).enumerate();
+        if tiers.all(|tier| snapshot.blocked_tiers.contains(&tier)) {
             return None;
         }
-        let Capacities { free, mut full } = self.capacities(request, snapshot);
+        let PlacementOptions { available, mut full_tiers } = self.placement_options(request, snapshot);
         snapshot.engines_examined += snapshot.engines.len() as u64;
         // A request that may use only some of the engines must not block requests that may use others.
         if self.may_use_all_engines(request) {
-            full.retain(|slot| !free.iter().any(|placement| placement.slot() == *slot));
-            snapshot.blocked_tiers.extend(full);
+            full_tiers.retain(|tier| !available.iter().any(|placement| placement.tier_of_kind() == *tier));
+            snapshot.blocked_tiers.extend(full_tiers);
         }
-        self.best_placement(request, free, snapshot.now)
+        self.best_placement(request, available, snapshot.now)
     }
 
-    fn capacities(&self, request: &Request, snapshot: &FleetSnapshot) -> Capacities {
+    fn placement_options(&self, request: &Request, snapshot: &FleetSnapshot) -> PlacementOptions {
         let by_kind = self.tiers_and_grants(request, snapshot);
-        let mut capacities = Capacities::default();
+        let mut options = PlacementOptions::default();
         for candidate in self.candidates(request, snapshot) {
             let (engine, kind) = (candidate.id, candidate.engine.kind);
             let tier = by_kind[kind].tier;
@@ -75,12 +75,12 @@
             }
             match self.free_fraction(&candidate, request, &by_kind[kind], snapshot) {
                 Some(free_fraction) => {
-                    capacities.free.push(Placement { engine, kind, tier, free_fraction });
+                    options.available.push(Placement { engine, kind, tier, free_fraction });
                 }
-                None => capacities.full.push((kind, tier)),
+                None => options.full_tiers.push((kind, tier)),
             }
         }
-        capacities
+        options
     }
 
     fn tiers_and_grants(&self, request: &Request, snapshot: &FleetSnapshot) -> Vec<TierAndGrant> {
@@ -116,10 +116,10 @@
         &self,
         candidate: &Candidate<'_>,
         request: &Request,
-        needs: &TierAndGrant,
+        tier_and_grant: &TierAndGrant,
         snapshot: &FleetSnapshot,
     ) -> Option<f64> {
-        let TierAndGrant { tier, grant_mb } = *needs;
+        let TierAndGrant { tier, grant_mb } = *tier_and_grant;
         let Candidate { engine, view, .. } = *candidate;
         let gateway = &snapshot.gateways[engine.kind];
         let load = self.projected_load(engine, request, grant_mb, snapshot);
@@ -178,19 +178,19 @@
         let engine = &self.engines[&id];
         let window_start = self.bulk_load_window_start(now);
         let seen_at = request.group.and_then(|group| engine.bulk_loads_seen.get(&group));
-        let is_in_the_way =
+        let is_blocking_load =
             |other: &Request| self.classes[other.class].is_bulk_load && other.group == request.group;
-        seen_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_in_the_way)
+        seen_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_blocking_load)
     }
 
     /// Returns whether the engine accepts requests, and the request's class and earlier attempts allow the
     /// engine.
     fn is_allowed(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.classes[request.class];
-        let is_placed = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
+        let is_allowed_by_class = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
             && class.locations.as_ref().is_none_or(|locations| locations.contains(&engine.location));
         let first = request.first_that_may_have_run().map(|attempt| &self.engines[&attempt.engine]);
-        let in_scope = match (&class.effect, first) {
+        let is_in_key_scope = match (&class.effect, first) {
             (Effect::IdempotentWithKey { scope, .. }, Some(first)) => match scope {
                 KeyScope::All => true,
                 KeyScope::Location => first.location == engine.location,
@@ -198,7 +198,7 @@
             },
             _ => true,
         };
-        engine.lifecycle.accepts_requests() && is_placed && in_scope
+        engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope
     }
 
     /// Returns whether neither its class's locations nor an earlier attempt restrict the request to some
