--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,10 +18,16 @@
 
 use crate::state::WindowSizes;
 
-/// Samples in the window of each measurement.
-const SAMPLES: usize = 32;
+/// Samples in the window of each estimate of a class, and of an engine's slowdowns.
+const ESTIMATE_SAMPLES: usize = 32;
 /// Outcomes in the window of an engine's latest attempts.
-const OUTCOMES: usize = 8;
+const OUTCOME_SAMPLES: usize = 8;
+/// Groups of data that an engine has read most recently.
+const RECENT_GROUPS: usize = 8;
+/// Samples in the window of the work sent to an engine.
+const SENT_WORK_SAMPLES: usize = 1024;
+/// Samples in the window of this router's share of the fleet.
+const FLEET_SHARE_SAMPLES: usize = 256;
 /// Initial memory target, as a fraction of the memory in this router's share of an engine.
 const MEMORY_TARGET_FRACTION: f64 = 0.5;
 /// Elapsed time of an engine's successes, as a multiple of their ideal runs, above which it is under
@@ -32,8 +38,9 @@
 
 /// Capacities of the sample windows in the state.
 pub const WINDOW_SIZES: WindowSizes = WindowSizes {
-    estimates: SAMPLES,
-    outcomes: OUTCOMES,
-    sent_work: SAMPLES * SAMPLES,
-    fleet_shares: SAMPLES * OUTCOMES,
+    estimates: ESTIMATE_SAMPLES,
+    outcomes: OUTCOME_SAMPLES,
+    recent_groups: RECENT_GROUPS,
+    sent_work: SENT_WORK_SAMPLES,
+    fleet_shares: FLEET_SHARE_SAMPLES,
 };
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -30,8 +30,10 @@
 pub struct WindowSizes {
     /// Samples of each estimate of a class, and of an engine's slowdowns.
     pub estimates: usize,
-    /// Outcomes of an engine's attempts, and groups that it has read.
+    /// Outcomes of an engine's attempts.
     pub outcomes: usize,
+    /// Groups of the requests that were sent to an engine.
+    pub recent_groups: usize,
     /// Samples of the work sent to an engine.
     pub sent_work: usize,
     /// Samples of this router's share of the fleet.
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -71,7 +71,7 @@
         let engine = self.engines.get_mut(&to).expect("a listed engine");
         engine.in_flight.push(sent.clone());
         engine.sent_work.push(now, usual_work);
-        engine.record_group(request.group, self.window_sizes.outcomes);
+        engine.record_group(request.group, self.window_sizes.recent_groups);
         engine.request_count += usize::from(is_first_there);
         self.engine_index.update_use(to, engine);
         sent
