--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Marks cancelled requests as done, and those of half-closed clients as abandoned.
+    /// Marks cancelled requests as done, and open requests of half-closed clients as half-closed.
     pub fn record_clients_left(&mut self, cancelled: &[RequestId], half_closed: &[RequestId]) {
         for id in cancelled {
             self.record_done(*id);
@@ -176,7 +176,7 @@
             if let Some(request) = self.requests.get_mut(id)
                 && request.phase == RequestPhase::Open
             {
-                request.phase = RequestPhase::Abandoned;
+                request.phase = RequestPhase::HalfClosed;
             }
         }
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -9,8 +9,8 @@
 pub enum RequestPhase {
     /// The client waits for an answer.
     Open,
-    /// The client needs an answer but may have left. No further attempt is sent.
-    Abandoned,
+    /// The client has closed its sending side and may have left. It still needs an answer, but no further attempt is sent.
+    HalfClosed,
     /// The request was answered or cancelled.
     Done,
 }
