--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -109,8 +109,8 @@
     scheduler(
         "key cooldown ignored",
         ORDERING,
-        "cooldown.after == id || cooldown.until <= now",
-        "cooldown.after == id || cooldown.until > Duration::ZERO",
+        "cooldown.exempt_request == id || cooldown.until <= now",
+        "cooldown.exempt_request == id || cooldown.until > Duration::ZERO",
     ),
     scheduler(
         "key cooldown after breaks forgotten",
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -108,7 +108,7 @@
             }
             let cooldown = key_queue.cooldown.filter(|cooldown| cooldown.until > now);
             let cooldown =
-                cooldown.map(|cooldown| (positions.get(&cooldown.after), since(now, cooldown.until)));
+                cooldown.map(|cooldown| (positions.get(&cooldown.exempt_request), since(now, cooldown.until)));
             cooldown.hash(hasher);
         }
     }
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy)]
 pub struct Cooldown {
     /// The request of that attempt, which may be sent again during the cooldown.
-    pub after: RequestId,
+    pub exempt_request: RequestId,
     pub until: Duration,
 }
 
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -134,7 +134,7 @@
         let key = self.requests.get(&id).and_then(|request| request.key);
         if let (Some(key), Some(cooldown)) = (key, self.attempt_limits.key_cooldown) {
             let until = now + cooldown;
-            self.key_queues.entry(key).or_default().cooldown = Some(Cooldown { after: id, until });
+            self.key_queues.entry(key).or_default().cooldown = Some(Cooldown { exempt_request: id, until });
         }
     }
 
