--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -2,7 +2,7 @@
 
 use super::ModuleModel;
 use super::scenario::EngineSpec;
-use emberflow::{AttemptOutcome, Endpoint, EngineId, Fingerprint, KeyId, Lifecycle, RequestId, Scheduler};
+use emberflow::{AttemptOutcome, Endpoint, EngineId, FingerprintContext, KeyId, Lifecycle, RequestId, Scheduler};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
@@ -172,11 +172,11 @@
     pub fn update_fingerprint(&mut self, model: &ModuleModel) {
         let mut hasher = DefaultHasher::new();
         let engine_fingerprint = |engine| self.engine_fingerprint(model, engine);
-        let context = Fingerprint {
+        let context = FingerprintContext {
             now: self.now,
-            more_arrivals: self.expects_arrival(model),
+            expects_arrivals: self.expects_arrival(model),
             engines_interchangeable: model.interchangeable_engines,
-            engine_state: &engine_fingerprint,
+            engine_state_hash: &engine_fingerprint,
         };
         self.scheduler.fingerprint(&context, &mut hasher);
         for engine in self.engine_records.iter().filter(|engine| engine.is_forgotten) {
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -22,7 +22,7 @@
 use crate::ring::Ring;
 use crate::slots::Slot;
 use crate::timers::Timer;
-use emberflow::{AttemptEnded, Fingerprint, RequestClass, RequestId, Scheduler};
+use emberflow::{AttemptEnded, FingerprintContext, RequestClass, RequestId, Scheduler};
 use state::ServerState;
 use std::hash::Hasher;
 use std::time::Duration;
@@ -107,7 +107,7 @@
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
         let fingerprint =
-            Fingerprint { now, more_arrivals: true, engines_interchangeable: false, engine_state: &|_| 0 };
+            FingerprintContext { now, expects_arrivals: true, engines_interchangeable: false, engine_state_hash: &|_| 0 };
         self.scheduler.fingerprint(&fingerprint, hasher);
         self.dispatcher.fingerprint(hasher);
         self.state.fingerprint(now, hasher);
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -22,15 +22,15 @@
 }
 
 /// The context of a fingerprint, which the caller knows.
-pub struct Fingerprint<'a> {
+pub struct FingerprintContext<'a> {
     /// The time to which all times are relative.
     pub now: Duration,
     /// Whether requests may still arrive. If not, the estimates of their classes have no further influence.
-    pub more_arrivals: bool,
+    pub expects_arrivals: bool,
     /// Whether engines of the same state may be interchanged.
     pub engines_interchangeable: bool,
     /// Returns a hash of the state of an engine that the caller holds.
-    pub engine_state: &'a dyn Fn(EngineId) -> u64,
+    pub engine_state_hash: &'a dyn Fn(EngineId) -> u64,
 }
 
 /// Positions of the unfinished requests in the order of arrival, which replace their numbers.
@@ -53,18 +53,18 @@
 
     /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs,
     /// except for random choices and, if engines are interchangeable, their numbers.
-    pub fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    pub fn fingerprint(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         self.state.fingerprint(context, hasher);
     }
 }
 
 impl SchedulerState {
-    fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn fingerprint(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let now = context.now;
         // Without further requests, only the engines and keys that are still to be forgotten matter.
-        if self.requests.is_empty() && !context.more_arrivals {
+        if self.requests.is_empty() && !context.expects_arrivals {
             (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(hasher);
-            return since(now, self.wake_due.max(now)).hash(hasher);
+            return relative_micros(now, self.wake_due.max(now)).hash(hasher);
         }
         let positions: Positions = self.requests.keys().copied().zip(0..).collect();
         self.hash_engines(&positions, context, hasher);
@@ -72,16 +72,16 @@
             self.hash_request(request, context, hasher);
         }
         self.hash_key_queues(now, &positions, hasher);
-        since(now, self.wake_due.max(now)).hash(hasher);
-        (self.shutdown_at != Duration::MAX).then(|| since(now, self.shutdown_at)).hash(hasher);
+        relative_micros(now, self.wake_due.max(now)).hash(hasher);
+        (self.shutdown_at != Duration::MAX).then(|| relative_micros(now, self.shutdown_at)).hash(hasher);
         self.watching.hash(hasher);
         let probed_at = self.probed_at.max(now.saturating_sub(self.shortest_objective()));
-        self.fleet.reports_only_on_probe.then(|| since(now, probed_at)).hash(hasher);
+        self.fleet.reports_only_on_probe.then(|| relative_micros(now, probed_at)).hash(hasher);
         self.hash_retry_budget(now, hasher);
         self.hash_estimates(context, hasher);
     }
 
-    fn hash_engines(&self, positions: &Positions, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn hash_engines(&self, positions: &Positions, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let engines = self.engines.iter();
         let mut hashes: Vec<u64> =
             engines.map(|(id, engine)| self.engine_hash(*id, engine, positions, context)).collect();
@@ -96,7 +96,7 @@
             return;
         }
         for at in self.accepted_at.iter().chain(&self.retried_at) {
-            since(now, *at).hash(hasher);
+            relative_micros(now, *at).hash(hasher);
         }
         self.retried_at.len().hash(hasher);
     }
@@ -108,12 +108,12 @@
             }
             let cooldown = key_queue.cooldown.filter(|cooldown| cooldown.until > now);
             let cooldown =
-                cooldown.map(|cooldown| (positions.get(&cooldown.exempt_request), since(now, cooldown.until)));
+                cooldown.map(|cooldown| (positions.get(&cooldown.exempt_request), relative_micros(now, cooldown.until)));
             cooldown.hash(hasher);
         }
     }
 
-    fn hash_estimates(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn hash_estimates(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let window_start = self.slowdown_window_start(context.now);
         hash_samples(&self.fleet_shares, context.now, Duration::ZERO, hasher);
         for estimates in &self.estimates {
@@ -122,14 +122,14 @@
             hash_values(&estimates.memory_mb, hasher);
             hash_values(&estimates.work_ratios, hasher);
             hash_values(&estimates.memory_ratios, hasher);
-            if context.more_arrivals {
+            if context.expects_arrivals {
                 hash_values(&estimates.deadlines, hasher);
             }
             hash_samples(&estimates.slowdowns, context.now, window_start, hasher);
         }
     }
 
-    fn hash_request(&self, request: &Request, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn hash_request(&self, request: &Request, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let now = context.now;
         (request.class, request.group, request.phase, request.key).hash(hasher);
         let estimates =
@@ -138,12 +138,12 @@
             value.to_bits().hash(hasher);
         }
         for at in [request.arrived_at, request.objective_at, request.deadline] {
-            since(now, at).hash(hasher);
+            relative_micros(now, at).hash(hasher);
         }
         // The window of an idempotency key counts from the first attempt that may have run.
         let has_window = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
         let first = request.first_that_may_have_run().filter(|_| has_window);
-        first.map(|attempt| since(now, attempt.sent_at)).hash(hasher);
+        first.map(|attempt| relative_micros(now, attempt.sent_at)).hash(hasher);
         for attempt in &request.attempts {
             hash_attempt(attempt, now, hasher);
             if !context.engines_interchangeable {
@@ -157,12 +157,12 @@
         id: EngineId,
         engine: &Engine,
         positions: &Positions,
-        context: &Fingerprint<'_>,
+        context: &FingerprintContext<'_>,
     ) -> u64 {
         let mut engine_hasher = DefaultHasher::new();
         let (hasher, now) = (&mut engine_hasher, context.now);
         (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(hasher);
-        engine.launched.map(|at| since(now, at)).hash(hasher);
+        engine.launched.map(|at| relative_micros(now, at)).hash(hasher);
         self.hash_slow_start(id, engine, now, hasher);
         for attempt in &engine.in_flight {
             hash_in_flight(attempt, positions, now, hasher);
@@ -171,9 +171,9 @@
         self.hash_health(engine, now, hasher);
         engine.recent_groups.hash(hasher);
         for (group, at) in &engine.bulk_loads_seen {
-            (group, since(now, *at)).hash(hasher);
+            (group, relative_micros(now, *at)).hash(hasher);
         }
-        (context.engine_state)(id).hash(hasher);
+        (context.engine_state_hash)(id).hash(hasher);
         engine_hasher.finish()
     }
 
@@ -190,11 +190,11 @@
 
     fn hash_slow_start(&self, id: EngineId, engine: &Engine, now: Duration, hasher: &mut impl Hasher) {
         let warming = engine.warming_since.filter(|at| *at + self.attempt_limits.warm_up > now);
-        warming.map(|at| since(now, at)).hash(hasher);
+        warming.map(|at| relative_micros(now, at)).hash(hasher);
         let Some(budget) = self.slow_start_budget(engine, now, self.fleet_share()) else { return };
         // If the budget is smaller than one request, the window is longer and starts at a random offset.
         let has_longer_window = (0..self.classes.len()).any(|class| self.slow_start_work(class) > budget);
-        let offset = || (since(now, engine.listed_at), self.slow_start_draw(id, engine));
+        let offset = || (relative_micros(now, engine.listed_at), self.slow_start_draw(id, engine));
         has_longer_window.then(offset).hash(hasher);
         let window = self.attempt_limits.overload_window;
         let start = if has_longer_window { Duration::ZERO } else { now.saturating_sub(window) };
@@ -203,24 +203,24 @@
 
     fn hash_health(&self, engine: &Engine, now: Duration, hasher: &mut impl Hasher) {
         let oldest = engine.in_flight.first().map(|attempt| attempt.sent_at);
-        oldest.map(|at| since(now, engine.last_activity_at.max(at))).hash(hasher);
+        oldest.map(|at| relative_micros(now, engine.last_activity_at.max(at))).hash(hasher);
         let recovery_interval = self.recovery_interval(self.fleet_share());
         let last_sent = engine.sent_work.last().filter(|(at, _)| *at + recovery_interval > now);
-        last_sent.map(|(at, _)| since(now, at)).hash(hasher);
+        last_sent.map(|(at, _)| relative_micros(now, at)).hash(hasher);
         hash_samples(&engine.slowdowns, now, self.slowdown_window_start(now), hasher);
         // The exact time of a failure before the longest possible window has no influence.
         let failures = engine.failures.samples().count().max(MIN_FAILURES);
         let longest_window_start = self.failure_window_start(now, failures);
         for (at, failure) in engine.failures.samples() {
-            (since(now, at.max(longest_window_start)), failure.to_bits()).hash(hasher);
+            (relative_micros(now, at.max(longest_window_start)), failure.to_bits()).hash(hasher);
         }
         let has_shortage = engine.had_memory_shortage_since(self.pressure_window_start(now));
         let memory_shortage_at = engine.memory_shortage_at.filter(|_| has_shortage);
-        memory_shortage_at.map(|at| since(now, at)).hash(hasher);
+        memory_shortage_at.map(|at| relative_micros(now, at)).hash(hasher);
         if let Some(report) = &engine.report {
             let load = report.load;
             let values = [load.busy, load.waiting, load.memory, load.disks];
-            (since(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
+            (relative_micros(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
         }
     }
 }
@@ -230,20 +230,20 @@
     if attempt.outcome.is_some() {
         return;
     }
-    let times = (since(now, attempt.sent_at), since(now, attempt.last_activity_at));
+    let times = (relative_micros(now, attempt.sent_at), relative_micros(now, attempt.last_activity_at));
     (attempt.is_stalled, attempt.cancelled, times).hash(hasher);
-    let finish = attempt.expected_finish.map(|at| since(now, at));
+    let finish = attempt.expected_finish.map(|at| relative_micros(now, at));
     (finish, attempt.grant_mb.to_bits(), attempt.spilled_mb.to_bits()).hash(hasher);
 }
 
 fn hash_in_flight(attempt: &InFlightAttempt, positions: &Positions, now: Duration, hasher: &mut impl Hasher) {
-    let sent = since(now, attempt.sent_at);
+    let sent = relative_micros(now, attempt.sent_at);
     (positions.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(hasher);
     (attempt.grant_mb.to_bits(), attempt.threads.to_bits()).hash(hasher);
 }
 
 /// Returns the microseconds from `now` to `at`, which are negative if `at` has passed.
-fn since(now: Duration, at: Duration) -> i64 {
+fn relative_micros(now: Duration, at: Duration) -> i64 {
     at.as_micros() as i64 - now.as_micros() as i64
 }
 
@@ -256,6 +256,6 @@
 /// Hashes the samples that were taken at or after `start`.
 fn hash_samples(window: &SampleWindow, now: Duration, start: Duration, hasher: &mut impl Hasher) {
     for (at, value) in window.samples().filter(|(at, _)| *at >= start) {
-        (since(now, at), value.to_bits()).hash(hasher);
+        (relative_micros(now, at), value.to_bits()).hash(hasher);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,7 +27,7 @@
 mod state;
 
 pub use actions::Actions;
-pub use fingerprint::{Fingerprint, HeldCounts};
+pub use fingerprint::{FingerprintContext, HeldCounts};
 pub use handlers::Capacity;
 pub use ids::{EngineId, KeyId, RequestId};
 pub use input::{
