--- a/crates/model-checker/src/module_model/event.rs
+++ b/crates/model-checker/src/module_model/event.rs
@@ -54,7 +54,7 @@
     fn send(&mut self, request: RequestId, engine: EngineId, times_out_at: Duration) {
         self.push(Event::Send { request, engine, times_out_at });
     }
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, _: u8) {
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, _: u8) {
         self.push(Event::Grant { request, grant_mb });
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -89,7 +89,7 @@
         row.attempts.push(attempt);
     }
 
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         let Some(request) = self.requests.get_mut(request) else { return };
         if request.priority != priority {
             for attempt in &request.attempts {
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -45,7 +45,7 @@
         }));
     }
 
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.write(json!({
             "op": "PROVIDE",
             "ref": self.request(request),
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -8,7 +8,7 @@
     /// Sends the request's next attempt to the engine. The attempt times out at `until`.
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
     /// Sets the memory grant of the request's next attempt, and the priority of all its attempts.
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8);
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8);
     /// Cancels an attempt in flight.
     fn cancel(&mut self, request: RequestId, attempt: usize);
     /// Answers the request without a result. The client may safely retry, after `retry_after` if given.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -54,7 +54,7 @@
     fn send(&mut self, now: Duration, id: RequestId, to: &Placement, actions: &mut impl Actions) -> InFlightAttempt {
         let request = &self.requests[&id];
         let grant_mb = self.grant_mb(request, to.kind);
-        actions.set_terms(id, grant_mb.round(), self.priority(request.class));
+        actions.set_grant_and_priority(id, grant_mb.round(), self.priority(request.class));
         actions.send(id, to.engine, request.deadline.saturating_sub(self.answer_margin()));
         self.random_draws += 1;
         self.record_sent(now, id, to.engine, to.tier, grant_mb)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,7 +14,7 @@
     pub kinds: Vec<EngineKind>,
     /// Largest memory grant, as a fraction of the engine's memory.
     pub max_grant_share: f64,
-    /// Whether engines respect the priority that [`Actions::set_terms`](crate::Actions::set_terms) sets.
+    /// Whether engines respect the priority that [`Actions::set_grant_and_priority`](crate::Actions::set_grant_and_priority) sets.
     pub honors_priorities: bool,
     /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
     pub shrinks_grants: bool,
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -81,7 +81,7 @@
     fn send(&mut self, request: RequestId, engine: EngineId, _: Duration) {
         self.0.push((request, engine));
     }
-    fn set_terms(&mut self, _: RequestId, _: f64, _: u8) {}
+    fn set_grant_and_priority(&mut self, _: RequestId, _: f64, _: u8) {}
     fn cancel(&mut self, _: RequestId, _: usize) {}
     fn reject(&mut self, _: RequestId, _: Option<Duration>) {}
     fn fail(&mut self, _: RequestId) {}
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -30,7 +30,7 @@
 /// Minimum number of each kind of action in all runs together, so that the digest covers it.
 const MIN_COUNTS: [(usize, u64); 13] = [
     (SEND, 40_000),
-    (SET_TERMS, 40_000),
+    (SET_GRANT_AND_PRIORITY, 40_000),
     (CANCEL, 5_000),
     (REJECT, 20_000),
     (FAIL, 2_000),
--- a/tests/digest/log.rs
+++ b/tests/digest/log.rs
@@ -6,7 +6,7 @@
 
 /// The kinds of actions, as the digest and the counts contain them.
 pub const SEND: usize = 0;
-pub const SET_TERMS: usize = 1;
+pub const SET_GRANT_AND_PRIORITY: usize = 1;
 pub const CANCEL: usize = 2;
 pub const REJECT: usize = 3;
 pub const FAIL: usize = 4;
@@ -54,8 +54,8 @@
         self.add(SEND, &[request.0.into(), engine.0 as u64, nanoseconds(until)]);
         self.pending.push(PendingAction::Attempt { request, engine, until });
     }
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
-        self.add(SET_TERMS, &[request.0.into(), grant_mb.to_bits(), priority.into()]);
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+        self.add(SET_GRANT_AND_PRIORITY, &[request.0.into(), grant_mb.to_bits(), priority.into()]);
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         self.add(CANCEL, &[request.0.into(), attempt as u64]);
--- a/tests/trace/action_log.rs
+++ b/tests/trace/action_log.rs
@@ -26,7 +26,7 @@
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
         self.add(format_args!("request {request} to engine {engine} until {}", until.as_millis()));
     }
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.add(format_args!("request {request} gets {grant_mb} MB, priority {priority}"));
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
