--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -26,7 +26,7 @@
     ProgressUpdate::Fraction(0.1),
     ProgressUpdate::Spilling(200.0),
     ProgressUpdate::WaitingForMemory,
-    ProgressUpdate::WaitingForLoad,
+    ProgressUpdate::WaitingForBulkLoad,
 ];
 /// The delay of a late wake-up.
 const LATE_WAKE_UP: Duration = Duration::from_millis(8);
@@ -309,7 +309,7 @@
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        progress_updates: &[ProgressUpdate::WaitingForLoad],
+        progress_updates: &[ProgressUpdate::WaitingForBulkLoad],
         max_progress_updates: 1,
         interchangeable_engines: false,
         in_short_set: false,
@@ -370,7 +370,7 @@
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
-        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
+        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForBulkLoad],
         max_progress_updates: 1,
         max_departures: 1,
         ..Scenario::BASE
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -60,7 +60,7 @@
     endpoint_changes: module_model::scenarios::SCENARIOS[0].endpoint_changes,
     progress_updates: &[
         emberflow::ProgressUpdate::Running,
-        emberflow::ProgressUpdate::WaitingForLoad,
+        emberflow::ProgressUpdate::WaitingForBulkLoad,
         emberflow::ProgressUpdate::Fraction(0.1),
     ],
     max_progress_updates: 2,
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -250,7 +250,7 @@
             (Some("advance"), Some(fraction)) => Ok(ProgressUpdate::Fraction(fraction)),
             (Some("disk"), Some(missing_mb)) => Ok(ProgressUpdate::Spilling(missing_mb)),
             (Some("stall"), Some(STALLED_FOR_MEMORY)) => Ok(ProgressUpdate::WaitingForMemory),
-            (Some("stall"), Some(STALLED_FOR_LOAD)) => Ok(ProgressUpdate::WaitingForLoad),
+            (Some("stall"), Some(STALLED_FOR_LOAD)) => Ok(ProgressUpdate::WaitingForBulkLoad),
             (None, _) => Ok(ProgressUpdate::Running),
             (detail, value) => {
                 let detail = detail.map(str::to_owned);
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -135,7 +135,7 @@
             (FRACTION_PROGRESS, fraction) => ProgressUpdate::Fraction(fraction),
             (SPILLING_PROGRESS, missing_mb) => ProgressUpdate::Spilling(missing_mb),
             (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressUpdate::WaitingForMemory,
-            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForLoad,
+            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForBulkLoad,
             (sort, value) => return Err(AdapterError::UnknownProgress { sort, value }),
         };
         Ok(Self::Progress { request, attempt, update })
--- a/src/input.rs
+++ b/src/input.rs
@@ -154,5 +154,5 @@
     /// The attempt waits for memory.
     WaitingForMemory,
     /// The attempt waits for a bulk load of its group.
-    WaitingForLoad,
+    WaitingForBulkLoad,
 }
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -156,7 +156,7 @@
             ProgressUpdate::Fraction(done) if done > 0.0 => attempt.expect_finish(now, done),
             ProgressUpdate::Spilling(missing_mb) => attempt.spilled_mb = attempt.spilled_mb.max(missing_mb),
             ProgressUpdate::WaitingForMemory => attempt.is_stalled = true,
-            ProgressUpdate::WaitingForLoad => {
+            ProgressUpdate::WaitingForBulkLoad => {
                 attempt.is_stalled = true;
                 engine.bulk_loads_seen.extend(request.group.map(|group| (group, now)));
             }
--- a/tests/digest/attempts.rs
+++ b/tests/digest/attempts.rs
@@ -114,7 +114,7 @@
             2 => ProgressUpdate::Spilling(random.between(10.0, 900.0)),
             3 => random.one_of(&[
                 ProgressUpdate::WaitingForMemory,
-                ProgressUpdate::WaitingForLoad,
+                ProgressUpdate::WaitingForBulkLoad,
                 ProgressUpdate::Running,
             ]),
             4 => ProgressUpdate::Fraction(0.0),
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -6,7 +6,7 @@
 mod settings;
 
 pub use endpoints::endpoint;
-pub use settings::{LOAD, LONG, SHORT, base, small};
+pub use settings::{BULK_LOAD, LONG, SHORT, base, small};
 
 use action_log::ActionLog;
 use emberflow::{AttemptLimits, Fleet, Lifecycle, RequestClass, RequestId, Scheduler};
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -8,9 +8,9 @@
 /// The idempotent class of [`base`] with long requests on three threads.
 pub const LONG: usize = 1;
 /// The non-idempotent class of [`base`], whose requests are bulk loads.
-pub const LOAD: usize = 2;
+pub const BULK_LOAD: usize = 2;
 
-/// The request classes [`SHORT`], [`LONG`] and [`LOAD`].
+/// The request classes [`SHORT`], [`LONG`] and [`BULK_LOAD`].
 fn classes() -> Vec<RequestClass> {
     let class = |effect, priority_weight, latency_objective, threads| RequestClass {
         latency_objective: ms(latency_objective),
--- a/tests/traces/deadlines.rs
+++ b/tests/traces/deadlines.rs
@@ -8,7 +8,7 @@
 #[test]
 fn without_engines_or_estimates_a_request_is_answered_before_its_deadline() {
     let mut trace = Trace::with_engines(0);
-    trace.accept(SHORT, 0, 0.0).accept(LOAD, 1, 1e12).at(7000).wake_until(8000).ended(0, 0, 0, TimedOut);
+    trace.accept(SHORT, 0, 0.0).accept(BULK_LOAD, 1, 1e12).at(7000).wake_until(8000).ended(0, 0, 0, TimedOut);
     trace.progress_updated(7, 3, ProgressUpdate::Fraction(0.0)).withdrawn(9);
     expect![[r#"
         7040  reject request 0, retry after 400
--- a/tests/traces/outliers.rs
+++ b/tests/traces/outliers.rs
@@ -29,7 +29,7 @@
 #[test]
 fn attempts_that_may_be_retried_are_cancelled_at_an_inactive_engine() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.progress_interval = None);
-    trace.accept(SHORT, 100, 300.0).accept(LOAD, 3000, 300.0).accept(SHORT, 100, 300.0);
+    trace.accept(SHORT, 100, 300.0).accept(BULK_LOAD, 3000, 300.0).accept(SHORT, 100, 300.0);
     trace.at(100).ended(2, 0, 0, Succeeded).wake_until(1700).ended(1, 0, 1, Succeeded);
     trace.ended(0, 0, 0, Cancelled).accept(SHORT, 100, 300.0);
     expect![[r#"
@@ -126,7 +126,7 @@
 #[test]
 fn an_engine_where_all_attempts_break_at_once_warms_up_again() {
     let mut trace = Trace::with_engines(1);
-    trace.accept_many(6, LOAD, 3000, 100.0);
+    trace.accept_many(6, BULK_LOAD, 3000, 100.0);
     trace.decisions();
     trace.at(100);
     for request in 0..6 {
--- a/tests/traces/retries.rs
+++ b/tests/traces/retries.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
     let mut trace = Trace::with_engines(3);
-    trace.accept_many(2, LOAD, 100, 300.0);
+    trace.accept_many(2, BULK_LOAD, 100, 300.0);
     trace.at(50).ended(0, 0, 0, Unreachable).ended(1, 0, 1, Broken);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
@@ -44,11 +44,11 @@
 #[test]
 fn requests_of_a_key_run_one_at_a_time_and_wait_after_an_attempt_that_may_still_run() {
     let mut trace = Trace::new(3, |_, classes, attempt_limits| {
-        classes[LOAD].keeps_order = true;
+        classes[BULK_LOAD].keeps_order = true;
         attempt_limits.key_cooldown = Some(ms(300));
     });
-    trace.accept_keyed(LOAD, 100, 300.0, Some(4)).accept_keyed(LOAD, 100, 300.0, Some(4));
-    trace.accept_keyed(LOAD, 100, 300.0, Some(5)).accept(LOAD, 100, 300.0);
+    trace.accept_keyed(BULK_LOAD, 100, 300.0, Some(4)).accept_keyed(BULK_LOAD, 100, 300.0, Some(4));
+    trace.accept_keyed(BULK_LOAD, 100, 300.0, Some(5)).accept(BULK_LOAD, 100, 300.0);
     trace.at(100).ended(0, 0, 0, Broken).wake_until(500);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
@@ -96,7 +96,7 @@
 #[test]
 fn an_attempt_that_waits_for_a_bulk_load_is_cancelled_and_retried() {
     let mut trace = Trace::with_engines(2);
-    trace.accept(SHORT, 900, 300.0).at(500).progress_updated(0, 0, ProgressUpdate::WaitingForLoad).at(505);
+    trace.accept(SHORT, 900, 300.0).at(500).progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad).at(505);
     trace.ended(0, 0, 0, Cancelled);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
@@ -111,8 +111,8 @@
 #[test]
 fn a_request_behind_others_of_its_key_may_wait_longer_than_its_tier_allows() {
     let mut trace =
-        Trace::new(1, |_, classes, _| (classes[LOAD].keeps_order, classes[LOAD].late_share) = (true, 0.5));
-    trace.accept_keyed(LOAD, 0, 0.0, Some(1)).accept_keyed(LOAD, 0, 0.0, Some(1)).at(3500).wake_now();
+        Trace::new(1, |_, classes, _| (classes[BULK_LOAD].keeps_order, classes[BULK_LOAD].late_share) = (true, 0.5));
+    trace.accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).at(3500).wake_now();
     trace.at(3600).billed(0, 0, 3600, 100.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
