--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -235,7 +235,7 @@
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
-            classes[0].late_share = 0.5;
+            classes[0].late_weight_fraction = 0.5;
             classes[0].deadline = classes[4].deadline / 2;
             attempt_limits.may_cancel = false;
         }),
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -44,7 +44,7 @@
             objective_stretch: row.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
             deadline: row.positive_time("deadlineMs")?,
             priority_weight: row.not_negative("gain")?,
-            late_share: row.fraction("lateShare")?,
+            late_weight_fraction: row.fraction("lateShare")?,
             effect: effect(row)?,
             keeps_order: row.optional("keepOrder", Fields::flag)?.unwrap_or(false),
             kinds: row.optional("allowedOn", |row, name| row.indices(name, Some(self.kind_count)))?,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -144,7 +144,7 @@
 
     /// Returns whether a request that waits for others of its key is worth nothing any more if sent now.
     fn will_be_answered_too_late(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
-        let has_late_value = self.classes[request.class].late_share > 0.0;
+        let has_late_value = self.classes[request.class].late_weight_fraction > 0.0;
         let answer_by = if has_late_value { request.deadline } else { request.objective_at };
         snapshot.now + self.expected_run(request, snapshot) > answer_by
     }
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -64,7 +64,7 @@
         let min_weight = mean(self.weights_per_second()).unwrap_or(0.0)
             * MIN_LATE_VALUE
             * self.remaining_work(request, now);
-        class.late_share * class.priority_weight < min_weight
+        class.late_weight_fraction * class.priority_weight < min_weight
     }
 
     /// Returns the remaining work of a request in seconds: until the expected end of its last attempt, or the
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -47,7 +47,7 @@
     /// Priority weight of a request that is answered within its latency objective.
     pub priority_weight: f64,
     /// Fraction of the priority weight that a late answer is worth.
-    pub late_share: f64,
+    pub late_weight_fraction: f64,
     /// Whether a request may run more than once.
     pub effect: Effect,
     /// Whether requests of one key run one at a time, in the order of arrival.
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -30,7 +30,7 @@
         objective_stretch: 0.0,
         deadline: ms(2000),
         priority_weight: 1.0,
-        late_share: 0.0,
+        late_weight_fraction: 0.0,
         effect,
         keeps_order: false,
         kinds: None,
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -53,7 +53,7 @@
         objective_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
         deadline: latency_objective * random.inclusive(1, 8) as u32,
         priority_weight: random.between(0.5, 8.0),
-        late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
+        late_weight_fraction: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
         effect: effect(random),
         keeps_order: random.percent(25),
         kinds: random.maybe(15, |random| vec![random.below(kinds)]),
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -17,7 +17,7 @@
         objective_stretch: 2.0,
         deadline: ms(latency_objective * 8),
         priority_weight,
-        late_share: 0.0,
+        late_weight_fraction: 0.0,
         effect,
         keeps_order: false,
         kinds: None,
--- a/tests/traces/retries.rs
+++ b/tests/traces/retries.rs
@@ -111,7 +111,7 @@
 #[test]
 fn a_request_behind_others_of_its_key_may_wait_longer_than_its_tier_allows() {
     let mut trace =
-        Trace::new(1, |_, classes, _| (classes[BULK_LOAD].keeps_order, classes[BULK_LOAD].late_share) = (true, 0.5));
+        Trace::new(1, |_, classes, _| (classes[BULK_LOAD].keeps_order, classes[BULK_LOAD].late_weight_fraction) = (true, 0.5));
     trace.accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).at(3500).wake_now();
     trace.at(3600).billed(0, 0, 3600, 100.0);
     expect![[r#"
