--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -85,10 +85,10 @@
             request: RequestId::from_index(index),
             class: request.class,
             key: request.key,
-            cost: (request.work_ms > 0).then(|| Duration::from_millis(request.work_ms)),
-            memory_mb: (request.memory_mb > 0.0).then_some(request.memory_mb),
+            estimated_work: (request.work_ms > 0).then(|| Duration::from_millis(request.work_ms)),
+            estimated_memory_mb: (request.memory_mb > 0.0).then_some(request.memory_mb),
             deadline: self.classes[request.class].deadline,
-            waited: Duration::ZERO,
+            queue_time: Duration::ZERO,
             is_retry: None,
             group: None,
         }
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -32,7 +32,7 @@
 impl QueuedRequest {
     /// Returns the scheduler's input for the request at `now`.
     fn arrival(&self, now: Duration) -> Arrival {
-        Arrival { waited: now.saturating_sub(self.arrived_at), ..self.arrival.clone() }
+        Arrival { queue_time: now.saturating_sub(self.arrived_at), ..self.arrival.clone() }
     }
 }
 
@@ -107,7 +107,7 @@
         admission: Admission,
     ) -> Result<(), Rejection> {
         let request = arrival.request;
-        let remaining = arrival.deadline.saturating_sub(arrival.waited);
+        let remaining = arrival.deadline.saturating_sub(arrival.queue_time);
         self.queues.enqueue(
             now,
             NewRequest {
@@ -124,7 +124,7 @@
         )?;
         let wants_notices = admission.wants_wait_notices && self.teams.wait_notice_field.is_some();
         let queued = QueuedRequest {
-            arrived_at: now.saturating_sub(arrival.waited),
+            arrived_at: now.saturating_sub(arrival.queue_time),
             arrival,
             dispatch_by: now + remaining.saturating_sub(admission.margin),
             next_notice: wants_notices.then_some(now),
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -240,7 +240,7 @@
     /// Decodes the resources that the engine used for a result, if the reply names both figures.
     pub fn usage(&self) -> Result<Option<Usage>, EngineProtocolError> {
         let cost_and_memory = self.number("cost")?.zip(self.number("need")?);
-        Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb }))
+        Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { work: from_ms(ms), memory_mb }))
     }
 
     /// Decodes a progress report.
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -189,7 +189,7 @@
             && let Some(usage) = &ended.usage
             && self.dispatcher.requests.get(ended.request).is_some()
         {
-            admission_queue.record_cost(ended.request, usage.cost);
+            admission_queue.record_cost(ended.request, usage.work);
         }
     }
 }
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -168,10 +168,10 @@
             request: self.dispatcher.requests.next_id,
             class,
             key: parameters.ordering_key,
-            cost: parameters.cost,
-            memory_mb: parameters.memory_mb,
+            estimated_work: parameters.cost,
+            estimated_memory_mb: parameters.memory_mb,
             deadline,
-            waited,
+            queue_time: waited,
             is_retry: self.dispatcher.config.clients_mark_retries.then_some(parameters.is_resent),
             group: parameters.table_group,
         }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -199,7 +199,7 @@
 fn usage(line: Fields<'_>) -> Option<Usage> {
     let used = line.get_number("usedUp").unwrap_or(0.0) as u64;
     (used > 0).then(|| Usage {
-        cost: Duration::from_millis(used / MEMORY_STEPS),
+        work: Duration::from_millis(used / MEMORY_STEPS),
         memory_mb: (used % MEMORY_STEPS * STEP_MB) as f64,
     })
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -129,10 +129,10 @@
             request: RequestId::from_index(self.names.requests.number(accept.request)),
             class: accept.class,
             key: accept.key.map(|key| KeyId::from_index(self.names.keys.number(key))),
-            cost: accept.cost,
-            memory_mb: accept.memory_mb,
+            estimated_work: accept.cost,
+            estimated_memory_mb: accept.memory_mb,
             deadline: accept.deadline,
-            waited: Duration::ZERO,
+            queue_time: Duration::ZERO,
             is_retry: self.clients_mark_retries.then_some(accept.is_retry),
             group: accept.group,
         };
--- a/src/input.rs
+++ b/src/input.rs
@@ -63,13 +63,13 @@
     /// The ordering key; it applies where the class keeps order.
     pub key: Option<KeyId>,
     /// The client's estimate of the work, as time on one core.
-    pub cost: Option<Duration>,
+    pub estimated_work: Option<Duration>,
     /// The client's estimate of the memory in MB.
-    pub memory_mb: Option<f64>,
-    /// How long the client waits for the answer. It counts from the arrival, which was `waited` ago.
+    pub estimated_memory_mb: Option<f64>,
+    /// How long the client waits for the answer. It counts from the arrival, which was `queue_time` ago.
     pub deadline: Duration,
     /// Time that the request was queued before the scheduler accepts it.
-    pub waited: Duration,
+    pub queue_time: Duration,
     /// Whether this is a client's retry of an earlier request; `None` if clients do not mark retries.
     pub is_retry: Option<bool>,
     /// The group of data that the request reads or loads.
@@ -137,7 +137,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// Work, as time on one core.
-    pub cost: Duration,
+    pub work: Duration,
     /// Peak memory in MB.
     pub memory_mb: f64,
 }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -29,11 +29,11 @@
         let corrected = |estimate: f64, ratios: &SampleWindow| estimate * ratios.median().unwrap_or(1.0);
         let usual = |samples: &SampleWindow| samples.mean().unwrap_or(0.0);
         Needs {
-            work: match arrival.cost {
+            work: match arrival.estimated_work {
                 Some(cost) => corrected(seconds(cost), &estimates.work_ratios),
                 None => usual(&estimates.work),
             },
-            memory_mb: match arrival.memory_mb {
+            memory_mb: match arrival.estimated_memory_mb {
                 Some(memory_mb) => corrected(memory_mb, &estimates.memory_ratios),
                 None => usual(&estimates.memory_mb),
             },
@@ -62,7 +62,7 @@
             self.estimates[arrival.class].deadlines.push(now, seconds(arrival.deadline));
         }
         let request = self.expected_request(now, arrival);
-        if arrival.cost.is_some() {
+        if arrival.estimated_work.is_some() {
             let work = self.expected_needs(arrival).work;
             self.estimates[arrival.class].work.push(now, work);
         }
@@ -79,7 +79,7 @@
         }
         let threads = self.classes[request.class].threads;
         let work = match &ended.usage {
-            Some(usage) => seconds(usage.cost),
+            Some(usage) => seconds(usage.work),
             None => self.unbilled_work(ended, attempt, threads),
         };
         self.estimates[request.class].work.push(now, work);
--- a/src/state/estimates.rs
+++ b/src/state/estimates.rs
@@ -44,7 +44,7 @@
             self.memory_ratios.push(now, usage.memory_mb / estimate);
         }
         if let Some(estimate) = request.estimated_work {
-            self.work_ratios.push(now, seconds(usage.cost) / estimate);
+            self.work_ratios.push(now, seconds(usage.work) / estimate);
         }
     }
 }
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -30,14 +30,14 @@
     ) -> Request {
         let class = &self.classes[arrival.class];
         let ideal_run = expected.work / class.threads.max(1.0);
-        let arrived_at = now.saturating_sub(arrival.waited);
+        let arrived_at = now.saturating_sub(arrival.queue_time);
         let deadline = (arrived_at + arrival.deadline).min(self.shutdown_at);
         let objective = arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run);
         Request {
             class: arrival.class,
             key: arrival.key.filter(|_| class.keeps_order),
-            estimated_work: arrival.cost.map(seconds),
-            estimated_memory_mb: arrival.memory_mb,
+            estimated_work: arrival.estimated_work.map(seconds),
+            estimated_memory_mb: arrival.estimated_memory_mb,
             ideal_run,
             memory_mb: expected.memory_mb,
             group: arrival.group,
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -64,10 +64,10 @@
         request,
         class: 0,
         key: None,
-        cost: Some(ms(20)),
-        memory_mb: Some(16.0),
+        estimated_work: Some(ms(20)),
+        estimated_memory_mb: Some(16.0),
         deadline: ms(2000),
-        waited: Duration::ZERO,
+        queue_time: Duration::ZERO,
         is_retry: None,
         group: None,
     }
--- a/tests/digest/attempts.rs
+++ b/tests/digest/attempts.rs
@@ -12,9 +12,9 @@
         client_request.attempts += 1;
         let (machine, random) = (&self.machines[&engine], &mut self.random);
         let (_, threads) = self.classes[client_request.arrival.class];
-        let cost = client_request.arrival.cost.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
+        let ideal_run = client_request.arrival.estimated_work.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
         let estimate_error = random.one_of(&[0.7, 1.0, 1.0, 1.2, 2.0, 10.0]);
-        let run = cost.mul_f64(estimate_error * machine.slowness * random.between(0.9, 1.6)) + ms(1);
+        let run = ideal_run.mul_f64(estimate_error * machine.slowness * random.between(0.9, 1.6)) + ms(1);
         let is_silent = machine.silent;
         let (wait, outcome) = self.attempt_end(engine, run, until.saturating_sub(self.now));
         self.running.insert((request, attempt), Running { engine, sent: self.now, until, run });
@@ -77,11 +77,11 @@
         };
         let client_request = self.client_requests.get_mut(&request).expect("a request that arrived");
         let elapsed = self.now - running.sent;
-        let estimate = client_request.arrival.memory_mb.unwrap_or(100.0);
+        let estimate = client_request.arrival.estimated_memory_mb.unwrap_or(100.0);
         let random = &mut self.random;
         let billed = end == AttemptOutcome::Succeeded && random.percent(self.environment.usages);
         let usage = billed.then(|| Usage {
-            cost: elapsed.mul_f64(random.between(0.5, 1.0)),
+            work: elapsed.mul_f64(random.between(0.5, 1.0)),
             memory_mb: estimate * random.between(0.4, 2.0),
         });
         client_request.answered |= end == AttemptOutcome::Succeeded;
--- a/tests/digest/clients.rs
+++ b/tests/digest/clients.rs
@@ -13,15 +13,15 @@
         let is_retry = random.percent(15);
         let has_estimates = random.percent(self.environment.estimates);
         let memory = random.one_of(&[5.0, 40.0, 300.0, 1200.0, 4000.0]) * random.between(0.5, 1.5);
-        let cost = random.one_of(&[10, 40, 150, 600]) * random.inclusive(5, 15) / 10;
+        let work = random.one_of(&[10, 40, 150, 600]) * random.inclusive(5, 15) / 10;
         Arrival {
             request: self.arrived,
             class,
             key: random.maybe(60, |random| KeyId(random.below(4) as u32)),
-            cost: has_estimates.then_some(ms(cost)),
-            memory_mb: (has_estimates && !random.percent(10)).then_some(memory),
+            estimated_work: has_estimates.then_some(ms(work)),
+            estimated_memory_mb: (has_estimates && !random.percent(10)).then_some(memory),
             deadline: if is_retry { deadline.mul_f64(random.between(0.3, 0.9)) } else { deadline },
-            waited: if random.percent(30) { random.time(1, 60) } else { ms(0) },
+            queue_time: if random.percent(30) { random.time(1, 60) } else { ms(0) },
             is_retry: self.environment.marks_retries.then_some(is_retry),
             group: random.maybe(50, |random| random.below(4) as u64),
         }
--- a/tests/trace/requests.rs
+++ b/tests/trace/requests.rs
@@ -8,21 +8,21 @@
 
 impl Trace {
     /// Accepts a request with estimates of its work in milliseconds and its memory; 0 for no estimate.
-    pub fn accept(&mut self, class: usize, cost: u64, memory_mb: f64) -> &mut Self {
-        self.accept_keyed(class, cost, memory_mb, None)
+    pub fn accept(&mut self, class: usize, work: u64, memory_mb: f64) -> &mut Self {
+        self.accept_keyed(class, work, memory_mb, None)
     }
 
     /// Accepts several requests with the same estimates.
-    pub fn accept_many(&mut self, count: usize, class: usize, cost: u64, memory_mb: f64) -> &mut Self {
+    pub fn accept_many(&mut self, count: usize, class: usize, work: u64, memory_mb: f64) -> &mut Self {
         for _ in 0..count {
-            self.accept(class, cost, memory_mb);
+            self.accept(class, work, memory_mb);
         }
         self
     }
 
     /// Accepts a request with an ordering key.
-    pub fn accept_keyed(&mut self, class: usize, cost: u64, memory_mb: f64, key: Option<u32>) -> &mut Self {
-        self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, cost, memory_mb) })
+    pub fn accept_keyed(&mut self, class: usize, work: u64, memory_mb: f64, key: Option<u32>) -> &mut Self {
+        self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, work, memory_mb) })
     }
 
     /// Accepts a short request on a group of data.
@@ -97,10 +97,10 @@
     }
 
     /// Ends a first attempt with success and a bill, and without a load report.
-    pub fn billed(&mut self, request: u32, engine: usize, cost: u64, memory_mb: f64) -> &mut Self {
-        let usage = Some(Usage { cost: ms(cost), memory_mb });
+    pub fn billed(&mut self, request: u32, engine: usize, work: u64, memory_mb: f64) -> &mut Self {
+        let usage = Some(Usage { work: ms(work), memory_mb });
         let succeeded = ended(request, 0, engine, AttemptOutcome::Succeeded);
-        self.end(AttemptEnded { elapsed: ms(cost), usage, ..succeeded })
+        self.end(AttemptEnded { elapsed: ms(work), usage, ..succeeded })
     }
 
     fn end(&mut self, ended: AttemptEnded) -> &mut Self {
@@ -129,15 +129,15 @@
     }
 }
 
-fn arrival(class: usize, cost: u64, memory_mb: f64) -> Arrival {
+fn arrival(class: usize, work: u64, memory_mb: f64) -> Arrival {
     Arrival {
         request: RequestId(0),
         class,
         key: None,
-        cost: (cost > 0).then(|| ms(cost)),
-        memory_mb: (memory_mb > 0.0).then_some(memory_mb),
+        estimated_work: (work > 0).then(|| ms(work)),
+        estimated_memory_mb: (memory_mb > 0.0).then_some(memory_mb),
         deadline: ms(24000),
-        waited: Duration::ZERO,
+        queue_time: Duration::ZERO,
         is_retry: None,
         group: None,
     }
