--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -90,7 +90,7 @@
             deadline: self.classes[request.class].deadline,
             queue_time: Duration::ZERO,
             is_retry: None,
-            group: None,
+            table_group: None,
         }
     }
 }
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -173,7 +173,7 @@
             deadline,
             queue_time: waited,
             is_retry: self.dispatcher.config.clients_mark_retries.then_some(parameters.is_resent),
-            group: parameters.table_group,
+            table_group: parameters.table_group,
         }
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -134,7 +134,7 @@
             deadline: accept.deadline,
             queue_time: Duration::ZERO,
             is_retry: self.clients_mark_retries.then_some(accept.is_retry),
-            group: accept.group,
+            table_group: accept.group,
         };
         let (scheduler, mut actions) = self.split(now, reply);
         scheduler.accept(now, arrival, &mut actions);
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -131,7 +131,7 @@
 
     fn hash_request(&self, request: &Request, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let now = context.now;
-        (request.class, request.group, request.phase, request.key).hash(hasher);
+        (request.class, request.table_group, request.phase, request.key).hash(hasher);
         let estimates =
             [request.estimated_work, request.estimated_memory_mb].map(|estimate| estimate.unwrap_or(-1.0));
         for value in [request.ideal_run, request.memory_mb].iter().chain(&estimates) {
@@ -169,7 +169,7 @@
         }
         self.hash_attempts_at(id, hasher);
         self.hash_health(engine, now, hasher);
-        engine.recent_groups.hash(hasher);
+        engine.recent_table_groups.hash(hasher);
         for (group, at) in &engine.bulk_loads_seen {
             (group, relative_micros(now, *at)).hash(hasher);
         }
--- a/src/input.rs
+++ b/src/input.rs
@@ -72,8 +72,8 @@
     pub queue_time: Duration,
     /// Whether this is a client's retry of an earlier request; `None` if clients do not mark retries.
     pub is_retry: Option<bool>,
-    /// The group of data that the request reads or loads.
-    pub group: Option<u64>,
+    /// The group of tables that the request reads or loads; `None` if the client names none.
+    pub table_group: Option<u64>,
 }
 
 /// How an attempt ended.
@@ -153,6 +153,6 @@
     Spilling(f64),
     /// The attempt waits for memory.
     WaitingForMemory,
-    /// The attempt waits for a bulk load of its group.
+    /// The attempt waits for a bulk load of its table group.
     WaitingForBulkLoad,
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -22,8 +22,8 @@
 const ESTIMATE_SAMPLES: usize = 32;
 /// Outcomes in the window of an engine's latest attempts.
 const OUTCOME_SAMPLES: usize = 8;
-/// Groups of data that an engine has read most recently.
-const RECENT_GROUPS: usize = 8;
+/// Table groups of the latest requests that were sent to an engine.
+const RECENT_TABLE_GROUPS: usize = 8;
 /// Samples in the window of the work sent to an engine.
 const SENT_WORK_SAMPLES: usize = 1024;
 /// Samples in the window of this router's share of the fleet.
@@ -40,7 +40,7 @@
 pub const WINDOW_SIZES: WindowSizes = WindowSizes {
     estimates: ESTIMATE_SAMPLES,
     outcomes: OUTCOME_SAMPLES,
-    recent_groups: RECENT_GROUPS,
+    recent_table_groups: RECENT_TABLE_GROUPS,
     sent_work: SENT_WORK_SAMPLES,
     fleet_shares: FLEET_SHARE_SAMPLES,
 };
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -160,13 +160,13 @@
         free.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
     }
 
-    /// Orders engines with about the same free capacity: first those that have read the request's group, then
+    /// Orders engines with about the same free capacity: first those that have read the request's table group, then
     /// those in the home location, then at random.
     fn tie_preference(&self, id: EngineId, request: &Request) -> (bool, bool, u64) {
         let engine = &self.engines[&id];
-        let has_read_group = request.group.is_some_and(|group| engine.recent_groups.contains(&group));
+        let has_read_table_group = request.table_group.is_some_and(|group| engine.recent_table_groups.contains(&group));
         let is_at_home = engine.location == self.fleet.home_location;
-        (has_read_group, is_at_home, self.pseudo_random(id, self.random_draws))
+        (has_read_table_group, is_at_home, self.pseudo_random(id, self.random_draws))
     }
 
     /// Returns whether the request would wait for a bulk load at the engine: one that this router has sent,
@@ -177,9 +177,9 @@
         }
         let engine = &self.engines[&id];
         let window_start = self.bulk_load_window_start(now);
-        let seen_at = request.group.and_then(|group| engine.bulk_loads_seen.get(&group));
+        let seen_at = request.table_group.and_then(|group| engine.bulk_loads_seen.get(&group));
         let is_blocking_load =
-            |other: &Request| self.classes[other.class].is_bulk_load && other.group == request.group;
+            |other: &Request| self.classes[other.class].is_bulk_load && other.table_group == request.table_group;
         seen_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_blocking_load)
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -58,9 +58,9 @@
     pub locations: Option<Vec<usize>>,
     /// Cores that a request keeps busy while it runs.
     pub threads: f64,
-    /// Whether its requests are bulk loads, which block readers of the same group on the same engine.
+    /// Whether its requests are bulk loads, which block readers of the same table group on the same engine.
     pub is_bulk_load: bool,
-    /// Whether its requests are blocked by a bulk load of the same group on the same engine.
+    /// Whether its requests are blocked by a bulk load of the same table group on the same engine.
     pub waits_for_bulk_loads: bool,
 }
 
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -65,9 +65,10 @@
     pub memory_shortage_at: Option<Duration>,
     /// The last load report.
     pub report: Option<ReceivedReport>,
-    /// Groups of the requests sent here, newest first.
+    /// Table groups of the requests sent to the engine, newest first.
     pub recent_groups: VecDeque<u64>,
-    /// Groups that a bulk load blocks here, with the time of the last progress update that reported it.
+    /// Table groups that a bulk load blocks at the engine, with the time of the last progress update that
+    /// reported the load.
     pub bulk_loads_seen: BTreeMap<u64, Duration>,
 }
 
@@ -105,7 +106,7 @@
         self.lifecycle != row.lifecycle || self.has_restarted(row)
     }
 
-    /// Records the group of a request, and drops the oldest of more than `capacity` groups.
+    /// Records the table group of a request, and drops the oldest of more than `capacity` table groups.
     pub fn record_group(&mut self, group: Option<u64>, capacity: usize) {
         if let Some(group) = group {
             self.recent_groups.retain(|other| *other != group);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -32,8 +32,8 @@
     pub estimates: usize,
     /// Outcomes of an engine's attempts.
     pub outcomes: usize,
-    /// Groups of the requests that were sent to an engine.
-    pub recent_groups: usize,
+    /// Table groups of the latest requests that were sent to an engine.
+    pub recent_table_groups: usize,
     /// Samples of the work sent to an engine.
     pub sent_work: usize,
     /// Samples of this router's share of the fleet.
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -40,7 +40,7 @@
             estimated_memory_mb: arrival.estimated_memory_mb,
             ideal_run,
             memory_mb: expected.memory_mb,
-            group: arrival.group,
+            table_group: arrival.table_group,
             arrived_at,
             objective_at: objective.saturating_sub(elapsed_before_arrival).min(deadline),
             deadline,
@@ -71,7 +71,7 @@
         let engine = self.engines.get_mut(&to).expect("a listed engine");
         engine.in_flight.push(sent.clone());
         engine.sent_work.push(now, usual_work);
-        engine.record_group(request.group, self.window_sizes.recent_groups);
+        engine.record_table_group(request.table_group, self.window_sizes.recent_table_groups);
         engine.request_count += usize::from(is_first_there);
         self.engine_index.update_use(to, engine);
         sent
@@ -158,7 +158,7 @@
             ProgressUpdate::WaitingForMemory => attempt.is_stalled = true,
             ProgressUpdate::WaitingForBulkLoad => {
                 attempt.is_stalled = true;
-                engine.bulk_loads_seen.extend(request.group.map(|group| (group, now)));
+                engine.bulk_loads_seen.extend(request.table_group.map(|group| (group, now)));
             }
             ProgressUpdate::Running | ProgressUpdate::Fraction(_) => {}
         }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -36,7 +36,7 @@
     pub ideal_run: f64,
     /// Expected memory in MB, with the client's estimate corrected by earlier usage.
     pub memory_mb: f64,
-    pub group: Option<u64>,
+    pub table_group: Option<u64>,
     pub arrived_at: Duration,
     /// The end of the latency objective.
     pub objective_at: Duration,
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -69,7 +69,7 @@
         deadline: ms(2000),
         queue_time: Duration::ZERO,
         is_retry: None,
-        group: None,
+        table_group: None,
     }
 }
 
--- a/tests/digest/clients.rs
+++ b/tests/digest/clients.rs
@@ -23,7 +23,7 @@
             deadline: if is_retry { deadline.mul_f64(random.between(0.3, 0.9)) } else { deadline },
             queue_time: if random.percent(30) { random.time(1, 60) } else { ms(0) },
             is_retry: self.environment.marks_retries.then_some(is_retry),
-            group: random.maybe(50, |random| random.below(4) as u64),
+            table_group: random.maybe(50, |random| random.below(4) as u64),
         }
     }
 
--- a/tests/trace/requests.rs
+++ b/tests/trace/requests.rs
@@ -25,9 +25,9 @@
         self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, work, memory_mb) })
     }
 
-    /// Accepts a short request on a group of data.
-    pub fn accept_in_group(&mut self, class: usize, group: u64) -> &mut Self {
-        self.arrive(Arrival { group: Some(group), ..arrival(class, 100, 300.0) })
+    /// Accepts a short request on a table group.
+    pub fn accept_in_table_group(&mut self, class: usize, group: u64) -> &mut Self {
+        self.arrive(Arrival { table_group: Some(group), ..arrival(class, 100, 300.0) })
     }
 
     /// Accepts a short request with a deadline in milliseconds, whose client may mark it as a retry.
@@ -139,6 +139,6 @@
         deadline: ms(24000),
         queue_time: Duration::ZERO,
         is_retry: None,
-        group: None,
+        table_group: None,
     }
 }
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -104,11 +104,11 @@
 #[test]
 fn a_request_blocked_by_bulk_loads_avoids_an_engine_where_one_of_its_group_waited() {
     let mut trace = Trace::new(2, |_, classes, _| classes[SHORT].waits_for_bulk_loads = true);
-    trace.accept_in_group(SHORT, 7).progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad).at(10);
+    trace.accept_in_table_group(SHORT, 7).progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad).at(10);
     for _ in 0..3 {
-        trace.accept_in_group(SHORT, 7);
+        trace.accept_in_table_group(SHORT, 7);
     }
-    trace.accept_in_group(SHORT, 8).accept_in_group(SHORT, 8);
+    trace.accept_in_table_group(SHORT, 8).accept_in_table_group(SHORT, 8);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 7980
