--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -66,7 +66,7 @@
     /// The last load report.
     pub report: Option<ReceivedReport>,
     /// Table groups of the requests sent to the engine, newest first.
-    pub recent_groups: VecDeque<u64>,
+    pub recent_table_groups: VecDeque<u64>,
     /// Table groups that a bulk load blocks at the engine, with the time of the last progress update that
     /// reported the load.
     pub bulk_loads_seen: BTreeMap<u64, Duration>,
@@ -91,7 +91,7 @@
             last_activity_at: now,
             memory_shortage_at: None,
             report: None,
-            recent_groups: VecDeque::new(),
+            recent_table_groups: VecDeque::new(),
             bulk_loads_seen: BTreeMap::new(),
         }
     }
@@ -107,11 +107,11 @@
     }
 
     /// Records the table group of a request, and drops the oldest of more than `capacity` table groups.
-    pub fn record_group(&mut self, group: Option<u64>, capacity: usize) {
+    pub fn record_table_group(&mut self, group: Option<u64>, capacity: usize) {
         if let Some(group) = group {
-            self.recent_groups.retain(|other| *other != group);
-            self.recent_groups.truncate(capacity - 1);
-            self.recent_groups.push_front(group);
+            self.recent_table_groups.retain(|other| *other != group);
+            self.recent_table_groups.truncate(capacity - 1);
+            self.recent_table_groups.push_front(group);
         }
     }
 
