--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -77,10 +77,10 @@
     mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>,
 ) -> Result<LoadReport, E> {
     Ok(LoadReport {
-        busy: figure(BUSY_NAMES)?,
+        core_utilization: figure(BUSY_NAMES)?,
         in_flight: figure(IN_FLIGHT_NAMES)?,
-        waiting: figure(WAITING_NAMES)?,
-        memory: figure(MEMORY_NAMES)?,
-        disks: figure(DISKS_NAMES)?,
+        waiting_for_memory: figure(WAITING_NAMES)?,
+        memory_utilization: figure(MEMORY_NAMES)?,
+        disk_utilization: figure(DISKS_NAMES)?,
     })
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -219,7 +219,7 @@
         memory_shortage_at.map(|at| relative_micros(now, at)).hash(hasher);
         if let Some(report) = &engine.report {
             let load = report.load;
-            let values = [load.busy, load.waiting, load.memory, load.disks];
+            let values = [load.core_utilization, load.waiting_for_memory, load.memory_utilization, load.disk_utilization];
             (relative_micros(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
         }
     }
--- a/src/input.rs
+++ b/src/input.rs
@@ -122,15 +122,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Fraction of the cores in use.
-    pub busy: Option<f64>,
+    pub core_utilization: Option<f64>,
     /// Requests that the engine runs or queues.
     pub in_flight: Option<f64>,
     /// Requests among these that wait for memory.
-    pub waiting: Option<f64>,
+    pub waiting_for_memory: Option<f64>,
     /// Fraction of the memory that is granted.
-    pub memory: Option<f64>,
+    pub memory_utilization: Option<f64>,
     /// Fraction of the disks in use.
-    pub disks: Option<f64>,
+    pub disk_utilization: Option<f64>,
 }
 
 /// The resources that a finished attempt is billed for.
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -109,7 +109,7 @@
     /// answer.
     fn unbilled_work(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
         let report = ended.load_report.and_then(|_| self.engines[&attempt.engine].report);
-        let cores_load = report.and_then(|report| report.load.busy).unwrap_or(1.0).max(1.0);
+        let cores_load = report.and_then(|report| report.load.core_utilization).unwrap_or(1.0).max(1.0);
         seconds(ended.elapsed) * threads / cores_load
     }
 
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -126,12 +126,12 @@
         let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
         let memory_limit = if is_memory_estimated { gateway.unreported_memory_limit } else { 1.0 };
         // Where the engine reports its busy cores, pressure covers an overload of the cores.
-        let is_overloaded = gateway.reports_in_flight && load.busy() > PRESSURE_SLOWDOWN * FULL_USE;
-        let fits = load.memory <= memory_limit
+        let is_overloaded = gateway.reports_in_flight && load.core_utilization() > PRESSURE_SLOWDOWN * FULL_USE;
+        let fits = load.memory_utilization <= memory_limit
             && !self.has_unreported_shortage(engine, snapshot.now)
             && !is_overloaded;
         let has_capacity = fits || gateway.local_load.threads == 0.0 || tier <= Tier::Small;
-        let free_fraction = 1.0 - load.mean() * view.relative_slowdown;
+        let free_fraction = 1.0 - load.mean_utilization() * view.relative_slowdown;
         (has_capacity && self.has_slot(candidate.engine, view, request, tier, snapshot))
             .then_some(free_fraction)
     }
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -113,8 +113,8 @@
             engine_count: self.engine_index.accepting(kind).max(1) as f64,
             small_count: count_in_flight(&members, Tier::Small),
             medium_count: count_in_flight(&members, Tier::Medium),
-            reported_memory: mean(reports.iter().filter_map(|report| report.load.memory)),
-            reported_busy: mean(reports.iter().filter_map(|report| directly_reported_busy(report))),
+            mean_memory_utilization: mean(reports.iter().filter_map(|report| report.load.memory_utilization)),
+            mean_core_utilization: mean(reports.iter().filter_map(|report| directly_reported_cores(report))),
             reports_in_flight: reports.iter().any(|report| report.load.in_flight.is_some()),
             local_load: local_loads.fold(Resources::NONE, Resources::plus),
             threads_under_pressure: self.threads_under_pressure(&members, cores, fleet_share),
@@ -174,16 +174,16 @@
 fn reports_full_use(report: &ReceivedReport) -> bool {
     let load = &report.load;
     // Requests in flight, from which the busy cores are estimated, may exceed the cores without a slowdown.
-    let max_busy = if load.in_flight.is_some() { PRESSURE_SLOWDOWN } else { 1.0 };
-    let uses = [load.busy.map(|busy| busy / max_busy), load.memory, load.disks];
-    uses.into_iter().flatten().any(|used| used >= FULL_USE)
-        || load.waiting.is_some_and(|waiting| waiting >= 1.0)
+    let max_core_utilization = if load.in_flight.is_some() { PRESSURE_SLOWDOWN } else { 1.0 };
+    let utilizations = [load.core_utilization.map(|used| used / max_core_utilization), load.memory_utilization, load.disk_utilization];
+    utilizations.into_iter().flatten().any(|used| used >= FULL_USE)
+        || load.waiting_for_memory.is_some_and(|waiting| waiting >= 1.0)
 }
 
 /// Returns the busy cores of a report, unless they are estimated from the requests in flight, which change
 /// too fast for a mean over reports of different ages.
-fn directly_reported_busy(report: &ReceivedReport) -> Option<f64> {
-    report.load.busy.filter(|_| report.load.in_flight.is_none())
+fn directly_reported_cores(report: &ReceivedReport) -> Option<f64> {
+    report.load.core_utilization.filter(|_| report.load.in_flight.is_none())
 }
 
 /// Returns the factor by which pressure changes the memory target: lower if most engines are under pressure,
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -25,7 +25,7 @@
 
     /// Returns the resources that are reserved for the attempt at its engine.
     pub fn resources(&self) -> Resources {
-        Resources { memory: self.grant_mb, threads: self.threads }
+        Resources { memory_mb: self.grant_mb, threads: self.threads }
     }
 }
 
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -92,10 +92,10 @@
         mut load: LoadReport,
     ) -> Option<LoadReport> {
         let kind = self.engines.get(&id)?.kind;
-        load.in_flight = load.in_flight.filter(|_| load.busy.is_none());
+        load.in_flight = load.in_flight.filter(|_| load.core_utilization.is_none());
         if let Some(in_flight) = load.in_flight {
             let threads = mean(self.in_flight().map(|(_, request)| self.classes[request.class].threads));
-            load.busy = Some(in_flight * threads.unwrap_or(1.0) / self.fleet.kinds[kind].cores);
+            load.core_utilization = Some(in_flight * threads.unwrap_or(1.0) / self.fleet.kinds[kind].cores);
         }
         self.engines.entry(id).and_modify(|engine| engine.report = Some(ReceivedReport { at: now, load }));
         Some(load)
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -1,23 +1,25 @@
-//! Memory and threads that attempts reserve at engines.
+//! The memory and threads that attempts reserve at engines.
 
-/// An amount of memory and threads: in MB and threads, or as fractions of an engine's memory and cores.
+/// An amount of memory and threads.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Resources {
-    pub memory: f64,
+    /// Memory in MB.
+    pub memory_mb: f64,
+    /// Threads, each of which keeps one core busy.
     pub threads: f64,
 }
 
 impl Resources {
     /// No memory and no threads.
-    pub const NONE: Self = Self { memory: 0.0, threads: 0.0 };
+    pub const NONE: Self = Self { memory_mb: 0.0, threads: 0.0 };
 
     /// Returns the sum of two amounts.
     pub fn plus(self, other: Self) -> Self {
-        Self { memory: self.memory + other.memory, threads: self.threads + other.threads }
+        Self { memory_mb: self.memory_mb + other.memory_mb, threads: self.threads + other.threads }
     }
 
     /// Returns the amount times a factor.
     pub fn scaled(self, factor: f64) -> Self {
-        Self { memory: self.memory * factor, threads: self.threads * factor }
+        Self { memory_mb: self.memory_mb * factor, threads: self.threads * factor }
     }
 }
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -84,17 +84,17 @@
     /// Memory in MB of one engine that this router intends to fill.
     pub memory_target_mb: f64,
     /// Largest fraction of an engine's memory to fill if its load is estimated and not reported.
-    pub unreported_memory_limit: f64,
+    pub unmean_memory_utilization_limit: f64,
     /// Number of engines that accept requests.
     pub engine_count: f64,
     /// Attempts of the small tier in flight.
     pub small_count: f64,
     /// Attempts of the medium tier in flight.
     pub medium_count: f64,
-    /// Mean fraction of memory in use, as reported.
-    pub reported_memory: Option<f64>,
-    /// Mean fraction of cores in use, as reported.
-    pub reported_busy: Option<f64>,
+    /// Mean memory utilization in the load reports; `None` if no report contains any.
+    pub mean_memory_utilization: Option<f64>,
+    /// Mean core utilization in the load reports; `None` if no report contains any.
+    pub mean_core_utilization: Option<f64>,
     /// Whether the engines report their number of requests in flight.
     pub reports_in_flight: bool,
     /// Resources of this router's attempts in flight.
--- a/tests/digest/engines.rs
+++ b/tests/digest/engines.rs
@@ -10,13 +10,13 @@
     pub(super) fn load_report(&mut self, engine: EngineId) -> Option<LoadReport> {
         let attempts = self.running.values().filter(|running| running.engine == engine).count() as f64;
         let (environment, random) = (&self.environment, &mut self.random);
-        let waiting = random.maybe(20, |random| random.below(3) as f64);
+        let waiting_for_memory = random.maybe(20, |random| random.below(3) as f64);
         Some(LoadReport {
-            busy: environment.reports_busy.then(|| (attempts / 4.0 * random.between(0.5, 1.5)).min(1.0)),
+            core_utilization: environment.reports_cores.then(|| (attempts / 4.0 * random.between(0.5, 1.5)).min(1.0)),
             in_flight: environment.reports_in_flight.then(|| attempts + random.below(4) as f64),
-            waiting,
-            memory: environment.reports_memory.then(|| (attempts / 6.0 * random.between(0.5, 1.5)).min(1.0)),
-            disks: random.maybe(20, Random::fraction),
+            waiting_for_memory,
+            memory_utilization: environment.reports_memory.then(|| (attempts / 6.0 * random.between(0.5, 1.5)).min(1.0)),
+            disk_utilization: random.maybe(20, Random::fraction),
         })
     }
 
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: requests that are sent at once, that wait, and that are rejected while they wait.
 
 use crate::trace::*;
-use crate::{busy_and_memory, in_flight, measure_without_estimates};
+use crate::{cores_and_memory, in_flight, measure_without_estimates};
 use emberflow::AttemptOutcome::*;
 use expect_test::expect;
 
@@ -21,7 +21,7 @@
 #[test]
 fn under_pressure_each_tier_is_limited_and_the_earliest_request_is_sent_first() {
     let mut trace = Trace::with_engines(1);
-    let busy = busy_and_memory(1.0, 0.5);
+    let busy = cores_and_memory(1.0, 0.5);
     trace.accept(SHORT, 100, 50.0).at(100).reported(0, 0, 0, Succeeded, Some(busy));
     trace.accept_many(4, LONG, 1500, 3000.0);
     trace.at(400).reported(1, 0, 0, Succeeded, Some(busy)).wake_until(2000);
@@ -40,8 +40,8 @@
 #[test]
 fn medium_requests_wait_for_memory_and_small_ones_do_not() {
     let mut trace = Trace::with_engines(1);
-    let full = busy_and_memory(0.3, 0.9);
-    let free = busy_and_memory(0.3, 0.2);
+    let full = cores_and_memory(0.3, 0.9);
+    let free = cores_and_memory(0.3, 0.2);
     trace.accept_many(3, SHORT, 100, 300.0);
     trace.at(1200).reported(0, 0, 0, Succeeded, Some(full)).decisions();
     trace.accept(LONG, 900, 4000.0).accept(SHORT, 100, 300.0).wake_until(1500);
@@ -76,7 +76,7 @@
 #[test]
 fn many_routers_pool_their_limits_at_engines_under_pressure() {
     let mut trace = Trace::new(4, |fleet, _, _| fleet.router_count = 100);
-    let busy = busy_and_memory(1.0, 0.5);
+    let busy = cores_and_memory(1.0, 0.5);
     trace.accept_many(4, SHORT, 100, 300.0).at(100);
     for request in 0..4 {
         trace.reported(request, 0, request as usize, Succeeded, Some(busy));
--- a/tests/traces/deadlines.rs
+++ b/tests/traces/deadlines.rs
@@ -38,7 +38,7 @@
 #[test]
 fn a_late_request_of_little_value_is_rejected_at_once() {
     let mut trace = Trace::with_engines(2);
-    let full = LoadReport { waiting: Some(2.0), ..LoadReport::default() };
+    let full = LoadReport { waiting_for_memory: Some(2.0), ..LoadReport::default() };
     trace.accept_many(2, SHORT, 100, 300.0).at(1190);
     trace.progress_updated(0, 0, ProgressUpdate::WaitingForMemory);
     trace.at(1200).reported(1, 0, 1, Succeeded, Some(full));
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -15,18 +15,18 @@
 use trace::{SHORT, Trace};
 
 /// A load report with the fractions of cores and memory in use.
-fn busy_and_memory(busy: f64, memory: f64) -> LoadReport {
-    LoadReport { busy: Some(busy), memory: Some(memory), ..LoadReport::default() }
+fn cores_and_memory(cores: f64, memory: f64) -> LoadReport {
+    LoadReport { core_utilization: Some(cores), memory_utilization: Some(memory), ..LoadReport::default() }
 }
 
 /// A load report with the fraction of cores in use only.
-fn busy_only(busy: f64) -> LoadReport {
-    LoadReport { busy: Some(busy), ..LoadReport::default() }
+fn cores_only(cores: f64) -> LoadReport {
+    LoadReport { core_utilization: Some(cores), ..LoadReport::default() }
 }
 
 /// A load report with the fraction of memory in use only.
 fn memory_only(memory: f64) -> LoadReport {
-    LoadReport { memory: Some(memory), ..LoadReport::default() }
+    LoadReport { memory_utilization: Some(memory), ..LoadReport::default() }
 }
 
 /// A load report with the number of requests in flight only.
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: the engine that a request is sent to.
 
 use crate::trace::*;
-use crate::{busy_and_memory, busy_only, in_flight, measure_without_estimates, memory_only};
+use crate::{cores_and_memory, cores_only, in_flight, measure_without_estimates, memory_only};
 use emberflow::AttemptOutcome::*;
 use emberflow::*;
 use expect_test::expect;
@@ -63,7 +63,7 @@
 #[test]
 fn recent_attempts_count_although_a_late_report_does_not_include_them() {
     let mut trace = Trace::with_engines(2);
-    let free = busy_and_memory(0.1, 0.1);
+    let free = cores_and_memory(0.1, 0.1);
     trace.accept_many(4, SHORT, 100, 300.0);
     trace.at(20).reported(0, 0, 0, Succeeded, Some(free));
     trace.reported(1, 0, 1, Succeeded, Some(free)).decisions();
@@ -171,7 +171,7 @@
     let mut trace = Trace::new(4, |fleet, _, attempt_limits| {
         (fleet.router_count, fleet.reports_only_on_probe, attempt_limits.may_probe) = (40, true, true);
     });
-    let report = |memory| Some(busy_and_memory(0.3, memory));
+    let report = |memory| Some(cores_and_memory(0.3, memory));
     trace.accept(LONG, 0, 2000.0).at(100).accept(LONG, 0, 2000.0).at(105).wake_now().at(110);
     trace.probed(1, None).probed(3, report(0.1));
     expect![[r#"
@@ -188,7 +188,7 @@
 #[test]
 fn free_cores_attract_no_request_if_reports_lack_the_memory() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.router_count = 4);
-    let report = |busy| Some(busy_only(busy));
+    let report = |cores| Some(cores_only(cores));
     trace.accept_many(2, SHORT, 100, 300.0);
     trace.at(100).reported(0, 0, 0, Succeeded, report(0.9));
     trace.reported(1, 0, 1, Succeeded, report(0.1)).decisions();
