--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -134,7 +134,7 @@
         (request.class, request.table_group, request.phase, request.key).hash(hasher);
         let estimates =
             [request.estimated_work, request.estimated_memory_mb].map(|estimate| estimate.unwrap_or(-1.0));
-        for value in [request.ideal_run, request.memory_mb].iter().chain(&estimates) {
+        for value in [request.ideal_run_seconds, request.memory_mb].iter().chain(&estimates) {
             value.to_bits().hash(hasher);
         }
         for at in [request.arrived_at, request.objective_at, request.deadline] {
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -12,7 +12,7 @@
 impl Scheduler {
     /// Accepts a request that has arrived.
     pub fn accept(&mut self, now: Duration, arrival: Arrival, actions: &mut impl Actions) {
-        let request = self.state.learn_from_arrival(now, &arrival);
+        let request = self.state.update_estimates_from_arrival(now, &arrival);
         self.state.record_accepted(now, arrival.request, request);
         self.apply_rules(now, actions);
     }
@@ -20,12 +20,12 @@
     /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Duration, ended: AttemptEnded, actions: &mut impl Actions) {
         if let Some(load) = ended.load_report {
-            self.state.learn_from_load_report(now, ended.engine, load, Some(ended.request));
+            self.state.update_from_load_report(now, ended.engine, load, Some(ended.request));
         }
         if let Some(attempt) = self.state.record_ended(&ended) {
             self.state.cool_down_key(now, &ended);
-            let ideal_run = self.state.learn_from_outcome(now, &ended, &attempt);
-            self.state.update_outlier_detection(now, &ended, &attempt, ideal_run);
+            let ideal_run_seconds = self.state.update_estimates_from_outcome(now, &ended, &attempt);
+            self.state.update_outlier_detection(now, &ended, &attempt, ideal_run_seconds);
         }
         self.apply_rules(now, actions);
     }
@@ -39,7 +39,7 @@
         actions: &mut impl Actions,
     ) {
         if let Some(load) = load_report {
-            self.state.learn_from_load_report(now, engine, load, None);
+            self.state.update_from_load_report(now, engine, load, None);
         }
         self.apply_rules(now, actions);
     }
@@ -105,7 +105,7 @@
 
     /// Returns the expected work of a request, as time on one core.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
-        duration(self.state.expected_needs(arrival).work)
+        duration(self.state.expected_resources(arrival).work)
     }
 
     /// Returns the time before a deadline by which the final answer must have been sent.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -123,7 +123,7 @@
         let max_cores = MAX_FLEET_SHARE_ERROR * snapshot.fleet_share * fleet_cores;
         let (mut work_before, mut beyond_capacity) = (0.0, BTreeSet::new());
         for (position, (id, request)) in self.queued().enumerate() {
-            let work = work_before + request.ideal_run * self.classes[request.class].threads;
+            let work = work_before + request.ideal_run_seconds * self.classes[request.class].threads;
             if position < MIN_QUEUE_LENGTH || work <= max_cores * seconds(request.objective_budget()) {
                 work_before = work;
             } else if request.attempts.is_empty() {
@@ -139,7 +139,7 @@
         let window_start = self.slowdown_window_start(snapshot.now);
         let slowdowns = &self.estimates[request.class].slowdowns;
         let is_known = request.estimated_work.is_some() || slowdowns.since(window_start).next().is_some();
-        duration(if is_known { request.ideal_run * snapshot.slowdowns[request.class] } else { 0.0 })
+        duration(if is_known { request.ideal_run_seconds * snapshot.slowdowns[request.class] } else { 0.0 })
     }
 
     /// Returns whether a request that waits for others of its key is worth nothing any more if sent now.
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -2,7 +2,7 @@
 //! requests.
 
 use crate::samples::{SampleWindow, duration, quantile, seconds};
-use crate::state::{Attempt, Needs, Request, SchedulerState};
+use crate::state::{Attempt, ExpectedResources, Request, SchedulerState};
 use crate::{Arrival, AttemptEnded, AttemptOutcome};
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
 impl SchedulerState {
     /// Returns the needs of a request: the client's estimates, corrected by the ratio of billed to estimated
     /// usage of its class, or the usual needs of its class.
-    pub fn expected_needs(&self, arrival: &Arrival) -> Needs {
+    pub fn expected_resources(&self, arrival: &Arrival) -> ExpectedResources {
         let estimates = &self.estimates[arrival.class];
         let corrected = |estimate: f64, ratios: &SampleWindow| estimate * ratios.median().unwrap_or(1.0);
         let usual = |samples: &SampleWindow| samples.mean().unwrap_or(0.0);
-        Needs {
+        ExpectedResources {
             work: match arrival.estimated_work {
                 Some(cost) => corrected(seconds(cost), &estimates.work_ratios),
                 None => usual(&estimates.work),
@@ -42,7 +42,7 @@
 
     /// Returns the request that an arrival would become.
     pub fn expected_request(&self, now: Duration, arrival: &Arrival) -> Request {
-        self.new_request(now, arrival, self.expected_needs(arrival), self.elapsed_before_arrival(arrival))
+        self.new_request(now, arrival, self.expected_resources(arrival), self.elapsed_before_arrival(arrival))
     }
 
     /// Returns the time that a client's earlier requests took. A retry has a shorter deadline than usual, and
@@ -56,14 +56,14 @@
     }
 
     /// Records the estimates of an arrival, and returns the request.
-    pub fn learn_from_arrival(&mut self, now: Duration, arrival: &Arrival) -> Request {
+    pub fn update_estimates_from_arrival(&mut self, now: Duration, arrival: &Arrival) -> Request {
         // The shorter deadlines of marked retries would lower the usual deadline.
         if arrival.is_retry != Some(true) {
             self.estimates[arrival.class].deadlines.push(now, seconds(arrival.deadline));
         }
         let request = self.expected_request(now, arrival);
         if arrival.estimated_work.is_some() {
-            let work = self.expected_needs(arrival).work;
+            let work = self.expected_resources(arrival).work;
             self.estimates[arrival.class].work.push(now, work);
         }
         request
@@ -71,16 +71,16 @@
 
     /// Records the usage of an ended attempt. Returns the request's ideal run in seconds, corrected by that
     /// usage if the client gave no estimate.
-    pub fn learn_from_outcome(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) -> f64 {
+    pub fn update_estimates_from_outcome(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) -> f64 {
         self.record_memory_usage(now, ended, attempt);
         let request = &self.requests[&ended.request];
         if request.estimated_work.is_some() || ended.outcome != AttemptOutcome::Succeeded {
-            return request.ideal_run;
+            return request.ideal_run_seconds;
         }
         let threads = self.classes[request.class].threads;
         let work = match &ended.usage {
             Some(usage) => seconds(usage.work),
-            None => self.unbilled_work(ended, attempt, threads),
+            None => self.work_from_elapsed_time(ended, attempt, threads),
         };
         self.estimates[request.class].work.push(now, work);
         work / threads.max(1.0)
@@ -107,7 +107,7 @@
     /// Returns the work in seconds of a success without a bill, from its elapsed time. Requests that share
     /// the cores extend the elapsed time, which is corrected by the load that the engine reported with the
     /// answer.
-    fn unbilled_work(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
+    fn work_from_elapsed_time(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
         let report = ended.load_report.and_then(|_| self.engines[&attempt.engine].report);
         let cores_load = report.and_then(|report| report.load.core_utilization).unwrap_or(1.0).max(1.0);
         seconds(ended.elapsed) * threads / cores_load
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -43,7 +43,7 @@
 impl SchedulerState {
     /// Records a load report, and a sample of this router's fleet share from the report. A report in answer to
     /// a probe gives no sample: it arrives while requests are queued, when the share is above its mean.
-    pub fn learn_from_load_report(
+    pub fn update_from_load_report(
         &mut self,
         now: Duration,
         id: EngineId,
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -28,7 +28,7 @@
             Some(interval) => seconds(interval) * INACTIVE_AFTER_PROGRESS_INTERVALS,
             None => {
                 let timeout_of =
-                    |request: &Request| request.ideal_run * slowdowns[request.class] * INACTIVE_AFTER_RUNS;
+                    |request: &Request| request.ideal_run_seconds * slowdowns[request.class] * INACTIVE_AFTER_RUNS;
                 self.in_flight_at(engine).map(timeout_of).fold(f64::INFINITY, f64::min)
             }
         };
@@ -54,7 +54,7 @@
         now: Duration,
         ended: &AttemptEnded,
         attempt: &Attempt,
-        ideal_run: f64,
+        ideal_run_seconds: f64,
     ) {
         use AttemptOutcome::{
             Broken, Cancelled, Failed, NotSent, Overloaded, Succeeded, TimedOut, Unreachable,
@@ -68,7 +68,7 @@
         match ended.outcome {
             Succeeded => {
                 engine.failures.push(now, 0.0);
-                self.record_slowdown(now, ended, attempt, ideal_run);
+                self.record_slowdown(now, ended, attempt, ideal_run_seconds);
             }
             Overloaded => engine.memory_shortage_at = Some(now),
             Failed | TimedOut => engine.failures.push(now, 1.0),
@@ -83,8 +83,8 @@
 
     /// Records the elapsed time of a success as a multiple of the run on an idle engine. Recent runs would be
     /// no stable reference, because they get longer in a lasting overload.
-    fn record_slowdown(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run: f64) {
-        let slowdown = seconds(now - attempt.sent_at) / (ideal_run + seconds(self.fleet.tick));
+    fn record_slowdown(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run_seconds: f64) {
+        let slowdown = seconds(now - attempt.sent_at) / (ideal_run_seconds + seconds(self.fleet.tick));
         let class = self.requests[&ended.request].class;
         self.estimates[class].slowdowns.push(now, slowdown);
         let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -56,7 +56,7 @@
     /// Returns whether the first attempt of a request is much slower than expected.
     fn is_slow(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
         let (now, attempt) = (snapshot.now, &request.attempts[0]);
-        let expected_run = snapshot.slowdowns[request.class] * request.ideal_run;
+        let expected_run = snapshot.slowdowns[request.class] * request.ideal_run_seconds;
         let remaining = attempt.expected_finish.map(|finish| seconds(finish.saturating_sub(now)));
         let max_remaining = SLOW_REMAINING_RUNS * expected_run + seconds(self.fleet.tick);
         let sends_no_progress = self.fleet.progress_interval.is_none();
@@ -82,7 +82,7 @@
     fn is_worth_retrying(&self, request: &Request, now: Duration) -> bool {
         let time_left = seconds(request.deadline.saturating_sub(now));
         request.is_open()
-            && time_left > MIN_TIME_LEFT_RUNS * request.ideal_run
+            && time_left > MIN_TIME_LEFT_RUNS * request.ideal_run_seconds
             && self.may_retry(request, now)
     }
 
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -14,7 +14,7 @@
 pub use engine_index::EngineIndex;
 pub use estimates::ClassEstimates;
 pub use key_queue::{Cooldown, KeyQueue};
-pub use request::{Attempt, AttemptId, Needs, Request, RequestPhase};
+pub use request::{Attempt, AttemptId, ExpectedResources, Request, RequestPhase};
 pub use resources::Resources;
 pub use snapshot::{EngineView, EngineViews, FleetSnapshot, Gateway, Tier};
 
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -1,7 +1,7 @@
 //! Records requests, attempts and load reports. No decision is taken here.
 
 use super::{
-    Attempt, AttemptId, Cooldown, InFlightAttempt, Needs, ReceivedReport, Request, RequestPhase, SchedulerState,
+    Attempt, AttemptId, Cooldown, InFlightAttempt, ExpectedResources, ReceivedReport, Request, RequestPhase, SchedulerState,
     Tier,
 };
 use crate::samples::{duration, mean, seconds};
@@ -25,20 +25,20 @@
         &self,
         now: Duration,
         arrival: &Arrival,
-        expected: Needs,
+        expected: ExpectedResources,
         elapsed_before_arrival: Duration,
     ) -> Request {
         let class = &self.classes[arrival.class];
-        let ideal_run = expected.work / class.threads.max(1.0);
+        let ideal_run_seconds = expected.work / class.threads.max(1.0);
         let arrived_at = now.saturating_sub(arrival.queue_time);
         let deadline = (arrived_at + arrival.deadline).min(self.shutdown_at);
-        let objective = arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run);
+        let objective = arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run_seconds);
         Request {
             class: arrival.class,
             key: arrival.key.filter(|_| class.keeps_order),
             estimated_work: arrival.estimated_work.map(seconds),
             estimated_memory_mb: arrival.estimated_memory_mb,
-            ideal_run,
+            ideal_run_seconds,
             memory_mb: expected.memory_mb,
             table_group: arrival.table_group,
             arrived_at,
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -17,7 +17,7 @@
 
 /// The resources that a request needs.
 #[derive(Clone, Copy)]
-pub struct Needs {
+pub struct ExpectedResources {
     /// Work in seconds on one core.
     pub work: f64,
     pub memory_mb: f64,
@@ -33,7 +33,7 @@
     /// The client's estimate of the memory in MB.
     pub estimated_memory_mb: Option<f64>,
     /// Expected time in seconds on an idle engine, with the client's estimate corrected by earlier usage.
-    pub ideal_run: f64,
+    pub ideal_run_seconds: f64,
     /// Expected memory in MB, with the client's estimate corrected by earlier usage.
     pub memory_mb: f64,
     pub table_group: Option<u64>,
