--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -44,7 +44,7 @@
         Transition::WakeUp { draw } => (draw, ".wake_now()".to_owned()),
         Transition::ShutDown => {
             let deadline = state.now + model.classes[0].deadline;
-            (0, format!(".shutting_down({})", deadline.as_millis()))
+            (0, format!(".start_shutdown({})", deadline.as_millis()))
         }
         Transition::PassTime => return None,
     };
--- a/crates/model-checker/src/module_model/event.rs
+++ b/crates/model-checker/src/module_model/event.rs
@@ -72,7 +72,7 @@
     fn wake_after(&mut self, wait: Duration) {
         self.push(Event::WakeAfter { wait });
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.push(Event::Watch);
     }
     fn forget(&mut self, engine: EngineId) {
--- a/crates/model-checker/src/module_model/inputs.rs
+++ b/crates/model-checker/src/module_model/inputs.rs
@@ -89,7 +89,7 @@
 pub fn shut_down(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
     let deadline = state.now + model.classes[0].deadline;
     state.shutdown_deadline = Some(deadline);
-    state.scheduler.shutting_down(state.now, deadline, events);
+    state.scheduler.start_shutdown(state.now, deadline, events);
 }
 
 /// Advances the clock to the next instant at which something may change.
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -288,7 +288,7 @@
     Mutant {
         name: "the scheduler misses the shutdown",
         file: SERVER_SHUTDOWN,
-        from: "        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);\n",
+        from: "        self.scheduler.start_shutdown(now, deadline, &mut self.dispatcher);\n",
         to: "",
     },
     Mutant {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -128,7 +128,7 @@
     }
 
     /// Has no effect: the discovery service sends its events without a request.
-    fn watch(&mut self) {}
+    fn watch_endpoints(&mut self) {}
 
     fn forget(&mut self, engine: EngineId) {
         self.engines.forget(engine, &mut self.context);
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -30,7 +30,7 @@
         self.state = ServerState::Draining { deadline };
         context.timers.set(now + LATE_CLIENT_WINDOW, Timer::ShutdownCheck);
         self.drain_admission_queue(now);
-        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);
+        self.scheduler.start_shutdown(now, deadline, &mut self.dispatcher);
         self.process_events();
     }
 
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -75,7 +75,7 @@
         self.write(json!({"op": "AFTER", "offsetMs": to_ms(wait), "keyBack": 0}));
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.write(json!({"op": "SUBSCRIBE", "on": true}));
     }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -121,7 +121,7 @@
         let engine = EngineId(self.names.engines.number(engine));
         let load_report = load_report(&self.load_report_names, stats);
         let (scheduler, mut actions) = self.split(now, reply);
-        scheduler.probed(now, engine, load_report, &mut actions);
+        scheduler.probe_ended(now, engine, load_report, &mut actions);
     }
 
     fn accept(&mut self, accept: Accept<'_>, now: Duration, reply: &mut Vec<u8>) {
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -20,7 +20,7 @@
     /// Schedules a call of [`Scheduler::wake`](crate::Scheduler::wake) after `wait`.
     fn wake_after(&mut self, wait: Duration);
     /// Subscribes to changes of the endpoint list.
-    fn watch(&mut self);
+    fn watch_endpoints(&mut self);
     /// Releases the number of an engine that is removed and has no attempt in flight.
     fn forget(&mut self, engine: EngineId);
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -74,7 +74,7 @@
         self.hash_key_queues(now, &positions, hasher);
         relative_micros(now, self.wake_due.max(now)).hash(hasher);
         (self.shutdown_at != Duration::MAX).then(|| relative_micros(now, self.shutdown_at)).hash(hasher);
-        self.watching.hash(hasher);
+        self.is_watching_endpoints.hash(hasher);
         let probed_at = self.probed_at.max(now.saturating_sub(self.shortest_objective()));
         self.fleet.reports_only_on_probe.then(|| relative_micros(now, probed_at)).hash(hasher);
         self.hash_retry_budget(now, hasher);
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -31,7 +31,7 @@
     }
 
     /// Handles the end of a probe; `load_report` is `None` if the engine did not answer.
-    pub fn probed(
+    pub fn probe_ended(
         &mut self,
         now: Duration,
         engine: EngineId,
@@ -87,12 +87,12 @@
 
     /// Handles a failure to read the endpoint list: the scheduler subscribes to its changes again.
     pub fn endpoint_list_failed(&mut self, now: Duration, actions: &mut impl Actions) {
-        self.state.watching = false;
+        self.state.is_watching_endpoints = false;
         self.apply_rules(now, actions);
     }
 
     /// Starts the graceful shutdown. Every open request is answered before `deadline`.
-    pub fn shutting_down(&mut self, now: Duration, deadline: Duration, actions: &mut impl Actions) {
+    pub fn start_shutdown(&mut self, now: Duration, deadline: Duration, actions: &mut impl Actions) {
         self.state.record_shutdown(deadline);
         actions.wake_after(deadline.saturating_sub(now + self.state.final_answer_lead()));
         self.apply_rules(now, actions);
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -124,9 +124,9 @@
     /// Requests the next wake-up, and subscribes to changes of the endpoint list where this is needed.
     pub fn schedule_wake(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
-        if self.fleet.polls_endpoint_list && !self.watching {
-            self.watching = true;
-            actions.watch();
+        if self.fleet.polls_endpoint_list && !self.is_watching_endpoints {
+            self.is_watching_endpoints = true;
+            actions.watch_endpoints();
         }
         let wait = self.wake_interval();
         if !self.requests.is_empty() && (self.wake_due <= now || self.wake_due > now + wait) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -22,7 +22,7 @@
     pub progress_interval: Option<Duration>,
     /// Whether engines report their load only in answer to a probe.
     pub reports_only_on_probe: bool,
-    /// Whether changes of the endpoint list arrive only after [`Actions::watch`](crate::Actions::watch).
+    /// Whether changes of the endpoint list arrive only after [`Actions::watch_endpoints`](crate::Actions::watch_endpoints).
     pub polls_endpoint_list: bool,
     /// Upper bound on the time to deliver and handle one message; all safety margins are multiples of it.
     pub tick: Duration,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -69,7 +69,7 @@
     /// Deadline of the graceful shutdown; `Duration::MAX` before it starts.
     pub shutdown_at: Duration,
     /// Whether the scheduler is subscribed to changes of the endpoint list.
-    pub watching: bool,
+    pub is_watching_endpoints: bool,
     /// Counter of random choices.
     pub random_draws: u64,
 }
@@ -99,7 +99,7 @@
             wake_due: Duration::ZERO,
             probed_at: Duration::ZERO,
             shutdown_at: Duration::MAX,
-            watching: false,
+            is_watching_endpoints: false,
             random_draws: 0,
         }
     }
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -87,7 +87,7 @@
     fn fail(&mut self, _: RequestId) {}
     fn probe(&mut self, _: EngineId) {}
     fn wake_after(&mut self, _: Duration) {}
-    fn watch(&mut self) {}
+    fn watch_endpoints(&mut self) {}
     fn forget(&mut self, _: EngineId) {}
 }
 
--- a/tests/digest/engines.rs
+++ b/tests/digest/engines.rs
@@ -24,7 +24,7 @@
     pub(super) fn answer_probe(&mut self, engine: EngineId) {
         let answers = self.machines.get(&engine).is_some_and(|machine| !machine.silent && !machine.removed);
         let load_report = if answers && !self.random.percent(10) { self.load_report(engine) } else { None };
-        self.scheduler.probed(self.now, engine, load_report, &mut self.log);
+        self.scheduler.probe_ended(self.now, engine, load_report, &mut self.log);
     }
 
     /// Sends the rows of all engines.
--- a/tests/digest/log.rs
+++ b/tests/digest/log.rs
@@ -77,7 +77,7 @@
         self.add(WAKE_AFTER, &[nanoseconds(wait)]);
         self.pending.push(PendingAction::Wake(wait));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.add(WATCH, &[]);
     }
     fn forget(&mut self, engine: EngineId) {
--- a/tests/digest/simulation.rs
+++ b/tests/digest/simulation.rs
@@ -156,7 +156,7 @@
             }
             Event::ShutDown => {
                 let by = self.now + self.random.time(20, 800);
-                self.scheduler.shutting_down(self.now, by, &mut self.log);
+                self.scheduler.start_shutdown(self.now, by, &mut self.log);
             }
             Event::CapacityCheck => {
                 self.check_capacity();
--- a/tests/trace/action_log.rs
+++ b/tests/trace/action_log.rs
@@ -45,7 +45,7 @@
     fn wake_after(&mut self, wait: Duration) {
         self.wake_after = wait;
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.add(format_args!("watch the endpoint list"));
     }
     fn forget(&mut self, engine: EngineId) {
--- a/tests/trace/endpoints.rs
+++ b/tests/trace/endpoints.rs
@@ -38,8 +38,8 @@
     }
 
     /// Ends a probe, with a load report if the engine answered.
-    pub fn probed(&mut self, engine: usize, load_report: Option<LoadReport>) -> &mut Self {
-        self.scheduler.probed(self.now(), EngineId(engine), load_report, &mut self.log);
+    pub fn probe_ended(&mut self, engine: usize, load_report: Option<LoadReport>) -> &mut Self {
+        self.scheduler.probe_ended(self.now(), EngineId(engine), load_report, &mut self.log);
         self
     }
 }
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -115,8 +115,8 @@
     }
 
     /// Starts the graceful shutdown with a deadline in milliseconds.
-    pub fn shutting_down(&mut self, deadline: u64) -> &mut Self {
-        self.scheduler.shutting_down(self.now(), ms(deadline), &mut self.log);
+    pub fn start_shutdown(&mut self, deadline: u64) -> &mut Self {
+        self.scheduler.start_shutdown(self.now(), ms(deadline), &mut self.log);
         self
     }
 
--- a/tests/traces/lifecycle.rs
+++ b/tests/traces/lifecycle.rs
@@ -22,7 +22,7 @@
     trace.accept(SHORT, 100, 300.0).accept(LONG, 900, 300.0).accept(BULK_LOAD, 900, 300.0);
     trace
         .at(200)
-        .shutting_down(3700)
+        .start_shutdown(3700)
         .ended(0, 0, 0, Succeeded)
         .at(600)
         .accept(SHORT, 100, 300.0)
@@ -49,7 +49,7 @@
 fn the_scheduler_wakes_before_the_shutdown_deadline() {
     let mut trace = Trace::with_engines(1);
     trace.accept(LONG, 900, 300.0).decisions();
-    trace.at(30).shutting_down(130).wake_when_due().wake_when_due().wake_when_due();
+    trace.at(30).start_shutdown(130).wake_when_due().wake_when_due().wake_when_due();
     expect![[r#"
         70    reject request 0, retry after 400
     "#]]
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -173,7 +173,7 @@
     });
     let report = |memory| Some(cores_and_memory(0.3, memory));
     trace.accept(LONG, 0, 2000.0).at(100).accept(LONG, 0, 2000.0).at(105).wake_now().at(110);
-    trace.probed(1, None).probed(3, report(0.1));
+    trace.probe_ended(1, None).probe_ended(3, report(0.1));
     expect![[r#"
         0     request 0 gets 2500 MB, priority 1
         0     request 0 to engine 2 until 15980
