--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -38,9 +38,9 @@
         Transition::EndAttempt { request, outcome, draw } => (draw, end_call(state, request, outcome)),
         Transition::UpdateProgress { request, update, draw } => (draw, progress_call(state, request, update)),
         Transition::ChangeEndpoint { engine, change, draw } => (draw, endpoint_call(state, engine, change)),
-        Transition::EmptyEndpointList => (0, ".list_emptied()".to_owned()),
+        Transition::EmptyEndpointList => (0, ".empty_endpoint_list()".to_owned()),
         Transition::FailEndpointList => (0, ".endpoint_list_failed()".to_owned()),
-        Transition::ClientLeaves { request, draw } => (draw, format!(".withdrawn({request})")),
+        Transition::ClientLeaves { request, draw } => (draw, format!(".client_left({request})")),
         Transition::WakeUp { draw } => (draw, ".wake_now()".to_owned()),
         Transition::ShutDown => {
             let deadline = state.now + model.classes[0].deadline;
@@ -48,7 +48,7 @@
         }
         Transition::PassTime => return None,
     };
-    Some(if draw > 0 { format!(".random_draws({draw}){call}") } else { call })
+    Some(if draw > 0 { format!(".set_random_draws({draw}){call}") } else { call })
 }
 
 fn arrival_call(model: &ModuleModel, state: &ModuleState) -> String {
@@ -82,5 +82,5 @@
         EndpointChange::Returns => (Lifecycle::Ready, launched),
         EndpointChange::Restarts => (Lifecycle::Ready, Some(state.now.as_millis())),
     };
-    format!(".list_engine({engine}, Lifecycle::{lifecycle:?}, {launched:?})")
+    format!(".update_endpoint({engine}, Lifecycle::{lifecycle:?}, {launched:?})")
 }
--- a/tests/trace/endpoints.rs
+++ b/tests/trace/endpoints.rs
@@ -5,22 +5,22 @@
 
 impl Trace {
     /// Changes some rows of the endpoint list.
-    pub fn list_engines(&mut self, rows: Vec<Endpoint>) -> &mut Self {
-        self.change_endpoints(EndpointUpdate::Changes, rows)
+    pub fn update_endpoints(&mut self, rows: Vec<Endpoint>) -> &mut Self {
+        self.send_endpoint_update(EndpointUpdate::Changes, rows)
     }
 
     /// Changes the row of one engine of a small trace.
-    pub fn list_engine(&mut self, engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> &mut Self {
-        self.list_engines(vec![self.row(engine, lifecycle, launched)])
+    pub fn update_endpoint(&mut self, engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> &mut Self {
+        self.update_endpoints(vec![self.row(engine, lifecycle, launched)])
     }
 
     /// Sends a full endpoint list without rows.
     #[allow(dead_code, reason = "called by counterexamples that the model checker prints")]
-    pub fn list_emptied(&mut self) -> &mut Self {
-        self.change_endpoints(EndpointUpdate::FullList, Vec::new())
+    pub fn empty_endpoint_list(&mut self) -> &mut Self {
+        self.send_endpoint_update(EndpointUpdate::FullList, Vec::new())
     }
 
-    fn change_endpoints(&mut self, update: EndpointUpdate, rows: Vec<Endpoint>) -> &mut Self {
+    fn send_endpoint_update(&mut self, update: EndpointUpdate, rows: Vec<Endpoint>) -> &mut Self {
         self.scheduler.endpoints_changed(self.now(), update, rows, &mut self.log);
         self
     }
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -48,7 +48,7 @@
         let (mut fleet, mut classes, mut attempt_limits) = base();
         change(&mut fleet, &mut classes, &mut attempt_limits);
         let mut trace = Self::from_settings(fleet, classes, attempt_limits, Vec::new());
-        trace.list_engines((0..engines).map(|engine| endpoint(engine, Lifecycle::Ready, None)).collect());
+        trace.update_endpoints((0..engines).map(|engine| endpoint(engine, Lifecycle::Ready, None)).collect());
         trace
     }
 
@@ -61,7 +61,7 @@
         change(&mut fleet, &mut classes, &mut attempt_limits);
         let mut trace = Self::from_settings(fleet, classes, attempt_limits, positions.to_vec());
         let rows = (0..positions.len()).map(|engine| trace.row(engine, Lifecycle::Ready, None)).collect();
-        trace.at(START).list_engines(rows);
+        trace.at(START).update_endpoints(rows);
         trace
     }
 
@@ -109,7 +109,7 @@
 
     /// Sets the number of random draws so far.
     #[allow(dead_code, reason = "called by counterexamples that the model checker prints")]
-    pub fn random_draws(&mut self, draws: u64) -> &mut Self {
+    pub fn set_random_draws(&mut self, draws: u64) -> &mut Self {
         self.scheduler.set_random_draws(draws);
         self
     }
--- a/tests/trace/requests.rs
+++ b/tests/trace/requests.rs
@@ -31,7 +31,7 @@
     }
 
     /// Accepts a short request with a deadline in milliseconds, whose client may mark it as a retry.
-    pub fn accept_retry_mark(&mut self, deadline: u64, is_retry: Option<bool>) -> &mut Self {
+    pub fn accept_with_retry_mark(&mut self, deadline: u64, is_retry: Option<bool>) -> &mut Self {
         self.arrive(Arrival { deadline: ms(deadline), is_retry, ..arrival(SHORT, 100, 300.0) })
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Withdraws a request for its client.
-    pub fn withdrawn(&mut self, request: u32) -> &mut Self {
+    pub fn client_left(&mut self, request: u32) -> &mut Self {
         self.scheduler.clients_left(self.now(), &[RequestId(request)], &[], &mut self.log);
         self
     }
@@ -73,7 +73,7 @@
     }
 
     /// Ends an attempt with a load report.
-    pub fn reported(
+    pub fn ended_with_load_report(
         &mut self,
         request: u32,
         attempt: usize,
@@ -97,7 +97,7 @@
     }
 
     /// Ends a first attempt with success and a bill, and without a load report.
-    pub fn billed(&mut self, request: u32, engine: usize, work: u64, memory_mb: f64) -> &mut Self {
+    pub fn succeeded_with_usage(&mut self, request: u32, engine: usize, work: u64, memory_mb: f64) -> &mut Self {
         let usage = Some(Usage { work: ms(work), memory_mb });
         let succeeded = ended(request, 0, engine, AttemptOutcome::Succeeded);
         self.end(AttemptEnded { elapsed: ms(work), usage, ..succeeded })
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -22,9 +22,9 @@
 fn under_pressure_each_tier_is_limited_and_the_earliest_request_is_sent_first() {
     let mut trace = Trace::with_engines(1);
     let busy = cores_and_memory(1.0, 0.5);
-    trace.accept(SHORT, 100, 50.0).at(100).reported(0, 0, 0, Succeeded, Some(busy));
+    trace.accept(SHORT, 100, 50.0).at(100).ended_with_load_report(0, 0, 0, Succeeded, Some(busy));
     trace.accept_many(4, LONG, 1500, 3000.0);
-    trace.at(400).reported(1, 0, 0, Succeeded, Some(busy)).wake_until(2000);
+    trace.at(400).ended_with_load_report(1, 0, 0, Succeeded, Some(busy)).wake_until(2000);
     expect![[r#"
         0     request 0 gets 63 MB, priority 1
         0     request 0 to engine 0 until 7980
@@ -43,9 +43,9 @@
     let full = cores_and_memory(0.3, 0.9);
     let free = cores_and_memory(0.3, 0.2);
     trace.accept_many(3, SHORT, 100, 300.0);
-    trace.at(1200).reported(0, 0, 0, Succeeded, Some(full)).decisions();
+    trace.at(1200).ended_with_load_report(0, 0, 0, Succeeded, Some(full)).decisions();
     trace.accept(LONG, 900, 4000.0).accept(SHORT, 100, 300.0).wake_until(1500);
-    trace.reported(1, 0, 0, Succeeded, Some(free));
+    trace.ended_with_load_report(1, 0, 0, Succeeded, Some(free));
     expect![[r#"
         1200  request 4 gets 375 MB, priority 1
         1200  request 4 to engine 0 until 9180
@@ -79,7 +79,7 @@
     let busy = cores_and_memory(1.0, 0.5);
     trace.accept_many(4, SHORT, 100, 300.0).at(100);
     for request in 0..4 {
-        trace.reported(request, 0, request as usize, Succeeded, Some(busy));
+        trace.ended_with_load_report(request, 0, request as usize, Succeeded, Some(busy));
     }
     trace.decisions();
     trace.accept_many(3, LONG, 300, 300.0);
--- a/tests/traces/estimates.rs
+++ b/tests/traces/estimates.rs
@@ -1,13 +1,13 @@
 //! Estimates of the resources that requests need.
 
 use crate::trace::*;
-use crate::{billed_without_estimates, in_flight};
+use crate::{trace_with_one_reported_usage, in_flight};
 use emberflow::AttemptOutcome::*;
 use emberflow::*;
 use expect_test::expect;
 
 #[test]
-fn spills_raise_the_grant_where_usage_is_not_billed() {
+fn spills_raise_the_grant_where_usage_is_not_reported() {
     let mut trace = Trace::with_engines(1);
     trace.accept(LONG, 300, 400.0).at(90).progress_updated(0, 0, ProgressUpdate::Spilling(300.0));
     trace.at(100).ended(0, 0, 0, Succeeded).accept(LONG, 300, 400.0);
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_billed_request_that_was_costly_does_not_make_its_engine_look_slow() {
-    let mut trace = billed_without_estimates();
-    trace.at(5000).accept(SHORT, 0, 0.0).at(7000).billed(1, 0, 2000, 100.0);
+fn a_request_with_much_reported_work_does_not_make_its_engine_look_slow() {
+    let mut trace = trace_with_one_reported_usage();
+    trace.at(5000).accept(SHORT, 0, 0.0).at(7000).succeeded_with_usage(1, 0, 2000, 100.0);
     trace.accept_many(2, SHORT, 0, 0.0).wake_until(7100);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn a_grant_without_an_estimate_is_no_less_than_an_engine_would_choose() {
-    let mut trace = billed_without_estimates();
+fn a_grant_without_an_estimate_exceeds_the_usual_memory_of_the_class() {
+    let mut trace = trace_with_one_reported_usage();
     trace.accept(SHORT, 0, 0.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
@@ -79,10 +79,10 @@
 }
 
 #[test]
-fn a_grant_without_an_estimate_covers_most_bills_of_its_class() {
-    let mut trace = billed_without_estimates();
+fn a_grant_without_an_estimate_covers_most_reported_usage_of_the_class() {
+    let mut trace = trace_with_one_reported_usage();
     trace.accept(SHORT, 0, 0.0);
-    trace.at(100).billed(1, 0, 50, 400.0).accept(SHORT, 0, 0.0);
+    trace.at(100).succeeded_with_usage(1, 0, 50, 400.0).accept(SHORT, 0, 0.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
         0     request 0 to engine 0 until 7980
--- a/tests/traces/lifecycle.rs
+++ b/tests/traces/lifecycle.rs
@@ -61,7 +61,7 @@
     let mut trace = Trace::with_engines(2);
     trace.accept_many(2, SHORT, 100, 100.0).at(10);
     let removed = |engine| endpoint(engine, Lifecycle::Removed, None);
-    trace.list_engines(vec![removed(0), removed(1), endpoint(2, Lifecycle::Ready, None)]);
+    trace.update_endpoints(vec![removed(0), removed(1), endpoint(2, Lifecycle::Ready, None)]);
     trace.at(20).ended(0, 0, 0, Succeeded).at(30).ended(1, 0, 1, Broken);
     trace.at(40).ended(1, 1, 2, Succeeded);
     expect![[r#"
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -42,8 +42,8 @@
 }
 
 /// Starts a trace with one engine and a request without estimates that was billed for 100 MB.
-fn billed_without_estimates() -> Trace {
+fn trace_with_one_reported_usage() -> Trace {
     let mut trace = Trace::with_engines(1);
-    trace.accept(SHORT, 0, 0.0).at(50).billed(0, 0, 50, 100.0);
+    trace.accept(SHORT, 0, 0.0).at(50).succeeded_with_usage(0, 0, 50, 100.0);
     trace
 }
--- a/tests/traces/outliers.rs
+++ b/tests/traces/outliers.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_warming_engine_gets_no_more_than_its_slow_start_budget() {
     let mut trace = Trace::with_engines(0);
-    trace.at(5000).list_engines(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
+    trace.at(5000).update_endpoints(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
     trace.accept_many(6, SHORT, 900, 300.0);
     trace.wake_until(5600);
     expect![[r#"
@@ -67,7 +67,7 @@
 #[test]
 fn a_warming_engine_of_many_routers_gets_one_request_after_a_random_offset() {
     let mut trace = Trace::new(0, |fleet, _, _| fleet.router_count = 20);
-    trace.at(5000).list_engines(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
+    trace.at(5000).update_endpoints(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
     for at in [5000, 5400, 5800, 6200, 6600] {
         trace.at(at).accept(SHORT, 400, 300.0).wake_until(at + 360);
     }
@@ -173,7 +173,7 @@
         fleet.router_count = 40;
         attempt_limits.warm_up = ms(2000);
     });
-    trace.at(20000).list_engine(0, Lifecycle::Ready, Some(20000)).accept_keyed(0, 20, 300.0, None);
+    trace.at(20000).update_endpoint(0, Lifecycle::Ready, Some(20000)).accept_keyed(0, 20, 300.0, None);
     trace.at(20064).wake_now().at(20128).accept_keyed(0, 20, 300.0, None).wake_now();
     trace.at(20192).wake_now().at(20256).wake_now().ended(1, 0, 0, Overloaded);
     expect![[r#"
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_draining_engine_or_outside_its_placement() {
+fn nothing_is_sent_to_a_draining_engine_or_a_kind_outside_the_class() {
     let mut trace = Trace::new(2, |fleet, classes, _| {
         fleet.kinds.push(EngineKind { cores: 8.0, memory_mb: 16000.0 });
         classes[LONG].kinds = Some(vec![1]);
     });
     trace
-        .list_engines(vec![Endpoint { kind: 1, ..endpoint(5, Lifecycle::Ready, None) }])
+        .update_endpoints(vec![Endpoint { kind: 1, ..endpoint(5, Lifecycle::Ready, None) }])
         .accept(LONG, 300, 300.0);
-    trace.list_engines(vec![
+    trace.update_endpoints(vec![
         Endpoint { kind: 1, ..endpoint(5, Lifecycle::Draining, None) },
         endpoint(0, Lifecycle::Draining, None),
     ]);
@@ -65,10 +65,10 @@
     let mut trace = Trace::with_engines(2);
     let free = cores_and_memory(0.1, 0.1);
     trace.accept_many(4, SHORT, 100, 300.0);
-    trace.at(20).reported(0, 0, 0, Succeeded, Some(free));
-    trace.reported(1, 0, 1, Succeeded, Some(free)).decisions();
+    trace.at(20).ended_with_load_report(0, 0, 0, Succeeded, Some(free));
+    trace.ended_with_load_report(1, 0, 1, Succeeded, Some(free)).decisions();
     for at in 3..7 {
-        trace.at(at * 10).accept(LONG, 300, 1000.0).reported(9, 0, 0, Succeeded, Some(free));
+        trace.at(at * 10).accept(LONG, 300, 1000.0).ended_with_load_report(9, 0, 0, Succeeded, Some(free));
     }
     expect![[r#"
         30    request 4 gets 1250 MB, priority 1
@@ -89,7 +89,7 @@
     let free = memory_only(0.2);
     trace.accept_many(2, LONG, 900, 900.0).at(100).progress_updated(0, 0, ProgressUpdate::Spilling(100.0));
     trace.accept(LONG, 900, 6000.0).at(600).ended(2, 0, 1, Succeeded).accept(LONG, 900, 6000.0);
-    trace.at(700).reported(0, 0, 0, Succeeded, Some(free)).accept(LONG, 900, 6000.0);
+    trace.at(700).ended_with_load_report(0, 0, 0, Succeeded, Some(free)).accept(LONG, 900, 6000.0);
     expect![[r#"
         0     request 0 gets 1125 MB, priority 1
         0     request 0 to engine 0 until 15980
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_request_blocked_by_bulk_loads_avoids_an_engine_where_one_of_its_group_waited() {
+fn a_request_avoids_an_engine_where_a_bulk_load_blocked_its_table_group() {
     let mut trace = Trace::new(2, |_, classes, _| classes[SHORT].waits_for_bulk_loads = true);
     trace.accept_in_table_group(SHORT, 7).progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad).at(10);
     for _ in 0..3 {
@@ -190,8 +190,8 @@
     let mut trace = Trace::new(2, |fleet, _, _| fleet.router_count = 4);
     let report = |cores| Some(cores_only(cores));
     trace.accept_many(2, SHORT, 100, 300.0);
-    trace.at(100).reported(0, 0, 0, Succeeded, report(0.9));
-    trace.reported(1, 0, 1, Succeeded, report(0.1)).decisions();
+    trace.at(100).ended_with_load_report(0, 0, 0, Succeeded, report(0.9));
+    trace.ended_with_load_report(1, 0, 1, Succeeded, report(0.1)).decisions();
     trace.accept_many(2, SHORT, 100, 300.0);
     expect![[r#"
         100   request 2 gets 375 MB, priority 1
--- a/tests/traces/retries.rs
+++ b/tests/traces/retries.rs
@@ -26,7 +26,7 @@
 fn a_request_with_an_idempotency_key_is_retried_in_its_cell_and_window() {
     let cell = Effect::IdempotentWithKey { scope: KeyScope::Cell, window: ms(700) };
     let mut trace = Trace::new(4, |_, classes, _| classes[SHORT].effect = cell);
-    trace.list_engines(
+    trace.update_endpoints(
         (1..4).map(|engine| Endpoint { location: 0, ..endpoint(engine, Lifecycle::Ready, None) }).collect(),
     );
     trace.accept(SHORT, 100, 300.0).at(50).ended(0, 0, 0, Broken).at(690).ended(0, 1, 1, Broken);
@@ -113,7 +113,7 @@
     let mut trace =
         Trace::new(1, |_, classes, _| (classes[BULK_LOAD].keeps_order, classes[BULK_LOAD].late_weight_fraction) = (true, 0.5));
     trace.accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).at(3500).wake_now();
-    trace.at(3600).billed(0, 0, 3600, 100.0);
+    trace.at(3600).succeeded_with_usage(0, 0, 3600, 100.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
         0     request 0 to engine 0 until 23980
