--- a/src/actions.rs
+++ b/src/actions.rs
@@ -3,7 +3,8 @@
 use crate::{EngineId, RequestId};
 use std::time::Duration;
 
-/// Carries out the scheduler's decisions. Each call takes effect at the time of the input that caused it.
+/// Carries out the scheduler's decisions. The caller implements it. Each call takes effect at the time of the input
+/// that caused the call.
 pub trait Actions {
     /// Sends the request's next attempt to the engine. The attempt times out at `until`.
     fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
@@ -11,16 +12,17 @@
     fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8);
     /// Cancels an attempt in flight.
     fn cancel(&mut self, request: RequestId, attempt: usize);
-    /// Answers the request without a result. The client may safely retry, after `retry_after` if given.
+    /// Answers the request without a result. The client may safely retry, after `retry_after` if it is given.
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>);
-    /// Answers the request without a result. An attempt may have run, so a retry is not known to be safe.
+    /// Answers the request without a result. An attempt may have run, so a client's retry is not known to be safe.
     fn fail(&mut self, request: RequestId);
     /// Requests a load report from the engine.
     fn probe(&mut self, engine: EngineId);
     /// Schedules a call of [`Scheduler::wake`](crate::Scheduler::wake) after `wait`.
     fn wake_after(&mut self, wait: Duration);
-    /// Subscribes to changes of the endpoint list.
+    /// Subscribes to changes of the endpoint list. Called only if
+    /// [`Fleet::polls_endpoint_list`](crate::Fleet::polls_endpoint_list).
     fn watch_endpoints(&mut self);
-    /// Releases the number of an engine that is removed and has no attempt in flight.
+    /// Releases the id of a removed engine that no request refers to. The caller may give the id to another engine.
     fn forget(&mut self, engine: EngineId);
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,6 +1,7 @@
-//! A fingerprint of the scheduler's state, by which a search recognizes equivalent states. It leaves out
-//! everything that can't influence a later action: times are relative to now, the caller sets the random
-//! draws, and engines are identified by their attempts in flight and not by their numbers.
+//! A fingerprint of the scheduler's state, by which a search over states recognizes equivalent ones. The fingerprint
+//! leaves out everything that can't influence a later action: times are relative to now, the number of random draws
+//! is left out because the caller sets it, and engines are identified by the attempts sent to them and not by their
+//! ids.
 
 use crate::policy::MIN_FAILURES;
 use crate::samples::SampleWindow;
@@ -21,23 +22,23 @@
     pub keys: usize,
 }
 
-/// The context of a fingerprint, which the caller knows.
+/// The facts that the caller knows and that a fingerprint depends on.
 pub struct FingerprintContext<'a> {
     /// The time to which all times are relative.
     pub now: Duration,
-    /// Whether requests may still arrive. If not, the estimates of their classes have no further influence.
+    /// Whether requests may still arrive. If not, the recorded deadlines of their classes have no further influence.
     pub expects_arrivals: bool,
-    /// Whether engines of the same state may be interchanged.
+    /// Whether engines in the same state are equivalent, so that their ids are left out of the fingerprint.
     pub engines_interchangeable: bool,
-    /// Returns a hash of the state of an engine that the caller holds.
+    /// Returns a hash of the state that the caller holds for an engine.
     pub engine_state_hash: &'a dyn Fn(EngineId) -> u64,
 }
 
-/// Positions of the unfinished requests in the order of arrival, which replace their numbers.
+/// Positions of the unfinished requests in the order of arrival, which are hashed in place of their ids.
 type Positions = BTreeMap<RequestId, usize>;
 
 impl Scheduler {
-    /// Counts the requests, engines and keys that the scheduler holds.
+    /// Returns the numbers of requests, engines and keys that the scheduler holds.
     pub fn held_counts(&self) -> HeldCounts {
         HeldCounts {
             requests: self.state.requests.len(),
@@ -46,13 +47,13 @@
         }
     }
 
-    /// Sets the counter of random draws, which determines the next random choice.
+    /// Sets the number of random draws so far, which determines the next random choice.
     pub fn set_random_draws(&mut self, draws: u64) {
         self.state.random_draws = draws;
     }
 
-    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs,
-    /// except for random choices and, if engines are interchangeable, their numbers.
+    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs, except
+    /// for random choices and, if engines are interchangeable, the ids of the engines.
     pub fn fingerprint(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         self.state.fingerprint(context, hasher);
     }
@@ -61,7 +62,7 @@
 impl SchedulerState {
     fn fingerprint(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let now = context.now;
-        // Without further requests, only the engines and keys that are still to be forgotten matter.
+        // If no request is held or will arrive, only the engines and keys that are still to be forgotten matter.
         if self.requests.is_empty() && !context.expects_arrivals {
             (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(hasher);
             return relative_micros(now, self.wake_due.max(now)).hash(hasher);
@@ -170,7 +171,7 @@
         self.hash_attempts_at(id, hasher);
         self.hash_health(engine, now, hasher);
         engine.recent_table_groups.hash(hasher);
-        for (group, at) in &engine.bulk_loads_seen {
+        for (group, at) in &engine.bulk_loads_reported {
             (group, relative_micros(now, *at)).hash(hasher);
         }
         (context.engine_state_hash)(id).hash(hasher);
@@ -192,7 +193,7 @@
         let warming = engine.warming_since.filter(|at| *at + self.attempt_limits.warm_up > now);
         warming.map(|at| relative_micros(now, at)).hash(hasher);
         let Some(budget) = self.slow_start_budget(engine, now, self.fleet_share()) else { return };
-        // If the budget is smaller than one request, the window is longer and starts at a random offset.
+        // If the budget is smaller than one request, `fits_slow_start` uses a longer window with a random offset.
         let has_longer_window = (0..self.classes.len()).any(|class| self.slow_start_work(class) > budget);
         let offset = || (relative_micros(now, engine.listed_at), self.slow_start_draw(id, engine));
         has_longer_window.then(offset).hash(hasher);
@@ -208,7 +209,7 @@
         let last_sent = engine.sent_work.last().filter(|(at, _)| *at + recovery_interval > now);
         last_sent.map(|(at, _)| relative_micros(now, at)).hash(hasher);
         hash_samples(&engine.slowdowns, now, self.slowdown_window_start(now), hasher);
-        // The exact time of a failure before the longest possible window has no influence.
+        // All times before the longest possible window of failures are equivalent.
         let failures = engine.failures.samples().count().max(MIN_FAILURES);
         let longest_window_start = self.failure_window_start(now, failures);
         for (at, failure) in engine.failures.samples() {
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -1,5 +1,5 @@
-//! The scheduler's inputs: each records an event and then applies the rules. Also the queries that callers
-//! may make.
+//! The scheduler's inputs and queries. An input records an event and then applies the rules; a query changes
+//! nothing.
 
 use crate::samples::duration;
 use crate::state::{FleetSnapshot, SchedulerState};
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Accepts a request that has arrived.
+    /// Accepts a request that has arrived. It is sent, queued or answered without a result.
     pub fn accept(&mut self, now: Duration, arrival: Arrival, actions: &mut impl Actions) {
         let request = self.state.update_estimates_from_arrival(now, &arrival);
         self.state.record_accepted(now, arrival.request, request);
         self.apply_rules(now, actions);
     }
 
-    /// Handles the end of an attempt.
+    /// Handles the end of an attempt. Its load report counts even if the request is no longer known.
     pub fn attempt_ended(&mut self, now: Duration, ended: AttemptEnded, actions: &mut impl Actions) {
         if let Some(load) = ended.load_report {
             self.state.update_from_load_report(now, ended.engine, load, Some(ended.request));
@@ -58,9 +58,9 @@
         self.apply_rules(now, actions);
     }
 
-    /// Handles clients that left. `cancelled` requests need no answer. The clients of `half_closed` requests
-    /// have closed their sending side and may have left: attempts in flight continue, but no further attempt
-    /// is sent.
+    /// Handles the departure of clients. The requests in `cancelled` need no answer. The clients of the requests in
+    /// `half_closed` have closed their sending side and may have left: attempts in flight continue, but no further
+    /// attempt is sent.
     pub fn clients_left(
         &mut self,
         now: Duration,
@@ -72,7 +72,7 @@
         self.apply_rules(now, actions);
     }
 
-    /// Handles an update of the endpoint list.
+    /// Handles an update of the endpoint list, and chooses the subset of engines that this router uses.
     pub fn endpoints_changed(
         &mut self,
         now: Duration,
@@ -85,13 +85,14 @@
         self.apply_rules(now, actions);
     }
 
-    /// Handles a failure to read the endpoint list: the scheduler subscribes to its changes again.
+    /// Handles a failure to read the endpoint list. The scheduler subscribes to its changes again, if changes arrive
+    /// only after a subscription.
     pub fn endpoint_list_failed(&mut self, now: Duration, actions: &mut impl Actions) {
         self.state.is_watching_endpoints = false;
         self.apply_rules(now, actions);
     }
 
-    /// Starts the graceful shutdown. Every open request is answered before `deadline`.
+    /// Starts the graceful shutdown. Every request, also one that arrives later, is answered before `deadline`.
     pub fn start_shutdown(&mut self, now: Duration, deadline: Duration, actions: &mut impl Actions) {
         self.state.record_shutdown(deadline);
         actions.wake_after(deadline.saturating_sub(now + self.state.final_answer_lead()));
@@ -103,7 +104,7 @@
         self.apply_rules(now, actions);
     }
 
-    /// Returns the expected work of a request, as time on one core.
+    /// Returns the expected work of a request, as time on one core; zero if nothing is known about its class.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
         duration(self.state.expected_resources(arrival).work)
     }
@@ -119,15 +120,15 @@
     }
 }
 
-/// The free capacity of the fleet at one time, by tier.
+/// The free capacity of the fleet at one time. It keeps track of the tiers that were found to be full.
 pub struct Capacity<'a> {
     state: &'a SchedulerState,
     snapshot: FleetSnapshot,
 }
 
 impl Capacity<'_> {
-    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that
-    /// tier are not admitted either.
+    /// Returns whether the request would be sent at once. If its tier has no capacity, later requests of that tier
+    /// are not admitted either, since they would have to wait behind the first one.
     pub fn admits(&mut self, arrival: &Arrival) -> bool {
         self.state.would_be_sent(arrival, &mut self.snapshot)
     }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,5 +1,5 @@
-//! Numbers that the caller assigns to requests, engines and keys. They are separate types, so that the
-//! compiler rejects the number of an engine in place of that of a request.
+//! Ids: numbers that the caller assigns to requests, engines and keys. Each kind has its own type, so that the
+//! compiler rejects the id of an engine in place of the id of a request.
 
 use std::fmt::{Debug, Display, Formatter, Result};
 
@@ -38,16 +38,16 @@
 }
 
 id_type! {
-    /// The number of a request. Numbers rise in the order of arrival and are never used again.
+    /// The number of a request. Numbers increase in the order of arrival and are never reused.
     RequestId(u32)
 }
 
 id_type! {
-    /// The number of an engine, which is free again after [`Actions::forget`](crate::Actions::forget).
+    /// The number of an engine, which may be reused after [`Actions::forget`](crate::Actions::forget).
     EngineId(usize)
 }
 
 id_type! {
-    /// The number of a key whose requests keep their order.
+    /// The number of an ordering key, whose requests run one at a time in the order of arrival.
     KeyId(u32)
 }
--- a/src/input.rs
+++ b/src/input.rs
@@ -3,12 +3,12 @@
 use crate::{EngineId, KeyId, RequestId};
 use std::time::Duration;
 
-/// Which rows an update of the endpoint list contains.
+/// The kind of an update of the endpoint list: which rows the update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// All endpoints: an engine without a row is removed.
+    /// All endpoints. An engine without a row is removed.
     FullList,
-    /// The endpoints that changed.
+    /// Only the endpoints that are new or have changed.
     Changes,
 }
 
@@ -17,7 +17,7 @@
 pub enum Lifecycle {
     /// The engine accepts requests.
     Ready,
-    /// The engine finishes the attempts in flight and accepts no new ones.
+    /// The engine finishes its attempts in flight and accepts no new ones.
     Draining,
     /// The engine accepts requests until it has none in flight, and is then removed.
     Retiring,
@@ -45,9 +45,10 @@
     pub location: usize,
     /// Index into [`Fleet::kinds`](crate::Fleet::kinds).
     pub kind: usize,
-    /// The cell; its engines drop each other's repeats.
+    /// The cell of the engine. The engines of one cell drop each other's repeats of a request with an idempotency
+    /// key.
     pub cell: u64,
-    /// The state of the engine.
+    /// Whether the engine accepts requests, and whether it is about to be removed.
     pub lifecycle: Lifecycle,
     /// Time of the engine's last start; `None` if the list does not contain it.
     pub launched: Option<Duration>,
@@ -56,21 +57,21 @@
 /// A request that arrives.
 #[derive(Clone)]
 pub struct Arrival {
-    /// The number of the request.
+    /// The id of the request, higher than that of all earlier requests.
     pub request: RequestId,
     /// Index into the request classes.
     pub class: usize,
-    /// The ordering key; it applies where the class keeps order.
+    /// The ordering key, which is ignored unless the class keeps order.
     pub key: Option<KeyId>,
-    /// The client's estimate of the work, as time on one core.
+    /// The client's estimate of the work, as time on one core; `None` if the client gave none.
     pub estimated_work: Option<Duration>,
-    /// The client's estimate of the memory in MB.
+    /// The client's estimate of the memory in MB; `None` if the client gave none.
     pub estimated_memory_mb: Option<f64>,
-    /// How long the client waits for the answer. It counts from the arrival, which was `queue_time` ago.
+    /// Time that the client waits for the answer, counted from the arrival, which was `queue_time` ago.
     pub deadline: Duration,
-    /// Time that the request was queued before the scheduler accepts it.
+    /// Time from the arrival of the request until the scheduler accepts it.
     pub queue_time: Duration,
-    /// Whether this is a client's retry of an earlier request; `None` if clients do not mark retries.
+    /// Whether the request is a client's retry of an earlier request; `None` if clients do not mark retries.
     pub is_retry: Option<bool>,
     /// The group of tables that the request reads or loads; `None` if the client names none.
     pub table_group: Option<u64>,
@@ -100,40 +101,40 @@
 /// The end of an attempt.
 #[derive(Clone)]
 pub struct AttemptEnded {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Index of the attempt among the request's attempts.
+    /// Index of the attempt among the request's attempts, from 0.
     pub attempt: usize,
     /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// How the attempt ended.
+    /// How the attempt ended, which tells whether it may have run.
     pub outcome: AttemptOutcome,
     /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The resources that the attempt was billed for; `None` if the answer does not contain them.
+    /// The resources that the attempt used; `None` if the answer does not contain them.
     pub usage: Option<Usage>,
-    /// The load report in the answer.
+    /// The load report in the answer; `None` if there was no answer or no report in it.
     pub load_report: Option<LoadReport>,
     /// Whether the request is answered, by this attempt or earlier.
     pub request_done: bool,
 }
 
-/// The load that an engine reports about itself. Fractions are between 0 and 1.
+/// The load that an engine reports about itself. Fractions are from 0 to 1; `None` if the report lacks a figure.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// Fraction of the cores in use.
     pub core_utilization: Option<f64>,
-    /// Requests that the engine runs or queues.
+    /// Number of requests that the engine runs or queues.
     pub in_flight: Option<f64>,
-    /// Requests among these that wait for memory.
+    /// Number of requests among these that wait for memory.
     pub waiting_for_memory: Option<f64>,
-    /// Fraction of the memory that is granted.
+    /// Fraction of the memory that is granted to requests.
     pub memory_utilization: Option<f64>,
     /// Fraction of the disks in use.
     pub disk_utilization: Option<f64>,
 }
 
-/// The resources that a finished attempt is billed for.
+/// The resources that a finished attempt used, as the engine reports them.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// Work, as time on one core.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,17 @@
 //! The decisions of emberflow, a router for query engines with limited memory, as a library without I/O,
 //! clock or wire format.
 //!
-//! A caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`]. It
-//! reports each event by a method call that takes the time of the event and an [`Actions`] sink. The
-//! scheduler carries out its decisions through that sink before the call returns, and keeps track of requests
-//! and engines.
+//! The caller builds one [`Scheduler`] from the [`Fleet`], the [`RequestClass`]es and the [`AttemptLimits`]. The
+//! caller reports each event by a method call that takes the time of the event and an [`Actions`] sink. The scheduler
+//! passes its decisions to that sink before the call returns. It keeps track of requests and engines itself.
 //!
-//! Times are durations since the caller's start. Requests, engines and keys are known by numbers that the
-//! caller assigns: [`RequestId`], [`EngineId`] and [`KeyId`].
+//! Times are durations since the start of the caller. Requests, engines and ordering keys are identified by numbers
+//! that the caller assigns: [`RequestId`], [`EngineId`] and [`KeyId`].
 //!
-//! `settings` and `input` define the data that callers pass in, `handlers` the inputs, `state` the records,
-//! `policy` the decisions, and `scheduler` the order in which the decisions are taken.
+//! `settings` and `input` define the data that callers pass in, `handlers` the inputs and queries, `state` the
+//! records, `policy` the decisions, and `scheduler` the order in which the decisions are taken.
 
-// Engineers learn the crate from its documentation, so every public item must be explained.
+// Engineers learn the crate from its documentation, so every public item must be documented.
 #![warn(missing_docs)]
 
 mod actions;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -8,18 +8,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Longest time in the queue, as a fraction of the objective budget, by tier.
+/// Longest time in the queue as a fraction of the objective budget, indexed by tier.
 const MAX_QUEUE_TIME_FRACTION: [f64; Tier::ALL.len()] = [0.25, 0.25, 0.5, 0.75];
-/// Factor by which the measured fleet share of this router may be too low.
+/// Factor by which this router's measured fleet share may be lower than its true share.
 const MAX_FLEET_SHARE_ERROR: f64 = 4.0;
-/// Queued requests that are never rejected for the work before them.
+/// Number of queued requests, from the earliest on, that are never rejected for the work before them.
 const MIN_QUEUE_LENGTH: usize = 32;
-/// Engines that are probed at once.
+/// Number of engines that are probed in one round.
 const PROBES_AT_ONCE: usize = 2;
 
 impl SchedulerState {
-    /// Returns whether a new request would be sent at once. Tiers without capacity for it are blocked for
-    /// later requests.
+    /// Returns whether a new request would be sent at once. If its tier has no capacity, the tier is blocked for
+    /// later requests in this snapshot.
     pub fn would_be_sent(&self, arrival: &Arrival, snapshot: &mut FleetSnapshot) -> bool {
         let request = self.expected_request(snapshot.now, arrival);
         self.would_be_next_of_its_key(&request, snapshot.now)
@@ -45,7 +45,8 @@
         any_sent
     }
 
-    /// Returns whether a first attempt, or a retry within the retry budget, is allowed.
+    /// Returns whether the request's next attempt is allowed: any first attempt, and a retry within the retry
+    /// budget.
     fn may_send_attempt(&self, request: &Request, now: Duration) -> bool {
         request.attempts.is_empty() || self.may_retry(request, now) && self.retries_left(now) >= 1.0
     }
@@ -60,7 +61,8 @@
         self.record_sent(now, id, to.engine, to.tier, grant_mb)
     }
 
-    /// Probes engines without a recent load report, if engines report their load only in answer to a probe.
+    /// Probes engines without a recent load report, if engines report their load only in answer to a probe. Does
+    /// so only while a request could be sent.
     pub fn probe_unreported_engines(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let window_start = now.saturating_sub(self.probe_interval());
@@ -85,7 +87,8 @@
         snapshot.engines.keys().copied().filter(|id| lacks_recent_report(&self.engines[id])).collect()
     }
 
-    /// Rejects queued requests that will miss their objective or have waited for too long.
+    /// Rejects queued requests that will miss their latency objective, have been queued for too long, or have too
+    /// much work before them.
     pub fn reject_too_late(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let beyond_capacity = self.requests_beyond_capacity(snapshot);
         let shortest_budget = self.shortest_objective_budget();
@@ -103,8 +106,9 @@
         self.answer_without_result(too_late, actions)
     }
 
-    /// Returns the shortest objective budget of a usual request of any class. It limits the queue time of all
-    /// requests without estimates, because those with a long budget would block the others of their tier.
+    /// Returns the shortest objective budget of a usual request, over all classes. It limits the queue time of
+    /// all requests without estimates. They share the medium tier, where a request with a longer budget would
+    /// block the others.
     fn shortest_objective_budget(&self) -> Duration {
         let budgets = self.classes.iter().enumerate().map(|(index, class)| {
             let variable = class.objective_stretch * self.usual_work(index) / class.threads.max(1.0);
@@ -114,8 +118,8 @@
     }
 
     /// Returns the queued requests with more work before them than this router's share of all cores can do
-    /// within their objective budget. Guards against floods, which would make the queue, and the cost of each
-    /// input, grow without bound.
+    /// within their objective budget. Guards against floods of requests, which would let the queue, and the time
+    /// that each input takes, grow without bound.
     fn requests_beyond_capacity(&self, snapshot: &FleetSnapshot) -> BTreeSet<RequestId> {
         let kinds = self.fleet.kinds.iter().enumerate();
         let fleet_cores: f64 =
@@ -133,8 +137,8 @@
         beyond_capacity
     }
 
-    /// Returns the expected elapsed time of the request's next attempt. It is zero, so that the request is
-    /// sent and measured, if neither the client nor a recent success of the class provides an estimate.
+    /// Returns the expected elapsed time of the request's next attempt. If neither the client nor a recent success
+    /// of the class provides an estimate, the expected time is zero, so that the request is sent and measured.
     fn expected_run(&self, request: &Request, snapshot: &FleetSnapshot) -> Duration {
         let window_start = self.slowdown_window_start(snapshot.now);
         let slowdowns = &self.estimates[request.class].slowdowns;
@@ -142,14 +146,15 @@
         duration(if is_known { request.ideal_run_seconds * snapshot.slowdowns[request.class] } else { 0.0 })
     }
 
-    /// Returns whether a request that waits for others of its key is worth nothing any more if sent now.
+    /// Returns whether a request that waits for others of its key would be answered too late even if it were sent
+    /// now: after its deadline or, if the class gives late answers no value, after its latency objective.
     fn will_be_answered_too_late(&self, request: &Request, snapshot: &FleetSnapshot) -> bool {
         let has_late_value = self.classes[request.class].late_weight_fraction > 0.0;
         let answer_by = if has_late_value { request.deadline } else { request.objective_at };
         snapshot.now + self.expected_run(request, snapshot) > answer_by
     }
 
-    /// Returns whether a queued request can't meet its objective any more, or has waited for too long.
+    /// Returns whether a queued request can no longer meet its latency objective, or has been queued for too long.
     fn will_miss_objective(
         &self,
         request: &Request,
@@ -158,8 +163,8 @@
     ) -> bool {
         let tier = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).min();
         let max_fraction = MAX_QUEUE_TIME_FRACTION[tier.unwrap_or(Tier::Largest) as usize];
-        let shares_queue = request.estimated_work.is_none() && request.key.is_none();
-        let budget = if shares_queue {
+        let may_block_tier = request.estimated_work.is_none() && request.key.is_none();
+        let budget = if may_block_tier {
             request.objective_budget().min(shortest_budget)
         } else {
             request.objective_budget()
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -1,20 +1,20 @@
-//! Deadlines: every request gets one final answer in time, and late attempts are cancelled under pressure.
+//! Deadlines: gives every request one final answer in time, and cancels late attempts at engines under pressure.
 
 use crate::samples::{mean, seconds};
 use crate::state::{FleetSnapshot, Request, SchedulerState};
 use crate::{Actions, RequestId};
 use std::time::Duration;
 
-/// Ticks before a deadline by which the final answer must have been sent.
+/// Time before a deadline by which the final answer must have been sent, in ticks.
 const ANSWER_MARGIN_TICKS: u32 = 4;
-/// Margins before a deadline at which the scheduler answers a request.
+/// Time before a deadline at which the scheduler answers a request, in answer margins.
 const FINAL_ANSWER_LEAD_MARGINS: u32 = 3;
-/// Priority weight that a late answer must have per second of remaining work, as a fraction of the mean of
-/// all classes.
+/// Priority weight per core-second of remaining work below which a late answer is not worth the work, as a
+/// fraction of the mean of all classes.
 const MIN_LATE_VALUE: f64 = 0.25;
-/// Wake-ups in one shortest latency objective while no request is queued.
+/// Number of wake-ups in one shortest latency objective while no request is queued.
 const IDLE_WAKES_PER_OBJECTIVE: u32 = 8;
-/// Ticks between wake-ups while a request is queued, and at least between all others.
+/// Interval between wake-ups while a request is queued, in ticks. Other intervals are at least as long.
 const QUEUED_WAKE_TICKS: u32 = 8;
 
 impl SchedulerState {
@@ -28,8 +28,8 @@
         self.answer_margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
-    /// Answers requests without a result before their deadline or the end of the process, and at once if no
-    /// further attempt is allowed or useful.
+    /// Answers requests without a result shortly before their deadline or the shutdown deadline. Answers a queued
+    /// request at once if no further attempt is allowed or useful.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let due_by = now + self.final_answer_lead();
@@ -46,7 +46,8 @@
         due_by >= self.shutdown_at || request.is_queued() && self.is_too_late_to_send(request, now, due_by)
     }
 
-    /// Returns whether a queued request is not sent any more.
+    /// Returns whether a queued request must be answered instead of sent: its client may have left, its deadline
+    /// is near, or it is a retry that is not allowed or not worth the work.
     fn is_too_late_to_send(&self, request: &Request, now: Duration, due_by: Duration) -> bool {
         let is_retry = !request.attempts.is_empty();
         !request.is_open()
@@ -54,8 +55,8 @@
             || is_retry && (!self.may_retry(request, now) || self.late_value_below_cost(request, now))
     }
 
-    /// Returns whether the request is past its objective, and a late answer is worth little for the remaining
-    /// work.
+    /// Returns whether the request is past its latency objective, and a late answer is worth less than the
+    /// remaining work costs.
     fn late_value_below_cost(&self, request: &Request, now: Duration) -> bool {
         if now <= request.objective_at {
             return false;
@@ -67,8 +68,8 @@
         class.late_weight_fraction * class.priority_weight < min_weight
     }
 
-    /// Returns the remaining work of a request in seconds: until the expected end of its last attempt, or the
-    /// usual work of its class if no end is expected or the expected end has passed.
+    /// Returns the remaining work of a request in core-seconds: the work until the expected end of its last
+    /// attempt, or the usual work of its class if no end is expected or the expected end has passed.
     fn remaining_work(&self, request: &Request, now: Duration) -> f64 {
         let finish = request.attempts.last().and_then(|attempt| attempt.expected_finish);
         match finish.filter(|finish| *finish > now) {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Cancels attempts at engines under pressure whose late answers are worth less than the capacity that
-    /// they use.
+    /// Cancels late attempts at engines under pressure whose answers are worth less than the capacity that the
+    /// attempts use.
     pub fn cancel_late_attempts(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let mut late = Vec::new();
         for (id, request) in self.in_flight() {
@@ -94,7 +95,8 @@
         self.cancel(late, actions)
     }
 
-    /// Rejects requests, or fails those that a client may not repeat. Returns whether there were any.
+    /// Rejects each request that its client may safely retry, and fails the others. Returns whether any request
+    /// was answered.
     pub fn answer_without_result(&mut self, ids: Vec<RequestId>, actions: &mut impl Actions) -> bool {
         let max_retry_after = self.attempt_limits.max_retry_after;
         let retry_after = max_retry_after.map(|longest| self.shortest_objective().min(longest));
@@ -109,11 +111,13 @@
         !ids.is_empty()
     }
 
-    /// Forgets finished requests, and one removed engine that no request refers to.
+    /// Forgets finished requests, and one deregistered engine that no request refers to. Returns whether anything
+    /// was forgotten.
     pub fn forget_finished(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let any_finished = self.remove_finished_requests(snapshot.now);
         self.prune_retry_budget(snapshot.now);
-        // Guards against fleets whose engines are replaced all the time, which would fill the memory.
+        // Removed engines must be forgotten: in a fleet whose engines are replaced all the time, their state would
+        // fill the memory.
         let Some(removed) = self.engine_index.first_forgettable() else { return any_finished };
         actions.forget(removed);
         snapshot.engines.remove(&removed);
@@ -121,7 +125,8 @@
         true
     }
 
-    /// Requests the next wake-up, and subscribes to changes of the endpoint list where this is needed.
+    /// Requests the next wake-up. Also subscribes to changes of the endpoint list, if the scheduler must do so and
+    /// is not subscribed.
     pub fn schedule_wake(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         if self.fleet.polls_endpoint_list && !self.is_watching_endpoints {
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -1,29 +1,31 @@
-//! Estimates: the resources that a request needs, from its client's estimates and the usage of earlier
-//! requests.
+//! Estimates: the resources that a request is expected to need, from the client's estimates and the usage of
+//! earlier requests.
 
 use crate::samples::{SampleWindow, duration, quantile, seconds};
 use crate::state::{Attempt, ExpectedResources, Request, SchedulerState};
 use crate::{Arrival, AttemptEnded, AttemptOutcome};
 use std::time::Duration;
 
-/// Memory grant as a multiple of the corrected estimate.
+/// Memory grant as a multiple of the expected memory, for a request with a client's estimate.
 const GRANT_FACTOR: f64 = 1.25;
-/// Memory grant as a multiple of the class's usual memory, for a request without an estimate.
+/// Memory grant as a multiple of the usual memory of the class, for a request without an estimate.
 const GRANT_FACTOR_UNESTIMATED: f64 = 1.5;
-/// Fraction of the class's billed requests whose memory such a grant must cover.
+/// Fraction of the class's requests with reported usage whose memory a grant without an estimate must cover.
 const GRANT_QUANTILE: f64 = 0.9;
 
-/// Priority of bulk loads, because other requests on the engine wait for them.
+/// Priority of bulk loads. They are served first, because other requests on the engine wait for them.
 const PRIORITY_BULK_LOAD: u8 = 3;
-/// Priority of classes with a high priority weight per second of work.
+/// Priority of classes with a high priority weight per core-second of work.
 const PRIORITY_HIGH: u8 = 2;
+/// Priority of all other classes, and of all classes if engines ignore priorities.
 const PRIORITY_NORMAL: u8 = 1;
-/// Fraction of the highest priority weight per second of work from which a class has a high priority.
+/// Priority weight per core-second from which a class has a high priority, as a fraction of the highest of all
+/// classes.
 const HIGH_WEIGHT_FRACTION: f64 = 0.5;
 
 impl SchedulerState {
-    /// Returns the needs of a request: the client's estimates, corrected by the ratio of billed to estimated
-    /// usage of its class, or the usual needs of its class.
+    /// Returns the resources that a request is expected to need: the client's estimates, corrected by the usual
+    /// ratio of reported usage to estimate in the class, or without an estimate the usual usage of the class.
     pub fn expected_resources(&self, arrival: &Arrival) -> ExpectedResources {
         let estimates = &self.estimates[arrival.class];
         let corrected = |estimate: f64, ratios: &SampleWindow| estimate * ratios.median().unwrap_or(1.0);
@@ -40,13 +42,13 @@
         }
     }
 
-    /// Returns the request that an arrival would become.
+    /// Creates the request that an arrival would become, without recording it.
     pub fn expected_request(&self, now: Duration, arrival: &Arrival) -> Request {
         self.new_request(now, arrival, self.expected_resources(arrival), self.elapsed_before_arrival(arrival))
     }
 
-    /// Returns the time that a client's earlier requests took. A retry has a shorter deadline than usual, and
-    /// the difference also counts against its latency objective.
+    /// Returns the time that passed between a client's first request and the retry that arrives now. A retry has
+    /// a shorter deadline than usual, and the difference also counts against its latency objective.
     fn elapsed_before_arrival(&self, arrival: &Arrival) -> Duration {
         if arrival.is_retry == Some(false) {
             return Duration::ZERO;
@@ -55,9 +57,9 @@
         usual_deadline.saturating_sub(arrival.deadline)
     }
 
-    /// Records the estimates of an arrival, and returns the request.
+    /// Records the deadline and the expected work of an arrival, and creates its request.
     pub fn update_estimates_from_arrival(&mut self, now: Duration, arrival: &Arrival) -> Request {
-        // The shorter deadlines of marked retries would lower the usual deadline.
+        // Marked retries are left out, because their shorter deadlines would lower the usual deadline.
         if arrival.is_retry != Some(true) {
             self.estimates[arrival.class].deadlines.push(now, seconds(arrival.deadline));
         }
@@ -69,8 +71,8 @@
         request
     }
 
-    /// Records the usage of an ended attempt. Returns the request's ideal run in seconds, corrected by that
-    /// usage if the client gave no estimate.
+    /// Records the usage of an ended attempt. Returns the ideal run of the request in seconds, which is computed
+    /// from that usage if the client gave no estimate.
     pub fn update_estimates_from_outcome(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) -> f64 {
         self.record_memory_usage(now, ended, attempt);
         let request = &self.requests[&ended.request];
@@ -92,7 +94,8 @@
         if let Some(usage) = &ended.usage {
             return estimates.record_usage(now, request, usage);
         }
-        // Without a bill, a spill shows the memory that was needed, unless the engine may have cut the grant.
+        // Without reported usage, a spill shows how much memory was needed, unless the engine may have cut the
+        // grant.
         let succeeded = ended.outcome == AttemptOutcome::Succeeded;
         if let Some(estimate) = request.estimated_memory_mb
             && succeeded
@@ -104,29 +107,29 @@
         }
     }
 
-    /// Returns the work in seconds of a success without a bill, from its elapsed time. Requests that share
-    /// the cores extend the elapsed time, which is corrected by the load that the engine reported with the
-    /// answer.
+    /// Estimates the work in core-seconds of a successful attempt without reported usage from its elapsed time.
+    /// Requests that share the cores extend the elapsed time, which is corrected by the load that the engine
+    /// reported with the answer.
     fn work_from_elapsed_time(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
         let report = ended.load_report.and_then(|_| self.engines[&attempt.engine].report);
         let cores_load = report.and_then(|report| report.load.core_utilization).unwrap_or(1.0).max(1.0);
         seconds(ended.elapsed) * threads / cores_load
     }
 
-    /// Returns the memory in MB that a request's next attempt may use at an engine of this kind.
+    /// Returns the memory grant in MB of a request's next attempt at an engine of this kind.
     pub fn grant_mb(&self, request: &Request, kind: usize) -> f64 {
         let limit = self.fleet.max_grant_share * self.fleet.kinds[kind].memory_mb;
         let grant = match request.estimated_memory_mb {
             Some(estimate) => request.memory_mb.max(estimate) * GRANT_FACTOR,
             None => {
-                let billed = quantile(self.estimates[request.class].memory_mb.values(), GRANT_QUANTILE);
-                billed.unwrap_or(0.0).max(request.memory_mb * GRANT_FACTOR_UNESTIMATED)
+                let reported = quantile(self.estimates[request.class].memory_mb.values(), GRANT_QUANTILE);
+                reported.unwrap_or(0.0).max(request.memory_mb * GRANT_FACTOR_UNESTIMATED)
             }
         };
         grant.min(limit)
     }
 
-    /// Returns the priority of a class for engines that respect priorities; a higher number is served first.
+    /// Returns the priority that engines are sent for a class; a higher number is served first.
     pub fn priority(&self, class: usize) -> u8 {
         if !self.fleet.honors_priorities {
             return PRIORITY_NORMAL;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! The decisions, one concern a file: methods of the state that the rules in `scheduler.rs` call.
+//! The decisions of the scheduler, one concern in each file. They are methods of
+//! `SchedulerState` that the rules in `scheduler.rs` and the inputs in `handlers.rs` call.
 
 mod admission;
 mod deadlines;
@@ -30,8 +31,8 @@
 const FLEET_SHARE_SAMPLES: usize = 256;
 /// Initial memory target, as a fraction of the memory in this router's share of an engine.
 const MEMORY_TARGET_FRACTION: f64 = 0.5;
-/// Elapsed time of an engine's successes, as a multiple of their ideal runs, above which it is under
-/// pressure.
+/// Elapsed time of an engine's successful attempts, as a multiple of their ideal runs, above which the engine
+/// is under pressure.
 const PRESSURE_SLOWDOWN: f64 = 2.0;
 /// Reported fraction of cores, disks or memory from which an engine counts as fully used.
 const FULL_USE: f64 = 0.95;
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -1,24 +1,24 @@
-//! Ordering: requests of one key run one at a time, in the order of arrival.
+//! Ordering: requests of one ordering key run one at a time, in the order of arrival.
 
 use crate::state::{Request, SchedulerState};
 use crate::{AttemptEnded, AttemptOutcome, RequestId};
 use std::time::Duration;
 
 impl SchedulerState {
-    /// Returns whether the request is the next one of its key that may be sent, or has no key.
+    /// Returns whether the order of its key allows a request to be sent now. Always true without a key.
     pub fn is_next_of_its_key(&self, id: RequestId, request: &Request, now: Duration) -> bool {
         let Some(key_queue) = self.key_queue(request) else { return true };
         key_queue.requests.front() == Some(&id)
             && key_queue.cooldown.is_none_or(|cooldown| cooldown.exempt_request == id || cooldown.until <= now)
     }
 
-    /// Returns whether a new request would be the next one of its key that may be sent.
+    /// Returns whether the order of its key would allow a new request to be sent now. Always true without a key.
     pub fn would_be_next_of_its_key(&self, request: &Request, now: Duration) -> bool {
         let key_queue = self.key_queue(request);
         key_queue.is_none_or(|queue| queue.requests.is_empty() && !queue.is_cooling_down(now))
     }
 
-    /// Starts the cooldown of a key after an attempt that may still run.
+    /// Starts the cooldown of the request's key if the ended attempt may still run.
     pub fn cool_down_key(&mut self, now: Duration, ended: &AttemptEnded) {
         use AttemptOutcome::{Broken, Cancelled, TimedOut};
         if matches!(ended.outcome, TimedOut | Broken | Cancelled) {
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: engines that fail often or are inactive are ejected, so that they get recovery attempts
-//! only. Their attempts are cancelled and retried at other engines.
+//! Outlier detection: engines that fail often or are inactive are ejected and get recovery attempts only.
+//! Attempts in flight at inactive engines are cancelled and retried at other engines.
 
 use crate::samples::{mean, seconds};
 use crate::state::{Attempt, AttemptId, Engine, EngineView, FleetSnapshot, Request, SchedulerState};
@@ -10,18 +10,19 @@
 pub const INACTIVITY_RATIO_FOR_EJECTION: f64 = 1.0;
 /// Inactivity ratio from which an engine's attempts are cancelled and retried.
 const INACTIVITY_RATIO_FOR_RETRY: f64 = 1.5;
-/// Expected runs within which an engine must answer, if it sends no progress updates.
+/// Expected runs after which an engine without an answer counts as inactive, if engines send no progress
+/// updates.
 const INACTIVE_AFTER_RUNS: f64 = 3.0;
-/// Progress intervals within which an engine must send a progress update.
+/// Progress intervals without a progress update after which an engine counts as inactive.
 const INACTIVE_AFTER_PROGRESS_INTERVALS: f64 = 2.0;
-/// Failures in the window from which an engine is ejected.
+/// Minimum number of failures in the window for an engine to be ejected.
 pub const MIN_FAILURES: usize = 2;
-/// Fraction of failures among the outcomes in the window from which an engine is ejected.
+/// Minimum fraction of failures among the outcomes in the window for an engine to be ejected.
 const MIN_FAILURE_RATE: f64 = 0.3;
 
 impl SchedulerState {
-    /// Returns the time that an engine with attempts in flight has been inactive, as a multiple of the time
-    /// within which it should have answered or sent a progress update. It is zero without attempts in flight.
+    /// Returns the time since the last answer or progress update of an engine, as a multiple of the time after
+    /// which the engine counts as inactive. Returns 0 for an engine without attempts in flight.
     pub fn inactivity_ratio(&self, engine: &Engine, now: Duration, slowdowns: &[f64]) -> f64 {
         let Some(oldest) = engine.in_flight.first() else { return 0.0 };
         let activity_timeout = match self.fleet.progress_interval {
@@ -36,9 +37,9 @@
         inactive / activity_timeout.max(seconds(self.shortest_objective()))
     }
 
-    /// Returns whether an engine fails often. Guards against engines that fail fast or are down, and so seem
-    /// idle. The window grows with consecutive failures, because the recovery attempts of many routers add
-    /// up.
+    /// Returns whether an engine fails often. Guards against engines that fail fast or are down: they look idle
+    /// and would attract requests. The window grows with the number of consecutive failures, because the recovery
+    /// attempts of many routers add up.
     pub fn is_failing(&self, engine: &Engine, now: Duration) -> bool {
         let newest_first = engine.failures.since(Duration::ZERO);
         let consecutive = newest_first.take_while(|failure| *failure > 0.0).count();
@@ -48,7 +49,7 @@
             && mean(recent()).is_some_and(|rate| rate >= MIN_FAILURE_RATE)
     }
 
-    /// Records the outcome of an attempt for its engine: failures, slowdowns and shortages.
+    /// Records the outcome of an attempt for its engine: a failure, a slowdown or a shortage of memory.
     pub fn update_outlier_detection(
         &mut self,
         now: Duration,
@@ -73,16 +74,16 @@
             Overloaded => engine.memory_shortage_at = Some(now),
             Failed | TimedOut => engine.failures.push(now, 1.0),
             Unreachable => eject_and_restart_warm_up(engine, now),
-            // Guards against lost machines and locations, whose connections all break at once.
+            // All attempts of the engine broke at once, as they do when its machine or location is lost.
             Broken if failed_within_last_tick && engine.in_flight.is_empty() => eject_and_restart_warm_up(engine, now),
-            // A single broken connection counts as one failure, since the engine may still be up.
+            // Attempts that break at once, as on one connection, count as one failure: the engine may still be up.
             Broken if !failed_within_last_tick => engine.failures.push(now, 1.0),
             Broken | Cancelled | NotSent => {}
         }
     }
 
-    /// Records the elapsed time of a success as a multiple of the run on an idle engine. Recent runs would be
-    /// no stable reference, because they get longer in a lasting overload.
+    /// Records the elapsed time of a successful attempt as a multiple of the run on an idle engine. Recent runs
+    /// are not a stable reference, because they become longer during a lasting overload.
     fn record_slowdown(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run_seconds: f64) {
         let slowdown = seconds(now - attempt.sent_at) / (ideal_run_seconds + seconds(self.fleet.tick));
         let class = self.requests[&ended.request].class;
@@ -91,14 +92,15 @@
         engine.slowdowns.push(now, slowdown);
     }
 
-    /// Returns whether an ejected engine may get a recovery attempt: one at a time, and one in each interval.
+    /// Returns whether an ejected engine may get a recovery attempt: one at a time, and at most one in each
+    /// recovery interval.
     pub fn may_send_recovery_attempt(&self, engine: &Engine, snapshot: &FleetSnapshot) -> bool {
         let interval = self.recovery_interval(snapshot.engine_share);
         let last = engine.sent_work.last();
         engine.in_flight.is_empty() && last.is_none_or(|(at, _)| at + interval <= snapshot.now)
     }
 
-    /// Cancels and retries the attempts of inactive engines, and single attempts that are inactive.
+    /// Cancels the attempts at inactive engines, and single inactive attempts, so that they are retried.
     pub fn cancel_inactive(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let (now, mut any_cancelled) = (snapshot.now, false);
         for (id, view) in &snapshot.engines {
@@ -108,7 +110,7 @@
             }
             any_cancelled = true;
             if is_engine_inactive(view) {
-                // Without attempts in flight, the engine would count as idle.
+                // Once its attempts are cancelled, the engine would no longer count as inactive but as idle.
                 let engine = self.engines.get_mut(id).expect("an engine of the snapshot");
                 record_ejection(engine, now);
             }
@@ -124,19 +126,20 @@
     }
 }
 
-/// Returns whether the engine's attempts are to be retried elsewhere.
+/// Returns whether the engine has been inactive for so long that its attempts are retried at other engines.
 fn is_engine_inactive(view: &EngineView) -> bool {
     view.inactivity_ratio >= INACTIVITY_RATIO_FOR_RETRY
 }
 
-/// Records as many failures as eject an engine.
+/// Records as many failures as are needed to eject an engine.
 fn record_ejection(engine: &mut Engine, now: Duration) {
     for _ in 0..MIN_FAILURES {
         engine.failures.push(now, 1.0);
     }
 }
 
-/// Ejects an engine that is down. It will warm up when it is back, and the endpoint list may show that late.
+/// Ejects an engine that is down, and starts its warm-up: the engine will be cold when it is back, and the
+/// endpoint list may show the restart late.
 fn eject_and_restart_warm_up(engine: &mut Engine, now: Duration) {
     record_ejection(engine, now);
     engine.warming_since = Some(now);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,11 +1,11 @@
-//! Placement: the engine that a request is sent to.
+//! Placement: chooses the engine that a request is sent to.
 
 use super::{FULL_USE, PRESSURE_SLOWDOWN};
 use crate::state::{Engine, EngineView, FleetSnapshot, Request, SchedulerState, Tier};
 use crate::{Effect, EngineId, KeyScope};
 use std::time::Duration;
 
-/// Largest difference in the free fraction of engines that counts as a tie.
+/// Largest difference between the free fractions of two engines that counts as a tie.
 const FREE_CAPACITY_TIE: f64 = 1.0 / 8.0;
 
 /// An engine with capacity for a request.
@@ -13,7 +13,7 @@
     pub engine: EngineId,
     pub kind: usize,
     pub tier: Tier,
-    /// Fraction of the engine that stays free with the request.
+    /// Fraction of the engine's memory and cores that stays free once the engine has the request.
     free_fraction: f64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A tier of an engine kind.
+/// The index of an engine kind, and one of its tiers.
 type TierOfKind = (usize, Tier);
 
 /// An engine that is eligible for a request.
@@ -39,7 +39,7 @@
     grant_mb: f64,
 }
 
-/// The eligible engines of a request, by whether they have capacity.
+/// The engines with capacity for a request, and the tiers at which an eligible engine lacks capacity.
 #[derive(Default)]
 struct PlacementOptions {
     available: Vec<Placement>,
@@ -47,8 +47,8 @@
 }
 
 impl SchedulerState {
-    /// Returns the engine with the most free capacity for a request, if any has enough. If no engine of a
-    /// kind has capacity for the request, its tier is blocked at that kind for later requests.
+    /// Returns the engine with the most free capacity for a request; `None` if no engine has enough. If no
+    /// engine of a kind has capacity, the request's tier is blocked at that kind for later requests.
     pub fn choose_engine(&self, request: &Request, snapshot: &mut FleetSnapshot) -> Option<Placement> {
         let mut tiers = snapshot.gateways.iter().map(|gateway| gateway.tier(request)).enumerate();
         if tiers.all(|tier| snapshot.blocked_tiers.contains(&tier)) {
@@ -92,8 +92,8 @@
         of_kind.collect()
     }
 
-    /// Returns the engines that are eligible for the request. An ejected outlier is eligible only for a
-    /// recovery attempt, unless every engine is ejected.
+    /// Returns the engines that are eligible for the request. An ejected engine is eligible only for a recovery
+    /// attempt, unless all engines that the request may use are ejected.
     fn candidates<'a>(&'a self, request: &Request, snapshot: &'a FleetSnapshot) -> Vec<Candidate<'a>> {
         let mut candidates = Vec::new();
         for (id, view) in &snapshot.engines {
@@ -110,8 +110,8 @@
         candidates
     }
 
-    /// Returns the fraction of an engine that stays free with the request; `None` if the engine lacks the
-    /// capacity.
+    /// Returns the fraction of an engine that stays free once the engine has the request; `None` if the engine
+    /// lacks the capacity.
     fn free_fraction(
         &self,
         candidate: &Candidate<'_>,
@@ -125,7 +125,7 @@
         let load = self.projected_load(engine, request, grant_mb, snapshot);
         let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
         let memory_limit = if is_memory_estimated { gateway.unreported_memory_limit } else { 1.0 };
-        // Where the engine reports its busy cores, pressure covers an overload of the cores.
+        // If engines report their core utilization directly, overloaded cores count as pressure in `has_slot`.
         let is_overloaded = gateway.reports_in_flight && load.core_utilization() > PRESSURE_SLOWDOWN * FULL_USE;
         let fits = load.memory_utilization <= memory_limit
             && !self.has_unreported_shortage(engine, snapshot.now)
@@ -136,16 +136,16 @@
             .then_some(free_fraction)
     }
 
-    /// Returns whether an engine was recently short of memory and has sent no load report since. With many
-    /// routers, most engines send this router reports too rarely.
+    /// Returns whether an engine was recently short of memory and has sent no load report since. Reports alone
+    /// do not show every shortage: with many routers, most engines send this router reports too rarely.
     fn has_unreported_shortage(&self, engine: &Engine, now: Duration) -> bool {
         let window_start = self.pressure_window_start(now);
         let reported_at = engine.report.map_or(window_start, |report| report.at.max(window_start));
         engine.memory_shortage_at.is_some_and(|at| at > reported_at)
     }
 
-    /// Returns the placement with the most free capacity. Engines that the request was not sent to yet, and
-    /// those without a bulk load in its way, are preferred.
+    /// Returns the placement with the most free capacity. Prefers engines that the request was not sent to yet,
+    /// and then engines without a bulk load that would block the request.
     fn best_placement(
         &self,
         request: &Request,
@@ -160,8 +160,8 @@
         free.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
     }
 
-    /// Orders engines with about the same free capacity: first those that have read the request's table group, then
-    /// those in the home location, then at random.
+    /// Orders engines with about the same free capacity: first engines that recently got requests of the same
+    /// table group, then engines in the home location, then at random.
     fn tie_preference(&self, id: EngineId, request: &Request) -> (bool, bool, u64) {
         let engine = &self.engines[&id];
         let has_read_table_group = request.table_group.is_some_and(|group| engine.recent_table_groups.contains(&group));
@@ -169,22 +169,22 @@
         (has_read_table_group, is_at_home, self.pseudo_random(id, self.random_draws))
     }
 
-    /// Returns whether the request would wait for a bulk load at the engine: one that this router has sent,
-    /// or one that another attempt has recently waited for.
+    /// Returns whether the request would wait for a bulk load at the engine: a bulk load that this router has
+    /// sent, or one that another attempt has recently waited for.
     fn would_wait_for_bulk_load(&self, id: EngineId, request: &Request, now: Duration) -> bool {
         if !self.classes[request.class].waits_for_bulk_loads {
             return false;
         }
         let engine = &self.engines[&id];
         let window_start = self.bulk_load_window_start(now);
-        let seen_at = request.table_group.and_then(|group| engine.bulk_loads_seen.get(&group));
+        let reported_at = request.table_group.and_then(|group| engine.bulk_loads_reported.get(&group));
         let is_blocking_load =
             |other: &Request| self.classes[other.class].is_bulk_load && other.table_group == request.table_group;
-        seen_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_blocking_load)
+        reported_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_blocking_load)
     }
 
-    /// Returns whether the engine accepts requests, and the request's class and earlier attempts allow the
-    /// engine.
+    /// Returns whether the engine accepts requests and is allowed by the request's class. If an earlier attempt
+    /// may have run, the engine must also be in the scope of the idempotency key.
     fn is_allowed(&self, request: &Request, engine: &Engine) -> bool {
         let class = &self.classes[request.class];
         let is_allowed_by_class = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
@@ -201,8 +201,8 @@
         engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope
     }
 
-    /// Returns whether neither its class's locations nor an earlier attempt restrict the request to some
-    /// engines.
+    /// Returns whether the request is not restricted to some engines of a kind, by the locations of its class or
+    /// by the scope of its idempotency key.
     fn may_use_all_engines(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
         let is_restricted_by_retry =
@@ -212,7 +212,7 @@
     }
 }
 
-/// Removes the placements at engines to avoid, unless there are no others.
+/// Removes the placements at avoided engines, unless that would remove all placements.
 fn avoid(placements: &mut Vec<Placement>, is_avoided: impl Fn(EngineId) -> bool) {
     if placements.iter().any(|placement| !is_avoided(placement.engine)) {
         placements.retain(|placement| !is_avoided(placement.engine));
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -1,4 +1,5 @@
-//! Pressure: the condition of the fleet at the time of an input, and the memory targets that follow from it.
+//! Pressure: takes the snapshot of the fleet at the time of an input, with the engines under pressure and the
+//! memory targets that follow from the pressure.
 
 use super::outliers::INACTIVITY_RATIO_FOR_EJECTION;
 use super::{FULL_USE, MEMORY_TARGET_FRACTION, PRESSURE_SLOWDOWN};
@@ -10,22 +11,24 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Memory of requests that are not limited, as a fraction of the memory per core.
+/// Memory below which requests are not limited, as a fraction of an engine's memory per core.
 const UNLIMITED_FRACTION: f64 = 1.0 / 64.0;
 /// Largest change of the memory target by pressure, as a fraction of its initial value.
 const MAX_TARGET_CHANGE: f64 = 0.5;
-/// Fraction of an engine's memory to fill if its load is estimated: halfway from the initial target to all.
+/// Fraction of an engine's memory that may be filled if its load is estimated and not reported: halfway between
+/// the initial memory target and the whole memory.
 const UNREPORTED_MEMORY_LIMIT: f64 = (1.0 + MEMORY_TARGET_FRACTION) / 2.0;
-/// Limits of an engine's slowdown relative to the fleet's.
+/// Lower bound on an engine's slowdown relative to that of the fleet.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.5;
+/// Upper bound on an engine's slowdown relative to that of the fleet.
 const MAX_RELATIVE_SLOWDOWN: f64 = 4.0;
 
-/// An engine of a gateway and its condition.
+/// An engine of a gateway's engine kind, and the engine's condition.
 type Member<'a> = (&'a Engine, &'a EngineView);
 
 impl SchedulerState {
-    /// Returns the fleet at the time of an input. Without `may_send`, it contains the engines with attempts
-    /// in flight only, and no gateways.
+    /// Returns the fleet at the time of an input. Unless `may_send`, the snapshot contains only the engines with
+    /// attempts in flight, and no gateways.
     pub fn snapshot(&self, now: Duration, may_send: bool) -> FleetSnapshot {
         let slowdowns = self.class_slowdowns(now);
         let mut engines = self.engine_views(now, may_send, &slowdowns);
@@ -98,8 +101,8 @@
         }
     }
 
-    /// Returns the measurements and targets of one engine kind. The memory target changes with the pressure
-    /// of its engines.
+    /// Returns the measurements and targets of one engine kind. The memory target depends on how many of its
+    /// engines are under pressure.
     fn gateway(&self, now: Duration, kind: usize, fleet_share: f64, views: &EngineViews) -> Gateway {
         let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
         let members = self.accepting_members(kind, views);
@@ -127,8 +130,8 @@
         in_view.filter(|(engine, _)| engine.kind == kind && engine.lifecycle.accepts_requests()).collect()
     }
 
-    /// Returns the load reports from which the load of other engines is estimated. Probed reports are not
-    /// used: the few engines that were probed are not representative.
+    /// Returns the load reports from which the load of other engines is estimated. Reports in answer to a probe
+    /// are not used: the few engines that were probed are not representative.
     fn comparable_reports<'a>(&self, members: &[Member<'a>]) -> Vec<&'a ReceivedReport> {
         if self.fleet.reports_only_on_probe {
             return Vec::new();
@@ -136,8 +139,8 @@
         members.iter().filter_map(|(engine, _)| engine.report.as_ref()).collect()
     }
 
-    /// Returns the threads of this router's attempts at engines under pressure, by tier. Caps the threads
-    /// counted for one engine, so that it cannot use up the limit of all engines.
+    /// Returns the threads of this router's attempts at engines under pressure, by tier. Caps the threads that
+    /// are counted for one engine, so that one engine can't use up the pooled limit of all engines.
     fn threads_under_pressure(
         &self,
         members: &[Member<'_>],
@@ -153,7 +156,7 @@
     }
 }
 
-/// Returns the slowdown, or that of an ideal run if it is lower or unknown.
+/// Returns the slowdown, but at least 1, the slowdown of an ideal run. Returns 1 if the slowdown is unknown.
 fn at_least_ideal(slowdown: Option<f64>) -> f64 {
     slowdown.unwrap_or(1.0).max(1.0)
 }
@@ -173,15 +176,15 @@
 /// Returns whether a report shows full use of cores, memory or disks, or requests that wait for memory.
 fn reports_full_use(report: &ReceivedReport) -> bool {
     let load = &report.load;
-    // Requests in flight, from which the busy cores are estimated, may exceed the cores without a slowdown.
+    // A core utilization that is estimated from the requests in flight may exceed 1 without a slowdown.
     let max_core_utilization = if load.in_flight.is_some() { PRESSURE_SLOWDOWN } else { 1.0 };
     let utilizations = [load.core_utilization.map(|used| used / max_core_utilization), load.memory_utilization, load.disk_utilization];
     utilizations.into_iter().flatten().any(|used| used >= FULL_USE)
         || load.waiting_for_memory.is_some_and(|waiting| waiting >= 1.0)
 }
 
-/// Returns the busy cores of a report, unless they are estimated from the requests in flight, which change
-/// too fast for a mean over reports of different ages.
+/// Returns the core utilization of a report; `None` if it is estimated from the requests in flight, which
+/// change too fast for a mean over reports of different ages.
 fn directly_reported_cores(report: &ReceivedReport) -> Option<f64> {
     report.load.core_utilization.filter(|_| report.load.in_flight.is_none())
 }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -5,16 +5,16 @@
 use crate::{Actions, Effect, KeyScope};
 use std::time::Duration;
 
-/// Remaining time of an attempt, in expected runs, from which the attempt is slow.
+/// Remaining time of an attempt, in expected runs, above which the attempt is slow.
 const SLOW_REMAINING_RUNS: f64 = 3.0;
-/// Elapsed time of an attempt, in expected runs, from which the attempt is slow if engines send no progress
+/// Elapsed time of an attempt, in expected runs, above which the attempt is slow if engines send no progress
 /// updates.
 const SLOW_ELAPSED_RUNS: f64 = 8.0;
-/// Time left before the deadline, in ideal runs, that a retry must have.
+/// Minimum time left before the deadline for a cancelled attempt to be retried, in ideal runs.
 const MIN_TIME_LEFT_RUNS: f64 = 2.0;
 
 impl SchedulerState {
-    /// Returns whether another attempt is allowed: the request may run again, and has attempts left.
+    /// Returns whether another attempt is allowed: the request may run again, and has not used all its attempts.
     pub fn may_retry(&self, request: &Request, now: Duration) -> bool {
         let delivered_by = now + self.answer_margin();
         let may_run_again = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
@@ -25,7 +25,7 @@
         may_run_again && request.attempts.len() < self.attempt_limits.max_attempts
     }
 
-    /// Returns whether the request may be rejected: its client may safely retry.
+    /// Returns whether the request may be rejected, which tells the client that a retry is safe.
     pub fn may_reject(&self, request: &Request) -> bool {
         match &self.classes[request.class].effect {
             Effect::Idempotent | Effect::IdempotentWithKey { scope: KeyScope::All, .. } => true,
@@ -41,8 +41,8 @@
         budget.min_retries + budget.per_request * accepted - retried
     }
 
-    /// Cancels and retries attempts that are much slower than expected. Only first attempts are retried: if
-    /// the second one is as slow, the request itself is the cause.
+    /// Cancels attempts that are much slower than expected, so that they are retried. Cancels only first attempts:
+    /// if the second attempt is as slow, the request itself is the cause.
     pub fn cancel_slow_attempts(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let mut slow = Vec::new();
         for (id, request) in self.in_flight() {
@@ -66,8 +66,8 @@
             || sends_no_progress && seconds(now - attempt.sent_at) > max_elapsed
     }
 
-    /// Cancels the attempts whose requests may be retried, within the retry budget. Returns whether there
-    /// were any.
+    /// Cancels those of the attempts whose requests may be retried, within the retry budget. The requests are
+    /// queued again once the attempts have ended. Returns whether any attempt was cancelled.
     pub fn cancel_and_retry(
         &mut self,
         now: Duration,
@@ -86,7 +86,8 @@
             && self.may_retry(request, now)
     }
 
-    /// Cancels attempts that are not cancelled yet, if cancelling is allowed. Returns whether there were any.
+    /// Cancels attempts that are not cancelled yet, if cancelling is allowed. Returns whether any attempt was
+    /// cancelled.
     pub fn cancel(&mut self, mut ids: Vec<AttemptId>, actions: &mut impl Actions) -> bool {
         let may_cancel = self.attempt_limits.may_cancel;
         ids.retain(|id| may_cancel && !self.requests[&id.request].attempts[id.attempt].cancelled);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,19 +5,18 @@
 use crate::state::{Engine, FleetSnapshot, Request, SchedulerState};
 use std::time::Duration;
 
-/// Fraction of the cores that is busy at the capacity of an engine.
+/// Fraction of an engine's cores that is busy when the engine is at full capacity.
 const BUSY_AT_CAPACITY: f64 = 0.85;
-/// Factor by which a window for a single request is longer than its budget requires, so that the routers
-/// together use half of the engine's budget at most.
+/// Factor by which the window for a single request is longer than the budget requires, so that all routers
+/// together use at most half of the engine's budget.
 const SINGLE_REQUEST_WINDOW_FACTOR: f64 = 2.0;
-/// Upper bound on the length of such a window, in overload windows.
+/// Upper bound on the length of the window for a single request, in overload windows.
 const MAX_WINDOW_FACTOR: f64 = 1e6;
 
 impl SchedulerState {
-    /// Returns whether the request fits into this router's share of the work that an engine accepts in a
-    /// window while it warms up. If that share is smaller than one request, the router may send one request
-    /// in a longer window. The window starts at a random offset, so that the requests of all routers spread
-    /// over it.
+    /// Returns whether the request fits into this router's share of the slow-start budget of an engine. If the
+    /// share is smaller than one request, the router may send one request in a longer window. The window starts
+    /// at a random offset, so that the requests of all routers spread over the window.
     pub fn fits_slow_start(
         &self,
         id: EngineId,
@@ -43,12 +42,12 @@
         self.slow_start_draw(id, engine) as f64 / u64::MAX as f64
     }
 
-    /// Returns the random number from which the offset of this router's longer window follows.
+    /// Returns the random number that determines the offset of this router's longer window.
     pub fn slow_start_draw(&self, id: EngineId, engine: &Engine) -> u64 {
         self.pseudo_random(id, engine.listed_at.as_micros() as u64)
     }
 
-    /// Returns the work in seconds that a router with this share may send to an engine in any overload
+    /// Returns the work in core-seconds that a router with this share may send to an engine in any overload
     /// window; `None` once the engine has warmed up.
     pub fn slow_start_budget(&self, engine: &Engine, now: Duration, share: f64) -> Option<f64> {
         let limits = &self.attempt_limits;
@@ -59,7 +58,7 @@
         Some(limits.overload_factor * capacity * seconds(limits.overload_window) * share)
     }
 
-    /// Returns the work in seconds that a request of this class counts as during slow start.
+    /// Returns the work in core-seconds that a request of this class takes from the slow-start budget.
     pub fn slow_start_work(&self, class: usize) -> f64 {
         self.usual_work(class).max(seconds(self.fleet.tick))
     }
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -1,5 +1,5 @@
-//! Subsetting: in a large fleet, a router uses a subset of the engines, so that the cost of an input and the
-//! number of connections do not grow with the fleet.
+//! Subsetting: in a large fleet, a router uses a subset of the engines, so that neither the time that an input
+//! takes nor the number of connections grows with the fleet.
 
 use crate::state::{Request, SchedulerState};
 use crate::{Effect, EngineId, KeyScope};
@@ -11,20 +11,21 @@
 const MIN_SUBSET_OF_GROUP: usize = 8;
 /// Smallest size of a subset as a multiple of the router's equal share of the engines.
 const MIN_SUBSET_EQUAL_SHARES: usize = 4;
-/// The draw that ranks engines. The seed of a router is part of the draw, so that the subsets of routers
-/// differ.
+/// Number of the random draw that ranks engines. Each draw depends on the seed of the router, so that the
+/// subsets of routers differ.
 const RANK_DRAW: u64 = u64::MAX;
-/// Largest number of routers that use the same engine, as a multiple of the mean, that slow start allows for.
+/// Number of routers that may use the same engine, as a multiple of the mean number, before its slow-start
+/// budget is exceeded.
 const MAX_ROUTERS_PER_ENGINE_RATIO: f64 = 2.0;
 
 impl SchedulerState {
-    /// Returns the rank of an engine in the choice of a subset, lowest first.
+    /// Returns the rank of an engine. The engines with the lowest ranks are in the subset.
     pub fn rank(&self, id: EngineId) -> u64 {
         self.pseudo_random(id, RANK_DRAW)
     }
 
-    /// Chooses the engines that this router uses. An engine keeps its rank, so that a change of the endpoint
-    /// list changes few engines of the subset.
+    /// Chooses the engines that this router uses. Engines keep their ranks, so that a change of the endpoint
+    /// list replaces few engines of the subset.
     pub fn choose_subset(&mut self) {
         let engines = self.engine_index.accepting_total();
         let equal_share = engines / self.fleet.router_count.max(1);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns the engines that an input has to examine: those with attempts in flight and, with `may_send`,
+    /// Returns the engines that an input has to examine: those with attempts in flight and, if `may_send`, also
     /// those that a queued request may be sent to.
     pub fn engines_to_examine(&self, may_send: bool) -> Vec<EngineId> {
         let busy = self.engine_index.busy();
@@ -66,14 +67,14 @@
         Some(self.engines[&first.engine].cell)
     }
 
-    /// Returns this router's share of an engine in its subset. It is larger than the fleet share, because
+    /// Returns this router's share of an engine in its subset. The share is larger than the fleet share, because
     /// only some of the other routers use the same engine.
     pub fn engine_share(&self, fleet_share: f64) -> f64 {
         (fleet_share * self.fleet_to_subset_ratio()).min(1.0)
     }
 
-    /// Returns this router's share of an engine's slow-start budget. It allows for engines that more routers
-    /// use than the mean.
+    /// Returns this router's share of an engine's slow-start budget. The share is at most the engine
+    /// share, because some engines are used by more routers than the mean.
     pub fn slow_start_share(&self, fleet_share: f64) -> f64 {
         let factor = self.fleet_to_subset_ratio() / MAX_ROUTERS_PER_ENGINE_RATIO;
         if factor > 1.0 { (fleet_share * factor).min(1.0) } else { fleet_share }
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -1,4 +1,4 @@
-//! Tiers: requests are classified by their memory, and each tier has a limit at engines under pressure.
+//! Tiers: classifies requests by their memory, and limits each tier at engines under pressure.
 
 use crate::state::{Engine, EngineView, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
 
@@ -8,12 +8,12 @@
 const MEDIUM_FRACTION: f64 = 0.6;
 /// Threads per core that small requests may use at engines under pressure.
 const SMALL_THREADS_PER_CORE: f64 = 4.0;
-/// Threads per core that requests of the other tiers may use at engines under pressure.
+/// Threads per core that requests of the medium and of the largest tier may use at engines under pressure.
 const MEDIUM_THREADS_PER_CORE: f64 = 1.0;
 
 impl Gateway {
-    /// Returns the tier of a request. The memory threshold of a tier is its fraction of the target, divided
-    /// by the mean number of its requests per engine, including this one.
+    /// Returns the tier of a request. The upper threshold of a tier is its fraction of the memory target, divided
+    /// by the mean number of the tier's requests per engine, including this request.
     pub fn tier(&self, request: &Request) -> Tier {
         if request.estimated_work.is_none() {
             return Tier::Medium;
@@ -34,9 +34,10 @@
 }
 
 impl SchedulerState {
-    /// Returns whether a tier has a free slot at an engine. Largest requests run one at a time. The others
-    /// are limited under pressure, by fewer threads the higher the engine's latency. If the limit is smaller
-    /// than one request, as with many routers, the limits of all engines under pressure are pooled.
+    /// Returns whether a tier has a free slot at an engine. Requests of the largest tier run one at a time. Small
+    /// and medium requests are limited only under pressure; the limit decreases as the engine slows down. If the
+    /// limit is smaller than one request, as with many routers, the limits of all engines under pressure are
+    /// pooled.
     pub fn has_slot(
         &self,
         engine: &Engine,
--- a/src/policy/windows.rs
+++ b/src/policy/windows.rs
@@ -1,22 +1,22 @@
-//! Time windows and intervals of the decisions. Most are multiples of the shortest latency objective.
+//! Time windows and intervals of the decisions. All are derived from the shortest latency objective.
 
 use crate::state::SchedulerState;
 use std::time::Duration;
 
 /// Length of the window of slowdowns, in shortest latency objectives.
 const SLOWDOWN_WINDOW_OBJECTIVES: u32 = 4;
-/// Length of the window of measurements of pressure, in shortest latency objectives.
+/// Length of the window in which measurements show pressure, in shortest latency objectives.
 const PRESSURE_WINDOW_OBJECTIVES: u32 = 2;
-/// Length of the window of bulk loads that were seen, in shortest latency objectives.
+/// Length of the window in which a reported bulk load counts, in shortest latency objectives.
 const BULK_LOAD_WINDOW_OBJECTIVES: u32 = 2;
-/// Length of the window of failures for each consecutive failure, in shortest latency objectives.
+/// Length that each consecutive failure adds to the window of failures, in shortest latency objectives.
 const FAILURE_WINDOW_OBJECTIVES: u32 = 4;
 /// Age at which a load report counts as much as the estimate from other engines, in shortest latency
 /// objectives.
 const REPORT_AGING_OBJECTIVES: u32 = 4;
-/// Probes of unknown engines in one shortest latency objective.
+/// Rounds of probes in one shortest latency objective.
 const PROBES_PER_OBJECTIVE: u32 = 2;
-/// Recovery attempts of all routers together in one shortest latency objective.
+/// Recovery attempts at one engine in one shortest latency objective, of all routers together.
 const RECOVERY_ATTEMPTS_PER_OBJECTIVE: f64 = 2.0;
 
 impl SchedulerState {
@@ -35,7 +35,7 @@
         now.saturating_sub(self.shortest_objective() * PRESSURE_WINDOW_OBJECTIVES)
     }
 
-    /// Returns the start of the window in which a bulk load that was seen counts.
+    /// Returns the start of the window in which a reported bulk load still counts.
     pub fn bulk_load_window_start(&self, now: Duration) -> Duration {
         now.saturating_sub(self.shortest_objective() * BULK_LOAD_WINDOW_OBJECTIVES)
     }
@@ -52,13 +52,14 @@
         self.shortest_objective() * REPORT_AGING_OBJECTIVES
     }
 
-    /// Returns the interval between probes of unknown engines, and the age at which a report counts as
-    /// unknown.
+    /// Returns the interval between rounds of probes, which is also the age from which an engine's last report
+    /// is too old, so that the engine may be probed again.
     pub fn probe_interval(&self) -> Duration {
         self.shortest_objective() / PROBES_PER_OBJECTIVE
     }
 
-    /// Returns the interval between recovery attempts of a router with this share of the engine.
+    /// Returns the interval between recovery attempts of a router with this share of the engine, which is at
+    /// least one shortest latency objective.
     pub fn recovery_interval(&self, share: f64) -> Duration {
         let objective = self.shortest_objective();
         objective.div_f64(RECOVERY_ATTEMPTS_PER_OBJECTIVE * share).max(objective)
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Longest time that [`duration`] returns, in microseconds: about eleven days.
+/// Longest time that [`duration`] returns, in microseconds: about eleven and a half days.
 const MAX_MICROSECONDS: f64 = 1e12;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -28,7 +28,7 @@
         self.samples.push_back((now, value));
     }
 
-    /// Returns time and value of the newest sample.
+    /// Returns time and value of the newest sample; `None` if the window is empty.
     pub fn last(&self) -> Option<(Duration, f64)> {
         self.samples.back().copied()
     }
@@ -48,17 +48,17 @@
         self.samples.iter().rev().take_while(move |(at, _)| *at >= start).map(|(_, value)| *value)
     }
 
-    /// Returns the mean of all values.
+    /// Returns the mean of all values; `None` if the window is empty.
     pub fn mean(&self) -> Option<f64> {
         mean(self.values())
     }
 
-    /// Returns the median of all values.
+    /// Returns the median of all values; `None` if the window is empty.
     pub fn median(&self) -> Option<f64> {
         median(self.values())
     }
 
-    /// Returns the median of the values that were sampled at or after `start`.
+    /// Returns the median of the values that were sampled at or after `start`; `None` if there are none.
     pub fn median_since(&self, start: Duration) -> Option<f64> {
         median(self.since(start))
     }
@@ -75,7 +75,8 @@
     quantile(values, 0.5)
 }
 
-/// Returns the value that a `fraction` of the other values is below; `None` if there are no values.
+/// Returns the quantile of the values at `fraction`, which is from 0 (the smallest value) to 1 (the largest value),
+/// rounded to the nearest rank; `None` if there are no values.
 pub fn quantile(values: impl Iterator<Item = f64>, fraction: f64) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     let last = values.len().checked_sub(1)?;
@@ -89,7 +90,7 @@
     time.as_secs_f64()
 }
 
-/// Converts seconds to a time in whole microseconds, limited to the range from zero to about eleven days.
+/// Converts seconds to a time in whole microseconds, limited to the range from 0 to `MAX_MICROSECONDS`.
 pub fn duration(seconds: f64) -> Duration {
     Duration::from_micros((seconds * MICROSECONDS_PER_SECOND).clamp(0.0, MAX_MICROSECONDS) as u64)
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -5,13 +5,13 @@
 use crate::{Actions, AttemptLimits, Fleet, RequestClass};
 use std::time::Duration;
 
-/// Decides which request is sent to which engine and when; see the description of the crate.
+/// Decides which request is sent to which engine and when. The documentation of the crate describes its use.
 #[derive(Clone)]
 pub struct Scheduler {
     pub(crate) state: SchedulerState,
 }
 
-/// A rule takes one kind of decision, and returns whether the rules must be applied again from the first.
+/// A rule takes one kind of decision. It returns whether the rules must be applied again from the first one.
 type Rule<A> = fn(&mut SchedulerState, &mut FleetSnapshot, &mut A) -> bool;
 
 impl Scheduler {
@@ -20,12 +20,13 @@
         Self { state: SchedulerState::new(fleet, classes, attempt_limits, WINDOW_SIZES) }
     }
 
-    /// Returns the number of engines examined by all inputs, which measures their cost without a clock.
+    /// Returns the number of engines that all inputs so far have examined. It measures the cost of inputs without
+    /// a clock.
     pub fn engines_examined(&self) -> u64 {
         self.state.engines_examined
     }
 
-    /// Applies the rules in order, and starts again at the first after each one that returns true.
+    /// Applies the rules in order, and starts again at the first one after each rule that returns true.
     pub(crate) fn apply_rules<A: Actions>(&mut self, now: Duration, actions: &mut A) {
         let rules: [Rule<A>; 9] = [
             SchedulerState::forget_finished,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,19 +2,21 @@
 
 use std::time::Duration;
 
-/// The engines, and the routers in front of them, as they are known at start.
+/// The engines, and the routers in front of them, as far as they are known when the router starts.
 pub struct Fleet {
-    /// Seed of all random choices.
+    /// Seed of all random choices. Routers in front of the same engines should have different seeds, so that
+    /// their choices differ.
     pub seed: u64,
-    /// Number of routers that share the engines. None of them knows the requests of the others.
+    /// Number of routers that share the engines. No router knows the requests of the others.
     pub router_count: usize,
-    /// The location of this router, which placement prefers among engines that are about equally free.
+    /// Index of this router's location. Among engines that are about equally free, those in this location are
+    /// preferred.
     pub home_location: usize,
-    /// The kinds of engines, by [`Endpoint::kind`](crate::Endpoint::kind).
+    /// The kinds of engines, indexed by [`Endpoint::kind`](crate::Endpoint::kind).
     pub kinds: Vec<EngineKind>,
     /// Largest memory grant, as a fraction of the engine's memory.
     pub max_grant_share: f64,
-    /// Whether engines respect the priority that [`Actions::set_grant_and_priority`](crate::Actions::set_grant_and_priority) sets.
+    /// Whether engines honor the priority that [`Actions::set_grant_and_priority`](crate::Actions::set_grant_and_priority) sets.
     pub honors_priorities: bool,
     /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
     pub shrinks_grants: bool,
@@ -28,9 +30,9 @@
     pub tick: Duration,
 }
 
-/// The size of one kind of engine.
+/// The size of the engines of one kind.
 pub struct EngineKind {
-    /// Cores of one engine.
+    /// Number of cores of one engine.
     pub cores: f64,
     /// Memory of one engine in MB.
     pub memory_mb: f64,
@@ -42,41 +44,41 @@
     pub latency_objective: Duration,
     /// Variable part of the latency objective, as a multiple of the request's ideal run.
     pub objective_stretch: f64,
-    /// The usual deadline, counted from the arrival.
+    /// The usual deadline of a request, counted from the arrival.
     pub deadline: Duration,
-    /// Priority weight of a request that is answered within its latency objective.
+    /// Priority weight of a request that is answered within its latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that a late answer is worth.
+    /// Fraction of the priority weight that an answer after the latency objective is still worth.
     pub late_weight_fraction: f64,
-    /// Whether a request may run more than once.
+    /// Whether a request of the class may run more than once.
     pub effect: Effect,
     /// Whether requests of one key run one at a time, in the order of arrival.
     pub keeps_order: bool,
-    /// Engine kinds that its requests may run on; `None` for all.
+    /// Indices of the engine kinds that requests of the class may run on; `None` for all.
     pub kinds: Option<Vec<usize>>,
-    /// Locations that its requests may run in; `None` for all.
+    /// Indices of the locations that requests of the class may run in; `None` for all.
     pub locations: Option<Vec<usize>>,
-    /// Cores that a request keeps busy while it runs.
+    /// Number of cores that a request keeps busy while it runs.
     pub threads: f64,
-    /// Whether its requests are bulk loads, which block readers of the same table group on the same engine.
+    /// Whether requests of the class are bulk loads. A bulk load blocks readers of its table group on its engine.
     pub is_bulk_load: bool,
-    /// Whether its requests are blocked by a bulk load of the same table group on the same engine.
+    /// Whether requests of the class are blocked by a bulk load of the same table group on the same engine.
     pub waits_for_bulk_loads: bool,
 }
 
 /// Whether a request may run more than once.
 pub enum Effect {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It may be repeated with the same key: the engines in `scope` drop repeats for `window`, counted from
-    /// the first attempt.
+    /// The request may be repeated with the same idempotency key: the engines in `scope` drop repeats for `window`,
+    /// counted from the first attempt.
     IdempotentWithKey {
         /// The engines that drop each other's repeats.
         scope: KeyScope,
         /// How long an engine remembers the key.
         window: Duration,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
@@ -91,7 +93,7 @@
     Cell,
 }
 
-/// Limits that apply to every attempt.
+/// Limits on attempts, retries and the work that is sent to engines that warm up.
 pub struct AttemptLimits {
     /// Maximum number of attempts of one request, including the first.
     pub max_attempts: usize,
@@ -103,14 +105,15 @@
     pub start_capacity: f64,
     /// Time from an engine's start until it has its full capacity.
     pub warm_up: Duration,
-    /// Load in any `overload_window`, as a multiple of its capacity, that an engine withstands while it warms
-    /// up.
+    /// Load in any `overload_window`, as a multiple of its current capacity, that an engine withstands while it
+    /// warms up.
     pub overload_factor: f64,
-    /// See `overload_factor`.
+    /// Length of the sliding window to which `overload_factor` applies.
     pub overload_window: Duration,
-    /// Time for which a key's other requests wait after an attempt that may still run; `None` for no wait.
+    /// Time for which the other requests of an ordering key wait after an attempt that may still run; `None` for no
+    /// wait.
     pub key_cooldown: Option<Duration>,
-    /// Budget of retries; `None` for no limit.
+    /// Budget of retries of all requests together; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
     /// Longest `retry_after` of a rejection; `None` if rejections carry none.
     pub max_retry_after: Option<Duration>,
@@ -118,9 +121,9 @@
 
 /// Limit on retries over a sliding window.
 pub struct RetryBudget {
-    /// Retries that are allowed however few requests arrive.
+    /// Number of retries in the window that are allowed even if no request arrives.
     pub min_retries: f64,
-    /// Additional retries for each request that arrived in the window.
+    /// Number of additional retries for each request that arrived in the window.
     pub per_request: f64,
     /// Length of the window.
     pub window: Duration,
--- a/src/state/endpoints.rs
+++ b/src/state/endpoints.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 impl SchedulerState {
-    /// Records rows of the endpoint list. An engine that has restarted keeps its attempts in flight.
+    /// Records rows of the endpoint list. An engine that has restarted keeps its attempts in flight, which end
+    /// later by an answer or a failure.
     pub fn record_endpoints(&mut self, now: Duration, update: EndpointUpdate, rows: Vec<Endpoint>) {
         if update == EndpointUpdate::FullList {
             self.record_unlisted_removed(&rows);
@@ -15,7 +16,7 @@
             match self.engines.get(&row.engine) {
                 None => self.record_new_engine(now, &row),
                 Some(engine) if engine.differs_from(&row) => self.record_changed_engine(now, &row),
-                // A full list repeats thousands of unchanged rows, which cost one lookup each.
+                // A full list may repeat thousands of unchanged rows. Each of them costs only one lookup.
                 Some(_) => {}
             }
         }
@@ -29,7 +30,7 @@
 
     fn record_changed_engine(&mut self, now: Duration, row: &Endpoint) {
         let rank = self.rank(row.engine);
-        let engine = self.engines.get_mut(&row.engine).expect("an engine of the table");
+        let engine = self.engines.get_mut(&row.engine).expect("the engine is in the table of engines");
         self.engine_index.remove(row.engine, engine, rank);
         engine.lifecycle = row.lifecycle;
         if engine.has_restarted(row) {
@@ -49,14 +50,14 @@
         let unlisted: Vec<EngineId> = known.filter(|id| !listed.contains(id)).collect();
         for id in unlisted {
             let rank = self.rank(id);
-            let engine = self.engines.get_mut(&id).expect("an engine of the table");
+            let engine = self.engines.get_mut(&id).expect("the engine is in the table of engines");
             self.engine_index.remove(id, engine, rank);
             engine.lifecycle = Lifecycle::Removed;
             self.engine_index.insert(id, engine, rank);
         }
     }
 
-    /// Removes an engine that no request refers to.
+    /// Removes an engine from the state. No request may refer to the engine any more.
     pub fn remove_engine(&mut self, id: EngineId) {
         let rank = self.rank(id);
         if let Some(engine) = self.engines.remove(&id) {
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as this router knows it.
+//! What this router knows about an engine.
 
 use super::{AttemptId, Resources, Tier, WindowSizes};
 use crate::samples::SampleWindow;
@@ -43,33 +43,33 @@
     pub kind: usize,
     pub cell: u64,
     pub lifecycle: Lifecycle,
-    /// Time of the last start, as listed.
+    /// Time of the engine's last start; `None` if the endpoint list does not contain it.
     pub launched: Option<Duration>,
-    /// Time at which this router first listed the engine with that start.
+    /// Time at which this router first received the engine with that start in the endpoint list.
     pub listed_at: Duration,
-    /// Start of the warm-up.
+    /// Start of the last warm-up; `None` if no start is known.
     pub warming_since: Option<Duration>,
-    /// Attempts in the order in which they were sent.
+    /// Attempts in flight, in the order in which they were sent.
     pub in_flight: Vec<InFlightAttempt>,
-    /// Requests with an attempt at this engine, in flight or ended, that are not forgotten yet.
+    /// Number of requests that are not forgotten yet and have an attempt at the engine, in flight or ended.
     pub request_count: usize,
-    /// Usual work in seconds of each attempt that was sent.
+    /// Usual work, in core-seconds, of the class of each attempt that was sent.
     pub sent_work: SampleWindow,
-    /// Elapsed time of each success as a multiple of the ideal run.
+    /// Elapsed time of each successful attempt as a multiple of its ideal run.
     pub slowdowns: SampleWindow,
-    /// 1 for each failed attempt, 0 for each success.
+    /// 1 for each failed attempt, 0 for each successful one.
     pub failures: SampleWindow,
-    /// Time of the last answer or progress update.
+    /// Time of the last answer or progress update; before the first one, the time at which the engine was listed.
     pub last_activity_at: Duration,
-    /// Time at which the engine was last known to be short of memory or to reject an attempt.
+    /// Time at which the engine last reported a shortage of memory or rejected an attempt as overloaded.
     pub memory_shortage_at: Option<Duration>,
-    /// The last load report.
+    /// The last load report; `None` if this router has received none since the engine's last start.
     pub report: Option<ReceivedReport>,
     /// Table groups of the requests sent to the engine, newest first.
     pub recent_table_groups: VecDeque<u64>,
     /// Table groups that a bulk load blocks at the engine, with the time of the last progress update that
     /// reported the load.
-    pub bulk_loads_seen: BTreeMap<u64, Duration>,
+    pub bulk_loads_reported: BTreeMap<u64, Duration>,
 }
 
 impl Engine {
@@ -92,16 +92,16 @@
             memory_shortage_at: None,
             report: None,
             recent_table_groups: VecDeque::new(),
-            bulk_loads_seen: BTreeMap::new(),
+            bulk_loads_reported: BTreeMap::new(),
         }
     }
 
-    /// Returns whether the row contains another start than the one that is known.
+    /// Returns whether the row contains a different start than the one that is known.
     pub fn has_restarted(&self, row: &Endpoint) -> bool {
         row.launched.is_some() && row.launched != self.launched
     }
 
-    /// Returns whether the row changes the state of the engine.
+    /// Returns whether the row changes the engine's lifecycle or start.
     pub fn differs_from(&self, row: &Endpoint) -> bool {
         self.lifecycle != row.lifecycle || self.has_restarted(row)
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Returns whether a shortage of memory was seen at or after `start`.
+    /// Returns whether a shortage of memory was recorded at or after `start`.
     pub fn had_memory_shortage_since(&self, start: Duration) -> bool {
         self.memory_shortage_at.is_some_and(|at| at >= start)
     }
--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -1,10 +1,10 @@
-//! Indexes over the engines, updated with each change, so that an input does not examine every engine.
+//! Indexes over the engines. They are updated with each change, so that an input need not examine every engine.
 
 use super::Engine;
 use crate::EngineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An engine kind and a location. Placement rules do not distinguish the engines of one group.
+/// The indices of an engine kind and of a location. Request classes allow all engines of a group or none.
 type Group = (usize, usize);
 
 /// The engines by use, kind, cell and rank.
@@ -26,7 +26,7 @@
 }
 
 impl EngineIndex {
-    /// Adds an engine. `rank` orders the engines of a group.
+    /// Adds an engine. `rank` orders the engines of a group, lowest first.
     pub fn insert(&mut self, id: EngineId, engine: &Engine, rank: u64) {
         self.by_cell.entry(engine.cell).or_default().insert(id);
         if engine.lifecycle.accepts_requests() {
@@ -53,7 +53,8 @@
         self.forgettable.remove(&id);
     }
 
-    /// Updates the indexes after a change of the attempts at an engine or of the requests that refer to it.
+    /// Updates the indexes after a change of the attempts in flight at an engine or of the requests that refer to
+    /// the engine.
     pub fn update_use(&mut self, id: EngineId, engine: &Engine) {
         set_member(&mut self.busy, id, !engine.in_flight.is_empty());
         let is_forgettable = engine.lifecycle.is_deregistered() && engine.request_count == 0;
@@ -65,7 +66,7 @@
         &self.busy
     }
 
-    /// Returns a deregistered engine that no request refers to.
+    /// Returns the first deregistered engine that no request refers to, in the order of the ids.
     pub fn first_forgettable(&self) -> Option<EngineId> {
         self.forgettable.first().copied()
     }
@@ -95,13 +96,13 @@
         self.subset.as_ref()
     }
 
-    /// Uses all engines from now on.
+    /// Makes this router use all engines from now on.
     pub fn use_all(&mut self) {
         self.subset = None;
     }
 
-    /// Uses a subset of about `size` engines from now on: of each group the first by rank, in proportion to
-    /// its size, but at least `min_per_group` or all of them.
+    /// Makes this router use a subset of about `size` engines from now on. Each group contributes its first engines
+    /// by rank, in proportion to the size of the group, but at least `min_per_group` of them if it has as many.
     pub fn use_subset(&mut self, size: usize, min_per_group: usize) {
         let total = self.accepting_total().max(1);
         let mut subset = Vec::new();
@@ -122,7 +123,7 @@
     }
 }
 
-/// Removes a member from the set of a key, and the set once it is empty.
+/// Removes a member from the set of a key, and removes the set once it is empty.
 fn remove_member<K: Ord, T: Ord>(sets: &mut BTreeMap<K, BTreeSet<T>>, key: K, member: &T) {
     let Some(set) = sets.get_mut(&key) else { return };
     set.remove(member);
--- a/src/state/estimates.rs
+++ b/src/state/estimates.rs
@@ -1,4 +1,4 @@
-//! Measurements of the requests of one class, from which later requests are estimated.
+//! Measurements of the requests of one class, from which the resources of later requests are estimated.
 
 use super::Request;
 use crate::Usage;
@@ -8,17 +8,17 @@
 /// Measurements of one request class.
 #[derive(Clone)]
 pub struct ClassEstimates {
-    /// Work in seconds on one core.
+    /// Work in core-seconds: the measured work or, for a request with a client's estimate, the expected work.
     pub work: SampleWindow,
-    /// Memory in MB, as billed.
+    /// Reported memory in MB.
     pub memory_mb: SampleWindow,
-    /// Billed work as a multiple of the client's estimate.
+    /// Reported work as a multiple of the client's estimate.
     pub work_ratios: SampleWindow,
-    /// Billed memory as a multiple of the client's estimate.
+    /// Memory that was needed, as a multiple of the client's estimate.
     pub memory_ratios: SampleWindow,
-    /// Elapsed time of each success as a multiple of the ideal run.
+    /// Elapsed time of each successful attempt as a multiple of its ideal run.
     pub slowdowns: SampleWindow,
-    /// Deadlines in seconds, counted from the arrival.
+    /// Deadlines in seconds, counted from the arrival. Marked retries are left out.
     pub deadlines: SampleWindow,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Records the billed usage of a request, also relative to the client's estimates. The work itself is
-    /// recorded by the caller.
+    /// Records the memory that the engine reported for a request, and the ratios of reported usage to the client's
+    /// estimates. The caller records the work itself.
     pub fn record_usage(&mut self, now: Duration, request: &Request, usage: &Usage) {
         self.memory_mb.push(now, usage.memory_mb);
         if let Some(estimate) = request.estimated_memory_mb {
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -1,20 +1,20 @@
-//! The requests of one ordering key.
+//! The requests of one ordering key, and the cooldown of the key.
 
 use crate::RequestId;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The requests of one key, in the order of arrival.
+/// The unfinished requests of one key, in the order of arrival.
 #[derive(Clone, Default)]
 pub struct KeyQueue {
     pub requests: VecDeque<RequestId>,
     pub cooldown: Option<Cooldown>,
 }
 
-/// A period in which the other requests of a key wait, because an attempt may still run.
+/// A period in which a key's requests wait, because an attempt of one of them has ended but may still run.
 #[derive(Clone, Copy)]
 pub struct Cooldown {
-    /// The request of that attempt, which may be sent again during the cooldown.
+    /// The request of that attempt, which alone may be sent during the cooldown.
     pub exempt_request: RequestId,
     pub until: Duration,
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The scheduler's records of requests, engines and keys. No decision is taken here.
+//! The scheduler's records of requests, engines and keys. This module records events and takes no decisions.
 
 mod endpoints;
 mod engine;
@@ -51,12 +51,12 @@
     pub engines: BTreeMap<EngineId, Engine>,
     /// Indexes over `engines`.
     pub engine_index: EngineIndex,
-    /// Number of engines examined by all inputs, which measures their cost without a clock.
+    /// Number of engines that all inputs so far have examined, which measures the cost of inputs without a clock.
     pub engines_examined: u64,
     pub key_queues: BTreeMap<KeyId, KeyQueue>,
     /// Measurements by request class.
     pub estimates: Vec<ClassEstimates>,
-    /// This router's fraction of the memory that engines reported as granted.
+    /// Samples of this router's fraction of the memory that the whole fleet has granted.
     pub fleet_shares: SampleWindow,
     /// Times at which requests were accepted, within the window of the retry budget.
     pub accepted_at: VecDeque<Duration>,
@@ -64,13 +64,13 @@
     pub retried_at: VecDeque<Duration>,
     /// Time of the wake-up that was requested last.
     pub wake_due: Duration,
-    /// Time of the last probes.
+    /// Time of the last round of probes.
     pub probed_at: Duration,
     /// Deadline of the graceful shutdown; `Duration::MAX` before it starts.
     pub shutdown_at: Duration,
     /// Whether the scheduler is subscribed to changes of the endpoint list.
     pub is_watching_endpoints: bool,
-    /// Counter of random choices.
+    /// Number of random draws so far, which makes the next draw differ from earlier ones.
     pub random_draws: u64,
 }
 
@@ -114,7 +114,7 @@
         self.requests.iter().filter(|(_, request)| request.is_in_flight()).map(|(id, request)| (*id, request))
     }
 
-    /// Returns the requests with an attempt in flight at one engine, in the order in which they were sent.
+    /// Returns the requests with an attempt in flight at one engine, in the order in which the attempts were sent.
     pub fn in_flight_at(&self, engine: &Engine) -> impl Iterator<Item = &Request> {
         engine.in_flight.iter().map(|attempt| &self.requests[&attempt.request])
     }
@@ -124,22 +124,22 @@
         request.key.and_then(|key| self.key_queues.get(&key))
     }
 
-    /// Returns the usual work of a class in seconds.
+    /// Returns the mean of the recorded work of a class in core-seconds; 0 if none is recorded.
     pub fn usual_work(&self, class: usize) -> f64 {
         self.estimates[class].work.mean().unwrap_or(0.0)
     }
 
-    /// Returns the priority weight of a class per second of its usual work.
+    /// Returns the priority weight of a class per core-second of its usual work; 0 if no work is recorded.
     pub fn weight_per_second(&self, class: usize) -> f64 {
         self.classes[class].priority_weight / self.estimates[class].work.mean().unwrap_or(f64::INFINITY)
     }
 
-    /// Returns the priority weight per second of usual work for each class.
+    /// Returns the priority weight per core-second of usual work for each class.
     pub fn weights_per_second(&self) -> impl Iterator<Item = f64> {
         (0..self.classes.len()).map(|class| self.weight_per_second(class))
     }
 
-    /// Returns a pseudo-random number that depends on the seed, the draw and the engine only.
+    /// Returns a pseudo-random number that depends only on the seed, the number of the draw and the engine.
     pub fn pseudo_random(&self, engine: EngineId, draw: u64) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.fleet.seed, draw, engine).hash(&mut hasher);
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -1,4 +1,4 @@
-//! Records requests, attempts and load reports. No decision is taken here.
+//! Records requests, attempts and load reports. This module takes no decisions.
 
 use super::{
     Attempt, AttemptId, Cooldown, InFlightAttempt, ExpectedResources, ReceivedReport, Request, RequestPhase, SchedulerState,
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl SchedulerState {
-    /// Records a request that was accepted.
+    /// Records an accepted request, and appends it to the queue of its key.
     pub fn record_accepted(&mut self, now: Duration, id: RequestId, request: Request) {
         if let Some(key) = request.key {
             self.key_queues.entry(key).or_default().requests.push_back(id);
@@ -19,8 +19,8 @@
         self.accepted_at.push_back(now);
     }
 
-    /// Creates a request with the needs that are expected of it. `elapsed_before_arrival` is the part of the
-    /// latency objective that earlier requests of the same client used up.
+    /// Creates the request of an arrival. `elapsed_before_arrival` is the part of the latency objective that was
+    /// used up before the arrival, if the request is a client's retry.
     pub fn new_request(
         &self,
         now: Duration,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Records that an attempt is sent, and returns it.
+    /// Records the next attempt of a request at the engine `to`, and returns the attempt.
     pub fn record_sent(
         &mut self,
         now: Duration,
@@ -60,7 +60,7 @@
     ) -> InFlightAttempt {
         let class = self.requests[&id].class;
         let usual_work = self.usual_work(class);
-        let request = self.requests.get_mut(&id).expect("a queued request");
+        let request = self.requests.get_mut(&id).expect("a queued request is in the table of requests");
         if !request.attempts.is_empty() {
             self.retried_at.push_back(now);
         }
@@ -68,7 +68,7 @@
         let is_first_there = !request.was_sent_to(to);
         let sent = InFlightAttempt { request: id, attempt, sent_at: now, tier, grant_mb, threads };
         request.attempts.push(Attempt::new(now, to, grant_mb));
-        let engine = self.engines.get_mut(&to).expect("a listed engine");
+        let engine = self.engines.get_mut(&to).expect("the chosen engine is in the table of engines");
         engine.in_flight.push(sent.clone());
         engine.sent_work.push(now, usual_work);
         engine.record_table_group(request.table_group, self.window_sizes.recent_table_groups);
@@ -79,12 +79,13 @@
 
     /// Records that an attempt is cancelled.
     pub fn record_cancelled(&mut self, id: AttemptId) {
-        let request = self.requests.get_mut(&id.request).expect("a request in flight");
+        let request = self.requests.get_mut(&id.request).expect("the request of a cancelled attempt is in the table of requests");
         request.attempts[id.attempt].cancelled = true;
     }
 
-    /// Records a load report and returns it; `None` for an unknown engine. If the report lacks the busy
-    /// cores, they are estimated from its requests in flight and the mean threads of this router's requests.
+    /// Records a load report and returns it; `None` for an unknown engine. If the report lacks the core
+    /// utilization, it is estimated from the reported requests in flight and the mean threads of this router's
+    /// requests in flight.
     pub fn record_load_report(
         &mut self,
         now: Duration,
@@ -101,10 +102,10 @@
         Some(load)
     }
 
-    /// Records a sample of this router's share of the fleet: the memory granted to its attempts, without the
-    /// ended one, divided by the memory that the fleet grants if every engine grants the reported fraction. A
-    /// sample of the reporting engine alone would be too high, since most reports come with an answer to this
-    /// router.
+    /// Records a sample of this router's share of the fleet: the memory granted to its requests in flight, without
+    /// the `ended` one, divided by the memory that the fleet has granted if every engine has granted the reported
+    /// fraction. A sample from the reporting engine alone would be too high, since most reports come with an
+    /// answer to this router.
     pub fn record_fleet_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
         let others = self.in_flight().filter(|(request, _)| Some(*request) != ended);
         let local_mb: f64 =
@@ -123,13 +124,13 @@
         }
         let attempt = request.attempts.get_mut(ended.attempt)?;
         attempt.outcome = Some(ended.outcome);
-        let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
+        let engine = self.engines.get_mut(&attempt.engine).expect("an engine with an attempt is in the table of engines");
         engine.in_flight.retain(|other| (other.request, other.attempt) != (ended.request, ended.attempt));
         self.engine_index.update_use(attempt.engine, engine);
         Some(attempt.clone())
     }
 
-    /// Starts the cooldown of a request's key, in which the other requests of the key wait.
+    /// Starts the cooldown of a request's key, if the request has a key and the limits contain a cooldown.
     pub fn record_cooldown(&mut self, now: Duration, id: RequestId) {
         let key = self.requests.get(&id).and_then(|request| request.key);
         if let (Some(key), Some(cooldown)) = (key, self.attempt_limits.key_cooldown) {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Records a progress update of an attempt, and whether the update shows a shortage of memory.
+    /// Records a progress update of an attempt, and a shortage of memory if the update shows one. Ignores updates
+    /// for unknown attempts.
     pub fn record_progress(
         &mut self,
         now: Duration,
@@ -158,7 +160,7 @@
             ProgressUpdate::WaitingForMemory => attempt.is_stalled = true,
             ProgressUpdate::WaitingForBulkLoad => {
                 attempt.is_stalled = true;
-                engine.bulk_loads_seen.extend(request.table_group.map(|group| (group, now)));
+                engine.bulk_loads_reported.extend(request.table_group.map(|group| (group, now)));
             }
             ProgressUpdate::Running | ProgressUpdate::Fraction(_) => {}
         }
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Marks a request as done: it needs no further answer.
+    /// Marks a request as done: its client needs no further answer.
     pub fn record_done(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.phase = RequestPhase::Done);
     }
@@ -195,7 +197,8 @@
         }
     }
 
-    /// Removes requests that are done and have no attempt in flight. Returns whether there were any.
+    /// Removes requests that are done and have no attempt in flight, and key queues that are empty and not cooling
+    /// down. Returns whether any request was removed.
     pub fn remove_finished_requests(&mut self, now: Duration) -> bool {
         let finished = self.requests.extract_if(.., |_, request| request.is_finished());
         let finished: BTreeMap<RequestId, Request> = finished.collect();
@@ -213,7 +216,7 @@
         true
     }
 
-    /// Releases the engines that a removed request referred to.
+    /// Decreases the request count of each engine that a removed request had an attempt at.
     fn release_engines(&mut self, request: &Request) {
         let engines: BTreeSet<EngineId> = request.attempts.iter().map(|attempt| attempt.engine).collect();
         for id in engines {
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Drops times that are older than the window of the retry budget.
+    /// Removes the times of requests and retries that are older than the window of the retry budget.
     pub fn prune_retry_budget(&mut self, now: Duration) {
         let window = self.attempt_limits.retry_budget.as_ref().map_or(Duration::ZERO, |budget| budget.window);
         for times in [&mut self.accepted_at, &mut self.retried_at] {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -15,33 +15,38 @@
     Done,
 }
 
-/// The resources that a request needs.
+/// The resources that a request is expected to need.
 #[derive(Clone, Copy)]
 pub struct ExpectedResources {
-    /// Work in seconds on one core.
+    /// Work in core-seconds.
     pub work: f64,
+    /// Memory in MB.
     pub memory_mb: f64,
 }
 
-/// A request that was accepted.
+/// An accepted request.
 #[derive(Clone)]
 pub struct Request {
+    /// Index into the request classes.
     pub class: usize,
+    /// The ordering key; `None` without a key or if the class does not keep order.
     pub key: Option<KeyId>,
-    /// The client's estimate of the work, in seconds on one core.
+    /// The client's estimate of the work, in core-seconds.
     pub estimated_work: Option<f64>,
     /// The client's estimate of the memory in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// Expected time in seconds on an idle engine, with the client's estimate corrected by earlier usage.
+    /// Expected elapsed time on an idle engine, from the expected work of the request.
     pub ideal_run_seconds: f64,
-    /// Expected memory in MB, with the client's estimate corrected by earlier usage.
+    /// Expected memory in MB: the client's estimate corrected by earlier usage, or the usual memory of the class.
     pub memory_mb: f64,
     pub table_group: Option<u64>,
     pub arrived_at: Duration,
-    /// The end of the latency objective.
+    /// Time at which the latency objective ends, at the latest the deadline.
     pub objective_at: Duration,
+    /// Time by which the client must be answered.
     pub deadline: Duration,
     pub phase: RequestPhase,
+    /// All attempts, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
@@ -71,7 +76,7 @@
         self.attempts.last().is_some_and(|attempt| attempt.outcome.is_none())
     }
 
-    /// Returns the id of the last attempt of this request, whose number is `request`.
+    /// Returns the id of the last attempt. `request` is the id of this request.
     pub fn last_attempt(&self, request: RequestId) -> AttemptId {
         AttemptId { request, attempt: self.attempts.len() - 1 }
     }
@@ -86,8 +91,8 @@
         self.is_done() && self.attempts.iter().all(|attempt| attempt.outcome.is_some())
     }
 
-    /// Returns the first attempt that may have run. The window of an idempotency key counts from this
-    /// attempt, and its scope from this attempt's engine.
+    /// Returns the first attempt that may have run. The window of an idempotency key starts when that attempt is
+    /// sent, and the scope of the key is that of its engine.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
@@ -105,17 +110,19 @@
 pub struct Attempt {
     pub engine: EngineId,
     pub sent_at: Duration,
-    /// Time of the last progress update, or of sending.
+    /// Time of the last progress update, or of sending if there was none.
     pub last_activity_at: Duration,
+    /// Memory grant in MB.
     pub grant_mb: f64,
     /// `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
+    /// Whether the scheduler has cancelled the attempt, which may not have ended yet.
     pub cancelled: bool,
     /// Whether the engine reported that the attempt waits for memory or for a bulk load.
     pub is_stalled: bool,
-    /// Largest shortage of memory in MB that the engine reported.
+    /// Largest amount of memory in MB that the engine reported as missing when the attempt spilled to disk.
     pub spilled_mb: f64,
-    /// Expected end, from the last progress update with a fraction.
+    /// Expected end; `None` before the first progress update with a fraction above 0.
     pub expected_finish: Option<Duration>,
 }
 
@@ -135,13 +142,14 @@
         }
     }
 
-    /// Returns whether the engine may have run the attempt, which includes an attempt in flight.
+    /// Returns whether the engine may have run the attempt, at least in part. Always true for an attempt in flight.
     pub fn may_have_run(&self) -> bool {
         let never_ran = [AttemptOutcome::Overloaded, AttemptOutcome::Unreachable, AttemptOutcome::NotSent];
         self.outcome.is_none_or(|outcome| !never_ran.contains(&outcome))
     }
 
-    /// Updates the expected end, at the pace of the fraction that is done.
+    /// Updates the expected end, assuming that the attempt continues at the pace at which the fraction `done` was
+    /// done.
     pub fn expect_finish(&mut self, now: Duration, done: f64) {
         let left = seconds(now - self.sent_at) * (1.0 - done).max(0.0) / done;
         self.expected_finish = Some(now + duration(left));
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet at the time of an input, as the rules use it.
+//! The snapshot of the fleet at the time of an input, on which the rules decide.
 
 use super::{InFlightAttempt, Resources};
 use crate::EngineId;
@@ -8,7 +8,7 @@
 /// Requests by the memory that they need, relative to the memory target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// Requests that are too small to be limited.
+    /// Requests that need too little memory to be limited.
     Unlimited,
     Small,
     Medium,
@@ -24,9 +24,9 @@
 /// The fleet at the time of an input. Sending a request updates it.
 pub struct FleetSnapshot {
     pub now: Duration,
-    /// Typical elapsed time of a success as a multiple of the ideal run, by request class.
+    /// Typical elapsed time of a successful attempt as a multiple of its ideal run, at least 1, by request class.
     pub slowdowns: Vec<f64>,
-    /// Fraction of the fleet that this router uses.
+    /// Fraction of the fleet's capacity that this router uses.
     pub fleet_share: f64,
     /// Fraction of one engine that this router uses, if it uses the engine at all.
     pub engine_share: f64,
@@ -35,14 +35,14 @@
     pub engines: EngineViews,
     /// Gateways by engine kind; empty if no request is queued.
     pub gateways: Vec<Gateway>,
-    /// Tiers of an engine kind without capacity. Later requests of such a tier wait behind the first one.
+    /// Engine kinds and tiers without capacity. Later requests of such a tier wait behind the first one.
     pub blocked_tiers: BTreeSet<(usize, Tier)>,
     /// Number of engines that were examined.
     pub engines_examined: u64,
 }
 
 impl FleetSnapshot {
-    /// Adds an attempt that was sent to an engine of this kind.
+    /// Adds an attempt that was sent to an engine of this kind to the measurements of the kind.
     pub fn count_sent(&mut self, engine: EngineId, kind: usize, sent: &InFlightAttempt) {
         let is_under_pressure = self.engines[&engine].is_under_pressure();
         let gateway = &mut self.gateways[kind];
@@ -60,11 +60,11 @@
 pub struct EngineView {
     /// Whether the engine is under pressure; `None` if no recent measurement shows it.
     pub under_pressure: Option<bool>,
-    /// Time without activity, as a multiple of the time within which the engine should have shown some.
+    /// Time without activity, as a multiple of the time after which the engine counts as inactive.
     pub inactivity_ratio: f64,
     /// Whether the engine is ejected and gets recovery attempts only.
     pub is_outlier: bool,
-    /// Factor by which the engine's latency lowers its limits under pressure, at most 1.
+    /// Factor, at most 1, by which the engine's slowdown reduces its limits under pressure.
     pub limit_factor: f64,
     /// The engine's slowdown relative to that of the fleet.
     pub relative_slowdown: f64,
@@ -77,15 +77,15 @@
     }
 }
 
-/// The measurements and targets from which the thresholds of one engine kind are computed.
+/// The measurements and targets of one engine kind, from which the thresholds of its tiers are computed.
 pub struct Gateway {
     /// Requests below this many MB are not limited.
     pub unlimited_below_mb: f64,
     /// Memory in MB of one engine that this router intends to fill.
     pub memory_target_mb: f64,
-    /// Largest fraction of an engine's memory to fill if its load is estimated and not reported.
+    /// Largest fraction of an engine's memory that may be filled if its load is estimated and not reported.
     pub unmean_memory_utilization_limit: f64,
-    /// Number of engines that accept requests.
+    /// Number of engines that accept requests, at least 1.
     pub engine_count: f64,
     /// Attempts of the small tier in flight.
     pub small_count: f64,
@@ -101,6 +101,6 @@
     pub local_load: Resources,
     /// Threads of this router's attempts at engines under pressure, by tier.
     pub threads_under_pressure: [f64; Tier::ALL.len()],
-    /// Cores of the engines under pressure, lowered by their latency.
+    /// Sum of the cores of the engines under pressure, each multiplied by the engine's limit factor.
     pub cores_under_pressure: f64,
 }
