--- a/benches/large_fleet.rs
+++ b/benches/large_fleet.rs
@@ -1,5 +1,5 @@
-//! The time of one input by the number of engines: a request that succeeds, a change of one row of the
-//! endpoint list, and a full list without changes.
+//! Measures the time of inputs by the number of engines: a request that succeeds, a change of one row of the endpoint
+//! list, and a full list without changes.
 
 #[path = "../tests/common/large_fleet.rs"]
 mod fixture;
@@ -9,39 +9,40 @@
 use fixture::*;
 use std::time::Duration;
 
-const SIZES: [usize; 4] = [8, 80, 800, 3200];
+/// Numbers of engines for which each input is measured.
+const FLEET_SIZES: [usize; 4] = [8, 80, 800, 3200];
 
 /// A scheduler with twenty requests in flight.
-struct Served {
+struct LoadedScheduler {
     scheduler: Scheduler,
     in_flight: std::collections::VecDeque<(RequestId, EngineId)>,
-    next: RequestId,
+    next_request: RequestId,
 }
 
-impl Served {
+impl LoadedScheduler {
     fn new(engines: usize) -> Self {
-        let mut served = Self {
-            scheduler: listed(1, engines, Effect::Idempotent),
+        let mut loaded = Self {
+            scheduler: scheduler_with_engines(1, engines, Effect::Idempotent),
             in_flight: Default::default(),
-            next: RequestId(0),
+            next_request: RequestId(0),
         };
-        (0..20).for_each(|_| served.accept());
-        served
+        (0..20).for_each(|_| loaded.accept());
+        loaded
     }
 
     fn now(&self) -> Duration {
-        ms(u64::from(self.next.0))
+        ms(u64::from(self.next_request.0))
     }
 
     fn accept(&mut self) {
-        let mut sent = Sends::default();
-        self.scheduler.accept(self.now(), arrival(self.next), &mut sent);
+        let mut sent = SentAttempts::default();
+        self.scheduler.accept(self.now(), arrival(self.next_request), &mut sent);
         self.in_flight.extend(sent.0);
-        self.next.0 += 1;
+        self.next_request.0 += 1;
     }
 
-    fn list(&mut self, update: EndpointUpdate, rows: Vec<Endpoint>) {
-        self.scheduler.endpoints_changed(self.now(), update, rows, &mut Sends::default());
+    fn update_endpoints(&mut self, update: EndpointUpdate, rows: Vec<Endpoint>) {
+        self.scheduler.endpoints_changed(self.now(), update, rows, &mut SentAttempts::default());
     }
 
     fn succeed_oldest(&mut self) {
@@ -56,18 +57,18 @@
             load_report: None,
             request_done: true,
         };
-        self.scheduler.attempt_ended(self.now(), ended, &mut Sends::default());
+        self.scheduler.attempt_ended(self.now(), ended, &mut SentAttempts::default());
     }
 }
 
 fn accept_and_succeed(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("accepted and succeeded");
-    for engines in SIZES {
-        let mut served = Served::new(engines);
+    for engines in FLEET_SIZES {
+        let mut loaded = LoadedScheduler::new(engines);
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
-                served.accept();
-                served.succeed_oldest();
+                loaded.accept();
+                loaded.succeed_oldest();
             });
         });
     }
@@ -76,14 +77,14 @@
 
 fn change_one_row(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("one row of the list");
-    for engines in SIZES {
-        let mut served = Served::new(engines);
+    for engines in FLEET_SIZES {
+        let mut loaded = LoadedScheduler::new(engines);
         let mut is_ready = true;
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 is_ready = !is_ready;
                 let lifecycle = if is_ready { Lifecycle::Ready } else { Lifecycle::Draining };
-                served.list(EndpointUpdate::Changes, vec![endpoint(EngineId(0), lifecycle)]);
+                loaded.update_endpoints(EndpointUpdate::Changes, vec![endpoint(EngineId(0), lifecycle)]);
             });
         });
     }
@@ -92,13 +93,13 @@
 
 fn repeat_full_list(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("complete list repeated");
-    for engines in SIZES {
-        let mut served = Served::new(engines);
+    for engines in FLEET_SIZES {
+        let mut loaded = LoadedScheduler::new(engines);
         group.bench_function(BenchmarkId::from_parameter(engines), |bencher| {
             bencher.iter(|| {
                 let ids = (0..engines).map(EngineId);
                 let rows = ids.map(|engine| endpoint(engine, Lifecycle::Ready)).collect();
-                served.list(EndpointUpdate::FullList, rows);
+                loaded.update_endpoints(EndpointUpdate::FullList, rows);
             });
         });
     }
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A scheduler with a large fleet, for the test that counts the engines an input examines and the bench that
-//! times it.
+//! A scheduler with a large fleet, for the test that counts the engines that an input examines and the benchmark that
+//! measures the time of an input.
 
 use emberflow::*;
 use std::time::Duration;
@@ -73,11 +73,11 @@
     }
 }
 
-/// Collects the sends of a scheduler and ignores its other actions.
+/// Collects the attempts that a scheduler sends, and ignores its other actions.
 #[derive(Default)]
-pub struct Sends(pub Vec<(RequestId, EngineId)>);
+pub struct SentAttempts(pub Vec<(RequestId, EngineId)>);
 
-impl Actions for Sends {
+impl Actions for SentAttempts {
     fn send(&mut self, request: RequestId, engine: EngineId, _: Duration) {
         self.0.push((request, engine));
     }
@@ -91,10 +91,10 @@
     fn forget(&mut self, _: EngineId) {}
 }
 
-/// Creates a scheduler with ready engines.
-pub fn listed(seed: u64, engines: usize, effect: Effect) -> Scheduler {
+/// Creates a scheduler whose endpoint list contains ready engines.
+pub fn scheduler_with_engines(seed: u64, engines: usize, effect: Effect) -> Scheduler {
     let mut scheduler = scheduler(seed, effect);
     let rows = (0..engines).map(|engine| endpoint(EngineId(engine), Lifecycle::Ready)).collect();
-    scheduler.endpoints_changed(Duration::ZERO, EndpointUpdate::FullList, rows, &mut Sends::default());
+    scheduler.endpoints_changed(Duration::ZERO, EndpointUpdate::FullList, rows, &mut SentAttempts::default());
     scheduler
 }
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -1,5 +1,5 @@
-//! A guard for refactorings, which must not change any decision: one digest over all actions of a scheduler
-//! in thousands of random runs with random settings.
+//! Guards against refactorings that change a decision: computes one digest over all actions of schedulers in thousands
+//! of random runs with random settings.
 //!
 //! The digest covers numbers, indices, times in nanoseconds and the bits of floats, but no names, which a
 //! refactoring may change. Each decision influences the rest of its run, so that a single difference changes
@@ -27,7 +27,7 @@
 
 const RUNS: u64 = 2000;
 
-/// Minimum number of each kind of action in all runs together, so that the digest covers it.
+/// Minimum number of log entries of each kind in all runs together, so that the digest covers the kind.
 const MIN_COUNTS: [(usize, u64); 13] = [
     (SEND, 40_000),
     (SET_GRANT_AND_PRIORITY, 40_000),
@@ -51,7 +51,7 @@
         log = Simulation::new(seed, log).run_to_end();
     }
     for (kind, min_count) in MIN_COUNTS {
-        assert!(log.counts[kind] >= min_count, "action {kind}: {} of at least {min_count}", log.counts[kind]);
+        assert!(log.counts[kind] >= min_count, "log entries of kind {kind}: {}, expected at least {min_count}", log.counts[kind]);
     }
     let digest: String = log.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect!["5b7f7a0e0625171505bc27b73182cae01a0424bfa5152c41b047ec6ca7ca94d3"].assert_eq(&digest);
--- a/tests/digest/engines.rs
+++ b/tests/digest/engines.rs
@@ -1,7 +1,7 @@
 //! The engines of a run: their load reports, and their rows in the endpoint list.
 
 use crate::random::Random;
-use crate::settings::{endpoint, machine};
+use crate::settings::{endpoint, simulated_engine};
 use crate::simulation::Simulation;
 use emberflow::{EndpointUpdate, EngineId, LoadReport};
 
@@ -22,27 +22,27 @@
 
     /// Ends a probe, with a load report if the engine answers.
     pub(super) fn answer_probe(&mut self, engine: EngineId) {
-        let answers = self.machines.get(&engine).is_some_and(|machine| !machine.silent && !machine.removed);
+        let answers = self.simulated_engines.get(&engine).is_some_and(|simulated| !simulated.silent && !simulated.removed);
         let load_report = if answers && !self.random.percent(10) { self.load_report(engine) } else { None };
         self.scheduler.probe_ended(self.now, engine, load_report, &mut self.log);
     }
 
     /// Sends the rows of all engines.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
-        let rows = self.machines.iter().map(|(engine, machine)| endpoint(*engine, machine)).collect();
+        let rows = self.simulated_engines.iter().map(|(engine, simulated)| endpoint(*engine, simulated)).collect();
         self.scheduler.endpoints_changed(self.now, update, rows, &mut self.log);
-        self.carry_out();
+        self.carry_out_actions();
     }
 
     /// Adds an engine, or changes one at random.
     pub(super) fn change_engines(&mut self) {
-        let engines: Vec<EngineId> = self.machines.keys().copied().collect();
+        let engines: Vec<EngineId> = self.simulated_engines.keys().copied().collect();
         let (random, now) = (&mut self.random, self.now);
         let change = random.below(10);
         if engines.is_empty() || change == 0 {
             let free = engines.last().map_or(EngineId(0), |last| EngineId(last.0 + 1));
             let launched = random.maybe(50, |random| now.saturating_sub(random.time(0, 500)));
-            self.machines.insert(free, machine(random, self.kinds, launched));
+            self.simulated_engines.insert(free, simulated_engine(random, self.kinds, launched));
             let full = self.random.percent(30);
             return self.update_endpoints(if full {
                 EndpointUpdate::FullList
@@ -51,25 +51,25 @@
             });
         }
         let engine = random.one_of(&engines);
-        let machine = self.machines.get_mut(&engine).expect("a listed engine");
+        let simulated = self.simulated_engines.get_mut(&engine).expect("the engine was drawn from the simulated engines");
         match change {
-            1 => machine.ready = !machine.ready,
-            2 => (machine.ready, machine.removed) = (false, true),
+            1 => simulated.ready = !simulated.ready,
+            2 => (simulated.ready, simulated.removed) = (false, true),
             3 | 4 => {
-                (machine.ready, machine.removed, machine.launched) = (true, false, Some(now));
-                (machine.silent, machine.fails, machine.slowness) = (false, false, 1.0);
+                (simulated.ready, simulated.removed, simulated.launched) = (true, false, Some(now));
+                (simulated.silent, simulated.fails, simulated.slowness) = (false, false, 1.0);
             }
-            5 => machine.silent = !machine.silent,
-            6 => machine.fails = !machine.fails,
-            7 => machine.slowness = random.one_of(&[1.0, 2.0, 6.0, 20.0]),
+            5 => simulated.silent = !simulated.silent,
+            6 => simulated.fails = !simulated.fails,
+            7 => simulated.slowness = random.one_of(&[1.0, 2.0, 6.0, 20.0]),
             8 => {
-                let rows = self.machines.iter().filter(|_| !random.percent(20));
+                let rows = self.simulated_engines.iter().filter(|_| !random.percent(20));
                 let rows = rows.map(|(listed, state)| endpoint(*listed, state)).collect();
                 return self.scheduler.endpoints_changed(now, EndpointUpdate::FullList, rows, &mut self.log);
             }
-            _ => machine.ready = true,
+            _ => simulated.ready = true,
         }
-        let row = endpoint(engine, machine);
+        let row = endpoint(engine, simulated);
         self.scheduler.endpoints_changed(now, EndpointUpdate::Changes, vec![row], &mut self.log);
     }
 }
--- a/tests/digest/log.rs
+++ b/tests/digest/log.rs
@@ -1,10 +1,10 @@
-//! Digests and counts the actions of all runs.
+//! The log of all runs: a digest and counts of the scheduler's actions and of the test's inputs and queries.
 
 use emberflow::*;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
-/// The kinds of actions, as the digest and the counts contain them.
+// The kinds of log entries: the first byte of an entry in the digest, and the index of its count.
 pub const SEND: usize = 0;
 pub const SET_GRANT_AND_PRIORITY: usize = 1;
 pub const CANCEL: usize = 2;
@@ -19,7 +19,7 @@
 pub const INPUT: usize = 11;
 pub const HELD_COUNTS: usize = 12;
 
-/// An action that is carried out after the input that caused it.
+/// An action that the simulation carries out after the input that caused the action.
 pub enum PendingAction {
     Attempt { request: RequestId, engine: EngineId, until: Duration },
     Cancel { request: RequestId, attempt: usize },
@@ -29,7 +29,7 @@
     Forget(EngineId),
 }
 
-/// The digest and counts of the actions of all runs.
+/// The digest and the counts of all entries, and the actions that are not carried out yet.
 #[derive(Default)]
 pub struct Log {
     pub digest: Sha256,
@@ -38,6 +38,7 @@
 }
 
 impl Log {
+    /// Adds an entry of a kind, with numbers that describe it.
     pub fn add(&mut self, kind: usize, numbers: &[u64]) {
         self.counts[kind] += 1;
         self.digest.update([kind as u8]);
--- a/tests/digest/random.rs
+++ b/tests/digest/random.rs
@@ -5,8 +5,8 @@
 /// A SplitMix64 generator, whose numbers do not depend on the machine or on versions of crates.
 pub struct Random {
     pub state: u64,
-    /// Whether times are whole milliseconds, so that several events occur at the same time.
-    pub coarse: bool,
+    /// Whether times are rounded to whole milliseconds, so that several events occur at the same time.
+    pub whole_milliseconds: bool,
 }
 
 impl Random {
@@ -17,6 +17,7 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number of at least 0 and below `end`.
     pub fn below(&mut self, end: usize) -> usize {
         (self.next() % end as u64) as usize
     }
@@ -35,6 +36,7 @@
         min + self.fraction() * (max - min)
     }
 
+    /// Returns true with a probability of `percent`.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.next() % 100 < percent
     }
@@ -43,16 +45,18 @@
         values[self.below(values.len())]
     }
 
+    /// Returns a time from `first_ms` to `last_ms`, both included.
     pub fn time(&mut self, first_ms: u64, last_ms: u64) -> Duration {
         let time = Duration::from_micros(self.inclusive(first_ms * 1000, last_ms * 1000));
         self.rounded(time)
     }
 
-    /// Rounds a time down to whole milliseconds if times of the run are coarse.
+    /// Rounds a time down to whole milliseconds if the run uses whole milliseconds.
     pub fn rounded(&self, time: Duration) -> Duration {
-        if self.coarse { Duration::from_millis(time.as_millis() as u64) } else { time }
+        if self.whole_milliseconds { Duration::from_millis(time.as_millis() as u64) } else { time }
     }
 
+    /// Returns a value with a probability of `percent`, and `None` otherwise.
     pub fn maybe<T>(&mut self, percent: u64, value: impl FnOnce(&mut Self) -> T) -> Option<T> {
         self.percent(percent).then(|| value(self))
     }
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -4,25 +4,31 @@
 use emberflow::*;
 use std::time::Duration;
 
-/// The behaviour of clients and engines in one run; integers without a unit are percentages.
+/// The behaviour of clients and engines in one run.
 pub struct Environment {
-    pub estimates: u64,
-    pub usages: u64,
-    pub load_report: u64,
+    /// Probability that a request has estimates.
+    pub estimate_percent: u64,
+    /// Probability that a successful answer contains the usage.
+    pub usage_percent: u64,
+    /// Probability that an answer contains a load report.
+    pub load_report_percent: u64,
     pub reports_cores: bool,
     pub reports_in_flight: bool,
     pub reports_memory: bool,
     pub marks_retries: bool,
-    pub faults: u64,
-    pub longest_gap: u64,
+    /// Probability that an attempt ends with a random failure.
+    pub fault_percent: u64,
+    /// Longest time between two arrivals.
+    pub longest_gap_ms: u64,
+    /// Number of requests, unless a burst at the end adds more.
     pub requests: usize,
     pub shuts_down: bool,
     pub progress_interval: Option<Duration>,
 }
 
-/// The actual state of an engine.
+/// The actual state of a simulated engine, which the scheduler does not know.
 #[derive(Clone)]
-pub struct Machine {
+pub struct SimulatedEngine {
     pub location: usize,
     pub kind: usize,
     pub cell: u64,
@@ -31,7 +37,9 @@
     pub launched: Option<Duration>,
     /// Factor by which the engine slows its attempts.
     pub slowness: f64,
+    /// Whether the engine sends neither answers nor progress updates.
     pub silent: bool,
+    /// Whether each attempt at the engine fails soon.
     pub fails: bool,
 }
 
@@ -108,24 +116,24 @@
 
 pub fn environment(random: &mut Random, fleet: &Fleet) -> Environment {
     Environment {
-        estimates: random.one_of(&[0, 50, 95, 100, 100]),
-        usages: random.one_of(&[0, 60, 100]),
-        load_report: random.one_of(&[0, 50, 100]),
+        estimate_percent: random.one_of(&[0, 50, 95, 100, 100]),
+        usage_percent: random.one_of(&[0, 60, 100]),
+        load_report_percent: random.one_of(&[0, 50, 100]),
         reports_cores: random.percent(60),
         reports_in_flight: random.percent(60),
         reports_memory: random.percent(70),
         marks_retries: random.percent(50),
-        faults: random.one_of(&[0, 3, 10, 30]),
-        longest_gap: random.one_of(&[3, 8, 20, 60]),
+        fault_percent: random.one_of(&[0, 3, 10, 30]),
+        longest_gap_ms: random.one_of(&[3, 8, 20, 60]),
         requests: random.one_of(&[20, 30, 50, 70]),
         shuts_down: random.percent(25),
         progress_interval: fleet.progress_interval,
     }
 }
 
-pub fn machine(random: &mut Random, kinds: usize, launched: Option<Duration>) -> Machine {
+pub fn simulated_engine(random: &mut Random, kinds: usize, launched: Option<Duration>) -> SimulatedEngine {
     let location = random.below(3);
-    Machine {
+    SimulatedEngine {
         location,
         kind: random.below(kinds),
         cell: (location * 2 + random.below(2)) as u64,
@@ -138,8 +146,8 @@
     }
 }
 
-pub fn endpoint(engine: EngineId, machine: &Machine) -> Endpoint {
-    let Machine { location, kind, cell, ready, removed, launched, .. } = *machine;
+pub fn endpoint(engine: EngineId, simulated: &SimulatedEngine) -> Endpoint {
+    let SimulatedEngine { location, kind, cell, ready, removed, launched, .. } = *simulated;
     let lifecycle = match (ready, removed) {
         (true, false) => Lifecycle::Ready,
         (true, true) => Lifecycle::Retiring,
--- a/tests/digest/simulation.rs
+++ b/tests/digest/simulation.rs
@@ -1,8 +1,8 @@
-//! The events of one random run.
+//! One random run: a scheduler, simulated clients and engines, and the events between them.
 
 use crate::log::{HELD_COUNTS, INPUT, Log, PendingAction, nanoseconds};
 use crate::random::Random;
-use crate::settings::{Environment, Machine, attempt_limits, environment, fleet, machine, request_class};
+use crate::settings::{Environment, SimulatedEngine, attempt_limits, environment, fleet, simulated_engine, request_class};
 use emberflow::{
     Arrival, AttemptOutcome, EndpointUpdate, EngineId, HeldCounts, RequestClass, RequestId, Scheduler,
 };
@@ -22,7 +22,7 @@
 }
 
 /// An attempt in flight.
-pub struct Running {
+pub struct RunningAttempt {
     pub engine: EngineId,
     pub sent: Duration,
     pub until: Duration,
@@ -36,8 +36,8 @@
     Wake,
     AttemptOutcome(RequestId, usize, AttemptOutcome),
     Progress(RequestId, usize),
-    Probed(EngineId),
-    Engines,
+    ProbeEnds(EngineId),
+    EnginesChange,
     ClientsLeave,
     EndpointListFails,
     ShutDown,
@@ -55,27 +55,29 @@
     pub(super) classes: Vec<(Duration, f64)>,
     pub(super) now: Duration,
     pub(super) events: BTreeMap<(Duration, u64), Event>,
+    /// Number of events scheduled so far, which orders events of the same time.
     pub(super) scheduled: u64,
-    pub(super) arrived: RequestId,
-    pub(super) machines: BTreeMap<EngineId, Machine>,
+    /// Id of the next request, which is also the number of requests that have arrived.
+    pub(super) next_request: RequestId,
+    pub(super) simulated_engines: BTreeMap<EngineId, SimulatedEngine>,
     pub(super) client_requests: BTreeMap<RequestId, ClientRequest>,
-    pub(super) running: BTreeMap<(RequestId, usize), Running>,
+    pub(super) running: BTreeMap<(RequestId, usize), RunningAttempt>,
 }
 
 impl Simulation {
     /// Creates a run with random settings.
     pub fn new(seed: u64, log: Log) -> Self {
-        let mut random = Random { state: seed, coarse: seed.is_multiple_of(2) };
+        let mut random = Random { state: seed, whole_milliseconds: seed.is_multiple_of(2) };
         let (fleet, attempt_limits) = (fleet(&mut random), attempt_limits(&mut random));
         let environment = environment(&mut random, &fleet);
         let kinds = fleet.kinds.len();
         let classes: Vec<RequestClass> =
             (0..=random.below(4)).map(|_| request_class(&mut random, kinds)).collect();
         let now = random.time(2_000, 20_000);
-        let machines =
-            (0..=random.below(6)).map(|engine| (EngineId(engine), machine(&mut random, kinds, None)));
+        let simulated_engines =
+            (0..=random.below(6)).map(|engine| (EngineId(engine), simulated_engine(&mut random, kinds, None)));
         Self {
-            machines: machines.collect(),
+            simulated_engines: simulated_engines.collect(),
             classes: classes.iter().map(|class| (class.deadline, class.threads)).collect(),
             scheduler: Scheduler::new(fleet, classes, attempt_limits),
             random,
@@ -85,7 +87,7 @@
             now,
             events: BTreeMap::new(),
             scheduled: 0,
-            arrived: RequestId(0),
+            next_request: RequestId(0),
             client_requests: BTreeMap::new(),
             running: BTreeMap::new(),
         }
@@ -96,7 +98,7 @@
         self.update_endpoints(EndpointUpdate::FullList);
         self.schedule(ms(0), Event::Arrival);
         let first_time = |random: &mut Random| random.time(10, 1000);
-        for event in [Event::Engines, Event::ClientsLeave, Event::CapacityCheck, Event::EndpointListFails] {
+        for event in [Event::EnginesChange, Event::ClientsLeave, Event::CapacityCheck, Event::EndpointListFails] {
             let wait = first_time(&mut self.random);
             self.schedule(wait, event);
         }
@@ -107,7 +109,7 @@
         while let Some(((at, _), event)) = self.events.pop_first() {
             self.now = at;
             self.handle(event);
-            self.carry_out();
+            self.carry_out_actions();
         }
         let HeldCounts { requests, engines, keys } = self.scheduler.held_counts();
         self.log.add(HELD_COUNTS, &[requests as u64, engines as u64, keys as u64]);
@@ -123,7 +125,7 @@
 
     /// Returns whether more requests arrive or attempts are in flight.
     fn is_active(&self) -> bool {
-        (self.arrived.0 as usize) < self.environment.requests || !self.running.is_empty()
+        (self.next_request.0 as usize) < self.environment.requests || !self.running.is_empty()
     }
 
     /// Schedules an event again after a random wait, while the run is active.
@@ -139,15 +141,15 @@
         match event {
             Event::Arrival => self.handle_arrivals(),
             Event::Wake => self.scheduler.wake(self.now, &mut self.log),
-            Event::AttemptOutcome(request, attempt, end) => self.end_attempt(request, attempt, end),
+            Event::AttemptOutcome(request, attempt, outcome) => self.end_attempt(request, attempt, outcome),
             Event::Progress(request, attempt) => self.send_progress(request, attempt),
-            Event::Probed(engine) => self.answer_probe(engine),
-            Event::Engines => {
+            Event::ProbeEnds(engine) => self.answer_probe(engine),
+            Event::EnginesChange => {
                 self.change_engines();
-                self.schedule_again(50, 600, Event::Engines);
+                self.schedule_again(50, 600, Event::EnginesChange);
             }
             Event::ClientsLeave => {
-                self.clients_withdraw();
+                self.clients_leave();
                 self.schedule_again(20, 400, Event::ClientsLeave);
             }
             Event::EndpointListFails => {
@@ -155,8 +157,8 @@
                 self.schedule_again(200, 1500, Event::EndpointListFails);
             }
             Event::ShutDown => {
-                let by = self.now + self.random.time(20, 800);
-                self.scheduler.start_shutdown(self.now, by, &mut self.log);
+                let deadline = self.now + self.random.time(20, 800);
+                self.scheduler.start_shutdown(self.now, deadline, &mut self.log);
             }
             Event::CapacityCheck => {
                 self.check_capacity();
@@ -166,7 +168,7 @@
     }
 
     /// Carries out the actions of the scheduler.
-    pub(super) fn carry_out(&mut self) {
+    pub(super) fn carry_out_actions(&mut self) {
         for pending in std::mem::take(&mut self.log.pending) {
             match pending {
                 PendingAction::Attempt { request, engine, until } => {
@@ -176,11 +178,11 @@
                 PendingAction::Answered(request) => self.answer_request(request),
                 PendingAction::Probe(engine) => {
                     let wait = self.random.time(1, 60);
-                    self.schedule(wait, Event::Probed(engine));
+                    self.schedule(wait, Event::ProbeEnds(engine));
                 }
                 PendingAction::Wake(wait) => self.schedule(wait, Event::Wake),
                 PendingAction::Forget(engine) => {
-                    self.machines.remove(&engine);
+                    self.simulated_engines.remove(&engine);
                 }
             }
         }
--- a/tests/trace/action_log.rs
+++ b/tests/trace/action_log.rs
@@ -1,22 +1,22 @@
-//! Writes the actions of a scheduler as text.
+//! Records the actions of a scheduler as text.
 
 use emberflow::{Actions, EngineId, RequestId};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Writes each action as one line, which starts with its time in milliseconds.
+/// Records each action as one line, which starts with the time of the action in milliseconds.
 #[derive(Default)]
 pub struct ActionLog {
     /// The lines so far.
     pub text: String,
     /// The time of the current input in milliseconds.
     pub now_ms: u64,
-    /// The time until the wake-up that was requested last.
-    pub wake_after: Duration,
+    /// The wait that the scheduler requested last, counted from the input that requested it.
+    pub requested_wait: Duration,
 }
 
 impl ActionLog {
-    /// Adds a line.
+    /// Adds a line with the time of the current input.
     fn add(&mut self, line: std::fmt::Arguments<'_>) {
         writeln!(self.text, "{:<5} {line}", self.now_ms).expect("writing to a string does not fail");
     }
@@ -43,7 +43,7 @@
         self.add(format_args!("probe engine {engine}"));
     }
     fn wake_after(&mut self, wait: Duration) {
-        self.wake_after = wait;
+        self.requested_wait = wait;
     }
     fn watch_endpoints(&mut self) {
         self.add(format_args!("watch the endpoint list"));
--- a/tests/trace/endpoints.rs
+++ b/tests/trace/endpoints.rs
@@ -1,17 +1,17 @@
-//! Inputs of a trace from the endpoint list and from probes.
+//! Inputs of a trace: updates of the endpoint list, and ends of probes.
 
 use super::{Trace, ms};
 use emberflow::{Endpoint, EndpointUpdate, EngineId, Lifecycle, LoadReport};
 
 impl Trace {
-    /// Changes some rows of the endpoint list.
+    /// Sends changed rows of the endpoint list.
     pub fn update_endpoints(&mut self, rows: Vec<Endpoint>) -> &mut Self {
         self.send_endpoint_update(EndpointUpdate::Changes, rows)
     }
 
-    /// Changes the row of one engine of a small trace.
-    pub fn update_endpoint(&mut self, engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> &mut Self {
-        self.update_endpoints(vec![self.row(engine, lifecycle, launched)])
+    /// Sends the changed row of one engine of a small trace. `launched_ms` is the time of its last start.
+    pub fn update_endpoint(&mut self, engine: usize, lifecycle: Lifecycle, launched_ms: Option<u64>) -> &mut Self {
+        self.update_endpoints(vec![self.row(engine, lifecycle, launched_ms)])
     }
 
     /// Sends a full endpoint list without rows.
@@ -25,10 +25,10 @@
         self
     }
 
-    /// Returns the row of an engine of a small trace.
-    pub(super) fn row(&self, engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
+    /// Returns the row of an engine of a small trace, in the engine's location and cell.
+    pub(super) fn row(&self, engine: usize, lifecycle: Lifecycle, launched_ms: Option<u64>) -> Endpoint {
         let (location, cell) = self.positions[engine];
-        Endpoint { location, cell, ..endpoint(engine, lifecycle, launched) }
+        Endpoint { location, cell, ..endpoint(engine, lifecycle, launched_ms) }
     }
 
     /// Reports that the endpoint list can't be read.
@@ -44,14 +44,15 @@
     }
 }
 
-/// A row of the endpoint list. Engines alternate between two locations, and two neighbours share a cell.
-pub fn endpoint(engine: usize, lifecycle: Lifecycle, launched: Option<u64>) -> Endpoint {
+/// Returns a row of the endpoint list. Engines alternate between two locations, and each two of successive ids share a
+/// cell. `launched_ms` is the time of the engine's last start.
+pub fn endpoint(engine: usize, lifecycle: Lifecycle, launched_ms: Option<u64>) -> Endpoint {
     Endpoint {
         engine: EngineId(engine),
         location: engine % 2,
         kind: 0,
         cell: engine as u64 / 2,
         lifecycle,
-        launched: launched.map(ms),
+        launched: launched_ms.map(ms),
     }
 }
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -1,4 +1,4 @@
-//! Traces: a scheduler whose decisions are recorded as text, with short methods for its inputs.
+//! Traces: a scheduler whose decisions are recorded as text, with one short method for each of its inputs.
 
 mod action_log;
 mod endpoints;
@@ -12,10 +12,11 @@
 use emberflow::{AttemptLimits, Fleet, Lifecycle, RequestClass, RequestId, Scheduler};
 use std::time::Duration;
 
-/// Start time of a small trace in milliseconds, after the longest window over earlier events.
-pub const START: u64 = 20_000;
+/// Start time of a small trace in milliseconds. It is later than the longest window over earlier events, so that no
+/// window is cut off at time 0.
+pub const START_MS: u64 = 20_000;
 /// Interval in milliseconds of the wake-ups of [`Trace::wake_until`].
-const WAKE_INTERVAL: u64 = 40;
+const WAKE_INTERVAL_MS: u64 = 40;
 
 /// Converts milliseconds to a time.
 pub fn ms(ms: u64) -> Duration {
@@ -30,7 +31,7 @@
     next_request: RequestId,
     /// Deadlines by request class.
     deadlines: Vec<Duration>,
-    /// Location and cell of each engine of a small trace.
+    /// Location and cell of each engine of a small trace; empty for other traces.
     positions: Vec<(usize, u64)>,
 }
 
@@ -40,7 +41,7 @@
         Self::new(engines, |_, _, _| ())
     }
 
-    /// Starts a trace with engines of one kind and changed settings.
+    /// Starts a trace with engines of one kind and the settings of [`base`], after `change` has changed them.
     pub fn new(
         engines: usize,
         change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
@@ -52,7 +53,7 @@
         trace
     }
 
-    /// Starts a trace with short times, and engines in these locations and cells.
+    /// Starts a small trace: its settings have short times, and its engines are in the given locations and cells.
     pub fn small(
         positions: &[(usize, u64)],
         change: impl FnOnce(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
@@ -61,7 +62,7 @@
         change(&mut fleet, &mut classes, &mut attempt_limits);
         let mut trace = Self::from_settings(fleet, classes, attempt_limits, positions.to_vec());
         let rows = (0..positions.len()).map(|engine| trace.row(engine, Lifecycle::Ready, None)).collect();
-        trace.at(START).update_endpoints(rows);
+        trace.at(START_MS).update_endpoints(rows);
         trace
     }
 
@@ -81,8 +82,8 @@
     }
 
     /// Sets the current time in milliseconds.
-    pub fn at(&mut self, ms: u64) -> &mut Self {
-        self.log.now_ms = ms;
+    pub fn at(&mut self, now_ms: u64) -> &mut Self {
+        self.log.now_ms = now_ms;
         self
     }
 
@@ -92,22 +93,22 @@
         self
     }
 
-    /// Wakes the scheduler at the time that it requested last.
+    /// Wakes the scheduler after the wait that it requested last.
     pub fn wake_when_due(&mut self) -> &mut Self {
-        self.log.now_ms += self.log.wake_after.as_millis() as u64;
+        self.log.now_ms += self.log.requested_wait.as_millis() as u64;
         self.wake_now()
     }
 
-    /// Wakes the scheduler at a fixed interval up to a time in milliseconds.
-    pub fn wake_until(&mut self, until: u64) -> &mut Self {
-        while self.log.now_ms + WAKE_INTERVAL <= until {
-            self.log.now_ms += WAKE_INTERVAL;
+    /// Wakes the scheduler at a fixed interval, up to a time in milliseconds.
+    pub fn wake_until(&mut self, until_ms: u64) -> &mut Self {
+        while self.log.now_ms + WAKE_INTERVAL_MS <= until_ms {
+            self.log.now_ms += WAKE_INTERVAL_MS;
             self.wake_now();
         }
         self
     }
 
-    /// Sets the number of random draws so far.
+    /// Sets the number of random draws so far, which determines the next random choice.
     #[allow(dead_code, reason = "called by counterexamples that the model checker prints")]
     pub fn set_random_draws(&mut self, draws: u64) -> &mut Self {
         self.scheduler.set_random_draws(draws);
@@ -115,12 +116,12 @@
     }
 
     /// Starts the graceful shutdown with a deadline in milliseconds.
-    pub fn start_shutdown(&mut self, deadline: u64) -> &mut Self {
-        self.scheduler.start_shutdown(self.now(), ms(deadline), &mut self.log);
+    pub fn start_shutdown(&mut self, deadline_ms: u64) -> &mut Self {
+        self.scheduler.start_shutdown(self.now(), ms(deadline_ms), &mut self.log);
         self
     }
 
-    /// Returns the decisions since the last call, one a line, each with its time in milliseconds.
+    /// Returns the decisions since the last call, one in each line, each with its time in milliseconds.
     pub fn decisions(&mut self) -> String {
         std::mem::take(&mut self.log.text)
     }
--- a/tests/trace/requests.rs
+++ b/tests/trace/requests.rs
@@ -1,4 +1,4 @@
-//! Inputs of a trace from clients and engines: requests, and the ends and progress of attempts.
+//! Inputs of a trace: arrivals and cancellations of requests, and ends and progress updates of attempts.
 
 use super::{SHORT, Trace, ms};
 use emberflow::{
@@ -7,32 +7,32 @@
 use std::time::Duration;
 
 impl Trace {
-    /// Accepts a request with estimates of its work in milliseconds and its memory; 0 for no estimate.
-    pub fn accept(&mut self, class: usize, work: u64, memory_mb: f64) -> &mut Self {
-        self.accept_keyed(class, work, memory_mb, None)
+    /// Accepts a request with the client's estimates of its work and memory; 0 stands for no estimate.
+    pub fn accept(&mut self, class: usize, work_ms: u64, memory_mb: f64) -> &mut Self {
+        self.accept_keyed(class, work_ms, memory_mb, None)
     }
 
     /// Accepts several requests with the same estimates.
-    pub fn accept_many(&mut self, count: usize, class: usize, work: u64, memory_mb: f64) -> &mut Self {
+    pub fn accept_many(&mut self, count: usize, class: usize, work_ms: u64, memory_mb: f64) -> &mut Self {
         for _ in 0..count {
-            self.accept(class, work, memory_mb);
+            self.accept(class, work_ms, memory_mb);
         }
         self
     }
 
-    /// Accepts a request with an ordering key.
-    pub fn accept_keyed(&mut self, class: usize, work: u64, memory_mb: f64, key: Option<u32>) -> &mut Self {
-        self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, work, memory_mb) })
+    /// Accepts a request that may have an ordering key.
+    pub fn accept_keyed(&mut self, class: usize, work_ms: u64, memory_mb: f64, key: Option<u32>) -> &mut Self {
+        self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, work_ms, memory_mb) })
     }
 
-    /// Accepts a short request on a table group.
+    /// Accepts a request with small estimates that uses a table group.
     pub fn accept_in_table_group(&mut self, class: usize, group: u64) -> &mut Self {
         self.arrive(Arrival { table_group: Some(group), ..arrival(class, 100, 300.0) })
     }
 
-    /// Accepts a short request with a deadline in milliseconds, whose client may mark it as a retry.
-    pub fn accept_with_retry_mark(&mut self, deadline: u64, is_retry: Option<bool>) -> &mut Self {
-        self.arrive(Arrival { deadline: ms(deadline), is_retry, ..arrival(SHORT, 100, 300.0) })
+    /// Accepts a short request that its client may have marked as a retry.
+    pub fn accept_with_retry_mark(&mut self, deadline_ms: u64, is_retry: Option<bool>) -> &mut Self {
+        self.arrive(Arrival { deadline: ms(deadline_ms), is_retry, ..arrival(SHORT, 100, 300.0) })
     }
 
     fn arrive(&mut self, arrival: Arrival) -> &mut Self {
@@ -43,13 +43,13 @@
         self
     }
 
-    /// Withdraws a request for its client.
+    /// Reports that the client of a request has left.
     pub fn client_left(&mut self, request: u32) -> &mut Self {
         self.scheduler.clients_left(self.now(), &[RequestId(request)], &[], &mut self.log);
         self
     }
 
-    /// Ends an attempt. A success answers its request.
+    /// Ends an attempt. A successful attempt answers its request.
     pub fn ended(
         &mut self,
         request: u32,
@@ -84,23 +84,24 @@
         self.end(AttemptEnded { load_report, ..ended(request, attempt, engine, outcome) })
     }
 
-    /// Ends a first attempt with success after an elapsed time in milliseconds.
+    /// Ends the first attempt of a request with success.
     pub fn succeeded_after(
         &mut self,
         request: u32,
         engine: usize,
-        elapsed: u64,
+        elapsed_ms: u64,
         load_report: Option<LoadReport>,
     ) -> &mut Self {
         let succeeded = ended(request, 0, engine, AttemptOutcome::Succeeded);
-        self.end(AttemptEnded { elapsed: ms(elapsed), load_report, ..succeeded })
+        self.end(AttemptEnded { elapsed: ms(elapsed_ms), load_report, ..succeeded })
     }
 
-    /// Ends a first attempt with success and a bill, and without a load report.
-    pub fn succeeded_with_usage(&mut self, request: u32, engine: usize, work: u64, memory_mb: f64) -> &mut Self {
-        let usage = Some(Usage { work: ms(work), memory_mb });
+    /// Ends the first attempt of a request with success and reported usage, and without a load report. The elapsed time
+    /// is that of the work on one core.
+    pub fn succeeded_with_usage(&mut self, request: u32, engine: usize, work_ms: u64, memory_mb: f64) -> &mut Self {
+        let usage = Some(Usage { work: ms(work_ms), memory_mb });
         let succeeded = ended(request, 0, engine, AttemptOutcome::Succeeded);
-        self.end(AttemptEnded { elapsed: ms(work), usage, ..succeeded })
+        self.end(AttemptEnded { elapsed: ms(work_ms), usage, ..succeeded })
     }
 
     fn end(&mut self, ended: AttemptEnded) -> &mut Self {
@@ -115,7 +116,7 @@
     }
 }
 
-/// The end of an attempt after 1 ms, without a load report and a bill.
+/// Returns the end of an attempt after 1 ms, without reported usage and a load report.
 fn ended(request: u32, attempt: usize, engine: usize, outcome: AttemptOutcome) -> AttemptEnded {
     AttemptEnded {
         request: RequestId(request),
@@ -129,12 +130,12 @@
     }
 }
 
-fn arrival(class: usize, work: u64, memory_mb: f64) -> Arrival {
+fn arrival(class: usize, work_ms: u64, memory_mb: f64) -> Arrival {
     Arrival {
         request: RequestId(0),
         class,
         key: None,
-        estimated_work: (work > 0).then(|| ms(work)),
+        estimated_work: (work_ms > 0).then(|| ms(work_ms)),
         estimated_memory_mb: (memory_mb > 0.0).then_some(memory_mb),
         deadline: ms(24000),
         queue_time: Duration::ZERO,
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -3,19 +3,19 @@
 use super::ms;
 use emberflow::{AttemptLimits, Effect, EngineKind, Fleet, KeyScope, RequestClass};
 
-/// The idempotent class of [`base`] with short requests on one thread.
+/// Index of the idempotent class of [`base`] with short requests on one thread.
 pub const SHORT: usize = 0;
-/// The idempotent class of [`base`] with long requests on three threads.
+/// Index of the idempotent class of [`base`] with long requests on three threads.
 pub const LONG: usize = 1;
-/// The non-idempotent class of [`base`], whose requests are bulk loads.
+/// Index of the non-idempotent class of [`base`], whose requests are bulk loads.
 pub const BULK_LOAD: usize = 2;
 
 /// The request classes [`SHORT`], [`LONG`] and [`BULK_LOAD`].
 fn classes() -> Vec<RequestClass> {
-    let class = |effect, priority_weight, latency_objective, threads| RequestClass {
-        latency_objective: ms(latency_objective),
+    let class = |effect, priority_weight, objective_ms, threads| RequestClass {
+        latency_objective: ms(objective_ms),
         objective_stretch: 2.0,
-        deadline: ms(latency_objective * 8),
+        deadline: ms(objective_ms * 8),
         priority_weight,
         late_weight_fraction: 0.0,
         effect,
@@ -28,11 +28,11 @@
     };
     let short = class(Effect::Idempotent, 1.0, 1000, 1.0);
     let long = class(Effect::Idempotent, 6.0, 2000, 3.0);
-    let load = RequestClass { is_bulk_load: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
-    vec![short, long, load]
+    let bulk_load = RequestClass { is_bulk_load: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
+    vec![short, long, bulk_load]
 }
 
-/// Settings of a fleet with one router, and engines of one kind with 8 cores and 16,000 MB.
+/// Returns the settings of a fleet with one router, and engines of one kind with 8 cores and 16,000 MB.
 pub fn base() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let fleet = Fleet {
         seed: 1,
@@ -62,8 +62,8 @@
     (fleet, classes(), attempt_limits)
 }
 
-/// Settings like [`base`] with short times, so that a request is finished after few steps. Request classes: 0
-/// idempotent, 1 to 3 with an idempotency key in a cell, in a location and in the whole fleet, 4
+/// Returns settings like [`base`] with short times, so that a request is finished after few inputs. Request classes:
+/// 0 is idempotent, 1 to 3 have an idempotency key whose scope is the cell, the location and the whole fleet, and 4 is
 /// non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -124,8 +124,8 @@
     let mut trace = Trace::with_engines(1);
     measure_without_estimates(&mut trace, 4000, 40.0);
     trace.decisions();
-    // On an idle engine each takes 0.8 s, and its objective is 2.6 s. Eight cores finish 26 requests in that
-    // time, and four times as many may be queued.
+    // On an idle engine, each request takes 0.8 s, and its latency objective is 2.6 s. Eight cores finish 26 requests
+    // in that time, and four times as many may be queued.
     trace.at(8100);
     trace.accept_many(108, SHORT, 0, 0.0);
     expect![[r#"
--- a/tests/traces/deadlines.rs
+++ b/tests/traces/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines: final answers, and late requests.
+//! Deadlines: final answers before the deadline, and requests that are past their latency objective.
 
 use crate::trace::*;
 use emberflow::AttemptOutcome::*;
--- a/tests/traces/outliers.rs
+++ b/tests/traces/outliers.rs
@@ -165,8 +165,8 @@
     .assert_eq(&trace.decisions());
 }
 
-/// A counterexample of the model checker: two requests could follow each other, because the limit was the sum
-/// of both and depended on rounding.
+/// Guards against a fault that the model checker found: two requests were sent in one longer window, because the limit
+/// was the sum of the work of both and depended on rounding.
 #[test]
 fn a_slow_start_budget_below_one_request_admits_one_in_a_longer_window() {
     let mut trace = Trace::small(&[(0, 0)], |fleet, _, attempt_limits| {
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: the engine that a request is sent to.
+//! Placement: which engine a request is sent to.
 
 use crate::trace::*;
 use crate::{cores_and_memory, cores_only, in_flight, measure_without_estimates, memory_only};
