--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -194,7 +194,7 @@
         return false;
     }
     let cores = model.fleet.kinds[model.kind(*engine)].cores;
-    let capacity = cores * (limits.start_capacity + (1.0 - limits.start_capacity) * warmth);
+    let capacity = cores * (limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * warmth);
     let budget = limits.overload_factor * capacity * limits.overload_window.as_secs_f64()
         / model.fleet.router_count as f64;
     let seconds = model.requests[request.index()].work_seconds();
@@ -256,7 +256,7 @@
 fn grants_too_much(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
     let Event::Grant { grant_mb, .. } = event else { return false };
     let fleet = &model.fleet;
-    let largest = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_share).fold(0.0, f64::max);
+    let largest = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_fraction).fold(0.0, f64::max);
     *grant_mb > largest.round()
 }
 
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -185,7 +185,7 @@
         name: "polled endpoint list",
         description: "an endpoint list that is polled, fails and is empty",
         setup: setup!(|fleet, classes, attempt_limits| {
-            fleet.polls_endpoint_list = true;
+            fleet.must_watch_endpoints = true;
         }),
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT)],
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -20,7 +20,7 @@
         max_attempts: caps.count("mostTries")?,
         may_cancel: caps.flag("cancel")?,
         may_probe: caps.optional("probes", Fields::flag)?.unwrap_or(false),
-        start_capacity: rules.fraction("startCapacity")?,
+        start_capacity_fraction: rules.fraction("startCapacity")?,
         warm_up: rules.positive_time("warmUpMs")?,
         overload_factor: rules.positive("overloadFactor")?,
         overload_window: rules.positive_time("fallMs")?,
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -17,12 +17,12 @@
         router_count: params.count("instances")?,
         home_location: params.field("myZone")?.as_index(zone_count)?,
         kinds: engine_kinds(params, domain)?,
-        max_grant_share: domain.fraction("largestShare")?,
+        max_grant_fraction: domain.fraction("largestShare")?,
         shrinks_grants: domain.optional("whenShort", shrinks_grants)?.unwrap_or(false),
         honors_priorities: domain.flag("lanesCount")?,
         progress_interval: progress_interval.filter(|interval| !interval.is_zero()),
         reports_only_on_probe: ReportMode::read(params)? == ReportMode::OnProbe,
-        polls_endpoint_list: params.one_of("discovery", [("push", false), ("ask", true)])?,
+        must_watch_endpoints: params.one_of("discovery", [("push", false), ("ask", true)])?,
         tick: params.positive_time("tickMs")?,
     })
 }
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -21,7 +21,7 @@
     /// Schedules a call of [`Scheduler::wake`](crate::Scheduler::wake) after `wait`.
     fn wake_after(&mut self, wait: Duration);
     /// Subscribes to changes of the endpoint list. Called only if
-    /// [`Fleet::polls_endpoint_list`](crate::Fleet::polls_endpoint_list).
+    /// [`Fleet::must_watch_endpoints`](crate::Fleet::must_watch_endpoints).
     fn watch_endpoints(&mut self);
     /// Releases the id of a removed engine that no request refers to. The caller may give the id to another engine.
     fn forget(&mut self, engine: EngineId);
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -129,7 +129,7 @@
     /// is not subscribed.
     pub fn schedule_wake(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
-        if self.fleet.polls_endpoint_list && !self.is_watching_endpoints {
+        if self.fleet.must_watch_endpoints && !self.is_watching_endpoints {
             self.is_watching_endpoints = true;
             actions.watch_endpoints();
         }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -118,7 +118,7 @@
 
     /// Returns the memory grant in MB of a request's next attempt at an engine of this kind.
     pub fn grant_mb(&self, request: &Request, kind: usize) -> f64 {
-        let limit = self.fleet.max_grant_share * self.fleet.kinds[kind].memory_mb;
+        let limit = self.fleet.max_grant_fraction * self.fleet.kinds[kind].memory_mb;
         let grant = match request.estimated_memory_mb {
             Some(estimate) => request.memory_mb.max(estimate) * GRANT_FACTOR,
             None => {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -15,7 +15,7 @@
     /// The kinds of engines, indexed by [`Endpoint::kind`](crate::Endpoint::kind).
     pub kinds: Vec<EngineKind>,
     /// Largest memory grant, as a fraction of the engine's memory.
-    pub max_grant_share: f64,
+    pub max_grant_fraction: f64,
     /// Whether engines honor the priority that [`Actions::set_grant_and_priority`](crate::Actions::set_grant_and_priority) sets.
     pub honors_priorities: bool,
     /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
@@ -25,7 +25,7 @@
     /// Whether engines report their load only in answer to a probe.
     pub reports_only_on_probe: bool,
     /// Whether changes of the endpoint list arrive only after [`Actions::watch_endpoints`](crate::Actions::watch_endpoints).
-    pub polls_endpoint_list: bool,
+    pub must_watch_endpoints: bool,
     /// Upper bound on the time to deliver and handle one message; all safety margins are multiples of it.
     pub tick: Duration,
 }
@@ -102,7 +102,7 @@
     /// Whether engines may be probed for their load.
     pub may_probe: bool,
     /// Fraction of its capacity that an engine has right after its start.
-    pub start_capacity: f64,
+    pub start_capacity_fraction: f64,
     /// Time from an engine's start until it has its full capacity.
     pub warm_up: Duration,
     /// Load in any `overload_window`, as a multiple of its current capacity, that an engine withstands while it
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -17,12 +17,12 @@
         router_count: ROUTERS,
         home_location: 0,
         kinds: vec![EngineKind { cores: 4.0, memory_mb: 4096.0 }],
-        max_grant_share: 0.4,
+        max_grant_fraction: 0.4,
         honors_priorities: true,
         shrinks_grants: false,
         progress_interval: Some(ms(500)),
         reports_only_on_probe: false,
-        polls_endpoint_list: false,
+        must_watch_endpoints: false,
         tick: ms(5),
     };
     let class = RequestClass {
@@ -43,7 +43,7 @@
         max_attempts: 3,
         may_cancel: true,
         may_probe: false,
-        start_capacity: 0.3,
+        start_capacity_fraction: 0.3,
         warm_up: ms(6000),
         overload_factor: 2.5,
         overload_window: ms(1000),
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -85,12 +85,12 @@
         router_count: random.one_of(&[1, 1, 1, 2, 8, 40]),
         home_location: random.below(3),
         kinds: (0..=random.below(3)).map(|_| engine_kind(random)).collect(),
-        max_grant_share: random.one_of(&[0.25, 0.5, 0.9]),
+        max_grant_fraction: random.one_of(&[0.25, 0.5, 0.9]),
         honors_priorities: random.percent(50),
         shrinks_grants: random.percent(40),
         progress_interval: random.maybe(60, |random| random.time(20, 120)),
         reports_only_on_probe: random.percent(35),
-        polls_endpoint_list: random.percent(50),
+        must_watch_endpoints: random.percent(50),
         tick: random.time(2, 8),
     }
 }
@@ -100,7 +100,7 @@
         max_attempts: random.one_of(&[1, 2, 3, 3, 5]),
         may_cancel: random.percent(80),
         may_probe: random.percent(80),
-        start_capacity: random.one_of(&[0.1, 0.3, 1.0]),
+        start_capacity_fraction: random.one_of(&[0.1, 0.3, 1.0]),
         warm_up: random.time(100, 3000),
         overload_factor: random.one_of(&[0.5, 1.0, 2.0]),
         overload_window: random.time(50, 500),
--- a/tests/traces/lifecycle.rs
+++ b/tests/traces/lifecycle.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn an_endpoint_list_that_failed_is_watched_again() {
-    let mut trace = Trace::new(1, |fleet, _, _| fleet.polls_endpoint_list = true);
+    let mut trace = Trace::new(1, |fleet, _, _| fleet.must_watch_endpoints = true);
     trace.at(900).endpoint_list_failed().wake_until(1000);
     expect![[r#"
         0     watch the endpoint list
