--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -46,7 +46,7 @@
     /// Time from the start of the engine to its full capacity.
     pub warm_up: Duration,
     /// Capacity at the start, as a fraction of the full one.
-    pub start_capacity_fraction: f64,
+    pub start_capacity: f64,
     /// Load at which the engine fails, as a multiple of its capacity.
     pub overload_factor: f64,
     /// The window in which load is summed.
@@ -58,7 +58,7 @@
 /// The slow start of each engine.
 pub const SLOW_START: SlowStart = SlowStart {
     warm_up: Duration::from_secs(6),
-    start_capacity_fraction: 0.3,
+    start_capacity: 0.3,
     overload_factor: 2.5,
     window: Duration::from_secs(1),
     cores: CORES_PER_ENGINE,
@@ -68,7 +68,7 @@
     /// Returns how many requests of `mean_work` the engine may get in a window that ends `age` after its start.
     pub fn allowed_requests(&self, age: Duration, mean_work: Duration) -> f64 {
         let warm_fraction = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
-        let capacity = self.start_capacity_fraction + (1.0 - self.start_capacity_fraction) * warm_fraction;
+        let capacity = self.start_capacity + (1.0 - self.start_capacity) * warm_fraction;
         let busy_cores = self.overload_factor * self.cores * UTILIZATION_AT_CAPACITY * capacity;
         busy_cores * self.window.as_secs_f64() / mean_work.as_secs_f64()
     }
@@ -116,7 +116,7 @@
                 "whenShort": "line_up"},
             "report": {"how": "none", "names": []},
             "rules": {"fallMs": milliseconds(SLOW_START.window), "overloadFactor": SLOW_START.overload_factor,
-                "startCapacity": SLOW_START.start_capacity_fraction, "warmUpMs": milliseconds(SLOW_START.warm_up)}}})
+                "startCapacity": SLOW_START.start_capacity, "warmUpMs": milliseconds(SLOW_START.warm_up)}}})
 }
 
 /// Returns the settings of a request class.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns the resources of this router's attempts that a report that arrived at `at` may not include yet.
+    /// Returns the resources of this router's attempts that a report of the time `at` may not include yet.
     fn local_load_unreported_at(&self, at: Duration) -> Resources {
         let start = at.saturating_sub(self.state.shortest_objective());
         self.state.local_load(self.snapshot.now, self.engine, start)
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -21,8 +21,9 @@
 const MIN_FAILURE_RATE: f64 = 0.3;
 
 impl SchedulerState {
-    /// Returns the time since the last answer or progress update of an engine, as a multiple of the time after
-    /// which the engine counts as inactive. Returns 0 for an engine without attempts in flight.
+    /// Returns the time since an engine last sent an answer or a progress update, or was sent the oldest attempt in
+    /// flight if that is later, as a multiple of the time after which the engine counts as inactive. Returns 0 for an
+    /// engine without attempts in flight.
     pub fn inactivity_ratio(&self, engine: &Engine, now: Duration, slowdowns: &[f64]) -> f64 {
         let Some(oldest) = engine.in_flight.first() else { return 0.0 };
         let activity_timeout = match self.fleet.progress_interval {
@@ -60,7 +61,7 @@
         use AttemptOutcome::{
             Broken, Cancelled, Failed, NotSent, Overloaded, Succeeded, TimedOut, Unreachable,
         };
-        let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
+        let engine = self.engines.get_mut(&attempt.engine).expect("an engine with an attempt is in the table of engines");
         if matches!(ended.outcome, Succeeded | Failed | Overloaded) {
             engine.last_activity_at = now;
         }
@@ -88,7 +89,7 @@
         let slowdown = seconds(now - attempt.sent_at) / (ideal_run_seconds + seconds(self.fleet.tick));
         let class = self.requests[&ended.request].class;
         self.estimates[class].slowdowns.push(now, slowdown);
-        let engine = self.engines.get_mut(&attempt.engine).expect("an engine that an attempt was sent to");
+        let engine = self.engines.get_mut(&attempt.engine).expect("an engine with an attempt is in the table of engines");
         engine.slowdowns.push(now, slowdown);
     }
 
@@ -111,7 +112,7 @@
             any_cancelled = true;
             if is_engine_inactive(view) {
                 // Once its attempts are cancelled, the engine would no longer count as inactive but as idle.
-                let engine = self.engines.get_mut(id).expect("an engine of the snapshot");
+                let engine = self.engines.get_mut(id).expect("an engine of the snapshot is in the table of engines");
                 record_ejection(engine, now);
             }
         }
