--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -155,7 +155,7 @@
     pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
         let EngineSpec { location, cell } = model.engines[engine.index()];
         let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
-        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
+        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched_at: launched }
     }
 
     /// Whether an open request has no attempt in flight, so that any input may lead to an attempt.
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -140,7 +140,7 @@
     scheduler(
         "no slow start after a launch",
         ENGINE_STATE,
-        "warming_since: row.launched,",
+        "warming_since: row.launched_at,",
         "warming_since: None,",
     ),
     scheduler(
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -50,7 +50,7 @@
             kind: record.kind,
             cell: record.cell,
             lifecycle: record.lifecycle,
-            launched,
+            launched_at: launched,
         }
     }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -170,7 +170,7 @@
             kind: row.kind,
             cell: row.cell,
             lifecycle: row.lifecycle,
-            launched: row.launched,
+            launched_at: row.launched,
         });
     }
     Ok(endpoints)
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -163,7 +163,7 @@
         let mut engine_hasher = DefaultHasher::new();
         let (hasher, now) = (&mut engine_hasher, context.now);
         (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(hasher);
-        engine.launched.map(|at| relative_micros(now, at)).hash(hasher);
+        engine.launched_at.map(|at| relative_micros(now, at)).hash(hasher);
         self.hash_slow_start(id, engine, now, hasher);
         for attempt in &engine.in_flight {
             hash_in_flight(attempt, positions, now, hasher);
--- a/src/input.rs
+++ b/src/input.rs
@@ -51,7 +51,7 @@
     /// Whether the engine accepts requests, and whether it is about to be removed.
     pub lifecycle: Lifecycle,
     /// Time of the engine's last start; `None` if the list does not contain it.
-    pub launched: Option<Duration>,
+    pub launched_at: Option<Duration>,
 }
 
 /// A request that arrives.
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -44,7 +44,7 @@
     pub cell: u64,
     pub lifecycle: Lifecycle,
     /// Time of the engine's last start; `None` if the endpoint list does not contain it.
-    pub launched: Option<Duration>,
+    pub launched_at: Option<Duration>,
     /// Time at which this router first received the engine with that start in the endpoint list.
     pub listed_at: Duration,
     /// Start of the last warm-up; `None` if no start is known.
@@ -80,9 +80,9 @@
             kind: row.kind,
             cell: row.cell,
             lifecycle: row.lifecycle,
-            launched: row.launched,
+            launched_at: row.launched_at,
             listed_at: now,
-            warming_since: row.launched,
+            warming_since: row.launched_at,
             in_flight: Vec::new(),
             request_count: 0,
             sent_work: SampleWindow::with_capacity(sizes.sent_work),
@@ -98,7 +98,7 @@
 
     /// Returns whether the row contains a different start than the one that is known.
     pub fn has_restarted(&self, row: &Endpoint) -> bool {
-        row.launched.is_some() && row.launched != self.launched
+        row.launched_at.is_some() && row.launched_at != self.launched_at
     }
 
     /// Returns whether the row changes the engine's lifecycle or start.
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -56,7 +56,7 @@
 
 pub fn endpoint(engine: EngineId, lifecycle: Lifecycle) -> Endpoint {
     let cell = engine.0 as u64 / 10;
-    Endpoint { engine, location: engine.0 % LOCATIONS, kind: 0, cell, lifecycle, launched: None }
+    Endpoint { engine, location: engine.0 % LOCATIONS, kind: 0, cell, lifecycle, launched_at: None }
 }
 
 pub fn arrival(request: RequestId) -> Arrival {
--- a/tests/digest/engines.rs
+++ b/tests/digest/engines.rs
@@ -41,8 +41,8 @@
         let change = random.below(10);
         if engines.is_empty() || change == 0 {
             let free = engines.last().map_or(EngineId(0), |last| EngineId(last.0 + 1));
-            let launched = random.maybe(50, |random| now.saturating_sub(random.time(0, 500)));
-            self.simulated_engines.insert(free, simulated_engine(random, self.kinds, launched));
+            let launched_at = random.maybe(50, |random| now.saturating_sub(random.time(0, 500)));
+            self.simulated_engines.insert(free, simulated_engine(random, self.kinds, launched_at));
             let full = self.random.percent(30);
             return self.update_endpoints(if full {
                 EndpointUpdate::FullList
@@ -56,7 +56,7 @@
             1 => simulated.ready = !simulated.ready,
             2 => (simulated.ready, simulated.removed) = (false, true),
             3 | 4 => {
-                (simulated.ready, simulated.removed, simulated.launched) = (true, false, Some(now));
+                (simulated.ready, simulated.removed, simulated.launched_at) = (true, false, Some(now));
                 (simulated.silent, simulated.fails, simulated.slowness) = (false, false, 1.0);
             }
             5 => simulated.silent = !simulated.silent,
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -34,7 +34,7 @@
     pub cell: u64,
     pub ready: bool,
     pub removed: bool,
-    pub launched: Option<Duration>,
+    pub launched_at: Option<Duration>,
     /// Factor by which the engine slows its attempts.
     pub slowness: f64,
     /// Whether the engine sends neither answers nor progress updates.
@@ -131,7 +131,7 @@
     }
 }
 
-pub fn simulated_engine(random: &mut Random, kinds: usize, launched: Option<Duration>) -> SimulatedEngine {
+pub fn simulated_engine(random: &mut Random, kinds: usize, launched_at: Option<Duration>) -> SimulatedEngine {
     let location = random.below(3);
     SimulatedEngine {
         location,
@@ -139,7 +139,7 @@
         cell: (location * 2 + random.below(2)) as u64,
         ready: random.percent(92),
         removed: false,
-        launched,
+        launched_at,
         slowness: random.one_of(&[1.0, 1.0, 1.0, 1.5, 4.0, 12.0]),
         silent: random.percent(5),
         fails: random.percent(5),
@@ -147,12 +147,12 @@
 }
 
 pub fn endpoint(engine: EngineId, simulated: &SimulatedEngine) -> Endpoint {
-    let SimulatedEngine { location, kind, cell, ready, removed, launched, .. } = *simulated;
+    let SimulatedEngine { location, kind, cell, ready, removed, launched_at, .. } = *simulated;
     let lifecycle = match (ready, removed) {
         (true, false) => Lifecycle::Ready,
         (true, true) => Lifecycle::Retiring,
         (false, true) => Lifecycle::Removed,
         (false, false) => Lifecycle::Draining,
     };
-    Endpoint { engine, location, kind, cell, lifecycle, launched }
+    Endpoint { engine, location, kind, cell, lifecycle, launched_at }
 }
--- a/tests/trace/endpoints.rs
+++ b/tests/trace/endpoints.rs
@@ -53,6 +53,6 @@
         kind: 0,
         cell: engine as u64 / 2,
         lifecycle,
-        launched: launched_ms.map(ms),
+        launched_at: launched_ms.map(ms),
     }
 }
