--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -256,7 +256,8 @@
 fn grants_too_much(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
     let Event::Grant { grant_mb, .. } = event else { return false };
     let fleet = &model.fleet;
-    let largest = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_fraction).fold(0.0, f64::max);
+    let largest =
+        fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_fraction).fold(0.0, f64::max);
     *grant_mb > largest.round()
 }
 
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -40,8 +40,13 @@
 /// Two engines in one cell, and one in another cell and location.
 const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
 const TWO_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0)];
-const FULL_ENGINE: LoadReport =
-    LoadReport { core_utilization: Some(1.0), in_flight: None, waiting_for_memory: None, memory_utilization: Some(0.5), disk_utilization: None };
+const FULL_ENGINE: LoadReport = LoadReport {
+    core_utilization: Some(1.0),
+    in_flight: None,
+    waiting_for_memory: None,
+    memory_utilization: Some(0.5),
+    disk_utilization: None,
+};
 
 /// Two classes whose requests of one key run in order, a key cooldown, and no cancellation.
 const KEYS_IN_ORDER_WITHOUT_CANCEL: Setup = setup!(|fleet, classes, attempt_limits| {
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -2,7 +2,9 @@
 
 use super::ModuleModel;
 use super::scenario::EngineSpec;
-use emberflow::{AttemptOutcome, Endpoint, EngineId, FingerprintContext, KeyId, Lifecycle, RequestId, Scheduler};
+use emberflow::{
+    AttemptOutcome, Endpoint, EngineId, FingerprintContext, KeyId, Lifecycle, RequestId, Scheduler,
+};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -156,7 +156,12 @@
         "|| due_by >= request.deadline\n",
         "|| due_by >= request.deadline + (request.deadline - request.arrived_at)\n",
     ),
-    scheduler("answers too late", DEADLINES, "let due_by = now + self.final_answer_lead();", "let due_by = now;"),
+    scheduler(
+        "answers too late",
+        DEADLINES,
+        "let due_by = now + self.final_answer_lead();",
+        "let due_by = now;",
+    ),
     scheduler(
         "no wake-up for an attempt in flight",
         DEADLINES,
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -106,8 +106,12 @@
     /// Feeds the state to `hasher`. Two servers with the same fingerprint react in the same way to any input.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
-        let fingerprint =
-            FingerprintContext { now, expects_arrivals: true, engines_interchangeable: false, engine_state_hash: &|_| 0 };
+        let fingerprint = FingerprintContext {
+            now,
+            expects_arrivals: true,
+            engines_interchangeable: false,
+            engine_state_hash: &|_| 0,
+        };
         self.scheduler.fingerprint(&fingerprint, hasher);
         self.dispatcher.fingerprint(hasher);
         self.state.fingerprint(now, hasher);
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -82,7 +82,12 @@
         self.hash_estimates(context, hasher);
     }
 
-    fn hash_engines(&self, positions: &Positions, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
+    fn hash_engines(
+        &self,
+        positions: &Positions,
+        context: &FingerprintContext<'_>,
+        hasher: &mut impl Hasher,
+    ) {
         let engines = self.engines.iter();
         let mut hashes: Vec<u64> =
             engines.map(|(id, engine)| self.engine_hash(*id, engine, positions, context)).collect();
@@ -108,8 +113,9 @@
                 positions.get(id).hash(hasher);
             }
             let cooldown = key_queue.cooldown.filter(|cooldown| cooldown.until > now);
-            let cooldown =
-                cooldown.map(|cooldown| (positions.get(&cooldown.exempt_request), relative_micros(now, cooldown.until)));
+            let cooldown = cooldown.map(|cooldown| {
+                (positions.get(&cooldown.exempt_request), relative_micros(now, cooldown.until))
+            });
             cooldown.hash(hasher);
         }
     }
@@ -220,7 +226,12 @@
         memory_shortage_at.map(|at| relative_micros(now, at)).hash(hasher);
         if let Some(report) = &engine.report {
             let load = report.load;
-            let values = [load.core_utilization, load.waiting_for_memory, load.memory_utilization, load.disk_utilization];
+            let values = [
+                load.core_utilization,
+                load.waiting_for_memory,
+                load.memory_utilization,
+                load.disk_utilization,
+            ];
             (relative_micros(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
         }
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -52,7 +52,13 @@
     }
 
     /// Sends a request's next attempt.
-    fn send(&mut self, now: Duration, id: RequestId, to: &Placement, actions: &mut impl Actions) -> InFlightAttempt {
+    fn send(
+        &mut self,
+        now: Duration,
+        id: RequestId,
+        to: &Placement,
+        actions: &mut impl Actions,
+    ) -> InFlightAttempt {
         let request = &self.requests[&id];
         let grant_mb = self.grant_mb(request, to.kind);
         actions.set_grant_and_priority(id, grant_mb.round(), self.priority(request.class));
@@ -63,7 +69,11 @@
 
     /// Probes engines without a recent load report, if engines report their load only in answer to a probe. Does
     /// so only while a request could be sent.
-    pub fn probe_unreported_engines(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
+    pub fn probe_unreported_engines(
+        &mut self,
+        snapshot: &mut FleetSnapshot,
+        actions: &mut impl Actions,
+    ) -> bool {
         let now = snapshot.now;
         let window_start = now.saturating_sub(self.probe_interval());
         let any_request_ready = self.queued().any(|(id, request)| self.is_next_of_its_key(id, request, now));
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -73,7 +73,12 @@
 
     /// Records the usage of an ended attempt. Returns the ideal run of the request in seconds, which is computed
     /// from that usage if the client gave no estimate.
-    pub fn update_estimates_from_outcome(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) -> f64 {
+    pub fn update_estimates_from_outcome(
+        &mut self,
+        now: Duration,
+        ended: &AttemptEnded,
+        attempt: &Attempt,
+    ) -> f64 {
         self.record_memory_usage(now, ended, attempt);
         let request = &self.requests[&ended.request];
         if request.estimated_work.is_some() || ended.outcome != AttemptOutcome::Succeeded {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -153,7 +153,8 @@
     /// Returns the engine's last report, if it includes the memory, or if engines of this kind report their
     /// requests in flight.
     fn usable_report(&self) -> Option<ReceivedReport> {
-        let is_usable = |load: &LoadReport| load.memory_utilization.is_some() || self.gateway.reports_in_flight;
+        let is_usable =
+            |load: &LoadReport| load.memory_utilization.is_some() || self.gateway.reports_in_flight;
         self.engine.report.filter(|report| is_usable(&report.load))
     }
 
@@ -187,7 +188,8 @@
         // all routers to one engine at once.
         let engine_share = self.snapshot.engine_share;
         let local = self.local_load;
-        let current = (local.memory_mb / self.kind.memory_mb + local.threads / self.kind.cores) / engine_share;
+        let current =
+            (local.memory_mb / self.kind.memory_mb + local.threads / self.kind.cores) / engine_share;
         let request = self.utilization_with_request(Resources::NONE);
         let request_share = if self.gateway.reports_in_flight { 1.0 } else { engine_share };
         let additional = (request.memory + request.cores) / request_share;
--- a/src/policy/ordering.rs
+++ b/src/policy/ordering.rs
@@ -9,7 +9,9 @@
     pub fn is_next_of_its_key(&self, id: RequestId, request: &Request, now: Duration) -> bool {
         let Some(key_queue) = self.key_queue(request) else { return true };
         key_queue.requests.front() == Some(&id)
-            && key_queue.cooldown.is_none_or(|cooldown| cooldown.exempt_request == id || cooldown.until <= now)
+            && key_queue
+                .cooldown
+                .is_none_or(|cooldown| cooldown.exempt_request == id || cooldown.until <= now)
     }
 
     /// Returns whether the order of its key would allow a new request to be sent now. Always true without a key.
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -29,8 +29,9 @@
         let activity_timeout = match self.fleet.progress_interval {
             Some(interval) => seconds(interval) * INACTIVE_AFTER_PROGRESS_INTERVALS,
             None => {
-                let timeout_of =
-                    |request: &Request| request.ideal_run_seconds * slowdowns[request.class] * INACTIVE_AFTER_RUNS;
+                let timeout_of = |request: &Request| {
+                    request.ideal_run_seconds * slowdowns[request.class] * INACTIVE_AFTER_RUNS
+                };
                 self.in_flight_at(engine).map(timeout_of).fold(f64::INFINITY, f64::min)
             }
         };
@@ -61,12 +62,16 @@
         use AttemptOutcome::{
             Broken, Cancelled, Failed, NotSent, Overloaded, Succeeded, TimedOut, Unreachable,
         };
-        let engine = self.engines.get_mut(&attempt.engine).expect("an engine with an attempt is in the table of engines");
+        let engine = self
+            .engines
+            .get_mut(&attempt.engine)
+            .expect("an engine with an attempt is in the table of engines");
         if matches!(ended.outcome, Succeeded | Failed | Overloaded) {
             engine.last_activity_at = now;
         }
         let last = engine.failures.last();
-        let failed_within_last_tick = last.is_some_and(|(at, failure)| failure > 0.0 && at + self.fleet.tick >= now);
+        let failed_within_last_tick =
+            last.is_some_and(|(at, failure)| failure > 0.0 && at + self.fleet.tick >= now);
         match ended.outcome {
             Succeeded => {
                 engine.failures.push(now, 0.0);
@@ -76,7 +81,9 @@
             Failed | TimedOut => engine.failures.push(now, 1.0),
             Unreachable => eject_and_restart_warm_up(engine, now),
             // All attempts of the engine broke at once, as they do when its machine or location is lost.
-            Broken if failed_within_last_tick && engine.in_flight.is_empty() => eject_and_restart_warm_up(engine, now),
+            Broken if failed_within_last_tick && engine.in_flight.is_empty() => {
+                eject_and_restart_warm_up(engine, now)
+            }
             // Attempts that break at once, as on one connection, count as one failure: the engine may still be up.
             Broken if !failed_within_last_tick => engine.failures.push(now, 1.0),
             Broken | Cancelled | NotSent => {}
@@ -85,11 +92,20 @@
 
     /// Records the elapsed time of a successful attempt as a multiple of the run on an idle engine. Recent runs
     /// are not a stable reference, because they become longer during a lasting overload.
-    fn record_slowdown(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt, ideal_run_seconds: f64) {
+    fn record_slowdown(
+        &mut self,
+        now: Duration,
+        ended: &AttemptEnded,
+        attempt: &Attempt,
+        ideal_run_seconds: f64,
+    ) {
         let slowdown = seconds(now - attempt.sent_at) / (ideal_run_seconds + seconds(self.fleet.tick));
         let class = self.requests[&ended.request].class;
         self.estimates[class].slowdowns.push(now, slowdown);
-        let engine = self.engines.get_mut(&attempt.engine).expect("an engine with an attempt is in the table of engines");
+        let engine = self
+            .engines
+            .get_mut(&attempt.engine)
+            .expect("an engine with an attempt is in the table of engines");
         engine.slowdowns.push(now, slowdown);
     }
 
@@ -112,7 +128,8 @@
             any_cancelled = true;
             if is_engine_inactive(view) {
                 // Once its attempts are cancelled, the engine would no longer count as inactive but as idle.
-                let engine = self.engines.get_mut(id).expect("an engine of the snapshot is in the table of engines");
+                let engine =
+                    self.engines.get_mut(id).expect("an engine of the snapshot is in the table of engines");
                 record_ejection(engine, now);
             }
         }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -126,7 +126,8 @@
         let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
         let memory_limit = if is_memory_estimated { gateway.unreported_memory_limit } else { 1.0 };
         // If engines report their core utilization directly, overloaded cores count as pressure in `has_slot`.
-        let is_overloaded = gateway.reports_in_flight && load.core_utilization() > PRESSURE_SLOWDOWN * FULL_USE;
+        let is_overloaded =
+            gateway.reports_in_flight && load.core_utilization() > PRESSURE_SLOWDOWN * FULL_USE;
         let fits = load.memory_utilization <= memory_limit
             && !self.has_unreported_shortage(engine, snapshot.now)
             && !is_overloaded;
@@ -164,7 +165,8 @@
     /// table group, then engines in the home location, then at random.
     fn tie_preference(&self, id: EngineId, request: &Request) -> (bool, bool, u64) {
         let engine = &self.engines[&id];
-        let has_read_table_group = request.table_group.is_some_and(|group| engine.recent_table_groups.contains(&group));
+        let has_read_table_group =
+            request.table_group.is_some_and(|group| engine.recent_table_groups.contains(&group));
         let is_at_home = engine.location == self.fleet.home_location;
         (has_read_table_group, is_at_home, self.pseudo_random(id, self.random_draws))
     }
@@ -178,8 +180,9 @@
         let engine = &self.engines[&id];
         let window_start = self.bulk_load_window_start(now);
         let reported_at = request.table_group.and_then(|group| engine.bulk_loads_reported.get(&group));
-        let is_blocking_load =
-            |other: &Request| self.classes[other.class].is_bulk_load && other.table_group == request.table_group;
+        let is_blocking_load = |other: &Request| {
+            self.classes[other.class].is_bulk_load && other.table_group == request.table_group
+        };
         reported_at.is_some_and(|at| *at >= window_start) || self.in_flight_at(engine).any(is_blocking_load)
     }
 
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -178,7 +178,11 @@
     let load = &report.load;
     // A core utilization that is estimated from the requests in flight may exceed 1 without a slowdown.
     let max_core_utilization = if load.in_flight.is_some() { PRESSURE_SLOWDOWN } else { 1.0 };
-    let utilizations = [load.core_utilization.map(|used| used / max_core_utilization), load.memory_utilization, load.disk_utilization];
+    let utilizations = [
+        load.core_utilization.map(|used| used / max_core_utilization),
+        load.memory_utilization,
+        load.disk_utilization,
+    ];
     utilizations.into_iter().flatten().any(|used| used >= FULL_USE)
         || load.waiting_for_memory.is_some_and(|waiting| waiting >= 1.0)
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -53,7 +53,8 @@
         let limits = &self.attempt_limits;
         let age = now.saturating_sub(engine.warming_since?);
         let progress = Some(seconds(age) / seconds(limits.warm_up)).filter(|progress| *progress < 1.0)?;
-        let capacity_fraction = limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * progress;
+        let capacity_fraction =
+            limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * progress;
         let capacity = self.fleet.kinds[engine.kind].cores * BUSY_AT_CAPACITY * capacity_fraction;
         Some(limits.overload_factor * capacity * seconds(limits.overload_window) * share)
     }
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -1,8 +1,8 @@
 //! Records requests, attempts and load reports. This module takes no decisions.
 
 use super::{
-    Attempt, AttemptId, Cooldown, InFlightAttempt, ExpectedResources, ReceivedReport, Request, RequestPhase, SchedulerState,
-    Tier,
+    Attempt, AttemptId, Cooldown, ExpectedResources, InFlightAttempt, ReceivedReport, Request, RequestPhase,
+    SchedulerState, Tier,
 };
 use crate::samples::{duration, mean, seconds};
 use crate::{Arrival, AttemptEnded, EngineId, LoadReport, ProgressUpdate, RequestId};
@@ -32,7 +32,8 @@
         let ideal_run_seconds = expected.work / class.threads.max(1.0);
         let arrived_at = now.saturating_sub(arrival.queue_time);
         let deadline = (arrived_at + arrival.deadline).min(self.shutdown_at);
-        let objective = arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run_seconds);
+        let objective =
+            arrived_at + class.latency_objective + duration(class.objective_stretch * ideal_run_seconds);
         Request {
             class: arrival.class,
             key: arrival.key.filter(|_| class.keeps_order),
@@ -79,7 +80,10 @@
 
     /// Records that an attempt is cancelled.
     pub fn record_cancelled(&mut self, id: AttemptId) {
-        let request = self.requests.get_mut(&id.request).expect("the request of a cancelled attempt is in the table of requests");
+        let request = self
+            .requests
+            .get_mut(&id.request)
+            .expect("the request of a cancelled attempt is in the table of requests");
         request.attempts[id.attempt].cancelled = true;
     }
 
@@ -124,7 +128,10 @@
         }
         let attempt = request.attempts.get_mut(ended.attempt)?;
         attempt.outcome = Some(ended.outcome);
-        let engine = self.engines.get_mut(&attempt.engine).expect("an engine with an attempt is in the table of engines");
+        let engine = self
+            .engines
+            .get_mut(&attempt.engine)
+            .expect("an engine with an attempt is in the table of engines");
         engine.in_flight.retain(|other| (other.request, other.attempt) != (ended.request, ended.attempt));
         self.engine_index.update_use(attempt.engine, engine);
         Some(attempt.clone())
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -84,7 +84,7 @@
     /// Memory in MB of one engine that this router intends to fill.
     pub memory_target_mb: f64,
     /// Largest fraction of an engine's memory that may be filled if its load is estimated and not reported.
-    pub unmean_memory_utilization_limit: f64,
+    pub unreported_memory_limit: f64,
     /// Number of engines that accept requests, at least 1.
     pub engine_count: f64,
     /// Attempts of the small tier in flight.
--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -51,7 +51,11 @@
         log = Simulation::new(seed, log).run_to_end();
     }
     for (kind, min_count) in MIN_COUNTS {
-        assert!(log.counts[kind] >= min_count, "log entries of kind {kind}: {}, expected at least {min_count}", log.counts[kind]);
+        assert!(
+            log.counts[kind] >= min_count,
+            "log entries of kind {kind}: {}, expected at least {min_count}",
+            log.counts[kind]
+        );
     }
     let digest: String = log.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect!["5b7f7a0e0625171505bc27b73182cae01a0424bfa5152c41b047ec6ca7ca94d3"].assert_eq(&digest);
--- a/tests/digest/attempts.rs
+++ b/tests/digest/attempts.rs
@@ -12,7 +12,8 @@
         client_request.attempts += 1;
         let (simulated, random) = (&self.simulated_engines[&engine], &mut self.random);
         let (_, threads) = self.classes[client_request.arrival.class];
-        let ideal_run = client_request.arrival.estimated_work.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
+        let ideal_run =
+            client_request.arrival.estimated_work.unwrap_or(ms(80)).div_f64(f64::max(threads, 1.0));
         let estimate_error = random.one_of(&[0.7, 1.0, 1.0, 1.2, 2.0, 10.0]);
         let run = ideal_run.mul_f64(estimate_error * simulated.slowness * random.between(0.9, 1.6)) + ms(1);
         let is_silent = simulated.silent;
@@ -68,8 +69,10 @@
     /// Reports the end of an attempt to the scheduler, unless the attempt has ended already.
     pub(super) fn end_attempt(&mut self, request: RequestId, attempt: usize, outcome: AttemptOutcome) {
         let Some(running) = self.running.remove(&(request, attempt)) else { return };
-        let reports_load =
-            !matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::Broken);
+        let reports_load = !matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::Broken
+        );
         let load_report = if reports_load && self.random.percent(self.environment.load_report_percent) {
             self.load_report(running.engine)
         } else {
@@ -79,7 +82,8 @@
         let elapsed = self.now - running.sent;
         let estimate = client_request.arrival.estimated_memory_mb.unwrap_or(100.0);
         let random = &mut self.random;
-        let has_usage = outcome == AttemptOutcome::Succeeded && random.percent(self.environment.usage_percent);
+        let has_usage =
+            outcome == AttemptOutcome::Succeeded && random.percent(self.environment.usage_percent);
         let usage = has_usage.then(|| Usage {
             work: elapsed.mul_f64(random.between(0.5, 1.0)),
             memory_mb: estimate * random.between(0.4, 2.0),
--- a/tests/digest/engines.rs
+++ b/tests/digest/engines.rs
@@ -12,24 +12,32 @@
         let (environment, random) = (&self.environment, &mut self.random);
         let waiting_for_memory = random.maybe(20, |random| random.below(3) as f64);
         Some(LoadReport {
-            core_utilization: environment.reports_cores.then(|| (attempts / 4.0 * random.between(0.5, 1.5)).min(1.0)),
+            core_utilization: environment
+                .reports_cores
+                .then(|| (attempts / 4.0 * random.between(0.5, 1.5)).min(1.0)),
             in_flight: environment.reports_in_flight.then(|| attempts + random.below(4) as f64),
             waiting_for_memory,
-            memory_utilization: environment.reports_memory.then(|| (attempts / 6.0 * random.between(0.5, 1.5)).min(1.0)),
+            memory_utilization: environment
+                .reports_memory
+                .then(|| (attempts / 6.0 * random.between(0.5, 1.5)).min(1.0)),
             disk_utilization: random.maybe(20, Random::fraction),
         })
     }
 
     /// Ends a probe, with a load report if the engine answers.
     pub(super) fn answer_probe(&mut self, engine: EngineId) {
-        let answers = self.simulated_engines.get(&engine).is_some_and(|simulated| !simulated.silent && !simulated.removed);
+        let answers = self
+            .simulated_engines
+            .get(&engine)
+            .is_some_and(|simulated| !simulated.silent && !simulated.removed);
         let load_report = if answers && !self.random.percent(10) { self.load_report(engine) } else { None };
         self.scheduler.probe_ended(self.now, engine, load_report, &mut self.log);
     }
 
     /// Sends the rows of all engines.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
-        let rows = self.simulated_engines.iter().map(|(engine, simulated)| endpoint(*engine, simulated)).collect();
+        let rows =
+            self.simulated_engines.iter().map(|(engine, simulated)| endpoint(*engine, simulated)).collect();
         self.scheduler.endpoints_changed(self.now, update, rows, &mut self.log);
         self.carry_out_actions();
     }
@@ -51,7 +59,8 @@
             });
         }
         let engine = random.one_of(&engines);
-        let simulated = self.simulated_engines.get_mut(&engine).expect("the engine was drawn from the simulated engines");
+        let simulated =
+            self.simulated_engines.get_mut(&engine).expect("the engine was drawn from the simulated engines");
         match change {
             1 => simulated.ready = !simulated.ready,
             2 => (simulated.ready, simulated.removed) = (false, true),
--- a/tests/digest/simulation.rs
+++ b/tests/digest/simulation.rs
@@ -2,7 +2,9 @@
 
 use crate::log::{HELD_COUNTS, INPUT, Log, PendingAction, nanoseconds};
 use crate::random::Random;
-use crate::settings::{Environment, SimulatedEngine, attempt_limits, environment, fleet, simulated_engine, request_class};
+use crate::settings::{
+    Environment, SimulatedEngine, attempt_limits, environment, fleet, request_class, simulated_engine,
+};
 use emberflow::{
     Arrival, AttemptOutcome, EndpointUpdate, EngineId, HeldCounts, RequestClass, RequestId, Scheduler,
 };
@@ -74,8 +76,8 @@
         let classes: Vec<RequestClass> =
             (0..=random.below(4)).map(|_| request_class(&mut random, kinds)).collect();
         let now = random.time(2_000, 20_000);
-        let simulated_engines =
-            (0..=random.below(6)).map(|engine| (EngineId(engine), simulated_engine(&mut random, kinds, None)));
+        let simulated_engines = (0..=random.below(6))
+            .map(|engine| (EngineId(engine), simulated_engine(&mut random, kinds, None)));
         Self {
             simulated_engines: simulated_engines.collect(),
             classes: classes.iter().map(|class| (class.deadline, class.threads)).collect(),
@@ -98,7 +100,9 @@
         self.update_endpoints(EndpointUpdate::FullList);
         self.schedule(ms(0), Event::Arrival);
         let first_time = |random: &mut Random| random.time(10, 1000);
-        for event in [Event::EnginesChange, Event::ClientsLeave, Event::CapacityCheck, Event::EndpointListFails] {
+        for event in
+            [Event::EnginesChange, Event::ClientsLeave, Event::CapacityCheck, Event::EndpointListFails]
+        {
             let wait = first_time(&mut self.random);
             self.schedule(wait, event);
         }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -56,13 +56,15 @@
     let engines_of = |seed| {
         let mut scheduler = scheduler_with_engines(seed, 3200, Effect::Idempotent);
         let mut sent = SentAttempts::default();
-        (0..200)
-            .for_each(|request| scheduler.accept(Duration::ZERO, arrival(RequestId(request)), &mut sent));
+        (0..200).for_each(|request| scheduler.accept(Duration::ZERO, arrival(RequestId(request)), &mut sent));
         sent.0.into_iter().map(|(_, engine)| engine).collect::<std::collections::BTreeSet<_>>()
     };
     let (first, second) = (engines_of(1), engines_of(2));
     assert!(first.len() > 20, "the router uses only {} engines", first.len());
-    assert!(first.intersection(&second).count() < first.len() / 4, "two routers share a quarter of their engines or more");
+    assert!(
+        first.intersection(&second).count() < first.len() / 4,
+        "two routers share a quarter of their engines or more"
+    );
     let locations: std::collections::BTreeSet<_> = first.iter().map(|engine| engine.0 % LOCATIONS).collect();
     assert_eq!(locations.len(), LOCATIONS, "the router uses no engine of some location");
 }
--- a/tests/trace/endpoints.rs
+++ b/tests/trace/endpoints.rs
@@ -10,7 +10,12 @@
     }
 
     /// Sends the changed row of one engine of a small trace. `launched_ms` is the time of its last start.
-    pub fn update_endpoint(&mut self, engine: usize, lifecycle: Lifecycle, launched_ms: Option<u64>) -> &mut Self {
+    pub fn update_endpoint(
+        &mut self,
+        engine: usize,
+        lifecycle: Lifecycle,
+        launched_ms: Option<u64>,
+    ) -> &mut Self {
         self.update_endpoints(vec![self.row(engine, lifecycle, launched_ms)])
     }
 
--- a/tests/trace/requests.rs
+++ b/tests/trace/requests.rs
@@ -21,7 +21,13 @@
     }
 
     /// Accepts a request that may have an ordering key.
-    pub fn accept_keyed(&mut self, class: usize, work_ms: u64, memory_mb: f64, key: Option<u32>) -> &mut Self {
+    pub fn accept_keyed(
+        &mut self,
+        class: usize,
+        work_ms: u64,
+        memory_mb: f64,
+        key: Option<u32>,
+    ) -> &mut Self {
         self.arrive(Arrival { key: key.map(KeyId), ..arrival(class, work_ms, memory_mb) })
     }
 
@@ -98,7 +104,13 @@
 
     /// Ends the first attempt of a request with success and reported usage, and without a load report. The elapsed time
     /// is that of the work on one core.
-    pub fn succeeded_with_usage(&mut self, request: u32, engine: usize, work_ms: u64, memory_mb: f64) -> &mut Self {
+    pub fn succeeded_with_usage(
+        &mut self,
+        request: u32,
+        engine: usize,
+        work_ms: u64,
+        memory_mb: f64,
+    ) -> &mut Self {
         let usage = Some(Usage { work: ms(work_ms), memory_mb });
         let succeeded = ended(request, 0, engine, AttemptOutcome::Succeeded);
         self.end(AttemptEnded { elapsed: ms(work_ms), usage, ..succeeded })
--- a/tests/traces/estimates.rs
+++ b/tests/traces/estimates.rs
@@ -1,7 +1,7 @@
 //! Estimates of the resources that requests need.
 
 use crate::trace::*;
-use crate::{trace_with_one_reported_usage, in_flight};
+use crate::{in_flight, trace_with_one_reported_usage};
 use emberflow::AttemptOutcome::*;
 use emberflow::*;
 use expect_test::expect;
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -37,7 +37,12 @@
 /// Continues a trace with two requests without estimates. The first one succeeds after `elapsed_ms`, with a report of
 /// the engine's requests in flight; the second one is then accepted.
 fn measure_without_estimates(trace: &mut Trace, elapsed_ms: u64, requests_in_flight: f64) {
-    trace.accept(SHORT, 0, 0.0).at(elapsed_ms).succeeded_after(0, 0, elapsed_ms, in_flight(requests_in_flight));
+    trace.accept(SHORT, 0, 0.0).at(elapsed_ms).succeeded_after(
+        0,
+        0,
+        elapsed_ms,
+        in_flight(requests_in_flight),
+    );
     trace.accept(SHORT, 0, 0.0);
 }
 
--- a/tests/traces/retries.rs
+++ b/tests/traces/retries.rs
@@ -96,7 +96,11 @@
 #[test]
 fn an_attempt_that_waits_for_a_bulk_load_is_cancelled_and_retried() {
     let mut trace = Trace::with_engines(2);
-    trace.accept(SHORT, 900, 300.0).at(500).progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad).at(505);
+    trace
+        .accept(SHORT, 900, 300.0)
+        .at(500)
+        .progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad)
+        .at(505);
     trace.ended(0, 0, 0, Cancelled);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
@@ -110,9 +114,14 @@
 
 #[test]
 fn a_request_behind_others_of_its_key_may_wait_longer_than_its_tier_allows() {
-    let mut trace =
-        Trace::new(1, |_, classes, _| (classes[BULK_LOAD].keeps_order, classes[BULK_LOAD].late_weight_fraction) = (true, 0.5));
-    trace.accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).accept_keyed(BULK_LOAD, 0, 0.0, Some(1)).at(3500).wake_now();
+    let mut trace = Trace::new(1, |_, classes, _| {
+        (classes[BULK_LOAD].keeps_order, classes[BULK_LOAD].late_weight_fraction) = (true, 0.5)
+    });
+    trace
+        .accept_keyed(BULK_LOAD, 0, 0.0, Some(1))
+        .accept_keyed(BULK_LOAD, 0, 0.0, Some(1))
+        .at(3500)
+        .wake_now();
     trace.at(3600).succeeded_with_usage(0, 0, 3600, 100.0);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
