--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -103,8 +103,8 @@
     scheduler(
         "key order ignored",
         ORDERING,
-        "key_queue.requests.front() == Some(&id)\n            && key_queue.cooldown",
-        "key_queue.cooldown",
+        "key_queue.requests.front() == Some(&id)\n            && key_queue\n",
+        "key_queue\n",
     ),
     scheduler(
         "key cooldown ignored",
