--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -26,7 +26,7 @@
     ProgressUpdate::Fraction(0.1),
     ProgressUpdate::Spilling(200.0),
     ProgressUpdate::WaitingForMemory,
-    ProgressUpdate::WaitingForLoad,
+    ProgressUpdate::WaitingForBulkLoad,
 ];
 /// The delay of a late wake-up.
 const LATE_WAKE_UP: Duration = Duration::from_millis(8);
@@ -40,8 +40,13 @@
 /// Two engines in one cell, and one in another cell and location.
 const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
 const TWO_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0)];
-const FULL_ENGINE: LoadReport =
-    LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
+const FULL_ENGINE: LoadReport = LoadReport {
+    core_utilization: Some(1.0),
+    in_flight: None,
+    waiting_for_memory: None,
+    memory_utilization: Some(0.5),
+    disk_utilization: None,
+};
 
 /// Two classes whose requests of one key run in order, a key cooldown, and no cancellation.
 const KEYS_IN_ORDER_WITHOUT_CANCEL: Setup = setup!(|fleet, classes, attempt_limits| {
@@ -185,7 +190,7 @@
         name: "polled endpoint list",
         description: "an endpoint list that is polled, fails and is empty",
         setup: setup!(|fleet, classes, attempt_limits| {
-            fleet.polls_endpoint_list = true;
+            fleet.must_watch_endpoints = true;
         }),
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT)],
@@ -235,7 +240,7 @@
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
-            classes[0].late_share = 0.5;
+            classes[0].late_weight_fraction = 0.5;
             classes[0].deadline = classes[4].deadline / 2;
             attempt_limits.may_cancel = false;
         }),
@@ -309,7 +314,7 @@
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        progress_updates: &[ProgressUpdate::WaitingForLoad],
+        progress_updates: &[ProgressUpdate::WaitingForBulkLoad],
         max_progress_updates: 1,
         interchangeable_engines: false,
         in_short_set: false,
@@ -370,7 +375,7 @@
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
-        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
+        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForBulkLoad],
         max_progress_updates: 1,
         max_departures: 1,
         ..Scenario::BASE
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -135,7 +135,7 @@
             (FRACTION_PROGRESS, fraction) => ProgressUpdate::Fraction(fraction),
             (SPILLING_PROGRESS, missing_mb) => ProgressUpdate::Spilling(missing_mb),
             (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressUpdate::WaitingForMemory,
-            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForLoad,
+            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForBulkLoad,
             (sort, value) => return Err(AdapterError::UnknownProgress { sort, value }),
         };
         Ok(Self::Progress { request, attempt, update })
@@ -199,7 +199,7 @@
 fn usage(line: Fields<'_>) -> Option<Usage> {
     let used = line.get_number("usedUp").unwrap_or(0.0) as u64;
     (used > 0).then(|| Usage {
-        cost: Duration::from_millis(used / MEMORY_STEPS),
+        work: Duration::from_millis(used / MEMORY_STEPS),
         memory_mb: (used % MEMORY_STEPS * STEP_MB) as f64,
     })
 }
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,10 +1,11 @@
-//! A fingerprint of the scheduler's state, by which a search recognizes equivalent states. It leaves out
-//! everything that can't influence a later action: times are relative to now, the caller sets the random
-//! draws, and engines are identified by their attempts in flight and not by their numbers.
+//! A fingerprint of the scheduler's state, by which a search over states recognizes equivalent ones. The fingerprint
+//! leaves out everything that can't influence a later action: times are relative to now, the number of random draws
+//! is left out because the caller sets it, and engines are identified by the attempts sent to them and not by their
+//! ids.
 
 use crate::policy::MIN_FAILURES;
 use crate::samples::SampleWindow;
-use crate::state::{Attempt, Engine, InFlight, Request, SchedulerState};
+use crate::state::{Attempt, Engine, InFlightAttempt, Request, SchedulerState};
 use crate::{Effect, EngineId, RequestId, Scheduler};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,23 +22,23 @@
     pub keys: usize,
 }
 
-/// The context of a fingerprint, which the caller knows.
-pub struct Fingerprint<'a> {
+/// The facts that the caller knows and that a fingerprint depends on.
+pub struct FingerprintContext<'a> {
     /// The time to which all times are relative.
     pub now: Duration,
-    /// Whether requests may still arrive. If not, the estimates of their classes have no further influence.
-    pub more_arrivals: bool,
-    /// Whether engines of the same state may be interchanged.
+    /// Whether requests may still arrive. If not, the recorded deadlines of their classes have no further influence.
+    pub expects_arrivals: bool,
+    /// Whether engines in the same state are equivalent, so that their ids are left out of the fingerprint.
     pub engines_interchangeable: bool,
-    /// Returns a hash of the state of an engine that the caller holds.
-    pub engine_state: &'a dyn Fn(EngineId) -> u64,
+    /// Returns a hash of the state that the caller holds for an engine.
+    pub engine_state_hash: &'a dyn Fn(EngineId) -> u64,
 }
 
-/// Positions of the unfinished requests in the order of arrival, which replace their numbers.
+/// Positions of the unfinished requests in the order of arrival, which are hashed in place of their ids.
 type Positions = BTreeMap<RequestId, usize>;
 
 impl Scheduler {
-    /// Counts the requests, engines and keys that the scheduler holds.
+    /// Returns the numbers of requests, engines and keys that the scheduler holds.
     pub fn held_counts(&self) -> HeldCounts {
         HeldCounts {
             requests: self.state.requests.len(),
@@ -46,25 +47,25 @@
         }
     }
 
-    /// Sets the counter of random draws, which determines the next random choice.
+    /// Sets the number of random draws so far, which determines the next random choice.
     pub fn set_random_draws(&mut self, draws: u64) {
         self.state.random_draws = draws;
     }
 
-    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs,
-    /// except for random choices and, if engines are interchangeable, their numbers.
-    pub fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    /// Hashes the state. Two states with the same fingerprint lead to the same actions after the same inputs, except
+    /// for random choices and, if engines are interchangeable, the ids of the engines.
+    pub fn fingerprint(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         self.state.fingerprint(context, hasher);
     }
 }
 
 impl SchedulerState {
-    fn fingerprint(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn fingerprint(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let now = context.now;
-        // Without further requests, only the engines and keys that are still to be forgotten matter.
-        if self.requests.is_empty() && !context.more_arrivals {
+        // If no request is held or will arrive, only the engines and keys that are still to be forgotten matter.
+        if self.requests.is_empty() && !context.expects_arrivals {
             (self.engines.len(), self.key_queues.len(), self.shutdown_at == Duration::MAX).hash(hasher);
-            return since(now, self.wake_due.max(now)).hash(hasher);
+            return relative_micros(now, self.wake_due.max(now)).hash(hasher);
         }
         let positions: Positions = self.requests.keys().copied().zip(0..).collect();
         self.hash_engines(&positions, context, hasher);
@@ -72,16 +73,21 @@
             self.hash_request(request, context, hasher);
         }
         self.hash_key_queues(now, &positions, hasher);
-        since(now, self.wake_due.max(now)).hash(hasher);
-        (self.shutdown_at != Duration::MAX).then(|| since(now, self.shutdown_at)).hash(hasher);
-        self.watching.hash(hasher);
+        relative_micros(now, self.wake_due.max(now)).hash(hasher);
+        (self.shutdown_at != Duration::MAX).then(|| relative_micros(now, self.shutdown_at)).hash(hasher);
+        self.is_watching_endpoints.hash(hasher);
         let probed_at = self.probed_at.max(now.saturating_sub(self.shortest_objective()));
-        self.fleet.reports_only_on_probe.then(|| since(now, probed_at)).hash(hasher);
+        self.fleet.reports_only_on_probe.then(|| relative_micros(now, probed_at)).hash(hasher);
         self.hash_retry_budget(now, hasher);
         self.hash_estimates(context, hasher);
     }
 
-    fn hash_engines(&self, positions: &Positions, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn hash_engines(
+        &self,
+        positions: &Positions,
+        context: &FingerprintContext<'_>,
+        hasher: &mut impl Hasher,
+    ) {
         let engines = self.engines.iter();
         let mut hashes: Vec<u64> =
             engines.map(|(id, engine)| self.engine_hash(*id, engine, positions, context)).collect();
@@ -96,7 +102,7 @@
             return;
         }
         for at in self.accepted_at.iter().chain(&self.retried_at) {
-            since(now, *at).hash(hasher);
+            relative_micros(now, *at).hash(hasher);
         }
         self.retried_at.len().hash(hasher);
     }
@@ -107,13 +113,14 @@
                 positions.get(id).hash(hasher);
             }
             let cooldown = key_queue.cooldown.filter(|cooldown| cooldown.until > now);
-            let cooldown =
-                cooldown.map(|cooldown| (positions.get(&cooldown.after), since(now, cooldown.until)));
+            let cooldown = cooldown.map(|cooldown| {
+                (positions.get(&cooldown.exempt_request), relative_micros(now, cooldown.until))
+            });
             cooldown.hash(hasher);
         }
     }
 
-    fn hash_estimates(&self, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn hash_estimates(&self, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let window_start = self.slowdown_window_start(context.now);
         hash_samples(&self.fleet_shares, context.now, Duration::ZERO, hasher);
         for estimates in &self.estimates {
@@ -122,28 +129,28 @@
             hash_values(&estimates.memory_mb, hasher);
             hash_values(&estimates.work_ratios, hasher);
             hash_values(&estimates.memory_ratios, hasher);
-            if context.more_arrivals {
+            if context.expects_arrivals {
                 hash_values(&estimates.deadlines, hasher);
             }
             hash_samples(&estimates.slowdowns, context.now, window_start, hasher);
         }
     }
 
-    fn hash_request(&self, request: &Request, context: &Fingerprint<'_>, hasher: &mut impl Hasher) {
+    fn hash_request(&self, request: &Request, context: &FingerprintContext<'_>, hasher: &mut impl Hasher) {
         let now = context.now;
-        (request.class, request.group, request.phase, request.key).hash(hasher);
+        (request.class, request.table_group, request.phase, request.key).hash(hasher);
         let estimates =
             [request.estimated_work, request.estimated_memory_mb].map(|estimate| estimate.unwrap_or(-1.0));
-        for value in [request.ideal_run, request.memory_mb].iter().chain(&estimates) {
+        for value in [request.ideal_run_seconds, request.memory_mb].iter().chain(&estimates) {
             value.to_bits().hash(hasher);
         }
         for at in [request.arrived_at, request.objective_at, request.deadline] {
-            since(now, at).hash(hasher);
+            relative_micros(now, at).hash(hasher);
         }
         // The window of an idempotency key counts from the first attempt that may have run.
         let has_window = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
         let first = request.first_that_may_have_run().filter(|_| has_window);
-        first.map(|attempt| since(now, attempt.sent_at)).hash(hasher);
+        first.map(|attempt| relative_micros(now, attempt.sent_at)).hash(hasher);
         for attempt in &request.attempts {
             hash_attempt(attempt, now, hasher);
             if !context.engines_interchangeable {
@@ -157,23 +164,23 @@
         id: EngineId,
         engine: &Engine,
         positions: &Positions,
-        context: &Fingerprint<'_>,
+        context: &FingerprintContext<'_>,
     ) -> u64 {
         let mut engine_hasher = DefaultHasher::new();
         let (hasher, now) = (&mut engine_hasher, context.now);
         (engine.location, engine.kind, engine.cell, engine.lifecycle).hash(hasher);
-        engine.launched.map(|at| since(now, at)).hash(hasher);
+        engine.launched_at.map(|at| relative_micros(now, at)).hash(hasher);
         self.hash_slow_start(id, engine, now, hasher);
         for attempt in &engine.in_flight {
             hash_in_flight(attempt, positions, now, hasher);
         }
         self.hash_attempts_at(id, hasher);
         self.hash_health(engine, now, hasher);
-        engine.recent_groups.hash(hasher);
-        for (group, at) in &engine.bulk_loads_seen {
-            (group, since(now, *at)).hash(hasher);
+        engine.recent_table_groups.hash(hasher);
+        for (group, at) in &engine.bulk_loads_reported {
+            (group, relative_micros(now, *at)).hash(hasher);
         }
-        (context.engine_state)(id).hash(hasher);
+        (context.engine_state_hash)(id).hash(hasher);
         engine_hasher.finish()
     }
 
@@ -190,11 +197,11 @@
 
     fn hash_slow_start(&self, id: EngineId, engine: &Engine, now: Duration, hasher: &mut impl Hasher) {
         let warming = engine.warming_since.filter(|at| *at + self.attempt_limits.warm_up > now);
-        warming.map(|at| since(now, at)).hash(hasher);
+        warming.map(|at| relative_micros(now, at)).hash(hasher);
         let Some(budget) = self.slow_start_budget(engine, now, self.fleet_share()) else { return };
-        // If the budget is smaller than one request, the window is longer and starts at a random offset.
+        // If the budget is smaller than one request, `fits_slow_start` uses a longer window with a random offset.
         let has_longer_window = (0..self.classes.len()).any(|class| self.slow_start_work(class) > budget);
-        let offset = || (since(now, engine.listed_at), self.slow_start_draw(id, engine));
+        let offset = || (relative_micros(now, engine.listed_at), self.slow_start_draw(id, engine));
         has_longer_window.then(offset).hash(hasher);
         let window = self.attempt_limits.overload_window;
         let start = if has_longer_window { Duration::ZERO } else { now.saturating_sub(window) };
@@ -203,24 +210,29 @@
 
     fn hash_health(&self, engine: &Engine, now: Duration, hasher: &mut impl Hasher) {
         let oldest = engine.in_flight.first().map(|attempt| attempt.sent_at);
-        oldest.map(|at| since(now, engine.last_activity_at.max(at))).hash(hasher);
+        oldest.map(|at| relative_micros(now, engine.last_activity_at.max(at))).hash(hasher);
         let recovery_interval = self.recovery_interval(self.fleet_share());
         let last_sent = engine.sent_work.last().filter(|(at, _)| *at + recovery_interval > now);
-        last_sent.map(|(at, _)| since(now, at)).hash(hasher);
+        last_sent.map(|(at, _)| relative_micros(now, at)).hash(hasher);
         hash_samples(&engine.slowdowns, now, self.slowdown_window_start(now), hasher);
-        // The exact time of a failure before the longest possible window has no influence.
+        // All times before the longest possible window of failures are equivalent.
         let failures = engine.failures.samples().count().max(MIN_FAILURES);
         let longest_window_start = self.failure_window_start(now, failures);
         for (at, failure) in engine.failures.samples() {
-            (since(now, at.max(longest_window_start)), failure.to_bits()).hash(hasher);
+            (relative_micros(now, at.max(longest_window_start)), failure.to_bits()).hash(hasher);
         }
         let has_shortage = engine.had_memory_shortage_since(self.pressure_window_start(now));
         let memory_shortage_at = engine.memory_shortage_at.filter(|_| has_shortage);
-        memory_shortage_at.map(|at| since(now, at)).hash(hasher);
+        memory_shortage_at.map(|at| relative_micros(now, at)).hash(hasher);
         if let Some(report) = &engine.report {
             let load = report.load;
-            let values = [load.busy, load.waiting, load.memory, load.disks];
-            (since(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
+            let values = [
+                load.core_utilization,
+                load.waiting_for_memory,
+                load.memory_utilization,
+                load.disk_utilization,
+            ];
+            (relative_micros(now, report.at), values.map(|value| value.map(f64::to_bits))).hash(hasher);
         }
     }
 }
@@ -230,20 +242,20 @@
     if attempt.outcome.is_some() {
         return;
     }
-    let times = (since(now, attempt.sent_at), since(now, attempt.last_activity_at));
+    let times = (relative_micros(now, attempt.sent_at), relative_micros(now, attempt.last_activity_at));
     (attempt.is_stalled, attempt.cancelled, times).hash(hasher);
-    let finish = attempt.expected_finish.map(|at| since(now, at));
+    let finish = attempt.expected_finish.map(|at| relative_micros(now, at));
     (finish, attempt.grant_mb.to_bits(), attempt.spilled_mb.to_bits()).hash(hasher);
 }
 
-fn hash_in_flight(attempt: &InFlight, positions: &Positions, now: Duration, hasher: &mut impl Hasher) {
-    let sent = since(now, attempt.sent_at);
+fn hash_in_flight(attempt: &InFlightAttempt, positions: &Positions, now: Duration, hasher: &mut impl Hasher) {
+    let sent = relative_micros(now, attempt.sent_at);
     (positions.get(&attempt.request), attempt.attempt, sent, attempt.tier as u8).hash(hasher);
     (attempt.grant_mb.to_bits(), attempt.threads.to_bits()).hash(hasher);
 }
 
 /// Returns the microseconds from `now` to `at`, which are negative if `at` has passed.
-fn since(now: Duration, at: Duration) -> i64 {
+fn relative_micros(now: Duration, at: Duration) -> i64 {
     at.as_micros() as i64 - now.as_micros() as i64
 }
 
@@ -256,6 +268,6 @@
 /// Hashes the samples that were taken at or after `start`.
 fn hash_samples(window: &SampleWindow, now: Duration, start: Duration, hasher: &mut impl Hasher) {
     for (at, value) in window.samples().filter(|(at, _)| *at >= start) {
-        (since(now, at), value.to_bits()).hash(hasher);
+        (relative_micros(now, at), value.to_bits()).hash(hasher);
     }
 }
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -3,21 +3,21 @@
 use super::ms;
 use emberflow::{AttemptLimits, Effect, EngineKind, Fleet, KeyScope, RequestClass};
 
-/// The idempotent class of [`base`] with short requests on one thread.
+/// Index of the idempotent class of [`base`] with short requests on one thread.
 pub const SHORT: usize = 0;
-/// The idempotent class of [`base`] with long requests on three threads.
+/// Index of the idempotent class of [`base`] with long requests on three threads.
 pub const LONG: usize = 1;
-/// The non-idempotent class of [`base`], whose requests are bulk loads.
-pub const LOAD: usize = 2;
+/// Index of the non-idempotent class of [`base`], whose requests are bulk loads.
+pub const BULK_LOAD: usize = 2;
 
-/// The request classes [`SHORT`], [`LONG`] and [`LOAD`].
+/// The request classes [`SHORT`], [`LONG`] and [`BULK_LOAD`].
 fn classes() -> Vec<RequestClass> {
-    let class = |effect, priority_weight, latency_objective, threads| RequestClass {
-        latency_objective: ms(latency_objective),
+    let class = |effect, priority_weight, objective_ms, threads| RequestClass {
+        latency_objective: ms(objective_ms),
         objective_stretch: 2.0,
-        deadline: ms(latency_objective * 8),
+        deadline: ms(objective_ms * 8),
         priority_weight,
-        late_share: 0.0,
+        late_weight_fraction: 0.0,
         effect,
         keeps_order: false,
         kinds: None,
@@ -28,30 +28,30 @@
     };
     let short = class(Effect::Idempotent, 1.0, 1000, 1.0);
     let long = class(Effect::Idempotent, 6.0, 2000, 3.0);
-    let load = RequestClass { is_bulk_load: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
-    vec![short, long, load]
+    let bulk_load = RequestClass { is_bulk_load: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
+    vec![short, long, bulk_load]
 }
 
-/// Settings of a fleet with one router, and engines of one kind with 8 cores and 16,000 MB.
+/// Returns the settings of a fleet with one router, and engines of one kind with 8 cores and 16,000 MB.
 pub fn base() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let fleet = Fleet {
         seed: 1,
         router_count: 1,
         home_location: 0,
         kinds: vec![EngineKind { cores: 8.0, memory_mb: 16000.0 }],
-        max_grant_share: 0.5,
+        max_grant_fraction: 0.5,
         honors_priorities: false,
         shrinks_grants: false,
         progress_interval: Some(ms(500)),
         reports_only_on_probe: false,
-        polls_endpoint_list: false,
+        must_watch_endpoints: false,
         tick: ms(5),
     };
     let attempt_limits = AttemptLimits {
         max_attempts: 3,
         may_cancel: true,
         may_probe: false,
-        start_capacity: 0.3,
+        start_capacity_fraction: 0.3,
         warm_up: ms(10_000),
         overload_factor: 2.0,
         overload_window: ms(1000),
@@ -62,8 +62,8 @@
     (fleet, classes(), attempt_limits)
 }
 
-/// Settings like [`base`] with short times, so that a request is finished after few steps. Request classes: 0
-/// idempotent, 1 to 3 with an idempotency key in a cell, in a location and in the whole fleet, 4
+/// Returns settings like [`base`] with short times, so that a request is finished after few inputs. Request classes:
+/// 0 is idempotent, 1 to 3 have an idempotency key whose scope is the cell, the location and the whole fleet, and 4 is
 /// non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
--- a/tests/traces/outliers.rs
+++ b/tests/traces/outliers.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_warming_engine_gets_no_more_than_its_slow_start_budget() {
     let mut trace = Trace::with_engines(0);
-    trace.at(5000).list_engines(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
+    trace.at(5000).update_endpoints(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
     trace.accept_many(6, SHORT, 900, 300.0);
     trace.wake_until(5600);
     expect![[r#"
@@ -29,7 +29,7 @@
 #[test]
 fn attempts_that_may_be_retried_are_cancelled_at_an_inactive_engine() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.progress_interval = None);
-    trace.accept(SHORT, 100, 300.0).accept(LOAD, 3000, 300.0).accept(SHORT, 100, 300.0);
+    trace.accept(SHORT, 100, 300.0).accept(BULK_LOAD, 3000, 300.0).accept(SHORT, 100, 300.0);
     trace.at(100).ended(2, 0, 0, Succeeded).wake_until(1700).ended(1, 0, 1, Succeeded);
     trace.ended(0, 0, 0, Cancelled).accept(SHORT, 100, 300.0);
     expect![[r#"
@@ -67,7 +67,7 @@
 #[test]
 fn a_warming_engine_of_many_routers_gets_one_request_after_a_random_offset() {
     let mut trace = Trace::new(0, |fleet, _, _| fleet.router_count = 20);
-    trace.at(5000).list_engines(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
+    trace.at(5000).update_endpoints(vec![endpoint(0, Lifecycle::Ready, Some(5000))]);
     for at in [5000, 5400, 5800, 6200, 6600] {
         trace.at(at).accept(SHORT, 400, 300.0).wake_until(at + 360);
     }
@@ -126,7 +126,7 @@
 #[test]
 fn an_engine_where_all_attempts_break_at_once_warms_up_again() {
     let mut trace = Trace::with_engines(1);
-    trace.accept_many(6, LOAD, 3000, 100.0);
+    trace.accept_many(6, BULK_LOAD, 3000, 100.0);
     trace.decisions();
     trace.at(100);
     for request in 0..6 {
@@ -165,15 +165,15 @@
     .assert_eq(&trace.decisions());
 }
 
-/// A counterexample of the model checker: two requests could follow each other, because the limit was the sum
-/// of both and depended on rounding.
+/// Guards against a fault that the model checker found: two requests were sent in one longer window, because the limit
+/// was the sum of the work of both and depended on rounding.
 #[test]
 fn a_slow_start_budget_below_one_request_admits_one_in_a_longer_window() {
     let mut trace = Trace::small(&[(0, 0)], |fleet, _, attempt_limits| {
         fleet.router_count = 40;
         attempt_limits.warm_up = ms(2000);
     });
-    trace.at(20000).list_engine(0, Lifecycle::Ready, Some(20000)).accept_keyed(0, 20, 300.0, None);
+    trace.at(20000).update_endpoint(0, Lifecycle::Ready, Some(20000)).accept_keyed(0, 20, 300.0, None);
     trace.at(20064).wake_now().at(20128).accept_keyed(0, 20, 300.0, None).wake_now();
     trace.at(20192).wake_now().at(20256).wake_now().ended(1, 0, 0, Overloaded);
     expect![[r#"
