--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -49,7 +49,7 @@
 
 fn words_of(message: &[u8]) -> String {
     let array = decode_array(message).expect("a well-formed message").expect("a complete message");
-    let words = array.words.iter().map(|word| word.trim().replace('\t', " "));
+    let words = array.parts.iter().map(|word| word.trim().replace('\t', " "));
     words.collect::<Vec<_>>().join(", ")
 }
 
--- a/crates/model-checker/src/connection_model/engine.rs
+++ b/crates/model-checker/src/connection_model/engine.rs
@@ -69,7 +69,7 @@
         EngineMessage::Overloaded => EngineReply::Overloaded.encode(&id),
         EngineMessage::Failed => EngineReply::Failed.encode(&id),
         EngineMessage::ProgressUpdate => {
-            EngineReply::Progress(Some(Progress::PartDone(REPORTED_PROGRESS))).encode(&id)
+            EngineReply::Progress(Some(Progress::FractionDone(REPORTED_PROGRESS))).encode(&id)
         }
         EngineMessage::FirstHalf => {
             let mut first_half = result(1);
--- a/crates/peer-protocol/src/client.rs
+++ b/crates/peer-protocol/src/client.rs
@@ -1,13 +1,13 @@
-//! A client's side of its connection to a router: the JSON-RPC lines that it sends and those that it reads.
+//! The client's side of a connection to a router: encodes the JSON-RPC lines to the router and decodes those from it.
 
-use crate::number::shortest;
+use crate::number::json_number;
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// Limit of the open requests of one connection.
+/// Maximum number of open requests of one connection; the router answers any further request with an error.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-const VERSION: &str = "2.0";
+const JSON_RPC_VERSION: &str = "2.0";
 const STATUS_METHOD: &str = "status";
 const CANCEL_METHOD: &str = "withdraw";
 const WAIT_METHOD: &str = "waiting";
@@ -15,37 +15,37 @@
 const FAILED_CODE: i64 = -32000;
 const MS_PER_SECOND: f64 = 1e3;
 
-/// A request of a client.
+/// A request from a client to a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The id of the message, new on its connection.
+    /// The id of the message; it must not have been used on its connection before.
     pub id: u64,
-    /// The request class, which is the method.
+    /// The request class, which is the JSON-RPC method.
     pub class: String,
     /// The id of the request; see [`request_id`](crate::request_id).
     pub request_id: String,
     /// How long the client waits for the complete answer.
     pub timeout: Duration,
-    /// The estimate of the work, in milliseconds on one core.
+    /// Estimated work, in milliseconds on one core.
     pub work_ms: f64,
-    /// The estimate of the memory, in MB.
+    /// Estimated memory, in MB.
     pub memory_mb: f64,
-    /// The bytes of the statement, which the line carries in base64.
+    /// The statement; the line contains it in base64.
     pub statement: Vec<u8>,
     /// The name of the team in the operator's file; `None` omits the parameter.
     pub team: Option<String>,
-    /// 0 for ordinary requests, up to 3.
+    /// The urgency, from 0 (ordinary) to 3; `None` omits the parameter.
     pub urgency: Option<u8>,
-    /// The same for all retries of a request.
+    /// The idempotency key, the same in all retries of a request; `None` omits the parameter.
     pub idempotency_key: Option<String>,
     /// Whether the client has sent the request before.
     pub is_retry: bool,
-    /// Parameters that the operator's file names.
+    /// Additional parameters by name, such as those that the operator's file defines.
     pub further_parameters: Map<String, Value>,
 }
 
 impl ClientRequest {
-    /// Returns a request with a statement and no optional parameter.
+    /// Returns a request with estimates of 0 and no optional parameter.
     pub fn new(id: u64, class: &str, request_id: &str, timeout: Duration, statement: &[u8]) -> Self {
         Self {
             id,
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Encodes the request as a line.
+    /// Encodes the request as a line, with its line feed.
     pub fn encode(&self) -> Vec<u8> {
         let mut params = self.further_parameters.clone();
         let mut set = |name: &str, value: Value| params.insert(name.to_owned(), value);
         set("req", json!(self.request_id));
         set("timeout", json!(self.timeout.as_millis() as u64));
         set("ms", json!(self.work_ms));
-        set("memory", shortest(self.memory_mb));
+        set("memory", json_number(self.memory_mb));
         set("data", json!(BASE64_STANDARD.encode(&self.statement)));
         if let Some(team) = &self.team {
             set("team", json!(team));
@@ -84,18 +84,18 @@
         if self.is_retry {
             set("resent", json!(1));
         }
-        line(json!({"jsonrpc": VERSION, "id": self.id, "method": self.class, "params": params}))
+        line(json!({"jsonrpc": JSON_RPC_VERSION, "id": self.id, "method": self.class, "params": params}))
     }
 }
 
 /// Encodes the line with which a client cancels a request.
 pub fn encode_cancellation(request_id: &str) -> Vec<u8> {
-    line(json!({"jsonrpc": VERSION, "method": CANCEL_METHOD, "params": {"req": request_id}}))
+    line(json!({"jsonrpc": JSON_RPC_VERSION, "method": CANCEL_METHOD, "params": {"req": request_id}}))
 }
 
-/// Encodes a status request: the answer says whether the router serves.
+/// Encodes a status request, which asks whether the router accepts requests.
 pub fn encode_status_request(id: u64) -> Vec<u8> {
-    line(json!({"jsonrpc": VERSION, "id": id, "method": STATUS_METHOD, "params": {}}))
+    line(json!({"jsonrpc": JSON_RPC_VERSION, "id": id, "method": STATUS_METHOD, "params": {}}))
 }
 
 fn line(message: Value) -> Vec<u8> {
@@ -107,16 +107,16 @@
 pub enum RouterMessage {
     /// The answer to a request or a status request.
     Response(Response),
-    /// How long an open request may still be queued.
+    /// An estimate of how long an open request will still be queued.
     WaitAnnouncement(WaitAnnouncement),
-    /// Valid JSON that answers nothing.
+    /// Valid JSON that is neither a response nor an announcement.
     Other,
 }
 
-/// An answer.
+/// An answer to a request or a status request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The id of the message that is answered.
+    /// The id of the message to which this is the answer.
     pub id: u64,
     /// The result, the status or the error in the answer.
     pub outcome: Outcome,
@@ -125,9 +125,9 @@
 /// The content of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// A result; `None` in place of rows that are missing or not valid base64.
+    /// The result of a request.
     Result {
-        /// The rows of all pages, decoded from base64.
+        /// The rows of all pages, decoded from base64; `None` if they are missing or not valid base64.
         rows: Option<Vec<u8>>,
     },
     /// The answer to a status request.
@@ -135,12 +135,12 @@
         /// Whether the router accepts requests.
         is_serving: bool,
     },
-    /// A retry is harmless, after `retry_after` if the router names it.
+    /// The request was rejected; a retry is safe.
     Rejected {
-        /// Time that the client waits before the retry.
+        /// How long the client should wait before the retry; `None` if the router does not say.
         retry_after: Option<Duration>,
     },
-    /// The request may have run.
+    /// The request has failed and may have run.
     Failed,
     /// Any other error: the request itself is invalid.
     Invalid {
@@ -152,13 +152,13 @@
 /// The router's estimate of a request's wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitAnnouncement {
-    /// The id of the message with the request.
+    /// The id of the message that contained the request.
     pub id: u64,
-    /// Lower end of the range that should contain nine of ten waits, in seconds.
+    /// Lower end of the range that should contain nine in ten actual waits, in seconds.
     pub least_s: f64,
     /// Median of the estimated wait, in seconds.
     pub likely_s: f64,
-    /// Upper end of the range that should contain nine of ten waits, in seconds.
+    /// Upper end of the range that should contain nine in ten actual waits, in seconds.
     pub most_s: f64,
 }
 
--- a/crates/peer-protocol/tests/engine.rs
+++ b/crates/peer-protocol/tests/engine.rs
@@ -56,18 +56,18 @@
         EngineReply::Failed,
         EngineReply::Expired,
         EngineReply::Progress(None),
-        EngineReply::Progress(Some(Progress::PartDone(0.5))),
+        EngineReply::Progress(Some(Progress::FractionDone(0.5))),
         EngineReply::Progress(Some(Progress::MissingMemoryMb(12.5))),
-        EngineReply::Progress(Some(Progress::StalledByMemory)),
-        EngineReply::Progress(Some(Progress::StalledByLoad)),
+        EngineReply::Progress(Some(Progress::WaitingForMemory)),
+        EngineReply::Progress(Some(Progress::WaitingForLoad)),
         EngineReply::Pong,
     ];
     let mut text = String::new();
     for reply in &replies {
         let encoded = reply.encode("9b1f");
         let array = decode_array(&encoded).expect("a well-formed reply").expect("a complete reply");
-        assert_eq!(array.encoded_bytes, encoded.len());
-        text += &format!("{:?}\n", array.words);
+        assert_eq!(array.encoded_length, encoded.len());
+        text += &format!("{:?}\n", array.parts);
     }
     expect_test::expect![[r#"
         ["9b1f", "HIT", "pages=1,cost=20.0,need=50.0", "1\t2\t3\n"]
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -208,7 +208,7 @@
 
     /// Reports that a request is stalled until memory is free.
     pub fn send_stalled(&mut self, request: u64) {
-        self.send(request, EngineReply::Progress(Some(Progress::StalledByMemory)));
+        self.send(request, EngineReply::Progress(Some(Progress::WaitingForMemory)));
     }
 
     /// Rejects a request for lack of capacity.
--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -11,7 +11,7 @@
     let (mut router, mut client, mut engine) = start_with_one_engine("serve", &ordinary_settings());
     router.record(client.status(1));
     router.record_forwarded(&mut client, &mut engine, 2, "lookup");
-    engine.send(2, EngineReply::Progress(Some(Progress::PartDone(0.5))));
+    engine.send(2, EngineReply::Progress(Some(Progress::FractionDone(0.5))));
     engine.send_result(9, "of an unknown request");
     let used = Some(UsedResources { work_ms: 48.0, memory_mb: 90.0 });
     engine.send(2, EngineReply::Result { pages: 3, used, rows: ROWS.as_bytes() });
--- a/crates/soak/src/engines/calls.rs
+++ b/crates/soak/src/engines/calls.rs
@@ -99,8 +99,8 @@
     fn take_command(&mut self, connection: usize) -> Option<ReceivedCommand> {
         let stream = &mut self.connections.get_mut(connection)?.stream;
         let array = decode_array(stream.input()).ok()??;
-        let arrived_at = stream.consume(array.encoded_bytes);
-        Some(ReceivedCommand { command: EngineCommand::decode(&array.words), arrived_at })
+        let arrived_at = stream.consume(array.encoded_length);
+        Some(ReceivedCommand { command: EngineCommand::decode(&array.parts), arrived_at })
     }
 
     /// Records an attempt, and runs it or refuses it.
