--- a/crates/fault-shim/src/settings.rs
+++ b/crates/fault-shim/src/settings.rs
@@ -1,18 +1,18 @@
-//! The faults that the environment names, read once.
+//! The settings of the faults, read once from environment variables.
 
 use std::sync::OnceLock;
 
 const NO_SLOWDOWN: f64 = 1.0;
 
-/// The faults that are injected.
+/// The settings of the faults; see the crate's documentation for the environment variables.
 pub struct Settings {
-    /// Factor of the time that computations take; 1 for no delay.
+    /// Factor by which computations are slowed down; 1 for no delay.
     pub slowdown: f64,
     /// Step of the wall clock, in milliseconds; 0 for none.
     pub clock_step_ms: i64,
-    /// When the wall clock steps, in milliseconds after the process has read it first.
+    /// Time from the process's first read of the wall clock to the step, in milliseconds.
     pub clock_step_at_ms: i64,
-    /// Each call whose number is a multiple of this one fails; 0 for none.
+    /// Every Nth call of each socket function fails; 0 for none.
     pub fail_every: u64,
 }
 
@@ -20,13 +20,14 @@
 pub fn settings() -> &'static Settings {
     static SETTINGS: OnceLock<Settings> = OnceLock::new();
     SETTINGS.get_or_init(|| Settings {
-        slowdown: number("FAULT_SHIM_SLOWDOWN").unwrap_or(NO_SLOWDOWN),
-        clock_step_ms: number("FAULT_SHIM_CLOCK_STEP_MS").unwrap_or(0.0) as i64,
-        clock_step_at_ms: number("FAULT_SHIM_CLOCK_STEP_AT_MS").unwrap_or(0.0) as i64,
-        fail_every: number("FAULT_SHIM_FAIL_EVERY").unwrap_or(0.0) as u64,
+        slowdown: number_from_env("FAULT_SHIM_SLOWDOWN").unwrap_or(NO_SLOWDOWN),
+        clock_step_ms: number_from_env("FAULT_SHIM_CLOCK_STEP_MS").unwrap_or(0.0) as i64,
+        clock_step_at_ms: number_from_env("FAULT_SHIM_CLOCK_STEP_AT_MS").unwrap_or(0.0) as i64,
+        fail_every: number_from_env("FAULT_SHIM_FAIL_EVERY").unwrap_or(0.0) as u64,
     })
 }
 
-fn number(name: &str) -> Option<f64> {
+/// Returns the value of an environment variable; `None` if it is not set or not a number.
+fn number_from_env(name: &str) -> Option<f64> {
     std::env::var(name).ok()?.parse().ok()
 }
