--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -1,6 +1,6 @@
-//! An emulated client: it sends requests of several profiles at random times over one connection, reads the answers, and
-//! retries a rejected request after the router's Retry-After. The requests are the same for the same seed; the times of
-//! the answers are not.
+//! An emulated client: it sends requests of several profiles at random times over one connection, reads the answers,
+//! and retries a rejected request after the router's Retry-After. The requests depend only on the seed; the times of the
+//! answers vary between runs.
 
 use crate::outcome::{OutcomeKind, RequestOutcome, WaitEstimate};
 use crate::run_log::{Run, RunLog};
@@ -18,43 +18,43 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Time after the deadline of a request until the client stops waiting for the answer.
+/// How long after a request's deadline the client still waits for the answer.
 const ANSWER_GRACE: Duration = Duration::from_secs(1);
-/// How long a read waits for the next byte, which delays the requests that are due.
+/// How long a read waits for the next byte. Requests that become due in the meantime are delayed, so it is short.
 const READ_TIMEOUT: Duration = Duration::from_millis(1);
 /// The pause before a retry if the rejection has no Retry-After.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 const MS_PER_SECOND: f64 = 1e3;
 
-/// A client of one team, with one connection.
+/// A client of one team, with one connection to the router.
 pub struct Client {
     pub team: &'static str,
-    /// The request parameter with which the client asks for announcements of waits; `None` for no announcements.
+    /// The request parameter by which the client subscribes to announcements of waits; `None` for no announcements.
     pub wait_field: Option<&'static str>,
     pub profiles: Vec<RequestProfile>,
     pub seed: u64,
-    /// Retries of a rejected request at most.
+    /// Maximum number of retries of a rejected request.
     pub max_retries: u32,
 }
 
 impl Client {
-    /// Sends requests for a duration and waits for the answers; returns the outcomes of all requests. `runs` is the log
-    /// of the engines' runs.
+    /// Sends requests for `duration` and waits for the answers; returns the outcomes of all requests. `runs` is the log
+    /// in which the engines record the runs of requests.
     pub fn run(
         &self,
         router: SocketAddr,
         duration: Duration,
         runs: &RunLog,
     ) -> std::io::Result<Vec<RequestOutcome>> {
-        let mut random = StdRng::seed_from_u64(self.seed);
-        let scheduled = schedule(&self.profiles, duration, &mut random);
+        let mut rng = StdRng::seed_from_u64(self.seed);
+        let scheduled = schedule(&self.profiles, duration, &mut rng);
         let socket = TcpStream::connect(router)?;
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut session = Session {
             client: self,
             runs,
-            random,
+            rng,
             socket: BufReader::new(socket),
             partial_line: Vec::new(),
             scheduled,
@@ -68,13 +68,13 @@
     }
 }
 
-/// A request that is not answered, or is to be retried.
+/// A request that has no final answer yet: it is in progress, or waits for its retry.
 struct OpenRequest {
     profile: RequestProfile,
     message: ClientRequest,
     first_sent_at: Instant,
     retry_count: u32,
-    /// The first announcement since the request was last sent.
+    /// The first announcement of a wait since the request was last sent.
     announced: Option<ReceivedAnnouncement>,
 }
 
@@ -96,16 +96,16 @@
     }
 }
 
-/// A request that is to be sent again.
+/// A rejected request that is sent again at a given time.
 struct Retry {
     at: Instant,
     request: OpenRequest,
 }
 
-/// The result of a read.
+/// The result of a read from the router.
 enum Incoming {
     Message(RouterMessage),
-    /// No complete line has arrived.
+    /// No complete and valid line has arrived.
     Nothing,
     Closed,
 }
@@ -114,7 +114,7 @@
 struct Session<'a> {
     client: &'a Client,
     runs: &'a RunLog,
-    random: StdRng,
+    rng: StdRng,
     socket: BufReader<TcpStream>,
     /// The bytes of an incomplete line.
     partial_line: Vec<u8>,
@@ -129,7 +129,7 @@
     fn run(&mut self, duration: Duration) -> std::io::Result<()> {
         let started_at = Instant::now();
         while !self.is_done() {
-            // Requests for which there was no capacity within the duration are dropped.
+            // Requests that could not be sent within the duration, for lack of capacity, are dropped.
             if started_at.elapsed() >= duration {
                 self.scheduled.clear();
             }
@@ -146,12 +146,14 @@
         Ok(())
     }
 
+    /// Whether no request is scheduled, waits for a retry, or is open without being overdue.
     fn is_done(&self) -> bool {
         self.scheduled.is_empty()
             && self.retries.is_empty()
             && self.open.values().all(OpenRequest::is_overdue)
     }
 
+    /// Whether the connection allows another open request.
     fn has_capacity(&self) -> bool {
         self.open.len() < MAX_OPEN_REQUESTS
     }
@@ -175,7 +177,7 @@
     fn send(&mut self, scheduled: ScheduledRequest) -> std::io::Result<()> {
         let ScheduledRequest { profile, work_ms, memory_mb, .. } = scheduled;
         let id = self.next_id();
-        let request_id = request_id(self.random.random());
+        let request_id = request_id(self.rng.random());
         let statement = StatementNeed { work_ms, memory_mb }.statement();
         let wait_parameter = self.client.wait_field.map(|field| (field.to_owned(), Value::from(true)));
         let message = ClientRequest {
@@ -190,15 +192,15 @@
         self.send_message(OpenRequest { profile, message, first_sent_at, retry_count: 0, announced: None })
     }
 
-    /// Sends the message of a request, which is open from now on.
+    /// Sends the message of a request and adds the request to the open ones.
     fn send_message(&mut self, request: OpenRequest) -> std::io::Result<()> {
         self.socket.get_mut().write_all(&request.message.encode())?;
         self.open.insert(request.message.id, request);
         Ok(())
     }
 
-    /// Sends one retry that is due, with the time left until the deadline. Returns true if the deadline has passed, so
-    /// that no retry was sent and another one may be due.
+    /// Sends one retry that is due, with the time left until the deadline as its timeout. Returns true if the deadline
+    /// has passed; then the request is recorded as rejected, and another retry may be due.
     fn retry_one_due(&mut self) -> std::io::Result<bool> {
         if !self.has_capacity() {
             return Ok(false);
@@ -217,7 +219,7 @@
         Ok(false)
     }
 
-    /// Reads a line. A read that times out keeps the bytes of an incomplete line.
+    /// Reads a line. If the read times out, the bytes of an incomplete line are kept.
     fn read(&mut self) -> std::io::Result<Incoming> {
         match self.socket.read_until(b'\n', &mut self.partial_line) {
             Ok(0) => Ok(Incoming::Closed),
@@ -241,14 +243,14 @@
         }
     }
 
-    /// Records an announcement, unless the request has an earlier one.
+    /// Records the first announcement of a request; later ones are ignored.
     fn record_announcement(&mut self, announcement: WaitAnnouncement) {
         if let Some(request) = self.open.get_mut(&announcement.id) {
             request.announced.get_or_insert(ReceivedAnnouncement { at: Instant::now(), announcement });
         }
     }
 
-    /// Schedules the retry of a rejected request, or records the outcome of a request.
+    /// Schedules the retry of a rejected request that has retries left; otherwise records the outcome.
     fn handle_answer(&mut self, mut request: OpenRequest, outcome: &Outcome) {
         let kind = match outcome {
             Outcome::Result { .. } | Outcome::Status { .. } => OutcomeKind::Succeeded,
@@ -282,7 +284,7 @@
         });
     }
 
-    /// Returns all outcomes; requests that are still open or to be retried are unanswered.
+    /// Returns all outcomes; requests that are still open or wait for a retry count as unanswered.
     fn finish(mut self) -> Vec<RequestOutcome> {
         let open = std::mem::take(&mut self.open).into_values();
         let retries = std::mem::take(&mut self.retries).into_iter().map(|retry| retry.request);
@@ -293,7 +295,7 @@
     }
 }
 
-/// Compares the announced wait of a request with the actual one; `None` if the request has no announcement or run.
+/// Returns the announced and the actual wait of a request; `None` if the wait was not announced or no run is known.
 fn wait_estimate(request: &OpenRequest, started_at: Option<Instant>) -> Option<WaitEstimate> {
     let ReceivedAnnouncement { at, announcement } = request.announced.as_ref()?;
     let actual_s = started_at?.saturating_duration_since(*at).as_secs_f64();
--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -7,28 +7,37 @@
 pub const CORES_PER_ENGINE: f64 = 4.0;
 /// Memory of each engine, in MB.
 pub const ENGINE_MEMORY_MB: f64 = 4096.0;
-/// Resources of the router's process: cores, MB of memory and descriptors.
+/// Cores that the router may use.
 const ROUTER_CORES: f64 = 1.0;
+/// Memory limit of the router's process, in MB.
 const ROUTER_MEMORY_MB: u32 = 192;
+/// Maximum number of file descriptors of the router's process.
 const ROUTER_DESCRIPTORS: u32 = 1024;
 /// Interval of the router's timer.
 const TICK_MS: u32 = 5;
+/// How long the router waits until a connection to an engine is established.
 const CONNECT_TIMEOUT_MS: u32 = 250;
+/// Idle time after which an engine closes a connection, according to the settings.
 const IDLE_TIMEOUT_MS: u32 = 15_000;
+/// Maximum Retry-After of a rejection.
 const MAX_RETRY_AFTER_MS: u32 = 2000;
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Open calls of one connection to an engine at most.
+/// Maximum number of open calls on a connection to an engine.
 const MAX_CALLS_PER_CONNECTION: u32 = 32;
-/// Fraction of an engine's memory that one request may use.
+/// Largest memory grant, as a fraction of the engine's memory.
 const MAX_MEMORY_SHARE: f64 = 0.4;
+/// Interval of an engine's progress replies, according to the settings.
 const PROGRESS_INTERVAL_MS: u32 = 500;
-/// Value of a late answer, as a fraction of that of an answer in time.
+/// Fraction of the priority weight that a late answer is worth.
 const LATE_VALUE_SHARE: f64 = 0.1;
-/// The slow start of an engine: its window, its overload as a multiple of the capacity, the fraction of the capacity with
-/// which it starts, and the time to its full capacity.
+/// Length of the window in which [`OVERLOAD_FACTOR`] limits the load.
 const SLOW_START_WINDOW_MS: u32 = 1000;
+/// Load that an engine withstands while it is warming up, as a multiple of its capacity.
 const OVERLOAD_FACTOR: f64 = 2.5;
+/// Capacity of an engine right after its start, as a fraction of its full capacity.
 const START_CAPACITY: f64 = 0.33;
+/// Time from an engine's start to its full capacity.
 const WARM_UP_MS: u32 = 3000;
 
 /// The settings of a request class.
@@ -36,7 +45,7 @@
     name: &'static str,
     latency_objective_ms: u32,
     deadline_ms: u32,
-    /// Whether a request may run more than once.
+    /// Whether a request of the class may run more than once.
     is_idempotent: bool,
 }
 
@@ -54,7 +63,7 @@
     }
 }
 
-/// Returns the configuration of a router with the addresses of its listener and of discovery.
+/// Returns the configuration of a router that listens on `listen` and gets its endpoint list from `discovery`.
 pub fn configuration(listen: SocketAddr, discovery: SocketAddr) -> Value {
     json!({"name": "demo", "listen": listen.to_string(), "seed": "1",
         "limits": {"cores": ROUTER_CORES, "memory_mb": ROUTER_MEMORY_MB, "sockets": ROUTER_DESCRIPTORS},
--- a/crates/emulator/src/demo.rs
+++ b/crates/emulator/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: engines, a discovery service and a router on loopback, the mixed workload of three teams, and an engine that
-//! is lost half-way.
+//! The demo: engines, a discovery service and a router on loopback, with the mixed workload of three teams. Half-way,
+//! an engine is stopped.
 
 use crate::client::Client;
 use crate::configuration::{CORES_PER_ENGINE, ENGINE_MEMORY_MB, configuration};
@@ -17,17 +17,18 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Time from the loss of an engine to the watch event of discovery.
+/// Time from the loss of an engine until discovery removes it from the list.
 const DISCOVERY_DELAY: Duration = Duration::from_millis(500);
-/// Interval at which the demo checks its clients.
-const WATCH_INTERVAL: Duration = Duration::from_millis(50);
-/// Attempts of the demo to connect to the router, and the pause between them.
+/// Interval at which the demo checks whether its clients have finished.
+const MONITOR_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of attempts to connect to the router at its start.
 const MAX_CONNECT_ATTEMPTS: u32 = 200;
+/// Pause between two attempts to connect.
 const CONNECT_PAUSE: Duration = Duration::from_millis(25);
 const LOOKUP_DEADLINE: Duration = Duration::from_millis(4000);
 const REPORT_DEADLINE: Duration = Duration::from_millis(12_000);
 const POST_DEADLINE: Duration = Duration::from_millis(6000);
-/// Retries of a rejected request at most.
+/// Maximum number of retries of a rejected request.
 const MAX_RETRIES: u32 = 2;
 /// The urgency of the audit team's lookups.
 const AUDIT_URGENCY: u8 = 2;
@@ -36,34 +37,35 @@
 pub struct Demo {
     /// How long clients send requests.
     pub duration: Duration,
+    /// The seed from which the clients' requests are drawn.
     pub seed: u64,
     pub engine_count: u32,
-    /// The text of the operator's file; `None` for a router without teams.
+    /// The content of the operator's file; `None` for a router without teams.
     pub operator_text: Option<String>,
-    /// Returns the clients for a seed.
+    /// Creates the clients for a seed.
     pub clients: fn(u64) -> Vec<Client>,
-    /// Whether an engine is lost half-way.
+    /// Whether an engine is stopped half-way, if there is another one.
     pub loses_engine: bool,
 }
 
 /// Why the demo could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    #[error("starting an engine: {0}")]
+    #[error("cannot start an engine: {0}")]
     StartEngine(#[source] std::io::Error),
-    #[error("starting the discovery service: {0}")]
+    #[error("cannot start the discovery service: {0}")]
     StartDiscovery(#[source] std::io::Error),
-    #[error("finding a free port for the router: {0}")]
+    #[error("cannot find a free port for the router: {0}")]
     FindPort(#[source] std::io::Error),
-    #[error("connecting to the router at {address}: it does not listen")]
+    #[error("the router at {address} accepts no connection after {MAX_CONNECT_ATTEMPTS} attempts")]
     RouterNotListening { address: SocketAddr },
-    #[error("running a client: {0}")]
+    #[error("a client failed: {0}")]
     Client(#[source] std::io::Error),
-    #[error("a client's thread panicked")]
+    #[error("the thread of a client panicked")]
     ClientPanicked,
 }
 
-/// Returns three teams that send lookups, reports and posts; rates are in requests a second.
+/// Returns the clients of three teams, which send lookups, reports and posts.
 pub fn mixed_clients(seed: u64) -> Vec<Client> {
     let lookup = |rate, urgency| RequestProfile {
         class: "lookup",
@@ -105,7 +107,7 @@
 
 type ClientThread = JoinHandle<std::io::Result<Vec<RequestOutcome>>>;
 
-/// The engines of a running demo and the service that lists them.
+/// The engines of a running demo and their discovery service.
 struct Fleet {
     engines: Vec<Engine>,
     endpoints: Vec<Endpoint>,
@@ -123,7 +125,8 @@
         Ok(Self { engines, endpoints, discovery })
     }
 
-    /// Stops the first engine, which closes all its connections; discovery removes it from the list a little later.
+    /// Stops the first engine, which closes all its connections. Discovery removes it from the list after
+    /// [`DISCOVERY_DELAY`].
     fn lose_first_engine(&mut self) {
         drop(self.engines.remove(0));
         std::thread::sleep(DISCOVERY_DELAY);
@@ -132,7 +135,7 @@
 }
 
 impl Demo {
-    /// Runs the demo and prints a line of progress a second; returns the outcomes of all requests that were sent.
+    /// Runs the demo and writes a line to `progress` each second; returns the outcomes of all requests that were sent.
     pub fn run(&self, progress: impl Write) -> Result<Vec<RequestOutcome>, DemoError> {
         let runs = RunLog::default();
         let mut fleet = Fleet::start(self.engine_count, &runs)?;
@@ -141,7 +144,7 @@
         wait_until_listening(router)?;
         let started_at = Instant::now();
         let clients = self.start_clients(router, &runs);
-        self.watch(&clients, &mut fleet, started_at, progress);
+        self.monitor(&clients, &mut fleet, started_at, progress);
         let mut outcomes = Vec::new();
         for client in clients {
             let result = client.join().map_err(|_| DemoError::ClientPanicked)?;
@@ -159,8 +162,8 @@
         (self.clients)(self.seed).into_iter().map(start).collect()
     }
 
-    /// Prints progress and stops an engine half-way, until all clients have ended.
-    fn watch(
+    /// Waits until all clients have finished. Meanwhile, prints progress and stops an engine half-way.
+    fn monitor(
         &self,
         clients: &[ClientThread],
         fleet: &mut Fleet,
@@ -170,12 +173,12 @@
         let mut has_lost_engine = false;
         let mut printed_seconds = 0;
         while clients.iter().any(|client| !client.is_finished()) {
-            std::thread::sleep(WATCH_INTERVAL);
+            std::thread::sleep(MONITOR_INTERVAL);
             let seconds = started_at.elapsed().as_secs();
             if seconds > printed_seconds {
                 printed_seconds = seconds;
-                let event = if has_lost_engine { ", an engine is lost" } else { "" };
-                let _ = write!(progress, "\r{seconds:3} s{event}").and_then(|()| progress.flush());
+                let suffix = if has_lost_engine { ", an engine is lost" } else { "" };
+                let _ = write!(progress, "\r{seconds:3} s{suffix}").and_then(|()| progress.flush());
             }
             let is_half_way = started_at.elapsed() >= self.duration / 2;
             if self.loses_engine && !has_lost_engine && is_half_way && fleet.engines.len() > 1 {
@@ -187,7 +190,7 @@
     }
 }
 
-/// Runs a router in a new thread, which ends with the process.
+/// Runs a router in a new thread, until the process ends.
 fn start_router(configuration: Value, operator_text: Option<String>) {
     std::thread::spawn(move || {
         let read = move || {
@@ -198,7 +201,7 @@
             Ok(bootstrap)
         };
         if let Err(error) = RouterLoop::run(read) {
-            eprintln!("emberflow-emulator: running the router: {error}");
+            eprintln!("emberflow-emulator: the router has failed: {error}");
         }
     });
 }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! An emulated discovery service: it sends the complete endpoint list to each router that connects, each change of the
-//! list, and a heartbeat each second.
+//! An emulated discovery service: it sends the complete endpoint list to each router that connects, then each change of
+//! the list, and a heartbeat each second.
 
 use emberflow_peer_protocol::discovery::{
     Endpoint, EngineState, FrameKind, HEARTBEAT_INTERVAL, RESUME_BYTES, encode_frame, encode_heartbeat,
@@ -13,38 +13,40 @@
     /// The number of the last event.
     last_event: u64,
     endpoints: Vec<Endpoint>,
-    /// The connections of routers.
-    watchers: Vec<TcpStream>,
+    /// The connections of routers that get the changes of the list.
+    subscribers: Vec<TcpStream>,
 }
 
 impl EndpointList {
-    fn send_to_watchers(&mut self, frame: &[u8]) {
-        self.watchers.retain_mut(|watcher| watcher.write_all(frame).is_ok());
+    /// Sends a frame to all subscribers, and removes those whose connection has failed.
+    fn send_to_subscribers(&mut self, frame: &[u8]) {
+        self.subscribers.retain_mut(|subscriber| subscriber.write_all(frame).is_ok());
     }
 }
 
 /// A running discovery service; its threads end with the process.
 #[derive(Clone)]
 pub struct Discovery {
-    /// The address for routers.
+    /// The address to which routers connect.
     pub address: SocketAddr,
     list: Arc<Mutex<EndpointList>>,
 }
 
 impl Discovery {
-    /// Serves a list of endpoints on a loopback port.
+    /// Starts a service with these endpoints on a free loopback port.
     pub fn start(endpoints: Vec<Endpoint>) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        let list = Arc::new(Mutex::new(EndpointList { last_event: 1, endpoints, watchers: Vec::new() }));
+        let list = Arc::new(Mutex::new(EndpointList { last_event: 1, endpoints, subscribers: Vec::new() }));
         let discovery = Self { address, list };
         let (acceptor, heartbeat_sender) = (discovery.clone(), discovery.clone());
-        std::thread::spawn(move || acceptor.accept_watchers(&listener));
+        std::thread::spawn(move || acceptor.accept_subscribers(&listener));
         std::thread::spawn(move || heartbeat_sender.send_heartbeats());
         Ok(discovery)
     }
 
-    /// Replaces the endpoint with the same id, or removes it if the engine has left the list.
+    /// Replaces the endpoint with the same id, or removes it if its new state is [`EngineState::Removed`]. Sends the
+    /// change to all subscribers.
     pub fn change(&self, endpoint: Endpoint) {
         let mut list = self.list();
         list.last_event += 1;
@@ -53,24 +55,25 @@
             list.endpoints.push(endpoint);
         }
         let change = encode_frame(list.last_event, FrameKind::Changes, &[endpoint]);
-        list.send_to_watchers(&change);
+        list.send_to_subscribers(&change);
     }
 
-    /// Locks the list. A panic of another thread leaves the list usable, since each change is made at once.
+    /// Locks the list. After a panic of another thread the list is still valid, since no change is left half done.
     fn list(&self) -> MutexGuard<'_, EndpointList> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Accepts routers. A router first sends the number of its last event; it always gets the complete list.
-    fn accept_watchers(&self, listener: &TcpListener) {
-        for mut watcher in listener.incoming().flatten() {
-            if watcher.read_exact(&mut [0; RESUME_BYTES]).is_err() {
+    /// Accepts the connections of routers. A router first sends the number of its last event, which is ignored: each
+    /// router gets the complete list.
+    fn accept_subscribers(&self, listener: &TcpListener) {
+        for mut subscriber in listener.incoming().flatten() {
+            if subscriber.read_exact(&mut [0; RESUME_BYTES]).is_err() {
                 continue;
             }
             let mut list = self.list();
             let complete_list = encode_frame(list.last_event, FrameKind::CompleteList, &list.endpoints);
-            if watcher.write_all(&complete_list).is_ok() {
-                list.watchers.push(watcher);
+            if subscriber.write_all(&complete_list).is_ok() {
+                list.subscribers.push(subscriber);
             }
         }
     }
@@ -80,7 +83,7 @@
             std::thread::sleep(HEARTBEAT_INTERVAL);
             let mut list = self.list();
             let heartbeat = encode_heartbeat(list.last_event);
-            list.send_to_watchers(&heartbeat);
+            list.send_to_subscribers(&heartbeat);
         }
     }
 }
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,5 +1,5 @@
-//! An emulated engine: a thread with a listener that speaks the router's protocol to engines and runs calls by the load
-//! model. Its faults can be set while it runs.
+//! An emulated engine: a thread that accepts connections from routers and runs their calls according to the load model.
+//! Its faults can be set while it runs.
 
 use crate::load_model::{FinishedRequest, LoadModel, ResourceNeed};
 use crate::run_log::RunLog;
@@ -13,43 +13,44 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Limit of the unread bytes, and of the unwritten bytes, of a connection; above it the connection is closed.
+/// Maximum number of unhandled input bytes, and of unwritten bytes, of a connection; above it the connection is closed.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Pause between two rounds over all sockets.
+/// Pause between two rounds in which the engine polls all its sockets.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The speed of an engine's cores without a fault.
+/// Relative speed of an engine's cores without a fault.
 const NORMAL_SPEED: f64 = 1.0;
 const MS_PER_SECOND: f64 = 1e3;
-/// The tag of every pong.
+/// The tag of every pong, whatever the tag of the ping.
 const PONG_TAG: &str = "0";
-/// A complete result, and one that ends within its row.
+/// The rows of a complete result.
 const RESULT: &str = "1\t2\t3\n";
+/// The rows of a truncated result, which ends within its row.
 const TRUNCATED_RESULT: &str = "1\t2";
 
 /// The faults of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineFault {
-    /// The speed of the engine's cores; `None` for the normal one.
+    /// Relative speed of the engine's cores; `None` for the normal speed of 1.
     pub speed: Option<f64>,
-    /// The engine reads commands and runs them, but sends nothing.
+    /// Whether the engine runs calls but sends no replies.
     pub is_silent: bool,
     /// Every Nth result ends within its row; `None` for no such fault.
     pub truncates_every: Option<u32>,
-    /// The engine closes all connections and accepts no new ones.
+    /// Whether the engine closes all connections and its listener, and ends.
     pub is_stopped: bool,
 }
 
 /// A running engine; it stops when it is dropped.
 pub struct Engine {
-    /// The address for routers.
+    /// The address to which routers connect.
     pub address: SocketAddrV4,
     fault: Arc<Mutex<EngineFault>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Engine {
-    /// Starts an engine on a loopback port; its runs are recorded in `runs`.
+    /// Starts an engine on a free loopback port; the runs of its calls are recorded in `runs`.
     pub fn start(cores: f64, memory_mb: f64, runs: RunLog) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
@@ -76,7 +77,7 @@
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Stops the engine for good and waits until its sockets are closed.
+    /// Stops the engine permanently and waits until its sockets are closed.
     pub fn stop(&mut self) {
         self.set_fault(EngineFault { is_stopped: true, ..EngineFault::default() });
         if let Some(thread) = self.thread.take() {
@@ -125,11 +126,11 @@
         }
     }
 
-    /// Removes the complete commands from the input.
+    /// Removes the complete commands from the input and returns them.
     fn take_commands(&mut self) -> Vec<EngineCommand> {
         let mut commands = Vec::new();
-        while let Ok(Some(words)) = take_array(&mut self.input) {
-            commands.push(EngineCommand::decode(&words));
+        while let Ok(Some(parts)) = take_array(&mut self.input) {
+            commands.push(EngineCommand::decode(&parts));
         }
         commands
     }
@@ -149,14 +150,14 @@
     }
 }
 
-/// The engine's thread.
+/// The state of the engine's thread.
 struct EngineServer {
     listener: TcpListener,
     fault: Arc<Mutex<EngineFault>>,
     load: LoadModel,
     runs: RunLog,
     connections: Vec<Option<Connection>>,
-    /// The index of the connection of each running request, by request id.
+    /// The index of the connection on which the call of each running request came, by request id.
     connection_by_request: BTreeMap<String, usize>,
     started_at: Instant,
     result_count: u32,
@@ -221,9 +222,9 @@
         for command in connection.take_commands() {
             self.handle(index, now, &command, is_silent);
         }
-        let Some(open) = &mut self.connections[index] else { return };
-        open.write();
-        if state == ConnectionState::Closed || open.is_over_limit() {
+        let Some(still_open) = &mut self.connections[index] else { return };
+        still_open.write();
+        if state == ConnectionState::Closed || still_open.is_over_limit() {
             self.close(index);
         }
     }
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Runs a call, or rejects it if its memory is not free.
+    /// Runs a call, or replies that the engine is overloaded if the granted memory is not free.
     fn start_call(&mut self, connection: usize, now: Duration, call: &Call, is_silent: bool) {
         let StatementNeed { work_ms, memory_mb } = StatementNeed::of_statement(&call.statement);
         let granted_mb = call.fields.granted_memory_mb.unwrap_or(memory_mb);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Emulates the peers of a router on loopback: engines with a small load model and faults on demand, the discovery
+//! Emulated peers of a router on loopback: engines with a small load model and faults that can be set, a discovery
 //! service, and clients with a mixed workload.
 
 pub mod client;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `emberflow-emulator demo` and `skewed`: a router between emulated peers on loopback.
+//! `emberflow-emulator`: its commands `demo` and `skewed` run a router between emulated peers on loopback.
 
 use emberflow_emulator::demo::{Demo, mixed_clients};
 use emberflow_emulator::skewed;
@@ -14,9 +14,10 @@
 loses an engine half-way, and prints the outcomes (20 seconds, seed 1, 3 engines);
 skewed has one of four teams send ten times its share, without and with a file of teams, and compares";
 
-/// Exit statuses.
+/// Exit status if a command fails.
 const FAILURE: u8 = 1;
-const WRONG_ARGUMENTS: u8 = 2;
+/// Exit status for an invalid command line.
+const INVALID_ARGUMENTS: u8 = 2;
 const MAX_SECONDS: u64 = 3600;
 const MAX_ENGINES: u32 = 64;
 const DEFAULT_DURATION: Duration = Duration::from_secs(20);
@@ -62,16 +63,17 @@
         Some(word) if word == "demo" => Ok(Command::Demo(demo)),
         Some(word) if word == "skewed" => Ok(Command::Skewed { duration: demo.duration, seed: demo.seed }),
         Some(word) if word == "help" => Ok(Command::Help),
-        Some(word) => Err(format!("no such command: {}", word.to_string_lossy()).into()),
-        None => Err("a command is missing".into()),
+        Some(word) => Err(format!("unknown command: {}", word.to_string_lossy()).into()),
+        None => Err("no command given".into()),
     }
 }
 
 fn read_operator_file(path: &std::ffi::OsStr) -> Result<String, lexopt::Error> {
     std::fs::read_to_string(path)
-        .map_err(|error| format!("reading {}: {error}", path.to_string_lossy()).into())
+        .map_err(|error| format!("cannot read {}: {error}", path.to_string_lossy()).into())
 }
 
+/// Prints the error and the usage; returns the exit status.
 fn fail(error: &dyn std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("emberflow-emulator: {error}\n{USAGE}");
     ExitCode::from(code)
@@ -80,7 +82,7 @@
 fn main() -> ExitCode {
     let command = match parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
-        Err(error) => return fail(&error, WRONG_ARGUMENTS),
+        Err(error) => return fail(&error, INVALID_ARGUMENTS),
     };
     let output = match command {
         Command::Help => Ok(format!("{USAGE}\n")),
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -8,13 +8,13 @@
 pub enum OutcomeKind {
     /// The answer is a result.
     Succeeded,
-    /// The answer is a rejection, after which a retry is harmless.
+    /// The answer is a rejection, after which a retry is safe.
     Rejected,
     /// The answer is a failure; the request may have run.
     Failed,
     /// The answer says that the request is invalid.
     Invalid,
-    /// There is no answer.
+    /// The client stopped waiting without an answer.
     Unanswered,
 }
 
@@ -24,15 +24,17 @@
     pub team: &'static str,
     pub class: &'static str,
     pub kind: OutcomeKind,
-    /// Time from the first sending of the request to the start of its last run.
+    /// Time from when the request was first sent to the start of its last run; `None` if no run is known.
     pub wait: Option<Duration>,
-    /// Duration of the last run.
+    /// Duration of the last run, if it has ended.
     pub run: Option<Duration>,
+    /// Whether the request has an urgency above 0.
     pub is_urgent: bool,
-    /// When the last run started.
+    /// When the last run started; `None` if no run is known.
     pub started_at: Option<Instant>,
-    /// The request's work in seconds of one core.
+    /// The request's work, in seconds of one core.
     pub work_s: f64,
+    /// The announced and actual wait; `None` if the wait was not announced or no run is known.
     pub wait_estimate: Option<WaitEstimate>,
 }
 
@@ -43,7 +45,7 @@
     }
 }
 
-/// The first wait that the router announced for a request, and the actual one.
+/// The first wait that the router announced for a request, and the actual wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitEstimate {
     pub announced: WaitAnnouncement,
@@ -57,7 +59,7 @@
         (self.announced.least_s..=self.announced.most_s).contains(&self.actual_s)
     }
 
-    /// Returns the difference of the actual wait from the likely one, as a fraction of the likely one.
+    /// Returns the difference between the actual and the likely wait, as a fraction of the likely wait.
     pub fn relative_error(&self) -> f64 {
         (self.actual_s / self.announced.likely_s - 1.0).abs()
     }
--- a/crates/emulator/src/run_log.rs
+++ b/crates/emulator/src/run_log.rs
@@ -1,4 +1,4 @@
-//! The runs of requests on emulated engines.
+//! A log of the runs of requests on emulated engines, by which clients learn when their requests ran.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,18 +8,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     pub started_at: Instant,
-    /// When the run ended; `None` while it lasts.
+    /// When the run ended; `None` if it has not ended or was cancelled.
     pub ended_at: Option<Instant>,
 }
 
 impl Run {
-    /// Returns the duration of the run, once it has ended.
+    /// Returns the duration of the run; `None` if it has not ended.
     pub fn duration(&self) -> Option<Duration> {
         Some(self.ended_at?.saturating_duration_since(self.started_at))
     }
 }
 
-/// The last run of each request on any engine, by request id.
+/// The last run of each request on any engine, by request id. Clones share the log.
 #[derive(Clone, Default)]
 pub struct RunLog(Arc<Mutex<BTreeMap<String, Run>>>);
 
@@ -28,7 +28,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a run begins now.
+    /// Records that a run of a request starts now. It replaces the request's earlier run.
     pub fn record_start(&self, request_id: &str) {
         self.runs().insert(request_id.to_owned(), Run { started_at: Instant::now(), ended_at: None });
     }
--- a/crates/emulator/src/skewed.rs
+++ b/crates/emulator/src/skewed.rs
@@ -1,5 +1,5 @@
-//! A skewed load: one of four teams sends ten times its share. The load is sent to a router without teams and to one with
-//! teams, and the outcomes are compared.
+//! A skewed load: one of four teams sends ten times its share. The load is sent to a router without teams and to a
+//! router with teams, so that their outcomes can be compared.
 
 use crate::client::Client;
 use crate::demo::{Demo, DemoError};
@@ -15,28 +15,31 @@
 }}";
 const WAIT_FIELD: &str = "tell_wait";
 const ENGINES: u32 = 3;
-/// Connections of the flooding team, which needs more open requests than one connection allows.
+/// Connections of the flooding team, which has more open requests than one connection allows.
 const FLOODING_CONNECTIONS: usize = 4;
-/// Rates of a connection of the flooding team, and of another team, as multiples of the rates below.
+/// Rates on each connection of the flooding team, as a multiple of the base rates.
 const FLOOD_FACTOR: f64 = 2.5;
+/// Rates on the connection of each other team, as a multiple of the base rates.
 const ORDINARY_FACTOR: f64 = 1.2;
+/// Base rate of reports on a connection.
 const REPORTS_PER_SECOND: f64 = 8.0;
+/// Base rate of urgent lookups on a connection.
 const URGENT_LOOKUPS_PER_SECOND: f64 = 1.0;
 const LOOKUP_URGENCY: u8 = 2;
 /// The deadline of all requests.
 const DEADLINE: Duration = Duration::from_secs(12);
-/// Seconds of each window in which the teams' shares are compared.
+/// Length of the windows in which the teams' shares are compared, in seconds.
 const WINDOW_S: u64 = 10;
-/// Likely waits, in seconds, up to which announcements are not compared with the actual waits.
+/// Announced waits up to this likely wait, in seconds, are not compared with the actual waits.
 const SHORT_WAIT_S: f64 = 0.1;
-/// Keeps divisors above 0.
+/// Lower bound of divisors that may be 0.
 const MIN_DIVISOR: f64 = 1e-9;
 const MEDIAN: f64 = 0.5;
 const P99: f64 = 0.99;
 const PERCENT: f64 = 100.0;
 
-/// Returns the clients of all teams. Three engines of four cores do 12 seconds of work in a second, so that the share of a
-/// team is 3 seconds. The flooding team sends 30, and the others a little more than their share.
+/// Returns the clients of all teams. Three engines of four cores do 12 seconds of work in a second, so the equal share
+/// of each team is 3 seconds. In a second, the flooding team sends 30 seconds of work, each other team a little over 3.
 fn clients(seed: u64) -> Vec<Client> {
     let flooding = [(TEAMS[0], FLOOD_FACTOR); FLOODING_CONNECTIONS];
     let ordinary = TEAMS[1..].iter().map(|team| (*team, ORDINARY_FACTOR));
@@ -51,7 +54,7 @@
     connections.enumerate().map(client).collect()
 }
 
-/// Returns the profiles of a connection: reports, and urgent lookups for about a tenth of the requests.
+/// Returns the request profiles of a connection: reports, and urgent lookups as about a tenth of the requests.
 fn profiles(factor: f64) -> Vec<RequestProfile> {
     let report = RequestProfile {
         class: "report",
@@ -72,16 +75,16 @@
     vec![report, urgent_lookup]
 }
 
-/// Sorts the values and returns the one below which this fraction of them are; 0 without values.
+/// Sorts the values and returns the quantile for `fraction`, which is from 0 to 1; 0 if there are no values.
 fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
     let index = ((values.len() as f64 - 1.0) * fraction).round() as usize;
     values.get(index).copied().unwrap_or(0.0)
 }
 
-/// The evenness of the teams' shares.
+/// How evenly the work is shared among the teams.
 struct Fairness {
-    /// The largest difference of a team's share of a window from an equal share, as a fraction of the equal share.
+    /// Largest difference between a team's share of a window and an equal share, as a fraction of the equal share.
     worst_deviation: f64,
     /// Jain's index over the shares of all windows; 1 for equal shares.
     jain_index: f64,
@@ -94,8 +97,8 @@
     work_s: f64,
 }
 
-/// Compares the work of each team that was started in each window with an equal share. The first window, in which the
-/// queues fill, and an incomplete last one are left out.
+/// Compares each team's share of the work that engines start in a window with an equal share. The first window, in
+/// which the queues fill, and an incomplete last window are left out.
 fn fairness(outcomes: &[RequestOutcome], duration: Duration) -> Fairness {
     let started = outcomes.iter().filter_map(|outcome| {
         let at = outcome.started_at?;
@@ -115,7 +118,8 @@
     }
 }
 
-/// Returns each team's share of the work that was started in a window, as a multiple of an equal share.
+/// Returns each team's share of the work that engines started in a window, as a multiple of an equal share. `first` is
+/// the start of window 0.
 fn shares_of_window(started: &[StartedRequest], first: Instant, window: u64) -> [f64; TEAMS.len()] {
     let is_within = |request: &&StartedRequest| (request.at - first).as_secs() / WINDOW_S == window;
     let work = TEAMS.map(|team| -> f64 {
@@ -126,7 +130,7 @@
     work.map(|work| work / total.max(MIN_DIVISOR) * TEAMS.len() as f64)
 }
 
-/// Runs the load without and with teams; returns the tables and figures of both runs.
+/// Runs the load without and with teams; returns the tables and figures of both runs as text.
 pub fn compare(duration: Duration, seed: u64) -> Result<String, DemoError> {
     let mut text = String::new();
     for (name, operator_text) in [("without teams", None), ("with teams", Some(OPERATOR_TEXT.to_owned()))] {
@@ -142,7 +146,7 @@
     Ok(text)
 }
 
-/// Returns the figures of a run.
+/// Returns a line with the number of successes, the teams' shares and the wait of urgent requests.
 fn summary(outcomes: &[RequestOutcome], duration: Duration) -> String {
     let successes: Vec<&RequestOutcome> = outcomes.iter().filter(|outcome| outcome.is_success()).collect();
     let urgent = successes.iter().filter(|outcome| outcome.is_urgent);
@@ -156,7 +160,7 @@
     )
 }
 
-/// Compares the announced waits with the actual ones; returns an empty text without announcements.
+/// Returns a line that compares the announced waits with the actual waits; empty if no wait was announced.
 fn wait_summary(outcomes: &[RequestOutcome]) -> String {
     let successes = outcomes.iter().filter(|outcome| outcome.is_success());
     let estimates: Vec<WaitEstimate> = successes
--- a/crates/emulator/src/statements.rs
+++ b/crates/emulator/src/statements.rs
@@ -1,27 +1,28 @@
-//! The statements that emulated clients send. They name the work and the memory that an emulated engine needs for them.
+//! The statements that emulated clients send. A statement specifies the work and memory that it needs of an engine.
 
 const WORK_FIELD: &str = "work_ms";
 const MEMORY_FIELD: &str = "need_mb";
-/// The need of a statement that does not name it.
+/// The work of a statement that does not specify it.
 const DEFAULT_WORK_MS: f64 = 10.0;
+/// The memory of a statement that does not specify it.
 const DEFAULT_MEMORY_MB: f64 = 10.0;
 
-/// The work and memory of a statement.
+/// The work and memory that a statement needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StatementNeed {
-    /// Milliseconds on one core.
+    /// Work in milliseconds on one core.
     pub work_ms: f64,
     /// The memory with which the statement runs at full speed, in MB.
     pub memory_mb: f64,
 }
 
 impl StatementNeed {
-    /// Returns a statement with this need.
+    /// Returns a statement that specifies this need.
     pub fn statement(&self) -> String {
         format!("select {WORK_FIELD}={:.1} {MEMORY_FIELD}={:.1}", self.work_ms, self.memory_mb)
     }
 
-    /// Returns the need of a statement.
+    /// Returns the need that a statement specifies, or the defaults.
     pub fn of_statement(statement: &str) -> Self {
         Self {
             work_ms: field(statement, WORK_FIELD).unwrap_or(DEFAULT_WORK_MS),
--- a/crates/emulator/src/table.rs
+++ b/crates/emulator/src/table.rs
@@ -1,11 +1,11 @@
-//! The table of outcomes that the demo prints.
+//! The table of outcomes that the commands print.
 
 use crate::outcome::{OutcomeKind, RequestOutcome};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Significant digits of the quantiles.
+/// Precision of the quantiles, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MEDIAN: f64 = 0.5;
 const P99: f64 = 0.99;
@@ -16,7 +16,7 @@
 /// A column of figures.
 struct Column {
     title: &'static str,
-    /// In characters.
+    /// Width in characters.
     width: usize,
 }
 
@@ -33,8 +33,8 @@
     Column { title: "run p99", width: 8 },
 ];
 
-/// Returns a table by team and request class: the number of requests with each outcome, and quantiles of wait and run in
-/// milliseconds.
+/// Returns a table with a line for each team and request class: the number of requests by outcome, and quantiles of the
+/// wait and the run in milliseconds.
 pub fn table(outcomes: &[RequestOutcome]) -> String {
     let mut groups: BTreeMap<(&str, &str), Vec<&RequestOutcome>> = BTreeMap::new();
     for outcome in outcomes {
@@ -47,7 +47,7 @@
     text
 }
 
-/// Returns the figures of some requests, in the order of the columns.
+/// Returns the figures of a line, in the order of [`COLUMNS`].
 fn figures(outcomes: &[&RequestOutcome]) -> [u64; COLUMN_COUNT] {
     let count = |kind| outcomes.iter().filter(|outcome| outcome.kind == kind).count() as u64;
     let wait = Quantiles::of_successes(outcomes, |outcome| outcome.wait);
@@ -74,19 +74,23 @@
     text + "\n"
 }
 
-/// The median and the 99th percentile of some times, in milliseconds.
+/// The median and the 99th percentile of durations, in milliseconds.
 struct Quantiles {
     p50_ms: u64,
     p99_ms: u64,
 }
 
 impl Quantiles {
-    /// Returns the quantiles of one time of each successful request that has it.
-    fn of_successes(outcomes: &[&RequestOutcome], time_of: fn(&RequestOutcome) -> Option<Duration>) -> Self {
-        let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("from 0 to 5 digits");
+    /// Returns the quantiles of the durations that `duration_of` returns for successful requests.
+    fn of_successes(
+        outcomes: &[&RequestOutcome],
+        duration_of: fn(&RequestOutcome) -> Option<Duration>,
+    ) -> Self {
+        let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
+            .expect("the number of significant digits is from 0 to 5");
         let successes = outcomes.iter().filter(|outcome| outcome.is_success());
-        for time in successes.filter_map(|outcome| time_of(outcome)) {
-            histogram.saturating_record(time.as_millis() as u64);
+        for duration in successes.filter_map(|outcome| duration_of(outcome)) {
+            histogram.saturating_record(duration.as_millis() as u64);
         }
         Self { p50_ms: histogram.value_at_quantile(MEDIAN), p99_ms: histogram.value_at_quantile(P99) }
     }
--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -1,4 +1,4 @@
-//! A short demo, in which every request is answered although an engine is lost; and the faults of engines.
+//! A short demo, in which every request must be answered although an engine is stopped, and the faults of engines.
 
 use emberflow_emulator::demo::{Demo, mixed_clients};
 use emberflow_emulator::engine::{Engine, EngineFault};
@@ -13,7 +13,7 @@
 const OPERATOR_TEXT: &str = "{teams: {list: [{name: 'audit'}, {name: 'posting'}]}}";
 
 #[test]
-fn every_request_is_answered_though_an_engine_is_lost() {
+fn every_request_is_answered_although_an_engine_is_lost() {
     for operator_text in [None, Some(OPERATOR_TEXT.to_owned())] {
         let demo = Demo {
             duration: Duration::from_secs(2),
@@ -31,30 +31,30 @@
     }
 }
 
-/// Sends a call to an engine; returns the words of its reply, or `nothing` after a timeout.
+/// Sends a call to an engine; returns the parts of its reply, or `nothing` after a timeout.
 fn call(engine: &Engine, id: &str, timeout_ms: u64) -> String {
     let mut socket = TcpStream::connect(engine.address).expect("the engine listens");
     let timeout = Duration::from_millis(timeout_ms);
     socket.set_read_timeout(Some(timeout)).expect("a socket takes a read timeout");
     let statement = "select work_ms=20 need_mb=50";
-    let words = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
-    socket.write_all(&encode_array(&words)).expect("the engine reads");
+    let parts = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
+    socket.write_all(&encode_array(&parts)).expect("the engine reads");
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes) {
         Ok(0) => "closed".to_owned(),
-        Ok(count) => words_of(&bytes[..count]),
+        Ok(count) => parts_of(&bytes[..count]),
         Err(_) => "nothing".to_owned(),
     }
 }
 
-fn words_of(message: &[u8]) -> String {
+fn parts_of(message: &[u8]) -> String {
     let array = decode_array(message).expect("a well-formed message").expect("a complete message");
-    let words = array.parts.iter().map(|word| word.trim().replace('\t', " "));
-    words.collect::<Vec<_>>().join(", ")
+    let parts = array.parts.iter().map(|part| part.trim().replace('\t', " "));
+    parts.collect::<Vec<_>>().join(", ")
 }
 
 #[test]
-fn an_engine_answers_and_fails_by_its_fault() {
+fn replies_follow_the_fault_of_the_engine() {
     let engine = Engine::start(4.0, 100.0, RunLog::default()).expect("a loopback port is free");
     let mut answers = vec![call(&engine, "a", 2000)];
     engine.set_fault(EngineFault { truncates_every: Some(1), ..EngineFault::default() });
--- a/crates/emulator/tests/load_model.rs
+++ b/crates/emulator/tests/load_model.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn cores_are_shared_memory_is_bounded_and_a_small_grant_slows() {
+fn cores_are_shared_memory_is_limited_and_a_small_grant_slows() {
     let mut load = LoadModel::new(2.0, 1000.0);
     let started = [
         load.start(ms(0), "a", need(400.0, 400.0)),
@@ -28,11 +28,11 @@
     let finished_first = ids(load.advance_to(ms(100)));
     let exceeds_memory = load.start(ms(100), "c", need(100.0, 900.0));
     let four_more = (0..4).all(|index| load.start(ms(100), &format!("d{index}"), need(1.0, 1.0)));
-    let finished_half_way = ids(load.advance_to(ms(150)));
+    let finished_at_150_ms = ids(load.advance_to(ms(150)));
     load.cancel("d0");
     let finished_last = ids(load.advance_to(ms(1000)));
     let is_idle = load.is_idle();
     expect![[r#"[true, true, false] ["a"] false true [] ["b", "d1", "d2", "d3"] true"#]].assert_eq(&format!(
-        "{started:?} {finished_first:?} {exceeds_memory} {four_more} {finished_half_way:?} {finished_last:?} {is_idle}"
+        "{started:?} {finished_first:?} {exceeds_memory} {four_more} {finished_at_150_ms:?} {finished_last:?} {is_idle}"
     ));
 }
