--- a/crates/soak/src/arrivals.rs
+++ b/crates/soak/src/arrivals.rs
@@ -1,16 +1,16 @@
-//! The arrival times of the bytes of a connection's input.
+//! Arrival times of the bytes that a connection has received.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The arrival of a part of the input.
+/// A part of the input that arrived at one time.
 struct Arrival {
-    /// Offset of the part's end in all bytes that the connection has received.
+    /// Offset of the part's end, counted from the first byte that the connection received.
     end_offset: u64,
     at: Duration,
 }
 
-/// The arrival times of the bytes that were received and not yet consumed.
+/// Arrival times of the bytes that were received and not yet consumed.
 #[derive(Default)]
 pub struct Arrivals {
     parts: VecDeque<Arrival>,
@@ -20,14 +20,14 @@
 
 impl Arrivals {
     /// Records that `count` bytes have arrived.
-    pub fn receive(&mut self, count: usize, now: Duration) {
+    pub fn record_received(&mut self, count: usize, now: Duration) {
         if count > 0 {
             self.received_bytes += count as u64;
             self.parts.push_back(Arrival { end_offset: self.received_bytes, at: now });
         }
     }
 
-    /// Removes `count` received bytes; returns when the last of them arrived.
+    /// Consumes the next `count` received bytes; returns when the last of them arrived.
     pub fn consume(&mut self, count: usize) -> Duration {
         self.consumed_bytes += count as u64;
         while let Some(Arrival { end_offset, at }) = self.parts.front() {
--- a/crates/soak/src/classes.rs
+++ b/crates/soak/src/classes.rs
@@ -1,4 +1,4 @@
-//! The request classes of the soak and their profiles.
+//! The request classes of the soak, with their work, objectives and deadlines.
 
 use serde::Serialize;
 use std::time::Duration;
@@ -11,21 +11,21 @@
     Lookup,
     /// Long and idempotent.
     Report,
-    /// Non-idempotent: must not run twice.
+    /// Non-idempotent: a request must not run twice.
     Post,
-    /// Idempotent with a key, on any engine.
+    /// Idempotent by an idempotency key, which is valid on any engine.
     Load,
 }
 
-/// The requests of a class.
+/// The traffic, work and time limits of a request class.
 pub struct ClassProfile {
     /// The class's fraction of all requests.
     pub traffic_share: f64,
     /// Work of each request, as time on one core.
     pub work: Duration,
-    /// The latency objective that routers are configured with.
+    /// The latency objective in the routers' settings.
     pub latency_objective: Duration,
-    /// How long clients wait for an answer.
+    /// How long clients wait for an answer, from the sending of the request.
     pub deadline: Duration,
 }
 
@@ -55,10 +55,10 @@
 };
 
 impl RequestClass {
-    /// All classes, in the order of the settings.
+    /// All classes, in the order of the routers' settings.
     pub const ALL: [Self; 4] = [Self::Lookup, Self::Report, Self::Post, Self::Load];
 
-    /// Returns the method that clients call.
+    /// Returns the name of the class, which is the JSON-RPC method of its requests.
     pub fn name(self) -> &'static str {
         match self {
             Self::Lookup => "lookup",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the profile of the class.
+    /// Returns the traffic, work and time limits of the class.
     pub fn profile(self) -> &'static ClassProfile {
         match self {
             Self::Lookup => &LOOKUP,
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Emulated clients: connections to the routers, requests with the answers to them, and clients that stop waiting.
+//! Emulated clients: they connect to the routers, send requests, read the answers, and may stop waiting for them.
 
 use crate::classes::RequestClass;
 use crate::connections::ConnectionTable;
@@ -17,45 +17,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Open requests of a connection, above which a client opens another connection.
+/// Maximum number of open requests on a connection; a further request needs another connection.
 const MAX_OPEN_REQUESTS: usize = 8;
-/// The id of a status request; ids of other requests count up from 1 and do not reach it.
+/// The id of each status request. Ids of other requests count up from 1 and never reach it.
 const STATUS_ID: u64 = 0x5747_5553;
 /// Idle time after which a client closes its connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The memory estimate of each request, in MB.
+/// The estimated memory of each request, in MB.
 const REQUEST_MEMORY_MB: f64 = 16.0;
-/// Fraction of a router's connections that close at a departure of its clients.
+/// Probability with which each client connection of a router closes when half of its clients depart.
 const DEPARTURE_FRACTION: f64 = 0.5;
-/// Fraction of the closed connections that are reset.
+/// Probability with which a connection that its client closes is reset.
 const RESET_FRACTION: f64 = 0.3;
 
 /// A router that clients connect to.
 #[derive(Clone, Copy, Debug)]
 pub struct Destination {
+    /// Index of the router.
     pub router: usize,
     pub address: SocketAddr,
 }
 
 /// A client's connection to a router.
 struct ClientConnection {
+    /// Index of the router.
     router: usize,
     stream: Stream,
-    /// Open requests by their ids on this connection.
+    /// The ids of the open requests, by the ids of their messages.
     open: BTreeMap<u64, String>,
-    /// Requests whose last byte has not been written.
+    /// The ids of the requests whose last byte has not been written.
     unwritten: Vec<String>,
-    /// Ids of the requests that were answered.
+    /// The ids of the messages that were answered.
     answered: BTreeSet<u64>,
     next_id: u64,
     last_used_at: Duration,
-    /// False for connections with a status request and for idle ones.
+    /// Whether requests may be sent; false for connections for a status request and for those that stay idle.
     is_for_requests: bool,
 }
 
 impl ClientConnection {
     fn has_open_request(&self, request_id: &str) -> bool {
-        self.open.values().any(|open| open == request_id)
+        self.open.values().any(|open_id| open_id == request_id)
     }
 
     fn accepts_request_to(&self, router: usize) -> bool {
@@ -66,7 +68,7 @@
 /// All clients of all routers.
 pub struct Clients {
     connections: ConnectionTable<ClientConnection>,
-    /// Routers that have answered that they serve; the event loop empties the list.
+    /// The routers that have answered a status request with `serving`; the event loop drains the list.
     pub serving_routers: Vec<usize>,
     first_token: usize,
     token_limit: usize,
@@ -74,7 +76,7 @@
 }
 
 impl Clients {
-    /// Returns clients without connections; their tokens will be in `first_token..token_limit`.
+    /// Returns clients without connections. The tokens of their connections are in `first_token..token_limit`.
     pub fn new(first_token: usize, token_limit: usize, rng: StdRng) -> Self {
         Self {
             connections: ConnectionTable::default(),
@@ -112,13 +114,13 @@
         Some(index)
     }
 
-    /// Sends a router a status request on a new connection.
+    /// Opens a connection to a router and sends a status request on it.
     pub fn request_status(&mut self, destination: Destination, now: Duration, registry: &Registry) {
         let Some(index) = self.connect(destination, false, now, registry) else { return };
         self.send(index, &encode_status_request(STATUS_ID));
     }
 
-    /// Opens a connection and sends nothing.
+    /// Opens a connection to a router on which nothing is sent.
     pub fn open_idle_connection(&mut self, destination: Destination, now: Duration, registry: &Registry) {
         self.connect(destination, false, now, registry);
     }
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Sends a request to a router, on a connection with capacity or a new one. Returns the request's id, or `None` if
-    /// no connection could be made.
+    /// Sends a request to a router, on a connection with capacity or on a new one. Returns the request's id, or `None`
+    /// if no connection could be opened.
     pub fn send_request(
         &mut self,
         destination: Destination,
@@ -160,23 +162,23 @@
 
     /// Cancels an open request.
     pub fn cancel(&mut self, request_id: &str, now: Duration, records: &mut Records) {
-        let holder = self.connections.position(|connection| connection.has_open_request(request_id));
-        let Some(index) = holder else { return };
+        let position = self.connections.position(|connection| connection.has_open_request(request_id));
+        let Some(index) = position else { return };
         self.send(index, &encode_cancellation(request_id));
         if let Some(connection) = self.connections.get_mut(index) {
-            connection.open.retain(|_, open| open != request_id);
+            connection.open.retain(|_, open_id| open_id != request_id);
         }
         record_departure(request_id, now, Departure::Cancelled, records);
     }
 
-    /// Closes the connection of an open request.
+    /// Closes the connection of an open request, and with it all other open requests of the connection.
     pub fn close_connection_of(&mut self, request_id: &str, now: Duration, records: &mut Records) {
         for index in self.connections.positions(|connection| connection.has_open_request(request_id)) {
             self.disconnect(index, now, records);
         }
     }
 
-    /// Closes about half of the connections to a router.
+    /// Closes each connection to a router with a probability of one half.
     pub fn close_half_of_connections(&mut self, router: usize, now: Duration, records: &mut Records) {
         for index in self.connections.positions(|connection| connection.router == router) {
             if self.rng.random_bool(DEPARTURE_FRACTION) {
@@ -185,6 +187,7 @@
         }
     }
 
+    /// Closes a connection and records the departure of its open requests.
     fn disconnect(&mut self, index: usize, now: Duration, records: &mut Records) {
         let Some(connection) = self.connections.remove(index) else { return };
         if self.rng.random_bool(RESET_FRACTION) {
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Closes the connections that have been idle for `IDLE_TIMEOUT`.
+    /// Closes the connections that have had no open request for `IDLE_TIMEOUT`.
     pub fn close_idle_connections(&mut self, now: Duration) {
         self.connections.retain(|connection| {
             !connection.open.is_empty() || connection.last_used_at + IDLE_TIMEOUT >= now
@@ -207,22 +210,22 @@
         (self.first_token..self.token_limit).contains(&token.0)
     }
 
-    /// Serves a connection that has become readable or writable.
+    /// Writes and reads a connection that has become readable or writable, and handles the lines that have arrived.
     pub fn serve_socket(&mut self, token: Token, now: Duration, records: &mut Records) {
         let index = token.0 - self.first_token;
         let Some(connection) = self.connections.get_mut(index) else { return };
         connection.stream.flush();
         if connection.stream.is_flushed() {
-            record_written(std::mem::take(&mut connection.unwritten), now, records);
+            record_sent(std::mem::take(&mut connection.unwritten), now, records);
         }
         let state = connection.stream.fill(now);
         while let Some(line) = self.take_line(index) {
             self.handle_line(index, &line, now, records);
         }
         if state == StreamState::Ended
-            && let Some(ended) = self.connections.remove(index)
+            && let Some(ended_connection) = self.connections.remove(index)
         {
-            record_connection_end(ended.open.values(), now, records);
+            record_connection_end(ended_connection.open.values(), now, records);
         }
     }
 
@@ -274,8 +277,8 @@
     }
 }
 
-/// Records that the last byte of some requests has been written.
-fn record_written(request_ids: Vec<String>, now: Duration, records: &mut Records) {
+/// Records that the last byte of these requests has been written.
+fn record_sent(request_ids: Vec<String>, now: Duration, records: &mut Records) {
     for request_id in request_ids {
         if let Some(request) = records.requests.get_mut(&request_id) {
             request.sent_at = now;
@@ -289,7 +292,7 @@
     }
 }
 
-/// Records that the router has ended the connection of some open requests.
+/// Records that the router has closed the connection of these open requests.
 fn record_connection_end<'a>(
     request_ids: impl Iterator<Item = &'a String>,
     now: Duration,
@@ -315,8 +318,8 @@
     request.answers.push(Answer { at: now, kind });
 }
 
-/// Whether the rows are those that the engine of one of the request's attempts made for that attempt.
+/// Whether the rows are the result of one of the request's attempts, from the engine of that attempt.
 fn is_result_of(request_id: &str, rows: &[u8], request: &RequestRecord) -> bool {
     let mut attempts = request.attempts.iter().enumerate();
-    attempts.any(|(number, attempt)| rows == result_rows(request_id, attempt.engine, number).as_bytes())
+    attempts.any(|(index, attempt)| rows == result_rows(request_id, attempt.engine, index).as_bytes())
 }
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a soak, and the configuration file of each router.
+//! The settings of the routers in a soak, and the configuration file of each router.
 
 use crate::classes::RequestClass;
 use serde_json::{Value, json};
@@ -9,47 +9,47 @@
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 /// The kinds of engines, in the order of the settings.
 pub const KINDS: [&str; 1] = ["std"];
-/// Cells of the engines in each zone.
+/// Number of cells in each zone.
 pub const CELLS_PER_ZONE: usize = 8;
 /// Cores of each engine.
 pub const CORES_PER_ENGINE: f64 = 2.0;
 /// Memory of each engine, in MB.
 const ENGINE_MEMORY_MB: f64 = 4096.0;
-/// Fraction of an engine's cores that is busy at its capacity.
+/// Fraction of an engine's cores that is busy when the engine runs at its capacity.
 const UTILIZATION_AT_CAPACITY: f64 = 0.85;
-/// Interval between the progress replies of a running attempt.
+/// Interval of the progress replies to a running call.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 /// Cores that a router may use.
 const ROUTER_CORES: f64 = 1.0;
 /// Interval of the routers' timer.
 const ROUTER_TICK: Duration = Duration::from_millis(5);
-/// How long a router waits for a connection to an engine.
+/// How long a router waits until a connection to an engine is established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which engines' connections are closed.
+/// Idle time after which an engine closes a connection, according to the settings.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4000);
-/// The longest Retry-After of a rejection.
+/// Maximum Retry-After of a rejection.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// Attempts of one request at most.
+/// Maximum number of attempts of a request.
 pub const MAX_ATTEMPTS: usize = 3;
-/// Open calls of one connection to an engine at most.
+/// Maximum number of open calls on a connection to an engine.
 const MAX_CALLS_PER_CONNECTION: u32 = 32;
-/// Fraction of an engine's memory that one request may use.
+/// Largest memory grant, as a fraction of the engine's memory.
 const MAX_MEMORY_SHARE: f64 = 0.4;
-/// Value of a late answer, as a fraction of that of an answer in time.
+/// Fraction of the priority weight that a late answer is worth.
 const LATE_VALUE_SHARE: f64 = 0.1;
-/// How long an idempotency key is remembered.
+/// How long engines remember an idempotency key.
 const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(5000);
 
-/// The slow start of an engine: the load that it may get while it is warming up.
+/// The slow start of an engine: the load that routers may send to it while it is warming up.
 #[derive(Clone, Copy)]
 pub struct SlowStart {
     /// Time from the start of the engine to its full capacity.
     pub warm_up: Duration,
-    /// Capacity at the start, as a fraction of the full one.
+    /// Capacity at the start, as a fraction of the full capacity.
     pub start_capacity: f64,
-    /// Load at which the engine fails, as a multiple of its capacity.
+    /// Load that the engine withstands while it is warming up, as a multiple of its capacity.
     pub overload_factor: f64,
-    /// The window in which load is summed.
+    /// Length of the sliding window over which load is summed.
     pub window: Duration,
     /// Cores of the engine.
     pub cores: f64,
@@ -65,7 +65,7 @@
 };
 
 impl SlowStart {
-    /// Returns how many requests of `mean_work` the engine may get in a window that ends `age` after its start.
+    /// Returns how many requests of `mean_work` the engine may receive in a window that ends `age` after its start.
     pub fn allowed_requests(&self, age: Duration, mean_work: Duration) -> f64 {
         let warm_fraction = (age.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
         let capacity = self.start_capacity + (1.0 - self.start_capacity) * warm_fraction;
@@ -92,7 +92,7 @@
     pub discovery: SocketAddr,
 }
 
-/// Returns the configuration file of a router.
+/// Returns the configuration of a router; `router_count` is the number of routers in the settings.
 pub fn router_config(
     name: &str,
     seed: u64,
@@ -119,7 +119,7 @@
                 "startCapacity": SLOW_START.start_capacity, "warmUpMs": milliseconds(SLOW_START.warm_up)}}})
 }
 
-/// Returns the settings of a request class.
+/// Returns a request class as the settings have it.
 fn class_settings(class: RequestClass) -> Value {
     let idempotency = match class {
         RequestClass::Lookup | RequestClass::Report => "repeatable",
@@ -132,7 +132,7 @@
         "repeat": idempotency, "keyScope": "all", "windowMs": milliseconds(IDEMPOTENCY_WINDOW)})
 }
 
-/// Returns a duration as the settings write it.
+/// Returns a duration in whole milliseconds, the unit of the settings.
 fn milliseconds(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
--- a/crates/soak/src/connections.rs
+++ b/crates/soak/src/connections.rs
@@ -1,6 +1,6 @@
-//! A table of connections that are addressed by small numbers, from which their tokens follow.
+//! A table of connections by index; the owner of the table derives a connection's token from its index.
 
-/// Connections by index. The index of a connection that has been removed is used again.
+/// Connections by index. The index of a removed connection is reused.
 pub struct ConnectionTable<C> {
     entries: Vec<Option<C>>,
 }
@@ -17,7 +17,7 @@
         self.entries.iter().position(Option::is_none).unwrap_or(self.entries.len())
     }
 
-    /// Adds a connection at [`free_index`](Self::free_index).
+    /// Inserts a connection at `index`, which must be the [`free_index`](Self::free_index).
     pub fn insert(&mut self, index: usize, connection: C) {
         if index == self.entries.len() {
             self.entries.push(Some(connection));
@@ -31,7 +31,7 @@
         self.entries.get(index)?.as_ref()
     }
 
-    /// Returns the connection at an index.
+    /// Returns the connection at an index, for changes.
     pub fn get_mut(&mut self, index: usize) -> Option<&mut C> {
         self.entries.get_mut(index)?.as_mut()
     }
@@ -46,24 +46,24 @@
         self.entries.clear();
     }
 
-    /// Removes the connections for which `is_retained` returns false.
-    pub fn retain(&mut self, is_retained: impl Fn(&C) -> bool) {
+    /// Keeps only the connections for which `is_kept` returns true.
+    pub fn retain(&mut self, is_kept: impl Fn(&C) -> bool) {
         for entry in &mut self.entries {
-            if entry.as_ref().is_some_and(|connection| !is_retained(connection)) {
+            if entry.as_ref().is_some_and(|connection| !is_kept(connection)) {
                 *entry = None;
             }
         }
     }
 
-    /// Returns the index of the first connection for which `is_meant` returns true.
-    pub fn position(&self, is_meant: impl Fn(&C) -> bool) -> Option<usize> {
-        self.entries.iter().position(|entry| entry.as_ref().is_some_and(&is_meant))
+    /// Returns the index of the first connection for which `matches` returns true.
+    pub fn position(&self, matches: impl Fn(&C) -> bool) -> Option<usize> {
+        self.entries.iter().position(|entry| entry.as_ref().is_some_and(&matches))
     }
 
-    /// Returns the indices of the connections for which `is_meant` returns true, in ascending order.
-    pub fn positions(&self, is_meant: impl Fn(&C) -> bool) -> Vec<usize> {
-        let is_meant_at = |index: &usize| self.get(*index).is_some_and(&is_meant);
-        (0..self.entries.len()).filter(is_meant_at).collect()
+    /// Returns the indices of the connections for which `matches` returns true, in ascending order.
+    pub fn positions(&self, matches: impl Fn(&C) -> bool) -> Vec<usize> {
+        let matches_at = |index: &usize| self.get(*index).is_some_and(&matches);
+        (0..self.entries.len()).filter(matches_at).collect()
     }
 
     /// Returns the connections in ascending order of their indices.
@@ -71,7 +71,7 @@
         self.entries.iter_mut().flatten()
     }
 
-    /// Returns an index above that of each connection.
+    /// Returns the exclusive upper bound of all indices.
     pub fn index_limit(&self) -> usize {
         self.entries.len()
     }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,5 +1,5 @@
-//! An emulated discovery service: numbered changes of the endpoint list, sent to each router that connects, and the
-//! faults of such a service.
+//! An emulated discovery service: it sends numbered changes of the endpoint list to each router that connects, and can
+//! be silent or down.
 
 use crate::config::{CELLS_PER_ZONE, KINDS, ZONES};
 use crate::connections::ConnectionTable;
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// Returns the endpoint of an engine that has been ready for long. Its id, zone and cell follow from its number.
+/// Returns the endpoint of an engine whose slow start is long over. Its id, zone and cell follow from its index.
 pub fn engine_endpoint(engine: usize, address: SocketAddrV4) -> Endpoint {
     Endpoint {
         zone: (engine % ZONES.len()) as u8,
@@ -23,10 +23,10 @@
     }
 }
 
-/// A router's connection.
+/// A router's connection to the service.
 struct Subscriber {
     stream: Stream,
-    /// The number of the last event that the router has; `None` until the router has sent it.
+    /// The number of the last event that the router has received; `None` until the router has sent the number.
     last_event: Option<u64>,
 }
 
@@ -36,7 +36,7 @@
     None,
     /// Connections stay open, and the service sends nothing.
     Silent,
-    /// The service refuses connections.
+    /// All connections are closed and new ones are refused.
     Down,
 }
 
@@ -44,20 +44,20 @@
 pub struct Discovery {
     pub address: SocketAddr,
     listener: Option<TcpListener>,
-    /// The current list, by engine.
+    /// The current endpoint list, by engine index.
     pub endpoints: Vec<Endpoint>,
-    /// The changes by event number, from event 1; the first is the complete list.
+    /// The changes in the order of their events; event 1, at index 0, is the complete list.
     changes: Vec<Vec<Endpoint>>,
     subscribers: ConnectionTable<Subscriber>,
     fault: DiscoveryFault,
-    /// Bytes of lists and changes sent to all routers, without heartbeats.
+    /// Number of bytes of complete lists and changes sent to all routers, without heartbeats.
     pub list_bytes: u64,
     first_token: usize,
 }
 
 impl Discovery {
-    /// Starts a service with these endpoints. The listener has the token `first_token`; the tokens of connections
-    /// follow it.
+    /// Starts a service with these endpoints. The listener has the token `first_token`, and connections have the tokens
+    /// after it.
     pub fn start(
         address: SocketAddr,
         endpoints: Vec<Endpoint>,
@@ -86,11 +86,12 @@
         Ok(())
     }
 
+    /// Returns the number of the last event.
     fn last_event(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// Returns the current list in the form of a router's configuration.
+    /// Returns the current list as a router's configuration has it.
     pub fn known_list(&self) -> Value {
         let names = SettingNames { zones: &ZONES, kinds: &KINDS };
         known_list(self.last_event(), &self.endpoints, &names)
@@ -126,7 +127,7 @@
         self.send_changes(index);
     }
 
-    /// Sends a subscriber all changes after its last event.
+    /// Sends a subscriber all changes after its last event, unless the service has a fault.
     fn send_changes(&mut self, index: usize) {
         if self.fault != DiscoveryFault::None {
             return;
@@ -144,7 +145,7 @@
         subscriber.stream.flush();
     }
 
-    /// Lists changes of some endpoints.
+    /// Replaces the endpoints with the same ids and sends the change to all subscribers as a new event.
     pub fn change(&mut self, changed: Vec<Endpoint>) {
         for endpoint in &changed {
             self.endpoints[endpoint.id as usize] = *endpoint;
@@ -156,6 +157,7 @@
     }
 
     /// Sends the complete list as a new event, as after a loss of the service's state.
+    /// Routers that receive the event later get an empty change, since the list itself has not changed.
     pub fn resend_complete_list(&mut self) {
         let event = self.last_event() + 1;
         self.changes.push(Vec::new());
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Sends each router a heartbeat, after the changes that the router does not have.
+    /// Sends each router the changes that it lacks, and then a heartbeat.
     pub fn send_heartbeats(&mut self) {
         if self.fault != DiscoveryFault::None {
             return;
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Sets the fault of the service; `None` ends it.
+    /// Sets the fault of the service; [`DiscoveryFault::None`] ends the current fault.
     pub fn set_fault(&mut self, fault: DiscoveryFault, registry: &Registry) -> io::Result<()> {
         self.fault = fault;
         match fault {
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -1,5 +1,5 @@
-//! Emulated engines, thousands in one process. Each engine has a different address in 127.0.0.0/8, runs calls
-//! by a small load model, and has the faults that are set.
+//! Emulated engines, up to thousands in one process. Each engine has its own address in 127.0.0.0/8, runs calls
+//! according to a small load model, and has the fault that was last set.
 
 mod calls;
 
@@ -16,15 +16,15 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// Connections that fill the accept queue of a listener with a backlog of 0.
+/// Number of connections that fill the accept queue of a listener with a backlog of 0.
 const BACKLOG_FILLERS: usize = 2;
 /// First byte of all loopback addresses.
 const LOOPBACK_NETWORK: u8 = 127;
-/// The port of all engines; their addresses differ.
+/// The port of all engines, which have different addresses.
 const PORT: u16 = 9090;
-/// Engines with the same first three bytes of the address.
+/// Number of engines whose addresses share the first three bytes.
 const ENGINES_PER_SUBNET: usize = 250;
-/// Bytes of each write of an engine with the fault [`EngineFault::SmallWrites`].
+/// Length of each write of an engine with [`EngineFault::SmallWrites`], in bytes.
 const SMALL_WRITE_BYTES: usize = 7;
 
 /// A fault of an engine.
@@ -35,15 +35,15 @@
     Silent,
     /// The engine runs calls and sends nothing.
     Mute,
-    /// Each call runs this many times as long.
+    /// Each call takes `slowdown` times as long.
     Slow {
         slowdown: f64,
     },
     /// The engine answers each call with a failure.
     Failing,
-    /// Each result ends in its middle.
+    /// Only the first half of each result is sent.
     Truncating,
-    /// Replies are written a few bytes at a time.
+    /// Output is written a few bytes at a time.
     SmallWrites,
 }
 
@@ -51,10 +51,10 @@
 pub struct Engine {
     pub address: SocketAddrV4,
     listener: Option<TcpListener>,
-    /// Connections that fill the accept queue while the engine accepts none.
+    /// Connections that fill the accept queue while the engine accepts no connections.
     backlog_fillers: Vec<TcpStream>,
     fault: EngineFault,
-    /// Counts the starts of the engine's process.
+    /// Number of times that the engine's process has ended.
     incarnation: u32,
     /// The running calls by request id.
     running: BTreeMap<String, RunningCall>,
@@ -79,7 +79,7 @@
 /// A router's connection to an engine.
 struct EngineConnection {
     engine: usize,
-    /// The engine's incarnation that accepted the connection.
+    /// The incarnation of the engine that accepted the connection.
     incarnation: u32,
     stream: Stream,
 }
@@ -87,17 +87,17 @@
 /// All engines of a soak.
 pub struct Engines {
     pub engines: Vec<Engine>,
-    /// The second byte of the engines' addresses.
+    /// The second byte of the engines' addresses 127.`host_block`.x.y.
     pub host_block: u8,
     connections: ConnectionTable<EngineConnection>,
-    /// Timers that the event loop takes over.
+    /// Timers to set, with their due times; the event loop drains the list.
     pub new_timers: Vec<(Duration, EngineTimer)>,
-    /// The token of the first listener. The tokens of connections follow those of the listeners.
+    /// The token of the first listener. Connections have the tokens after those of the listeners.
     first_token: usize,
 }
 
 impl Engines {
-    /// Starts engines on addresses 127.`host_block`.x.y, with tokens from `first_token` up.
+    /// Starts `count` engines on addresses 127.`host_block`.x.y, with tokens from `first_token` up.
     pub fn start(count: usize, host_block: u8, first_token: usize, registry: &Registry) -> io::Result<Self> {
         let mut engines = Self {
             host_block,
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Stops accepting connections: those that are dialled from now on are established after
+    /// Stops accepting connections: connections that are dialled from now on are not established until
     /// [`resume_accepting`](Self::resume_accepting).
     pub fn stop_accepting(&mut self, engine: usize) -> io::Result<()> {
         let engine = &mut self.engines[engine];
@@ -146,7 +146,7 @@
         socket.listen(0)?;
         for _ in 0..BACKLOG_FILLERS {
             let filler = Socket::new(Domain::IPV4, Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
-            // The connection is in progress, or is queued like those of the routers.
+            // The result is ignored: the connection is still in progress, or is queued like those of the routers.
             let _ = filler.connect(&address);
             engine.backlog_fillers.push(filler.into());
         }
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Accepts connections again, including those that are queued.
+    /// Accepts connections again, including those that routers have dialled in the meantime.
     pub fn resume_accepting(&mut self, engine: usize, registry: &Registry) -> io::Result<()> {
         let token = self.listener_token(engine);
         let engine = &mut self.engines[engine];
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Serves a socket that has become readable or writable.
+    /// Serves a listener or connection that has become readable or writable.
     pub fn serve_socket(&mut self, token: Token, now: Duration, registry: &Registry, records: &mut Records) {
         let index = token.0 - self.first_token;
         match index.checked_sub(self.engines.len()) {
@@ -194,7 +194,7 @@
     fn serve_connection(&mut self, index: usize, now: Duration, records: &mut Records) {
         let Some(connection) = self.connections.get_mut(index) else { return };
         let fault = self.engines[connection.engine].fault;
-        // Bytes arrive at a silent engine too; the arrival time of its commands is the time of this read.
+        // A silent engine's input is read too, so that its commands have the arrival time of this read.
         let state = connection.stream.fill(now);
         if fault == EngineFault::Silent {
             return;
@@ -202,12 +202,13 @@
         connection.stream.is_muted = fault == EngineFault::Mute;
         connection.stream.write_size = (fault == EngineFault::SmallWrites).then_some(SMALL_WRITE_BYTES);
         self.handle_commands(index, now, records);
-        let Some(open) = self.connections.get_mut(index) else { return };
-        if state == StreamState::Ended || open.stream.flush() == StreamState::Ended {
+        let Some(still_open) = self.connections.get_mut(index) else { return };
+        if state == StreamState::Ended || still_open.stream.flush() == StreamState::Ended {
             self.close(index, now, records);
         }
     }
 
+    /// Closes a connection and ends the calls that came on it.
     fn close(&mut self, index: usize, now: Duration, records: &mut Records) {
         let Some(connection) = self.connections.remove(index) else { return };
         let engine = &mut self.engines[connection.engine];
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Sets the fault of an engine. An engine that was silent handles the commands that have arrived.
+    /// Sets the fault of an engine. An engine that is no longer silent handles the commands that have arrived.
     pub fn set_fault(&mut self, engine: usize, fault: EngineFault, now: Duration, records: &mut Records) {
         self.engines[engine].fault = fault;
         for connection in self.engines[engine].connections.clone() {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Closes the connections of an engine without open calls, even if a call is in transit on them.
+    /// Closes the connections of an engine on which no call runs, even if a call is in transit on them.
     pub fn close_idle_connections(&mut self, engine: usize) {
         let engine = &mut self.engines[engine];
         let (busy, idle) = engine.connections.iter().partition(|index| engine.has_call_on(**index));
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Ends an engine's process: its connections are reset, and new ones are refused.
+    /// Ends an engine's process: its connections are reset, new ones are refused, and its fault ends.
     pub fn stop(&mut self, engine: usize, now: Duration, records: &mut Records) {
         self.reset_connections(engine, now, records);
         let stopped = &mut self.engines[engine];
--- a/crates/soak/src/engines/calls.rs
+++ b/crates/soak/src/engines/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of engines: the commands that engines handle, the load model by which calls run, and the replies.
+//! Calls to engines: the commands that engines handle, the load model that sets how long calls run, and the replies.
 
 use super::{Engine, EngineConnection, EngineFault, Engines};
 use crate::config::{CORES_PER_ENGINE, PROGRESS_INTERVAL};
@@ -8,16 +8,18 @@
 use emberflow_peer_protocol::resp::decode_array;
 use std::time::Duration;
 
-/// Running calls for each core, from which an engine rejects further calls.
+/// Maximum number of running calls per core.
 const MAX_CALLS_PER_CORE: f64 = 16.0;
+/// Number of running calls at which an engine rejects further calls as overloaded.
 const MAX_RUNNING_CALLS: usize = (MAX_CALLS_PER_CORE * CORES_PER_ENGINE) as usize;
-/// The work of a statement that does not name it.
+/// The work of a statement that does not specify it.
 const DEFAULT_WORK: Duration = Duration::from_millis(10);
-/// The memory that each result reports as needed, in MB.
+/// The needed memory that each result reports, in MB.
 const NEEDED_MEMORY_MB: f64 = 10.0;
 
 /// A call that an engine runs.
 pub(super) struct RunningCall {
+    /// Index of the connection on which the call came.
     connection: usize,
     /// Index of the attempt in the request's record.
     attempt: usize,
@@ -25,7 +27,7 @@
     ends_at: Duration,
 }
 
-/// Identifies a running call to a timer.
+/// Identifies the running call of a timer.
 #[derive(Clone, Debug)]
 pub struct CallKey {
     engine: usize,
@@ -36,9 +38,9 @@
 /// A timer of an engine.
 #[derive(Clone, Debug)]
 pub enum EngineTimer {
-    /// The call ends.
+    /// The run time of the call is over.
     CallEnds(CallKey),
-    /// The call's next progress reply is due.
+    /// The next progress reply of the call is due.
     Progress(CallKey),
 }
 
@@ -50,7 +52,7 @@
 }
 
 impl Engine {
-    /// Whether a call runs that came on this connection.
+    /// Whether a call that came on this connection is running.
     pub(super) fn has_call_on(&self, connection: usize) -> bool {
         self.running.values().any(|call| call.connection == connection)
     }
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Returns the reply with which the engine refuses any call now; `None` if it runs a call.
+    /// Returns the reply to a call that the engine does not run; `None` if the engine accepts calls.
     fn refusal(&self) -> Option<EngineReply<'static>> {
         if self.fault == EngineFault::Failing {
             return Some(EngineReply::Failed);
@@ -71,7 +73,7 @@
         (self.running.len() >= MAX_RUNNING_CALLS).then_some(EngineReply::Overloaded)
     }
 
-    /// Returns how long a call takes that starts now: its cores are shared by all calls that run.
+    /// Returns the run time of a call that starts now: all running calls share the cores evenly.
     fn run_time(&self, work: Duration) -> Duration {
         let slowdown = if let EngineFault::Slow { slowdown } = self.fault { slowdown } else { 1.0 };
         let calls_per_core = (self.running.len() as f64 + 1.0) / CORES_PER_ENGINE;
@@ -103,7 +105,7 @@
         Some(ReceivedCommand { command: EngineCommand::decode(&array.parts), arrived_at })
     }
 
-    /// Records an attempt, and runs it or refuses it.
+    /// Records an attempt, and runs the call or refuses it.
     fn start_call(
         &mut self,
         connection: usize,
@@ -112,8 +114,8 @@
         now: Duration,
         records: &mut Records,
     ) {
-        let Some(carrier) = self.connections.get(connection) else { return };
-        let engine_index = carrier.engine;
+        let Some(source) = self.connections.get(connection) else { return };
+        let engine_index = source.engine;
         let Some(request) = records.requests.get_mut(&call.request_id) else { return };
         let engine = &mut self.engines[engine_index];
         let refusal = engine.refusal();
@@ -140,7 +142,7 @@
         self.schedule_progress(key, ends_at, now);
     }
 
-    /// Sets the timer of the next progress reply, if the call runs until then.
+    /// Sets the timer of the next progress reply, if the call still runs at that time.
     fn schedule_progress(&mut self, key: CallKey, ends_at: Duration, now: Duration) {
         let due_at = now + PROGRESS_INTERVAL;
         if ends_at > due_at {
@@ -162,15 +164,15 @@
     }
 
     /// Handles a timer that has expired.
-    pub fn timer_expired(&mut self, timer: EngineTimer, now: Duration, records: &mut Records) {
+    pub fn handle_timer(&mut self, timer: EngineTimer, now: Duration, records: &mut Records) {
         match timer {
-            EngineTimer::CallEnds(key) => self.call_ends(&key, now, records),
+            EngineTimer::CallEnds(key) => self.finish_call(&key, now, records),
             EngineTimer::Progress(key) => self.send_progress(key, now),
         }
     }
 
-    /// Sends the result of a call whose time is over.
-    fn call_ends(&mut self, key: &CallKey, now: Duration, records: &mut Records) {
+    /// Ends a call and sends its result, if its run time is over.
+    fn finish_call(&mut self, key: &CallKey, now: Duration, records: &mut Records) {
         let CallKey { engine: index, incarnation, request_id } = key;
         let engine = &mut self.engines[*index];
         let is_due = engine.running.get(request_id).is_some_and(|call| call.ends_at <= now);
@@ -183,13 +185,13 @@
         let used = UsedResources { work_ms: work_ms(call.work), memory_mb: NEEDED_MEMORY_MB };
         let reply =
             EngineReply::Result { pages: 1, used: Some(used), rows: rows.as_bytes() }.encode(request_id);
-        let sent = match engine.fault {
+        let sent_bytes = match engine.fault {
             EngineFault::Silent => return,
             EngineFault::Truncating => &reply[..reply.len() / 2],
             _ => &reply[..],
         };
         if let Some(connection) = self.connections.get_mut(call.connection) {
-            connection.stream.send(sent);
+            connection.stream.send(sent_bytes);
         }
     }
 
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, which are drawn from its seed and overlap.
+//! The faults of a run, which are drawn from its seed and may overlap.
 
 use clap::ValueEnum;
 use rand::Rng;
@@ -10,13 +10,13 @@
 /// A kind of fault. The names on the command line are documented in `docs/soak.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum FaultKind {
-    /// Some engines read and send nothing for a while.
+    /// Some engines handle no commands and send nothing for a while.
     #[value(name = "silent")]
     SilentEngines,
-    /// Some engines run calls and send nothing for a while.
+    /// Some engines run calls but send nothing for a while.
     #[value(name = "mute")]
     MuteEngines,
-    /// Some engines are slow for a while.
+    /// Some engines run calls slowly for a while.
     #[value(name = "slow")]
     SlowEngines,
     /// Some engines fail each attempt for a while.
@@ -37,7 +37,7 @@
     /// Some engines close connections without open calls, even if a call is in transit.
     #[value(name = "idle-close")]
     IdleCloses,
-    /// Some engines drain, end and restart.
+    /// Some engines are drained, stopped and restarted.
     #[value(name = "drain")]
     EngineDrains,
     /// Some engines crash and restart.
@@ -55,13 +55,13 @@
     /// Discovery sends the complete list again.
     #[value(name = "list")]
     CompleteListResent,
-    /// A router gets SIGTERM, gets SIGKILL after its graceful shutdown, and restarts.
+    /// A router gets SIGTERM, then SIGKILL after the time for its graceful shutdown, and is restarted.
     #[value(name = "term")]
     Sigterm,
-    /// A router gets SIGKILL and restarts.
+    /// A router gets SIGKILL and is restarted.
     #[value(name = "kill")]
     Sigkill,
-    /// A router gets SIGSTOP, and SIGCONT a little later.
+    /// A router gets SIGSTOP, and SIGCONT after a fraction of the fault's duration.
     #[value(name = "stop")]
     Sigstop,
     /// A router reloads its configuration.
@@ -81,27 +81,27 @@
 /// A fault of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// When the fault begins, from the start of the traffic.
+    /// Time from the start of the traffic to the start of the fault.
     pub at: Duration,
     pub kind: FaultKind,
-    /// How long the fault lasts, if its kind has a duration.
+    /// Duration of the fault; unused for kinds that happen at one moment.
     pub duration: Duration,
-    /// Probability with which each engine is affected.
+    /// Probability with which each ready engine is affected, for kinds that affect engines.
     pub engine_fraction: f64,
-    /// The affected router or zone, modulo their number.
+    /// Selects the affected router or zone: its index is `target` modulo the number of routers or zones.
     pub target: usize,
 }
 
 const FAULTS_PER_SECOND: f64 = 1.2;
-/// When the first fault may begin, in seconds from the start of the traffic.
+/// Earliest start of a fault, in seconds from the start of the traffic.
 const FIRST_FAULT_AT_S: f64 = 1.0;
-/// The shortest period in which all faults begin, in seconds.
+/// Minimum length of the period in which faults start, in seconds.
 const MIN_FAULT_PERIOD_S: f64 = 0.1;
 const FAULT_DURATIONS_S: Range<f64> = 0.3..3.0;
 const ENGINE_FRACTIONS: Range<f64> = 0.05..0.3;
 const TARGETS: Range<usize> = 0..1000;
 
-/// Draws the faults of a run in which requests are sent for `seconds`, in the order in which they begin.
+/// Draws the faults of a run with `seconds` of traffic; returns them in the order in which they start.
 pub fn draw(rng: &mut StdRng, kinds: &[FaultKind], seconds: f64) -> Vec<Fault> {
     let count = (seconds * FAULTS_PER_SECOND) as usize;
     let fault_period = FIRST_FAULT_AT_S..seconds.max(FIRST_FAULT_AT_S + MIN_FAULT_PERIOD_S);
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,4 +1,5 @@
-//! The invariants of a run, checked by the records of clients and engines alone.
+//! The invariants of a run. They are checked without the routers' own data: against the records of clients and engines,
+//! and against the exits and resource usage of the routers' processes.
 
 use crate::classes::RequestClass;
 use crate::config::{MAX_ATTEMPTS, ProcessLimits, SlowStart};
@@ -9,22 +10,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after its deadline a request may be answered; later it counts as lost.
+/// How long after its deadline a request may be answered; after that it counts as lost.
 const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// How long after the departure of its client, its answer or its deadline an attempt of a request may begin.
+/// How long an attempt may still arrive after the request was answered, its deadline passed or its client departed.
 const FORWARDING_GRACE: Duration = Duration::from_millis(100);
-/// How far the time left that a router passes on may exceed that of the client.
+/// How far the time left in a call may exceed the time until the client's deadline.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// How long before the end of its connection a request may be sent and still cross it in transit.
+/// How long before the end of its connection a request may have been sent without reaching the router.
 const TRANSIT_TIME: Duration = Duration::from_millis(50);
 /// How long after the delivery of a drain a router may still send calls to the engine.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// Number of allowed requests below which [`SMALL_SPREAD`] applies.
+/// Limit N of a slow start below which [`SMALL_SPREAD`] applies.
 const SMALL_REQUEST_COUNT: f64 = 30.0;
-/// Allowed excess over the limit N of a slow start: the spread, and the spread times the root of N.
+/// The limit of N requests in a slow start may be exceeded by `SPREAD * (sqrt(N) + 1)`.
 const SPREAD: f64 = 2.0;
+/// Takes the place of [`SPREAD`] for a small N.
 const SMALL_SPREAD: f64 = 3.0;
-/// The fraction of all requests that must be served in time.
+/// Minimum fraction of requests that are served in time, among those whose clients keep waiting.
 const MIN_FRACTION_SERVED: f64 = 0.2;
 const KB_PER_MB: u64 = 1024;
 
@@ -33,27 +35,27 @@
 pub enum Invariant {
     /// Each request whose client keeps waiting gets a final answer in time.
     Lost,
-    /// No request gets a second final answer, and no answer comes without a request.
+    /// No request gets a second final answer, and each answer belongs to an open request.
     SecondAnswer,
     /// Each result is one that an engine made for the request.
     WrongResult,
-    /// No attempt begins after the departure of its client, its answer or its deadline.
+    /// No attempt is sent after its request was answered, its deadline passed or its client departed.
     ForwardedAfterEnd,
     /// No non-idempotent request is started twice.
     RunTwice,
     /// No request has more attempts than the settings allow.
     TooManyAttempts,
-    /// The time left that a router passes on does not exceed that of the client.
+    /// The time left in a call does not exceed the time until the client's deadline.
     Deadline,
     /// No attempt is sent to a draining engine.
     Drain,
-    /// No engine gets more load during its slow start than the settings allow.
+    /// No engine receives more load during its slow start than the settings allow.
     SlowStart,
     /// No router crashes, and each is ready in time.
     Crash,
-    /// Each router stays within its limits of memory and descriptors.
+    /// Each router stays within its limits for memory and descriptors.
     Limit,
-    /// The routers serve requests while engines are ready.
+    /// The routers serve a minimum fraction of the requests in time.
     Idle,
 }
 
@@ -78,11 +80,11 @@
     }
 }
 
-/// The limits that the settings put on the service.
+/// The limits against which a run is checked.
 pub struct ServiceLimits {
     pub slow_start: SlowStart,
     pub process: ProcessLimits,
-    /// The end of the run; requests that are due later are not checked for an answer.
+    /// The end of the run; requests whose answer may come later are not checked for one.
     pub run_end: Duration,
     /// Mean work of a request.
     pub mean_work: Duration,
@@ -110,8 +112,8 @@
     violations
 }
 
-/// Returns the time that is added to each limit of a request: the stalls of the emulation and the time for which the
-/// router was stopped while the request was open.
+/// Returns the time by which each time limit of a request is extended: the stalls of the emulation and the time for
+/// which the router was stopped while the request was open.
 fn slack(request: &RequestRecord, records: &Records) -> Duration {
     let overlaps = |outage: &Outage| outage.from <= request.due_at() && outage.until >= request.sent_at;
     let stopped: Duration = outages_of(request, OutageKind::Stopped, records)
@@ -121,7 +123,7 @@
     records.stalled_within(request.sent_at, request.due_at() + LATE_ANSWER_LIMIT) + stopped
 }
 
-/// Returns the outages of one kind of a request's router.
+/// Returns the outages of the given kind of a request's router.
 fn outages_of<'a>(
     request: &'a RequestRecord,
     kind: OutageKind,
@@ -147,36 +149,41 @@
     if request.answers.iter().any(|answer| answer.kind == AnswerKind::WrongResult) {
         add(Invariant::WrongResult, "a result that no engine made for the request".to_owned());
     }
-    if let Some(description) = lost(request, records, limits, slack) {
+    if let Some(description) = describe_loss(request, records, limits, slack) {
         add(Invariant::Lost, description);
     }
-    if let Some(description) = forwarded_after_end(request, slack) {
+    if let Some(description) = describe_forwarding_after_end(request, slack) {
         add(Invariant::ForwardedAfterEnd, description);
     }
-    if let Some(description) = run_twice(request) {
+    if let Some(description) = describe_repeated_run(request) {
         add(Invariant::RunTwice, description);
     }
     if request.attempts.len() > MAX_ATTEMPTS {
         add(Invariant::TooManyAttempts, format!("{} attempts", request.attempts.len()));
     }
     for attempt in &request.attempts {
-        if let Some(description) = excessive_time_left(attempt, request, slack) {
+        if let Some(description) = describe_excessive_time_left(attempt, request, slack) {
             add(Invariant::Deadline, description);
         }
     }
     violations
 }
 
-/// Describes an attempt for which the router waits longer than the client.
-fn excessive_time_left(attempt: &Attempt, request: &RequestRecord, slack: Duration) -> Option<String> {
+/// Describes an attempt whose call has more time left than the client.
+fn describe_excessive_time_left(
+    attempt: &Attempt,
+    request: &RequestRecord,
+    slack: Duration,
+) -> Option<String> {
     let client_time_left = request.due_at().saturating_sub(attempt.at);
-    let passed_on = attempt.time_left;
-    (passed_on > client_time_left + DEADLINE_SLACK + slack)
-        .then(|| format!("{passed_on:?} passed on, the client has {client_time_left:?} left"))
+    let call_time_left = attempt.time_left;
+    (call_time_left > client_time_left + DEADLINE_SLACK + slack)
+        .then(|| format!("the call has {call_time_left:?} left, its client {client_time_left:?}"))
 }
 
-/// Describes a request whose client kept waiting and got no answer, or one too late.
-fn lost(
+/// Describes a request whose client kept waiting and got no answer, or got the answer too late. The requests of a
+/// router that was killed may be lost.
+fn describe_loss(
     request: &RequestRecord,
     records: &Records,
     limits: &ServiceLimits,
@@ -194,29 +201,34 @@
     }
     match (answer, request.connection_ended_at) {
         (Some(answer), _) => Some(format!("answered {:?} after its deadline", answer.at - request.due_at())),
-        (None, Some(ended_at)) => lost_with_connection(request, ended_at, slack),
+        (None, Some(ended_at)) => describe_loss_with_connection(request, ended_at, slack),
         (None, None) => Some("never answered".to_owned()),
     }
 }
 
-/// Describes a request whose connection ended without an answer, unless the request may have crossed the close.
-fn lost_with_connection(request: &RequestRecord, ended_at: Duration, slack: Duration) -> Option<String> {
-    let may_have_crossed = request.sent_at + TRANSIT_TIME + slack >= ended_at;
-    if may_have_crossed && request.attempts.is_empty() {
+/// Describes a request whose connection ended without an answer, unless the router may have closed the connection
+/// before the request reached it.
+fn describe_loss_with_connection(
+    request: &RequestRecord,
+    ended_at: Duration,
+    slack: Duration,
+) -> Option<String> {
+    let may_be_in_transit = request.sent_at + TRANSIT_TIME + slack >= ended_at;
+    if may_be_in_transit && request.attempts.is_empty() {
         return None;
     }
     Some(format!("its connection ended after {:?} without an answer", ended_at - request.sent_at))
 }
 
-/// Describes an attempt that began although its result was no longer needed.
-fn forwarded_after_end(request: &RequestRecord, slack: Duration) -> Option<String> {
+/// Describes an attempt that was sent although its result was no longer needed.
+fn describe_forwarding_after_end(request: &RequestRecord, slack: Duration) -> Option<String> {
     let departure = request.departure.map(|(at, departure)| (at, departure_description(departure)));
     let answer = request.answers.first().map(|answer| (answer.at, "it was answered"));
     let deadline = Some((request.due_at(), "its deadline"));
     for (ended_at, end) in [departure, answer, deadline].into_iter().flatten() {
         let mut attempts = request.attempts.iter();
         if let Some(attempt) = attempts.find(|attempt| attempt.at > ended_at + FORWARDING_GRACE + slack) {
-            return Some(format!("an attempt began {:?} after {end}", attempt.at - ended_at));
+            return Some(format!("an attempt arrived {:?} after {end}", attempt.at - ended_at));
         }
     }
     None
@@ -229,10 +241,10 @@
     }
 }
 
-/// Describes a non-idempotent request that was started more than once.
-fn run_twice(request: &RequestRecord) -> Option<String> {
+/// Describes a non-idempotent request that engines started more than once.
+fn describe_repeated_run(request: &RequestRecord) -> Option<String> {
     let starts = request.attempts.iter().filter(|attempt| attempt.started).count();
-    (request.class == RequestClass::Post && starts > 1).then(|| format!("it was started {starts} times"))
+    (request.class == RequestClass::Post && starts > 1).then(|| format!("engines started it {starts} times"))
 }
 
 fn check_drains(records: &Records) -> Vec<Violation> {
@@ -249,7 +261,8 @@
                     && drain.ended_at.is_none_or(|ended_at| attempt.at < ended_at);
                 if is_draining {
                     let delay = attempt.at - drain.listed_at;
-                    let description = format!("an attempt {delay:?} after its engine was listed as draining");
+                    let description =
+                        format!("an attempt arrived {delay:?} after its engine was listed as draining");
                     violations.push(Violation::of_request(Invariant::Drain, request_id, description));
                 }
             }
@@ -258,14 +271,15 @@
     violations
 }
 
-/// An attempt that an engine got during its slow start.
+/// An attempt that an engine received during its slow start.
 struct ReceivedLoad {
     at: Duration,
     /// The attempt's work, as a multiple of the mean work.
     weight: f64,
 }
 
-/// Checks that the load of an engine in each window of its slow start stays within the limit.
+/// Checks that the load of an engine in each window of its slow start stays within the limit, and describes the first
+/// window in which it does not.
 fn check_slow_start(start: &EngineStart, records: &Records, limits: &ServiceLimits) -> Option<Violation> {
     let received = load_during_slow_start(start, records, limits);
     for (index, ReceivedLoad { at, .. }) in received.iter().enumerate() {
@@ -277,14 +291,14 @@
         if sum > allowed + spread * allowed.sqrt() + spread {
             let engine = start.engine;
             let description =
-                format!("engine {engine} got {sum:.1} requests of mean work, its limit is {allowed:.1}");
+                format!("engine {engine} received {sum:.1} requests of mean work, its limit is {allowed:.1}");
             return Some(Violation::of_run(Invariant::SlowStart, description));
         }
     }
     None
 }
 
-/// Returns the attempts that an engine got during its slow start, in the order of their arrival.
+/// Returns the attempts that an engine received during its slow start, in the order of their arrival.
 fn load_during_slow_start(
     start: &EngineStart,
     records: &Records,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed, and checks
-//! the invariants of the service by the records of clients and engines alone.
+//! Runs real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed, and
+//! checks the service's invariants against the records of the emulated clients and engines alone.
 
 pub mod arrivals;
 pub mod classes;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,6 +1,6 @@
-//! `emberflow-soak`: runs real routers between emulated peers on loopback under overlapping faults drawn from a seed, and
-//! checks the invariants of the service. Exit status 0 if every invariant held, 1 if one was violated, 2 for a wrong
-//! command line, 3 if a run could not be completed.
+//! `emberflow-soak`: runs real routers between emulated peers on loopback under overlapping faults drawn from a seed,
+//! and checks the service's invariants. The exit status is 0 if all invariants held, 1 if one was violated, 2 for an
+//! invalid command line, and 3 if a run could not be completed.
 
 use clap::Parser;
 use emberflow_soak::options::{Command, CommandLine};
@@ -14,18 +14,18 @@
         Command::Run { seed, options } => (seed..seed + 1, options),
         Command::Seeds { range, options } => (range.0, options),
     };
-    let mut worst = Verdict::Held;
+    let mut worst_verdict = Verdict::Held;
     for seed in seeds {
         match run_seed(seed, &options) {
             Ok(report) => {
-                worst = worst.max(report.verdict());
+                worst_verdict = worst_verdict.max(report.verdict());
                 print!("{}", report.text(options.json));
             }
             Err(error) => {
-                worst = Verdict::Incomplete;
+                worst_verdict = Verdict::Incomplete;
                 eprintln!("emberflow-soak: seed {seed} could not be completed: {error}");
             }
         }
     }
-    ExitCode::from(worst as u8)
+    ExitCode::from(worst_verdict as u8)
 }
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the soak.
 
 use crate::faults::FaultKind;
 use clap::{Args, Parser, Subcommand};
@@ -6,15 +6,15 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-const SECONDS: RangeInclusive<f64> = 2.0..=3600.0;
-const REQUESTS_PER_SECOND: RangeInclusive<f64> = 0.1..=500.0;
-const SLOWDOWNS: RangeInclusive<f64> = 1.0..=200.0;
-/// The last bytes of the routers' addresses end below that of discovery.
-const ROUTERS: RangeInclusive<i64> = 1..=60;
-const ENGINES: RangeInclusive<i64> = 3..=3200;
+const VALID_SECONDS: RangeInclusive<f64> = 2.0..=3600.0;
+const VALID_REQUESTS_PER_SECOND: RangeInclusive<f64> = 0.1..=500.0;
+const VALID_SLOWDOWNS: RangeInclusive<f64> = 1.0..=200.0;
+/// The last byte of a router's address counts up from 1 and must stay below that of the discovery service.
+const VALID_ROUTER_COUNTS: RangeInclusive<i64> = 1..=60;
+const VALID_ENGINE_COUNTS: RangeInclusive<i64> = 3..=3200;
 
-/// Runs real routers between emulated peers on loopback under overlapping faults, and checks the invariants of the
-/// service by the records of clients and engines.
+/// Runs real routers between emulated peers on loopback under overlapping faults, and checks the service's invariants
+/// against the records of clients and engines.
 #[derive(Parser)]
 #[command(name = "emberflow-soak", version)]
 pub struct CommandLine {
@@ -32,7 +32,7 @@
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Runs a range of seeds, `A..B` without B, and prints a line for each.
+    /// Runs the seeds of a range `A..B`, without B, and prints a line for each.
     Seeds {
         range: SeedRange,
         #[command(flatten)]
@@ -43,37 +43,37 @@
 /// The options of a run.
 #[derive(Args, Clone, Debug)]
 pub struct RunOptions {
-    /// Seconds in which requests are sent.
-    #[arg(long, default_value_t = 15.0, value_parser = seconds)]
+    /// Seconds for which clients send requests.
+    #[arg(long, default_value_t = 15.0, value_parser = parse_seconds)]
     pub seconds: f64,
     /// Number of routers.
-    #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(ROUTERS))]
+    #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(VALID_ROUTER_COUNTS))]
     pub routers: u8,
     /// Number of engines.
-    #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u16).range(ENGINES))]
+    #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u16).range(VALID_ENGINE_COUNTS))]
     pub engines: u16,
-    /// Requests a second for each router.
-    #[arg(long, default_value_t = 15.0, value_parser = rate)]
+    /// Mean number of requests per second to each router.
+    #[arg(long, default_value_t = 15.0, value_parser = parse_rate)]
     pub rate: f64,
-    /// Number of routers in the settings [default: the number of routers].
+    /// Number of routers that the settings state [default: the number of routers].
     #[arg(long)]
     pub fleet: Option<usize>,
-    /// Factor of the time that the routers' computations take, as on a fraction of a core [default: drawn].
-    #[arg(long, value_parser = slowdown)]
+    /// Factor by which the routers' computations are slowed down, as on a fraction of a core [default: drawn].
+    #[arg(long, value_parser = parse_slowdown)]
     pub slowdown: Option<f64>,
-    /// Kinds of faults to draw from, `none` for none [default: all].
+    /// Kinds of faults to draw from, separated by commas; `none` for no faults [default: all].
     #[arg(long, value_delimiter = ',')]
     pub faults: Option<Vec<FaultName>>,
-    /// Injects no clock steps and no failing system calls into the routers.
+    /// Does not inject clock steps and failing system calls into the routers.
     #[arg(long)]
     pub no_shim: bool,
-    /// Path of the router's program [default: beside this program].
+    /// Path of the router's program [default: in the directory of this program].
     #[arg(long)]
     pub router: Option<PathBuf>,
-    /// Directory of the configurations and logs [default: a temporary directory].
+    /// Directory for the routers' configurations and logs [default: a temporary directory].
     #[arg(long)]
     pub directory: Option<PathBuf>,
-    /// Prints a line of JSON for each seed.
+    /// Prints one line of JSON for each seed.
     #[arg(long)]
     pub json: bool,
 }
@@ -129,31 +129,31 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (start, end) = text.split_once("..").ok_or(OptionError::NotARange)?;
-        let range = number(start)?..number(end)?;
+        let range = parse_number(start)?..parse_number(end)?;
         if range.is_empty() { Err(OptionError::EmptyRange) } else { Ok(Self(range)) }
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T, OptionError> {
+fn parse_number<T: FromStr>(text: &str) -> Result<T, OptionError> {
     text.parse().map_err(|_| OptionError::NotANumber { text: text.to_owned() })
 }
 
-fn number_within(text: &str, range: &RangeInclusive<f64>) -> Result<f64, OptionError> {
-    let value = number(text)?;
+fn parse_number_within(text: &str, range: &RangeInclusive<f64>) -> Result<f64, OptionError> {
+    let value = parse_number(text)?;
     if range.contains(&value) {
         return Ok(value);
     }
     Err(OptionError::OutOfRange { min: *range.start(), max: *range.end() })
 }
 
-fn seconds(text: &str) -> Result<f64, OptionError> {
-    number_within(text, &SECONDS)
+fn parse_seconds(text: &str) -> Result<f64, OptionError> {
+    parse_number_within(text, &VALID_SECONDS)
 }
 
-fn rate(text: &str) -> Result<f64, OptionError> {
-    number_within(text, &REQUESTS_PER_SECOND)
+fn parse_rate(text: &str) -> Result<f64, OptionError> {
+    parse_number_within(text, &VALID_REQUESTS_PER_SECOND)
 }
 
-fn slowdown(text: &str) -> Result<f64, OptionError> {
-    number_within(text, &SLOWDOWNS)
+fn parse_slowdown(text: &str) -> Result<f64, OptionError> {
+    parse_number_within(text, &VALID_SLOWDOWNS)
 }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -1,17 +1,17 @@
-//! The record of a run: the events that clients and engines have seen of each request, by which the run is checked.
-//! All times count from the start of the run.
+//! The records of a run: the events of each request as clients and engines have seen them. The invariants are checked
+//! against them. All times count from the start of the run.
 
 use crate::classes::RequestClass;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The kind of an answer.
+/// The kind of an answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum AnswerKind {
-    /// A result that an engine made for this request.
+    /// A result that an engine returned for this request.
     Succeeded,
-    /// A result that no engine made for this request.
+    /// A result that no engine returned for this request.
     WrongResult,
     /// The router has rejected the request.
     Rejected,
@@ -19,24 +19,25 @@
     Failed,
 }
 
-/// An answer as its client read it.
+/// An answer, as the client received it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Answer {
     pub at: Duration,
     pub kind: AnswerKind,
 }
 
-/// An attempt as its engine read it.
+/// An attempt, as the engine received it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Attempt {
     /// When the last byte of the call arrived at the engine.
     pub at: Duration,
+    /// Index of the engine.
     pub engine: usize,
-    /// How long the router waits for the reply, as it says in the call.
+    /// How long the router waits for the reply, according to the call.
     pub time_left: Duration,
-    /// Whether the engine began to run the attempt.
+    /// Whether the engine started to run the attempt.
     pub started: bool,
-    /// When the engine sent the final reply or read the cancellation.
+    /// When the engine finished, refused or cancelled the attempt, or when its connection was closed.
     pub ended_at: Option<Duration>,
 }
 
@@ -53,21 +54,22 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
     pub class: RequestClass,
+    /// Index of the router.
     pub router: usize,
     /// When the client wrote the last byte of the request.
     pub sent_at: Duration,
-    /// How long the client waits for the answer.
+    /// How long the client waits for the answer, from `sent_at`.
     pub deadline: Duration,
     /// When and why the client stopped waiting.
     pub departure: Option<(Duration, Departure)>,
     pub answers: Vec<Answer>,
     pub attempts: Vec<Attempt>,
-    /// When the client read the end of the connection.
+    /// When the client found that the router had closed the connection.
     pub connection_ended_at: Option<Duration>,
 }
 
 impl RequestRecord {
-    /// Returns the record of a request that is sent now and has no events yet.
+    /// Returns the record of a request that is sent now.
     pub fn sent(class: RequestClass, router: usize, now: Duration) -> Self {
         Self {
             class,
@@ -81,15 +83,16 @@
         }
     }
 
-    /// Returns the time at which the client's deadline passes.
+    /// Returns when the client's deadline passes.
     pub fn due_at(&self) -> Duration {
         self.sent_at + self.deadline
     }
 }
 
-/// A start of an engine, which begins its slow start.
+/// A restart of an engine, with which its slow start begins.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct EngineStart {
+    /// Index of the engine.
     pub engine: usize,
     pub started_at: Duration,
     /// When discovery listed the engine as ready.
@@ -99,10 +102,11 @@
 /// A period in which an engine is draining.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Drain {
+    /// Index of the engine.
     pub engine: usize,
     /// When discovery listed the engine as draining.
     pub listed_at: Duration,
-    /// When the watch event counts as delivered to all routers.
+    /// When the discovery event is assumed to have reached all routers.
     pub delivered_at: Duration,
     /// When discovery listed the engine as ready again.
     pub ended_at: Option<Duration>,
@@ -111,6 +115,7 @@
 /// A period in which a router's process was killed, stopped or not ready.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Outage {
+    /// Index of the router.
     pub router: usize,
     pub from: Duration,
     pub until: Duration,
@@ -120,7 +125,7 @@
 /// The cause of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum OutageKind {
-    /// SIGKILL at `from` without a SIGTERM before it; the protocol frees the router of its open requests.
+    /// SIGKILL at `from` without a SIGTERM before it. The protocol allows the router to lose its open requests.
     Killed,
     /// SIGTERM at `from`, SIGKILL at `until`.
     Terminated,
@@ -132,16 +137,19 @@
     NotReady,
 }
 
-/// The highest resource usage of a router's process.
+/// The highest resource usage that was sampled of a router's processes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Usage {
+    /// Peak resident memory, in kB.
     pub memory_kb: u64,
+    /// Number of open file descriptors.
     pub descriptors: usize,
+    /// Processor time of one process, in user and kernel mode.
     pub cpu: Duration,
 }
 
 impl Usage {
-    /// Raises each figure to that of `other` where that is higher.
+    /// Raises each value to that of `other` if that one is higher.
     pub fn raise_to(&mut self, other: &Self) {
         self.memory_kb = self.memory_kb.max(other.memory_kb);
         self.descriptors = self.descriptors.max(other.descriptors);
@@ -149,7 +157,7 @@
     }
 }
 
-/// A period in which the emulation did not serve its sockets.
+/// A period in which the event loop of the emulation was late, so that sockets were not served.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
     pub from: Duration,
@@ -157,7 +165,7 @@
 }
 
 impl Stall {
-    fn length(&self) -> Duration {
+    fn duration(&self) -> Duration {
         self.until - self.from
     }
 }
@@ -165,32 +173,32 @@
 /// All events of a run.
 #[derive(Default)]
 pub struct Records {
-    /// The requests by their ids.
+    /// The requests by request id.
     pub requests: BTreeMap<String, RequestRecord>,
     pub engine_starts: Vec<EngineStart>,
     pub drains: Vec<Drain>,
     pub outages: Vec<Outage>,
-    /// Usage by router.
+    /// Usage by index of the router.
     pub usage: Vec<Usage>,
-    /// Connections that engines accepted.
+    /// Number of connections that engines accepted.
     pub engine_connections: u64,
-    /// Bytes of lists and changes that discovery sent to all routers.
+    /// Number of bytes of complete lists and changes that discovery sent to all routers.
     pub list_bytes: u64,
-    /// Answers without a request that is open on their connection, and lines that are not JSON.
+    /// Number of answers to a request that was never sent or is already answered, and of lines that are not JSON.
     pub unexpected_answers: u64,
     pub stalls: Vec<Stall>,
 }
 
 impl Records {
-    /// Returns the longest stall of the emulation.
+    /// Returns the duration of the longest stall.
     pub fn longest_stall(&self) -> Duration {
-        self.stalls.iter().map(Stall::length).max().unwrap_or_default()
+        self.stalls.iter().map(Stall::duration).max().unwrap_or_default()
     }
 
-    /// Returns the sum of all stalls that overlap a period.
+    /// Returns the summed duration of all stalls that overlap a period, including their parts outside the period.
     pub fn stalled_within(&self, from: Duration, until: Duration) -> Duration {
         let overlapping = self.stalls.iter().filter(|stall| stall.from <= until && stall.until >= from);
-        overlapping.map(Stall::length).sum()
+        overlapping.map(Stall::duration).sum()
     }
 
     /// Returns the fraction of requests that succeeded in time, among those whose clients kept waiting.
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: its figures, the violated invariants, and the histories of some requests that violate one.
+//! The report of a run: its figures, the violated invariants, and the histories of some of the requests concerned.
 
 use crate::invariants::{Invariant, Violation};
 use crate::records::{AnswerKind, Records};
@@ -10,12 +10,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Violations of a report with the history of their request.
+/// Maximum number of violations that a report describes with the history of their request.
 const MAX_HISTORIES: usize = 3;
-/// Log lines of a request's history.
+/// Maximum number of log lines in a request's history.
 const MAX_LOG_LINES: usize = 60;
 
-/// The verdict on a run; the discriminants are exit statuses.
+/// The verdict on a run; the discriminants are the program's exit statuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
     /// Every invariant held.
@@ -30,24 +30,31 @@
 #[derive(Serialize)]
 pub struct Report {
     pub seed: u64,
-    /// Number of requests.
+    /// Number of requests that clients sent.
     pub requests: usize,
     /// Fraction of requests that succeeded in time, among those whose clients kept waiting.
     pub served: f64,
+    /// Number of requests whose first answer is a rejection.
     pub rejected: usize,
+    /// Number of requests whose first answer is a failure.
     pub failed: usize,
+    /// Number of attempts that engines received.
     pub attempts: usize,
+    /// Number of connections that engines accepted.
     pub engine_connections: u64,
-    /// Bytes of endpoint lists that discovery sent.
+    /// Number of bytes of endpoint lists and changes that discovery sent.
     pub list_bytes: u64,
-    /// The highest processor time, memory and number of descriptors of any router.
+    /// The highest processor time of any router's process.
     pub cpu_seconds: f64,
+    /// The highest resident memory of any router.
     pub memory_kb: u64,
+    /// The highest number of open file descriptors of any router.
     pub descriptors: usize,
     /// The longest stall of the emulation.
     pub longest_stall_ms: u128,
     /// Number of violations by invariant.
     pub violations: BTreeMap<Invariant, usize>,
+    /// The first few violations.
     pub first_violations: Vec<Violation>,
     #[serde(skip)]
     histories: String,
@@ -80,13 +87,12 @@
         }
     }
 
-    /// Returns whether all invariants held.
+    /// Returns the verdict on a completed run.
     pub fn verdict(&self) -> Verdict {
         if self.violations.is_empty() { Verdict::Held } else { Verdict::Violated }
     }
 
-    /// Returns the report as a line, followed by the histories of requests that violate an invariant, or as one line of
-    /// JSON.
+    /// Returns the report as one line of JSON, or as a line of text that the histories of some requests follow.
     pub fn text(&self, as_json: bool) -> String {
         if as_json {
             return serde_json::to_string(self).map_or_else(|error| error.to_string(), |line| line + "\n");
@@ -113,14 +119,14 @@
     }
 }
 
-/// Counts the requests whose first answer is of a kind.
+/// Counts the requests whose first answer is of the given kind.
 fn count_answered(records: &Records, kind: AnswerKind) -> usize {
     let first_answers = records.requests.values().filter_map(|request| request.answers.first());
     first_answers.filter(|answer| answer.kind == kind).count()
 }
 
-/// Describes the first violation of some invariants, with the history of its request by the records of clients and
-/// engines and by the router's log.
+/// Describes the first violation of each invariant, up to [`MAX_HISTORIES`], with the history of its request from the
+/// records of clients and engines and from the router's log.
 fn histories(violations: &[Violation], records: &Records, directory: &Path) -> String {
     let mut text = String::new();
     let mut described = Vec::new();
@@ -141,15 +147,15 @@
     text
 }
 
-/// Returns the lines of a router's log about a request. The first one has the request's id and the number under which
-/// the other lines name the request.
+/// Returns the lines of a router's log about a request. The first one has the request's id and a number, by which the
+/// following lines refer to the request.
 fn log_lines_of(request_id: &str, log: &Path) -> Vec<String> {
     let text = fs::read(log).map(|bytes| String::from_utf8_lossy(&bytes).into_owned()).unwrap_or_default();
     let lines: Vec<&str> = text.lines().skip_while(|line| !line.contains(request_id)).collect();
     let Some(first_line) = lines.first() else { return Vec::new() };
     let number = field_value(first_line, "request").unwrap_or("-");
-    let about = lines.iter().filter(|line| field_value(line, "request") == Some(number));
-    about.take(MAX_LOG_LINES).map(|line| (*line).to_owned()).collect()
+    let request_lines = lines.iter().filter(|line| field_value(line, "request") == Some(number));
+    request_lines.take(MAX_LOG_LINES).map(|line| (*line).to_owned()).collect()
 }
 
 /// Returns the value of a field `name=value` of a log line.
--- a/crates/soak/src/routers.rs
+++ b/crates/soak/src/routers.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// The slowdown of a process without a delay.
+/// The slowdown factor of a process without a delay.
 const NO_SLOWDOWN: f64 = 1.0;
 
 /// The phase of a router's process.
@@ -18,20 +18,21 @@
 pub enum RouterPhase {
     /// The process was started and is not ready yet.
     Starting,
+    /// The process has answered a status request with `serving`.
     Serving,
-    /// SIGTERM was sent.
+    /// The process was sent SIGTERM.
     ShuttingDown,
-    /// SIGSTOP was sent.
+    /// The process was sent SIGSTOP.
     Stopped,
     /// There is no process.
     Down,
 }
 
-/// One router of the soak.
+/// A router of the soak, with its process.
 pub struct Router {
     pub address: SocketAddr,
     pub phase: RouterPhase,
-    /// When the process was started last.
+    /// When the process was last started.
     pub started_at: Duration,
     faults: ProcessFaults,
     config: PathBuf,
@@ -66,9 +67,9 @@
         command.arg("serve").env("EDGE_CONFIG", &self.config).env("RUST_LOG", "debug");
         command.stdout(log.try_clone()?).stderr(log);
         if self.faults != ProcessFaults::default() {
-            preload(&mut command, shim, &self.faults);
+            preload_shim(&mut command, shim, &self.faults);
         }
-        end_with_parent(&mut command);
+        kill_with_parent(&mut command);
         self.child = Some(command.spawn()?);
         self.phase = RouterPhase::Starting;
         self.started_at = now;
@@ -78,12 +79,12 @@
     /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: libc::c_int) {
         if let Some(child) = &self.child {
-            // SAFETY: the id is that of a child which has not been waited for, so no other process has it.
+            // SAFETY: the child has not been waited for, so its id cannot belong to another process.
             unsafe { libc::kill(child.id() as libc::pid_t, signal) };
         }
     }
 
-    /// Whether the process has ended since the last call.
+    /// Whether the process has exited since the last call.
     pub fn has_exited(&mut self) -> bool {
         let status = self.child.as_mut().and_then(|child| child.try_wait().ok()?);
         if status.is_some() {
@@ -92,7 +93,7 @@
         status.is_some()
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process, if there is one, and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -101,7 +102,7 @@
         self.phase = RouterPhase::Down;
     }
 
-    /// Returns the resource usage of the process; `None` without a process.
+    /// Returns the resource usage of the process; `None` if there is no process or its usage cannot be read.
     pub fn usage(&self) -> Option<Usage> {
         let process = PathBuf::from(format!("/proc/{}", self.child.as_ref()?.id()));
         let status = fs::read_to_string(process.join("status")).ok()?;
@@ -119,7 +120,7 @@
 }
 
 /// Preloads the library that injects the faults into the process.
-fn preload(command: &mut Command, shim: &Path, faults: &ProcessFaults) {
+fn preload_shim(command: &mut Command, shim: &Path, faults: &ProcessFaults) {
     command.env("LD_PRELOAD", shim);
     command.env("FAULT_SHIM_SLOWDOWN", faults.slowdown.max(NO_SLOWDOWN).to_string());
     command.env("FAULT_SHIM_CLOCK_STEP_MS", faults.clock_step_ms.to_string());
@@ -127,8 +128,8 @@
     command.env("FAULT_SHIM_FAIL_EVERY", faults.fail_every.to_string());
 }
 
-/// Has the kernel kill the process when the soak ends, even if the soak is killed.
-fn end_with_parent(command: &mut Command) {
+/// Makes the kernel kill the process when the soak ends, even if the soak is killed.
+fn kill_with_parent(command: &mut Command) {
     let set_death_signal = || {
         // SAFETY: the system call takes no pointer.
         let result = unsafe { libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) };
@@ -140,10 +141,10 @@
 
 /// Returns the processor time of a process in user and kernel mode.
 fn cpu_time(process: &Path) -> Option<Duration> {
-    /// Fields of `/proc/PID/stat` behind the program's name, from its state on.
+    // Indices of the fields of `/proc/PID/stat` after the program's name; the process's state has index 0.
     const USER_TIME: usize = 11;
     const KERNEL_TIME: usize = 12;
-    /// The unit of the fields on Linux.
+    /// The unit of both times on Linux.
     const TICKS_PER_SECOND: u64 = 100;
     const MS_PER_SECOND: u64 = 1000;
     let stat = fs::read_to_string(process.join("stat")).ok()?;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -11,10 +11,11 @@
 
 const ROUTER_PROGRAM: &str = "emberflow";
 const SHIM_LIBRARY: &str = "libemberflow_fault_shim.so";
-/// Directories in which the other programs are searched: that of this program and, for tests, its parent.
+/// Number of directories that are searched for the other programs: the directory of this program, and the parent
+/// directory for tests, which are built into `deps`.
 const SEARCHED_ANCESTORS: usize = 2;
 
-/// Runs one seed and checks its records.
+/// Runs one seed and checks the invariants. Fails if a program is not built or an emulated peer cannot be started.
 pub fn run_seed(seed: u64, options: &RunOptions) -> io::Result<Report> {
     let programs = find_programs(options)?;
     let directory = match &options.directory {
@@ -36,7 +37,7 @@
     Ok(report)
 }
 
-/// Finds the router's program and the library that is preloaded into it.
+/// Finds the router's program, unless an option gives its path, and the library that is preloaded into it.
 fn find_programs(options: &RunOptions) -> io::Result<Programs> {
     let this_program = std::env::current_exe()?;
     let ancestors = this_program.ancestors().skip(1).take(SEARCHED_ANCESTORS);
--- a/crates/soak/src/soak_run.rs
+++ b/crates/soak/src/soak_run.rs
@@ -1,4 +1,4 @@
-//! One run of the soak: engines, discovery, clients and routers, driven by one loop over sockets and timers.
+//! One run of the soak: engines, discovery, clients and routers, driven by one event loop over sockets and timers.
 
 mod fault_injection;
 mod processes;
@@ -27,32 +27,34 @@
 use std::time::{Duration, Instant};
 use timers::{DueTimer, Timer, TimerQueue};
 
-/// The first tokens of the sockets of discovery, clients and engines.
-const DISCOVERY_TOKENS: usize = 0;
-const CLIENT_TOKENS: usize = 1000;
-const ENGINE_TOKENS: usize = 100_000;
-/// Second bytes of the addresses 127.N.x.y that a run may use.
+/// The first token of discovery's sockets.
+const FIRST_DISCOVERY_TOKEN: usize = 0;
+/// The first token of clients' sockets.
+const FIRST_CLIENT_TOKEN: usize = 1000;
+/// The first token of engines' sockets, which have all tokens from here up.
+const FIRST_ENGINE_TOKEN: usize = 100_000;
+/// Values of N in the addresses 127.N.x.y, of which a run uses the first that is free.
 const HOST_BLOCKS: Range<u8> = 64..128;
 /// First byte of all loopback addresses.
 const LOOPBACK_NETWORK: u8 = 127;
-/// The last byte of the first router's address; those of the other routers follow.
+/// The last byte of the first router's address; the other routers have the bytes after it.
 const FIRST_ROUTER_HOST: u8 = 1;
 const ROUTER_PORT: u16 = 8080;
 const DISCOVERY_HOST: u8 = 250;
 const DISCOVERY_PORT: u16 = 9092;
-/// Limit of the time in which all routers become ready at the start of a run.
+/// How long a run waits at its start until all routers are ready.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which the loop measures its lateness; also the longest wait for events.
+/// Interval at which the event loop measures its lateness; also its longest wait for events.
 const TICK: Duration = Duration::from_millis(20);
-/// Lateness of the loop that counts as a stall.
+/// Lateness of the event loop from which it is recorded as a stall.
 const MIN_STALL: Duration = Duration::from_millis(5);
-/// Events that one poll returns at most.
+/// Maximum number of events that one poll returns.
 const MAX_EVENTS: usize = 1024;
-/// Time after the last deadline until the run ends.
+/// Time from the last deadline to the end of the run, in which late answers arrive.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 const PROGRESS_LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The paths of the programs under test.
+/// The paths of the files under test.
 pub struct Programs {
     pub router: PathBuf,
     /// The library that is preloaded into the routers.
@@ -62,7 +64,7 @@
 /// A run of the soak.
 pub struct SoakRun {
     poll: Poll,
-    started: Instant,
+    started_at: Instant,
     timers: TimerQueue,
     rng: StdRng,
     options: RunOptions,
@@ -71,12 +73,12 @@
     discovery: Discovery,
     clients: Clients,
     routers: Vec<Router>,
-    /// The end of the last burst of requests, by router.
+    /// The end of the last burst of requests, by index of the router.
     burst_until: Vec<Duration>,
     records: Records,
-    /// When the last fault of discovery ended; `None` during a fault.
+    /// When the last fault of discovery ended; `None` while discovery has a fault.
     discovery_up_since: Option<Duration>,
-    /// The faults that are injected.
+    /// The faults that the run injects, in the order in which they start.
     pub faults: Vec<Fault>,
     /// When clients stop sending requests.
     traffic_end: Duration,
@@ -92,7 +94,7 @@
         let discovery = Discovery::start(
             host_address(&engines, DISCOVERY_HOST, DISCOVERY_PORT),
             all_endpoints(&engines),
-            DISCOVERY_TOKENS,
+            FIRST_DISCOVERY_TOKEN,
             registry,
         )?;
         let mut routers = Vec::new();
@@ -102,11 +104,11 @@
             routers.push(Router::new(index.into(), address, directory, faults));
         }
         let faults = faults::draw(&mut rng, &options.fault_kinds(), options.seconds);
-        // With a separate generator, the draws of clients do not depend on those of the run.
-        let clients = Clients::new(CLIENT_TOKENS, ENGINE_TOKENS, StdRng::seed_from_u64(seed ^ 1));
+        // Clients have a generator of their own, so that their draws do not depend on those of the run.
+        let clients = Clients::new(FIRST_CLIENT_TOKEN, FIRST_ENGINE_TOKEN, StdRng::seed_from_u64(seed ^ 1));
         Ok(Self {
             poll,
-            started: Instant::now(),
+            started_at: Instant::now(),
             timers: TimerQueue::default(),
             rng,
             traffic_end: Duration::from_secs_f64(options.seconds),
@@ -123,7 +125,7 @@
         })
     }
 
-    /// Returns the limits by which the run is checked.
+    /// Returns the limits against which the run is checked; the run ends now.
     pub fn limits(&self) -> ServiceLimits {
         ServiceLimits {
             slow_start: config::SLOW_START,
@@ -135,11 +137,12 @@
 
     /// Returns the time since the start of the run.
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Runs to the end and returns the records. `progress` is called about once a second with the time.
-    pub fn run(&mut self, progress: &mut impl FnMut(Duration)) -> io::Result<Records> {
+    /// Runs to the end and returns the records. Calls `report_progress` about once a second with the time since the
+    /// start of the run.
+    pub fn run(&mut self, report_progress: &mut impl FnMut(Duration)) -> io::Result<Records> {
         for router in 0..self.routers.len() {
             self.start_router(router)?;
         }
@@ -151,7 +154,7 @@
             self.run_iteration()?;
             if self.now() >= printed_at + PROGRESS_LINE_INTERVAL {
                 printed_at = self.now();
-                progress(printed_at);
+                report_progress(printed_at);
             }
         }
         for router in &mut self.routers {
@@ -161,7 +164,7 @@
         Ok(std::mem::take(&mut self.records))
     }
 
-    /// Schedules the traffic and the faults, whose times count from now.
+    /// Schedules the traffic and the faults, whose times count from now. Discards the stalls of the startup.
     fn schedule_traffic_and_faults(&mut self) {
         let now = self.now();
         self.traffic_end += now;
@@ -176,20 +179,21 @@
         self.records.stalls.clear();
     }
 
+    /// Runs the event loop until no router is starting.
     fn wait_until_ready(&mut self) -> io::Result<()> {
         self.timers.set(Duration::ZERO, Timer::Heartbeat);
         self.timers.set(Duration::ZERO, Timer::RequestStatus);
         while self.routers.iter().any(|router| router.phase == RouterPhase::Starting) {
             self.run_iteration()?;
             if self.now() > STARTUP_TIMEOUT {
-                let message = format!("the routers are not ready after {STARTUP_TIMEOUT:?}");
+                let message = format!("not all routers are ready after {STARTUP_TIMEOUT:?}");
                 return Err(io::Error::other(message));
             }
         }
         Ok(())
     }
 
-    /// Waits for sockets and the next timer, and handles them.
+    /// Waits for socket events or the next timer, and handles them.
     fn run_iteration(&mut self) -> io::Result<()> {
         let wait = self.timers.next_due().map_or(TICK, |at| at.saturating_sub(self.now()).min(TICK));
         let mut events = Events::with_capacity(MAX_EVENTS);
@@ -215,7 +219,7 @@
         loop {
             let now = self.now();
             let Some(due) = self.timers.pop_due(now) else { return Ok(()) };
-            self.timer_expired(due, now)?;
+            self.handle_timer(due, now)?;
         }
     }
 
@@ -230,7 +234,7 @@
         }
     }
 
-    fn timer_expired(&mut self, due: DueTimer, now: Duration) -> io::Result<()> {
+    fn handle_timer(&mut self, due: DueTimer, now: Duration) -> io::Result<()> {
         let DueTimer { due_at, timer } = due;
         match timer {
             Timer::SendRequest { router } => self.send_request(router, now),
@@ -238,7 +242,7 @@
             Timer::CloseConnection { request_id } => {
                 self.clients.close_connection_of(&request_id, now, &mut self.records);
             }
-            Timer::Engine(timer) => self.engines.timer_expired(timer, now, &mut self.records),
+            Timer::Engine(timer) => self.engines.handle_timer(timer, now, &mut self.records),
             Timer::InjectFault(fault) => self.inject(fault, now)?,
             Timer::EndEngineFault { engines } => self.set_engine_faults(&engines, EngineFault::None, now),
             Timer::ResumeAccepting { engines } => self.resume_accepting(&engines)?,
@@ -268,7 +272,7 @@
         Ok(())
     }
 
-    /// Records a stall if the loop is late.
+    /// Records a stall if the event loop is late.
     fn record_lateness(&mut self, due_at: Duration, now: Duration) {
         if now - due_at >= MIN_STALL {
             self.records.stalls.push(Stall { from: due_at, until: now });
@@ -277,11 +281,11 @@
     }
 }
 
-/// Starts the engines in the first block of addresses that no other run uses.
+/// Starts the engines in the first block of addresses that is free: several runs may use the same machine.
 fn start_engines(count: usize, registry: &Registry) -> io::Result<Engines> {
     let mut error = io::Error::from(io::ErrorKind::AddrInUse);
     for host_block in HOST_BLOCKS {
-        match Engines::start(count, host_block, ENGINE_TOKENS, registry) {
+        match Engines::start(count, host_block, FIRST_ENGINE_TOKEN, registry) {
             Ok(engines) => return Ok(engines),
             Err(cause) => error = cause,
         }
@@ -289,7 +293,7 @@
     Err(error)
 }
 
-/// Returns an address beside the engines, in the run's block of addresses.
+/// Returns an address in the run's block that no engine uses.
 fn host_address(engines: &Engines, host: u8, port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(LOOPBACK_NETWORK, engines.host_block, 0, host), port))
 }
--- a/crates/soak/src/soak_run/fault_injection.rs
+++ b/crates/soak/src/soak_run/fault_injection.rs
@@ -1,4 +1,4 @@
-//! The injection of faults into engines, discovery, clients and routers, and the end of each fault.
+//! Injects faults into engines, discovery, clients and routers, and ends them.
 
 use super::SoakRun;
 use super::timers::Timer;
@@ -13,18 +13,18 @@
 use std::io;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A fault affects at most one of this many engines.
+/// A fault of drawn engines affects at most one in this many engines.
 const ENGINES_PER_AFFECTED_ENGINE: usize = 3;
-/// A slow engine runs each call eight times as long.
+/// The fault of an engine that is slow.
 const SLOW_ENGINE: EngineFault = EngineFault::Slow { slowdown: 8.0 };
-/// A router is stopped for the fault's duration divided by this number.
+/// A router is stopped by SIGSTOP for the fault's duration divided by this number.
 const STOP_DURATION_DIVISOR: u32 = 4;
 const IDLE_CONNECTIONS_PER_FLOOD: usize = 300;
 /// Time from the drain of an engine to the end of its process.
 const DRAIN_DURATION: Duration = Duration::from_secs(5);
-/// Time after which a watch event counts as delivered if discovery has a fault.
+/// Time after which a discovery event is assumed to have reached all routers although discovery has a fault.
 const MAX_DELIVERY_DELAY: Duration = Duration::from_secs(7);
-/// Time after the end of a discovery fault until all routers are connected again.
+/// Time from the end of a discovery fault until all routers are assumed to be connected again.
 const RECONNECT_TIME: Duration = Duration::from_secs(4);
 
 impl SoakRun {
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Draws engines that are listed as ready, each with the probability `fraction`.
+    /// Draws each engine that is listed as ready with the probability `fraction`, up to a fraction of all engines.
     fn draw_engines(&mut self, fraction: f64) -> Vec<usize> {
         let mut drawn = Vec::new();
         for endpoint in &self.discovery.endpoints {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Lists engines as draining; their processes end later.
+    /// Lists engines as draining and schedules the end of their processes.
     fn drain_engines(&mut self, fault: Fault, now: Duration) {
         let engines = self.draw_engines(fault.engine_fraction);
         for engine in &engines {
@@ -143,7 +143,8 @@
         self.timers.set(now + DRAIN_DURATION, Timer::StopDrainedEngines { engines });
     }
 
-    /// Returns when a watch event of now counts as delivered: at once while all routers are connected to discovery.
+    /// Returns when a discovery event of now is assumed to have reached all routers: at once while all routers are
+    /// connected to discovery.
     fn delivery_time(&self, now: Duration) -> Duration {
         let is_connected = self.discovery_up_since.is_some_and(|since| now >= since + RECONNECT_TIME);
         if is_connected { now } else { now + MAX_DELIVERY_DELAY }
@@ -157,7 +158,7 @@
         self.timers.set(now + downtime, Timer::RestartEngines { engines });
     }
 
-    /// Restarts engines and lists them as ready since now, so that their slow start begins.
+    /// Restarts engines and lists them as ready and as started now, so that their slow start begins.
     pub(super) fn restart_engines(&mut self, engines: &[usize], now: Duration) -> io::Result<()> {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let up_since_ms = since_epoch.as_millis() as u64;
--- a/crates/soak/src/soak_run/processes.rs
+++ b/crates/soak/src/soak_run/processes.rs
@@ -1,4 +1,4 @@
-//! The routers' processes: their starts, the signals that end or stop them, and their resource usage.
+//! Starts the routers' processes, sends them signals, and records their outages and resource usage.
 
 use super::timers::Timer;
 use super::{Programs, SoakRun};
@@ -11,14 +11,14 @@
 use std::io;
 use std::time::Duration;
 
-/// Limit of the time from a router's start until it serves.
+/// How long a router may take from its start until it serves.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval of the status requests to routers that are starting.
+/// Interval of the status requests to a router that is starting.
 const STATUS_INTERVAL: Duration = Duration::from_millis(50);
 const USAGE_SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time from SIGTERM to SIGKILL, after the longest deadline.
+/// Time from SIGTERM to SIGKILL, in addition to the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Time from the end of a router's or an engine's process to the start of its next incarnation.
+/// Time from the end of a router's process, or of a drained engine's, to its restart.
 pub(super) const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 impl SoakRun {
@@ -36,7 +36,7 @@
         self.routers[router].start(program, shim, &config.to_string(), now)
     }
 
-    /// Sends a router SIGTERM; SIGKILL follows when all its requests must have been answered.
+    /// Sends a router SIGTERM; SIGKILL follows after the deadlines of all its requests.
     pub(super) fn terminate_router(&mut self, router: usize, now: Duration) {
         if self.routers[router].phase != RouterPhase::Serving {
             return;
@@ -47,7 +47,7 @@
         self.timers.set(kill_at, Timer::KillTerminatedRouter { router });
     }
 
-    /// Ends the graceful shutdown of a router by SIGKILL.
+    /// Ends the graceful shutdown of a router by SIGKILL and restarts the router.
     pub(super) fn kill_terminated_router(&mut self, router: usize, now: Duration) {
         if self.routers[router].phase != RouterPhase::ShuttingDown {
             return;
@@ -56,7 +56,7 @@
         self.kill_and_restart(router, terminated_at, OutageKind::Terminated, now);
     }
 
-    /// Kills a router without a SIGTERM before it.
+    /// Kills and restarts a router, without a SIGTERM before it.
     pub(super) fn kill_router(&mut self, router: usize, now: Duration) {
         if self.routers[router].phase == RouterPhase::Serving {
             self.kill_and_restart(router, now, OutageKind::Killed, now);
@@ -79,7 +79,7 @@
         self.timers.set(now + duration, Timer::ContinueRouter { router, stopped_at: now });
     }
 
-    /// Continues a stopped router by SIGCONT.
+    /// Continues a stopped router by SIGCONT and records the outage.
     pub(super) fn continue_router(&mut self, router: usize, stopped_at: Duration, now: Duration) {
         self.routers[router].signal(libc::SIGCONT);
         self.routers[router].phase = RouterPhase::Serving;
--- a/crates/soak/src/soak_run/timers.rs
+++ b/crates/soak/src/soak_run/timers.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The action of a timer.
+/// What happens when a timer expires. Routers and engines are given by their indices.
 pub enum Timer {
     SendRequest { router: usize },
     CancelRequest { request_id: String },
@@ -32,16 +32,16 @@
     pub timer: Timer,
 }
 
-/// Timers by the time at which they are due; timers of the same time expire in the order in which they were set.
+/// Timers in the order of their due times. Timers with the same due time expire in the order in which they were set.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BTreeMap<(Duration, u64), Timer>,
-    /// Number of timers that were set.
+    /// Number of timers that were set so far.
     set_count: u64,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Sets a timer that is due at `at`.
     pub fn set(&mut self, at: Duration, timer: Timer) {
         self.set_count += 1;
         self.timers.insert((at, self.set_count), timer);
@@ -52,7 +52,7 @@
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Removes and returns the first timer, if it is due.
+    /// Removes and returns the first timer, if it is due at `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<DueTimer> {
         let entry = self.timers.first_entry()?;
         let (due_at, _) = *entry.key();
--- a/crates/soak/src/soak_run/traffic.rs
+++ b/crates/soak/src/soak_run/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic of a run: requests at random times, of random classes, from clients some of which stop waiting.
+//! The traffic of a run: requests of random classes at random times. Some clients stop waiting for the answer.
 
 use super::SoakRun;
 use super::timers::Timer;
@@ -12,17 +12,17 @@
 
 /// Factor of the request rate during a burst.
 const BURST_FACTOR: f64 = 4.0;
-/// Mean time between two requests if the rate is not a valid one, in seconds.
+/// Time between two requests if the rate is invalid, in seconds.
 const FALLBACK_INTERVAL_S: f64 = 1.0;
-/// Fraction of requests that are cancelled before their answer.
+/// Fraction of requests that their clients cancel, unless the answer arrives first.
 const CANCELLED_FRACTION: f64 = 0.04;
-/// Fraction of requests whose connection is closed before their answer.
+/// Fraction of requests whose clients close the connection, unless the answer arrives first.
 const CLOSED_FRACTION: f64 = 0.02;
-/// When clients stop waiting, as a fraction of the deadline.
+/// Time until a client stops waiting, as a fraction of the request's deadline.
 const DEPARTURE_TIMES: Range<f64> = 0.0..0.8;
 
 impl SoakRun {
-    /// Sends a request to a router, if it accepts connections, and schedules the next request.
+    /// Schedules the next request to a router, and sends one if the router accepts connections.
     pub(super) fn send_request(&mut self, router: usize, now: Duration) {
         self.schedule_next_request(router, now);
         let accepts_connections = match self.routers[router].phase {
@@ -72,7 +72,7 @@
                 return class;
             }
         }
-        // The sum of the shares may be a rounding error below 1.
+        // A rounding error may make the sum of the shares smaller than 1.
         RequestClass::Lookup
     }
 }
--- a/crates/soak/src/sockets.rs
+++ b/crates/soak/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Non-blocking connections with buffers, addressed by tokens.
+//! Non-blocking connections with buffers for input and output.
 
 use crate::arrivals::Arrivals;
 use emberflow_peer_protocol::client::take_line;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Limit of the unread bytes, and of the unwritten bytes, of a connection.
+/// Maximum number of unconsumed bytes, and of unwritten bytes, of a connection; above it the connection is ended.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
 /// Whether a connection is open.
@@ -25,17 +25,17 @@
     input: Vec<u8>,
     arrivals: Arrivals,
     output: Vec<u8>,
-    /// Whether writing is suspended.
+    /// Whether writing is suspended; output is kept in the buffer.
     pub is_muted: bool,
-    /// The size of each write; `None` to write as much as the socket takes.
+    /// Maximum length of each write, in bytes; `None` for no limit.
     pub write_size: Option<usize>,
 }
 
 impl Stream {
-    /// Registers a connection.
+    /// Returns the stream of a socket and registers it for reading and writing.
     pub fn register(mut socket: TcpStream, token: Token, registry: &Registry) -> io::Result<Self> {
         registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
-        // Without the option answers come later, which the checks allow for.
+        // If the option cannot be set, messages are only delayed, which the checks allow for.
         let _ = socket.set_nodelay(true);
         Ok(Self {
             socket,
@@ -52,15 +52,15 @@
         &self.input
     }
 
-    /// Reads all bytes that have arrived.
+    /// Reads all bytes that have arrived, and records `now` as their arrival time.
     pub fn fill(&mut self, now: Duration) -> StreamState {
         let length_before = self.input.len();
         let state = self.read();
-        self.arrivals.receive(self.input.len() - length_before, now);
+        self.arrivals.record_received(self.input.len() - length_before, now);
         state
     }
 
-    /// Removes bytes from the front of the input; returns when the last of them arrived.
+    /// Removes `count` bytes from the front of the input; returns when the last of them arrived.
     pub fn consume(&mut self, count: usize) -> Duration {
         self.input.drain(..count);
         self.arrivals.consume(count)
@@ -111,7 +111,7 @@
         if self.output.len() > MAX_BUFFERED_BYTES { StreamState::Ended } else { StreamState::Open }
     }
 
-    /// Whether all output was written.
+    /// Whether all output has been written.
     pub fn is_flushed(&self) -> bool {
         self.output.is_empty()
     }
--- a/crates/soak/src/statements.rs
+++ b/crates/soak/src/statements.rs
@@ -1,5 +1,5 @@
-//! The statements that clients send and the rows that engines return for them. A statement names its work; the rows
-//! name the request, the engine and the attempt, so that a client recognizes a wrong result.
+//! The statements that clients send and the rows that engines return for them. A statement specifies its work. The rows
+//! contain the request id, the engine and the attempt, so that a client recognizes a wrong result.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
     work.as_secs_f64() * MS_PER_SECOND
 }
 
-/// Returns a statement with this work.
+/// Returns a statement that specifies this work.
 pub fn statement(work: Duration) -> String {
     format!("{WORK_FIELD}{}", work_ms(work))
 }
 
-/// Returns the work of a statement; `None` if the statement does not name it.
+/// Returns the work of a statement; `None` if the statement does not specify it.
 pub fn work_of(statement: &str) -> Option<Duration> {
     let work_ms: f64 = statement.strip_prefix(WORK_FIELD)?.parse().ok()?;
     Some(Duration::from_secs_f64(work_ms / MS_PER_SECOND))
 }
 
-/// Returns the rows of the result that an engine makes for an attempt of a request.
+/// Returns the rows that an engine returns for an attempt of a request; `engine` and `attempt` are indices.
 pub fn result_rows(request_id: &str, engine: usize, attempt: usize) -> String {
     format!("{request_id}\t{engine}\t{attempt}\n")
 }
--- a/crates/soak/tests/arrivals.rs
+++ b/crates/soak/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! The arrival times of a connection's input.
+//! Arrival times of the bytes that a connection has received.
 
 use emberflow_soak::arrivals::Arrivals;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 #[test]
 fn a_message_arrives_with_its_last_byte() {
     let mut arrivals = Arrivals::default();
-    arrivals.receive(10, ms(1));
-    arrivals.receive(0, ms(2));
-    arrivals.receive(10, ms(3));
+    arrivals.record_received(10, ms(1));
+    arrivals.record_received(0, ms(2));
+    arrivals.record_received(10, ms(3));
     let consumed = [4, 6, 1, 4].map(|count| arrivals.consume(count));
     assert_eq!(consumed, [ms(1), ms(1), ms(3), ms(3)]);
-    arrivals.receive(5, ms(4));
-    arrivals.receive(1, ms(5));
+    arrivals.record_received(5, ms(4));
+    arrivals.record_received(1, ms(5));
     assert_eq!([arrivals.consume(10), arrivals.consume(1)], [ms(4), ms(5)]);
 }
--- a/crates/soak/tests/faults.rs
+++ b/crates/soak/tests/faults.rs
@@ -1,4 +1,4 @@
-//! A short soak: a few seeds with all kinds of faults, with the usual number of engines and with twenty times as many.
+//! Short runs of a few seeds with all kinds of faults, with a usual number of engines and with twenty times as many.
 
 use emberflow_soak::options::RunOptions;
 use emberflow_soak::run::run_seed;
--- a/crates/soak/tests/interface.rs
+++ b/crates/soak/tests/interface.rs
@@ -1,4 +1,4 @@
-//! The names of the command line and the keys of the JSON line, which do not change with the names in the code.
+//! The names on the command line and the keys of the JSON line. They must stay when names in the code change.
 
 use clap::ValueEnum;
 use emberflow_soak::faults::FaultKind;
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// The names of `docs/soak.md`.
+/// The fault names that `docs/soak.md` documents.
 const FAULT_NAMES: &str = "silent mute slow failing truncating pieces reset late-connect idle-close drain crash zone \
                            discovery-down discovery-silent list term kill stop reload leave burst crowd";
 
--- a/crates/soak/tests/large_fleet.rs
+++ b/crates/soak/tests/large_fleet.rs
@@ -1,11 +1,11 @@
-//! The incident of `docs/incidents/large-fleet-lost-requests.md`: a router with a fraction of a core and thousands of
-//! engines lost requests, which the same router with few engines served.
+//! Guards against `docs/incidents/large-fleet-lost-requests.md`: a router with a fraction of a core lost requests if it
+//! had thousands of engines, but none if it had few.
 
 use emberflow_soak::options::RunOptions;
 use emberflow_soak::report::Report;
 use emberflow_soak::run::run_seed;
 
-/// Runs routers with a fifth of a core and no other fault.
+/// Runs routers that are slowed down as on a fifth of a core, without other faults.
 fn report_with(engines: u16) -> Report {
     let options = RunOptions {
         seconds: 5.0,
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,4 +1,5 @@
-//! The faults that a seed draws. A seed in a report or in a journal reproduces its run only while the draws stay the same.
+//! The faults that are drawn from a seed. A seed that a report names reproduces its run only while the draws stay the
+//! same.
 
 use clap::ValueEnum;
 use emberflow_soak::faults::{self, FaultKind};
@@ -6,8 +7,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Draws the faults of two routers and of a run of five seconds, in the order of a run.
-fn plan(seed: u64) -> String {
+/// Describes the faults of two routers and of a run of five seconds, which are drawn in the same order as in a run.
+fn fault_plan(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut text = String::new();
     for router in 0..2 {
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_faults() {
+fn a_seed_always_draws_the_same_faults() {
     expect_test::expect![[r#"
         router 0: ProcessFaults { slowdown: 1.0, clock_step_ms: 0, clock_step_at_ms: 3149, fail_every: 0 }
         router 1: ProcessFaults { slowdown: 1.0, clock_step_ms: -3000, clock_step_at_ms: 5330, fail_every: 0 }
@@ -30,18 +31,18 @@
         Fault { at: 3.384274679s, kind: Sigkill, duration: 2.30764995s, engine_fraction: 0.16750637968401222, target: 125 }
         Fault { at: 4.55268419s, kind: RequestBurst, duration: 527.827439ms, engine_fraction: 0.08087945489932148, target: 413 }
         Fault { at: 4.555518508s, kind: Reload, duration: 2.586247698s, engine_fraction: 0.1175042549788043, target: 27 }
-    "#]].assert_eq(&plan(7));
+    "#]].assert_eq(&fault_plan(7));
 }
 
 #[test]
-fn a_given_slowdown_and_a_missing_shim_do_not_change_the_other_draws() {
+fn a_given_slowdown_applies_and_a_missing_shim_does_not_change_the_draws() {
     let kinds = FaultKind::value_variants();
-    let with = |has_shim| {
+    let draws = |has_shim| {
         let mut rng = StdRng::seed_from_u64(7);
         let process_faults = process_faults::draw(&mut rng, Some(3.0), has_shim);
         (process_faults, format!("{:?}", faults::draw(&mut rng, kinds, 5.0)))
     };
-    let (with_shim, without_shim) = (with(true), with(false));
+    let (with_shim, without_shim) = (draws(true), draws(false));
     assert_eq!(with_shim.1, without_shim.1);
     assert_eq!((with_shim.0.slowdown, without_shim.0.slowdown), (3.0, 3.0));
     assert_eq!((without_shim.0.clock_step_ms, without_shim.0.fail_every), (0, 0));
--- a/crates/soak/tests/unit/invariants.rs
+++ b/crates/soak/tests/unit/invariants.rs
@@ -7,7 +7,7 @@
     Duration::from_millis(ms)
 }
 
-/// A post that was sent at 1 s, attempted once and answered.
+/// A request of class `post` that was sent at 1 s, attempted once and answered.
 fn served_request() -> RequestRecord {
     RequestRecord {
         class: RequestClass::Post,
@@ -27,7 +27,7 @@
 
 fn invariants_violated_by(request: RequestRecord, change: impl FnOnce(&mut Records)) -> Vec<Invariant> {
     let mut records = Records { usage: vec![Usage::default()], ..Records::default() };
-    // With these requests the served fraction is above its limit, whatever happens to the checked request.
+    // These requests keep the served fraction above its limit, whatever the outcome of the checked request.
     for number in 0..20 {
         records
             .requests
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn each_invariant_of_a_request_is_violated_by_a_fault_of_its_own() {
+fn each_invariant_of_a_request_detects_its_violation() {
     assert_eq!(violated_by(|request| request.answers.clear()), [Invariant::Lost]);
     assert_eq!(violated_by(|request| request.answers[0].at = ms(3501)), [Invariant::Lost]);
     assert_eq!(
@@ -80,15 +80,15 @@
         [Invariant::ForwardedAfterEnd, Invariant::RunTwice]
     );
     assert_eq!(violated_by(|request| request.attempts[0].time_left = ms(2141)), [Invariant::Deadline]);
-    let many = |request: &mut RequestRecord| {
+    let attempted_too_often = |request: &mut RequestRecord| {
         request.class = RequestClass::Lookup;
         request.attempts = vec![attempt(1010); 4];
     };
-    assert_eq!(violated_by(many), [Invariant::TooManyAttempts]);
+    assert_eq!(violated_by(attempted_too_often), [Invariant::TooManyAttempts]);
 }
 
 #[test]
-fn a_request_is_lost_with_its_connection_unless_it_may_have_crossed_the_close() {
+fn a_request_is_lost_unless_in_transit_at_the_close() {
     let closed_at = |at| {
         move |request: &mut RequestRecord| {
             request.answers.clear();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn only_a_killed_router_frees_its_requests() {
+fn only_a_killed_router_may_lose_its_requests() {
     let unanswered = || RequestRecord { answers: Vec::new(), ..served_request() };
     let outage = |kind| Outage { router: 0, from: ms(1050), until: ms(1050), kind };
     assert_eq!(
@@ -118,7 +118,7 @@
 
 #[test]
 fn drains_slow_starts_and_limits_are_checked() {
-    let drained = |records: &mut Records| {
+    let drain_engine = |records: &mut Records| {
         records.drains.push(Drain {
             engine: 0,
             listed_at: Duration::ZERO,
@@ -132,22 +132,22 @@
         attempts: vec![attempt(12_010)],
         ..served_request()
     };
-    assert_eq!(invariants_violated_by(late, drained), [Invariant::Drain]);
-    let warming_up = |records: &mut Records| {
+    assert_eq!(invariants_violated_by(late, drain_engine), [Invariant::Drain]);
+    let flood_warming_engine = |records: &mut Records| {
         records.engine_starts.push(EngineStart { engine: 0, started_at: ms(500), listed_at: ms(500) });
         for number in 0..200 {
             records.requests.insert(format!("further-{number}"), served_request());
         }
     };
-    assert_eq!(invariants_violated_by(served_request(), warming_up), [Invariant::SlowStart]);
-    let over_memory = |records: &mut Records| records.usage[0].memory_kb = 193 * 1024;
-    assert_eq!(invariants_violated_by(served_request(), over_memory), [Invariant::Limit]);
+    assert_eq!(invariants_violated_by(served_request(), flood_warming_engine), [Invariant::SlowStart]);
+    let exceed_memory = |records: &mut Records| records.usage[0].memory_kb = 193 * 1024;
+    assert_eq!(invariants_violated_by(served_request(), exceed_memory), [Invariant::Limit]);
 }
 
 #[test]
-fn a_fleet_that_serves_no_requests_is_a_violation() {
-    let idle = |records: &mut Records| {
+fn a_fleet_that_serves_no_requests_violates_idle() {
+    let reject_all = |records: &mut Records| {
         records.requests.values_mut().for_each(|request| request.answers[0].kind = AnswerKind::Rejected);
     };
-    assert_eq!(invariants_violated_by(served_request(), idle), [Invariant::Idle]);
+    assert_eq!(invariants_violated_by(served_request(), reject_all), [Invariant::Idle]);
 }
