--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -343,7 +343,7 @@
     Mutant {
         name: "an ended request stays charged",
         file: TEAM_CHARGING,
-        from: "self.key_order.forget(request);\n        self.team_queues[team].end_charge(charged);",
+        from: "self.key_order.forget(request);\n        self.team_queues[team].remove_in_flight_charge(charged_s);",
         to: "self.key_order.forget(request);",
     },
     Mutant {
@@ -355,13 +355,13 @@
     Mutant {
         name: "dispatches are not charged",
         file: FAIR_ORDER,
-        from: "flow.start = former_start.saturating_add(virtual_time(work, flow.share));",
-        to: "flow.start = former_start.saturating_add(virtual_time(work * 0.0, flow.share));",
+        from: "flow.start = former_start.saturating_add(virtual_nanos(work_s, flow.share));",
+        to: "flow.start = former_start.saturating_add(virtual_nanos(work_s * 0.0, flow.share));",
     },
     Mutant {
         name: "priority without bound",
         file: TEAM_REQUEST,
-        from: "let gain = (urgency + by_age).min(MAX_PRIORITY_GAIN);",
-        to: "let gain = urgency * 9 + by_age;",
+        from: "let levels = (urgency + levels_by_age).min(MAX_PRIORITY_LEVELS);",
+        to: "let levels = urgency * 9 + levels_by_age;",
     },
 ];
--- a/crates/model-checker/src/queue_model/state.rs
+++ b/crates/model-checker/src/queue_model/state.rs
@@ -123,7 +123,7 @@
         let index = self.statuses.iter().position(is_next).unwrap_or_default();
         let request = &scenario.requests[index];
         let new_request = NewRequest {
-            request: index as RequestId,
+            id: index as RequestId,
             team: self.current_team(request),
             urgency: request.urgency,
             class: 0,
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -111,7 +111,7 @@
         self.queues.enqueue(
             now,
             NewRequest {
-                request: request.0,
+                id: request.0,
                 team: admission.team,
                 urgency: admission.urgency,
                 class: arrival.class as u16,
--- a/crates/teams/examples/compare.rs
+++ b/crates/teams/examples/compare.rs
@@ -1,4 +1,4 @@
-//! Compares policies on the same skewed day by fairness, waits and cost. Usage: `compare [SEED]`
+//! Compares scheduling policies on the same skewed workload by fairness, waits and run time. Usage: `compare [SEED]`
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
@@ -6,22 +6,27 @@
 use emberflow_teams::{NewRequest, Queues, RequestId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use simulation::{Day, Fifo, Policy, quotas, simulate, skewed};
+use simulation::{Fifo, Policy, Workload, quotas, simulate, skewed_workload};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Deficit round robin: serves the teams in rounds, each up to the credit that the rounds have granted it.
+/// Deficit round robin: serves the teams in rounds. In each round a team gains credit by its share, and its requests
+/// are dispatched while its credit covers them.
 pub struct DeficitRoundRobin {
+    /// By team, the waiting requests and their work in seconds.
     pub queues: Vec<VecDeque<(RequestId, f64)>>,
     pub shares: Vec<f64>,
-    pub credit: Vec<f64>,
+    /// By team, the seconds of work that it may dispatch.
+    pub credit_s: Vec<f64>,
+    /// Index of the team that is served.
     pub current: usize,
-    pub quantum: f64,
+    /// Credit that a team of share 1 gains in each round.
+    pub quantum_s: f64,
 }
 
 impl Policy for DeficitRoundRobin {
     fn enqueue(&mut self, _: Duration, new_request: NewRequest) -> bool {
-        self.queues[new_request.team].push_back((new_request.request, new_request.work.as_secs_f64()));
+        self.queues[new_request.team].push_back((new_request.id, new_request.work.as_secs_f64()));
         true
     }
     fn next(&mut self, _: Duration) -> Option<RequestId> {
@@ -31,16 +36,16 @@
         loop {
             let current = self.current;
             match self.queues[current].front().copied() {
-                Some((request, work)) if work <= self.credit[current] => {
-                    self.credit[current] -= work;
+                Some((request, work_s)) if work_s <= self.credit_s[current] => {
+                    self.credit_s[current] -= work_s;
                     self.queues[current].pop_front();
                     return Some(request);
                 }
                 Some(_) => {}
-                None => self.credit[current] = 0.0,
+                None => self.credit_s[current] = 0.0,
             }
             self.current = (current + 1) % self.queues.len();
-            self.credit[self.current] += self.quantum * self.shares[self.current];
+            self.credit_s[self.current] += self.quantum_s * self.shares[self.current];
         }
     }
     fn remove(&mut self, _: Duration, request: RequestId) {
@@ -53,21 +58,21 @@
 pub struct Lottery {
     pub queues: Vec<VecDeque<RequestId>>,
     pub shares: Vec<f64>,
-    pub random: StdRng,
+    pub rng: StdRng,
 }
 
 impl Policy for Lottery {
     fn enqueue(&mut self, _: Duration, new_request: NewRequest) -> bool {
-        self.queues[new_request.team].push_back(new_request.request);
+        self.queues[new_request.team].push_back(new_request.id);
         true
     }
     fn next(&mut self, _: Duration) -> Option<RequestId> {
         let has_requests = |team: &usize| !self.queues[*team].is_empty();
-        let sum: f64 = (0..self.queues.len()).filter(has_requests).map(|team| self.shares[team]).sum();
-        let mut draw = self.random.random::<f64>() * sum;
+        let shares_sum: f64 = (0..self.queues.len()).filter(has_requests).map(|team| self.shares[team]).sum();
+        let mut remaining_draw = self.rng.random::<f64>() * shares_sum;
         let drawn = (0..self.queues.len()).filter(has_requests).find(|team| {
-            draw -= self.shares[*team];
-            draw <= 0.0
+            remaining_draw -= self.shares[*team];
+            remaining_draw <= 0.0
         });
         drawn.and_then(|team| self.queues[team].pop_front())
     }
@@ -77,20 +82,21 @@
     fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
+/// Headings of the printed table; all but the first are at most ten characters wide.
 const COLUMNS: [&str; 13] = [
     "policy",
-    "share",
-    "jain",
-    "without",
+    "share err",
+    "Jain index",
+    "max gap s",
     "urgent p99",
     "on time",
     "served",
     "rejected",
     "expired",
-    "error",
+    "wait err",
     "in range",
     "estimates",
-    "ms",
+    "run ms",
 ];
 
 fn print_header() {
@@ -100,36 +106,37 @@
     println!();
 }
 
-fn print_row(name: &str, day: &Day, policy: &mut impl Policy) {
-    let begun = Instant::now();
-    let figures = simulate(day, policy);
-    let elapsed_ms = begun.elapsed().as_secs_f64() * 1e3;
-    print!("{name:24} {:>10.3} {:>10.3}", figures.worst_share_error, figures.jain);
-    print!(" {:>10.2} {:>10.3}", figures.longest_without_service, figures.urgent_p99);
-    print!(" {:>10} {:>10}", figures.on_time, figures.served);
-    print!(" {:>10} {:>10}", figures.rejected, figures.expired);
-    print!(" {:>10.2} {:>10.2}", figures.estimate_error, figures.estimates_in_range);
-    println!(" {:>10} {elapsed_ms:>10.0}", figures.estimates);
+/// Simulates the workload under a policy, and prints the metrics.
+fn print_row(name: &str, workload: &Workload, policy: &mut impl Policy) {
+    let started_at = Instant::now();
+    let metrics = simulate(workload, policy);
+    let elapsed_ms = started_at.elapsed().as_secs_f64() * 1e3;
+    print!("{name:24} {:>10.3} {:>10.3}", metrics.max_share_error, metrics.jain_index);
+    print!(" {:>10.2} {:>10.3}", metrics.max_service_gap_s, metrics.urgent_p99_s);
+    print!(" {:>10} {:>10}", metrics.on_time, metrics.served);
+    print!(" {:>10} {:>10}", metrics.rejected, metrics.expired);
+    print!(" {:>10.2} {:>10.2}", metrics.median_estimate_error, metrics.estimates_in_range);
+    println!(" {:>10} {elapsed_ms:>10.0}", metrics.estimates);
 }
 
 fn main() {
     let seed = std::env::args().nth(1).and_then(|seed| seed.parse().ok()).unwrap_or(7);
-    let day = skewed(seed);
-    let shares: Vec<f64> = day.teams.iter().map(|(share, _)| *share).collect();
-    let team_count = day.teams.len();
+    let workload = skewed_workload(seed);
+    let shares: Vec<f64> = workload.teams.iter().map(|(share, _)| *share).collect();
+    let team_count = workload.teams.len();
     print_header();
-    print_row("order of arrival", &day, &mut Fifo::default());
+    print_row("first in, first out", &workload, &mut Fifo::default());
     let mut round_robin = DeficitRoundRobin {
         queues: vec![VecDeque::new(); team_count],
         shares: shares.clone(),
-        credit: vec![0.0; team_count],
+        credit_s: vec![0.0; team_count],
         current: 0,
-        quantum: 0.2,
+        quantum_s: 0.2,
     };
-    print_row("deficit round robin", &day, &mut round_robin);
-    let random = StdRng::seed_from_u64(seed);
-    let mut lottery = Lottery { queues: vec![VecDeque::new(); team_count], shares, random };
-    print_row("lottery", &day, &mut lottery);
-    let mut queues = Queues::new(quotas(&day), Duration::ZERO);
-    print_row("fair queueing, ageing", &day, &mut queues);
+    print_row("deficit round robin", &workload, &mut round_robin);
+    let rng = StdRng::seed_from_u64(seed);
+    let mut lottery = Lottery { queues: vec![VecDeque::new(); team_count], shares, rng };
+    print_row("lottery", &workload, &mut lottery);
+    let mut queues = Queues::new(quotas(&workload), Duration::ZERO);
+    print_row("fair queueing, ageing", &workload, &mut queues);
 }
--- a/crates/teams/src/key_order.rs
+++ b/crates/teams/src/key_order.rs
@@ -1,9 +1,9 @@
-//! The order among requests with the same key.
+//! The order of arrival of requests with the same key.
 
 use crate::request::{Arrival, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// The key of each request until it ends, and the waiting requests of each key in the order of arrival.
+/// The key of each waiting or dispatched request, and the waiting requests of each key in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyOrder {
     keys: HashMap<RequestId, u64>,
@@ -16,7 +16,7 @@
         self.keys.insert(request, key);
     }
 
-    /// Removes the key of a request that has ended.
+    /// Removes the key of a request that has ended or was removed.
     pub(crate) fn forget(&mut self, request: RequestId) {
         self.keys.remove(&request);
     }
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Removes all waiting requests and keeps the keys.
+    /// Removes all waiting requests, and keeps the keys, so that the requests can be inserted again.
     pub(crate) fn clear_waiting(&mut self) {
         self.waiting.clear();
     }
 
-    /// Returns the first waiting request with the same key; `None` for a request without a key.
+    /// Returns the first waiting request with the same key; `None` for a request without a key, or if none waits.
     pub(crate) fn first(&self, request: RequestId) -> Option<RequestId> {
         let key = self.keys.get(&request)?;
         self.waiting.get(key)?.first_key_value().map(|(_, first)| *first)
--- a/crates/teams/src/lib.rs
+++ b/crates/teams/src/lib.rs
@@ -1,13 +1,13 @@
 //! Fair queueing of requests among teams that share engines.
 //!
-//! Organizations share the engines by weight, and teams share their organization's part by weight. Each team may have
-//! a budget and has a bound on its waiting requests. A request gains priority by urgency and by age, so that no request
+//! Organizations share the engines by weight, and teams share their organization's part by weight. Each team has a
+//! limit of waiting requests and may have a budget. A request gains priority by urgency and by age, so that no request
 //! starves. The wait of each request can be estimated.
 //!
-//! The crate uses no socket and no clock: teams and requests are numbers, and the caller passes the time since the
-//! start. The router's admission queue is built on it.
+//! The crate uses no socket and no clock: the caller identifies teams and requests by numbers, and passes the time
+//! since its start. The router's admission queue is built on it.
 
-// Engineers learn the crate from its documentation, so every public item must be explained.
+// Engineers learn the crate from its documentation, so every public item must be documented.
 #![warn(missing_docs)]
 
 pub mod budget;
--- a/crates/teams/src/queues/dispatch_order.rs
+++ b/crates/teams/src/queues/dispatch_order.rs
@@ -5,7 +5,8 @@
 use crate::request::RequestId;
 use std::time::Duration;
 
-/// Number of requests offered to the caller before it is assumed that no request fits.
+/// Largest number of requests that [`Queues::next_fitting`] offers to the caller. If none of them fits, no request is
+/// assumed to fit.
 const MAX_CANDIDATES: usize = 32;
 
 impl Queues {
@@ -18,19 +19,19 @@
 
     /// Returns the teams of an organization that have waiting requests, in the order in which they are served.
     fn team_order(&self, organization: usize) -> impl Iterator<Item = usize> {
-        let members = &self.members[organization];
-        self.team_orders[organization].active_flows().map(move |flow| members[flow])
+        let flow_teams = &self.flow_teams[organization];
+        self.team_orders[organization].active_flows().map(move |flow| flow_teams[flow])
     }
 
-    /// Returns the first request in the order of dispatch that `fits` accepts. A request with a key is replaced by the
-    /// first waiting request with that key.
+    /// Returns the first request in the order of dispatch that `fits` accepts. Instead of a request with a key, the
+    /// first waiting request with that key is offered to `fits`.
     pub fn next_fitting(&self, mut fits: impl FnMut(RequestId) -> bool) -> Option<RequestId> {
         let candidates = self.dispatch_order().take(MAX_CANDIDATES);
         candidates.map(|request| self.first_of_key(request)).find(|request| fits(*request))
     }
 
-    /// Returns the first waiting request with the same key, which has to be dispatched before `request`; `request` itself
-    /// if there is none.
+    /// Returns the first waiting request with the same key, which has to be dispatched before `request`; `request`
+    /// itself if there is none.
     pub fn first_of_key(&self, request: RequestId) -> RequestId {
         self.key_order.first(request).unwrap_or(request)
     }
@@ -53,30 +54,31 @@
         self.update_organization(organization);
     }
 
-    /// Sets the position of a team with these first requests of its lanes. Returns the time at which the position changes
-    /// without an input: when one of the requests gains priority, or when the budget covers the first.
+    /// Sets the position of a team in the fair order. `heads` are the first requests of its lanes. Returns the time at
+    /// which the position has to be updated: when one of the requests gains priority, or when the budget covers the
+    /// first.
     fn activate_team(&mut self, now: Duration, team: usize, heads: &[RequestId]) -> Option<Duration> {
         let requests = heads.iter().map(|id| &self.waiting[id]);
-        let next_gain = requests.filter_map(|request| request.priority_gain(now).1).min();
+        let next_level_at = requests.filter_map(|request| request.priority_levels(now).1).min();
         let first = &self.waiting[&heads[0]];
-        let work = first.work.as_secs_f64();
-        let priority = first.priority_gain(now).0;
-        let priority_gained = f64::from(priority) * work.max(self.service_rate.mean_work());
+        let work_s = first.work.as_secs_f64();
+        let levels = first.priority_levels(now).0;
+        let priority_gained_s = f64::from(levels) * work_s.max(self.service_rate.mean_work_s());
 
         let queue = &mut self.team_queues[team];
-        let uncovered = queue.budget.as_ref().filter(|budget| !budget.covers(work));
+        let exceeded_budget = queue.budget.as_ref().filter(|budget| !budget.covers(work_s));
         let budget_state =
-            if uncovered.is_some() { BudgetState::OverBudget } else { BudgetState::WithinBudget };
+            if exceeded_budget.is_some() { BudgetState::OverBudget } else { BudgetState::WithinBudget };
         let after_now = now + Duration::from_nanos(1);
-        let covered_at = uncovered.map(|budget| budget.covers_at(work).max(after_now));
+        let covered_at = exceeded_budget.map(|budget| budget.covers_at(work_s).max(after_now));
 
-        queue.priority_gained = priority_gained;
+        queue.priority_gained_s = priority_gained_s;
         let organization = self.quotas.teams[team].organization;
-        self.team_orders[organization].activate(queue.flow, budget_state, priority_gained);
-        next_gain.into_iter().chain(covered_at).min()
+        self.team_orders[organization].activate(queue.flow, budget_state, priority_gained_s);
+        next_level_at.into_iter().chain(covered_at).min()
     }
 
-    /// Replaces the time at which the team's position changes without an input.
+    /// Replaces the time at which the team's position in the fair order has to be updated.
     fn set_due(&mut self, team: usize, due: Option<Duration>) {
         let former = std::mem::replace(&mut self.team_queues[team].due, due);
         if let Some(former) = former {
@@ -93,8 +95,8 @@
             return;
         };
         let budget_state = order.budget_state(first).unwrap_or(BudgetState::OverBudget);
-        let team = self.members[organization][first];
-        let priority_gained = self.team_queues[team].priority_gained;
-        self.organization_order.activate(organization, budget_state, priority_gained);
+        let team = self.flow_teams[organization][first];
+        let priority_gained_s = self.team_queues[team].priority_gained_s;
+        self.organization_order.activate(organization, budget_state, priority_gained_s);
     }
 }
--- a/crates/teams/src/queues/mod.rs
+++ b/crates/teams/src/queues/mod.rs
@@ -22,23 +22,24 @@
 
 /// The queues of all teams. A request is enqueued, dispatched in the fair order, and settled when it has ended.
 ///
-/// `now` is the time since the start. It must not decrease from one call to the next.
+/// The parameter `now` is the time since the caller's start. It must not decrease from one call to the next.
 #[derive(Clone, Debug)]
 pub struct Queues {
     quotas: Quotas,
     organization_order: FairOrder,
     /// By organization, the fair order of its teams. Each team is a flow of that order.
     team_orders: Vec<FairOrder>,
-    /// By organization, the team of each flow.
-    members: Vec<Vec<usize>>,
+    /// By organization, the index of each flow's team.
+    flow_teams: Vec<Vec<usize>>,
     team_queues: Vec<TeamQueue>,
     waiting: WaitingTable,
     dispatched: IndexMap<RequestId, DispatchedRequest>,
     identity_charges: IdentityCharges,
     key_order: KeyOrder,
-    /// Times at which a team's position in the fair order changes without an input.
+    /// Teams by the time at which their position in the fair order changes merely because time passes.
     due: BTreeSet<(Duration, usize)>,
     service_rate: ServiceRate,
+    /// Sequence number of the next arrival.
     next_sequence: u64,
     /// Expected work of the waiting requests, by organization.
     backlogs: Vec<Duration>,
@@ -51,11 +52,11 @@
     pub fn new(quotas: Quotas, now: Duration) -> Self {
         debug_assert_eq!(quotas.validate(), Ok(()));
         let organization_count = quotas.organizations.len();
-        let mut members = vec![Vec::new(); organization_count];
+        let mut flow_teams = vec![Vec::new(); organization_count];
         let mut team_queues = Vec::with_capacity(quotas.teams.len());
         for (index, team) in quotas.teams.iter().enumerate() {
-            let flow = members[team.organization].len();
-            members[team.organization].push(index);
+            let flow = flow_teams[team.organization].len();
+            flow_teams[team.organization].push(index);
             let budget = team.allowance.map(|allowance| Budget::full(allowance, now));
             team_queues.push(TeamQueue::new(flow, budget));
         }
@@ -64,7 +65,7 @@
         Self {
             organization_order: FairOrder::with_shares(organization_shares),
             team_orders: (0..organization_count).map(team_order).collect(),
-            members,
+            flow_teams,
             team_queues,
             waiting: IndexMap::new(),
             dispatched: IndexMap::new(),
@@ -79,35 +80,36 @@
         }
     }
 
-    /// Accepts a request, or rejects it with the time until a request like it is expected to be accepted.
+    /// Accepts a request, or rejects it with the time after which a request with the same properties is expected to be
+    /// accepted.
     pub fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> Result<(), Rejection> {
         let urgency = new_request.urgency.min(MAX_URGENCY);
         let team = new_request.team;
         self.advance(now);
-        let estimated_wait = self.wait_seconds(now, team, urgency, None);
-        let expected_wait = estimated_wait.map(|seconds| self.service_rate.estimate(seconds, 0).median);
-        self.admit(&new_request, expected_wait.unwrap_or_default())?;
+        let computed_wait_s = self.computed_wait_s(now, team, urgency, None);
+        let expected_wait = computed_wait_s.map(|wait_s| self.service_rate.estimate(wait_s, 0).median);
+        self.check_admission(&new_request, expected_wait.unwrap_or_default())?;
         let arrival = Arrival { at: now, sequence: self.next_sequence };
         self.next_sequence += 1;
         if let Some(key) = new_request.key {
-            self.key_order.assign(new_request.request, key);
+            self.key_order.assign(new_request.id, key);
         }
         let request = WaitingRequest {
             arrival,
             latency_objective: new_request.latency_objective,
             work: new_request.work,
             identity: new_request.identity,
-            estimated_wait: estimated_wait.map(|seconds| seconds as f32),
+            estimated_wait_s: computed_wait_s.map(|wait_s| wait_s as f32),
             team: team as u32,
             class: new_request.class,
             urgency,
         };
-        self.insert_waiting(now, new_request.request, request);
+        self.insert_waiting(now, new_request.id, request);
         Ok(())
     }
 
     /// Rejects a request if its team's queue is full, or if the expected wait and work exceed its deadline.
-    fn admit(&self, new_request: &NewRequest, expected_wait: Duration) -> Result<(), Rejection> {
+    fn check_admission(&self, new_request: &NewRequest, expected_wait: Duration) -> Result<(), Rejection> {
         let NewRequest { team, work, deadline, .. } = *new_request;
         if self.team_queues[team].len() >= self.quotas.teams[team].max_waiting {
             return Err(Rejection { reason: RejectReason::QueueFull, retry_after: expected_wait });
@@ -156,12 +158,13 @@
         removed.is_some()
     }
 
-    /// Returns the time at which the order of dispatch changes without an input, and [`Self::advance`] has to be called.
+    /// Returns the next time at which [`Self::advance`] has to be called, because the order of dispatch changes merely
+    /// by the passage of time; `None` if there is none.
     pub fn due(&self) -> Option<Duration> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Updates the order of dispatch to `now`: priorities gained by age, and budgets that cover a request again.
+    /// Updates the order of dispatch to `now`, for priorities gained by age and for budgets that cover a request again.
     pub fn advance(&mut self, now: Duration) {
         while let Some((at, team)) = self.due.first().copied()
             && at <= now
@@ -198,7 +201,7 @@
         self.service_rate.fingerprint(now, hasher);
         self.team_queues.iter().for_each(|queue| queue.fingerprint(now, hasher));
         let charge = |(id, dispatched): (&RequestId, &DispatchedRequest)| {
-            (*id, dispatched.request.team, dispatched.charged.to_bits())
+            (*id, dispatched.request.team, dispatched.charged_s.to_bits())
         };
         self.dispatched.iter().map(charge).collect::<BTreeSet<_>>().hash(hasher);
         self.identity_charges.fingerprint(hasher);
--- a/crates/teams/src/queues/reconfigure.rs
+++ b/crates/teams/src/queues/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Replacement of the quotas while requests wait and are in flight.
+//! Replacement of the quotas while requests are waiting and in flight.
 
 use super::Queues;
 use crate::quotas::Quotas;
@@ -11,7 +11,9 @@
 const DEFAULT_TEAM: usize = 0;
 
 impl Queues {
-    /// Replaces the quotas. Team `index` becomes team `new_indices[index]`; `None` moves its requests to the first team.
+    /// Replaces the quotas. The team with the old index `i` gets the index `new_indices[i]`; if that is `None`, the
+    /// team is removed, and its requests move to the first team.
+    ///
     /// No request is lost, a waiting request keeps its age, and spent budget stays spent. The quotas must be valid.
     pub fn reconfigure(&mut self, now: Duration, quotas: Quotas, new_indices: &[Option<usize>]) {
         debug_assert_eq!(quotas.validate(), Ok(()));
@@ -26,10 +28,10 @@
         self.move_waiting(now, former.waiting, new_indices);
     }
 
-    /// Moves each remaining team's budget to its new index, with the new allowance.
+    /// Moves the budget of each team that is not removed to the team's new index, with the new allowance.
     fn move_budgets(&mut self, now: Duration, former: &[TeamQueue], new_indices: &[Option<usize>]) {
-        for (queue, new_index) in former.iter().zip(new_indices) {
-            let Some(team) = *new_index else { continue };
+        for (queue, new_team) in former.iter().zip(new_indices) {
+            let Some(team) = *new_team else { continue };
             let Some(allowance) = self.quotas.teams[team].allowance else { continue };
             let Some(mut budget) = queue.budget.clone() else { continue };
             budget.set_allowance(allowance, now);
@@ -44,14 +46,14 @@
         new_indices: &[Option<usize>],
     ) {
         for (id, mut dispatched) in former {
-            let team = new_team(dispatched.request.team(), new_indices);
+            let team = new_index(dispatched.request.team(), new_indices);
             dispatched.request.team = team as u32;
-            self.team_queues[team].begin_charge(dispatched.charged);
+            self.team_queues[team].add_in_flight_charge(dispatched.charged_s);
             self.dispatched.insert(id, dispatched);
         }
     }
 
-    /// Moves the waiting requests to the new teams.
+    /// Moves the waiting requests to the new teams, in the order of arrival.
     fn move_waiting(
         &mut self,
         now: Duration,
@@ -62,13 +64,13 @@
         // Sorts by arrival, so that the result does not depend on the order of the table.
         waiting.sort_unstable_by_key(|(_, request)| request.arrival);
         for (id, mut request) in waiting {
-            request.team = new_team(request.team(), new_indices) as u32;
+            request.team = new_index(request.team(), new_indices) as u32;
             self.insert_waiting(now, id, request);
         }
     }
 }
 
-/// Returns the new index of a team.
-fn new_team(former: usize, new_indices: &[Option<usize>]) -> usize {
+/// Returns the new index of a team, or the default team's if the team is removed.
+fn new_index(former: usize, new_indices: &[Option<usize>]) -> usize {
     new_indices.get(former).copied().flatten().unwrap_or(DEFAULT_TEAM)
 }
--- a/crates/teams/src/service_rate.rs
+++ b/crates/teams/src/service_rate.rs
@@ -1,4 +1,4 @@
-//! The service rate over the latest dispatches, and wait estimates corrected by the actual waits.
+//! The service rate over the latest dispatches, and wait estimates that are corrected by earlier actual waits.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -13,31 +13,34 @@
     pub median: Duration,
     /// Estimated 97 % quantile of the wait.
     pub high: Duration,
-    /// Number of waiting requests of the same team that are dispatched before the request.
+    /// Number of waiting requests of the same team that precede the request.
     pub position: usize,
 }
 
 /// Largest number of samples of each measurement.
 const MAX_SAMPLES: usize = 128;
-/// Smallest number of dispatches from which a rate is computed.
+/// Smallest number of dispatches from which the service rate is computed.
 const MIN_SAMPLES: usize = 8;
-/// Longest estimated wait, in seconds: one year.
+/// Longest estimated wait: one year.
 const MAX_WAIT_S: f64 = 366.0 * 24.0 * 3600.0;
 /// Ratios of actual to estimated wait that are assumed until samples replace them.
 const INITIAL_RATIOS: [f64; 3] = [0.5, 1.0, 2.0];
-/// Bounds of a sampled ratio. The ratio to an estimate close to zero would otherwise outweigh all others.
+/// Smallest sampled ratio of actual to estimated wait; a request that did not wait is sampled with this ratio.
 const MIN_RATIO: f64 = 0.1;
+/// Largest sampled ratio. The ratio to an estimate close to zero would otherwise outweigh all others.
 const MAX_RATIO: f64 = 10.0;
-/// Quantiles of the ratios that give the bounds and the median of an estimate.
+/// Quantile of the ratios from which [`WaitEstimate::low`] is computed.
 const LOW_QUANTILE: f64 = 0.03;
+/// Quantile of the ratios from which [`WaitEstimate::median`] is computed.
 const MEDIAN_QUANTILE: f64 = 0.5;
+/// Quantile of the ratios from which [`WaitEstimate::high`] is computed.
 const HIGH_QUANTILE: f64 = 0.97;
 
 #[derive(Clone, Debug)]
 struct Dispatch {
     at: Duration,
-    /// Expected work, in seconds.
-    work: f64,
+    /// Expected work of the request.
+    work_s: f64,
 }
 
 /// Samples of the latest dispatches and of the accuracy of wait estimates.
@@ -55,43 +58,50 @@
 }
 
 impl ServiceRate {
-    /// Records the dispatch of `work` seconds after a wait that had been estimated as `estimated` seconds.
-    pub fn record_dispatch(&mut self, now: Duration, work: f64, waited: Duration, estimated: Option<f64>) {
-        push_sample(&mut self.dispatches, Dispatch { at: now, work });
-        if let Some(estimated) = estimated.filter(|estimated| *estimated > 0.0) {
-            let ratio = waited.as_secs_f64() / estimated;
+    /// Records the dispatch of a request of `work_s` seconds of work, with its actual and its estimated wait. The
+    /// estimate is `None` if the service rate was unknown when the request arrived.
+    pub fn record_dispatch(
+        &mut self,
+        now: Duration,
+        work_s: f64,
+        waited: Duration,
+        estimated_wait_s: Option<f64>,
+    ) {
+        push_sample(&mut self.dispatches, Dispatch { at: now, work_s });
+        if let Some(estimated_s) = estimated_wait_s.filter(|estimated_s| *estimated_s > 0.0) {
+            let ratio = waited.as_secs_f64() / estimated_s;
             push_sample(&mut self.wait_ratios, ratio.clamp(MIN_RATIO, MAX_RATIO));
         }
     }
 
-    /// Adds to the work of the latest dispatch, in seconds; a cancelled dispatch is recorded as negative work.
-    pub fn correct_last(&mut self, work: f64) {
-        if let Some(last) = self.dispatches.back_mut() {
-            last.work += work;
+    /// Adds `work_s` seconds to the work of the latest dispatch; negative for the work of a requeued request.
+    pub fn adjust_latest_work(&mut self, work_s: f64) {
+        if let Some(latest) = self.dispatches.back_mut() {
+            latest.work_s += work_s;
         }
     }
 
     /// Returns the seconds of work dispatched per second; `None` with fewer than `MIN_SAMPLES` dispatches.
     pub fn work_per_second(&self, now: Duration) -> Option<f64> {
         let first = self.dispatches.front().filter(|_| self.dispatches.len() >= MIN_SAMPLES)?;
-        let work: f64 = self.dispatches.iter().skip(1).map(|dispatch| dispatch.work).sum();
-        let span = now.saturating_sub(first.at).as_secs_f64();
-        (span > 0.0 && work > 0.0).then(|| work / span)
+        let work_s: f64 = self.dispatches.iter().skip(1).map(|dispatch| dispatch.work_s).sum();
+        let span_s = now.saturating_sub(first.at).as_secs_f64();
+        (span_s > 0.0 && work_s > 0.0).then(|| work_s / span_s)
     }
 
     /// Returns the mean work of the latest dispatches, in seconds; 0 before the first dispatch.
-    pub fn mean_work(&self) -> f64 {
-        let work: f64 = self.dispatches.iter().map(|dispatch| dispatch.work).sum();
-        work / self.dispatches.len().max(1) as f64
+    pub fn mean_work_s(&self) -> f64 {
+        let work_s: f64 = self.dispatches.iter().map(|dispatch| dispatch.work_s).sum();
+        work_s / self.dispatches.len().max(1) as f64
     }
 
-    /// Corrects a computed wait, in seconds, by the ratios of actual to estimated waits.
-    pub fn estimate(&self, computed_wait: f64, position: usize) -> WaitEstimate {
+    /// Returns the estimate for a computed wait, corrected by the ratios of actual to estimated waits.
+    pub fn estimate(&self, computed_wait_s: f64, position: usize) -> WaitEstimate {
         let mut ratios: Vec<f64> = self.wait_ratios.iter().copied().collect();
         ratios.sort_unstable_by(f64::total_cmp);
         let corrected_wait = |fraction| {
-            let seconds = computed_wait * quantile(&ratios, fraction);
-            Duration::from_secs_f64(seconds.min(MAX_WAIT_S))
+            let wait_s = computed_wait_s * quantile(&ratios, fraction);
+            Duration::from_secs_f64(wait_s.min(MAX_WAIT_S))
         };
         WaitEstimate {
             low: corrected_wait(LOW_QUANTILE),
@@ -104,7 +114,7 @@
     /// Feeds the state to a hasher, with times relative to `now`.
     pub fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         for dispatch in &self.dispatches {
-            (now.saturating_sub(dispatch.at), dispatch.work.to_bits()).hash(hasher);
+            (now.saturating_sub(dispatch.at), dispatch.work_s.to_bits()).hash(hasher);
         }
         self.wait_ratios.iter().for_each(|ratio| ratio.to_bits().hash(hasher));
     }
@@ -118,7 +128,7 @@
     samples.push_back(sample);
 }
 
-/// Returns the quantile of sorted samples, interpolated between the two neighbouring samples. `fraction` is from 0 to 1.
+/// Returns the quantile of sorted samples, interpolated between the two neighbouring samples; `fraction` is 0 to 1.
 fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     let index = fraction * (sorted.len() - 1) as f64;
     let low = sorted[index.floor() as usize];
--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -1,5 +1,5 @@
-//! Guards the behaviour of the queues while their code changes: one digest over all results of seeded random runs: the
-//! order of dispatch, rejections, wait estimates, times, and the bits of every number.
+//! Guards the behaviour of the queues while their code changes, by one digest over all results of seeded random runs:
+//! the order of dispatch, rejections, wait estimates, due times and the bits of every number.
 
 use emberflow_teams::{
     Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RejectReason, Rejection, RequestId, Team,
@@ -9,15 +9,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const RUNS: u64 = 200;
-const STEPS: u64 = 600;
-/// Largest step of the clock.
-const MAX_STEP: Duration = Duration::from_secs(5);
-/// Length of the order of dispatch that is recorded after each step.
+const RUN_COUNT: u64 = 200;
+const STEPS_PER_RUN: u64 = 600;
+/// Largest step of the clock to a due time.
+const MAX_DUE_STEP: Duration = Duration::from_secs(5);
+/// Number of requests of the order of dispatch that are recorded after each step.
 const RECORDED_ORDER_LENGTH: usize = 6;
 
-/// Smallest counts of events, without which the digest would cover too little. The names are part of the digest.
-const REQUIRED: [(&str, u64); 14] = [
+/// Smallest number of events of each kind, so that the digest covers all of them. The names are part of the digest, so
+/// they must not change.
+const MIN_EVENT_COUNTS: [(&str, u64); 14] = [
     ("accepted", 10_000),
     ("rejected: queue full", 500),
     ("rejected: deadline too short", 500),
@@ -45,21 +46,25 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number below `end`; 0 if `end` is 0.
     fn below(&mut self, end: u64) -> u64 {
         self.next() % end.max(1)
     }
 
+    /// Returns true with a probability of one in `count`.
     fn one_in(&mut self, count: u64) -> bool {
         self.below(count) == 0
     }
 
-    fn millis(&mut self, end: u64) -> Duration {
-        Duration::from_micros(self.below(end * 1000))
+    /// Returns a time of whole microseconds below `end_ms` milliseconds.
+    fn time_below(&mut self, end_ms: u64) -> Duration {
+        Duration::from_micros(self.below(end_ms * 1000))
     }
 
-    fn pick<T: Copy>(&mut self, from: &[T]) -> Option<T> {
-        let index = self.below(from.len() as u64) as usize;
-        from.get(index).copied()
+    /// Returns a random element; `None` if there are none.
+    fn pick<T: Copy>(&mut self, elements: &[T]) -> Option<T> {
+        let index = self.below(elements.len() as u64) as usize;
+        elements.get(index).copied()
     }
 }
 
@@ -71,30 +76,30 @@
 }
 
 impl Record {
-    fn number(&mut self, number: u64) {
+    fn add_number(&mut self, number: u64) {
         self.digest.update(number.to_le_bytes());
     }
 
-    fn time(&mut self, time: Option<Duration>) {
+    fn add_time(&mut self, time: Option<Duration>) {
         let nanos = time.map_or(u128::MAX, |time| time.as_nanos());
         self.digest.update(nanos.to_le_bytes());
     }
 
-    fn float(&mut self, float: Option<f64>) {
+    fn add_float(&mut self, float: Option<f64>) {
         self.digest.update([u8::from(float.is_some())]);
-        self.number(float.unwrap_or_default().to_bits());
+        self.add_number(float.unwrap_or_default().to_bits());
     }
 
-    fn event(&mut self, name: &'static str, request: RequestId) {
+    fn add_event(&mut self, name: &'static str, request: RequestId) {
         self.digest.update(name.as_bytes());
-        self.number(request.into());
+        self.add_number(request.into());
         *self.counts.entry(name).or_default() += 1;
     }
 }
 
 /// One run: the queues, their clock, and the requests by state.
 struct Run<'a> {
-    random: SplitMix64,
+    rng: SplitMix64,
     record: &'a mut Record,
     queues: Queues,
     now: Duration,
@@ -104,6 +109,7 @@
     dispatched: Vec<RequestId>,
 }
 
+/// Returns a team; the allowance is its work, period and burst.
 fn team(organization: usize, share: f64, max_waiting: usize, allowance_ms: Option<[u64; 3]>) -> Team {
     let allowance = allowance_ms.map(|[work, period, burst]| Allowance {
         work: Duration::from_millis(work),
@@ -113,9 +119,9 @@
     Team { organization, share, allowance, max_waiting }
 }
 
-/// Quotas of three to six teams in one to three organizations.
-fn quotas(kind: u64) -> Quotas {
-    let (shares, teams): (&[f64], Vec<Team>) = match kind % 4 {
+/// Returns one of four quotas, which have three to six teams in one to three organizations.
+fn quotas(variant: u64) -> Quotas {
+    let (shares, teams): (&[f64], Vec<Team>) = match variant % 4 {
         0 => (&[1.0], vec![team(0, 1.0, 12, None), team(0, 2.0, 8, None), team(0, 0.5, 20, None)]),
         1 => (
             &[1.0, 2.0],
@@ -150,7 +156,7 @@
         let quotas = quotas(seed);
         let team_count = quotas.teams.len();
         Self {
-            random: SplitMix64(seed),
+            rng: SplitMix64(seed),
             record,
             queues: Queues::new(quotas, Duration::ZERO),
             now: Duration::ZERO,
@@ -162,15 +168,15 @@
     }
 
     fn execute(mut self) {
-        for step in 0..STEPS {
-            self.record.number(step);
+        for step in 0..STEPS_PER_RUN {
+            self.record.add_number(step);
             self.step();
             self.record_state();
         }
     }
 
     fn step(&mut self) {
-        match self.random.below(100) {
+        match self.rng.below(100) {
             0..38 => self.enqueue(),
             38..56 => self.dispatch_in_turn(),
             56..62 => self.dispatch_by_fit(),
@@ -178,51 +184,51 @@
             65..68 => self.remove(),
             68..82 => self.settle(),
             82..84 => self.requeue(),
-            84..86 if self.random.one_in(2) => self.reconfigure(),
+            84..86 if self.rng.one_in(2) => self.reconfigure(),
             86..90 => self.advance_to_due(),
             _ => {
-                let time = self.random.millis(400);
-                self.advance_by(time);
+                let duration = self.rng.time_below(400);
+                self.advance_by(duration);
             }
         }
     }
 
     fn enqueue(&mut self) {
-        let random = &mut self.random;
-        let request = self.next_request;
-        let max_deadline_ms = if random.one_in(3) { 500 } else { 20_000 };
-        let arrival = NewRequest {
-            request,
-            team: random.below(self.team_count as u64) as usize,
-            urgency: if random.one_in(3) { random.below(6) as u8 } else { 0 },
-            class: random.below(3) as u16,
-            work: random.millis(300),
-            latency_objective: if random.one_in(40) { Duration::ZERO } else { random.millis(2000) },
-            deadline: random.millis(max_deadline_ms),
-            identity: random.one_in(2).then(|| random.below(40)),
-            key: random.one_in(4).then(|| random.below(5)),
+        let rng = &mut self.rng;
+        let id = self.next_request;
+        let max_deadline_ms = if rng.one_in(3) { 500 } else { 20_000 };
+        let new_request = NewRequest {
+            id,
+            team: rng.below(self.team_count as u64) as usize,
+            urgency: if rng.one_in(3) { rng.below(6) as u8 } else { 0 },
+            class: rng.below(3) as u16,
+            work: rng.time_below(300),
+            latency_objective: if rng.one_in(40) { Duration::ZERO } else { rng.time_below(2000) },
+            deadline: rng.time_below(max_deadline_ms),
+            identity: rng.one_in(2).then(|| rng.below(40)),
+            key: rng.one_in(4).then(|| rng.below(5)),
         };
         self.next_request += 1;
-        match self.queues.enqueue(self.now, arrival) {
+        match self.queues.enqueue(self.now, new_request) {
             Ok(()) => {
-                self.record.event("accepted", request);
-                self.waiting.push(request);
+                self.record.add_event("accepted", id);
+                self.waiting.push(id);
             }
             Err(Rejection { reason, retry_after }) => {
-                let reason = match reason {
+                let event = match reason {
                     RejectReason::QueueFull => "rejected: queue full",
                     RejectReason::DeadlineTooShort => "rejected: deadline too short",
                 };
-                self.record.event(reason, request);
-                self.record.time(Some(retry_after));
+                self.record.add_event(event, id);
+                self.record.add_time(Some(retry_after));
             }
         }
     }
 
-    fn dispatch(&mut self, how: &'static str, request: RequestId) {
+    fn dispatch(&mut self, event: &'static str, request: RequestId) {
         let dispatched = self.queues.dispatch(self.now, request);
         assert!(dispatched, "request {request} waits");
-        self.record.event(how, request);
+        self.record.add_event(event, request);
         self.waiting.retain(|other| *other != request);
         self.dispatched.push(request);
     }
@@ -234,9 +240,9 @@
         }
     }
 
-    /// Dispatches the next fitting request; only one request of two to four fits.
+    /// Dispatches the next fitting request; one of every two to four requests fits.
     fn dispatch_by_fit(&mut self) {
-        let modulus = 2 + self.random.below(3) as RequestId;
+        let modulus = 2 + self.rng.below(3) as RequestId;
         let next = self.queues.next_fitting(|request| request % modulus == 0);
         if let Some(request) = next {
             self.dispatch("dispatched by fit", request);
@@ -244,96 +250,101 @@
     }
 
     fn dispatch_out_of_turn(&mut self) {
-        let Some(request) = self.random.pick(&self.waiting) else { return };
+        let Some(request) = self.rng.pick(&self.waiting) else { return };
         let first = self.queues.first_of_key(request);
-        let how = if first == request { "dispatched out of turn" } else { "dispatched by key order" };
-        self.dispatch(how, first);
+        let event = if first == request { "dispatched out of turn" } else { "dispatched by key order" };
+        self.dispatch(event, first);
     }
 
     fn remove(&mut self) {
-        let Some(request) = self.random.pick(&self.waiting) else { return };
+        let Some(request) = self.rng.pick(&self.waiting) else { return };
         let removed = self.queues.remove(self.now, request);
         assert!(removed, "request {request} waits");
-        self.record.event("left", request);
+        self.record.add_event("left", request);
         self.waiting.retain(|other| *other != request);
     }
 
     fn settle(&mut self) {
-        let Some(request) = self.random.pick(&self.dispatched) else { return };
-        let (name, outcome) = match self.random.below(3) {
-            0 => ("billed", Outcome::Measured(self.random.millis(600))),
+        let Some(request) = self.rng.pick(&self.dispatched) else { return };
+        let (event, outcome) = match self.rng.below(3) {
+            0 => ("billed", Outcome::Measured(self.rng.time_below(600))),
             1 => ("unknown", Outcome::Unknown),
             _ => ("returned", Outcome::Refunded),
         };
         self.queues.settle(self.now, request, outcome);
-        self.record.event(name, request);
+        self.record.add_event(event, request);
         self.dispatched.retain(|other| *other != request);
     }
 
     fn requeue(&mut self) {
-        let Some(request) = self.random.pick(&self.dispatched) else { return };
+        let Some(request) = self.rng.pick(&self.dispatched) else { return };
         let requeued = self.queues.requeue(self.now, request);
         assert!(requeued, "request {request} was dispatched");
-        self.record.event("taken back", request);
+        self.record.add_event("taken back", request);
         self.dispatched.retain(|other| *other != request);
         self.waiting.push(request);
     }
 
-    /// Replaces the quotas; each team gets another index or is removed.
+    /// Replaces the quotas. Teams keep their index or move to the next one, and are removed if that does not exist.
     fn reconfigure(&mut self) {
-        let quotas = quotas(self.random.next());
+        let quotas = quotas(self.rng.next());
         let old_count = self.team_count;
         self.team_count = quotas.teams.len();
-        let shift = self.random.below(2) as usize;
+        let shift = self.rng.below(2) as usize;
         let new_index = |team: usize| Some(team + shift).filter(|index| *index < quotas.teams.len());
         let new_indices: Vec<Option<usize>> = (0..old_count).map(new_index).collect();
         self.queues.reconfigure(self.now, quotas, &new_indices);
-        self.record.event("reconfigured", shift as RequestId);
+        self.record.add_event("reconfigured", shift as RequestId);
     }
 
-    fn advance_by(&mut self, time: Duration) {
-        self.now += time;
+    fn advance_by(&mut self, duration: Duration) {
+        self.now += duration;
         self.queues.advance(self.now);
     }
 
     fn advance_to_due(&mut self) {
         let due = self.queues.due().unwrap_or(self.now);
-        // Limits the step, because a budget can be years in debt.
-        let limit = self.now + MAX_STEP;
+        // The step is limited, because it may take years until a budget covers a request.
+        let limit = self.now + MAX_DUE_STEP;
         self.now = due.max(self.now).min(limit);
         self.queues.advance(self.now);
     }
 
+    /// Records the due time, the charges and budgets, and the start of the order of dispatch.
     fn record_state(&mut self) {
-        self.record.time(self.queues.due());
-        self.record.number(self.queues.len() as u64);
-        self.record.number(u64::from(self.queues.is_empty()));
+        self.record.add_time(self.queues.due());
+        self.record.add_number(self.queues.len() as u64);
+        self.record.add_number(u64::from(self.queues.is_empty()));
         for team in 0..self.team_count {
-            self.record.float(Some(self.queues.in_flight_charge(team)));
-            self.record.float(self.queues.budget_remaining(team));
+            self.record.add_float(Some(self.queues.in_flight_charge(team)));
+            self.record.add_float(self.queues.budget_remaining(team));
         }
         let order: Vec<RequestId> = self.queues.dispatch_order().take(RECORDED_ORDER_LENGTH).collect();
-        order.iter().for_each(|request| self.record.number((*request).into()));
-        if let Some(request) = self.random.pick(&self.waiting) {
+        order.iter().for_each(|request| self.record.add_number((*request).into()));
+        if let Some(request) = self.rng.pick(&self.waiting) {
             self.record_wait(request);
         }
     }
 
     fn record_wait(&mut self, request: RequestId) {
         let Some(wait) = self.queues.estimate_wait(self.now, request) else { return };
-        self.record.event("wait estimated", request);
-        [wait.low, wait.median, wait.high].into_iter().for_each(|time| self.record.time(Some(time)));
-        self.record.number(wait.position as u64);
+        self.record.add_event("wait estimated", request);
+        [wait.low, wait.median, wait.high].into_iter().for_each(|time| self.record.add_time(Some(time)));
+        self.record.add_number(wait.position as u64);
     }
 }
 
 #[test]
 fn the_results_of_seeded_runs_are_unchanged() {
     let mut record = Record::default();
-    (0..RUNS).for_each(|seed| Run::new(seed, &mut record).execute());
-    for (name, low) in REQUIRED {
+    (0..RUN_COUNT).for_each(|seed| Run::new(seed, &mut record).execute());
+    for (name, min_count) in MIN_EVENT_COUNTS {
         let count = record.counts.get(name).copied().unwrap_or(0);
-        assert!(count >= low, "{name} happened {count} times, expected at least {low}: {:?}", record.counts);
+        assert!(
+            count >= min_count,
+            "{name} happened {count} times, expected at least {min_count}: {:?}",
+            record.counts
+        );
     }
     let digest: String = record.digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect!["3fc5aec5b3785c49825e58a416cbe51fe14afb38a404f5e9944e075d0b7218ce"].assert_eq(&digest);
--- a/crates/teams/tests/properties.rs
+++ b/crates/teams/tests/properties.rs
@@ -1,14 +1,16 @@
-//! Properties that hold for every sequence of inputs: no request is lost, and nothing stays charged at rest.
+//! Properties of random sequences of inputs: no request is lost, and no charge stays when all requests have ended.
 
 use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RequestId, Team};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestCaseError};
 use std::time::Duration;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
+/// Returns the quotas of teams in one organization, from their shares and allowances (work, period, burst) in
+/// milliseconds.
 fn quotas(teams: &[(f64, Option<[u64; 3]>)]) -> Quotas {
     let team = |(share, allowance): &(f64, Option<[u64; 3]>)| Team {
         organization: 0,
@@ -38,7 +40,7 @@
     Remove(usize),
     Settle(usize, Outcome),
     Requeue(usize),
-    Advance { ms: u64 },
+    Advance { by_ms: u64 },
     Reconfigure { to_two_teams: bool },
 }
 
@@ -46,7 +48,7 @@
     let outcome = prop_oneof![
         Just(Outcome::Refunded),
         Just(Outcome::Unknown),
-        (0..500u64).prop_map(|work| Outcome::Measured(ms(work)))
+        (0..500u64).prop_map(|work_ms| Outcome::Measured(ms(work_ms)))
     ];
     let input = prop_oneof![
         4 => (0..3usize, 0..5u8, 0..300u64)
@@ -55,13 +57,13 @@
         1 => any::<usize>().prop_map(Input::Remove),
         2 => (any::<usize>(), outcome).prop_map(|(index, outcome)| Input::Settle(index, outcome)),
         1 => any::<usize>().prop_map(Input::Requeue),
-        2 => (0..2000u64).prop_map(|ms| Input::Advance { ms }),
+        2 => (0..2000u64).prop_map(|by_ms| Input::Advance { by_ms }),
         1 => any::<bool>().prop_map(|to_two_teams| Input::Reconfigure { to_two_teams }),
     ];
     prop::collection::vec(input, 1..200)
 }
 
-/// The queues under test, and the expected state of each request.
+/// The queues under test, and the requests that are expected to be waiting and dispatched.
 struct Model {
     queues: Queues,
     now: Duration,
@@ -71,6 +73,7 @@
     dispatched: Vec<RequestId>,
 }
 
+/// Removes and returns one of the requests. The index wraps around at the number of requests.
 fn take(requests: &mut Vec<RequestId>, index: usize) -> Option<RequestId> {
     if requests.is_empty() { None } else { Some(requests.remove(index % requests.len())) }
 }
@@ -111,8 +114,8 @@
                     self.waiting.push(request);
                 }
             }
-            Input::Advance { ms: time } => {
-                self.now += ms(time);
+            Input::Advance { by_ms } => {
+                self.now += ms(by_ms);
                 self.queues.advance(self.now);
                 prop_assert!(self.queues.due().is_none_or(|due| due > self.now));
             }
@@ -123,10 +126,10 @@
     }
 
     fn enqueue(&mut self, team: usize, urgency: u8, work: Duration) {
-        let request = self.next_request;
+        let id = self.next_request;
         self.next_request += 1;
         let new_request = NewRequest {
-            request,
+            id,
             team: team % self.team_count,
             urgency,
             class: 0,
@@ -137,7 +140,7 @@
             key: None,
         };
         if self.queues.enqueue(self.now, new_request).is_ok() {
-            self.waiting.push(request);
+            self.waiting.push(id);
         }
     }
 
@@ -154,9 +157,9 @@
 
     fn reconfigure(&mut self, to_two_teams: bool) {
         let quotas = if to_two_teams { two_teams() } else { three_teams() };
-        let third = (!to_two_teams).then_some(2);
+        let third_index = (!to_two_teams).then_some(2);
         self.team_count = quotas.teams.len();
-        self.queues.reconfigure(self.now, quotas, &[Some(0), Some(1), third]);
+        self.queues.reconfigure(self.now, quotas, &[Some(0), Some(1), third_index]);
     }
 }
 
--- a/crates/teams/tests/scenarios/harness.rs
+++ b/crates/teams/tests/scenarios/harness.rs
@@ -1,4 +1,4 @@
-//! The queues of a scenario, with a clock in milliseconds and a log.
+//! Runs a scenario: the queues under test, a clock in milliseconds and a log of the results.
 
 use emberflow_teams::{
     Allowance, NewRequest, Organization, Outcome, Queues, Quotas, Rejection, RequestId, Team,
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 /// Returns a time in milliseconds.
-pub fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+pub fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-/// Returns a budget from its times in milliseconds.
-pub fn allowance(work: u64, period: u64, burst: u64) -> Option<Allowance> {
-    Some(Allowance { work: ms(work), period: ms(period), burst: ms(burst) })
+/// Returns the allowance of a team, from times in milliseconds.
+pub fn allowance(work_ms: u64, period_ms: u64, burst_ms: u64) -> Option<Allowance> {
+    Some(Allowance { work: ms(work_ms), period: ms(period_ms), burst: ms(burst_ms) })
 }
 
-/// Returns the quotas of teams of one organization, from their shares and budgets.
+/// Returns the quotas of teams in one organization, from their shares and allowances.
 pub fn one_organization(teams: &[(f64, Option<Allowance>)]) -> Quotas {
     let team = |(share, allowance): &(f64, Option<Allowance>)| Team {
         organization: 0,
@@ -30,30 +30,31 @@
 /// Queues under test, a clock and a log.
 pub struct Scenario {
     pub queues: Queues,
-    /// Milliseconds since the start.
-    pub now: u64,
+    /// Time since the start.
+    pub now_ms: u64,
+    /// Number of the next request, counted from 0.
     pub next_request: RequestId,
     log: String,
 }
 
 impl Scenario {
-    /// Starts with empty queues at time 0.
-    pub fn of(quotas: Quotas) -> Self {
-        Self { queues: Queues::new(quotas, Duration::ZERO), now: 0, next_request: 0, log: String::new() }
+    /// Starts a scenario with empty queues at time 0.
+    pub fn new(quotas: Quotas) -> Self {
+        Self { queues: Queues::new(quotas, Duration::ZERO), now_ms: 0, next_request: 0, log: String::new() }
     }
 
-    /// Advances the clock to `now` milliseconds.
-    pub fn at(&mut self, now: u64) -> &mut Self {
-        self.now = now;
-        self.queues.advance(ms(now));
+    /// Advances the clock and the queues.
+    pub fn advance_to(&mut self, now_ms: u64) -> &mut Self {
+        self.now_ms = now_ms;
+        self.queues.advance(ms(now_ms));
         self
     }
 
-    /// Enqueues a request of the first team with default properties that `change` edits, and logs a rejection.
-    pub fn enqueue_with(&mut self, change: impl Fn(&mut NewRequest)) -> &mut Self {
-        let request = self.next_request;
+    /// Enqueues a request of the first team, after `edit` has changed its default properties. Logs a rejection.
+    pub fn enqueue_with(&mut self, edit: impl Fn(&mut NewRequest)) -> &mut Self {
+        let id = self.next_request;
         let mut new_request = NewRequest {
-            request,
+            id,
             team: 0,
             urgency: 0,
             class: 0,
@@ -63,20 +64,20 @@
             identity: None,
             key: None,
         };
-        change(&mut new_request);
+        edit(&mut new_request);
         self.next_request += 1;
-        if let Err(Rejection { reason, retry_after }) = self.queues.enqueue(ms(self.now), new_request) {
+        if let Err(Rejection { reason, retry_after }) = self.queues.enqueue(ms(self.now_ms), new_request) {
             let (team, retry_after_ms) = (new_request.team, retry_after.as_millis());
             self.log(format!(
-                "request {request} of team {team} is rejected, {reason:?}, retry after {retry_after_ms} ms"
+                "request {id} of team {team} is rejected, {reason:?}, retry after {retry_after_ms} ms"
             ));
         }
         self
     }
 
-    /// Enqueues a request of `work` milliseconds.
-    pub fn enqueue(&mut self, team: usize, work: u64) -> &mut Self {
-        self.enqueue_with(|new_request| (new_request.team, new_request.work) = (team, ms(work)))
+    /// Enqueues a request of `work_ms` milliseconds of work.
+    pub fn enqueue(&mut self, team: usize, work_ms: u64) -> &mut Self {
+        self.enqueue_with(|new_request| (new_request.team, new_request.work) = (team, ms(work_ms)))
     }
 
     /// Dispatches the next `count` requests and logs them.
@@ -84,10 +85,10 @@
         for _ in 0..count {
             let next = self.queues.dispatch_order().next();
             let Some(request) = next else {
-                self.log("nothing waits".to_owned());
+                self.log("no request waits".to_owned());
                 continue;
             };
-            assert!(self.queues.dispatch(ms(self.now), request), "request {request} waits");
+            assert!(self.queues.dispatch(ms(self.now_ms), request), "request {request} waits");
             self.log(format!("request {request} is dispatched"));
         }
         self
@@ -95,13 +96,13 @@
 
     /// Settles a dispatched request.
     pub fn settle(&mut self, request: RequestId, outcome: Outcome) -> &mut Self {
-        self.queues.settle(ms(self.now), request, outcome);
+        self.queues.settle(ms(self.now_ms), request, outcome);
         self
     }
 
     /// Adds a line with the time to the log.
     pub fn log(&mut self, line: String) -> &mut Self {
-        let _ = writeln!(self.log, "{:<6}{line}", self.now);
+        let _ = writeln!(self.log, "{:<6}{line}", self.now_ms);
         self
     }
 
@@ -111,7 +112,7 @@
         self.log(format!("team {team} has {:.0} ms of its budget left", remaining * 1e3))
     }
 
-    /// Returns the log and starts a new one.
+    /// Returns the log and clears it.
     pub fn take_log(&mut self) -> String {
         std::mem::take(&mut self.log)
     }
--- a/crates/teams/tests/scenarios/main.rs
+++ b/crates/teams/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Short scenarios of the queues, compared as logs of their results.
+//! Short scenarios of the queues. Each scenario's log is compared with the expected one.
 
 mod budgets;
 mod harness;
--- a/crates/teams/tests/scenarios/shares.rs
+++ b/crates/teams/tests/scenarios/shares.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn teams_are_served_by_their_shares_of_work() {
-    let mut scenario = Scenario::of(one_organization(&[(2.0, None), (1.0, None)]));
+    let mut scenario = Scenario::new(one_organization(&[(2.0, None), (1.0, None)]));
     scenario
         .enqueue(0, 100)
         .enqueue(0, 100)
@@ -22,20 +22,20 @@
         0     request 2 is dispatched
         0     request 5 is dispatched
         0     request 3 is dispatched
-        0     nothing waits
+        0     no request waits
     "#]]
     .assert_eq(&scenario.take_log());
 }
 
 #[test]
-fn organizations_are_served_by_share_and_teams_share_their_organization() {
-    let team_of = |organization| Team { organization, share: 1.0, allowance: None, max_waiting: 5 };
+fn organizations_and_their_teams_are_served_by_share() {
+    let team_in = |organization| Team { organization, share: 1.0, allowance: None, max_waiting: 5 };
     let quotas = Quotas {
         organizations: vec![Organization { share: 1.0 }, Organization { share: 1.0 }],
-        teams: vec![team_of(0), team_of(0), team_of(1)],
+        teams: vec![team_in(0), team_in(0), team_in(1)],
     };
-    let overall_shares: Vec<f64> = (0..3).map(|at| quotas.overall_share(at)).collect();
-    let mut scenario = Scenario::of(quotas);
+    let overall_shares: Vec<f64> = (0..3).map(|team| quotas.overall_share(team)).collect();
+    let mut scenario = Scenario::new(quotas);
     for team in [0, 0, 1, 1, 2, 2, 2, 2] {
         scenario.enqueue(team, 100);
     }
@@ -56,13 +56,13 @@
 
 #[test]
 fn unused_share_does_not_accumulate() {
-    let mut scenario = Scenario::of(one_organization(&[(1.0, None), (1.0, None)]));
+    let mut scenario = Scenario::new(one_organization(&[(1.0, None), (1.0, None)]));
     scenario
         .enqueue(0, 100)
         .enqueue(0, 100)
         .enqueue(0, 100)
         .dispatch(3)
-        .at(500)
+        .advance_to(500)
         .enqueue(0, 100)
         .enqueue(0, 100)
         .enqueue(1, 100)
--- a/crates/teams/tests/simulation/mod.rs
+++ b/crates/teams/tests/simulation/mod.rs
@@ -1,12 +1,12 @@
-//! A simulated day: teams send requests at random times, servers run one request each, and a policy decides which
-//! request is served next.
+//! A simulation: teams send requests at random times, each server runs one request at a time, and a policy decides
+//! which request is dispatched next.
 
-mod figures;
+mod metrics;
 
-pub use figures::Figures;
+pub use metrics::Metrics;
 
 use emberflow_teams::{NewRequest, Organization, Outcome, Queues, Quotas, RequestId, Team, WaitEstimate};
-use figures::Recorder;
+use metrics::MetricsRecorder;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -14,12 +14,13 @@
 use std::time::Duration;
 
 /// Urgency of urgent requests.
-const URGENCY: u8 = 2;
-/// Work of urgent requests relative to ordinary ones.
+const URGENT: u8 = 2;
+/// Ratio of the work of urgent requests to that of ordinary ones.
 const URGENT_WORK_FACTOR: f64 = 0.1;
 /// Bound on each team's waiting requests.
 const MAX_WAITING: usize = 400;
 
+/// Returns a time in seconds.
 pub fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
@@ -27,37 +28,41 @@
 /// The traffic of a team.
 #[derive(Clone, Copy)]
 pub struct Traffic {
-    /// Requests per second.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Median work of a request, in seconds.
-    pub work: f64,
+    /// Median work of an ordinary request.
+    pub median_work_s: f64,
     /// Percentage of urgent requests.
     pub urgent_percent: u32,
 }
 
-/// The parameters of a simulated day. Times are in seconds.
-pub struct Day {
+/// The parameters of a simulation.
+pub struct Workload {
     /// The teams' shares and traffic.
     pub teams: Vec<(f64, Traffic)>,
+    /// Number of servers.
     pub servers: usize,
-    pub duration: f64,
-    pub latency_objective: f64,
-    pub deadline: f64,
+    pub duration_s: f64,
+    pub latency_objective_s: f64,
+    /// Time from the arrival after which a waiting request is removed.
+    pub deadline_s: f64,
     /// Ratio of actual to expected work of the requests.
     pub work_factor: f64,
+    /// Seed of the random arrivals and work.
     pub seed: u64,
 }
 
-/// Decides which request is served next.
+/// Decides which request is dispatched next.
 pub trait Policy {
     /// Enqueues a request, and returns whether it is accepted.
     fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> bool;
-    /// Dispatches the next request.
+    /// Dispatches the next request; `None` if no request waits.
     fn next(&mut self, now: Duration) -> Option<RequestId>;
     /// Removes a waiting request that has reached its deadline.
     fn remove(&mut self, now: Duration, request: RequestId);
-    /// Records that a request has ended after `work`.
+    /// Records that a dispatched request has ended, and its actual work.
     fn ended(&mut self, now: Duration, request: RequestId, work: Duration);
+    /// Estimates the wait of a waiting request; `None` if the policy cannot estimate it.
     fn estimate_wait(&self, _: Duration, _: RequestId) -> Option<WaitEstimate> {
         None
     }
@@ -86,13 +91,13 @@
     }
 }
 
-/// The order of arrival across teams.
+/// First in, first out, regardless of the teams.
 #[derive(Default)]
 pub struct Fifo(VecDeque<RequestId>);
 
 impl Policy for Fifo {
     fn enqueue(&mut self, _: Duration, new_request: NewRequest) -> bool {
-        self.0.push_back(new_request.request);
+        self.0.push_back(new_request.id);
         true
     }
 
@@ -108,27 +113,28 @@
 }
 
 /// A request that a team sends.
-struct Sent {
+struct SentRequest {
     at: Duration,
     team: usize,
-    work: f64,
+    /// Actual work.
+    work_s: f64,
     urgent: bool,
 }
 
-/// Returns all requests of the day in the order of arrival. They are the same for every policy.
-fn traffic(day: &Day) -> Vec<Sent> {
-    let mut random = StdRng::seed_from_u64(day.seed);
+/// Returns all requests of the workload in the order of arrival. They do not depend on the policy.
+fn generate_requests(workload: &Workload) -> Vec<SentRequest> {
+    let mut rng = StdRng::seed_from_u64(workload.seed);
     let mut sent = Vec::new();
-    for (team, (_, traffic)) in day.teams.iter().enumerate() {
-        let gap = Exp::new(traffic.rate).expect("the rate is above 0");
-        let spread = LogNormal::new(0.0, 0.5).expect("the deviation is finite");
-        let mut at = gap.sample(&mut random);
-        while at < day.duration {
-            let urgent = random.random_range(0..100) < traffic.urgent_percent;
-            let factor = if urgent { URGENT_WORK_FACTOR } else { 1.0 };
-            let work = traffic.work * spread.sample(&mut random) * factor;
-            sent.push(Sent { at: seconds(at), team, work, urgent });
-            at += gap.sample(&mut random);
+    for (team, (_, traffic)) in workload.teams.iter().enumerate() {
+        let interval = Exp::new(traffic.rate).expect("the request rate is above 0");
+        let work_ratio = LogNormal::new(0.0, 0.5).expect("the standard deviation is finite");
+        let mut at_s = interval.sample(&mut rng);
+        while at_s < workload.duration_s {
+            let urgent = rng.random_range(0..100) < traffic.urgent_percent;
+            let urgency_factor = if urgent { URGENT_WORK_FACTOR } else { 1.0 };
+            let work_s = traffic.median_work_s * work_ratio.sample(&mut rng) * urgency_factor;
+            sent.push(SentRequest { at: seconds(at_s), team, work_s, urgent });
+            at_s += interval.sample(&mut rng);
         }
     }
     sent.sort_by_key(|request| (request.at, request.team));
@@ -136,37 +142,39 @@
 }
 
 /// An accepted request.
-struct Accepted {
+struct AcceptedRequest {
     new_request: NewRequest,
-    arrived: Duration,
-    /// Actual work, in seconds.
-    work: f64,
+    arrived_at: Duration,
+    /// Actual work.
+    work_s: f64,
+    /// The wait estimated at the arrival.
     estimate: Option<WaitEstimate>,
     dispatched: bool,
 }
 
 struct Simulation<'a, P> {
-    day: &'a Day,
+    workload: &'a Workload,
     policy: &'a mut P,
-    recorder: Recorder,
-    requests: BTreeMap<RequestId, Accepted>,
-    /// Running requests by the time of their end.
+    recorder: MetricsRecorder,
+    requests: BTreeMap<RequestId, AcceptedRequest>,
+    /// Running requests by the time at which they end.
     running: BTreeSet<(Duration, RequestId)>,
+    /// Accepted requests by their deadline, including those that have been dispatched or have ended.
     deadlines: BTreeSet<(Duration, RequestId)>,
 }
 
-/// Simulates the day under a policy.
-pub fn simulate(day: &Day, policy: &mut impl Policy) -> Figures {
+/// Runs the workload under a policy.
+pub fn simulate(workload: &Workload, policy: &mut impl Policy) -> Metrics {
     let mut simulation = Simulation {
-        day,
+        workload,
         policy,
-        recorder: Recorder::new(day),
+        recorder: MetricsRecorder::new(workload),
         requests: BTreeMap::new(),
         running: BTreeSet::new(),
         deadlines: BTreeSet::new(),
     };
-    let mut arrivals = traffic(day).into_iter().zip(0..).peekable();
-    let end = seconds(day.duration);
+    let mut arrivals = generate_requests(workload).into_iter().zip(0..).peekable();
+    let end = seconds(workload.duration_s);
     loop {
         let next_arrival = arrivals.peek().map(|(sent, _)| sent.at);
         let Some(now) = simulation.next_event(next_arrival).filter(|now| *now < end) else { break };
@@ -178,10 +186,11 @@
         simulation.dispatch(now);
         simulation.recorder.record_idle_teams(now);
     }
-    simulation.recorder.figures(day)
+    simulation.recorder.into_metrics(workload)
 }
 
 impl<P: Policy> Simulation<'_, P> {
+    /// Returns the time of the next arrival, end or deadline.
     fn next_event(&self, next_arrival: Option<Duration>) -> Option<Duration> {
         let next_end = self.running.first().map(|(at, _)| *at);
         let next_deadline = self.deadlines.first().map(|(at, _)| *at);
@@ -191,9 +200,9 @@
     fn end_requests(&mut self, now: Duration) {
         while let Some((_, request)) = pop_due(&mut self.running, now) {
             let accepted = &self.requests[&request];
-            let on_time = now - accepted.arrived <= accepted.new_request.latency_objective;
-            self.recorder.ended(on_time);
-            self.policy.ended(now, request, seconds(accepted.work));
+            let on_time = now - accepted.arrived_at <= accepted.new_request.latency_objective;
+            self.recorder.record_ended(on_time);
+            self.policy.ended(now, request, seconds(accepted.work_s));
         }
     }
 
@@ -202,72 +211,86 @@
             let accepted = &self.requests[&request];
             if !accepted.dispatched {
                 self.policy.remove(now, request);
-                self.recorder.expired(accepted.new_request.team);
+                self.recorder.record_expired(accepted.new_request.team);
             }
         }
     }
 
-    fn arrive(&mut self, request: RequestId, sent: &Sent) {
+    fn arrive(&mut self, request: RequestId, sent: &SentRequest) {
         let new_request = NewRequest {
-            request,
+            id: request,
             team: sent.team,
-            urgency: if sent.urgent { URGENCY } else { 0 },
+            urgency: if sent.urgent { URGENT } else { 0 },
             class: u16::from(sent.urgent),
-            work: seconds(sent.work / self.day.work_factor),
-            latency_objective: seconds(self.day.latency_objective),
-            deadline: seconds(self.day.deadline),
+            work: seconds(sent.work_s / self.workload.work_factor),
+            latency_objective: seconds(self.workload.latency_objective_s),
+            deadline: seconds(self.workload.deadline_s),
             identity: None,
             key: None,
         };
         if !self.policy.enqueue(sent.at, new_request) {
-            self.recorder.rejected();
+            self.recorder.record_rejected();
             return;
         }
-        self.recorder.enqueued(sent.at, sent.team);
+        self.recorder.record_enqueued(sent.at, sent.team);
         let estimate = self.policy.estimate_wait(sent.at, request);
         self.deadlines.insert((sent.at + new_request.deadline, request));
-        let accepted =
-            Accepted { new_request, arrived: sent.at, work: sent.work, estimate, dispatched: false };
+        let accepted = AcceptedRequest {
+            new_request,
+            arrived_at: sent.at,
+            work_s: sent.work_s,
+            estimate,
+            dispatched: false,
+        };
         self.requests.insert(request, accepted);
     }
 
     fn dispatch(&mut self, now: Duration) {
-        while self.running.len() < self.day.servers {
+        while self.running.len() < self.workload.servers {
             let Some(request) = self.policy.next(now) else { break };
-            let accepted = self.requests.get_mut(&request).expect("only accepted requests are dispatched");
+            let accepted =
+                self.requests.get_mut(&request).expect("the policy dispatches only accepted requests");
             accepted.dispatched = true;
-            let waited = (now - accepted.arrived).as_secs_f64();
-            self.recorder.dispatched(now, accepted.new_request.team, accepted.work);
-            self.recorder.waited(waited, accepted.new_request.urgency > 0, accepted.estimate);
-            self.running.insert((now + seconds(accepted.work), request));
+            let wait_s = (now - accepted.arrived_at).as_secs_f64();
+            self.recorder.record_dispatched(now, accepted.new_request.team, accepted.work_s);
+            self.recorder.record_wait(wait_s, accepted.new_request.urgency > 0, accepted.estimate);
+            self.running.insert((now + seconds(accepted.work_s), request));
         }
     }
 }
 
-/// Removes and returns the first request that is due at `now`.
+/// Removes and returns the first request whose time is at most `now`.
 fn pop_due(queue: &mut BTreeSet<(Duration, RequestId)>, now: Duration) -> Option<(Duration, RequestId)> {
     let (at, _) = queue.first()?;
     if *at <= now { queue.pop_first() } else { None }
 }
 
-/// Returns a day of eight teams with equal shares and sixteen servers. The first team sends ten times its share, and
-/// most of the others slightly more than their share.
-pub fn skewed(seed: u64) -> Day {
-    let traffic = |rate: f64| Traffic { rate, work: 0.2, urgent_percent: 10 };
+/// Returns a workload of eight teams with equal shares on sixteen servers. The first team sends ten times its share,
+/// five teams send slightly more than their share, and two send half of it.
+pub fn skewed_workload(seed: u64) -> Workload {
+    let traffic = |rate: f64| Traffic { rate, median_work_s: 0.2, urgent_percent: 10 };
     // A team's share is two servers, which serve about ten requests of 0.2 s per second.
     let rates = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
     let teams = rates.into_iter().map(|rate| (1.0, traffic(rate))).collect();
-    Day { teams, servers: 16, duration: 60.0, latency_objective: 4.0, deadline: 20.0, work_factor: 1.0, seed }
+    Workload {
+        teams,
+        servers: 16,
+        duration_s: 60.0,
+        latency_objective_s: 4.0,
+        deadline_s: 20.0,
+        work_factor: 1.0,
+        seed,
+    }
 }
 
-/// Returns the quotas of the day's teams, in one organization.
-pub fn quotas(day: &Day) -> Quotas {
+/// Returns the quotas of the workload's teams, in one organization.
+pub fn quotas(workload: &Workload) -> Quotas {
     let team = |(share, _): &(f64, Traffic)| Team {
         organization: 0,
         share: *share,
         allowance: None,
         max_waiting: MAX_WAITING,
     };
-    let teams = day.teams.iter().map(team).collect();
+    let teams = workload.teams.iter().map(team).collect();
     Quotas { organizations: vec![Organization { share: 1.0 }], teams }
 }
