--- a/crates/teams/examples/compare.rs
+++ b/crates/teams/examples/compare.rs
@@ -29,7 +29,7 @@
         self.queues[new_request.team].push_back((new_request.id, new_request.work.as_secs_f64()));
         true
     }
-    fn next(&mut self, _: Duration) -> Option<RequestId> {
+    fn dispatch_next(&mut self, _: Duration) -> Option<RequestId> {
         if self.queues.iter().all(VecDeque::is_empty) {
             return None;
         }
@@ -51,7 +51,7 @@
     fn remove(&mut self, _: Duration, request: RequestId) {
         self.queues.iter_mut().for_each(|queue| queue.retain(|(other, _)| *other != request));
     }
-    fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
+    fn record_end(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
 /// Lottery: draws among the teams with waiting requests, with their shares as weights.
@@ -66,7 +66,7 @@
         self.queues[new_request.team].push_back(new_request.id);
         true
     }
-    fn next(&mut self, _: Duration) -> Option<RequestId> {
+    fn dispatch_next(&mut self, _: Duration) -> Option<RequestId> {
         let has_requests = |team: &usize| !self.queues[*team].is_empty();
         let shares_sum: f64 = (0..self.queues.len()).filter(has_requests).map(|team| self.shares[team]).sum();
         let mut remaining_draw = self.rng.random::<f64>() * shares_sum;
@@ -79,7 +79,7 @@
     fn remove(&mut self, _: Duration, request: RequestId) {
         self.queues.iter_mut().for_each(|queue| queue.retain(|other| *other != request));
     }
-    fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
+    fn record_end(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
 /// Headings of the printed table; all but the first are at most ten characters wide.
--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -109,7 +109,7 @@
     dispatched: Vec<RequestId>,
 }
 
-/// Returns a team; the allowance is its work, period and burst.
+/// Returns a team. The allowance holds the work, the period and the burst.
 fn team(organization: usize, share: f64, max_waiting: usize, allowance_ms: Option<[u64; 3]>) -> Team {
     let allowance = allowance_ms.map(|[work, period, burst]| Allowance {
         work: Duration::from_millis(work),
@@ -279,7 +279,7 @@
     fn requeue(&mut self) {
         let Some(request) = self.rng.pick(&self.dispatched) else { return };
         let requeued = self.queues.requeue(self.now, request);
-        assert!(requeued, "request {request} was dispatched");
+        assert!(requeued, "request {request} is dispatched");
         self.record.add_event("taken back", request);
         self.dispatched.retain(|other| *other != request);
         self.waiting.push(request);
--- a/crates/teams/tests/properties.rs
+++ b/crates/teams/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of random sequences of inputs: no request is lost, and no charge stays when all requests have ended.
+//! Properties of random sequences of inputs: no request is lost, and no charge remains when all requests have ended.
 
 use emberflow_teams::{Allowance, NewRequest, Organization, Outcome, Queues, Quotas, RequestId, Team};
 use proptest::prelude::*;
@@ -172,7 +172,7 @@
     })]
 
     #[test]
-    fn no_request_is_lost_and_nothing_stays_charged(inputs in inputs()) {
+    fn no_request_is_lost_and_no_charge_remains(inputs in inputs()) {
         let mut model = Model::new();
         for input in inputs {
             model.apply(input)?;
--- a/crates/teams/tests/simulation/mod.rs
+++ b/crates/teams/tests/simulation/mod.rs
@@ -17,7 +17,7 @@
 const URGENT: u8 = 2;
 /// Ratio of the work of urgent requests to that of ordinary ones.
 const URGENT_WORK_FACTOR: f64 = 0.1;
-/// Bound on each team's waiting requests.
+/// Largest number of waiting requests of each team.
 const MAX_WAITING: usize = 400;
 
 /// Returns a time in seconds.
@@ -28,8 +28,8 @@
 /// The traffic of a team.
 #[derive(Clone, Copy)]
 pub struct Traffic {
-    /// Mean number of requests per second.
-    pub rate: f64,
+    /// Mean rate of requests.
+    pub requests_per_s: f64,
     /// Median work of an ordinary request.
     pub median_work_s: f64,
     /// Percentage of urgent requests.
@@ -57,11 +57,11 @@
     /// Enqueues a request, and returns whether it is accepted.
     fn enqueue(&mut self, now: Duration, new_request: NewRequest) -> bool;
     /// Dispatches the next request; `None` if no request waits.
-    fn next(&mut self, now: Duration) -> Option<RequestId>;
+    fn dispatch_next(&mut self, now: Duration) -> Option<RequestId>;
     /// Removes a waiting request that has reached its deadline.
     fn remove(&mut self, now: Duration, request: RequestId);
     /// Records that a dispatched request has ended, and its actual work.
-    fn ended(&mut self, now: Duration, request: RequestId, work: Duration);
+    fn record_end(&mut self, now: Duration, request: RequestId, work: Duration);
     /// Estimates the wait of a waiting request; `None` if the policy cannot estimate it.
     fn estimate_wait(&self, _: Duration, _: RequestId) -> Option<WaitEstimate> {
         None
@@ -73,7 +73,7 @@
         Queues::enqueue(self, now, new_request).is_ok()
     }
 
-    fn next(&mut self, now: Duration) -> Option<RequestId> {
+    fn dispatch_next(&mut self, now: Duration) -> Option<RequestId> {
         let next = self.dispatch_order().next()?;
         self.dispatch(now, next).then_some(next)
     }
@@ -82,7 +82,7 @@
         Queues::remove(self, now, request);
     }
 
-    fn ended(&mut self, now: Duration, request: RequestId, work: Duration) {
+    fn record_end(&mut self, now: Duration, request: RequestId, work: Duration) {
         self.settle(now, request, Outcome::Measured(work));
     }
 
@@ -101,7 +101,7 @@
         true
     }
 
-    fn next(&mut self, _: Duration) -> Option<RequestId> {
+    fn dispatch_next(&mut self, _: Duration) -> Option<RequestId> {
         self.0.pop_front()
     }
 
@@ -109,7 +109,7 @@
         self.0.retain(|other| *other != request);
     }
 
-    fn ended(&mut self, _: Duration, _: RequestId, _: Duration) {}
+    fn record_end(&mut self, _: Duration, _: RequestId, _: Duration) {}
 }
 
 /// A request that a team sends.
@@ -126,7 +126,7 @@
     let mut rng = StdRng::seed_from_u64(workload.seed);
     let mut sent = Vec::new();
     for (team, (_, traffic)) in workload.teams.iter().enumerate() {
-        let interval = Exp::new(traffic.rate).expect("the request rate is above 0");
+        let interval = Exp::new(traffic.requests_per_s).expect("the request rate is above 0");
         let work_ratio = LogNormal::new(0.0, 0.5).expect("the standard deviation is finite");
         let mut at_s = interval.sample(&mut rng);
         while at_s < workload.duration_s {
@@ -202,7 +202,7 @@
             let accepted = &self.requests[&request];
             let on_time = now - accepted.arrived_at <= accepted.new_request.latency_objective;
             self.recorder.record_ended(on_time);
-            self.policy.ended(now, request, seconds(accepted.work_s));
+            self.policy.record_end(now, request, seconds(accepted.work_s));
         }
     }
 
@@ -247,7 +247,7 @@
 
     fn dispatch(&mut self, now: Duration) {
         while self.running.len() < self.workload.servers {
-            let Some(request) = self.policy.next(now) else { break };
+            let Some(request) = self.policy.dispatch_next(now) else { break };
             let accepted =
                 self.requests.get_mut(&request).expect("the policy dispatches only accepted requests");
             accepted.dispatched = true;
@@ -268,10 +268,10 @@
 /// Returns a workload of eight teams with equal shares on sixteen servers. The first team sends ten times its share,
 /// five teams send slightly more than their share, and two send half of it.
 pub fn skewed_workload(seed: u64) -> Workload {
-    let traffic = |rate: f64| Traffic { rate, median_work_s: 0.2, urgent_percent: 10 };
+    let traffic = |requests_per_s: f64| Traffic { requests_per_s, median_work_s: 0.2, urgent_percent: 10 };
     // A team's share is two servers, which serve about ten requests of 0.2 s per second.
-    let rates = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
-    let teams = rates.into_iter().map(|rate| (1.0, traffic(rate))).collect();
+    let requests_per_s = [100.0, 13.0, 13.0, 13.0, 13.0, 13.0, 5.0, 5.0];
+    let teams = requests_per_s.into_iter().map(|rate| (1.0, traffic(rate))).collect();
     Workload {
         teams,
         servers: 16,
