--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -128,8 +128,8 @@
     scheduler(
         "two in a warming engine's window",
         SLOW_START,
-        "sent + usual <= budget.max(usual)",
-        "sent <= budget.max(usual)",
+        "sent_work + usual_work <= budget.max(usual_work)",
+        "sent_work <= budget.max(usual_work)",
     ),
     scheduler(
         "slow start window halved",
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -28,8 +28,8 @@
         self.answer_margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
-    /// Answers requests without a result shortly before their deadline or the shutdown deadline. Answers a queued
-    /// request at once if no further attempt is allowed or useful.
+    /// Answers requests without a result: all requests shortly before the shutdown deadline, and queued requests
+    /// shortly before their own deadline, or at once if no further attempt is allowed or useful.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let due_by = now + self.final_answer_lead();
@@ -62,7 +62,7 @@
             return false;
         }
         let class = &self.classes[request.class];
-        let min_weight = mean(self.weights_per_second()).unwrap_or(0.0)
+        let min_weight = mean(self.weights_per_core_second()).unwrap_or(0.0)
             * MIN_LATE_VALUE
             * self.remaining_work(request, now);
         class.late_weight_fraction * class.priority_weight < min_weight
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -6,7 +6,7 @@
 use crate::{Arrival, AttemptEnded, AttemptOutcome};
 use std::time::Duration;
 
-/// Memory grant as a multiple of the expected memory, for a request with a client's estimate.
+/// Memory grant as a multiple of the client's estimate or of the expected memory, whichever is larger.
 const GRANT_FACTOR: f64 = 1.25;
 /// Memory grant as a multiple of the usual memory of the class, for a request without an estimate.
 const GRANT_FACTOR_UNESTIMATED: f64 = 1.5;
@@ -32,7 +32,7 @@
         let usual = |samples: &SampleWindow| samples.mean().unwrap_or(0.0);
         ExpectedResources {
             work: match arrival.estimated_work {
-                Some(cost) => corrected(seconds(cost), &estimates.work_ratios),
+                Some(work) => corrected(seconds(work), &estimates.work_ratios),
                 None => usual(&estimates.work),
             },
             memory_mb: match arrival.estimated_memory_mb {
@@ -117,8 +117,8 @@
     /// reported with the answer.
     fn work_from_elapsed_time(&self, ended: &AttemptEnded, attempt: &Attempt, threads: f64) -> f64 {
         let report = ended.load_report.and_then(|_| self.engines[&attempt.engine].report);
-        let cores_load = report.and_then(|report| report.load.core_utilization).unwrap_or(1.0).max(1.0);
-        seconds(ended.elapsed) * threads / cores_load
+        let core_utilization = report.and_then(|report| report.load.core_utilization).unwrap_or(1.0).max(1.0);
+        seconds(ended.elapsed) * threads / core_utilization
     }
 
     /// Returns the memory grant in MB of a request's next attempt at an engine of this kind.
@@ -142,8 +142,8 @@
         if self.classes[class].is_bulk_load {
             return PRIORITY_BULK_LOAD;
         }
-        let highest = self.weights_per_second().fold(0.0, f64::max);
-        let has_high_weight = self.weight_per_second(class) >= highest * HIGH_WEIGHT_FRACTION;
+        let highest = self.weights_per_core_second().fold(0.0, f64::max);
+        let has_high_weight = self.weight_per_core_second(class) >= highest * HIGH_WEIGHT_FRACTION;
         if has_high_weight { PRIORITY_HIGH } else { PRIORITY_NORMAL }
     }
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -11,7 +11,9 @@
 /// An engine with capacity for a request.
 pub struct Placement {
     pub engine: EngineId,
+    /// Index of the engine's kind.
     pub kind: usize,
+    /// Tier of the request at engines of that kind.
     pub tier: Tier,
     /// Fraction of the engine's memory and cores that stays free once the engine has the request.
     free_fraction: f64,
@@ -150,15 +152,15 @@
     fn best_placement(
         &self,
         request: &Request,
-        mut free: Vec<Placement>,
+        mut available: Vec<Placement>,
         now: Duration,
     ) -> Option<Placement> {
-        avoid(&mut free, |engine| request.was_sent_to(engine));
-        avoid(&mut free, |engine| self.would_wait_for_bulk_load(engine, request, now));
-        let fractions = free.iter().map(|placement| placement.free_fraction);
+        avoid(&mut available, |engine| request.was_sent_to(engine));
+        avoid(&mut available, |engine| self.would_wait_for_bulk_load(engine, request, now));
+        let fractions = available.iter().map(|placement| placement.free_fraction);
         let max_free = fractions.fold(f64::NEG_INFINITY, f64::max);
-        free.retain(|placement| placement.free_fraction >= max_free - FREE_CAPACITY_TIE);
-        free.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
+        available.retain(|placement| placement.free_fraction >= max_free - FREE_CAPACITY_TIE);
+        available.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
     }
 
     /// Orders engines with about the same free capacity: first engines that recently got requests of the same
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Returns the typical elapsed time of recent successes as a multiple of the ideal run, by request class.
+    /// Returns the typical elapsed time of recent successful attempts as a multiple of their ideal runs, by request
+    /// class.
     fn class_slowdowns(&self, now: Duration) -> Vec<f64> {
         let window_start = self.slowdown_window_start(now);
         let classes = self.estimates.iter();
@@ -60,9 +61,9 @@
         let window_start = self.slowdown_window_start(now);
         let recent = self.estimates.iter().flat_map(|class| class.slowdowns.since(window_start));
         let fleet_slowdown = at_least_ideal(median(recent));
-        let in_view = self.engines_to_examine(may_send).into_iter();
+        let examined = self.engines_to_examine(may_send).into_iter();
         let view = |id| self.engine_view(&self.engines[&id], now, fleet_slowdown, slowdowns);
-        in_view.map(|id| (id, view(id))).collect()
+        examined.map(|id| (id, view(id))).collect()
     }
 
     fn engine_view(
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Returns the number of retries that the budget still allows.
+    /// Returns the number of retries that the budget still allows, which is infinite without a budget and may be
+    /// negative or a fraction.
     pub fn retries_left(&self, now: Duration) -> f64 {
         let Some(budget) = &self.attempt_limits.retry_budget else { return f64::INFINITY };
         let accepted = self.accepted_at.iter().filter(|at| **at + budget.window > now).count() as f64;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Fraction of an engine's cores that is busy when the engine is at full capacity.
-const BUSY_AT_CAPACITY: f64 = 0.85;
+const CORE_UTILIZATION_AT_CAPACITY: f64 = 0.85;
 /// Factor by which the window for a single request is longer than the budget requires, so that all routers
 /// together use at most half of the engine's budget.
 const SINGLE_REQUEST_WINDOW_FACTOR: f64 = 2.0;
@@ -28,13 +28,14 @@
         let Some(budget) = self.slow_start_budget(engine, now, snapshot.slow_start_share) else {
             return true;
         };
-        let usual = self.slow_start_work(request.class);
-        let factor = if usual > budget { SINGLE_REQUEST_WINDOW_FACTOR * usual / budget } else { 1.0 };
+        let usual_work = self.slow_start_work(request.class);
+        let factor =
+            if usual_work > budget { SINGLE_REQUEST_WINDOW_FACTOR * usual_work / budget } else { 1.0 };
         let window = self.attempt_limits.overload_window.mul_f64(factor.min(MAX_WINDOW_FACTOR));
-        let sent: f64 = engine.sent_work.since(now.saturating_sub(window)).sum();
+        let sent_work: f64 = engine.sent_work.since(now.saturating_sub(window)).sum();
         let offset = window.mul_f64(self.slow_start_offset(id, engine));
         let has_begun = factor == 1.0 || now >= engine.listed_at + offset;
-        sent + usual <= budget.max(usual) && has_begun
+        sent_work + usual_work <= budget.max(usual_work) && has_begun
     }
 
     /// Returns the random offset of this router's longer window, as a fraction of the window.
@@ -55,7 +56,7 @@
         let progress = Some(seconds(age) / seconds(limits.warm_up)).filter(|progress| *progress < 1.0)?;
         let capacity_fraction =
             limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * progress;
-        let capacity = self.fleet.kinds[engine.kind].cores * BUSY_AT_CAPACITY * capacity_fraction;
+        let capacity = self.fleet.kinds[engine.kind].cores * CORE_UTILIZATION_AT_CAPACITY * capacity_fraction;
         Some(limits.overload_factor * capacity * seconds(limits.overload_window) * share)
     }
 
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -3,17 +3,18 @@
 use crate::state::{Engine, EngineView, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
 
 /// Fraction of the memory target that small requests may fill together.
-const SMALL_FRACTION: f64 = 0.3;
+const SMALL_TIER_TARGET_FRACTION: f64 = 0.3;
 /// Fraction of the memory target that medium requests may fill together.
-const MEDIUM_FRACTION: f64 = 0.6;
+const MEDIUM_TIER_TARGET_FRACTION: f64 = 0.6;
 /// Threads per core that small requests may use at engines under pressure.
-const SMALL_THREADS_PER_CORE: f64 = 4.0;
+const SMALL_TIER_THREADS_PER_CORE: f64 = 4.0;
 /// Threads per core that requests of the medium and of the largest tier may use at engines under pressure.
-const MEDIUM_THREADS_PER_CORE: f64 = 1.0;
+const LARGER_TIERS_THREADS_PER_CORE: f64 = 1.0;
 
 impl Gateway {
-    /// Returns the tier of a request. The upper threshold of a tier is its fraction of the memory target, divided
-    /// by the mean number of the tier's requests per engine, including this request.
+    /// Returns the tier of a request, which is the medium tier without an estimate of its work. The upper threshold
+    /// of a tier is its fraction of the memory target, divided by the mean number of the tier's requests per
+    /// engine, including this request.
     pub fn tier(&self, request: &Request) -> Tier {
         if request.estimated_work.is_none() {
             return Tier::Medium;
@@ -23,9 +24,9 @@
         let memory_mb = request.memory_mb;
         if memory_mb < self.unlimited_below_mb {
             Tier::Unlimited
-        } else if memory_mb < threshold(SMALL_FRACTION, self.small_count) {
+        } else if memory_mb < threshold(SMALL_TIER_TARGET_FRACTION, self.small_count) {
             Tier::Small
-        } else if memory_mb < threshold(MEDIUM_FRACTION, self.medium_count) {
+        } else if memory_mb < threshold(MEDIUM_TIER_TARGET_FRACTION, self.medium_count) {
             Tier::Medium
         } else {
             Tier::Largest
@@ -57,7 +58,8 @@
         if !view.is_under_pressure() {
             return true;
         }
-        let per_core = if tier == Tier::Small { SMALL_THREADS_PER_CORE } else { MEDIUM_THREADS_PER_CORE };
+        let per_core =
+            if tier == Tier::Small { SMALL_TIER_THREADS_PER_CORE } else { LARGER_TIERS_THREADS_PER_CORE };
         let limit = self.fleet.kinds[engine.kind].cores * snapshot.engine_share * per_core;
         if limit < threads {
             let gateway = &snapshot.gateways[engine.kind];
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -16,7 +16,8 @@
     pub kinds: Vec<EngineKind>,
     /// Largest memory grant, as a fraction of the engine's memory.
     pub max_grant_fraction: f64,
-    /// Whether engines honor the priority that [`Actions::set_grant_and_priority`](crate::Actions::set_grant_and_priority) sets.
+    /// Whether engines honor the priority that
+    /// [`Actions::set_grant_and_priority`](crate::Actions::set_grant_and_priority) sets.
     pub honors_priorities: bool,
     /// Whether an engine that is short of memory cuts an attempt's grant down to its free memory.
     pub shrinks_grants: bool,
@@ -24,7 +25,8 @@
     pub progress_interval: Option<Duration>,
     /// Whether engines report their load only in answer to a probe.
     pub reports_only_on_probe: bool,
-    /// Whether changes of the endpoint list arrive only after [`Actions::watch_endpoints`](crate::Actions::watch_endpoints).
+    /// Whether changes of the endpoint list arrive only after
+    /// [`Actions::watch_endpoints`](crate::Actions::watch_endpoints).
     pub must_watch_endpoints: bool,
     /// Upper bound on the time to deliver and handle one message; all safety margins are multiples of it.
     pub tick: Duration,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -130,13 +130,13 @@
     }
 
     /// Returns the priority weight of a class per core-second of its usual work; 0 if no work is recorded.
-    pub fn weight_per_second(&self, class: usize) -> f64 {
+    pub fn weight_per_core_second(&self, class: usize) -> f64 {
         self.classes[class].priority_weight / self.estimates[class].work.mean().unwrap_or(f64::INFINITY)
     }
 
     /// Returns the priority weight per core-second of usual work for each class.
-    pub fn weights_per_second(&self) -> impl Iterator<Item = f64> {
-        (0..self.classes.len()).map(|class| self.weight_per_second(class))
+    pub fn weights_per_core_second(&self) -> impl Iterator<Item = f64> {
+        (0..self.classes.len()).map(|class| self.weight_per_core_second(class))
     }
 
     /// Returns a pseudo-random number that depends only on the seed, the number of the draw and the engine.
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -9,7 +9,8 @@
 pub enum RequestPhase {
     /// The client waits for an answer.
     Open,
-    /// The client has closed its sending side and may have left. It still needs an answer, but no further attempt is sent.
+    /// The client has closed its sending side and may have left. The request still needs an answer, but no further
+    /// attempt is sent.
     HalfClosed,
     /// The request was answered or cancelled.
     Done,
@@ -92,7 +93,7 @@
     }
 
     /// Returns the first attempt that may have run. The window of an idempotency key starts when that attempt is
-    /// sent, and the scope of the key is that of its engine.
+    /// sent, and the key is valid in the cell or location of that attempt's engine, if its scope is limited.
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
