--- a/benches/large_fleet.rs
+++ b/benches/large_fleet.rs
@@ -22,7 +22,7 @@
 impl LoadedScheduler {
     fn new(engines: usize) -> Self {
         let mut loaded = Self {
-            scheduler: scheduler_with_engines(1, engines, Effect::Idempotent),
+            scheduler: scheduler_with_engines(1, engines, Idempotency::Idempotent),
             in_flight: Default::default(),
             next_request: RequestId(0),
         };
--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -17,7 +17,7 @@
 use crate::invariants::{self as observed, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
-use emberflow::{Arrival, AttemptLimits, Effect, EngineId, Fleet, RequestClass, RequestId};
+use emberflow::{Arrival, AttemptLimits, EngineId, Fleet, Idempotency, RequestClass, RequestId};
 use event::Event;
 use scenario::Scenario;
 use state::ModuleState;
@@ -72,8 +72,8 @@
 
     /// Returns the time for which engines remember the idempotency key of a request; `None` without a key.
     pub fn retry_window(&self, request: RequestId) -> Option<Duration> {
-        match &self.class_of(request).effect {
-            Effect::IdempotentWithKey { window, .. } => Some(*window),
+        match &self.class_of(request).idempotency {
+            Idempotency::IdempotentWithKey { window, .. } => Some(*window),
             _ => None,
         }
     }
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -4,7 +4,7 @@
 use super::event::{Event, EventLog};
 use super::state::{KeyCooldown, ModuleState, RequestRecord, SentWork};
 use crate::invariants::Invariant;
-use emberflow::{Effect, EndpointUpdate, KeyId, KeyScope, Lifecycle, RequestId};
+use emberflow::{EndpointUpdate, Idempotency, KeyId, KeyScope, Lifecycle, RequestId};
 use std::time::Duration;
 
 /// Relative tolerance for the rounding of sums of work.
@@ -147,7 +147,7 @@
     let Event::Send { request, .. } = event else { return false };
     let may_have_run =
         sent_request(state, event).is_some_and(|record| record.first_that_may_have_run().is_some());
-    may_have_run && matches!(model.class_of(*request).effect, Effect::NonIdempotent)
+    may_have_run && matches!(model.class_of(*request).idempotency, Idempotency::NonIdempotent)
 }
 
 fn repeats_outside_scope_or_window(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
@@ -155,7 +155,9 @@
     let Some(first) = sent_request(state, event).and_then(RequestRecord::first_that_may_have_run) else {
         return false;
     };
-    let Effect::IdempotentWithKey { scope, window } = &model.class_of(*request).effect else { return false };
+    let Idempotency::IdempotentWithKey { scope, window } = &model.class_of(*request).idempotency else {
+        return false;
+    };
     let (first_engine, engine) = (model.engines[first.engine.index()], model.engines[engine.index()]);
     let knows_key = match scope {
         KeyScope::All => true,
@@ -168,10 +170,10 @@
 fn rejects_unsafely(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Reject { request } = event else { return false };
     let record = record(state, request);
-    let may_be_repeated = match &model.class_of(*request).effect {
-        Effect::Idempotent => true,
-        Effect::IdempotentWithKey { scope, .. } => *scope == KeyScope::All,
-        Effect::NonIdempotent => false,
+    let may_be_repeated = match &model.class_of(*request).idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::IdempotentWithKey { scope, .. } => *scope == KeyScope::All,
+        Idempotency::NonIdempotent => false,
     };
     record.is_open() && !may_be_repeated && record.first_that_may_have_run().is_some()
 }
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -90,8 +90,8 @@
     scheduler(
         "non-idempotent sent again",
         RETRIES,
-        "(Effect::NonIdempotent, Some(_)) => false",
-        "(Effect::NonIdempotent, Some(_)) => true",
+        "(Idempotency::NonIdempotent, Some(_)) => false",
+        "(Idempotency::NonIdempotent, Some(_)) => true",
     ),
     scheduler("unsafe rejection", RETRIES, "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     scheduler(
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -1,7 +1,7 @@
 //! Decodes request classes: their latency objectives, deadlines and weights, and whether their requests are idempotent.
 
 use crate::{Fields, Problem, SettingsError};
-use emberflow::{Effect, KeyScope, RequestClass};
+use emberflow::{Idempotency, KeyScope, RequestClass};
 
 /// Decodes all request classes, in the order of the settings.
 ///
@@ -45,7 +45,7 @@
             deadline: row.positive_time("deadlineMs")?,
             priority_weight: row.not_negative("gain")?,
             late_weight_fraction: row.fraction("lateShare")?,
-            effect: effect(row)?,
+            idempotency: idempotency(row)?,
             keeps_order: row.optional("keepOrder", Fields::flag)?.unwrap_or(false),
             kinds: row.optional("allowedOn", |row, name| row.indices(name, Some(self.kind_count)))?,
             locations: row.optional("zonesOpen", |row, name| row.indices(name, self.zone_count))?,
@@ -74,12 +74,12 @@
 }
 
 /// Decodes whether requests of the class are idempotent.
-fn effect(row: Fields<'_>) -> Result<Effect, SettingsError> {
+fn idempotency(row: Fields<'_>) -> Result<Idempotency, SettingsError> {
     let repeat = [("repeatable", Repeat::Repeatable), ("once", Repeat::Once), ("by_key", Repeat::ByKey)];
     Ok(match row.one_of("repeat", repeat)? {
-        Repeat::Repeatable => Effect::Idempotent,
-        Repeat::Once => Effect::NonIdempotent,
-        Repeat::ByKey => Effect::IdempotentWithKey { scope: scope(row)?, window: row.time("windowMs")? },
+        Repeat::Repeatable => Idempotency::Idempotent,
+        Repeat::Once => Idempotency::NonIdempotent,
+        Repeat::ByKey => Idempotency::IdempotentWithKey { scope: scope(row)?, window: row.time("windowMs")? },
     })
 }
 
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -6,7 +6,7 @@
 use crate::policy::MIN_FAILURES;
 use crate::samples::SampleWindow;
 use crate::state::{Attempt, Engine, InFlightAttempt, Request, SchedulerState};
-use crate::{Effect, EngineId, RequestId, Scheduler};
+use crate::{EngineId, Idempotency, RequestId, Scheduler};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -148,7 +148,8 @@
             relative_micros(now, at).hash(hasher);
         }
         // The window of an idempotency key counts from the first attempt that may have run.
-        let has_window = matches!(self.classes[request.class].effect, Effect::IdempotentWithKey { .. });
+        let has_window =
+            matches!(self.classes[request.class].idempotency, Idempotency::IdempotentWithKey { .. });
         let first = request.first_that_may_have_run().filter(|_| has_window);
         first.map(|attempt| relative_micros(now, attempt.sent_at)).hash(hasher);
         for attempt in &request.attempts {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,4 +34,4 @@
     Usage,
 };
 pub use scheduler::Scheduler;
-pub use settings::{AttemptLimits, Effect, EngineKind, Fleet, KeyScope, RequestClass, RetryBudget};
+pub use settings::{AttemptLimits, EngineKind, Fleet, Idempotency, KeyScope, RequestClass, RetryBudget};
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -2,7 +2,7 @@
 
 use super::{FULL_USE, PRESSURE_SLOWDOWN};
 use crate::state::{Engine, EngineView, FleetSnapshot, Request, SchedulerState, Tier};
-use crate::{Effect, EngineId, KeyScope};
+use crate::{EngineId, Idempotency, KeyScope};
 use std::time::Duration;
 
 /// Largest difference between the free fractions of two engines that counts as a tie.
@@ -195,8 +195,8 @@
         let is_allowed_by_class = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
             && class.locations.as_ref().is_none_or(|locations| locations.contains(&engine.location));
         let first = request.first_that_may_have_run().map(|attempt| &self.engines[&attempt.engine]);
-        let is_in_key_scope = match (&class.effect, first) {
-            (Effect::IdempotentWithKey { scope, .. }, Some(first)) => match scope {
+        let is_in_key_scope = match (&class.idempotency, first) {
+            (Idempotency::IdempotentWithKey { scope, .. }, Some(first)) => match scope {
                 KeyScope::All => true,
                 KeyScope::Location => first.location == engine.location,
                 KeyScope::Cell => first.cell == engine.cell,
@@ -210,8 +210,7 @@
     /// by the scope of its idempotency key.
     fn may_use_all_engines(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
-        let is_restricted_by_retry =
-            matches!(&class.effect, Effect::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
+        let is_restricted_by_retry = matches!(&class.idempotency, Idempotency::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
         let may_have_run = request.first_that_may_have_run().is_some();
         class.locations.is_none() && !(is_restricted_by_retry && may_have_run)
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -2,7 +2,7 @@
 
 use crate::samples::seconds;
 use crate::state::{AttemptId, FleetSnapshot, Request, SchedulerState};
-use crate::{Actions, Effect, KeyScope};
+use crate::{Actions, Idempotency, KeyScope};
 use std::time::Duration;
 
 /// Remaining time of an attempt, in expected runs, above which the attempt is slow.
@@ -17,18 +17,21 @@
     /// Returns whether another attempt is allowed: the request may run again, and has not used all its attempts.
     pub fn may_retry(&self, request: &Request, now: Duration) -> bool {
         let delivered_by = now + self.answer_margin();
-        let may_run_again = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::NonIdempotent, Some(_)) => false,
-            (Effect::IdempotentWithKey { window, .. }, Some(first)) => delivered_by < first.sent_at + *window,
-        };
+        let may_run_again =
+            match (&self.classes[request.class].idempotency, request.first_that_may_have_run()) {
+                (Idempotency::Idempotent, _) | (_, None) => true,
+                (Idempotency::NonIdempotent, Some(_)) => false,
+                (Idempotency::IdempotentWithKey { window, .. }, Some(first)) => {
+                    delivered_by < first.sent_at + *window
+                }
+            };
         may_run_again && request.attempts.len() < self.attempt_limits.max_attempts
     }
 
     /// Returns whether the request may be rejected, which tells the client that a retry is safe.
     pub fn may_reject(&self, request: &Request) -> bool {
-        match &self.classes[request.class].effect {
-            Effect::Idempotent | Effect::IdempotentWithKey { scope: KeyScope::All, .. } => true,
+        match &self.classes[request.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. } => true,
             _ => request.first_that_may_have_run().is_none(),
         }
     }
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -2,7 +2,7 @@
 //! takes nor the number of connections grows with the fleet.
 
 use crate::state::{Request, SchedulerState};
-use crate::{Effect, EngineId, KeyScope};
+use crate::{EngineId, Idempotency, KeyScope};
 use std::collections::BTreeSet;
 
 /// Smallest size of a subset. A router uses all engines of a smaller fleet.
@@ -59,7 +59,8 @@
 
     /// Returns the cell that a request's retry must be sent to; `None` if it may be sent to any cell.
     fn required_cell(&self, request: &Request) -> Option<u64> {
-        let Effect::IdempotentWithKey { scope: KeyScope::Cell, .. } = &self.classes[request.class].effect
+        let Idempotency::IdempotentWithKey { scope: KeyScope::Cell, .. } =
+            &self.classes[request.class].idempotency
         else {
             return None;
         };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -53,7 +53,7 @@
     /// Fraction of the priority weight that an answer after the latency objective is still worth.
     pub late_weight_fraction: f64,
     /// Whether a request of the class may run more than once.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Whether requests of one key run one at a time, in the order of arrival.
     pub keeps_order: bool,
     /// Indices of the engine kinds that requests of the class may run on; `None` for all.
@@ -69,7 +69,7 @@
 }
 
 /// Whether a request may run more than once.
-pub enum Effect {
+pub enum Idempotency {
     /// The request may run any number of times.
     Idempotent,
     /// The request may be repeated with the same idempotency key: the engines in `scope` drop repeats for `window`,
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -11,7 +11,7 @@
     Duration::from_millis(ms)
 }
 
-pub fn scheduler(seed: u64, effect: Effect) -> Scheduler {
+pub fn scheduler(seed: u64, idempotency: Idempotency) -> Scheduler {
     let fleet = Fleet {
         seed,
         router_count: ROUTERS,
@@ -31,7 +31,7 @@
         deadline: ms(2000),
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
-        effect,
+        idempotency,
         keeps_order: false,
         kinds: None,
         locations: None,
@@ -92,8 +92,8 @@
 }
 
 /// Creates a scheduler whose endpoint list contains ready engines.
-pub fn scheduler_with_engines(seed: u64, engines: usize, effect: Effect) -> Scheduler {
-    let mut scheduler = scheduler(seed, effect);
+pub fn scheduler_with_engines(seed: u64, engines: usize, idempotency: Idempotency) -> Scheduler {
+    let mut scheduler = scheduler(seed, idempotency);
     let rows = (0..engines).map(|engine| endpoint(EngineId(engine), Lifecycle::Ready)).collect();
     scheduler.endpoints_changed(Duration::ZERO, EndpointUpdate::FullList, rows, &mut SentAttempts::default());
     scheduler
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -43,14 +43,14 @@
     pub fails: bool,
 }
 
-pub fn effect(random: &mut Random) -> Effect {
+pub fn idempotency(random: &mut Random) -> Idempotency {
     let window = random.time(100, 800);
     match random.below(6) {
-        0 | 1 => Effect::Idempotent,
-        2 => Effect::IdempotentWithKey { scope: KeyScope::All, window },
-        3 => Effect::IdempotentWithKey { scope: KeyScope::Location, window },
-        4 => Effect::IdempotentWithKey { scope: KeyScope::Cell, window },
-        _ => Effect::NonIdempotent,
+        0 | 1 => Idempotency::Idempotent,
+        2 => Idempotency::IdempotentWithKey { scope: KeyScope::All, window },
+        3 => Idempotency::IdempotentWithKey { scope: KeyScope::Location, window },
+        4 => Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window },
+        _ => Idempotency::NonIdempotent,
     }
 }
 
@@ -62,7 +62,7 @@
         deadline: latency_objective * random.inclusive(1, 8) as u32,
         priority_weight: random.between(0.5, 8.0),
         late_weight_fraction: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
-        effect: effect(random),
+        idempotency: idempotency(random),
         keeps_order: random.percent(25),
         kinds: random.maybe(15, |random| vec![random.below(kinds)]),
         locations: random.maybe(15, |random| vec![random.below(2), 2]),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -23,7 +23,7 @@
 
 /// Returns the mean number of engines that one input examines, over a hundred requests that succeed.
 fn examined_per_input(engines: usize) -> u64 {
-    let mut scheduler = scheduler_with_engines(1, engines, Effect::Idempotent);
+    let mut scheduler = scheduler_with_engines(1, engines, Idempotency::Idempotent);
     let before = scheduler.engines_examined();
     let mut inputs = 0;
     for request in 0..100 {
@@ -54,7 +54,7 @@
 #[test]
 fn routers_use_different_engines_and_all_locations() {
     let engines_of = |seed| {
-        let mut scheduler = scheduler_with_engines(seed, 3200, Effect::Idempotent);
+        let mut scheduler = scheduler_with_engines(seed, 3200, Idempotency::Idempotent);
         let mut sent = SentAttempts::default();
         (0..200).for_each(|request| scheduler.accept(Duration::ZERO, arrival(RequestId(request)), &mut sent));
         sent.0.into_iter().map(|(_, engine)| engine).collect::<std::collections::BTreeSet<_>>()
@@ -71,8 +71,8 @@
 
 #[test]
 fn a_retry_that_is_restricted_to_its_cell_finds_an_engine_outside_the_subset() {
-    let effect = Effect::IdempotentWithKey { scope: KeyScope::Cell, window: ms(5000) };
-    let mut scheduler = scheduler_with_engines(1, 3200, effect);
+    let idempotency = Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: ms(5000) };
+    let mut scheduler = scheduler_with_engines(1, 3200, idempotency);
     let mut sent = SentAttempts::default();
     scheduler.accept(Duration::ZERO, arrival(RequestId(0)), &mut sent);
     let (_, first) = sent.0[0];
@@ -85,7 +85,7 @@
 
 #[test]
 fn draining_engines_of_a_large_fleet_are_replaced_in_the_subset_and_get_no_request() {
-    let mut scheduler = scheduler_with_engines(1, 3200, Effect::Idempotent);
+    let mut scheduler = scheduler_with_engines(1, 3200, Idempotency::Idempotent);
     let draining = (0..3200).filter(|engine| engine % 4 != 0);
     let rows = draining.map(|engine| endpoint(EngineId(engine), Lifecycle::Draining)).collect();
     scheduler.endpoints_changed(ms(10), EndpointUpdate::Changes, rows, &mut SentAttempts::default());
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that traces start from.
 
 use super::ms;
-use emberflow::{AttemptLimits, Effect, EngineKind, Fleet, KeyScope, RequestClass};
+use emberflow::{AttemptLimits, EngineKind, Fleet, Idempotency, KeyScope, RequestClass};
 
 /// Index of the idempotent class of [`base`] with short requests on one thread.
 pub const SHORT: usize = 0;
@@ -12,13 +12,13 @@
 
 /// The request classes [`SHORT`], [`LONG`] and [`BULK_LOAD`].
 fn classes() -> Vec<RequestClass> {
-    let class = |effect, priority_weight, objective_ms, threads| RequestClass {
+    let class = |idempotency, priority_weight, objective_ms, threads| RequestClass {
         latency_objective: ms(objective_ms),
         objective_stretch: 2.0,
         deadline: ms(objective_ms * 8),
         priority_weight,
         late_weight_fraction: 0.0,
-        effect,
+        idempotency,
         keeps_order: false,
         kinds: None,
         locations: None,
@@ -26,9 +26,9 @@
         is_bulk_load: false,
         waits_for_bulk_loads: false,
     };
-    let short = class(Effect::Idempotent, 1.0, 1000, 1.0);
-    let long = class(Effect::Idempotent, 6.0, 2000, 3.0);
-    let bulk_load = RequestClass { is_bulk_load: true, ..class(Effect::NonIdempotent, 5.0, 3000, 2.0) };
+    let short = class(Idempotency::Idempotent, 1.0, 1000, 1.0);
+    let long = class(Idempotency::Idempotent, 6.0, 2000, 3.0);
+    let bulk_load = RequestClass { is_bulk_load: true, ..class(Idempotency::NonIdempotent, 5.0, 3000, 2.0) };
     vec![short, long, bulk_load]
 }
 
@@ -68,23 +68,23 @@
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
     let window = ms(120);
-    let effects = [
-        Effect::Idempotent,
-        Effect::IdempotentWithKey { scope: KeyScope::Cell, window },
-        Effect::IdempotentWithKey { scope: KeyScope::Location, window },
-        Effect::IdempotentWithKey { scope: KeyScope::All, window },
-        Effect::NonIdempotent,
+    let idempotencies = [
+        Idempotency::Idempotent,
+        Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window },
+        Idempotency::IdempotentWithKey { scope: KeyScope::Location, window },
+        Idempotency::IdempotentWithKey { scope: KeyScope::All, window },
+        Idempotency::NonIdempotent,
     ];
     let plain = classes.swap_remove(SHORT);
-    let with_effect = |effect| RequestClass {
+    let with_idempotency = |idempotency| RequestClass {
         latency_objective: ms(160),
         deadline: ms(320),
-        effect,
+        idempotency,
         kinds: None,
         locations: None,
         ..plain
     };
-    classes = effects.into_iter().map(with_effect).collect();
+    classes = idempotencies.into_iter().map(with_idempotency).collect();
     fleet.progress_interval = Some(ms(80));
     fleet.tick = ms(8);
     attempt_limits.warm_up = ms(400);
--- a/tests/traces/lifecycle.rs
+++ b/tests/traces/lifecycle.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn before_the_shutdown_deadline_each_request_gets_the_answer_that_its_effect_allows() {
+fn before_the_shutdown_deadline_each_request_gets_the_answer_that_is_safe() {
     let mut trace = Trace::with_engines(1);
     trace.accept(SHORT, 100, 300.0).accept(LONG, 900, 300.0).accept(BULK_LOAD, 900, 300.0);
     trace
--- a/tests/traces/retries.rs
+++ b/tests/traces/retries.rs
@@ -24,8 +24,8 @@
 
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_in_its_cell_and_window() {
-    let cell = Effect::IdempotentWithKey { scope: KeyScope::Cell, window: ms(700) };
-    let mut trace = Trace::new(4, |_, classes, _| classes[SHORT].effect = cell);
+    let cell = Idempotency::IdempotentWithKey { scope: KeyScope::Cell, window: ms(700) };
+    let mut trace = Trace::new(4, |_, classes, _| classes[SHORT].idempotency = cell);
     trace.update_endpoints(
         (1..4).map(|engine| Endpoint { location: 0, ..endpoint(engine, Lifecycle::Ready, None) }).collect(),
     );
