--- a/tests/digest.rs
+++ b/tests/digest.rs
@@ -25,6 +25,7 @@
 use sha2::Digest;
 use simulation::Simulation;
 
+/// Number of random runs. Each seed below it gives one run.
 const RUNS: u64 = 2000;
 
 /// Minimum number of log entries of each kind in all runs together, so that the digest covers the kind.
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: requests that are sent at once, that wait, and that are rejected while they wait.
 
 use crate::trace::*;
-use crate::{cores_and_memory, in_flight, measure_without_estimates};
+use crate::{cores_and_memory, in_flight_only, measure_without_estimates};
 use emberflow::AttemptOutcome::*;
 use expect_test::expect;
 
@@ -94,8 +94,8 @@
 fn medium_requests_wait_at_two_threads_a_core_where_requests_in_flight_are_reported() {
     let mut trace = Trace::with_engines(2);
     measure_without_estimates(&mut trace, 50, 15.5);
-    trace.at(60).succeeded_after(1, 1, 50, in_flight(15.0)).decisions();
-    trace.accept_many(2, SHORT, 0, 0.0).at(70).succeeded_after(2, 1, 10, in_flight(12.0));
+    trace.at(60).succeeded_after(1, 1, 50, in_flight_only(15.0)).decisions();
+    trace.accept_many(2, SHORT, 0, 0.0).at(70).succeeded_after(2, 1, 10, in_flight_only(12.0));
     expect![[r#"
         60    request 2 gets 0 MB, priority 1
         60    request 2 to engine 1 until 8040
@@ -148,7 +148,7 @@
     trace
         .accept_many(2, SHORT, 0, 0.0)
         .at(100)
-        .succeeded_after(1, 0, 50, in_flight(15.5))
+        .succeeded_after(1, 0, 50, in_flight_only(15.5))
         .accept(SHORT, 0, 0.0);
     expect![[r#"
         50    request 2 gets 0 MB, priority 1
--- a/tests/traces/estimates.rs
+++ b/tests/traces/estimates.rs
@@ -1,7 +1,7 @@
 //! Estimates of the resources that requests need.
 
 use crate::trace::*;
-use crate::{in_flight, trace_with_one_reported_usage};
+use crate::{in_flight_only, trace_with_one_reported_usage};
 use emberflow::AttemptOutcome::*;
 use emberflow::*;
 use expect_test::expect;
@@ -38,8 +38,12 @@
 #[test]
 fn an_overloaded_engine_does_not_raise_the_estimated_work() {
     let mut trace = Trace::with_engines(1);
-    trace.accept_many(2, SHORT, 0, 0.0).at(1500).succeeded_after(0, 0, 1500, in_flight(24.0)).decisions();
-    trace.at(3000).succeeded_after(1, 0, 3000, in_flight(24.0)).at(3500).accept_many(2, SHORT, 0, 0.0);
+    trace
+        .accept_many(2, SHORT, 0, 0.0)
+        .at(1500)
+        .succeeded_after(0, 0, 1500, in_flight_only(24.0))
+        .decisions();
+    trace.at(3000).succeeded_after(1, 0, 3000, in_flight_only(24.0)).at(3500).accept_many(2, SHORT, 0, 0.0);
     expect![[r#"
         3500  request 2 gets 0 MB, priority 1
         3500  request 2 to engine 0 until 11480
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -30,7 +30,7 @@
 }
 
 /// Returns a load report with only the number of requests in flight.
-fn in_flight(requests: f64) -> Option<LoadReport> {
+fn in_flight_only(requests: f64) -> Option<LoadReport> {
     Some(LoadReport { in_flight: Some(requests), ..LoadReport::default() })
 }
 
@@ -41,7 +41,7 @@
         0,
         0,
         elapsed_ms,
-        in_flight(requests_in_flight),
+        in_flight_only(requests_in_flight),
     );
     trace.accept(SHORT, 0, 0.0);
 }
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: which engine a request is sent to.
 
 use crate::trace::*;
-use crate::{cores_and_memory, cores_only, in_flight, measure_without_estimates, memory_only};
+use crate::{cores_and_memory, cores_only, in_flight_only, measure_without_estimates, memory_only};
 use emberflow::AttemptOutcome::*;
 use emberflow::*;
 use expect_test::expect;
@@ -149,7 +149,7 @@
 fn a_retry_returns_to_the_only_engine_with_capacity() {
     let mut trace = Trace::with_engines(2);
     measure_without_estimates(&mut trace, 50, 1.0);
-    trace.at(60).succeeded_after(1, 1, 10, in_flight(30.0)).accept_many(2, SHORT, 0, 0.0);
+    trace.at(60).succeeded_after(1, 1, 10, in_flight_only(30.0)).accept_many(2, SHORT, 0, 0.0);
     trace.at(70).ended(2, 0, 0, Failed);
     expect![[r#"
         0     request 0 gets 0 MB, priority 1
