--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -2,7 +2,7 @@
 //! Attempts in flight at inactive engines are cancelled and retried at other engines.
 
 use crate::samples::{mean, seconds};
-use crate::state::{Attempt, AttemptId, Engine, EngineView, FleetSnapshot, Request, SchedulerState};
+use crate::state::{Attempt, AttemptId, Engine, EngineCondition, FleetSnapshot, Request, SchedulerState};
 use crate::{Actions, AttemptEnded, AttemptOutcome};
 use std::time::Duration;
 
@@ -120,13 +120,13 @@
     /// Cancels the attempts at inactive engines, and single inactive attempts, so that they are retried.
     pub fn cancel_inactive(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let (now, mut any_cancelled) = (snapshot.now, false);
-        for (id, view) in &snapshot.engines {
-            let inactive = self.inactive_attempts(&self.engines[id], view, now);
+        for (id, condition) in &snapshot.engines {
+            let inactive = self.inactive_attempts(&self.engines[id], condition, now);
             if !self.cancel_and_retry(now, inactive, actions) {
                 continue;
             }
             any_cancelled = true;
-            if is_engine_inactive(view) {
+            if is_engine_inactive(condition) {
                 // Once its attempts are cancelled, the engine would no longer count as inactive but as idle.
                 let engine =
                     self.engines.get_mut(id).expect("an engine of the snapshot is in the table of engines");
@@ -136,17 +136,22 @@
         any_cancelled
     }
 
-    fn inactive_attempts(&self, engine: &Engine, view: &EngineView, now: Duration) -> Vec<AttemptId> {
+    fn inactive_attempts(
+        &self,
+        engine: &Engine,
+        condition: &EngineCondition,
+        now: Duration,
+    ) -> Vec<AttemptId> {
         let attempts = engine.in_flight.iter();
-        let inactive =
-            attempts.filter(|attempt| is_engine_inactive(view) || self.is_attempt_inactive(now, attempt));
+        let inactive = attempts
+            .filter(|attempt| is_engine_inactive(condition) || self.is_attempt_inactive(now, attempt));
         inactive.map(|attempt| attempt.id()).collect()
     }
 }
 
 /// Returns whether the engine has been inactive for so long that its attempts are retried at other engines.
-fn is_engine_inactive(view: &EngineView) -> bool {
-    view.inactivity_ratio >= INACTIVITY_RATIO_FOR_RETRY
+fn is_engine_inactive(condition: &EngineCondition) -> bool {
+    condition.inactivity_ratio >= INACTIVITY_RATIO_FOR_RETRY
 }
 
 /// Records as many failures as are needed to eject an engine.
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: chooses the engine that a request is sent to.
 
 use super::{FULL_USE, PRESSURE_SLOWDOWN};
-use crate::state::{Engine, EngineView, FleetSnapshot, Request, SchedulerState, Tier};
+use crate::state::{Engine, EngineCondition, FleetSnapshot, Request, SchedulerState, Tier};
 use crate::{EngineId, Idempotency, KeyScope};
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 struct Candidate<'a> {
     id: EngineId,
     engine: &'a Engine,
-    view: &'a EngineView,
+    condition: &'a EngineCondition,
 }
 
 /// The tier and the memory grant of a request at engines of one kind.
@@ -98,15 +98,15 @@
     /// attempt, unless all engines that the request may use are ejected.
     fn candidates<'a>(&'a self, request: &Request, snapshot: &'a FleetSnapshot) -> Vec<Candidate<'a>> {
         let mut candidates = Vec::new();
-        for (id, view) in &snapshot.engines {
+        for (id, condition) in &snapshot.engines {
             let engine = &self.engines[id];
             if self.is_allowed(request, engine) && self.fits_slow_start(*id, engine, request, snapshot) {
-                candidates.push(Candidate { id: *id, engine, view });
+                candidates.push(Candidate { id: *id, engine, condition });
             }
         }
-        if candidates.iter().any(|candidate| !candidate.view.is_outlier) {
+        if candidates.iter().any(|candidate| !candidate.condition.is_outlier) {
             candidates.retain(|candidate| {
-                !candidate.view.is_outlier || self.may_send_recovery_attempt(candidate.engine, snapshot)
+                !candidate.condition.is_outlier || self.may_send_recovery_attempt(candidate.engine, snapshot)
             });
         }
         candidates
@@ -122,7 +122,7 @@
         snapshot: &FleetSnapshot,
     ) -> Option<f64> {
         let TierAndGrant { tier, grant_mb } = *tier_and_grant;
-        let Candidate { engine, view, .. } = *candidate;
+        let Candidate { engine, condition, .. } = *candidate;
         let gateway = &snapshot.gateways[engine.kind];
         let load = self.projected_load(engine, request, grant_mb, snapshot);
         let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
@@ -134,8 +134,8 @@
             && !self.has_unreported_shortage(engine, snapshot.now)
             && !is_overloaded;
         let has_capacity = fits || gateway.local_load.threads == 0.0 || tier <= Tier::Small;
-        let free_fraction = 1.0 - load.mean_utilization() * view.relative_slowdown;
-        (has_capacity && self.has_slot(candidate.engine, view, request, tier, snapshot))
+        let free_fraction = 1.0 - load.mean_utilization() * condition.relative_slowdown;
+        (has_capacity && self.has_slot(candidate.engine, condition, request, tier, snapshot))
             .then_some(free_fraction)
     }
 
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -6,7 +6,8 @@
 use crate::EngineKind;
 use crate::samples::{mean, median};
 use crate::state::{
-    Engine, EngineView, EngineViews, FleetSnapshot, Gateway, ReceivedReport, Resources, SchedulerState, Tier,
+    Engine, EngineCondition, EngineConditions, FleetSnapshot, Gateway, ReceivedReport, Resources,
+    SchedulerState, Tier,
 };
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,14 +25,14 @@
 const MAX_RELATIVE_SLOWDOWN: f64 = 4.0;
 
 /// An engine of a gateway's engine kind, and the engine's condition.
-type Member<'a> = (&'a Engine, &'a EngineView);
+type Member<'a> = (&'a Engine, &'a EngineCondition);
 
 impl SchedulerState {
     /// Returns the fleet at the time of an input. Unless `may_send`, the snapshot contains only the engines with
     /// attempts in flight, and no gateways.
     pub fn snapshot(&self, now: Duration, may_send: bool) -> FleetSnapshot {
         let slowdowns = self.class_slowdowns(now);
-        let mut engines = self.engine_views(now, may_send, &slowdowns);
+        let mut engines = self.engine_conditions(now, may_send, &slowdowns);
         assume_pressure_of_majority(&mut engines);
         let fleet_share = self.fleet_share();
         let kind_count = if may_send { self.fleet.kinds.len() } else { 0 };
@@ -57,26 +58,26 @@
         classes.map(|class| at_least_ideal(class.slowdowns.median_since(window_start))).collect()
     }
 
-    fn engine_views(&self, now: Duration, may_send: bool, slowdowns: &[f64]) -> EngineViews {
+    fn engine_conditions(&self, now: Duration, may_send: bool, slowdowns: &[f64]) -> EngineConditions {
         let window_start = self.slowdown_window_start(now);
         let recent = self.estimates.iter().flat_map(|class| class.slowdowns.since(window_start));
         let fleet_slowdown = at_least_ideal(median(recent));
         let examined = self.engines_to_examine(may_send).into_iter();
-        let view = |id| self.engine_view(&self.engines[&id], now, fleet_slowdown, slowdowns);
-        examined.map(|id| (id, view(id))).collect()
+        let condition = |id| self.engine_condition(&self.engines[&id], now, fleet_slowdown, slowdowns);
+        examined.map(|id| (id, condition(id))).collect()
     }
 
-    fn engine_view(
+    fn engine_condition(
         &self,
         engine: &Engine,
         now: Duration,
         fleet_slowdown: f64,
         slowdowns: &[f64],
-    ) -> EngineView {
+    ) -> EngineCondition {
         let slowdown = engine.slowdowns.median_since(self.slowdown_window_start(now));
         let is_slow = slowdown.map(|slowdown| slowdown > PRESSURE_SLOWDOWN);
         let inactivity_ratio = self.inactivity_ratio(engine, now, slowdowns);
-        EngineView {
+        EngineCondition {
             under_pressure: self.under_pressure(engine, now, is_slow),
             inactivity_ratio,
             is_outlier: inactivity_ratio >= INACTIVITY_RATIO_FOR_EJECTION || self.is_failing(engine, now),
@@ -104,9 +105,15 @@
 
     /// Returns the measurements and targets of one engine kind. The memory target depends on how many of its
     /// engines are under pressure.
-    fn gateway(&self, now: Duration, kind: usize, fleet_share: f64, views: &EngineViews) -> Gateway {
+    fn gateway(
+        &self,
+        now: Duration,
+        kind: usize,
+        fleet_share: f64,
+        conditions: &EngineConditions,
+    ) -> Gateway {
         let EngineKind { cores, memory_mb } = self.fleet.kinds[kind];
-        let members = self.accepting_members(kind, views);
+        let members = self.accepting_members(kind, conditions);
         let target_factor = target_factor(&members);
         let reports = self.comparable_reports(&members);
         let local_loads = members.iter().map(|(engine, _)| self.local_load(now, engine, Duration::ZERO));
@@ -126,9 +133,9 @@
         }
     }
 
-    fn accepting_members<'a>(&'a self, kind: usize, views: &'a EngineViews) -> Vec<Member<'a>> {
-        let in_view = views.iter().map(|(id, view)| (&self.engines[id], view));
-        in_view.filter(|(engine, _)| engine.kind == kind && engine.lifecycle.accepts_requests()).collect()
+    fn accepting_members<'a>(&'a self, kind: usize, conditions: &'a EngineConditions) -> Vec<Member<'a>> {
+        let examined = conditions.iter().map(|(id, condition)| (&self.engines[id], condition));
+        examined.filter(|(engine, _)| engine.kind == kind && engine.lifecycle.accepts_requests()).collect()
     }
 
     /// Returns the load reports from which the load of other engines is estimated. Reports in answer to a probe
@@ -151,7 +158,7 @@
         let largest_request = self.classes.iter().map(|class| class.threads).fold(1.0, f64::max);
         let max_per_engine = largest_request.max(cores * self.engine_share(fleet_share));
         Tier::ALL.map(|tier| {
-            let under_pressure = members.iter().filter(|(_, view)| view.is_under_pressure());
+            let under_pressure = members.iter().filter(|(_, condition)| condition.is_under_pressure());
             under_pressure.map(|(engine, _)| engine.threads_in_flight(tier).min(max_per_engine)).sum()
         })
     }
@@ -164,13 +171,14 @@
 
 /// Assumes that engines without a recent measurement are under pressure if most of the others are. With many
 /// routers, most engines have no recent measurement.
-fn assume_pressure_of_majority(engines: &mut EngineViews) {
-    let count = |pressure| engines.values().filter(|view| view.under_pressure == Some(pressure)).count();
+fn assume_pressure_of_majority(engines: &mut EngineConditions) {
+    let count =
+        |pressure| engines.values().filter(|condition| condition.under_pressure == Some(pressure)).count();
     if count(true) <= count(false) {
         return;
     }
-    for view in engines.values_mut() {
-        view.under_pressure = view.under_pressure.or(Some(true));
+    for condition in engines.values_mut() {
+        condition.under_pressure = condition.under_pressure.or(Some(true));
     }
 }
 
@@ -197,12 +205,12 @@
 /// Returns the factor by which pressure changes the memory target: lower if most engines are under pressure,
 /// higher if most are not.
 fn target_factor(members: &[Member<'_>]) -> f64 {
-    let headroom = |view: &EngineView| match view.under_pressure {
+    let headroom = |condition: &EngineCondition| match condition.under_pressure {
         Some(true) => -1.0,
         Some(false) => 1.0,
         None => 0.0,
     };
-    let mean_headroom = mean(members.iter().map(|(_, view)| headroom(view))).unwrap_or(0.0);
+    let mean_headroom = mean(members.iter().map(|(_, condition)| headroom(condition))).unwrap_or(0.0);
     1.0 + mean_headroom * MAX_TARGET_CHANGE
 }
 
@@ -212,6 +220,6 @@
 }
 
 fn cores_under_pressure(members: &[Member<'_>], cores: f64) -> f64 {
-    let under_pressure = members.iter().filter(|(_, view)| view.is_under_pressure());
-    under_pressure.map(|(_, view)| view.limit_factor * cores).sum()
+    let under_pressure = members.iter().filter(|(_, condition)| condition.is_under_pressure());
+    under_pressure.map(|(_, condition)| condition.limit_factor * cores).sum()
 }
--- a/src/policy/tiers.rs
+++ b/src/policy/tiers.rs
@@ -1,6 +1,6 @@
 //! Tiers: classifies requests by their memory, and limits each tier at engines under pressure.
 
-use crate::state::{Engine, EngineView, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
+use crate::state::{Engine, EngineCondition, FleetSnapshot, Gateway, Request, SchedulerState, Tier};
 
 /// Fraction of the memory target that small requests may fill together.
 const SMALL_TIER_TARGET_FRACTION: f64 = 0.3;
@@ -42,7 +42,7 @@
     pub fn has_slot(
         &self,
         engine: &Engine,
-        view: &EngineView,
+        condition: &EngineCondition,
         request: &Request,
         tier: Tier,
         snapshot: &FleetSnapshot,
@@ -55,7 +55,7 @@
         if tier == Tier::Largest && in_flight > 0.0 {
             return false;
         }
-        if !view.is_under_pressure() {
+        if !condition.is_under_pressure() {
             return true;
         }
         let per_core =
@@ -67,6 +67,6 @@
             let pooled = gateway.threads_under_pressure[tier as usize];
             return pooled == 0.0 || pooled + threads <= pooled_limit;
         }
-        in_flight == 0.0 || tier != Tier::Largest && in_flight + threads <= limit * view.limit_factor
+        in_flight == 0.0 || tier != Tier::Largest && in_flight + threads <= limit * condition.limit_factor
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -16,7 +16,7 @@
 pub use key_queue::{Cooldown, KeyQueue};
 pub use request::{Attempt, AttemptId, ExpectedResources, Request, RequestPhase};
 pub use resources::Resources;
-pub use snapshot::{EngineView, EngineViews, FleetSnapshot, Gateway, Tier};
+pub use snapshot::{EngineCondition, EngineConditions, FleetSnapshot, Gateway, Tier};
 
 use crate::samples::SampleWindow;
 use crate::{AttemptLimits, EngineId, Fleet, KeyId, RequestClass, RequestId};
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -23,6 +23,7 @@
 
 /// The fleet at the time of an input. Sending a request updates it.
 pub struct FleetSnapshot {
+    /// Time of the input.
     pub now: Duration,
     /// Typical elapsed time of a successful attempt as a multiple of its ideal run, at least 1, by request class.
     pub slowdowns: Vec<f64>,
@@ -32,7 +33,8 @@
     pub engine_share: f64,
     /// Fraction of the slow-start budget of one engine that this router uses.
     pub slow_start_share: f64,
-    pub engines: EngineViews,
+    /// The engines that the input examines, and their conditions.
+    pub engines: EngineConditions,
     /// Gateways by engine kind; empty if no request is queued.
     pub gateways: Vec<Gateway>,
     /// Engine kinds and tiers without capacity. Later requests of such a tier wait behind the first one.
@@ -53,11 +55,11 @@
     }
 }
 
-/// The engines of a snapshot.
-pub type EngineViews = BTreeMap<EngineId, EngineView>;
+/// The conditions of the engines of a snapshot.
+pub type EngineConditions = BTreeMap<EngineId, EngineCondition>;
 
 /// The condition of one engine.
-pub struct EngineView {
+pub struct EngineCondition {
     /// Whether the engine is under pressure; `None` if no recent measurement shows it.
     pub under_pressure: Option<bool>,
     /// Time without activity, as a multiple of the time after which the engine counts as inactive.
@@ -70,7 +72,7 @@
     pub relative_slowdown: f64,
 }
 
-impl EngineView {
+impl EngineCondition {
     /// Returns whether the engine is known to be under pressure.
     pub fn is_under_pressure(&self) -> bool {
         self.under_pressure == Some(true)
