--- a/src/actions.rs
+++ b/src/actions.rs
@@ -6,9 +6,10 @@
 /// Carries out the scheduler's decisions. The caller implements it. Each call takes effect at the time of the input
 /// that caused the call.
 pub trait Actions {
-    /// Sends the request's next attempt to the engine. The attempt times out at `until`.
-    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration);
-    /// Sets the memory grant of the request's next attempt, and the priority of all its attempts.
+    /// Sends the request's next attempt to the engine. The attempt times out at `timeout_at`.
+    fn send(&mut self, request: RequestId, engine: EngineId, timeout_at: Duration);
+    /// Sets the memory grant in MB of the request's next attempt, and the priority of the request. Called right
+    /// before [`Self::send`].
     fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8);
     /// Cancels an attempt in flight.
     fn cancel(&mut self, request: RequestId, attempt: usize);
--- a/tests/digest/random.rs
+++ b/tests/digest/random.rs
@@ -32,6 +32,7 @@
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// Returns a number between `min` and `max`.
     pub fn between(&mut self, min: f64, max: f64) -> f64 {
         min + self.fraction() * (max - min)
     }
