--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -90,8 +90,8 @@
     scheduler(
         "non-idempotent sent again",
         RETRIES,
-        "(Effect::NonIdempotent, Some(_)) => false",
-        "(Effect::NonIdempotent, Some(_)) => true",
+        "(Idempotency::NonIdempotent, Some(_)) => false",
+        "(Idempotency::NonIdempotent, Some(_)) => true",
     ),
     scheduler("unsafe rejection", RETRIES, "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     scheduler(
@@ -128,8 +128,8 @@
     scheduler(
         "two in a warming engine's window",
         SLOW_START,
-        "sent + usual <= budget.max(usual)",
-        "sent <= budget.max(usual)",
+        "sent_work + usual_work <= budget.max(usual_work)",
+        "sent_work <= budget.max(usual_work)",
     ),
     scheduler(
         "slow start window halved",
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,8 +1,8 @@
 //! Placement: chooses the engine that a request is sent to.
 
 use super::{FULL_USE, PRESSURE_SLOWDOWN};
-use crate::state::{Engine, EngineView, FleetSnapshot, Request, SchedulerState, Tier};
-use crate::{Effect, EngineId, KeyScope};
+use crate::state::{Engine, EngineCondition, FleetSnapshot, Request, SchedulerState, Tier};
+use crate::{EngineId, Idempotency, KeyScope};
 use std::time::Duration;
 
 /// Largest difference between the free fractions of two engines that counts as a tie.
@@ -11,7 +11,9 @@
 /// An engine with capacity for a request.
 pub struct Placement {
     pub engine: EngineId,
+    /// Index of the engine's kind.
     pub kind: usize,
+    /// Tier of the request at engines of that kind.
     pub tier: Tier,
     /// Fraction of the engine's memory and cores that stays free once the engine has the request.
     free_fraction: f64,
@@ -30,7 +32,7 @@
 struct Candidate<'a> {
     id: EngineId,
     engine: &'a Engine,
-    view: &'a EngineView,
+    condition: &'a EngineCondition,
 }
 
 /// The tier and the memory grant of a request at engines of one kind.
@@ -96,15 +98,15 @@
     /// attempt, unless all engines that the request may use are ejected.
     fn candidates<'a>(&'a self, request: &Request, snapshot: &'a FleetSnapshot) -> Vec<Candidate<'a>> {
         let mut candidates = Vec::new();
-        for (id, view) in &snapshot.engines {
+        for (id, condition) in &snapshot.engines {
             let engine = &self.engines[id];
             if self.is_allowed(request, engine) && self.fits_slow_start(*id, engine, request, snapshot) {
-                candidates.push(Candidate { id: *id, engine, view });
+                candidates.push(Candidate { id: *id, engine, condition });
             }
         }
-        if candidates.iter().any(|candidate| !candidate.view.is_outlier) {
+        if candidates.iter().any(|candidate| !candidate.condition.is_outlier) {
             candidates.retain(|candidate| {
-                !candidate.view.is_outlier || self.may_send_recovery_attempt(candidate.engine, snapshot)
+                !candidate.condition.is_outlier || self.may_send_recovery_attempt(candidate.engine, snapshot)
             });
         }
         candidates
@@ -120,7 +122,7 @@
         snapshot: &FleetSnapshot,
     ) -> Option<f64> {
         let TierAndGrant { tier, grant_mb } = *tier_and_grant;
-        let Candidate { engine, view, .. } = *candidate;
+        let Candidate { engine, condition, .. } = *candidate;
         let gateway = &snapshot.gateways[engine.kind];
         let load = self.projected_load(engine, request, grant_mb, snapshot);
         let is_memory_estimated = engine.report.is_none() || self.fleet.reports_only_on_probe;
@@ -132,8 +134,8 @@
             && !self.has_unreported_shortage(engine, snapshot.now)
             && !is_overloaded;
         let has_capacity = fits || gateway.local_load.threads == 0.0 || tier <= Tier::Small;
-        let free_fraction = 1.0 - load.mean_utilization() * view.relative_slowdown;
-        (has_capacity && self.has_slot(candidate.engine, view, request, tier, snapshot))
+        let free_fraction = 1.0 - load.mean_utilization() * condition.relative_slowdown;
+        (has_capacity && self.has_slot(candidate.engine, condition, request, tier, snapshot))
             .then_some(free_fraction)
     }
 
@@ -150,15 +152,15 @@
     fn best_placement(
         &self,
         request: &Request,
-        mut free: Vec<Placement>,
+        mut available: Vec<Placement>,
         now: Duration,
     ) -> Option<Placement> {
-        avoid(&mut free, |engine| request.was_sent_to(engine));
-        avoid(&mut free, |engine| self.would_wait_for_bulk_load(engine, request, now));
-        let fractions = free.iter().map(|placement| placement.free_fraction);
+        avoid(&mut available, |engine| request.was_sent_to(engine));
+        avoid(&mut available, |engine| self.would_wait_for_bulk_load(engine, request, now));
+        let fractions = available.iter().map(|placement| placement.free_fraction);
         let max_free = fractions.fold(f64::NEG_INFINITY, f64::max);
-        free.retain(|placement| placement.free_fraction >= max_free - FREE_CAPACITY_TIE);
-        free.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
+        available.retain(|placement| placement.free_fraction >= max_free - FREE_CAPACITY_TIE);
+        available.into_iter().max_by_key(|placement| self.tie_preference(placement.engine, request))
     }
 
     /// Orders engines with about the same free capacity: first engines that recently got requests of the same
@@ -193,8 +195,8 @@
         let is_allowed_by_class = class.kinds.as_ref().is_none_or(|kinds| kinds.contains(&engine.kind))
             && class.locations.as_ref().is_none_or(|locations| locations.contains(&engine.location));
         let first = request.first_that_may_have_run().map(|attempt| &self.engines[&attempt.engine]);
-        let is_in_key_scope = match (&class.effect, first) {
-            (Effect::IdempotentWithKey { scope, .. }, Some(first)) => match scope {
+        let is_in_key_scope = match (&class.idempotency, first) {
+            (Idempotency::IdempotentWithKey { scope, .. }, Some(first)) => match scope {
                 KeyScope::All => true,
                 KeyScope::Location => first.location == engine.location,
                 KeyScope::Cell => first.cell == engine.cell,
@@ -208,8 +210,7 @@
     /// by the scope of its idempotency key.
     fn may_use_all_engines(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
-        let is_restricted_by_retry =
-            matches!(&class.effect, Effect::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
+        let is_restricted_by_retry = matches!(&class.idempotency, Idempotency::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
         let may_have_run = request.first_that_may_have_run().is_some();
         class.locations.is_none() && !(is_restricted_by_retry && may_have_run)
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -2,7 +2,7 @@
 
 use crate::samples::seconds;
 use crate::state::{AttemptId, FleetSnapshot, Request, SchedulerState};
-use crate::{Actions, Effect, KeyScope};
+use crate::{Actions, Idempotency, KeyScope};
 use std::time::Duration;
 
 /// Remaining time of an attempt, in expected runs, above which the attempt is slow.
@@ -17,23 +17,27 @@
     /// Returns whether another attempt is allowed: the request may run again, and has not used all its attempts.
     pub fn may_retry(&self, request: &Request, now: Duration) -> bool {
         let delivered_by = now + self.answer_margin();
-        let may_run_again = match (&self.classes[request.class].effect, request.first_that_may_have_run()) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::NonIdempotent, Some(_)) => false,
-            (Effect::IdempotentWithKey { window, .. }, Some(first)) => delivered_by < first.sent_at + *window,
-        };
+        let may_run_again =
+            match (&self.classes[request.class].idempotency, request.first_that_may_have_run()) {
+                (Idempotency::Idempotent, _) | (_, None) => true,
+                (Idempotency::NonIdempotent, Some(_)) => false,
+                (Idempotency::IdempotentWithKey { window, .. }, Some(first)) => {
+                    delivered_by < first.sent_at + *window
+                }
+            };
         may_run_again && request.attempts.len() < self.attempt_limits.max_attempts
     }
 
     /// Returns whether the request may be rejected, which tells the client that a retry is safe.
     pub fn may_reject(&self, request: &Request) -> bool {
-        match &self.classes[request.class].effect {
-            Effect::Idempotent | Effect::IdempotentWithKey { scope: KeyScope::All, .. } => true,
+        match &self.classes[request.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. } => true,
             _ => request.first_that_may_have_run().is_none(),
         }
     }
 
-    /// Returns the number of retries that the budget still allows.
+    /// Returns the number of retries that the budget still allows, which is infinite without a budget and may be
+    /// negative or a fraction.
     pub fn retries_left(&self, now: Duration) -> f64 {
         let Some(budget) = &self.attempt_limits.retry_budget else { return f64::INFINITY };
         let accepted = self.accepted_at.iter().filter(|at| **at + budget.window > now).count() as f64;
