--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -1,6 +1,5 @@
-//! The admission queue in front of the scheduler, which exists if the operator has configured teams. Queued requests
-//! are open, and the scheduler has not accepted them yet. `emberflow-teams` decides on their order and estimates
-//! their waits.
+//! The admission queue in front of the scheduler, which exists if the operator has configured teams. A queued request
+//! is open, but the scheduler has not accepted it yet. `emberflow-teams` orders the requests and estimates their waits.
 
 use crate::dispatch::{Completion, RequestOutcome};
 use emberflow::{Arrival, Capacity, RequestId};
@@ -9,21 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The actions that become due for a queued request.
+/// An action that becomes due for a queued request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum DueAction {
-    /// The request is passed to the scheduler, regardless of the order among teams.
+    /// Passes the request to the scheduler, regardless of the order among teams.
     Dispatch,
-    /// The client is notified of the estimated wait.
+    /// Notifies the client of the estimated wait.
     WaitNotice,
 }
 
 /// A request in the queue.
 #[derive(Clone)]
 struct QueuedRequest {
+    /// The scheduler's input, as it was when the request was queued.
     arrival: Arrival,
     arrived_at: Duration,
-    /// The time at which the request is passed to the scheduler at the latest.
+    /// The latest time at which the request is passed to the scheduler.
     dispatch_by: Duration,
     /// The time of the next notice to the client; `None` if the client wants none.
     next_notice: Option<Duration>,
@@ -45,21 +45,21 @@
 
 /// The properties of a request that admission depends on, apart from the scheduler's input.
 pub struct Admission {
-    /// The team's index.
+    /// The index of the team in the operator's configuration.
     pub team: usize,
-    /// From 0 for ordinary requests to 3.
+    /// The urgency, from 0 for ordinary requests to 3.
     pub urgency: u8,
     /// A number that a request and its retries have in common.
     pub identity: u64,
-    /// Requests with the same key are passed to the scheduler in the order of their arrival.
+    /// The request's key. Requests with the same key are passed to the scheduler in the order of their arrival.
     pub key: Option<u64>,
-    /// Expected time on one core.
+    /// Estimated execution time on one core.
     pub work: Duration,
     /// The latency objective of the request class.
     pub latency_objective: Duration,
-    /// Time before the request's deadline at which the request is passed to the scheduler at the latest.
+    /// Minimum time between passing the request to the scheduler and the request's deadline.
     pub margin: Duration,
-    /// Whether the client wants notices of its wait.
+    /// Whether the client has asked to be notified of the estimated wait.
     pub wants_wait_notices: bool,
 }
 
@@ -67,7 +67,7 @@
 pub struct WaitNotice {
     /// The queued request.
     pub request: RequestId,
-    /// The estimated time in the queue, and the number of the team's requests before this one.
+    /// The estimated time in the queue, and the number of requests of the same team that are dispatched earlier.
     pub wait: WaitEstimate,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl AdmissionQueue {
-    /// Returns an empty queue. The budget of each team is full.
+    /// Creates an empty queue. The budget of each team is full.
     pub fn new(teams: TeamConfig, now: Duration) -> Self {
         Self {
             queues: Queues::new(teams.quotas.clone(), now),
@@ -99,7 +99,7 @@
     /// Queues a request.
     ///
     /// # Errors
-    /// Returns the reason of a rejection, and the time after which the request would be admitted.
+    /// Returns the reason if the request is rejected, and the time after which the request would be admitted.
     pub fn enqueue(
         &mut self,
         now: Duration,
@@ -150,8 +150,8 @@
         self.release(now, next)
     }
 
-    /// Returns a request that must be dispatched by now. If requests of the same key arrived before it, returns the
-    /// first of them.
+    /// Returns a request whose latest dispatch time has come. If requests with the same key arrived before it, returns
+    /// the first of them.
     fn next_overdue(&self, now: Duration) -> Option<RequestId> {
         let overdue = self.due_now(now, DueAction::Dispatch).next()?;
         Some(RequestId(self.queues.first_of_key(overdue.request.0)))
@@ -179,7 +179,7 @@
         self.release(now, oldest)
     }
 
-    /// Removes a request that is passed to the scheduler, and returns the scheduler's input.
+    /// Removes a request in order to pass it to the scheduler, and returns the scheduler's input.
     fn release(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
         self.queues.dispatch(now, request.0);
         self.remove(request).map(|queued| queued.arrival(now))
@@ -195,7 +195,7 @@
         Some(queued)
     }
 
-    /// Records the cost of a request's successful attempt. The team is charged when the request is closed.
+    /// Records the measured cost of a request's successful attempt. The team is charged when the request is closed.
     pub fn record_cost(&mut self, request: RequestId, cost: Duration) {
         self.costs.insert(request, cost);
     }
@@ -226,7 +226,8 @@
         self.teams = teams;
     }
 
-    /// Returns the notices that are due now and schedules the next ones. Requests without an estimate are left out.
+    /// Returns the notices that are due now, and schedules the next notice of each request. Requests without an
+    /// estimate are omitted.
     pub fn take_wait_notices(&mut self, now: Duration) -> Vec<WaitNotice> {
         let due_requests: Vec<DueRequest> = self.due_now(now, DueAction::WaitNotice).collect();
         // The operator may have switched the notices off since they were scheduled.
@@ -244,7 +245,7 @@
         notices
     }
 
-    /// Returns the time of the next deadline in the queue.
+    /// Returns the time at which the queue must be processed next; `None` if nothing is due.
     pub fn next_deadline(&self) -> Option<Duration> {
         let first_due = self.due.first().map(|(at, ..)| *at);
         [first_due, self.queues.due()].into_iter().flatten().min()
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: lines in, answers out, and the requests open on each.
+//! Connections of clients: the lines received on each, the answers to be sent, and the open requests.
 
 mod client;
 
@@ -11,7 +11,7 @@
 use std::io::{self, Read, Write};
 use std::time::Duration;
 
-/// Limit of the open requests of one connection.
+/// Limit of the open requests on one connection of a client.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 /// Time, by the protocol, for which bytes sent before a close may still be in transit. A client that has connected, has
 /// sent input or was answered within this time may have a request in transit.
@@ -37,16 +37,16 @@
 pub struct ScanResult {
     /// Cancellations that no earlier scan has found.
     pub cancellations: Vec<Cancellation>,
-    /// Whether the connection was reset or has failed.
+    /// Whether the connection was reset or reading from it failed.
     pub closed: bool,
-    /// Whether the client was found to have shut down its sending side, for the first time.
+    /// Whether this scan is the first to find that the client has shut down its sending side.
     pub ended: bool,
 }
 
 /// The result of checking a client whose idle timer has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleCheck {
-    /// The client has sent an incomplete line, and is to be closed.
+    /// The client did not complete a line within the timeout, and is to be closed.
     Stalled,
     /// The client has exceeded its idle timeout, and is to be closed.
     Idle,
@@ -59,13 +59,13 @@
 pub struct Clients {
     /// The open connections.
     pub table: Slots<Client>,
-    /// Limit of the bytes of a line.
+    /// Limit of the length of a line, in bytes.
     max_line_bytes: usize,
-    /// Limit of the unsent bytes to all clients.
+    /// Limit of the unsent bytes of all clients together.
     max_unsent_bytes: usize,
-    /// Unsent bytes to all clients.
+    /// Unsent bytes of all clients together.
     unsent_bytes: usize,
-    /// Clients that may have finished since the caller last took this list.
+    /// Clients to be checked with [`Self::is_finished`]. The caller takes this list.
     pub maybe_finished: Vec<Slot>,
     /// Clients whose output has grown since it was last written.
     pub pending_writes: Vec<Slot>,
@@ -85,15 +85,15 @@
         check_due
     }
 
-    /// Removes a connection.
+    /// Removes and returns a connection. Returns `None` if it was removed before.
     pub fn take(&mut self, slot: Slot) -> Option<Client> {
         let client = self.table.take(slot)?;
         self.unsent_bytes -= client.output.len();
         Some(client)
     }
 
-    /// Returns the idle client that was inactive longest. Clients that never sent a line come first. Clients that may
-    /// have input in transit are excluded, so that a flood of connections does not close the clients that connected
+    /// Returns the idle client that has been inactive longest. Clients that never sent a line come first. Clients that
+    /// may have input in transit are excluded, so that a flood of connections does not close the clients that connected
     /// shortly before.
     pub fn longest_idle(&self, now: Duration) -> Option<Slot> {
         let idle = self
@@ -103,7 +103,8 @@
         idle.min_by_key(|(_, client)| (client.has_sent_line, client.last_active)).map(|(slot, _)| slot)
     }
 
-    /// Returns the client with the most unsent bytes, if the unsent bytes to all clients exceed their limit.
+    /// Returns the client with the most unsent bytes, or `None` while the unsent bytes of all clients together are
+    /// within their limit.
     pub fn slowest_reader(&self) -> Option<Slot> {
         if self.unsent_bytes <= self.max_unsent_bytes {
             return None;
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Reads input up to the next line. The input that is read now was received at `received_since` at the earliest.
-    /// `has_failed` returns whether the socket of a client that has shut down its sending side has an error.
+    /// Reads input up to the end of the next line. The input that is read now arrived at `received_since` at the
+    /// earliest. `has_failed` returns whether the socket of a client that has shut down its sending side has an error.
     pub fn read_line(
         &mut self,
         slot: Slot,
@@ -178,7 +179,7 @@
         ended_at.is_some_and(|at| at + MAX_TRANSIT_TIME < now)
     }
 
-    /// Adds a line to a client's output.
+    /// Appends a line to a client's output.
     pub fn send_line(&mut self, slot: Slot, line: &[u8]) {
         let Some(client) = self.table.get_mut(slot) else { return };
         self.unsent_bytes += line.len();
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Whether a client sends no further line, and has no open request and no unsent output.
+    /// Whether no further lines are read from a client, and it has no open request and no unsent output.
     pub fn is_finished(&self, slot: Slot) -> bool {
         self.table.get(slot).is_some_and(|client| !client.accepts_lines() && client.is_idle())
     }
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: splits its input into lines and scans unread lines for cancellations.
+//! One connection of a client: splits the input into lines, and scans lines that are not handled yet for cancellations.
 
 use super::{ClientInput, MAX_TRANSIT_TIME, ScanResult};
 use crate::jsonrpc::{self, Cancellation};
@@ -53,7 +53,7 @@
 /// A cancellation in an unread line.
 #[derive(Clone)]
 struct UnreadCancellation {
-    /// Offset of the line's end in all input.
+    /// Offset of the line's end in the stream of all input.
     line_end: u64,
     cancellation: Cancellation,
 }
@@ -64,21 +64,22 @@
     input: Ring,
     /// Bytes to be written to the client.
     pub output: Ring,
-    /// Bytes at the front of the input that hold no newline.
+    /// Number of bytes at the front of the input that are known to hold no newline.
     scanned_for_line: usize,
-    /// Bytes at the front of the input that were scanned for cancellations, up to the end of a line.
+    /// Number of bytes at the front of the input that were scanned for cancellations. They end with a line.
     scanned_for_cancellations: usize,
+    /// The cancellations in lines that are not handled yet, in order.
     unread_cancellations: VecDeque<UnreadCancellation>,
-    /// Offset in all input up to which it was scanned for cancellations.
+    /// Offset of the end of the input at the last scan for cancellations, in the stream of all input.
     scanned_end: u64,
-    /// Open requests by their message id on this connection.
+    /// The open requests, by the ids of their JSON-RPC messages.
     pub open: BTreeMap<u64, RequestId>,
     pub(super) has_sent_line: bool,
     /// Time at which a line was last read or began to arrive, or a request was last answered.
     pub(super) last_active: Duration,
     /// Earliest time at which the latest input can have been received.
     last_received: Duration,
-    /// Time of the next idle check.
+    /// Time of the next idle check, for which a timer is set.
     pub check_due: Duration,
     input_state: InputState,
     /// Time at which the end of the input was found, possibly before all input was read.
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Whether further lines are read from the client.
+    /// Whether further lines are read from the client's connection.
     pub(super) fn accepts_lines(&self) -> bool {
         self.input_state == InputState::Reading
     }
@@ -224,7 +225,7 @@
         Some(line)
     }
 
-    /// Removes bytes from the front of the input, with the cancellations in them.
+    /// Removes bytes from the front of the input, and the recorded cancellations of their lines.
     fn consume(&mut self, length: usize) {
         self.input.consume(length);
         self.scanned_for_cancellations = self.scanned_for_cancellations.saturating_sub(length);
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Reads and scans input without handling it; see [`super::Clients::scan_ahead`].
+    /// Reads input and scans it for cancellations without handling any line; see [`super::Clients::scan_ahead`].
     pub(super) fn scan_ahead(
         &mut self,
         max_line_bytes: usize,
@@ -283,7 +284,7 @@
 
     /// Whether an unread line cancels the request with this name and message id.
     pub(super) fn has_cancelled(&self, name: &str, id: u64) -> bool {
-        self.unread_cancellations.iter().any(|unread| unread.cancellation.names(name, id))
+        self.unread_cancellations.iter().any(|unread| unread.cancellation.matches(name, id))
     }
 
     /// Feeds the state to a hasher, with times relative to `now`.
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -12,8 +12,9 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// The messages of the error responses, as clients know them.
+/// Message of the error response to a rejected request. Clients know this text, so it must not change.
 const REJECTED_MESSAGE: &str = "bounced: a retry is harmless";
+/// Message of the error response to a failed request. Clients know this text, so it must not change.
 const FAILED_MESSAGE: &str = "given up: it may have run";
 
 /// How a request was closed.
@@ -21,9 +22,9 @@
 pub enum RequestOutcome {
     /// An attempt succeeded, and its result was sent to the client.
     Succeeded,
-    /// The request was not run, so a retry is harmless.
+    /// The request was not run, or is idempotent, so a retry is harmless.
     Rejected,
-    /// The request may have run.
+    /// The request has failed and may have run.
     Failed,
     /// The client has cancelled the request or disconnected.
     Cancelled,
@@ -44,49 +45,49 @@
 /// The notification to the admission queue that a request was closed.
 #[derive(Clone, Copy)]
 pub struct Completion {
-    /// The request.
+    /// The scheduler's id of the request.
     pub request: RequestId,
-    /// How it was closed.
+    /// How the request was closed.
     pub outcome: RequestOutcome,
 }
 
-/// The open requests, the clients and the engines, on which the scheduler acts.
+/// The state on which the scheduler's actions take effect: open requests, clients and engines.
 #[derive(Clone)]
 pub struct Dispatcher {
     /// The router's configuration.
     pub config: RouterConfig,
     /// The time, the timers and the counters of the router.
     pub context: Context,
-    /// Connections of clients.
+    /// The connections of clients.
     pub clients: Clients,
-    /// Connections to engines, and the attempts on them.
+    /// The connections to engines, and the attempts on them.
     pub engines: EnginePool,
     /// The open requests.
     pub requests: RequestTable,
     /// Whether any engine has been ready since the start.
     pub had_ready_endpoint: bool,
-    /// Closed requests of which the admission queue is to be notified; `None` without an admission queue.
+    /// The completions that the admission queue has not processed yet; `None` without an admission queue.
     pub completions: Option<Vec<Completion>>,
 }
 
 impl Actions for Dispatcher {
-    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
-        let Some(row) = self.requests.get_mut(request) else {
+    fn send(&mut self, request: RequestId, engine: EngineId, deadline: Duration) {
+        let Some(open_request) = self.requests.get_mut(request) else {
             return self.context.counters.check_invariant(false, "an_attempt_of_an_answered_request");
         };
         let call = Call {
             request,
-            number: row.attempts.len(),
-            id: &row.name,
-            class: &self.config.classes[row.class],
-            idempotency_key: row.idempotency_key.as_deref(),
-            statement: &row.statement,
-            grant_mb: row.grant_mb,
-            priority: row.priority,
-            deadline: until,
+            number: open_request.attempts.len(),
+            id: &open_request.name,
+            class: &self.config.classes[open_request.class],
+            idempotency_key: open_request.idempotency_key.as_deref(),
+            statement: &open_request.statement,
+            grant_mb: open_request.grant_mb,
+            priority: open_request.priority,
+            deadline,
         };
-        let attempt = self.engines.send(engine, call, &row.late_connections, &mut self.context);
-        row.attempts.push(attempt);
+        let attempt = self.engines.send(engine, call, &open_request.late_connections, &mut self.context);
+        open_request.attempts.push(attempt);
     }
 
     fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
@@ -109,14 +110,15 @@
 
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>) {
         let retry_after_ms = retry_after.map(whole_ms).filter(|ms| *ms > 0);
-        let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Rejected, REJECTED_MESSAGE, retry_after_ms);
-        let was_open = self.answer_request(request, RequestOutcome::Rejected, line);
+        let encode_answer =
+            |id| jsonrpc::error_line(Some(id), ErrorCode::Rejected, REJECTED_MESSAGE, retry_after_ms);
+        let was_open = self.answer_request(request, RequestOutcome::Rejected, encode_answer);
         self.context.counters.check_invariant(was_open, "a_second_answer");
     }
 
     fn fail(&mut self, request: RequestId) {
-        let line = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, FAILED_MESSAGE, None);
-        let was_open = self.answer_request(request, RequestOutcome::Failed, line);
+        let encode_answer = |id| jsonrpc::error_line(Some(id), ErrorCode::Failed, FAILED_MESSAGE, None);
+        let was_open = self.answer_request(request, RequestOutcome::Failed, encode_answer);
         self.context.counters.check_invariant(was_open, "a_second_answer");
     }
 
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Opens a request under the next id. Returns whether the limits allow it.
+    /// Opens a request under the next id. Returns false if the limit of open requests or of statement bytes is reached.
     pub fn open_request(&mut self, request: Request) -> bool {
         let statement_bytes = self.requests.statement_bytes() + request.statement.len();
         let is_table_full = self.requests.len() >= self.config.max_open_requests;
@@ -173,16 +175,16 @@
         true
     }
 
-    /// Closes a request and sends its final answer, which `line` encodes for the id of the client's message. Returns
-    /// whether the request was still open.
+    /// Closes a request and sends its final answer. `encode_answer` encodes the answer for the id of the client's
+    /// message. Returns whether the request was still open.
     pub fn answer_request(
         &mut self,
         request: RequestId,
         outcome: RequestOutcome,
-        line: impl Fn(u64) -> Vec<u8>,
+        encode_answer: impl Fn(u64) -> Vec<u8>,
     ) -> bool {
         let Some(request) = self.close_request(request, outcome) else { return false };
-        self.clients.send_line(request.client, &line(request.client_request_id));
+        self.clients.send_line(request.client, &encode_answer(request.client_request_id));
         true
     }
 
@@ -201,7 +203,7 @@
         Some(request)
     }
 
-    /// Feeds the state to `hasher`. Dispatchers with the same fingerprint behave alike.
+    /// Feeds the state to `hasher`. Dispatchers with equal fingerprints behave alike.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.context.now();
         self.engines.fingerprint(now, hasher);
@@ -229,14 +231,15 @@
         }
     }
 
-    /// Feeds those timers to `hasher` that are not part of the fingerprint of a connection, an attempt or a client.
+    /// Feeds the router's own timers to `hasher`. The other timers are part of the fingerprints of connections,
+    /// attempts and clients.
     fn fingerprint_timers(&self, now: Duration, hasher: &mut impl Hasher) {
         for (at, timer) in self.context.timers.iter() {
-            let is_of_router = matches!(
+            let is_router_timer = matches!(
                 timer,
                 Timer::Wake | Timer::Discovery | Timer::ResumeAccepting | Timer::ShutdownCheck
             );
-            if is_of_router {
+            if is_router_timer {
                 let microseconds_left = at.as_micros() as i64 - now.as_micros() as i64;
                 (microseconds_left, timer).hash(hasher);
             }
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -1,7 +1,8 @@
 //! Connections to engines and the attempts sent over them.
 //!
-//! [`EnginePool`] is a state machine without sockets or a clock: endpoint records, received bytes and times go in;
-//! bytes to write, [`PoolCommand`]s and [`PoolEvent`]s come out. It neither chooses an engine nor answers a client.
+//! [`EnginePool`] is a state machine without sockets or a clock. Its inputs are endpoint records, received bytes and
+//! times; its outputs are bytes to write, [`PoolCommand`]s and [`PoolEvent`]s. The scheduler selects the engine of each
+//! attempt, and the dispatcher answers the clients.
 
 mod attempt;
 mod attempt_lifecycle;
@@ -37,7 +38,7 @@
         ended: AttemptEnded,
         /// The result, if the attempt succeeded.
         body: Option<Vec<u8>>,
-        /// The connection on which the engine may still reply to the attempt.
+        /// The connection on which the engine may still reply to the attempt; `None` if no reply can follow.
         late_connection: Option<Slot>,
     },
     /// An engine reported the progress of an attempt.
@@ -51,10 +52,11 @@
     },
 }
 
-/// An operation on sockets that the pool requests from their owner. Operations are carried out in order.
+/// An operation on sockets, which the owner of the sockets carries out for the pool. Operations are carried out in
+/// order.
 #[derive(Clone)]
 pub enum PoolCommand {
-    /// Dial an address, and report the outcome for this connection.
+    /// Dial the address, and report the outcome for the connection.
     Dial(Slot, SocketAddr),
     /// Close the socket of a connection.
     Close(Slot),
@@ -63,11 +65,11 @@
 /// The number of engines, connections and attempts in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
-    /// Number of engines, with those that are draining or no longer listed.
+    /// Number of engines, including those that are draining or no longer listed.
     pub engines: usize,
-    /// Number of connections, with those that are not established yet.
+    /// Number of connections, including those that are not established yet.
     pub connections: usize,
-    /// Number of attempts that have not ended, with those whose calls are not written yet.
+    /// Number of attempts that have not ended, including those whose calls are not written yet.
     pub attempts: usize,
 }
 
@@ -88,16 +90,17 @@
     pub pending_writes: Vec<Slot>,
     attempts_per_connection: usize,
     connect_timeout: Duration,
-    /// Time for which an engine keeps an idle connection open.
+    /// Time after which engines close an idle connection.
     idle_close: Duration,
     max_connections: usize,
-    /// Whether a request may be sent again while its engine may still run a cancelled attempt of the request.
+    /// Whether a request may be sent again while an engine may still be running its cancelled attempt.
     pub allows_concurrent_attempts: bool,
 }
 
 impl EnginePool {
-    /// Creates an empty pool. A connection carries up to `attempts_per_connection`, must be established and must
-    /// answer a health check within `connect_timeout`, and is closed by its engine after `idle_close` without use.
+    /// Creates an empty pool. A connection carries up to `attempts_per_connection` attempts at a time. It must be
+    /// established, and must answer each health check, within `connect_timeout`. Its engine closes it once it was idle
+    /// for `idle_close`.
     pub fn new(
         attempts_per_connection: usize,
         connect_timeout: Duration,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Returns the connection that carries an attempt.
+    /// Returns the connection that carries an attempt; `None` if the attempt has ended or has no connection.
     pub fn connection_of(&self, attempt: Slot) -> Option<Slot> {
         self.attempts.get(attempt)?.connection
     }
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -8,7 +8,7 @@
 
 /// An attempt to be sent. The request's id, class, idempotency key and statement are forwarded unchanged.
 pub struct Call<'a> {
-    /// The request that the attempt serves.
+    /// The scheduler's id of the request.
     pub request: RequestId,
     /// The attempt's number within its request, from 0.
     pub number: usize,
@@ -16,7 +16,7 @@
     pub id: &'a str,
     /// The request class, by its name in the settings.
     pub class: &'a str,
-    /// The client's key by which the engine recognizes a repeated request.
+    /// The key by which the engine recognizes a repeated request; `None` if the client gave none.
     pub idempotency_key: Option<&'a str>,
     /// The bytes of the statement, decoded from base64.
     pub statement: &'a [u8],
@@ -24,12 +24,12 @@
     pub grant_mb: f64,
     /// The attempt's priority at the engine; a higher number is served first.
     pub priority: u8,
-    /// Time at which the attempt times out.
+    /// Time at which the attempt times out, on the router's clock.
     pub deadline: Duration,
 }
 
-/// A call that has not been written. It is encoded immediately before it is written, because it carries the time left
-/// until the deadline.
+/// A call that has not been written. The call carries the time left until the deadline, so it is encoded immediately
+/// before it is written.
 #[derive(Clone)]
 pub(super) struct UnwrittenCall {
     class: String,
@@ -39,7 +39,7 @@
     priority: u8,
     /// Encoded messages to be sent directly after the call.
     pub followed_by: Vec<u8>,
-    /// Length of the encoded call, once it is part of its connection's output.
+    /// Length of the encoded call and the messages after it; 0 until they are part of the connection's output.
     pub encoded_bytes: usize,
 }
 
@@ -80,7 +80,7 @@
     /// The attempt's number within its request, from 0.
     pub number: usize,
     pub engine: EngineId,
-    /// The connection that carries the attempt.
+    /// The connection that carries the attempt; `None` until one is assigned, and after it was closed.
     pub connection: Option<Slot>,
     /// The request's id on the wire.
     pub id: String,
@@ -89,7 +89,7 @@
     pub sent_at: Duration,
     /// Time at which the attempt times out.
     pub deadline: Duration,
-    /// Offset of the call in all output of its connection, once the call is part of that output.
+    /// Offset of the call in the stream of all output of its connection; `None` until the call is part of that output.
     pub call_offset: Option<u64>,
     /// Connections that may still deliver a reply to an earlier attempt of the same request.
     pub excluded_connections: Vec<Slot>,
@@ -98,14 +98,14 @@
     pub reassigned: bool,
     /// Whether the attempt must not be moved to another connection, because its client may have disconnected.
     pub resend_disabled: bool,
-    /// Time of the cancellation, while the engine has not acknowledged it.
+    /// Time at which the attempt was cancelled, if the engine has to acknowledge the cancellation.
     pub cancelled_at: Option<Duration>,
-    /// The pages received, once the first page of the result has arrived.
+    /// The pages received so far; `None` until the first page of the result has arrived.
     pub result: Option<ResultPages>,
 }
 
 impl Attempt {
-    /// Creates an attempt that is sent at `now`. No connection carries it yet.
+    /// Creates an attempt that is sent at `now`, without a connection.
     pub fn new(call: &Call<'_>, engine: EngineId, excluded_connections: &[Slot], now: Duration) -> Self {
         Self {
             request: call.request,
@@ -130,7 +130,7 @@
         self.cancelled_at.is_some()
     }
 
-    /// Whether any byte of the call is among the first `written` bytes of its connection's output.
+    /// Whether any byte of the call is among the first `written` bytes in the stream of its connection's output.
     pub fn has_begun(&self, written: u64) -> bool {
         self.call_offset.is_some_and(|offset| written > offset)
     }
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -10,8 +10,8 @@
 use emberflow::{AttemptEnded, AttemptOutcome, EngineId, LoadReport};
 
 impl EnginePool {
-    /// Sends an attempt. `excluded_connections` may still deliver a reply to an earlier attempt of the request; they
-    /// are not used, because replies name only the request.
+    /// Sends an attempt. The attempt does not use `excluded_connections`, on which a reply to an earlier attempt of the
+    /// request may still arrive: a reply carries only the request's name, so the attempts could not be told apart.
     pub fn send(
         &mut self,
         engine: EngineId,
@@ -26,8 +26,8 @@
         attempt
     }
 
-    /// Queues an attempt's call on a connection to its engine. Ends the attempt if the engine takes no calls or no
-    /// connection is available.
+    /// Queues an attempt's call on a connection to its engine. Ends the attempt if the engine is not ready, if the
+    /// attempt must not be resent, or if no connection is available.
     pub(super) fn assign_connection(&mut self, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.call_offset = None;
@@ -39,7 +39,7 @@
         }
         match self.select_connection(engine, &id, &excluded, context) {
             Some(connection) => self.enqueue_call(slot, connection, context),
-            // The router's connection limit is no fault of the engine, so the attempt does not count against it.
+            // The router has reached its own limit of connections, so the outcome must not count against the engine.
             None => self.end(slot, AttemptOutcome::NotSent, None, context),
         }
     }
@@ -70,7 +70,7 @@
         is_unsent
     }
 
-    /// Changes the priority of an attempt. The message is sent after the attempt's call.
+    /// Changes the priority of an attempt. The message with the new priority is sent after the attempt's call.
     pub fn update_priority(&mut self, slot: Slot, priority: u8, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
             return;
@@ -82,16 +82,16 @@
         }
     }
 
-    /// Cancels an attempt whose request gets no further attempt.
+    /// Cancels an attempt whose request is not sent again.
     pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
         self.abandon(attempt, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, context);
     }
 
     /// Cancels an attempt whose request may be sent again.
     ///
-    /// Where hedged requests are not allowed, two attempts must not run at once. The cancellation and the next call
-    /// may travel over different connections and arrive in either order. The attempt therefore ends only once the
-    /// engine has answered a ping sent after the cancellation, or once the connection is closed.
+    /// If hedged requests are not allowed, two attempts must not run at once. The cancellation and the next call may be
+    /// sent on different connections, and may arrive in either order. Therefore the attempt ends only once the engine
+    /// has answered a ping that was sent after the cancellation, or once the connection is closed.
     pub fn cancel_before_resend(&mut self, slot: Slot, context: &mut Context) {
         self.retract_unsent_call(slot);
         let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
@@ -110,21 +110,21 @@
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
     }
 
-    /// Abandons an attempt whose deadline has passed. The caller reads the attempt's connection first, so that a
-    /// result that has arrived in time counts.
+    /// Times out an attempt whose deadline has passed. The caller reads the attempt's connection first, so that a
+    /// result that arrived in time counts.
     pub fn attempt_overdue(&mut self, slot: Slot, context: &mut Context) {
         if self.attempts.get(slot).is_some_and(|attempt| attempt.deadline <= context.now()) {
             self.abandon(slot, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
         }
     }
 
-    /// Ends an attempt with `outcome` and cancels it at its engine. If no byte of its call was written, the attempt
-    /// never ran and ends with the outcome `unsent`.
+    /// Ends an attempt with `outcome`, and cancels it at its engine. If no byte of the call was written, the attempt
+    /// never ran, and ends with `unsent_outcome`.
     fn abandon(
         &mut self,
         slot: Slot,
         outcome: AttemptOutcome,
-        unsent: AttemptOutcome,
+        unsent_outcome: AttemptOutcome,
         context: &mut Context,
     ) {
         if self.attempts.get(slot).is_some_and(Attempt::is_cancelled) {
@@ -133,7 +133,7 @@
         self.retract_unsent_call(slot);
         let Some(attempt) = self.attempts.get(slot) else { return };
         if attempt.call_offset.is_none() {
-            return self.end(slot, unsent, None, context);
+            return self.end(slot, unsent_outcome, None, context);
         }
         let id = attempt.id.as_str();
         let command = match attempt.result {
@@ -156,7 +156,7 @@
         self.finish(slot, outcome, None, load_report, context);
     }
 
-    /// Ends an attempt and queues the event for the scheduler.
+    /// Ends an attempt and queues the event for the scheduler. `body` is the complete result of a successful attempt.
     pub(super) fn finish(
         &mut self,
         slot: Slot,
@@ -186,7 +186,7 @@
         self.events.push_back(PoolEvent::Ended { ended, body, late_connection });
     }
 
-    /// Removes an attempt from its connection. A connection without attempts is idle from now on.
+    /// Removes an attempt from its connection. Starts the idle timeout of a connection without further attempts.
     fn release_connection(&mut self, slot: Slot, attempt: &Attempt, context: &mut Context) {
         let Some(connection_slot) = attempt.connection else { return };
         let Some(connection) = self.connections.get_mut(connection_slot) else { return };
@@ -200,10 +200,10 @@
     }
 }
 
-/// Returns the connection on which the engine may still reply to an attempt that ends with `outcome`.
+/// Returns the connection on which the engine may still reply to an attempt that has ended with `outcome`.
 fn late_connection(attempt: &Attempt, outcome: AttemptOutcome) -> Option<Slot> {
     let was_abandoned = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
-    // An engine sends no reply to an attempt after it has acknowledged the cancellation.
+    // After an engine has acknowledged the cancellation of an attempt, it sends no further reply to the attempt.
     attempt.connection.filter(|_| was_abandoned && !attempt.is_cancelled())
 }
 
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -13,18 +13,18 @@
 /// it before the engine does.
 pub(super) const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// Whether an engine was reachable over a connection that has ended. The loss of a connection to a reachable engine is
-/// no fault of the engine, and unwritten calls move to another connection.
+/// Whether an engine was reachable over a connection that was closed. If the engine was reachable, the loss of the
+/// connection does not count as its failure, and unwritten calls move to another connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
     /// The engine has accepted the connection or reset it.
     Reachable,
-    /// The connection could not be established, or the engine has restarted or was removed from the list.
+    /// The connection could not be established, or the engine has restarted or was removed from the endpoint list.
     Unreachable,
 }
 
 impl Reachability {
-    /// Classifies an error of dialling. A peer that resets the connection was reached.
+    /// Classifies an error of dialling. A peer that has reset the connection was reached.
     pub fn of_dial_error(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::ConnectionReset => Self::Reachable,
@@ -38,7 +38,7 @@
 pub(super) enum ConnectionState {
     Connecting,
     Established,
-    /// Established; no call is written until the engine has answered a health check.
+    /// Established, but no call is written until the engine has answered a health check.
     HealthCheck,
 }
 
@@ -49,15 +49,15 @@
     pub state: ConnectionState,
     pub input: Ring,
     pub output: Ring,
-    /// The attempts on the connection, by their request's id on the wire.
+    /// The attempts on the connection, by the names of their requests.
     pub attempts: BTreeMap<String, Slot>,
-    /// The attempts among them whose calls are not part of the output yet, in order.
+    /// Those of `attempts` whose calls are not part of the output yet, in the order in which they are sent.
     pub waiting: Vec<Slot>,
     pub dialed_at: Duration,
     pub last_reply_at: Duration,
-    /// Time at which the connection must be established; afterwards, time of its next check.
+    /// Time by which the connection must be established; once it is, the time of its next check.
     pub check_due: Option<Duration>,
-    /// Time at which a reply that has begun to arrive must be complete.
+    /// Time by which the reply that has begun to arrive must be complete.
     pub reply_due: Option<Duration>,
     /// Time at which the connection is closed if it is still idle.
     pub idle_due: Option<Duration>,
@@ -91,7 +91,7 @@
         self.state == ConnectionState::Established
     }
 
-    /// Ends a health check. Returns whether one was in progress.
+    /// Ends the health check in progress after a reply of the engine. Returns whether a health check was in progress.
     pub fn pass_health_check(&mut self) -> bool {
         let was_checked = self.state == ConnectionState::HealthCheck;
         if was_checked {
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -8,13 +8,13 @@
 use emberflow::{AttemptOutcome, EngineId};
 use std::cmp::Reverse;
 
-/// Connections that an engine may have however many engines there are.
+/// Lower bound of the limit of connections to one engine, which otherwise falls with the number of engines.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
 
 impl EnginePool {
-    /// Selects a connection for another attempt: an idle one; otherwise a new one, within the connection limits of the
-    /// engine and of the router; otherwise the one with the fewest attempts. Attempts are spread over connections
-    /// because the loss of a connection ends all attempts on it.
+    /// Selects a connection for an attempt: an idle one if there is any, otherwise a new one within the connection
+    /// limits of the engine and of the router, otherwise the one with the fewest attempts. Attempts are spread over
+    /// connections, because the loss of a connection ends all attempts on it.
     pub(super) fn select_connection(
         &mut self,
         engine: EngineId,
@@ -48,8 +48,8 @@
         let open = slots.iter().filter_map(|slot| Some((*slot, self.connections.get(*slot)?)));
         let usable = open.filter(|(slot, connection)| self.can_carry(*slot, connection, id, excluded));
         usable.min_by_key(|(_, connection)| {
-            // The most recently active of equally loaded connections needs no health check, and the others can reach
-            // their idle timeout.
+            // Among equally loaded connections, the most recently active one is the least likely to need a health
+            // check, and the others can reach their idle timeout.
             let most_recent = Reverse(connection.last_reply_at);
             (connection.attempts.len(), !connection.is_established(), most_recent)
         })
@@ -61,15 +61,20 @@
         is_separate && connection.attempts.len() < self.attempts_per_connection
     }
 
-    /// Closes the connection that has been idle longest, to free its place for another engine. Returns whether there
-    /// was an idle connection.
+    /// Closes the connection that has been idle longest, so that another engine can have a connection within the
+    /// router's limit. Returns whether there was an idle connection.
     fn close_longest_idle(&mut self, context: &mut Context) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempts.is_empty());
         let Some((slot, _)) = idle.min_by_key(|(_, connection)| connection.last_reply_at) else {
             return false;
         };
         context.counters.count("connections_closed_for_capacity");
-        self.close_connection(slot, "idle, closed for another engine", Reachability::Reachable, context);
+        self.close_connection(
+            slot,
+            "idle, closed to connect to another engine",
+            Reachability::Reachable,
+            context,
+        );
         true
     }
 
@@ -122,17 +127,17 @@
         self.close_connection(slot, reason, reachability, context);
     }
 
-    /// Closes a connection whose idle timeout has expired.
+    /// Closes a connection if its idle timeout has expired.
     pub fn connection_idle(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get(slot) else { return };
         let is_due = connection.idle_due.is_some_and(|due| due <= context.now());
         if connection.attempts.is_empty() && is_due {
-            self.close_connection(slot, "idle", Reachability::Reachable, context);
+            self.close_connection(slot, "idle timeout expired", Reachability::Reachable, context);
         }
     }
 
-    /// Closes a connection and ends or moves the attempts on it. A reset of a new or an idle connection is no fault of a
-    /// reachable engine, so an unwritten call moves to another connection, once.
+    /// Closes a connection, and ends or moves the attempts on it. A reachable engine may reset a new or an idle
+    /// connection without being at fault, so an unwritten call moves to another connection, once.
     pub fn close_connection(
         &mut self,
         slot: Slot,
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Ends or moves an attempt whose connection was closed after `written` bytes of output.
+    /// Ends or moves an attempt whose connection was closed after `written` bytes of its output were written.
     fn connection_lost(
         &mut self,
         slot: Slot,
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -20,23 +20,24 @@
     pub ready: bool,
     /// Start time of the engine's process in Unix milliseconds, by the endpoint list; 0 if the list does not say.
     pub up_since_ms: u64,
-    /// The start time on the router's clock.
+    /// Start time of the engine's process on the router's clock; `None` if the list does not say.
     pub launched: Option<Duration>,
     pub connections: Vec<Slot>,
 }
 
 impl EnginePool {
     /// Adds or updates an engine by its endpoint record, and returns the endpoint under the scheduler's engine id. A
-    /// draining engine gets no further call. Connections to an earlier process of the engine are closed.
+    /// draining engine gets no further calls. Connections to an earlier process of the engine are closed.
     pub fn update_endpoint(&mut self, record: &EndpointRecord, context: &mut Context) -> Endpoint {
         let engine = self.engine_of(record);
         if !record.is_ready() {
             self.end_unsent_attempts(engine, context);
         }
-        let entry = self.engines.get_mut(&engine).expect("an engine with an id is in the table");
+        let entry =
+            self.engines.get_mut(&engine).expect("every engine with a scheduler id is in the engine table");
         entry.address = record.address;
         entry.ready = record.is_ready();
-        // A start time that was listed before keeps its conversion, even if the wall clock has been set since.
+        // A start time is converted to the router's clock only once, since the wall clock may have been set meanwhile.
         if record.up_since_ms > 0 && entry.up_since_ms != record.up_since_ms {
             let launched = context.at_unix_ms(record.up_since_ms);
             entry.up_since_ms = record.up_since_ms;
@@ -59,7 +60,7 @@
         self.engines.get(&engine).is_some_and(|entry| entry.ready)
     }
 
-    /// Returns the scheduler's id of an engine. A new engine gets the next id.
+    /// Returns the scheduler's id of an engine. Adds an unknown engine under the next id.
     fn engine_of(&mut self, record: &EndpointRecord) -> EngineId {
         let engine = *self.engine_ids.entry(record.id).or_insert(self.next_engine);
         if engine == self.next_engine {
@@ -77,17 +78,17 @@
         engine
     }
 
-    /// Closes the connections of an engine that were dialled before its process started.
+    /// Closes the connections to an engine that were dialled before its process started.
     fn close_connections_before(&mut self, engine: EngineId, launched: Duration, context: &mut Context) {
         for slot in self.connections_of(engine) {
             let connection = self.connections.get(slot);
             if connection.is_some_and(|connection| connection.dialed_at < launched) {
-                self.close_connection(slot, "engine restarted", Reachability::Unreachable, context);
+                self.close_connection(slot, "engine process restarted", Reachability::Unreachable, context);
             }
         }
     }
 
-    /// Drains the engines that are missing from a complete endpoint list: they get no further call.
+    /// Marks the engines that are missing from a complete endpoint list as not ready: they get no further calls.
     pub fn drain_unlisted(&mut self, records: &[EndpointRecord], context: &mut Context) {
         let listed: BTreeSet<u32> = records.iter().map(|record| record.id).collect();
         let mut unlisted = Vec::new();
@@ -105,7 +106,12 @@
     /// Removes an engine and closes its connections.
     pub fn forget(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
-            self.close_connection(slot, "engine removed", Reachability::Unreachable, context);
+            self.close_connection(
+                slot,
+                "engine removed from the endpoint list",
+                Reachability::Unreachable,
+                context,
+            );
         }
         if let Some(entry) = self.engines.remove(&engine) {
             context.counters.count("engines_forgotten");
@@ -117,8 +123,8 @@
         self.engines.get(&engine).map_or_else(Vec::new, |entry| entry.connections.clone())
     }
 
-    /// Ends the attempts at an engine of whose calls no byte was written: those that wait for a connection's output,
-    /// and those at the front of that output.
+    /// Ends the attempts at an engine whose calls were not written, not even in part: calls that are not part of a
+    /// connection's output yet, and a call at the front of that output.
     fn end_unsent_attempts(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
             let Some(connection) = self.connections.get(slot) else { continue };
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of a pool's state. The model checker recognizes states by them that it has already visited.
+//! Fingerprints of a pool's state, by which the model checker recognizes states that it has already visited.
 
 use super::EnginePool;
 use super::attempt::Attempt;
@@ -8,7 +8,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Converts times to microseconds relative to `now`.
+/// Converts times to signed microseconds relative to `now`.
 struct RelativeTime {
     now: Duration,
 }
--- a/crates/router/src/engine_pool/health_check.rs
+++ b/crates/router/src/engine_pool/health_check.rs
@@ -1,4 +1,5 @@
-//! Health checks of connections: each must be established in time, and its engine must keep answering.
+//! Health checks of connections: closes connections that are not established in time, and connections to engines that
+//! no longer answer.
 
 use super::EnginePool;
 use super::attempt::Attempt;
@@ -9,18 +10,18 @@
 use crate::timers::Timer;
 use std::time::Duration;
 
-/// The id of a health check's ping. No request has it.
+/// The id of a health check's ping. It differs from every request's name, which has 16 digits.
 const HEALTH_CHECK_ID: &str = "0";
-/// Time without a reply after which a connection in use is checked, in connect timeouts.
-const INACTIVITY_CONNECT_TIMEOUTS: u32 = 2;
+/// Ratio of the inactivity timeout to the connect timeout.
+const INACTIVITY_TIMEOUT_RATIO: u32 = 2;
 
 impl EnginePool {
-    /// Time without a reply after which a connection in use is checked.
+    /// Returns the time without a reply after which a connection in use gets a health check.
     pub(super) fn inactivity_timeout(&self) -> Duration {
-        self.connect_timeout * INACTIVITY_CONNECT_TIMEOUTS
+        self.connect_timeout * INACTIVITY_TIMEOUT_RATIO
     }
 
-    /// Starts a health check: no call is written until the connection's engine has answered.
+    /// Starts a health check of a connection: no call is written to it until its engine has answered.
     pub(super) fn send_ping(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.output.push(&EngineCommand::Ping { id: HEALTH_CHECK_ID }.encode());
@@ -29,7 +30,7 @@
         self.schedule_check(slot, context.now() + self.connect_timeout, context);
     }
 
-    /// Sets the time of a connection's next check.
+    /// Sets the time of a connection's next check, in place of the one set before.
     pub(super) fn schedule_check(&mut self, slot: Slot, due: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if let Some(earlier) = connection.check_due.replace(due) {
@@ -38,9 +39,9 @@
         context.timers.set(due, Timer::Connection(slot));
     }
 
-    /// Checks a connection whose check is due. Closes it if it was not established in time, or if its engine has not
-    /// answered a health check or acknowledged a cancellation in time. The caller reads the connection first, so that
-    /// replies that have arrived in time count.
+    /// Checks a connection whose check is due. Closes the connection if it was not established in time, or if its
+    /// engine did not answer a health check or acknowledge a cancellation in time. The caller reads the connection
+    /// first, so that replies that arrived in time count.
     pub fn connection_check_due(&mut self, slot: Slot, now: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.check_due.is_none_or(|due| due > now) {
@@ -52,14 +53,16 @@
         let last_reply_at = connection.last_reply_at;
         if state == ConnectionState::Connecting {
             context.counters.count("connections_not_up_in_time");
-            self.close_connection(slot, "not established in time", Reachability::Unreachable, context);
+            let reason = "not established within the connect timeout";
+            self.close_connection(slot, reason, Reachability::Unreachable, context);
             return;
         }
         let acknowledgement_due = self.acknowledgement_due(slot);
         let is_acknowledgement_overdue = acknowledgement_due.is_some_and(|due| due <= now);
         if state == ConnectionState::HealthCheck || is_acknowledgement_overdue {
             context.counters.count("connections_silent");
-            self.close_connection(slot, "engine does not answer", Reachability::Reachable, context);
+            let reason = "no answer to a ping within the connect timeout";
+            self.close_connection(slot, reason, Reachability::Reachable, context);
             return;
         }
         if is_idle {
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Returns the time at which the first of a connection's cancelled attempts must have been acknowledged.
+    /// Returns the time by which the engine must acknowledge the first pending cancellation on a connection; `None` if
+    /// no cancellation is pending.
     fn acknowledgement_due(&self, slot: Slot) -> Option<Duration> {
         let connection = self.connections.get(slot)?;
         let attempts = connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt));
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -1,5 +1,6 @@
-//! The messages between the router and engines, as RESP arrays.
+//! The messages between the router and engines: encodes commands and decodes replies, both of which are RESP arrays.
 
+use super::result_pages::MAX_RESULT_BYTES;
 use crate::clock::whole_ms;
 use crate::resp::{self, RespError};
 use emberflow::{LoadReport, ProgressUpdate, Usage};
@@ -8,26 +9,27 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Number of pages of the largest result.
+/// Limit of the number of pages of a result.
 const MAX_PAGES: usize = 256;
 /// The smallest memory grant that is sent to an engine, in MB.
 const MIN_GRANT_MB: f64 = 1.0;
-/// Separators between the fields of a reply, and between a field's name and value.
+/// The separator between the fields of a reply, and the separator between a field's name and its value.
 const FIELD_SEPARATORS: (char, char) = (',', '=');
 /// The same separators within a load report.
 const LOAD_SEPARATORS: (char, char) = (';', ':');
-/// Values of a `stall` report: the engine lacks memory for the attempt, or other load delays it.
+/// Value of a `stall` report if the engine lacks memory for the attempt.
 const STALLED_FOR_MEMORY: f64 = 1.0;
+/// Value of a `stall` report if other load on the engine delays the attempt.
 const STALLED_FOR_LOAD: f64 = 2.0;
 
-/// A malformed reply of an engine. The router closes the connection.
+/// An error in a reply of an engine. The router logs the error and closes the connection.
 #[derive(Debug, Error)]
 pub enum EngineProtocolError {
     /// The bytes are not a RESP array.
-    #[error("decoding a reply: {0}")]
+    #[error("engine reply is not a valid RESP array: {0}")]
     Resp(#[from] RespError),
     /// The id, the type or the fields of a reply are not UTF-8.
-    #[error("decoding the {part} of a reply: {source}")]
+    #[error("{part} of an engine reply is not UTF-8: {source}")]
     NotUtf8 {
         /// Name of the part: `id`, `type` or `fields`.
         part: &'static str,
@@ -35,43 +37,43 @@
         source: Utf8Error,
     },
     /// A reply to an attempt in flight has this type, which the protocol does not define.
-    #[error("reply of unknown type `{0}`")]
+    #[error("engine reply has the unknown type `{0}`")]
     UnknownReply(String),
     /// A numeric field of a reply or a load report is not a finite number.
-    #[error("field `{name}` is not a number: {value}")]
+    #[error("field `{name}` of an engine reply is not a finite number: `{value}`")]
     NotANumber {
         /// Name of the field on the wire.
         name: String,
-        /// The text in place of a number.
+        /// The value that was received.
         value: String,
     },
     /// A result has this number of pages, which is below 1 or above the limit.
-    #[error("result of {0} pages")]
+    #[error("result has {0} pages, expected 1 to {max}", max = MAX_PAGES)]
     PageCount(f64),
-    /// A further page of a result does not carry its index.
-    #[error("page without its number")]
+    /// A further page of a result does not carry its number.
+    #[error("result page has no field `page` with its number")]
     NoPageNumber,
-    /// A progress report has an unknown kind, or no valid figure for its kind.
-    #[error("unknown progress report: detail={detail:?} value={value:?}")]
+    /// A progress report has an unknown kind, or no valid value for its kind.
+    #[error("progress report has an unknown kind or value: detail={detail:?} v={value:?}")]
     UnknownProgress {
         /// The kind of the report (`detail`).
         detail: Option<String>,
-        /// The figure of the report (`v`).
+        /// The value of the report (`v`).
         value: Option<f64>,
     },
     /// A page is not UTF-8, ends within a row, or has a row without exactly three columns.
-    #[error("page that is not made of complete rows of three columns")]
+    #[error("result page is not UTF-8 text in complete rows of three columns")]
     MalformedRows,
-    /// All pages of a result have this number of bytes together, which exceeds the limit.
-    #[error("result of {0} bytes")]
+    /// The pages of a result have this number of bytes in total, which exceeds the limit.
+    #[error("result has {0} bytes, more than the limit of {max}", max = MAX_RESULT_BYTES)]
     ResultTooLarge(usize),
 }
 
-/// A message to an engine. Engines know an attempt by the id of its request.
+/// A message to an engine. Its `id` is the name of the attempt's request, or the id of a health check.
 pub(super) enum EngineCommand<'a> {
     /// Runs a statement.
     Run(RunCommand<'a>),
-    /// Requests a further page of a result.
+    /// Requests a further page of a result; the first page has the number 0.
     Page { id: &'a str, page: usize },
     /// Changes the priority of a running statement.
     Priority { id: &'a str, priority: u8 },
@@ -84,7 +86,7 @@
 }
 
 impl EngineCommand<'_> {
-    /// Encodes the message.
+    /// Encodes the message as a RESP array.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             Self::Run(run) => resp::encode_array(&[
@@ -114,7 +116,7 @@
     /// Time until the deadline; at least 1 ms is sent.
     pub time_left: Duration,
     pub idempotency_key: Option<&'a str>,
-    /// Memory that the statement may use. A grant below 1 MB is not sent.
+    /// Memory that the statement may use, in MB. A grant below 1 MB is not sent.
     pub grant_mb: f64,
     pub priority: u8,
     pub statement: &'a [u8],
@@ -144,13 +146,13 @@
     Page,
     /// A report of an attempt's progress.
     Progress,
-    /// The engine has shed the attempt, or its deadline had passed before it ran.
+    /// The engine did not run the attempt, because it was overloaded or because the attempt's deadline had passed.
     Overloaded,
     /// The statement has failed.
     Failed,
     /// The answer to a ping.
     Pong,
-    /// An unknown type. It is an error only in a reply to an attempt in flight.
+    /// A type that the protocol does not define. It is an error only in a reply to an attempt in flight.
     Unknown(String),
 }
 
@@ -168,10 +170,10 @@
     }
 }
 
-/// A message from an engine. Its fields are decoded on access, so that malformed fields of an ignored reply are no
+/// A message from an engine. The fields are decoded on access, so that malformed fields of an ignored reply cause no
 /// error.
 pub(super) struct EngineReply {
-    /// The id of the request, or of a health check.
+    /// The name of the attempt's request, or the id of a health check.
     pub id: String,
     pub kind: ReplyKind,
     pub fields: ReplyFields,
@@ -179,10 +181,11 @@
 }
 
 impl EngineReply {
-    /// Decodes the first reply in `bytes` and returns it with its length. Returns `None` until it is complete.
+    /// Decodes the first reply in `bytes`, and returns it with its encoded length in bytes. Returns `None` until the
+    /// reply is complete.
     pub fn decode(bytes: &[u8]) -> Result<Option<(Self, usize)>, EngineProtocolError> {
         let Some(array) = resp::parse_array(bytes)? else { return Ok(None) };
-        // A missing part counts as empty.
+        // A reply may omit parts at its end; they count as empty.
         let mut parts = array.parts.iter().copied();
         let mut next_part = || parts.next().unwrap_or_default();
         let id = decode_text(next_part(), "id")?;
@@ -203,26 +206,26 @@
 
 impl ReplyFields {
     fn text(&self, name: &str) -> Option<&str> {
-        resp::field(&self.0, name, FIELD_SEPARATORS)
+        resp::field_value(&self.0, name, FIELD_SEPARATORS)
     }
 
-    /// Decodes a number. A negative number counts as 0.
+    /// Decodes a numeric field; `None` if the reply does not have it. A negative number counts as 0.
     fn number(&self, name: &str) -> Result<Option<f64>, EngineProtocolError> {
         let number = self.text(name).map(|value| parse_number(name, value)).transpose()?;
         Ok(number.map(|number| number.max(0.0)))
     }
 
-    /// Decodes the load report that the reply carries.
+    /// Decodes the load report, if the reply carries one.
     pub fn load_report(&self) -> Result<Option<LoadReport>, EngineProtocolError> {
         self.text("use").map(parse_load_report).transpose()
     }
 
-    /// Whether a result has further pages.
+    /// Whether the result has further pages.
     pub fn has_further_pages(&self) -> Result<bool, EngineProtocolError> {
         Ok(self.number("pages")?.is_some_and(|pages| pages > 1.0))
     }
 
-    /// Decodes the number of pages of a result.
+    /// Decodes the number of pages of a result, which is 1 if the reply does not give it.
     pub fn page_count(&self) -> Result<usize, EngineProtocolError> {
         let pages = self.number("pages")?.unwrap_or(1.0);
         if !(1.0..=MAX_PAGES as f64).contains(&pages) {
@@ -231,13 +234,13 @@
         Ok(pages as usize)
     }
 
-    /// Decodes the number of a further page.
+    /// Decodes the number of a further page of a result.
     pub fn page_number(&self) -> Result<usize, EngineProtocolError> {
         let page = self.number("page")?.ok_or(EngineProtocolError::NoPageNumber)?;
         Ok(page as usize)
     }
 
-    /// Decodes the resources that the engine used for a result, if the reply names both figures.
+    /// Decodes the resources that the engine used for a result, if the reply has both the cost and the memory.
     pub fn usage(&self) -> Result<Option<Usage>, EngineProtocolError> {
         let cost_and_memory = self.number("cost")?.zip(self.number("need")?);
         Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb }))
@@ -260,11 +263,11 @@
     }
 }
 
-/// Decodes a load report, in which a figure may have any of its names.
+/// Decodes a load report. Each of its values may be given under one of several names.
 fn parse_load_report(text: &str) -> Result<LoadReport, EngineProtocolError> {
     build_load_report(|names| {
         for name in names {
-            if let Some(value) = resp::field(text, name, LOAD_SEPARATORS) {
+            if let Some(value) = resp::field_value(text, name, LOAD_SEPARATORS) {
                 return parse_number(name, value).map(Some);
             }
         }
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -1,4 +1,4 @@
-//! Handles replies from engines to attempts.
+//! Reads replies from engines, and applies them to attempts and connections.
 
 use super::attempt::Attempt;
 use super::connection::Reachability;
@@ -12,14 +12,15 @@
 use emberflow::{AttemptOutcome, EngineId, LoadReport};
 use std::io::Read;
 
-/// Bytes read from a connection in one iteration of the event loop.
+/// Limit of the bytes that are read from a connection in one iteration of the event loop.
 const MAX_READ_BYTES_PER_ITERATION: usize = 256 * 1024;
-/// Time within which a reply that has begun to arrive, or the next page of a result, must arrive, in connect timeouts.
-const REPLY_CONNECT_TIMEOUTS: u32 = 2;
+/// Ratio of the reply timeout to the connect timeout. A reply that has begun to arrive must be complete, and the next
+/// page of a result must arrive, within the reply timeout.
+const REPLY_TIMEOUT_RATIO: u32 = 2;
 
 impl EnginePool {
-    /// Reads a bounded number of bytes from a connection and handles all complete replies. Returns whether there may be
-    /// more to read.
+    /// Reads a limited number of bytes from a connection, and handles all complete replies. Returns whether there may
+    /// be more input to read.
     pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
         let engine = connection.engine;
@@ -33,13 +34,13 @@
         match filled {
             Ok(Filled::Drained | Filled::Enough) => {}
             Ok(Filled::Closed) => {
-                self.close_connection(slot, "closed by the engine", Reachability::Reachable, context);
+                self.close_connection(slot, "engine closed the connection", Reachability::Reachable, context);
             }
             Err(ref error) => {
                 self.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
             }
         }
-        self.expect_complete_reply(slot, context);
+        self.schedule_reply_timeout(slot, context);
         matches!(filled, Ok(Filled::Enough)) && self.connections.get(slot).is_some()
     }
 
@@ -50,22 +51,27 @@
         );
     }
 
-    /// Sets the time by which a reply that has begun to arrive must be complete.
-    fn expect_complete_reply(&mut self, slot: Slot, context: &mut Context) {
+    /// Sets the reply timeout if a reply has begun to arrive.
+    fn schedule_reply_timeout(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.reply_due.is_none() && !connection.input.is_empty() {
-            let due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
+            let due = context.now() + self.connect_timeout * REPLY_TIMEOUT_RATIO;
             connection.reply_due = Some(due);
             context.timers.set(due, Timer::AnswerComplete(slot));
         }
     }
 
-    /// Closes a connection on which a reply was not completed in time, since no other reply can follow it.
+    /// Closes a connection whose reply timeout has expired. No other reply can arrive behind an incomplete one.
     pub fn reply_overdue(&mut self, slot: Slot, context: &mut Context) {
         let due = self.connections.get(slot).and_then(|connection| connection.reply_due);
         if due.is_some_and(|due| due <= context.now()) {
             context.counters.count("engine_input_cut_short");
-            self.close_connection(slot, "incomplete reply", Reachability::Reachable, context);
+            self.close_connection(
+                slot,
+                "reply incomplete when its timeout expired",
+                Reachability::Reachable,
+                context,
+            );
         }
     }
 
@@ -109,13 +115,13 @@
         }
     }
 
-    /// Returns the attempt on a connection whose request has this id.
+    /// Returns the attempt on a connection whose request has this name.
     fn attempt_named(&self, connection: Slot, id: &str) -> Option<Slot> {
         self.connections.get(connection)?.attempts.get(id).copied()
     }
 
-    /// Ends a cancelled attempt whose engine has acknowledged the cancellation with a pong. The engine has stopped the
-    /// attempt and sends no other reply to it.
+    /// Ends a cancelled attempt after its engine has acknowledged the cancellation with a pong. The engine has stopped
+    /// the attempt, and sends no further reply to it.
     fn cancel_acknowledged(&mut self, attempt: Slot, context: &mut Context) {
         if self.attempts.get(attempt).is_some_and(Attempt::is_cancelled) {
             self.end(attempt, AttemptOutcome::Cancelled, None, context);
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Stores the first page of a result and requests the others. Ignores a second result under the same id.
+    /// Stores the first page of a result, and requests the further pages. Ignores a second result of the same attempt.
     fn handle_result(
         &mut self,
         slot: Slot,
@@ -206,13 +212,13 @@
         Ok(())
     }
 
-    /// Ends an attempt whose pages have all arrived. Otherwise moves the attempt's deadline forward to the time by which
-    /// the next page must arrive.
+    /// Ends an attempt once all pages of its result have arrived. Until then, limits the attempt's deadline to the time
+    /// by which the next page must arrive.
     fn complete_result(&mut self, slot: Slot, context: &mut Context) -> Result<(), EngineProtocolError> {
         let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
         let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if !result.is_complete() {
-            let page_due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
+            let page_due = context.now() + self.connect_timeout * REPLY_TIMEOUT_RATIO;
             context.timers.clear(attempt.deadline, Timer::Attempt(slot));
             attempt.deadline = attempt.deadline.min(page_due);
             context.timers.set(attempt.deadline, Timer::Attempt(slot));
@@ -224,8 +230,8 @@
     }
 }
 
-/// Whether a reply to a cancelled attempt is ignored. A complete result that was sent before the engine read the
-/// cancellation counts.
+/// Whether a reply to a cancelled attempt is ignored. A result in a single page is used, since the engine sent it
+/// before it read the cancellation.
 fn is_ignored_after_cancel(kind: &ReplyKind, fields: &ReplyFields) -> Result<bool, EngineProtocolError> {
     match kind {
         ReplyKind::Progress => Ok(true),
--- a/crates/router/src/engine_pool/result_pages.rs
+++ b/crates/router/src/engine_pool/result_pages.rs
@@ -1,11 +1,11 @@
-//! The pages of a result while they arrive.
+//! Collects the pages of a result.
 
 use super::messages::EngineProtocolError;
 use crate::resp;
 use emberflow::{LoadReport, Usage};
 
-/// Size of the largest result.
-const MAX_RESULT_BYTES: usize = 48_000;
+/// Limit of the size of a result, all pages together.
+pub(super) const MAX_RESULT_BYTES: usize = 48_000;
 
 /// A result whose first page has arrived.
 #[derive(Clone)]
@@ -28,7 +28,7 @@
         Self { pages, usage, load_report }
     }
 
-    /// Adds a page. Returns whether the page was missing.
+    /// Adds the page with a number. Returns false if that page has arrived before, or if the result has no such page.
     pub fn add(&mut self, page: usize, body: Vec<u8>) -> bool {
         match self.pages.get_mut(page) {
             Some(missing @ None) => {
@@ -47,10 +47,11 @@
     /// Takes the pages out and concatenates them.
     ///
     /// # Errors
-    /// A page that is not made of complete rows, or a result that is too large, is never forwarded to a client.
+    /// Fails if a page is not made of complete rows, or if the result is too large. Such a result must never be
+    /// forwarded to a client.
     pub fn take_body(&mut self) -> Result<Vec<u8>, EngineProtocolError> {
         let pages: Vec<Vec<u8>> = std::mem::take(&mut self.pages).into_iter().flatten().collect();
-        if !pages.iter().all(|page| resp::holds_rows(page)) {
+        if !pages.iter().all(|page| resp::has_complete_rows(page)) {
             return Err(EngineProtocolError::MalformedRows);
         }
         let body = pages.concat();
@@ -60,7 +61,7 @@
         Ok(body)
     }
 
-    /// Returns the pages that have arrived, for fingerprints.
+    /// Returns the pages, for fingerprints; `None` in place of a page that has not arrived.
     pub fn pages(&self) -> &[Option<Vec<u8>>] {
         &self.pages
     }
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -1,5 +1,5 @@
-//! The order of writes on each connection. A call joins a connection's output only once all earlier output was
-//! written, so that a waiting call can still be retracted.
+//! Writes calls and other messages to connections. A call becomes part of a connection's output only after all earlier
+//! output was written, so that a waiting call can still be retracted.
 
 use super::EnginePool;
 use crate::context::Context;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl EnginePool {
-    /// Adds an attempt to a connection. The call waits there until it can be written.
+    /// Assigns an attempt to a connection, where its call waits until it can be written.
     pub(super) fn enqueue_call(&mut self, attempt_slot: Slot, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(connection) = self.connections.get_mut(slot) else { return };
@@ -21,8 +21,8 @@
             context.timers.clear(due, Timer::ConnectionIdle(slot));
         }
         connection.waiting.push(attempt_slot);
-        // The machine at the other end of an inactive connection may have failed without closing it, so the engine has
-        // to answer a health check before the connection is used.
+        // The engine's host may have failed without closing the connection. Therefore the engine must answer a health
+        // check before a connection is used that was inactive.
         let is_inactive = context.now() > connection.last_reply_at + self.connect_timeout;
         if connection.accepts_calls() && is_inactive {
             self.send_ping(slot, context);
@@ -43,15 +43,15 @@
         }
     }
 
-    /// Returns the requests on a connection whose calls have not been written.
+    /// Returns the requests whose calls on a connection have not been written completely.
     pub fn requests_of_unwritten_calls(&self, slot: Slot) -> Vec<RequestId> {
         let Some(connection) = self.connections.get(slot) else { return Vec::new() };
         let attempts = connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt));
         attempts.filter(|attempt| attempt.call.is_some()).map(|attempt| attempt.request).collect()
     }
 
-    /// Moves the next waiting call that may be written into a connection's output, once all earlier output was
-    /// written. Returns whether there was such a call.
+    /// Adds the next waiting call that may be written to a connection's output, if all earlier output was written.
+    /// Returns whether a call was added.
     fn start_next_call(&mut self, slot: Slot, context: &mut Context) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return false };
@@ -98,19 +98,20 @@
         attempt.call_offset = Some(connection.output.end());
         connection.output.push(&bytes);
         log::debug!(
-            "call queued: request={} attempt={} connection={slot:?} engine={}",
+            "call added to connection output: request={} attempt={} connection={slot:?} engine={}",
             attempt.request,
             attempt.number,
             attempt.engine
         );
     }
 
-    /// Takes a call of which no byte was written out of a connection's output, so that it is encoded again with the
-    /// time left by then. Such a call can only be at the front of the output.
+    /// Moves a call back from a connection's output to the waiting calls if no byte of the call was written, so that
+    /// the call is encoded again with the time left when it is written. Only the call at the front of the output can be
+    /// such a call.
     fn requeue_unwritten_call(&mut self, slot: Slot) {
-        let Some(carrier) = self.connections.get(slot) else { return };
-        let carried: Vec<Slot> = carrier.attempts.values().copied().collect();
-        let retracted = carried.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
+        let Some(connection) = self.connections.get(slot) else { return };
+        let attempts: Vec<Slot> = connection.attempts.values().copied().collect();
+        let retracted = attempts.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
         if let Some(attempt) = retracted
             && let Some(connection) = self.connections.get_mut(slot)
         {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Writes a connection's output and its waiting calls, until the socket accepts no more.
+    /// Writes a connection's output and its waiting calls until the socket accepts no more bytes.
     ///
     /// # Errors
     /// Returns the error of a socket that has failed.
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -1,4 +1,5 @@
-//! The messages between clients and the router: JSON-RPC 2.0, one message per line.
+//! The messages between clients and the router: JSON-RPC 2.0, one message per line. The texts of errors are sent to
+//! clients, so they must not change.
 
 use crate::clock::whole_ms;
 use base64::Engine;
@@ -10,11 +11,13 @@
 use std::error::Error as StdError;
 use thiserror::Error;
 
+/// The version of JSON-RPC, which each message carries.
 const VERSION: &str = "2.0";
 /// The method of a status request.
 pub const STATUS_METHOD: &str = "status";
 /// The method of a cancellation.
 pub const CANCEL_METHOD: &str = "withdraw";
+/// The method of a notification that informs a client of the estimated wait of its request.
 const WAITING_METHOD: &str = "waiting";
 
 /// The code of an error response. The protocol adds `Rejected` and `Failed` to the codes of JSON-RPC.
@@ -25,11 +28,11 @@
     /// The message is not a valid JSON-RPC request, conflicts with an open request, or exceeds the limit of its
     /// connection.
     InvalidRequest,
-    /// The method is not a request class of the settings.
+    /// The method is neither a request class of the settings nor another method of the protocol.
     MethodNotFound,
     /// A parameter is missing or invalid.
     InvalidParams,
-    /// The request was not run, so a retry is harmless.
+    /// The request was not run, or is idempotent, so a retry is harmless.
     Rejected,
     /// The request has failed and may have run.
     Failed,
@@ -53,7 +56,7 @@
 #[derive(Debug, Error)]
 #[error("{kind}")]
 pub struct RequestError {
-    /// The message's id, if the error response can carry it.
+    /// The id that the error response carries; `None` if it carries a null id.
     pub id: Option<u64>,
     /// The cause of the error.
     pub kind: RequestErrorKind,
@@ -71,7 +74,7 @@
     }
 }
 
-/// The cause of an error response. Its text is the message of the response.
+/// The cause of an error response. Its text is sent to the client as the message of the response.
 #[derive(Debug, Error)]
 pub enum RequestErrorKind {
     /// The line is not JSON.
@@ -95,13 +98,13 @@
     /// The method is absent or not a string.
     #[error("`method` is not text")]
     Method,
-    /// The settings name no request class like this method.
+    /// No request class of the settings has the name of this method.
     #[error("no method `{0}`")]
     UnknownMethod(String),
-    /// A status request is a notification, so that its answer would have no id.
+    /// The status request has no id, so no answer can be sent.
     #[error("`status` without an id")]
     StatusWithoutId,
-    /// A request is a notification, so that its answer would have no id.
+    /// The request has no id, so no answer can be sent.
     #[error("a task without an id")]
     RequestWithoutId,
     /// An open request on the same connection has the same message id.
@@ -110,16 +113,16 @@
     /// An open request of this or another client has the same name (`req`).
     #[error("`req` is open already")]
     NameOpen,
-    /// The limit of the client's connection is reached.
+    /// The limit of open requests on the client's connection is reached.
     #[error("too many open requests")]
     TooManyOpenOnConnection,
-    /// The limit of the router is reached.
+    /// The router's limit of open requests or of statement bytes is reached.
     #[error("too many tasks are open")]
     TooManyOpen,
     /// The client has shut down its sending side, so it may have disconnected.
     #[error("its client has left")]
     ClientLeft,
-    /// A parameter is missing or invalid; the error names it.
+    /// A parameter is missing or invalid. The text of the error names the parameter.
     #[error("{0}")]
     InvalidParams(#[source] Box<dyn StdError + Send + Sync>),
 }
@@ -153,7 +156,7 @@
 /// A client's message.
 #[derive(Debug)]
 pub struct RpcRequest {
-    /// `None` for a notification.
+    /// The id of the message; `None` for a notification.
     pub id: Option<u64>,
     /// The request class, [`STATUS_METHOD`] or [`CANCEL_METHOD`] in a valid message.
     pub method: String,
@@ -166,27 +169,27 @@
 pub struct Cancellation {
     /// The request's name (`req`); empty if the cancellation does not give it.
     pub name: String,
-    /// The request's id on the client's connection.
+    /// The id of the JSON-RPC message that sent the request, on the same connection.
     pub id: Option<u64>,
 }
 
 impl Cancellation {
-    /// Decodes the parameters of a cancellation. The id of the message counts if the parameters give no id.
+    /// Decodes the parameters of a cancellation. If they give no id, the id of the cancellation's own message is used.
     pub fn decode(message_id: Option<u64>, params: Fields<'_>) -> Self {
         let name = params.text("req").unwrap_or_default().to_owned();
         let id = params.unsigned("id").ok().or(message_id);
         Self { name, id }
     }
 
-    /// Whether the cancellation means the request with this name and message id. The id counts only if the cancellation
-    /// gives no name.
-    pub fn names(&self, name: &str, id: u64) -> bool {
+    /// Whether the cancellation refers to the request with this name and message id. The id is compared only if the
+    /// cancellation gives no name.
+    pub fn matches(&self, name: &str, id: u64) -> bool {
         if self.name.is_empty() { self.id == Some(id) } else { self.name == name }
     }
 
-    /// Decodes a line, if it is a cancellation.
+    /// Decodes a line; `None` if the line is not a cancellation.
     pub fn decode_line(line: &[u8]) -> Option<Self> {
-        // Searching for the method first avoids parsing every line twice.
+        // Most lines are not cancellations. Searching for the method first avoids parsing each of them twice.
         let mentions_method = line.windows(CANCEL_METHOD.len()).any(|part| part == CANCEL_METHOD.as_bytes());
         if !mentions_method {
             return None;
@@ -196,8 +199,8 @@
     }
 }
 
-/// Returns the first line of `bytes`, and its length with the newline. Returns `None` until the line is complete. The
-/// first `scanned` bytes are known to hold no newline.
+/// Returns the first line of `bytes` without its newline, and its length in bytes with the newline. Returns `None`
+/// until the line is complete. The caller knows that the first `scanned` bytes hold no newline.
 pub fn split_line(bytes: &[u8], scanned: usize) -> Option<(&[u8], usize)> {
     let end = scanned + bytes.get(scanned..)?.iter().position(|byte| *byte == b'\n')?;
     Some((&bytes[..end], end + 1))
@@ -229,12 +232,12 @@
     Ok(RpcRequest { id, method, params })
 }
 
-/// Decodes a statement or a result from base64.
+/// Decodes a statement or a result from base64; `None` if the text is not base64.
 pub fn decode_body(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
 
-/// A response with a result. The fields of all messages are declared in their order on the wire.
+/// A response with a result. The fields of all messages are declared in the order in which they are sent.
 #[derive(Serialize)]
 struct ResultResponse {
     jsonrpc: &'static str,
@@ -287,8 +290,8 @@
     place: usize,
 }
 
-/// Encodes the notification of the time for which an open request may still be queued, and of its position in the queue
-/// of its team.
+/// Encodes the notification of the estimated time for which an open request will still be queued, and of the number of
+/// requests of its team that are dispatched earlier.
 pub fn waiting_line(id: u64, wait: &WaitEstimate) -> Vec<u8> {
     let params = WaitingParams {
         id,
@@ -321,7 +324,7 @@
     retry_after_ms: u64,
 }
 
-/// Encodes an error response. `retry_after_ms` is the time after which the client may retry.
+/// Encodes an error response. `retry_after_ms` is the time after which the client should retry; `None` is not sent.
 pub fn error_line(id: Option<u64>, code: ErrorCode, message: &str, retry_after_ms: Option<u64>) -> Vec<u8> {
     let data = retry_after_ms.map(|retry_after_ms| ErrorData { retry_after_ms });
     let error = ErrorObject { code: code.number(), data, message };
@@ -329,7 +332,7 @@
 }
 
 fn encode_line(message: &impl Serialize) -> Vec<u8> {
-    let mut line = serde_json::to_vec(message).expect("a message of numbers and text is valid JSON");
+    let mut line = serde_json::to_vec(message).expect("a message of numbers and text can be encoded as JSON");
     line.push(b'\n');
     line
 }
--- a/crates/router/src/ready_list.rs
+++ b/crates/router/src/ready_list.rs
@@ -8,7 +8,7 @@
 /// The client that is read next.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyClient {
-    /// The client's slot in the table of clients.
+    /// The slot of the client's connection.
     pub slot: Slot,
     /// The earliest time at which the unread input can have arrived.
     pub received_since: Duration,
@@ -25,18 +25,19 @@
 }
 
 impl ReadyList {
-    /// Adds a client. If the client is already on the list, the earlier time is retained.
+    /// Adds a client. If the client is already on the list, the earlier of the two times is kept.
     pub fn add(&mut self, slot: Slot, received_since: Duration) {
         let earliest = self.received_since.entry(slot).or_insert(received_since);
         *earliest = received_since.min(*earliest);
     }
 
-    /// Whether no client has unread input.
+    /// Whether the list is empty, so that no client is known to have unread input.
     pub fn is_empty(&self) -> bool {
         self.received_since.is_empty()
     }
 
-    /// Removes and returns the next client in the order of slots, starting again at the first slot after the last one.
+    /// Removes and returns the next client in the order of slots. The order starts again at the first slot after the
+    /// last.
     pub fn next(&mut self) -> Option<ReadyClient> {
         let (slot, received_since) =
             self.first_after_last_read().or(self.received_since.first_key_value())?;
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -4,36 +4,36 @@
 use emberflow::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The priority of a request until the scheduler sets another.
-const ORDINARY_PRIORITY: u8 = 1;
+/// The priority of a request until the scheduler sets another one.
+const INITIAL_PRIORITY: u8 = 1;
 
 /// An open request.
 #[derive(Clone)]
 pub struct Request {
-    /// The client's connection.
+    /// The slot of the client's connection.
     pub client: Slot,
-    /// The request's id on the client's connection.
+    /// The id of the client's JSON-RPC message. It is unique among the open requests of the client's connection.
     pub client_request_id: u64,
-    /// The name by which engines identify the request.
+    /// The request's name (`req` in the client's message), by which engines identify the request.
     pub name: String,
     /// The index of the request class in the settings.
     pub class: usize,
-    /// The key by which engines recognize a repeated request.
+    /// The key by which engines recognize a repeated request; `None` if the client gave none.
     pub idempotency_key: Option<String>,
-    /// The statement that engines run.
+    /// The statement that engines run, decoded from base64.
     pub statement: Vec<u8>,
-    /// Memory granted to the request, in MB.
+    /// Memory granted to the request, in MB; 0 until the scheduler sets it.
     pub grant_mb: f64,
-    /// The request's priority on an engine.
+    /// The request's priority at an engine; a higher number is served first.
     pub priority: u8,
-    /// The request's attempts, by their number.
+    /// All attempts of the request so far. The index is the attempt's number.
     pub attempts: Vec<Slot>,
     /// Connections on which an engine may still answer an abandoned attempt.
     pub late_connections: Vec<Slot>,
 }
 
 impl Request {
-    /// Returns a request without statement, key and attempts.
+    /// Creates a request without statement, idempotency key and attempts.
     pub fn new(client: Slot, client_request_id: u64, name: &str, class: usize) -> Self {
         Self {
             client,
@@ -43,7 +43,7 @@
             idempotency_key: None,
             statement: Vec::new(),
             grant_mb: 0.0,
-            priority: ORDINARY_PRIORITY,
+            priority: INITIAL_PRIORITY,
             attempts: Vec::new(),
             late_connections: Vec::new(),
         }
@@ -58,17 +58,17 @@
     names: BTreeSet<String>,
     /// The id of the next request.
     pub next_id: RequestId,
-    /// Bytes of all statements.
+    /// Bytes of the statements of all open requests.
     statement_bytes: usize,
 }
 
 impl RequestTable {
-    /// Returns a request if it is open.
+    /// Returns a request, or `None` if it is not open.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.table.get(*self.slots.get(&id)?)
     }
 
-    /// Returns a request for changes if it is open.
+    /// Returns a mutable reference to a request, or `None` if it is not open.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.table.get_mut(*self.slots.get(&id)?)
     }
@@ -83,7 +83,7 @@
         self.table.is_empty()
     }
 
-    /// Returns the bytes of the statements of all open requests.
+    /// Returns the total size of the statements of all open requests, in bytes.
     pub fn statement_bytes(&self) -> usize {
         self.statement_bytes
     }
@@ -106,7 +106,7 @@
         self.next_id = RequestId(self.next_id.0.wrapping_add(1));
     }
 
-    /// Removes and returns a request if it is open.
+    /// Removes and returns a request. Returns `None` if it is not open.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let slot = self.slots.remove(&id)?;
         let request = self.table.take(slot)?;
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -1,45 +1,51 @@
-//! The messages between the router and engines: RESP arrays of bulk strings, and the lists of fields in them.
+//! The encoding of messages between the router and engines: RESP arrays of bulk strings (called parts here), and the
+//! lists of fields in them.
 
 use std::io::Write;
 use thiserror::Error;
 
-/// Limit of the parts of an array.
+/// Limit of the number of parts of an array.
 const MAX_PARTS: usize = 8;
-/// Limit of the bytes of a part.
+/// Limit of the size of a part.
 const MAX_PART_BYTES: usize = 64 * 1024;
-/// Limit of the digits of a length.
+/// Limit of the number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 7;
-/// The bytes behind each length and each part.
+/// The bytes after each length and each part.
 const TERMINATOR: &[u8] = b"\r\n";
-/// Tabs in each row of a result, which has three columns.
+/// Number of tabs in each row of a result. Tabs separate the three columns.
 const TABS_PER_ROW: usize = 2;
 
-/// An error in the encoding of a RESP array.
+/// An error in the encoding of a RESP array. The texts are logged, and are not sent to a peer.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum RespError {
     /// The array announces this number of parts, which exceeds the limit.
-    #[error("array of {0} parts")]
+    #[error("array has {0} parts, more than the limit of {max}", max = MAX_PARTS)]
     TooManyParts(usize),
     /// A part announces this number of bytes, which exceeds the limit.
-    #[error("part of {0} bytes")]
+    #[error("part has {0} bytes, more than the limit of {max}", max = MAX_PART_BYTES)]
     PartTooLong(usize),
-    /// The bytes of a part are not followed by CR LF.
-    #[error("part without its terminator")]
-    UnterminatedPart,
-    /// An array or a bulk string begins with the wrong type byte.
-    #[error("byte {found} in place of `{expected}`")]
+    /// The announced number of bytes of a part is followed by these bytes.
+    #[error("expected CR LF after a part of {length} bytes, found `{}`", .found.escape_ascii())]
+    UnterminatedPart {
+        /// The announced number of bytes.
+        length: usize,
+        /// The bytes in place of CR LF.
+        found: [u8; TERMINATOR.len()],
+    },
+    /// An array or a part begins with the wrong type byte.
+    #[error("expected the type byte `{expected}`, found `{}`", .found.escape_ascii())]
     UnexpectedByte {
-        /// The byte in the input.
+        /// The byte that was received.
         found: u8,
         /// The type byte that the protocol requires.
         expected: char,
     },
-    /// No newline follows within the longest valid length.
-    #[error("length without its terminator")]
+    /// No newline follows within the number of bytes that a length and its terminator can have.
+    #[error("expected at most {max} digits and CR LF as a length, found no newline", max = MAX_LENGTH_DIGITS)]
     UnterminatedLength,
-    /// A length is not made of decimal digits and CR LF.
-    #[error("length that is not a number")]
-    MalformedLength,
+    /// A length is not made of decimal digits and CR LF. The bytes are those before the newline.
+    #[error("expected digits and CR LF as a length, found `{}` before the newline", .0.escape_ascii())]
+    MalformedLength(Vec<u8>),
 }
 
 /// A decoded array.
@@ -52,6 +58,9 @@
 }
 
 /// Decodes the first array in `bytes`. Returns `None` until the array is complete.
+///
+/// # Errors
+/// Fails if the bytes are not the beginning of an array, or if the array exceeds a limit.
 pub fn parse_array(bytes: &[u8]) -> Result<Option<Array<'_>>, RespError> {
     let Some(header) = parse_length(bytes, b'*')? else { return Ok(None) };
     if header.value > MAX_PARTS {
@@ -67,7 +76,8 @@
     Ok(Some(Array { parts, length }))
 }
 
-/// Decodes the bulk string at the front of `bytes`, and returns it with its encoded length in bytes.
+/// Decodes the part at the front of `bytes`, and returns its content with its encoded length in bytes. Returns `None`
+/// until the part is complete.
 fn parse_part(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, RespError> {
     let Some(Length { value, encoded_bytes }) = parse_length(bytes, b'$')? else { return Ok(None) };
     if value > MAX_PART_BYTES {
@@ -75,8 +85,9 @@
     }
     let end = encoded_bytes + value + TERMINATOR.len();
     let Some(part) = bytes.get(encoded_bytes..end) else { return Ok(None) };
-    if &part[value..] != TERMINATOR {
-        return Err(RespError::UnterminatedPart);
+    let terminator = [part[value], part[value + 1]];
+    if terminator != TERMINATOR {
+        return Err(RespError::UnterminatedPart { length: value, found: terminator });
     }
     Ok(Some((&part[..value], end)))
 }
@@ -84,11 +95,12 @@
 /// A decoded length.
 struct Length {
     value: usize,
-    /// Bytes of the length with its type byte and terminator.
+    /// Number of bytes of the encoded length, with its type byte and terminator.
     encoded_bytes: usize,
 }
 
-/// Decodes the length at the front of `bytes`, whose type byte must be `expected`.
+/// Decodes the length at the front of `bytes`, which must begin with the type byte `expected`. Returns `None` until the
+/// length is complete.
 fn parse_length(bytes: &[u8], expected: u8) -> Result<Option<Length>, RespError> {
     let Some(first) = bytes.first() else { return Ok(None) };
     if *first != expected {
@@ -98,11 +110,12 @@
     let max_line_bytes = MAX_LENGTH_DIGITS + TERMINATOR.len();
     let line = &after_type[..after_type.len().min(max_line_bytes)];
     let Some(newline) = line.iter().position(|byte| *byte == b'\n') else {
-        let may_be_complete_later = line.len() < max_line_bytes;
-        return if may_be_complete_later { Ok(None) } else { Err(RespError::UnterminatedLength) };
+        let may_be_incomplete = line.len() < max_line_bytes;
+        return if may_be_incomplete { Ok(None) } else { Err(RespError::UnterminatedLength) };
     };
-    let digits = line[..newline].strip_suffix(b"\r").ok_or(RespError::MalformedLength)?;
-    let value = parse_digits(digits).ok_or(RespError::MalformedLength)?;
+    let malformed = || RespError::MalformedLength(line[..newline].to_vec());
+    let digits = line[..newline].strip_suffix(b"\r").ok_or_else(malformed)?;
+    let value = parse_digits(digits).ok_or_else(malformed)?;
     let line_bytes = newline + 1;
     Ok(Some(Length { value, encoded_bytes: 1 + line_bytes }))
 }
@@ -115,28 +128,28 @@
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-/// Whether a page is made of complete rows of text with three columns, as every page of a result must be.
-pub fn holds_rows(page: &[u8]) -> bool {
+/// Whether a page is UTF-8 text in complete rows of three columns, as every page of a result must be.
+pub fn has_complete_rows(page: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(page) else { return false };
     let has_all_columns = |row: &str| row.matches('\t').count() == TABS_PER_ROW;
     text.is_empty() || text.strip_suffix('\n').is_some_and(|rows| rows.split('\n').all(has_all_columns))
 }
 
-/// Encodes an array.
+/// Encodes an array of bulk strings.
 pub fn encode_array(parts: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write!(bytes, "*{}\r\n", parts.len()).expect("writing to memory never fails");
+    write!(bytes, "*{}\r\n", parts.len()).expect("writing to a Vec never fails");
     for part in parts {
-        write!(bytes, "${}\r\n", part.len()).expect("writing to memory never fails");
+        write!(bytes, "${}\r\n", part.len()).expect("writing to a Vec never fails");
         bytes.extend_from_slice(part);
         bytes.extend_from_slice(TERMINATOR);
     }
     bytes
 }
 
-/// Returns the value of a field in a list such as `name=value,name=value`. `separators` are the separator between
-/// fields, and the separator between a field's name and value.
-pub fn field<'a>(fields: &'a str, name: &str, separators: (char, char)) -> Option<&'a str> {
+/// Returns the value of a field in a list such as `name=value,name=value`; `None` if the list does not have the field.
+/// `separators` are the separator between fields, and the separator between a field's name and value.
+pub fn field_value<'a>(fields: &'a str, name: &str, separators: (char, char)) -> Option<&'a str> {
     let (field_separator, value_separator) = separators;
     let mut pairs = fields.split(field_separator).filter_map(|field| field.split_once(value_separator));
     pairs.find(|(field, _)| *field == name).map(|(_, value)| value)
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -1,22 +1,23 @@
-//! A buffer for one direction of a connection.
+//! A byte buffer for one direction of a connection, with offsets into the stream of all bytes.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Result, Write};
 
-/// Limit of the bytes read from a socket in one call.
+/// Limit of the bytes read from a socket by one system call.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Limit of the capacity that an empty buffer retains. A router has many buffers, and each may grow for a large answer.
+/// Limit of the capacity that an empty buffer retains. Each of the router's many buffers may grow for a large answer,
+/// and would otherwise keep that memory.
 const MAX_EMPTY_CAPACITY: usize = 4 * 1024;
 
-/// A queue of bytes: received and not yet consumed, or not yet sent.
+/// A queue of bytes that were received and not yet consumed, or that are not sent yet.
 #[derive(Clone, Default)]
 pub struct Ring {
     bytes: VecDeque<u8>,
-    /// Number of all bytes consumed or sent.
+    /// Number of bytes that were consumed or sent so far.
     passed: u64,
 }
 
-/// How reading into a buffer ended.
+/// Why reading into a buffer ended.
 #[derive(Debug, PartialEq)]
 pub enum Filled {
     /// The socket has no more input at present.
@@ -48,17 +49,17 @@
         self.passed
     }
 
-    /// Appends bytes.
+    /// Appends bytes to the end of the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend(bytes);
     }
 
-    /// Returns all bytes in the buffer.
+    /// Returns all bytes in the buffer as one slice.
     pub fn readable(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
-    /// Removes bytes from the front that were handled or sent.
+    /// Removes bytes from the front that were handled or sent, and advances the offset of the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
         self.passed += count as u64;
@@ -67,12 +68,15 @@
         }
     }
 
-    /// Removes bytes from the front that are not to be sent. They do not advance the offsets.
+    /// Removes bytes from the front that must not be sent. The offset of the front stays the same.
     pub fn cut(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
 
-    /// Reads until the socket has no more input or the buffer holds `max_bytes`.
+    /// Reads until the socket has no more input, or until the buffer holds `max_bytes`.
+    ///
+    /// # Errors
+    /// Returns the error of a socket that has failed. The bytes that were read before stay in the buffer.
     pub fn fill(&mut self, from: &mut impl Read, max_bytes: usize) -> Result<Filled> {
         let mut chunk = [0; CHUNK_BYTES];
         while self.bytes.len() < max_bytes {
@@ -88,7 +92,10 @@
         Ok(Filled::Enough)
     }
 
-    /// Writes until the buffer is empty or the socket accepts no more.
+    /// Writes until the buffer is empty, or until the socket accepts no more bytes.
+    ///
+    /// # Errors
+    /// Returns the error of a socket that has failed.
     pub fn drain(&mut self, to: &mut impl Write) -> Result<()> {
         while !self.bytes.is_empty() {
             match to.write(self.bytes.as_slices().0) {
--- a/crates/router/src/slots.rs
+++ b/crates/router/src/slots.rs
@@ -1,7 +1,7 @@
-//! A table whose rows are addressed by slots. The index of a removed row is reused; the serial number of a slot
-//! distinguishes its row from earlier and later rows at the same index.
+//! A table (slot map) whose rows are addressed by slots. The index of a removed row is reused. The serial number of a
+//! slot distinguishes its row from earlier and later rows at the same index.
 
-/// The address of a row. After the row is removed, the slot never becomes valid again.
+/// The address of a row. After the row was removed, the slot never becomes valid again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot {
     index: usize,
@@ -25,7 +25,7 @@
 #[derive(Clone)]
 pub struct Slots<T> {
     rows: Vec<Option<Row<T>>>,
-    /// Indices without a row; the last is reused first.
+    /// Indices without a row. The last one is reused first.
     free: Vec<usize>,
     next_serial: u64,
 }
@@ -37,7 +37,7 @@
 }
 
 impl<T> Slots<T> {
-    /// Returns the slot of the row that is inserted next.
+    /// Returns the slot that the next inserted row will have.
     pub fn next(&self) -> Slot {
         let index = self.free.last().copied().unwrap_or(self.rows.len());
         Slot { index, serial: self.next_serial }
@@ -55,26 +55,26 @@
         slot
     }
 
-    /// Returns the row of a slot, unless it was removed.
+    /// Returns the row of a slot; `None` if it was removed.
     pub fn get(&self, slot: Slot) -> Option<&T> {
         let row = self.rows.get(slot.index)?.as_ref()?;
         (row.serial == slot.serial).then_some(&row.value)
     }
 
-    /// Returns the row of a slot for changes, unless it was removed.
+    /// Returns a mutable reference to the row of a slot; `None` if the row was removed.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut T> {
         let row = self.rows.get_mut(slot.index)?.as_mut()?;
         (row.serial == slot.serial).then_some(&mut row.value)
     }
 
-    /// Removes and returns a row.
+    /// Removes and returns a row. Returns `None` if it was removed before.
     pub fn take(&mut self, slot: Slot) -> Option<T> {
         self.get(slot)?;
         self.free.push(slot.index);
         self.rows[slot.index].take().map(|row| row.value)
     }
 
-    /// Returns the number of rows before the row of a slot, in the order of [`Self::iter`].
+    /// Returns the position of a slot's row in [`Self::iter`], from 0; `None` if the row was removed.
     pub fn index_of(&self, slot: Slot) -> Option<usize> {
         self.iter().position(|(other, _)| other == slot)
     }
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A connection's socket and its registration with the event loop. Dropping it ends the registration.
+/// A connection's socket and its registration with the event loop. The registration ends when this value is dropped.
 pub struct RegisteredSocket<T: 'static> {
     /// The socket, shared with its event source.
     pub socket: Rc<TcpStream>,
@@ -23,7 +23,8 @@
     }
 }
 
-/// Returns the time since the last bytes of a connection arrived, as the kernel reports it; zero if it is unknown.
+/// Returns the time since the last bytes of a connection arrived, as the kernel reports it in milliseconds; zero if the
+/// time is unknown.
 pub fn time_since_last_arrival(socket: &TcpStream) -> Duration {
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
@@ -38,8 +39,8 @@
     if is_known { Duration::from_millis(info.tcpi_last_data_recv.into()) } else { Duration::ZERO }
 }
 
-/// Opens a listening socket. A backlog shorter than the limit of connections would drop connections under load, and
-/// their clients would retry only after a second or more.
+/// Opens a non-blocking listening socket. `backlog` should be the limit of connections: with a shorter backlog, the
+/// kernel would drop connections under load, and their clients would retry only after a second or more.
 ///
 /// # Errors
 /// Returns the error of the first system call that fails.
@@ -52,7 +53,8 @@
 }
 
 impl<T> RegisteredSocket<T> {
-    /// Registers a socket. The loop calls `on_ready` whenever the socket becomes readable or writable.
+    /// Makes a socket non-blocking and registers it with the event loop. The loop calls `on_ready` whenever the socket
+    /// becomes readable or writable.
     ///
     /// # Errors
     /// Fails if the socket cannot be configured or registered.
@@ -75,7 +77,7 @@
         Ok(Self { socket, token, loop_handle: loop_handle.clone() })
     }
 
-    /// Begins to connect to an address. The connection is established once its socket is writable.
+    /// Begins to connect to an address. `on_ready` is called once the connection is established or has failed.
     ///
     /// # Errors
     /// Fails if the socket cannot be opened or registered, or if connecting fails at once.
@@ -97,7 +99,7 @@
     /// Whether a dialled connection is established.
     ///
     /// # Errors
-    /// Fails if connecting has failed.
+    /// Returns the error if connecting has failed.
     pub fn is_established(&self) -> io::Result<bool> {
         if let Some(error) = self.socket.take_error()? {
             return Err(error);
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -1,4 +1,5 @@
-//! Finds the table group that a statement uses: the number after the underscore in the name of a schema.
+//! Finds the table group that an SQL statement uses: the number after the last underscore in the name of a table's
+//! schema, for example 17 in `sales_17.orders`.
 
 /// Keywords that are followed by the name of a table.
 const TABLE_KEYWORDS: [&[u8]; 8] =
@@ -11,9 +12,9 @@
 const BLOCK_COMMENT_START: &[u8] = b"/*";
 const BLOCK_COMMENT_END: &[u8] = b"*/";
 
-/// Returns the group of the first table whose schema has a number. Schemas without a number, such as `staging`, are
-/// skipped, as are comments and string literals. Other names with a dot, such as the columns of an alias, count only if
-/// no table is named after a keyword or in the list of a `FROM` clause.
+/// Returns the group of the first table whose schema has a number; `None` if there is none. Schemas without a number,
+/// such as `staging`, comments and string literals are skipped. Other names with a dot, such as the columns of an
+/// alias, are used only if the statement has no table with a schema after a keyword or in the list of a `FROM` clause.
 pub fn table_group(statement: &str) -> Option<u64> {
     let mut scanner = Scanner::default();
     let mut rest = statement.as_bytes();
@@ -39,25 +40,27 @@
     Other(u8),
 }
 
-/// The first name of a qualified name such as `schema.table.column`.
+/// The first part of a qualified name such as `schema.table.column`.
 struct FirstName<'a> {
     text: &'a [u8],
-    /// Whether the name is in a position where a table is named.
+    /// Whether the name is at a position where a statement names a table.
     is_table: bool,
 }
 
 /// The state of the scan after each token of a statement.
 #[derive(Default)]
 struct Scanner<'a> {
-    /// The first name of a qualified name, if a dot may follow.
+    /// The last name, if a dot may follow and make it the first part of a qualified name.
     first_name: Option<FirstName<'a>>,
+    /// Whether the next name follows a dot.
     follows_dot: bool,
+    /// Whether the next name is that of a table.
     expects_table: bool,
-    /// Whether the token is in a `FROM` clause, in which each comma is followed by a table.
+    /// Whether the scan is in a `FROM` clause, in which a table follows each comma.
     in_from_clause: bool,
-    /// Whether a table with a qualified name was found.
+    /// Whether the qualified name of a table was found, whose schema has no number.
     has_table: bool,
-    /// The first group of a qualified name that is not known to be the name of a table.
+    /// The first number in a qualified name that may not be the name of a table.
     other_group: Option<u64>,
 }
 
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Returns the group of a statement that names no table with a schema.
+    /// Returns the group of a statement in which no table has a schema.
     fn group_without_table(&self) -> Option<u64> {
         self.other_group.filter(|_| !self.has_table)
     }
@@ -139,7 +142,7 @@
     (token, rest)
 }
 
-/// Returns the number of bytes before the first that satisfies `is_end`.
+/// Returns the number of bytes before the first byte that satisfies `is_end`, or the length of `bytes`.
 fn length_before(bytes: &[u8], is_end: impl Fn(u8) -> bool) -> usize {
     bytes.iter().position(|byte| is_end(*byte)).unwrap_or(bytes.len())
 }
@@ -148,7 +151,8 @@
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || byte >= 0x80
 }
 
-/// Returns the length of the quoted text at the front of `bytes`, in which a doubled quote is an escaped quote.
+/// Returns the length of the quoted text at the front of `bytes`, with its quotes. A doubled quote in the text is an
+/// escaped quote. The text extends to the end of `bytes` if it has no closing quote.
 fn quoted_length(bytes: &[u8], quote: u8) -> usize {
     let escaped_quote = [quote, quote];
     let mut at = 1;
@@ -164,7 +168,8 @@
     bytes.len()
 }
 
-/// Returns the length of the block comment at the front of `bytes`. Comments may be nested.
+/// Returns the length of the block comment at the front of `bytes`. Comments may be nested. The comment extends to the
+/// end of `bytes` if it is not closed.
 fn block_comment_length(bytes: &[u8]) -> usize {
     let mut depth = 0;
     let mut at = 0;
@@ -185,7 +190,7 @@
     bytes.len()
 }
 
-/// Returns the number after the last underscore in the name of a schema.
+/// Returns the number after the last underscore in the name of a schema; `None` if the name has no such number.
 fn schema_number(schema: &[u8]) -> Option<u64> {
     let (name, digits) = std::str::from_utf8(schema).ok()?.rsplit_once('_')?;
     let is_number = digits.bytes().all(|byte| byte.is_ascii_digit());
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Codecs: messages are decoded alike however their bytes are split, and malformed input is rejected.
+//! Tests of the codecs: the decoded messages do not depend on how the bytes are split, and malformed input is rejected.
 
 use emberflow_peer_protocol::resp::encode_array;
 use emberflow_router::{discovery, jsonrpc, resp, ring::Ring, statement};
@@ -73,15 +73,15 @@
         })
         .collect();
     expect![[r#"
-        Err("byte 104 in place of `*`")
-        Err("length that is not a number")
-        Err("array of 9 parts")
-        Err("length without its terminator")
-        Err("byte 43 in place of `$`")
-        Err("length that is not a number")
-        Err("part of 9999999 bytes")
-        Err("part without its terminator")
-        Err("length that is not a number")
+        Err("expected the type byte `*`, found `h`")
+        Err("expected digits and CR LF as a length, found `x\\r` before the newline")
+        Err("array has 9 parts, more than the limit of 8")
+        Err("expected at most 7 digits and CR LF as a length, found no newline")
+        Err("expected the type byte `$`, found `+`")
+        Err("expected digits and CR LF as a length, found `-1\\r` before the newline")
+        Err("part has 9999999 bytes, more than the limit of 65536")
+        Err("expected CR LF after a part of 2 bytes, found `cd`")
+        Err("expected digits and CR LF as a length, found `\\r` before the newline")
     "#]]
     .assert_eq(&errors);
 }
@@ -89,11 +89,11 @@
 #[test]
 fn fields_are_found_by_their_exact_name() {
     let fields = "pages=2,page=1,use=util:0.61;queue:0";
-    let load = resp::field(fields, "use", (',', '=')).unwrap_or("none");
-    let found = ["page", "pages", "age", "-"].map(|name| resp::field(fields, name, (',', '=')));
-    let util = resp::field(load, "util", (';', ':'));
+    let load = resp::field_value(fields, "use", (',', '=')).unwrap_or("none");
+    let found = ["page", "pages", "age", "-"].map(|name| resp::field_value(fields, name, (',', '=')));
+    let util = resp::field_value(load, "util", (';', ':'));
     expect![[r#"[Some("1"), Some("2"), None, None] Some("0.61") None"#]]
-        .assert_eq(&format!("{found:?} {util:?} {:?}", resp::field("-", "use", (',', '='))));
+        .assert_eq(&format!("{found:?} {util:?} {:?}", resp::field_value("-", "use", (',', '='))));
 }
 
 #[test]
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn frames_are_decoded_once_complete_and_malformed_ones_rejected() {
+fn endpoint_list_frames_are_decoded_or_rejected() {
     let record =
         [0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x23, 0x82, 1, 2, 3, 0, 4, 0, 0, 15, 160, 0, 0, 0, 0, 0, 0, 1, 0];
     let frame_bytes = |number: u64, kind: u8, payload: &[u8]| {
@@ -145,10 +145,16 @@
             let (frame, length) = discovery::parse_frame(ring.readable()).expect("well formed")?;
             let endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
             let endpoints: Vec<_> = endpoints
-                .map(|r| {
+                .map(|endpoint| {
                     format!(
                         "{:08x} {} {:?} {} {} {} {}",
-                        r.id, r.address, r.lifecycle, r.location, r.kind, r.cell, r.up_since_ms
+                        endpoint.id,
+                        endpoint.address,
+                        endpoint.lifecycle,
+                        endpoint.location,
+                        endpoint.kind,
+                        endpoint.cell,
+                        endpoint.up_since_ms
                     )
                 })
                 .collect();
@@ -158,12 +164,13 @@
         ring.consume(length);
         Some(text)
     };
-    let good = [frame_bytes(41, 1, &record), frame_bytes(42, 2, &[]), frame_bytes(42, 0, &[])].concat();
+    let well_formed =
+        [frame_bytes(41, 1, &record), frame_bytes(42, 2, &[]), frame_bytes(42, 0, &[])].concat();
     expect![[r#"
         41 Some(FullList) ["00c41f7a 10.1.0.9:9090 Draining 2 3 4 256"]
         42 Some(Changes) []
         42 None []"#]]
-    .assert_eq(&decode_with_every_split(&good, parse));
+    .assert_eq(&decode_with_every_split(&well_formed, parse));
     let mut unknown_state = record;
     unknown_state[10] = 7;
     let malformed = [
@@ -188,7 +195,7 @@
 }
 
 #[test]
-fn the_table_group_is_the_number_of_the_schema_of_a_table() {
+fn the_table_group_is_the_number_in_the_schema_name() {
     let statements = [
         "SELECT day, count(*) FROM sales_17.orders WHERE tag = 'x' GROUP BY day",
         "select a.id, 'from lake_0.decoy' as note\n from mart_4.visits a where a.tag = '1'",
