--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -1,4 +1,5 @@
-//! The output of `emberflow check` and `serve` for a valid configuration, the one in the README, and for invalid ones.
+//! Tests of the output of `emberflow check` and `serve` for the configuration in the README, which is valid, and for
+//! invalid ones.
 
 use expect_test::expect;
 use std::process::Command;
@@ -10,8 +11,8 @@
     lines.take_while(|line| !line.is_empty()).collect()
 }
 
-/// Runs the binary on a configuration file; returns the exit code and the output, with `FILE` in place of the path.
-/// `name` is the file's name, which must differ between tests that run at the same time.
+/// Runs the binary on a configuration file. Returns the exit code and the output, in which `FILE` replaces the path.
+/// `name` is the file's name, which must differ between tests, since they run at the same time.
 fn run(arguments: &[&str], name: &str, configuration: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
     std::fs::write(&path, configuration).expect("the test directory is writable");
--- a/crates/router/tests/digest/clients.rs
+++ b/crates/router/tests/digest/clients.rs
@@ -47,15 +47,15 @@
         });
     }
 
-    fn any_client(&mut self) -> Option<usize> {
-        let speaking: Vec<usize> =
+    fn pick_client(&mut self) -> Option<usize> {
+        let sending: Vec<usize> =
             (0..self.clients.len()).filter(|client| !self.clients[*client].has_ended).collect();
-        (!speaking.is_empty()).then(|| self.random.pick(&speaking))
+        (!sending.is_empty()).then(|| self.random.pick(&sending))
     }
 
     /// Sends one request or many at once, some with an invalid field.
     pub fn client_sends_requests(&mut self) {
-        let Some(client) = self.any_client() else { return self.admit() };
+        let Some(client) = self.pick_client() else { return self.admit() };
         let count = if self.random.one_in(12) { 12 } else { 1 };
         for _ in 0..count {
             let line = self.request(client);
@@ -93,7 +93,7 @@
         params["urgency"] = json!(self.random.below(4));
         params["tell_wait"] = json!(self.random.one_in(2));
         if self.random.one_in(25) {
-            let wrong = [
+            let invalid_fields = [
                 ("req", json!("short")),
                 ("timeout", json!(0)),
                 ("timeout", json!("x")),
@@ -104,7 +104,7 @@
                 ("opkey", json!("a-b")),
                 ("urgency", json!(9)),
             ];
-            let (name, value) = self.random.pick(&wrong);
+            let (name, value) = self.random.pick(&invalid_fields);
             params[name] = value;
         }
         let id = if self.random.one_in(60) { 1 } else { id };
@@ -112,15 +112,15 @@
     }
 
     pub fn client_sends_other_line(&mut self) {
-        let Some(client) = self.any_client() else { return };
+        let Some(client) = self.pick_client() else { return };
         let requests = &self.clients[client].requests;
         let last = requests[requests.len().saturating_sub(4)..].to_vec();
         let max_line_bytes = self.server.dispatcher.config.max_line_bytes();
         let line = match (self.random.below(12), last.is_empty()) {
             (0..5, false) => {
                 let (id, req) = self.random.pick(&last);
-                let named = if self.random.one_in(3) { json!({"id": id}) } else { json!({"req": req}) };
-                format!("{}\n", json!({"jsonrpc": "2.0", "method": "withdraw", "params": named}))
+                let reference = if self.random.one_in(3) { json!({"id": id}) } else { json!({"req": req}) };
+                format!("{}\n", json!({"jsonrpc": "2.0", "method": "withdraw", "params": reference}))
             }
             (5, _) => "{\"jsonrpc\":\"2.0\",\"method\":\"status\"}\n".into(),
             (6, _) => "{\"jsonrpc\":\"1.0\",\"id\":5,\"method\":\"status\"}\n[]\n".into(),
@@ -137,7 +137,7 @@
 
     /// Delivers the pending input of a client, or a part of it.
     pub fn client_input_arrives(&mut self, stream_end: StreamEnd) {
-        let Some(client) = self.any_client() else { return };
+        let Some(client) = self.pick_client() else { return };
         let all = self.clients[client].pending_input.len();
         let count = if self.random.one_in(4) { self.random.below(all as u64) as usize } else { all };
         let client = &mut self.clients[client];
@@ -157,8 +157,8 @@
         }
     }
 
-    pub fn client_reads_on(&mut self) {
-        let Some(client) = self.any_client() else { return };
+    pub fn client_resumes_reading(&mut self) {
+        let Some(client) = self.pick_client() else { return };
         self.clients[client].capacity = usize::MAX;
         let slot = self.clients[client].slot;
         self.flush_client(slot);
--- a/crates/router/tests/digest/configuration.rs
+++ b/crates/router/tests/digest/configuration.rs
@@ -14,9 +14,9 @@
     most_waiting: 2}], others: {share: 0.5, most_waiting: 4}}}"#,
 ];
 
-/// Returns a configuration file. `kind` selects which features it switches on.
-pub fn configuration(random: &mut RandomSource, kind: u64) -> Value {
-    let strict = kind.is_multiple_of(2);
+/// Returns a configuration file. The features that it enables depend on `feature_seed`.
+pub fn configuration(random: &mut RandomSource, feature_seed: u64) -> Value {
+    let strict = feature_seed.is_multiple_of(2);
     let class = |name: &str, repeat: &str, on_time: u64| {
         json!({"name": name, "onTimeMs": on_time, "deadlineMs": on_time * 4, "gain": 1, "lateShare": 0.2,
             "repeat": repeat, "keyScope": "cell", "windowMs": 400, "keepOrder": strict && name == "book"})
@@ -26,11 +26,11 @@
         "known": {"no": 0, "items": []},
         "settings": {"instances": 1 + random.below(3), "myZone": 0, "zones": ["hall-a", "hall-b"],
             "kinds": ["std-8", "big-32"], "discovery": "push", "tickMs": 8,
-            "clientHabits": {"marksRetry": kind.is_multiple_of(3)},
+            "clientHabits": {"marksRetry": feature_seed.is_multiple_of(3)},
             "categories": [class("lookup", "repeatable", 160), class("post", "once", 240),
                 class("book", "by_key", 200), class("ingest", "repeatable", 400)],
-            "caps": {"cancel": !kind.is_multiple_of(5), "connectTimeoutMs": 100, "idleCloseMs": 1000,
-                "mostTries": 2 + random.below(2), "retryAfter": kind.is_multiple_of(2), "maxRetryAfterMs": 500,
+            "caps": {"cancel": !feature_seed.is_multiple_of(5), "connectTimeoutMs": 100, "idleCloseMs": 1000,
+                "mostTries": 2 + random.below(2), "retryAfter": feature_seed.is_multiple_of(2), "maxRetryAfterMs": 500,
                 "streamsPerConn": 1 + random.below(6), "mayDuplicate": !strict, "maxOpen": 48},
             "domain": {"kindCores": [8, 32], "largestShare": 0.4, "lanesCount": strict,
                 "sizeMb": [4096, 16384], "tellsEveryMs": 40, "whenShort": "line_up",
--- a/crates/router/tests/digest/discovery.rs
+++ b/crates/router/tests/digest/discovery.rs
@@ -23,23 +23,23 @@
     /// address.
     pub fn send_endpoint_list(&mut self, is_complete: bool) {
         let changed = self.random.below(4) as usize;
-        if self.frame > 1 && self.random.one_in(3) {
-            self.up_since[changed] = self.server.dispatcher.context.now().as_millis() as u64;
+        if self.next_event > 1 && self.random.one_in(3) {
+            self.up_since_ms[changed] = self.server.dispatcher.context.now().as_millis() as u64;
         }
         let mut records = Vec::new();
         for engine in 0..4 {
             let listed = if is_complete { !self.random.one_in(5) } else { engine == changed };
             if listed {
-                let state = if self.frame == 1 { 0 } else { self.random.pick(&[0, 0, 0, 0, 1, 2]) };
+                let state = if self.next_event == 1 { 0 } else { self.random.pick(&[0, 0, 0, 0, 1, 2]) };
                 let port_offset = self.random.below(2) as u8;
-                records.extend(record(engine, state, port_offset, self.up_since[engine]));
+                records.extend(encode_record(engine, state, port_offset, self.up_since_ms[engine]));
             }
         }
         let mut frame = Vec::from((HEADER_BYTES + records.len() as u32).to_be_bytes());
-        frame.extend(self.frame.to_be_bytes());
+        frame.extend(self.next_event.to_be_bytes());
         frame.push(if is_complete { 1 } else { 2 });
         frame.extend(records);
-        self.frame += 1;
+        self.next_event += 1;
         self.discovery_input.extend(frame);
         self.recorder.count(if is_complete { "complete lists" } else { "list changes" });
     }
@@ -55,14 +55,14 @@
             self.recorder.count("lists refused");
             self.server.discovery = self.server.discovery.for_new_connection();
             self.discovery_input.clear();
-            self.frame = self.server.discovery.last_event + 1;
+            self.next_event = self.server.discovery.last_event + 1;
             self.send_endpoint_list(true);
         }
     }
 }
 
 /// Encodes an endpoint.
-fn record(engine: usize, state: u8, port_offset: u8, up_since: u64) -> [u8; RECORD_BYTES] {
+fn encode_record(engine: usize, state: u8, port_offset: u8, up_since_ms: u64) -> [u8; RECORD_BYTES] {
     let mut record = [0; RECORD_BYTES];
     record[3] = engine as u8 + 1;
     record[4..8].copy_from_slice(&[127, 0, 0, engine as u8 + 1]);
@@ -71,6 +71,6 @@
     record[11] = engine as u8 % 2;
     record[12] = engine as u8 / 2;
     record[14] = engine as u8;
-    record[19..].copy_from_slice(&up_since.to_be_bytes());
+    record[19..].copy_from_slice(&up_since_ms.to_be_bytes());
     record
 }
--- a/crates/router/tests/digest/engines.rs
+++ b/crates/router/tests/digest/engines.rs
@@ -28,7 +28,7 @@
 
 /// A reply of an engine to a call.
 struct EngineReply {
-    word: &'static str,
+    reply_type: &'static str,
     fields: String,
     body: String,
     /// Whether the engine sends nothing more for the call.
@@ -36,12 +36,12 @@
 }
 
 impl EngineReply {
-    fn last(word: &'static str, fields: String, body: String) -> Self {
-        Self { word, fields, body, ends_call: true }
+    fn last(reply_type: &'static str, fields: String, body: String) -> Self {
+        Self { reply_type, fields, body, ends_call: true }
     }
 
-    fn partial(word: &'static str, fields: String, body: String) -> Self {
-        Self { word, fields, body, ends_call: false }
+    fn partial(reply_type: &'static str, fields: String, body: String) -> Self {
+        Self { reply_type, fields, body, ends_call: false }
     }
 
     fn progress(fields: String) -> Self {
@@ -50,7 +50,7 @@
 }
 
 impl Scenario<'_> {
-    fn any_connection(&mut self, is_established: bool) -> Option<Slot> {
+    fn pick_connection(&mut self, is_established: bool) -> Option<Slot> {
         let connections = self
             .connections
             .iter()
@@ -61,7 +61,7 @@
     }
 
     pub fn connection_is_established(&mut self) {
-        let Some(slot) = self.any_connection(false) else { return };
+        let Some(slot) = self.pick_connection(false) else { return };
         let refused = self.random.one_in(8);
         let reachability =
             if self.random.one_in(2) { Reachability::Reachable } else { Reachability::Unreachable };
@@ -77,16 +77,16 @@
 
     /// Sends an engine's reply to one of its calls. In most cases the complete reply arrives at once.
     pub fn engine_responds(&mut self) {
-        let Some(slot) = self.any_connection(true) else { return };
+        let Some(slot) = self.pick_connection(true) else { return };
         let calls = self.connections[&slot].calls.clone();
         if calls.is_empty() {
             return;
         }
         let req = self.random.pick(&calls);
-        let EngineReply { word, fields, body, ends_call } = self.draw_reply(&req, calls.len());
-        self.recorder.count(format!("engine sends {word}"));
+        let EngineReply { reply_type, fields, body, ends_call } = self.draw_reply(&req, calls.len());
+        self.recorder.count(format!("engine sends {reply_type}"));
         let mut bytes =
-            resp::encode_array(&[req.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()]);
+            resp::encode_array(&[req.as_bytes(), reply_type.as_bytes(), fields.as_bytes(), body.as_bytes()]);
         if self.random.one_in(150) {
             bytes = b"*x\r\nnoise\r\n".to_vec();
         }
@@ -94,11 +94,12 @@
             connection.pending_input.extend(bytes);
             connection.calls.retain(|call| !ends_call || *call != req);
         }
-        let part = self.random.one_in(4);
-        self.deliver_to_connection(slot, part, StreamEnd::WouldBlock);
+        let is_partial = self.random.one_in(4);
+        self.deliver_to_connection(slot, is_partial, StreamEnd::WouldBlock);
     }
 
-    /// Draws a reply to a call: an answer, a page of an answer, an error, progress, or input that is not in the protocol.
+    /// Draws a reply to a call: an answer, a page of an answer, an error, progress, or input that is not in the
+    /// protocol.
     fn draw_reply(&mut self, req: &str, call_count: usize) -> EngineReply {
         let load = format!(
             "use=util:0.{};inflight:{call_count};queue:{}",
@@ -127,15 +128,15 @@
     }
 
     pub fn connection_input_arrives(&mut self, stream_end: StreamEnd) {
-        let Some(slot) = self.any_connection(true) else { return };
-        let part = self.random.one_in(4);
-        self.deliver_to_connection(slot, part, stream_end);
+        let Some(slot) = self.pick_connection(true) else { return };
+        let is_partial = self.random.one_in(4);
+        self.deliver_to_connection(slot, is_partial, stream_end);
     }
 
-    fn deliver_to_connection(&mut self, slot: Slot, part: bool, stream_end: StreamEnd) {
+    fn deliver_to_connection(&mut self, slot: Slot, is_partial: bool, stream_end: StreamEnd) {
         let Some(connection) = self.connections.get_mut(&slot) else { return };
         let all = connection.pending_input.len();
-        let count = if part { self.random.below(all as u64) as usize } else { all };
+        let count = if is_partial { self.random.below(all as u64) as usize } else { all };
         let bytes: Vec<u8> = connection.pending_input.drain(..count).collect();
         let dispatcher = &mut self.server.dispatcher;
         dispatcher.engines.read(slot, &mut ReceivedBytes(&bytes, stream_end), &mut dispatcher.context);
@@ -166,9 +167,9 @@
         {
             let texts: Vec<String> = parts.iter().map(|part| String::from_utf8_lossy(part).into()).collect();
             connection.received.drain(..length);
-            let (word, id) = (texts[0].as_str(), &texts[1]);
-            self.recorder.count(format!("engine receives {word}"));
-            match word {
+            let (command, id) = (texts[0].as_str(), &texts[1]);
+            self.recorder.count(format!("engine receives {command}"));
+            match command {
                 "GET" => {
                     let sent = self.calls_by_request.entry(id.clone()).or_default();
                     *sent += 1;
--- a/crates/router/tests/digest/random.rs
+++ b/crates/router/tests/digest/random.rs
@@ -4,7 +4,7 @@
 pub struct RandomSource(pub u64);
 
 impl RandomSource {
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -12,7 +12,7 @@
     }
 
     pub fn below(&mut self, end: u64) -> u64 {
-        self.number() % end.max(1)
+        self.next_u64() % end.max(1)
     }
 
     pub fn one_in(&mut self, count: u64) -> bool {
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -36,9 +36,9 @@
     /// Bytes from the discovery service that the server has not received yet.
     pub discovery_input: Vec<u8>,
     /// The number of the next event of the endpoint list.
-    pub frame: u64,
-    /// The start times of the engines.
-    pub up_since: [u64; 4],
+    pub next_event: u64,
+    /// The start times of the engines in milliseconds, as the endpoint list gives them; 0 if it gives none.
+    pub up_since_ms: [u64; 4],
     is_shutting_down: bool,
 }
 
@@ -58,8 +58,8 @@
             next_req: 1,
             calls_by_request: BTreeMap::new(),
             discovery_input: Vec::new(),
-            frame: 1,
-            up_since: [0; 4],
+            next_event: 1,
+            up_since_ms: [0; 4],
             is_shutting_down: false,
         };
         scenario.send_endpoint_list(true);
@@ -98,7 +98,7 @@
             4..22 => self.client_sends_requests(),
             22..26 => self.client_sends_other_line(),
             26..44 => self.client_input_arrives(StreamEnd::WouldBlock),
-            44..46 => self.client_reads_on(),
+            44..46 => self.client_resumes_reading(),
             46 => self.client_input_arrives(StreamEnd::EndOfStream),
             47 => self.client_input_arrives(StreamEnd::Reset),
             48..58 => self.connection_is_established(),
@@ -129,9 +129,9 @@
 
     /// Advances the time by less than `max_ms`. Timers expire on time or slightly late.
     fn advance_time(&mut self, max_ms: u64) {
-        let to =
+        let end =
             self.server.dispatcher.context.now() + Duration::from_micros(self.random.below(max_ms * 1000));
-        while let Some(at) = self.server.dispatcher.context.timers.first().filter(|at| *at <= to) {
+        while let Some(at) = self.server.dispatcher.context.timers.first().filter(|at| *at <= end) {
             let late = Duration::from_micros(self.random.pick(&[0, 0, 0, 700]));
             let now = self.server.dispatcher.context.now().max(at + late);
             self.server.dispatcher.context.now = now;
@@ -140,7 +140,7 @@
             }
             self.record_next_timer();
         }
-        self.server.dispatcher.context.now = self.server.dispatcher.context.now().max(to);
+        self.server.dispatcher.context.now = self.server.dispatcher.context.now().max(end);
     }
 
     /// Reads the input that arrived before a timer expired, as the event loop does, and then handles the timer.
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -1,4 +1,4 @@
-//! The router's server without sockets or clock: deadlines of requests and the limits of idle clients.
+//! Tests of the router's server without sockets or clock: deadlines of requests, and the closing of idle clients.
 
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::clients::{ClientInput, Clients, ReadOutcome};
@@ -27,7 +27,7 @@
     Server::new(bootstrap, Context { now: NOW, ..Context::default() })
 }
 
-/// A socket with some received bytes, which would block after them.
+/// A socket that delivers the received bytes and then would block.
 struct ReceivedBytes<'a>(&'a [u8]);
 
 impl ClientInput for ReceivedBytes<'_> {}
@@ -41,7 +41,7 @@
     }
 }
 
-/// Passes a client's line that arrived `age_ms` ago to the server; returns the immediate answer.
+/// Passes a client's line that arrived `age_ms` ago to the server. Returns the answer if the server sends one at once.
 fn read_line(server: &mut Server, slot: Slot, line: &str, age_ms: u64) -> String {
     let received_at = server.dispatcher.context.now() - Duration::from_millis(age_ms);
     server.read_client_line(slot, received_at, &mut ReceivedBytes(line.as_bytes()), || false);
@@ -74,9 +74,9 @@
     .assert_eq(&answers.concat());
 }
 
-/// An answer that is sent just before the client's deadline would arrive after it.
+/// Guards against answers that are sent just before the client's deadline and arrive after it.
 #[test]
-fn an_answer_leaves_before_the_deadline_by_its_transmission_time() {
+fn an_answer_is_sent_early_enough_to_arrive_before_the_deadline() {
     let mut server = server();
     let slot = server.accept_client();
     let answers = [(1, 100), (2, 200)]
@@ -98,7 +98,7 @@
     expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
 }
 
-/// Returns the index of the client that would be replaced by a new one at a time after the start.
+/// Returns the index of the client that would be closed for a new one `ms` after the start.
 fn replaceable_client_after(server: &mut Server, slots: &[Slot], ms: u64) -> Option<usize> {
     let now = NOW + Duration::from_millis(ms);
     server.dispatcher.context.now = now;
@@ -138,30 +138,34 @@
     .assert_eq(&lines);
 }
 
-/// A line whose arrival time by the kernel, the second field, is earlier than the event loop assumes.
-struct LateLine<'a>(ReceivedBytes<'a>, Duration);
+/// A socket whose bytes arrived earlier than the event loop assumes.
+struct LateLine<'a> {
+    bytes: ReceivedBytes<'a>,
+    /// The time of arrival that the kernel reports.
+    arrived_at: Duration,
+}
 
 impl ClientInput for LateLine<'_> {
     fn earliest_arrival(&self, _: Duration, assumed: Duration) -> Duration {
-        assumed.min(self.1)
+        assumed.min(self.arrived_at)
     }
 }
 
 impl Read for LateLine<'_> {
     fn read(&mut self, into: &mut [u8]) -> Result<usize> {
-        self.0.read(into)
+        self.bytes.read(into)
     }
 }
 
-/// Guards against deadlines that count from the time at which a process that was not scheduled woke up.
+/// Guards against deadlines that count from the time at which the process was scheduled again, after the line arrived.
 #[test]
 fn a_deadline_counts_from_the_earliest_possible_arrival() {
     let ms = Duration::from_millis;
-    let received_at = |known, assumed| {
+    let received_at = |arrived_at, assumed| {
         let mut clients = Clients::with_limits(1000, 1000);
         let slot = clients.table.next();
         clients.admit(ms(0));
-        let mut input = LateLine(ReceivedBytes(b"{}\n"), known);
+        let mut input = LateLine { bytes: ReceivedBytes(b"{}\n"), arrived_at };
         match clients.read_line(slot, ms(1000), assumed, &mut input, || false) {
             ReadOutcome::Line { received_at, .. } => received_at,
             _ => panic!("a complete line was received"),
--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: malformed input, cancellations, half-closed and reset connections.
+//! Tests of client connections: malformed input, cancellations, half-closed and reset connections.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -142,7 +142,7 @@
 /// Time within which the router acts on a cancellation that it has read.
 const MAX_CANCELLATION_TIME: Duration = Duration::from_millis(150);
 
-/// Runs requests concurrently, which establishes one connection to the engine for each.
+/// Runs requests concurrently, so that the router establishes a connection to the engine for each of them.
 fn connect_to_engine(client: &mut TestClient, engine: &mut TestEngine, requests: RangeInclusive<u64>) {
     for request in requests.clone() {
         client.send_request_within(LONG_REQUEST_TIMEOUT, request, "lookup");
@@ -160,7 +160,7 @@
 
 /// Sends requests from 1 on and answers each, until the router leaves a request unread because the client reads no
 /// answer. Returns the number of answered requests, which is less than `max_requests`.
-fn fill_answers_until_unread(
+fn send_requests_until_unread(
     router: &RouterHarness,
     client: &mut TestClient,
     engine: &mut TestEngine,
@@ -190,7 +190,7 @@
         start_one_engine_with_limits(limits, "cancelled-unread", &long_queueing_settings());
     connect_to_engine(&mut client, &mut engine, 2001..=2004);
     let rows = ROWS.repeat(7500);
-    let unread_request = 1 + fill_answers_until_unread(&router, &mut client, &mut engine, &rows, 500);
+    let unread_request = 1 + send_requests_until_unread(&router, &mut client, &mut engine, &rows, 500);
     router.record(format!("stops reading: {}", unread_request < 500));
     for request in [1002, 1001, 1003] {
         client.send_request_within(LONG_REQUEST_TIMEOUT, request, "lookup");
@@ -235,7 +235,7 @@
 struct ClosingRouter {
     router: RouterHarness,
     client: TestClient,
-    /// They stay connected, so that the router reads a line of each.
+    /// Stay connected, so that the router reads a line of each of them.
     _other_clients: Vec<TestClient>,
 }
 
--- a/crates/router/tests/sockets/discovery.rs
+++ b/crates/router/tests/sockets/discovery.rs
@@ -4,13 +4,13 @@
 use expect_test::expect;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A part of a frame, in bytes.
+/// Number of bytes of a frame that is sent only in part.
 const INCOMPLETE_FRAME_BYTES: usize = 20;
-/// Longer than the 2.5 s for which the discovery service may be inactive.
+/// Longer than the 2.5 s without a frame after which the router dials the discovery service again.
 const LONGER_THAN_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2600);
 
 #[test]
-fn a_removed_engine_answers_its_calls_and_a_new_engine_at_its_address_is_another() {
+fn a_removed_engine_still_answers_after_another_engine_got_its_address() {
     let (mut router, mut client, mut engine) = start_with_one_engine("removed", &ordinary_settings());
     let mut discovery = router.accept_discovery();
     let address = router.engine_address(0);
@@ -138,7 +138,7 @@
 
 /// Discovery sends an event while the process is stopped for longer than the discovery timeout.
 #[test]
-fn unread_events_count_before_a_timeout_and_before_discovery_moves() {
+fn unread_events_are_applied_before_discovery_times_out_or_moves() {
     let mut router = RouterHarness::start("unread-event", 1, &ordinary_settings());
     let mut previous = router.accept_discovery();
     let address = router.engine_address(0);
@@ -165,10 +165,10 @@
     "#]].assert_eq(&router.finish(&["discovery_dialled", "attempts_sent", "reloads"]));
 }
 
-/// Idle clients use all descriptors at the moment in which discovery returns. The router still dials discovery, answers
-/// the open request, and serves a new client by the engine that is not draining.
+/// Idle clients use all descriptors while the discovery service is unavailable. The router still dials the service once
+/// it is available, answers the open request, and serves a new client by the engine that is not draining.
 #[test]
-fn idle_clients_do_not_keep_the_router_from_a_discovery_that_returns() {
+fn idle_clients_do_not_block_the_reconnection_to_discovery() {
     let limits = ResourceLimits::with_descriptors(24);
     let mut router = RouterHarness::start_with_limits(limits, "returns", 2, &long_queueing_settings());
     let lost_discovery = router.accept_discovery();
@@ -176,7 +176,7 @@
     waiting_client.send_request_within(LONG_REQUEST_TIMEOUT, 1, "lookup");
     let mut engines = router.two_engines_by_first_command();
     engines[0].next_call();
-    let drain = draining_engine(router.number_of(&engines[0]), engines[0].address());
+    let drain = draining_engine(router.endpoint_id_of(&engines[0]), engines[0].address());
     let discovery_address = router.close_discovery_listener();
     drop(lost_discovery);
     router.wait_for_log(log_lines::DISCOVERY_LOST);
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -9,9 +9,11 @@
 
 /// The connect timeout, after which an idle connection needs a health check.
 const SHORT_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time after which an idle connection needs a health check under [`SHORT_CONNECT_TIMEOUT`].
 const LONGER_THAN_SHORT_CONNECT_TIMEOUT: Duration = Duration::from_millis(1100);
-/// The same for the test in which the health check must not expire.
+/// The connect timeout of the test in which a health check must not expire.
 const MEDIUM_CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Time after which an idle connection needs a health check under [`MEDIUM_CONNECT_TIMEOUT`].
 const LONGER_THAN_MEDIUM_CONNECT_TIMEOUT: Duration = Duration::from_millis(2100);
 /// A part of an engine's reply, in bytes.
 const INCOMPLETE_REPLY_BYTES: usize = 6;
@@ -97,10 +99,10 @@
         ("FAULT", "use=util:high"),
     ];
     serve_request(&mut client, &mut engine, 1, "lookup", "");
-    for (id, (word, fields)) in (100..).step_by(10).zip(malformed_messages) {
+    for (id, (reply_type, fields)) in (100..).step_by(10).zip(malformed_messages) {
         client.send_request(id, "post");
         engine.next_call();
-        engine.send_words(id, word, fields);
+        engine.send_raw_reply(id, reply_type, fields);
         router.record_answer(&mut client);
         // Successful requests keep the engine from being ejected as an outlier.
         for successful in id + 1..id + 5 {
@@ -157,11 +159,11 @@
 }
 
 /// Disconnects the client of a call, or drains its engine. Returns the client if it still reads.
-type Departure = fn(&mut TestDiscovery, TestClient, SocketAddr) -> Option<TestClient>;
+type DisconnectOrDrain = fn(&mut TestDiscovery, TestClient, SocketAddr) -> Option<TestClient>;
 
-/// Has a call wait for the health check of an idle connection, and runs `depart` at the same moment as the engine
-/// answers the health check. Returns the outcome of the call.
-fn depart_as_the_ping_is_answered(name: &str, depart: Departure) -> String {
+/// Sends a call that waits for the health check of an idle connection. Runs `action` at the same moment as the engine
+/// answers the health check, so that the router finds both in one iteration. Returns the outcome of the call.
+fn run_while_ping_is_answered(name: &str, action: DisconnectOrDrain) -> String {
     let (mut router, mut client, mut engine) =
         start_with_one_engine(name, &settings(SHORT_CONNECT_TIMEOUT, REQUEST_TIMEOUT));
     let mut discovery = router.accept_discovery();
@@ -173,7 +175,7 @@
     assert_eq!(engine.next_command(), "PING 0");
     let remaining = router.while_stopped(|_| {
         engine.send_on(0, 0, EngineReply::Pong);
-        depart(&mut discovery, client, address)
+        action(&mut discovery, client, address)
     });
     let is_rejected = remaining.is_some_and(|mut reader| reader.read_line().contains("-32011"));
     let further_calls = engine.answer_calls(0);
@@ -183,21 +185,21 @@
 
 /// The client shuts down its sending side or closes, or the engine drains or is missing from a complete list.
 #[test]
-fn a_call_waiting_for_a_connection_is_not_sent_once_its_client_or_engine_departed() {
+fn a_waiting_call_is_not_sent_after_its_client_disconnects_or_its_engine_drains() {
     let outcomes = [
-        depart_as_the_ping_is_answered("ping-half-close", |_, client, _| {
+        run_while_ping_is_answered("ping-half-close", |_, client, _| {
             client.shut_down_sending();
             Some(client)
         }),
-        depart_as_the_ping_is_answered("ping-close", |_, client, _| {
+        run_while_ping_is_answered("ping-close", |_, client, _| {
             drop(client);
             None
         }),
-        depart_as_the_ping_is_answered("ping-drain", |discovery, client, address| {
+        run_while_ping_is_answered("ping-drain", |discovery, client, address| {
             discovery.send_changes(2, &[draining_engine(0, address)]);
             Some(client)
         }),
-        depart_as_the_ping_is_answered("ping-complete-list", |discovery, client, _| {
+        run_while_ping_is_answered("ping-complete-list", |discovery, client, _| {
             discovery.send(&empty_list_frame(2));
             Some(client)
         }),
@@ -251,7 +253,7 @@
     client.send_request(1, "post");
     let mut engines = router.two_engines_by_first_command();
     engines[0].next_call();
-    let drain = draining_engine(router.number_of(&engines[0]), engines[0].address());
+    let drain = draining_engine(router.endpoint_id_of(&engines[0]), engines[0].address());
     router.while_stopped(|router| {
         engines[0].send_bytes(0, &encode_array(&[b"half an answer"])[..INCOMPLETE_REPLY_BYTES]);
         engines[0].close_connection_of(1);
--- a/crates/router/tests/sockets/harness/client.rs
+++ b/crates/router/tests/sockets/harness/client.rs
@@ -17,13 +17,14 @@
 
 /// The statement of every request.
 const STATEMENT: &[u8] = b"select 1";
-/// Estimates of an ordinary request, many of which fit into an engine.
+/// Estimate of the work of an ordinary request.
 const ORDINARY_WORK_MS: f64 = 50.0;
+/// Estimate of the memory of an ordinary request, many of which fit into an engine.
 const ORDINARY_MEMORY_MB: f64 = 96.0;
 /// Estimate of the work of a large request.
 const LARGE_WORK_MS: f64 = 2000.0;
-/// Estimate of the memory of which only one request fits into an engine.
-const MOST_OF_AN_ENGINE_MB: f64 = 12_000.0;
+/// Estimate of the memory of a large request, of which only one fits into an engine.
+const LARGE_MEMORY_MB: f64 = 12_000.0;
 
 /// Returns a request that needs little of an engine.
 pub fn request(id: u64, class: &str, timeout: Duration) -> ClientRequest {
@@ -33,7 +34,7 @@
 
 /// Returns a short lookup that needs most of an engine's memory, so that other such requests are queued.
 pub fn filling_request(id: u64) -> ClientRequest {
-    ClientRequest { memory_mb: MOST_OF_AN_ENGINE_MB, ..request(id, "lookup", LONG_REQUEST_TIMEOUT) }
+    ClientRequest { memory_mb: LARGE_MEMORY_MB, ..request(id, "lookup", LONG_REQUEST_TIMEOUT) }
 }
 
 /// Returns a lookup of a team that needs most of an engine's memory for two seconds.
@@ -41,7 +42,7 @@
     ClientRequest {
         team: Some(team.to_owned()),
         work_ms: LARGE_WORK_MS,
-        memory_mb: MOST_OF_AN_ENGINE_MB,
+        memory_mb: LARGE_MEMORY_MB,
         ..request(id, "lookup", timeout)
     }
 }
@@ -60,12 +61,12 @@
 pub struct TestClient(BufReader<TcpStream>);
 
 impl TestClient {
-    /// Takes over a connected socket.
+    /// Creates a client with a connected socket.
     pub fn new(socket: TcpStream) -> Self {
         Self(BufReader::new(socket))
     }
 
-    /// Returns the socket, for operations without a method here.
+    /// Returns the socket, for operations that this type does not offer.
     pub fn socket(&self) -> &TcpStream {
         self.0.get_ref()
     }
--- a/crates/router/tests/sockets/harness/discovery.rs
+++ b/crates/router/tests/sockets/harness/discovery.rs
@@ -8,7 +8,7 @@
 
 /// A kind of engine that the settings do not name.
 const UNKNOWN_KIND: u8 = 9;
-/// Bytes read at once from the router.
+/// Limit of the bytes read from the router at a time.
 const CHUNK_BYTES: usize = 9;
 
 /// Returns an engine that has been ready for long.
@@ -51,7 +51,7 @@
 pub struct TestDiscovery(TcpStream);
 
 impl TestDiscovery {
-    /// Takes over an accepted socket.
+    /// Creates a discovery service with an accepted socket.
     pub fn new(socket: TcpStream) -> Self {
         Self(socket)
     }
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -13,9 +13,9 @@
 /// A page of a result with three columns.
 pub const ROWS: &str = "a\tb\tc\n";
 
-/// Time for which an engine is observed for calls that must not arrive.
+/// Time without a call after which a test assumes that no further call is sent.
 const QUIET_TIME: Duration = Duration::from_millis(300);
-/// Bytes read at once from a connection.
+/// Limit of the bytes read from a connection at a time.
 const CHUNK_BYTES: usize = 4096;
 /// The name of the call's field whose value differs between runs.
 const TIME_LEFT_FIELD: &str = "budget=";
@@ -39,11 +39,11 @@
 pub struct TestEngine {
     listener: TcpListener,
     connections: Vec<EngineConnection>,
-    /// The time left that the last call of each request has named.
+    /// The time left that the last call of each request carried.
     time_left_by_request: BTreeMap<u64, Duration>,
     /// The index of the connection on which the last command for each request arrived.
     connection_by_request: BTreeMap<u64, usize>,
-    /// Commands that the test has not taken.
+    /// Commands that the test has not taken yet.
     commands: VecDeque<ReceivedCommand>,
 }
 
@@ -136,7 +136,7 @@
         self.connection_by_request.insert(request, connection);
         let mut received = ReceivedCommand { text: transcript_text(words), call: None };
         if let EngineCommand::Call(Call { fields, .. }) = EngineCommand::decode(words) {
-            let time_left = fields.time_left.expect("a call names the time left");
+            let time_left = fields.time_left.expect("a call carries the time left");
             self.time_left_by_request.insert(request, time_left);
             received.call = Some(request);
         }
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Returns the time left that the last call of a request has named.
+    /// Returns the time left that the last call of a request carried.
     pub fn time_left_of(&self, request: u64) -> Duration {
         self.time_left_by_request[&request]
     }
@@ -227,10 +227,10 @@
     }
 
     /// Sends a reply of any type and fields, which may be malformed.
-    pub fn send_words(&mut self, request: u64, word: &str, fields: &str) {
+    pub fn send_raw_reply(&mut self, request: u64, reply_type: &str, fields: &str) {
         let id = request_id(request);
-        let words = [id.as_bytes(), word.as_bytes(), fields.as_bytes(), b""];
-        self.send_bytes(self.connection_of(request), &encode_array(&words));
+        let parts = [id.as_bytes(), reply_type.as_bytes(), fields.as_bytes(), b""];
+        self.send_bytes(self.connection_of(request), &encode_array(&parts));
     }
 
     /// Sends bytes: a part of a reply, or any bytes.
--- a/crates/router/tests/sockets/harness/fixtures.rs
+++ b/crates/router/tests/sockets/harness/fixtures.rs
@@ -1,4 +1,4 @@
-//! Set-ups that many tests share.
+//! Start-up code that many tests share.
 
 use super::client::TestClient;
 use super::configuration::{ResourceLimits, ordinary_settings};
@@ -31,7 +31,8 @@
     with_client_and_engine(RouterHarness::start_with_limits(limits, name, 1, settings))
 }
 
-/// Starts a router with two engines and sends it a non-idempotent request. The engine that receives the call comes first.
+/// Starts a router with two engines and sends it a non-idempotent request. The engine that receives the call comes
+/// first.
 pub fn start_with_two_engines(name: &str) -> (RouterHarness, TestClient, Vec<TestEngine>) {
     let router = RouterHarness::start(name, 2, &ordinary_settings());
     let mut client = router.connect_client();
@@ -40,7 +41,7 @@
     (router, client, engines)
 }
 
-/// Connects a client to a router and takes over its first engine.
+/// Connects a client to a router, and returns both with the router's first engine.
 pub fn with_client_and_engine(router: RouterHarness) -> (RouterHarness, TestClient, TestEngine) {
     let client = router.connect_client();
     let engine = router.engine(0);
--- a/crates/router/tests/sockets/harness/peers.rs
+++ b/crates/router/tests/sockets/harness/peers.rs
@@ -1,4 +1,4 @@
-//! The peers of a router: connects its clients, and takes over its engines and its discovery service.
+//! The peers of a router: connects its clients, and plays its engines and its discovery service.
 
 use super::client::TestClient;
 use super::discovery::TestDiscovery;
@@ -30,7 +30,7 @@
     }
 
     /// Returns the id of an engine in the endpoint list.
-    pub fn number_of(&self, engine: &TestEngine) -> u32 {
+    pub fn endpoint_id_of(&self, engine: &TestEngine) -> u32 {
         let address = engine.address();
         let index = self.engine_listeners.iter().position(|listener| local_address(listener) == address);
         index.expect("the engine is one of this router's") as u32
--- a/crates/router/tests/sockets/limits.rs
+++ b/crates/router/tests/sockets/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of descriptors, memory and time, and fairness under floods of clients.
+//! Tests of the limits of descriptors, memory and time, and of fairness under floods of clients.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -7,7 +7,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Longer than bytes of a client may be in transit. A client that was inactive for this time counts as idle.
+/// Longer than the time for which bytes of a client may be in transit. A client that was inactive for this time counts
+/// as idle.
 const LONGER_THAN_TRANSIT_TIME: Duration = Duration::from_millis(60);
 
 /// A timeout that expires during a flood.
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_is_not_read_from_until_it_does() {
+fn the_router_does_not_read_from_a_client_that_does_not_read() {
     const MORE_THAN_THE_KERNEL_BUFFERS: u64 = 2000;
     const PAGES: u32 = 8;
     let limits = ResourceLimits { memory_mb: 4, descriptors: 64 };
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn nothing_is_retained_of_removed_engines_closed_clients_and_answered_requests() {
+fn no_state_is_retained_of_removed_engines_closed_clients_and_answered_requests() {
     const ENGINES_PER_ROUND: u64 = 300;
     const CLIENTS_PER_ROUND: u64 = 200;
     const FIRST_EVENT: u64 = 2;
@@ -170,9 +171,9 @@
     .assert_eq(&format!("{transcript}few timers: {few_timers}"));
 }
 
-/// A new connection must not be closed in favour of later ones while its request is unread.
+/// Guards against closing a new connection, whose request is not read yet, in order to admit later connections.
 #[test]
-fn a_connection_with_unread_input_is_not_closed_for_others() {
+fn a_connection_with_unread_input_is_not_closed_to_admit_others() {
     let limits = ResourceLimits::with_descriptors(24);
     let (mut router, mut known_client, mut engine) =
         start_one_engine_with_limits(limits, "unread", &ordinary_settings());
--- a/crates/router/tests/sockets/main.rs
+++ b/crates/router/tests/sockets/main.rs
@@ -1,7 +1,7 @@
-//! The router's binary between test peers on loopback: its clients, its engines and the discovery service.
+//! Tests of the router's binary with test peers on loopback: clients, engines and the discovery service.
 //!
-//! Many of these tests stop the process while both events of a race arrive at its sockets, so that the router finds both
-//! in the same iteration (docs/ending.md).
+//! Many of these tests are about races. They stop the process while both events of a race arrive at its sockets, so
+//! that the router finds both events in the same iteration of its loop (docs/ending.md).
 
 mod clients;
 mod discovery;
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -1,4 +1,5 @@
-//! Reading the configuration and the operator's file at start and at SIGHUP: complete, malformed or incomplete files.
+//! Tests of reading the configuration and the operator's file, at start and at SIGHUP. The files are complete,
+//! malformed or incomplete.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -79,9 +80,10 @@
     ]));
 }
 
-/// At SIGHUP the file may be incomplete, or belong to another router. Changed settings take effect at a restart.
+/// At SIGHUP the file may be incomplete, or may configure another router. Changed settings take effect only at a
+/// restart.
 #[test]
-fn an_incomplete_configuration_is_read_once_complete_and_one_of_another_router_never() {
+fn an_incomplete_configuration_is_retried_and_that_of_another_router_rejected() {
     let mut router = RouterHarness::start("incomplete-file", 1, &ordinary_settings());
     let _previous_discovery = router.accept_discovery();
     let complete = router.move_discovery().replace("\"lookup\"", "\"view\"");
--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -1,4 +1,4 @@
-//! Serving requests: attempts, retries, results and deadlines.
+//! Tests of serving requests: attempts, retries, results and deadlines.
 
 use crate::harness::*;
 use emberflow_peer_protocol::engine::{EngineReply, Progress, UsedResources};
@@ -288,7 +288,7 @@
 }
 
 /// A process that is suspended while it polls reads several lines late. The deadline of each counts from the earliest
-/// time at which the line can have arrived, so that no call names more time than its client has left.
+/// time at which the line can have arrived, so that no call carries more time than its client has left.
 #[test]
 fn deadlines_of_lines_read_late_count_from_their_earliest_arrival() {
     const PAUSE: Duration = Duration::from_millis(300);
@@ -308,6 +308,6 @@
     let call_time_left = engine.time_left_of(1);
     assert!(
         call_time_left <= client_time_left + SLACK,
-        "the call names {call_time_left:?}, the client has {client_time_left:?} left"
+        "the call carries {call_time_left:?}, the client has {client_time_left:?} left"
     );
 }
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown at SIGTERM.
+//! Tests of graceful shutdown at SIGTERM.
 
 use crate::harness::*;
 use expect_test::expect;
@@ -6,7 +6,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Longer than the time for which the process serves after SIGTERM in any case. Afterwards it ends once no request is open.
+/// Longer than the minimum time for which the process serves after SIGTERM. After that time, the process ends once no
+/// request is open.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(750);
 /// Longer than the interval in which the router checks whether it may end.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -59,7 +60,8 @@
     expect![[r#"Some(0)"#]].assert_eq(&format!("{:?}", status.code()));
 }
 
-/// When the process may end, one request is unread in a socket and one in a connection that was not accepted.
+/// At the time when the process may end, one request is unread in a client's socket, and one in a connection that was
+/// not accepted yet. Guards against losing either request.
 #[test]
 fn graceful_shutdown_answers_unread_requests_and_pending_connections() {
     let (mut router, mut client, mut engine) = start_with_one_engine("last", &ordinary_settings());
--- a/crates/router/tests/sockets/teams.rs
+++ b/crates/router/tests/sockets/teams.rs
@@ -1,4 +1,4 @@
-//! Queues of teams: shares, urgency, timeouts and cancellations.
+//! Tests of the queues of teams: shares, urgency, timeouts and cancellations.
 
 use crate::harness::*;
 use emberflow_peer_protocol::client::ClientRequest;
--- a/crates/router/tests/unit/clock.rs
+++ b/crates/router/tests/unit/clock.rs
@@ -1,3 +1,5 @@
+//! Tests of the conversion of wall clock times to the router's clock.
+
 use super::{MAX_OFFSETS, MIN_WALL_CLOCK_STEP, WallClockOffsets};
 use std::time::Duration;
 
@@ -17,17 +19,17 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_moves_no_launch() {
+fn a_wall_clock_step_does_not_change_a_launch_time() {
     let correct = Duration::from_secs(90);
     assert_eq!(launch_time(&[CORRECT_OFFSET]), correct);
-    for wrong in [CORRECT_OFFSET + HOUR, CORRECT_OFFSET - HOUR] {
-        assert_eq!(launch_time(&[CORRECT_OFFSET, wrong]), correct, "stepped to the offset {wrong:?}");
-        assert_eq!(launch_time(&[wrong, CORRECT_OFFSET]), correct, "stepped from the offset {wrong:?}");
+    for stepped in [CORRECT_OFFSET + HOUR, CORRECT_OFFSET - HOUR] {
+        assert_eq!(launch_time(&[CORRECT_OFFSET, stepped]), correct, "stepped to the offset {stepped:?}");
+        assert_eq!(launch_time(&[stepped, CORRECT_OFFSET]), correct, "stepped from the offset {stepped:?}");
     }
 }
 
 #[test]
-fn a_launch_is_never_in_the_future() {
+fn a_launch_time_is_never_in_the_future() {
     assert_eq!(launch_time(&[CORRECT_OFFSET - HOUR]), NOW);
     assert_eq!(launch_time(&[]), NOW);
 }
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -1,4 +1,4 @@
-//! Attempts and their connections to engines, without sockets.
+//! Tests of the engine pool without sockets: attempts, and their connections to engines.
 
 use super::{Call, EnginePool, PoolEvent};
 use crate::context::Context;
@@ -12,8 +12,8 @@
 
 const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
 const HEALTH_CHECK_ID: &str = "0";
-/// A timeout that no test reaches.
-const LONG: Duration = Duration::from_secs(20);
+/// A timeout that is longer than any test.
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 /// The idle timeout of engines.
 const IDLE_CLOSE: Duration = Duration::from_secs(20);
 
@@ -49,12 +49,13 @@
             .expect("writing to memory never fails");
     }
 
-    /// Has the pool read a reply of the engine under an id.
+    /// Delivers a reply of the engine with an id to the pool.
     fn receive(&mut self, id: &str, reply: EngineReply<'_>) {
         let mut socket = OpenSocket(Cursor::new(reply.encode(id)));
         self.pool.read(self.connection, &mut socket, &mut self.context);
     }
 
+    /// Runs the check of the connection at a time. Returns whether the connection is still open.
     fn check_connection(&mut self, now: Duration) -> bool {
         self.context.now = now;
         self.pool.connection_check_due(self.connection, now, &mut self.context);
@@ -89,7 +90,7 @@
     }
 }
 
-/// A socket that delivers some bytes and then blocks.
+/// A socket that delivers some bytes and then would block.
 struct OpenSocket(Cursor<Vec<u8>>);
 
 impl Read for OpenSocket {
@@ -101,12 +102,14 @@
     }
 }
 
-/// A socket that accepts a number of bytes and then blocks.
-struct FullSocket(usize);
+/// A socket that accepts a number of bytes and then would block.
+struct LimitedSocket {
+    capacity: usize,
+}
 
-impl Write for FullSocket {
+impl Write for LimitedSocket {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let accepted = std::mem::take(&mut self.0).min(bytes.len());
+        let accepted = std::mem::take(&mut self.capacity).min(bytes.len());
         if accepted == 0 { Err(io::ErrorKind::WouldBlock.into()) } else { Ok(accepted) }
     }
     fn flush(&mut self) -> io::Result<()> {
@@ -116,12 +119,13 @@
 
 #[test]
 fn a_changed_priority_of_an_attempt_in_flight_is_sent_to_its_engine() {
-    let mut fixture = Fixture::new(LONG, LONG);
+    let mut fixture = Fixture::new(LONG_TIMEOUT, LONG_TIMEOUT);
     fixture.pool.update_priority(fixture.attempt, 3, &mut fixture.context);
     fixture.establish();
     fixture.pool.update_priority(fixture.attempt, 2, &mut fixture.context);
     fixture.write();
     let text = String::from_utf8(fixture.written).expect("the messages are text");
+    // Skips the call, and the header of the first message with a priority.
     let lines: Vec<&str> = text.lines().skip(10).take(13).collect();
     expect!["$4 RANK $16 9b1f03aa5c7e2d41 $1 3 *3 $4 RANK $16 9b1f03aa5c7e2d41 $1 2"]
         .assert_eq(&lines.join(" "));
@@ -130,10 +134,10 @@
 /// Guards against calls that are written to a draining engine once its socket accepts bytes again.
 #[test]
 fn calls_blocked_by_a_full_socket_are_retracted_when_their_engine_drains() {
-    let drain_after = |accepted: usize| {
-        let mut fixture = Fixture::new(LONG, LONG);
+    let outcome_after = |accepted: usize| {
+        let mut fixture = Fixture::new(LONG_TIMEOUT, LONG_TIMEOUT);
         fixture.pool.connection_established(fixture.connection, &mut fixture.context);
-        let mut socket = FullSocket(accepted);
+        let mut socket = LimitedSocket { capacity: accepted };
         fixture
             .pool
             .drain(fixture.connection, &mut socket, &mut fixture.context)
@@ -147,7 +151,7 @@
         0 bytes written, attempts_not_sent=1 attempts_sent=1 connections_dialled=1
         81 bytes written, attempts_sent=1 connections_dialled=1
     "#]]
-    .assert_eq(&(drain_after(0) + &drain_after(1)));
+    .assert_eq(&(outcome_after(0) + &outcome_after(1)));
 }
 
 #[test]
@@ -175,14 +179,14 @@
         ));
 }
 
-/// Guards against a call that names more time than its client has left.
+/// Guards against a call that carries more time than its client has left.
 #[test]
-fn a_call_that_waited_for_its_connection_names_the_time_left() {
+fn a_call_that_waited_for_its_connection_carries_the_time_left() {
     let second = Duration::from_secs(1);
     let mut fixture = Fixture::new(second, second * 2);
     fixture.context.now = second / 2;
     fixture.pool.connection_established(fixture.connection, &mut fixture.context);
-    let mut full = FullSocket(0);
+    let mut full = LimitedSocket { capacity: 0 };
     fixture
         .pool
         .drain(fixture.connection, &mut full, &mut fixture.context)
@@ -196,16 +200,16 @@
 /// Guards against idle connections of a large fleet that use up the connection limit.
 #[test]
 fn an_idle_connection_is_closed_for_a_call_to_another_engine() {
-    let mut fixture = Fixture::new(LONG, LONG);
+    let mut fixture = Fixture::new(LONG_TIMEOUT, LONG_TIMEOUT);
     fixture.establish();
     let context = &mut fixture.context;
     let other = EndpointRecord { id: 8, ..record(Lifecycle::Ready) };
     let engine = fixture.pool.update_endpoint(&other, context).engine;
     let other_id = "00000000000000aa";
-    fixture.pool.send(engine, call(1, other_id, LONG), &[], context);
+    fixture.pool.send(engine, call(1, other_id, LONG_TIMEOUT), &[], context);
     let connections_before = fixture.pool.size().connections;
     fixture.pool.cancel(fixture.attempt, context);
-    let attempt = fixture.pool.send(engine, call(2, other_id, LONG), &[], context);
+    let attempt = fixture.pool.send(engine, call(2, other_id, LONG_TIMEOUT), &[], context);
     let connection = fixture.pool.connection_of(attempt);
     assert_eq!((connections_before, fixture.pool.size().connections), (1, 1));
     assert!(connection.is_some_and(|connection| connection != fixture.connection));
--- a/crates/router/tests/unit/gate.rs
+++ b/crates/router/tests/unit/gate.rs
@@ -1,9 +1,11 @@
+//! Tests of the last checks before a call is written or a client's connection is closed.
+
 use super::{CallFacts, CallRefusal, CloseReason, may_close, may_send};
 use crate::counters::Counters;
 use emberflow::RequestId;
 use std::time::Duration;
 
-fn call() -> CallFacts {
+fn sendable_call() -> CallFacts {
     CallFacts {
         is_engine_ready: true,
         may_client_have_left: false,
@@ -14,12 +16,12 @@
 
 #[test]
 fn a_call_is_written_only_for_a_waiting_client_to_a_ready_engine_before_its_deadline() {
-    assert_eq!(may_send(&call()), Ok(()));
+    assert_eq!(may_send(&sendable_call()), Ok(()));
     let refusals = [
-        (CallFacts { is_engine_ready: false, ..call() }, CallRefusal::EngineNotReady),
-        (CallFacts { may_client_have_left: true, ..call() }, CallRefusal::ClientMayHaveLeft),
-        (CallFacts { is_cancelled: true, ..call() }, CallRefusal::Cancelled),
-        (CallFacts { time_left: Duration::ZERO, ..call() }, CallRefusal::DeadlinePassed),
+        (CallFacts { is_engine_ready: false, ..sendable_call() }, CallRefusal::EngineNotReady),
+        (CallFacts { may_client_have_left: true, ..sendable_call() }, CallRefusal::ClientMayHaveLeft),
+        (CallFacts { is_cancelled: true, ..sendable_call() }, CallRefusal::Cancelled),
+        (CallFacts { time_left: Duration::ZERO, ..sendable_call() }, CallRefusal::DeadlinePassed),
     ];
     for (facts, refusal) in refusals {
         assert_eq!(may_send(&facts), Err(refusal));
--- a/crates/router/tests/unit/listener.rs
+++ b/crates/router/tests/unit/listener.rs
@@ -1,3 +1,5 @@
+//! Tests of the classification of errors of accepting a connection.
+
 use super::AcceptFailure;
 use std::io;
 
@@ -6,7 +8,7 @@
 }
 
 #[test]
-fn a_failed_accept_closes_an_idle_client_only_where_that_frees_what_is_missing() {
+fn accept_errors_are_classified_by_the_missing_resource() {
     assert_eq!(failure(libc::EAGAIN), AcceptFailure::NoConnection);
     assert_eq!(failure(libc::EMFILE), AcceptFailure::OutOfDescriptors);
     for code in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EPERM] {
