--- a/crates/model-checker/src/router_model/apply/clients.rs
+++ b/crates/model-checker/src/router_model/apply/clients.rs
@@ -115,7 +115,7 @@
         let Some(client) = self.client_at(slot) else { return };
         let mut peer = Peer::with_capacity(self.state.clients[client].capacity);
         let clients = &mut self.state.server.dispatcher.clients;
-        clients.drain(slot, &mut peer).expect("a write to a peer in memory fails only by blocking");
+        clients.flush(slot, &mut peer).expect("a write to a peer in memory fails only by blocking");
         self.state.clients[client].capacity = peer.capacity;
         self.record_answers(slot, &peer.inbox);
     }
--- a/crates/model-checker/src/router_model/apply/engines.rs
+++ b/crates/model-checker/src/router_model/apply/engines.rs
@@ -71,7 +71,7 @@
     pub(super) fn drain_to_engine(&mut self, connection: Slot) {
         let Some(peer) = self.state.engine_peers.get_mut(&connection) else { return };
         let Dispatcher { engines, context, .. } = &mut self.state.server.dispatcher;
-        engines.drain(connection, peer, context).expect("a write to a peer without a limit does not fail");
+        engines.flush(connection, peer, context).expect("a write to a peer without a limit does not fail");
         for command in take_commands(&mut peer.inbox) {
             self.receive_command(connection, &command);
         }
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -194,15 +194,15 @@
     ///
     /// # Errors
     /// Returns the error of a socket that has failed.
-    pub fn drain(&mut self, slot: Slot, to: &mut impl Write) -> io::Result<()> {
+    pub fn flush(&mut self, slot: Slot, socket: &mut impl Write) -> io::Result<()> {
         let Some(client) = self.table.get_mut(slot) else { return Ok(()) };
         self.unsent_bytes -= client.output.len();
-        let drained = client.output.drain(to);
+        let result = client.output.write_to(socket);
         self.unsent_bytes += client.output.len();
         if !client.accepts_lines() {
             self.maybe_finished.push(slot);
         }
-        drained
+        result
     }
 
     /// Removes a request that was answered or cancelled from the open requests of its client.
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -2,7 +2,7 @@
 
 use super::{ClientInput, MAX_TRANSIT_TIME, ScanResult};
 use crate::jsonrpc::{self, Cancellation};
-use crate::ring::{Filled, Ring};
+use crate::ring::{FillOutcome, Ring};
 use emberflow::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -167,7 +167,7 @@
             match self.receive(max_line_bytes, now, received_since, socket) {
                 Err(_) => return ReadOutcome::Closed,
                 Ok(_) if self.input.len() > length_before => {}
-                Ok(Filled::Closed) => return self.end_input(),
+                Ok(FillOutcome::Closed) => return self.end_input(),
                 Ok(_) => return ReadOutcome::Pending,
             }
         }
@@ -180,7 +180,7 @@
         now: Duration,
         received_since: Duration,
         socket: &mut impl ClientInput,
-    ) -> io::Result<Filled> {
+    ) -> io::Result<FillOutcome> {
         let length_before = self.input.len();
         let filled = self.input.fill(socket, max_bytes);
         if self.input.len() > length_before {
@@ -204,9 +204,9 @@
     fn discard_input(&mut self, max_bytes: usize, socket: &mut impl ClientInput) -> ReadOutcome {
         self.consume(self.input.len());
         match self.input.fill(socket, max_bytes) {
-            Ok(Filled::Enough) => ReadOutcome::Discarded,
-            Ok(Filled::Drained) => ReadOutcome::Pending,
-            Ok(Filled::Closed) => self.end_input(),
+            Ok(FillOutcome::LimitReached) => ReadOutcome::Discarded,
+            Ok(FillOutcome::WouldBlock) => ReadOutcome::Pending,
+            Ok(FillOutcome::Closed) => self.end_input(),
             Err(_) => ReadOutcome::Closed,
         }
     }
@@ -249,7 +249,7 @@
             return scan;
         }
         match self.receive(max_line_bytes, now, received_since, socket) {
-            Ok(Filled::Closed) => scan.ended = self.ended_at.replace(now).is_none(),
+            Ok(FillOutcome::Closed) => scan.ended = self.ended_at.replace(now).is_none(),
             Ok(_) => {}
             Err(_) => scan.closed = true,
         }
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -61,7 +61,7 @@
     fn fingerprint(&self, time: &RelativeTime, hasher: &mut impl Hasher) {
         let mut buffered = Vec::new();
         for ring in [&self.input, &self.output] {
-            let _ = ring.clone().drain(&mut buffered);
+            let _ = ring.clone().write_to(&mut buffered);
             buffered.len().hash(hasher);
         }
         buffered.hash(hasher);
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -6,7 +6,7 @@
 use super::result_pages::ResultPages;
 use super::{EnginePool, PoolEvent};
 use crate::context::Context;
-use crate::ring::Filled;
+use crate::ring::FillOutcome;
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::{AttemptOutcome, EngineId, LoadReport};
@@ -21,10 +21,10 @@
 impl EnginePool {
     /// Reads a limited number of bytes from a connection, and handles all complete replies. Returns whether there may
     /// be more input to read.
-    pub fn read(&mut self, slot: Slot, from: &mut impl Read, context: &mut Context) -> bool {
+    pub fn read(&mut self, slot: Slot, socket: &mut impl Read, context: &mut Context) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
         let engine = connection.engine;
-        let filled = connection.input.fill(from, MAX_READ_BYTES_PER_ITERATION);
+        let filled = connection.input.fill(socket, MAX_READ_BYTES_PER_ITERATION);
         if let Err(error) = self.process_input(slot, context) {
             context.counters.count("engine_input_malformed");
             self.log_malformed_input(engine, slot, &error);
@@ -32,8 +32,8 @@
             return false;
         }
         match filled {
-            Ok(Filled::Drained | Filled::Enough) => {}
-            Ok(Filled::Closed) => {
+            Ok(FillOutcome::WouldBlock | FillOutcome::LimitReached) => {}
+            Ok(FillOutcome::Closed) => {
                 self.close_connection(slot, "engine closed the connection", Reachability::Reachable, context);
             }
             Err(ref error) => {
@@ -41,7 +41,7 @@
             }
         }
         self.schedule_reply_timeout(slot, context);
-        matches!(filled, Ok(Filled::Enough)) && self.connections.get(slot).is_some()
+        matches!(filled, Ok(FillOutcome::LimitReached)) && self.connections.get(slot).is_some()
     }
 
     fn log_malformed_input(&self, engine: EngineId, slot: Slot, error: &EngineProtocolError) {
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -123,14 +123,14 @@
     ///
     /// # Errors
     /// Returns the error of a socket that has failed.
-    pub fn drain(&mut self, slot: Slot, to: &mut impl Write, context: &mut Context) -> io::Result<()> {
+    pub fn flush(&mut self, slot: Slot, socket: &mut impl Write, context: &mut Context) -> io::Result<()> {
         self.requeue_unwritten_call(slot);
         loop {
             let connection = self.connections.get_mut(slot);
             let Some(connection) = connection.filter(|connection| connection.is_established()) else {
                 return Ok(());
             };
-            connection.output.drain(to)?;
+            connection.output.write_to(socket)?;
             if !connection.output.is_empty() {
                 return Ok(());
             }
--- a/crates/router/src/event_loop/client_sockets.rs
+++ b/crates/router/src/event_loop/client_sockets.rs
@@ -92,7 +92,7 @@
     /// Writes a client's pending output. If writing fails, closes the client and returns false.
     pub(super) fn flush_or_close_client(&mut self, slot: Slot) -> bool {
         let Some(registered) = self.clients.get(&slot) else { return true };
-        let is_written = self.server.dispatcher.clients.drain(slot, &mut &*registered.socket).is_ok();
+        let is_written = self.server.dispatcher.clients.flush(slot, &mut &*registered.socket).is_ok();
         if !is_written {
             self.server.close_client(slot, CloseReason::WriteFailed);
         }
--- a/crates/router/src/event_loop/discovery_socket.rs
+++ b/crates/router/src/event_loop/discovery_socket.rs
@@ -3,7 +3,7 @@
 use super::RouterLoop;
 use crate::discovery::MAX_FRAME_BYTES;
 use crate::error::DiscoveryError;
-use crate::ring::Filled;
+use crate::ring::FillOutcome;
 use crate::server::Server;
 use crate::sockets::RegisteredSocket;
 use crate::timers::Timer;
@@ -90,9 +90,9 @@
                 self.redial_discovery_after(INACTIVITY_TIMEOUT);
             }
             match filled {
-                Filled::Closed => return Err(DiscoveryError::Closed),
-                Filled::Drained => return Ok(()),
-                Filled::Enough => {}
+                FillOutcome::Closed => return Err(DiscoveryError::Closed),
+                FillOutcome::WouldBlock => return Ok(()),
+                FillOutcome::LimitReached => {}
             }
         }
     }
--- a/crates/router/src/event_loop/engine_sockets.rs
+++ b/crates/router/src/event_loop/engine_sockets.rs
@@ -119,7 +119,7 @@
         self.scan_clients_of_unwritten_calls(slot);
         let Some(registered) = self.connections.get(&slot) else { return };
         let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
-        if let Err(error) = engines.drain(slot, &mut &*registered.socket, context) {
+        if let Err(error) = engines.flush(slot, &mut &*registered.socket, context) {
             // The engine may have sent answers before it closed the connection.
             engines.read(slot, &mut &*registered.socket, context);
             engines.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -6,7 +6,7 @@
 
 use super::{MAX_READS_PER_ITERATION, RouterLoop};
 use crate::clients::MAX_TRANSIT_TIME;
-use crate::ring::Filled;
+use crate::ring::FillOutcome;
 use crate::server::ClosedClient;
 use crate::slots::Slot;
 use crate::sockets::RegisteredSocket;
@@ -22,7 +22,7 @@
     pub(super) fn close_client_socket(&mut self, client: ClosedClient) {
         let ClosedClient { slot, mut output } = client;
         let Some(registered) = self.clients.remove(&slot) else { return };
-        let _ = output.drain(&mut &*registered.socket);
+        let _ = output.write_to(&mut &*registered.socket);
         let unread_bytes = unread_bytes(&registered.socket);
         let unwritten_bytes = output.len();
         if unread_bytes + unwritten_bytes > 0 {
@@ -52,9 +52,9 @@
     /// Discards the input of a lingering connection, and closes it at the end of its input.
     pub(super) fn drain_lingering(&mut self, slot: Slot) {
         match self.lingering.get(&slot).map(|registered| drain_input(&registered.socket)) {
-            Some(Filled::Enough) => self.undrained.push(slot),
-            Some(Filled::Closed) => drop(self.lingering.remove(&slot)),
-            Some(Filled::Drained) | None => {}
+            Some(FillOutcome::LimitReached) => self.undrained.push(slot),
+            Some(FillOutcome::Closed) => drop(self.lingering.remove(&slot)),
+            Some(FillOutcome::WouldBlock) | None => {}
         }
     }
 }
@@ -71,16 +71,16 @@
 }
 
 /// Discards a connection's input, up to the limit of an iteration.
-pub(super) fn drain_input(mut socket: &TcpStream) -> Filled {
+pub(super) fn drain_input(mut socket: &TcpStream) -> FillOutcome {
     let mut chunk = [0; CHUNK_BYTES];
     for _ in 0..MAX_READS_PER_ITERATION {
         match socket.read(&mut chunk) {
-            Ok(0) => return Filled::Closed,
+            Ok(0) => return FillOutcome::Closed,
             Ok(_) => {}
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Filled::Drained,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return FillOutcome::WouldBlock,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(_) => return Filled::Closed,
+            Err(_) => return FillOutcome::Closed,
         }
     }
-    Filled::Enough
+    FillOutcome::LimitReached
 }
--- a/crates/router/src/event_loop/shutdown.rs
+++ b/crates/router/src/event_loop/shutdown.rs
@@ -3,7 +3,7 @@
 use super::RouterLoop;
 use super::lingering::drain_input;
 use crate::clients::MAX_TRANSIT_TIME;
-use crate::ring::Filled;
+use crate::ring::FillOutcome;
 use calloop::EventLoop;
 use std::net::Shutdown;
 
@@ -30,7 +30,7 @@
         let _ = self.loop_handle.disable(&self.listener.token);
         self.clients.retain(|_, registered| registered.socket.shutdown(Shutdown::Write).is_ok());
         loop {
-            self.clients.retain(|_, registered| drain_input(&registered.socket) != Filled::Closed);
+            self.clients.retain(|_, registered| drain_input(&registered.socket) != FillOutcome::Closed);
             let time_left = deadline.saturating_sub(self.clock.now());
             if self.clients.is_empty() || time_left.is_zero() {
                 return;
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -19,11 +19,11 @@
 
 /// Why reading into a buffer ended.
 #[derive(Debug, PartialEq)]
-pub enum Filled {
+pub enum FillOutcome {
     /// The socket has no more input at present.
-    Drained,
+    WouldBlock,
     /// The buffer holds the requested number of bytes. The socket may have more.
-    Enough,
+    LimitReached,
     /// The peer has shut down its sending side.
     Closed,
 }
@@ -77,28 +77,28 @@
     ///
     /// # Errors
     /// Returns the error of a socket that has failed. The bytes that were read before stay in the buffer.
-    pub fn fill(&mut self, from: &mut impl Read, max_bytes: usize) -> Result<Filled> {
+    pub fn fill(&mut self, socket: &mut impl Read, max_bytes: usize) -> Result<FillOutcome> {
         let mut chunk = [0; CHUNK_BYTES];
         while self.bytes.len() < max_bytes {
             let capacity = CHUNK_BYTES.min(max_bytes - self.bytes.len());
-            match from.read(&mut chunk[..capacity]) {
-                Ok(0) => return Ok(Filled::Closed),
+            match socket.read(&mut chunk[..capacity]) {
+                Ok(0) => return Ok(FillOutcome::Closed),
                 Ok(count) => self.push(&chunk[..count]),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(Filled::Drained),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(FillOutcome::WouldBlock),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
         }
-        Ok(Filled::Enough)
+        Ok(FillOutcome::LimitReached)
     }
 
     /// Writes until the buffer is empty, or until the socket accepts no more bytes.
     ///
     /// # Errors
     /// Returns the error of a socket that has failed.
-    pub fn drain(&mut self, to: &mut impl Write) -> Result<()> {
+    pub fn write_to(&mut self, socket: &mut impl Write) -> Result<()> {
         while !self.bytes.is_empty() {
-            match to.write(self.bytes.as_slices().0) {
+            match socket.write(self.bytes.as_slices().0) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => self.consume(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
--- a/crates/router/tests/digest/clients.rs
+++ b/crates/router/tests/digest/clients.rs
@@ -167,7 +167,7 @@
     pub fn flush_client(&mut self, slot: Slot) {
         let Some(client) = self.clients.iter_mut().find(|client| client.slot == slot) else { return };
         let mut sink = LimitedSink { capacity: client.capacity, written: Vec::new() };
-        self.server.dispatcher.clients.drain(slot, &mut sink).expect("the sink does not fail");
+        self.server.dispatcher.clients.flush(slot, &mut sink).expect("the sink does not fail");
         client.capacity = sink.capacity;
         let number = client.number;
         self.record_client_bytes(number, &sink.written);
--- a/crates/router/tests/digest/engines.rs
+++ b/crates/router/tests/digest/engines.rs
@@ -151,7 +151,7 @@
         let mut sink =
             LimitedSink { capacity: if is_nearly_full { 30 } else { usize::MAX }, written: Vec::new() };
         let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
-        engines.drain(slot, &mut sink, context).expect("the sink does not fail");
+        engines.flush(slot, &mut sink, context).expect("the sink does not fail");
         if !sink.written.is_empty() {
             self.recorder.record("to engine", connection.number, &sink.written);
         }
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -208,7 +208,7 @@
         let ClosedClient { slot, mut output } = closed;
         let Some(index) = self.clients.iter().position(|client| client.slot == slot) else { return };
         let mut written = Vec::new();
-        output.drain(&mut written).expect("writing to memory does not fail");
+        output.write_to(&mut written).expect("writing to memory does not fail");
         let number = self.clients[index].number;
         self.record_client_bytes(number, &written);
         self.recorder.record("close client", number, &[]);
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -46,7 +46,7 @@
     let received_at = server.dispatcher.context.now() - Duration::from_millis(age_ms);
     server.read_client_line(slot, received_at, &mut ReceivedBytes(line.as_bytes()), || false);
     let mut answer = Vec::new();
-    server.dispatcher.clients.drain(slot, &mut answer).expect("writing to memory does not fail");
+    server.dispatcher.clients.flush(slot, &mut answer).expect("writing to memory does not fail");
     if answer.is_empty() {
         return "no answer yet\n".into();
     }
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -45,7 +45,7 @@
 
     fn write(&mut self) {
         self.pool
-            .drain(self.connection, &mut self.written, &mut self.context)
+            .flush(self.connection, &mut self.written, &mut self.context)
             .expect("writing to memory never fails");
     }
 
@@ -140,7 +140,7 @@
         let mut socket = LimitedSocket { capacity: accepted };
         fixture
             .pool
-            .drain(fixture.connection, &mut socket, &mut fixture.context)
+            .flush(fixture.connection, &mut socket, &mut fixture.context)
             .expect("a full socket only blocks");
         fixture.pool.update_endpoint(&record(Lifecycle::Draining), &mut fixture.context);
         fixture.write();
@@ -189,7 +189,7 @@
     let mut full = LimitedSocket { capacity: 0 };
     fixture
         .pool
-        .drain(fixture.connection, &mut full, &mut fixture.context)
+        .flush(fixture.connection, &mut full, &mut fixture.context)
         .expect("a full socket only blocks");
     fixture.context.now = second;
     fixture.write();
