--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -192,8 +192,8 @@
     Mutant {
         name: "unwritten calls kept at a drain",
         file: POOL_ATTEMPT,
-        from: "attempt.call_offset == Some(connection.output.passed())",
-        to: "attempt.call_offset == Some(connection.output.passed() + 1)",
+        from: "attempt.call_offset == Some(connection.output.front_offset())",
+        to: "attempt.call_offset == Some(connection.output.front_offset() + 1)",
     },
     Mutant {
         name: "queued calls remain at a drain",
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -85,7 +85,7 @@
     for piece in pieces {
         ring.push(piece);
         loop {
-            match parse(ring.readable()) {
+            match parse(ring.contents()) {
                 Ok(Some((message, length))) => {
                     ring.consume(length);
                     messages.push(Ok(message));
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -213,7 +213,7 @@
 
     /// Takes the next line out of the input, if it is complete.
     fn take_line(&mut self, now: Duration) -> Option<Vec<u8>> {
-        let Some((line, length)) = jsonrpc::split_line(self.input.readable(), self.scanned_for_line) else {
+        let Some((line, length)) = jsonrpc::split_line(self.input.contents(), self.scanned_for_line) else {
             self.scanned_for_line = self.input.len();
             return None;
         };
@@ -229,8 +229,8 @@
     fn consume(&mut self, length: usize) {
         self.input.consume(length);
         self.scanned_for_cancellations = self.scanned_for_cancellations.saturating_sub(length);
-        let passed = self.input.passed();
-        while self.unread_cancellations.front().is_some_and(|unread| unread.line_end <= passed) {
+        let front_offset = self.input.front_offset();
+        while self.unread_cancellations.front().is_some_and(|unread| unread.line_end <= front_offset) {
             self.unread_cancellations.pop_front();
         }
     }
@@ -259,16 +259,16 @@
 
     /// Scans the complete lines that have arrived since the last scan, and returns their cancellations.
     pub(super) fn new_cancellations(&mut self) -> Vec<Cancellation> {
-        if self.scanned_end == self.input.end() {
+        if self.scanned_end == self.input.end_offset() {
             return Vec::new();
         }
-        self.scanned_end = self.input.end();
+        self.scanned_end = self.input.end_offset();
         if self.input_state == InputState::Discarding {
             self.scanned_for_cancellations = self.input.len();
         }
-        let mut line_end = self.input.passed() + self.scanned_for_cancellations as u64;
+        let mut line_end = self.input.front_offset() + self.scanned_for_cancellations as u64;
         let mut found = Vec::new();
-        let unscanned = &self.input.readable()[self.scanned_for_cancellations..];
+        let unscanned = &self.input.contents()[self.scanned_for_cancellations..];
         let last_newline = unscanned.iter().rposition(|byte| *byte == b'\n');
         let complete = last_newline.map_or(0, |newline| newline + 1);
         for line in unscanned[..complete].split_inclusive(|byte| *byte == b'\n') {
@@ -297,11 +297,11 @@
         let ended_at = self.ended_at.filter(|_| self.input_state != InputState::Ended);
         let ended_at = ended_at.map(|at| relative(at.max(now.saturating_sub(MAX_FINGERPRINT_ENDED_TIME))));
         (self.scanned_for_cancellations, ended_at).hash(hasher);
-        let passed = self.input.passed();
+        let front_offset = self.input.front_offset();
         for unread in &self.unread_cancellations {
-            (unread.line_end - passed, &unread.cancellation).hash(hasher);
+            (unread.line_end - front_offset, &unread.cancellation).hash(hasher);
         }
-        (self.input.end() - self.scanned_end).hash(hasher);
+        (self.input.end_offset() - self.scanned_end).hash(hasher);
         self.has_partial_line().then(|| relative(self.last_received)).hash(hasher);
     }
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -138,7 +138,7 @@
     /// Fails if the frame is malformed, if events are missing before it, or if the settings do not name the kind or the
     /// location of an endpoint. The connection must then be replaced.
     pub fn next_frame(&mut self, counters: &mut Counters) -> Result<Option<Frame>, DiscoveryError> {
-        let Some((frame, length)) = parse_frame(self.input.readable())? else { return Ok(None) };
+        let Some((frame, length)) = parse_frame(self.input.contents())? else { return Ok(None) };
         self.input.consume(length);
         self.check_endpoints(&frame)?;
         let (number, last) = (frame.number, self.last_event);
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -62,9 +62,9 @@
         let connection = attempt.connection.and_then(|connection| self.connections.get_mut(connection));
         let Some(connection) = connection else { return false };
         let Some(call) = &attempt.call else { return false };
-        let is_unsent = attempt.call_offset == Some(connection.output.passed());
+        let is_unsent = attempt.call_offset == Some(connection.output.front_offset());
         if is_unsent {
-            connection.output.cut(call.encoded_bytes);
+            connection.output.remove_unsent(call.encoded_bytes);
             attempt.call_offset = None;
         }
         is_unsent
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -159,7 +159,7 @@
         if reachability == Reachability::Reachable && !connection.attempts.is_empty() {
             context.counters.count("connections_lost");
         }
-        let written = connection.output.passed();
+        let written = connection.output.front_offset();
         for attempt in connection.attempts.into_values() {
             self.connection_lost(attempt, written, reachability, context);
         }
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -48,7 +48,7 @@
         let connection = attempt.connection.and_then(|connection| self.connections.get(connection));
         let has_begun = connection
             .filter(|_| attempt.call_offset.is_some())
-            .map(|connection| attempt.has_begun(connection.output.passed()));
+            .map(|connection| attempt.has_begun(connection.output.front_offset()));
         let queue_position =
             connection.map(|connection| connection.waiting.iter().position(|waiting| *waiting == slot));
         (attempt.request, attempt.number).hash(hasher);
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -79,7 +79,7 @@
     fn process_input(&mut self, slot: Slot, context: &mut Context) -> Result<(), EngineProtocolError> {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return Ok(()) };
-            let Some((reply, length)) = EngineReply::decode(connection.input.readable())? else {
+            let Some((reply, length)) = EngineReply::decode(connection.input.contents())? else {
                 return Ok(());
             };
             connection.input.consume(length);
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -95,7 +95,7 @@
         let Some(call) = &mut attempt.call else { return };
         let bytes = call.encode(&attempt.id, attempt.deadline.saturating_sub(now));
         call.encoded_bytes = bytes.len();
-        attempt.call_offset = Some(connection.output.end());
+        attempt.call_offset = Some(connection.output.end_offset());
         connection.output.push(&bytes);
         log::debug!(
             "call added to connection output: request={} attempt={} connection={slot:?} engine={}",
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -14,7 +14,7 @@
 pub struct Ring {
     bytes: VecDeque<u8>,
     /// Number of bytes that were consumed or sent so far.
-    passed: u64,
+    front_offset: u64,
 }
 
 /// Why reading into a buffer ended.
@@ -40,13 +40,13 @@
     }
 
     /// Returns the offset of the buffer's end in the stream of all bytes.
-    pub fn end(&self) -> u64 {
-        self.passed + self.bytes.len() as u64
+    pub fn end_offset(&self) -> u64 {
+        self.front_offset + self.bytes.len() as u64
     }
 
     /// Returns the offset of the buffer's front in the stream of all bytes.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn front_offset(&self) -> u64 {
+        self.front_offset
     }
 
     /// Appends bytes to the end of the buffer.
@@ -55,21 +55,21 @@
     }
 
     /// Returns all bytes in the buffer as one slice.
-    pub fn readable(&mut self) -> &[u8] {
+    pub fn contents(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
     /// Removes bytes from the front that were handled or sent, and advances the offset of the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
-        self.passed += count as u64;
+        self.front_offset += count as u64;
         if self.bytes.is_empty() && self.bytes.capacity() > MAX_EMPTY_CAPACITY {
             self.bytes = VecDeque::new();
         }
     }
 
     /// Removes bytes from the front that must not be sent. The offset of the front stays the same.
-    pub fn cut(&mut self, count: usize) {
+    pub fn remove_unsent(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
 
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -39,7 +39,7 @@
     ];
     let parse = |ring: &mut Ring| {
         let (line, length) = {
-            let resp::Array { parts, length } = resp::parse_array(ring.readable()).expect("well formed")?;
+            let resp::Array { parts, length } = resp::parse_array(ring.contents()).expect("well formed")?;
             let parts: Vec<_> = parts.iter().map(|part| part.escape_ascii().to_string()).collect();
             (parts.join(" | "), length)
         };
@@ -110,7 +110,7 @@
 "#;
     let parse = |ring: &mut Ring| {
         let (text, length) = {
-            let (line, length) = jsonrpc::split_line(ring.readable(), 0)?;
+            let (line, length) = jsonrpc::split_line(ring.contents(), 0)?;
             let request = jsonrpc::parse_request(line);
             let request = request.map(|request| (request.id, request.method, request.params));
             let request = request.map_err(|error| (error.id, error.code().number(), error.to_string()));
@@ -142,7 +142,7 @@
     };
     let parse = |ring: &mut Ring| {
         let (text, length) = {
-            let (frame, length) = discovery::parse_frame(ring.readable()).expect("well formed")?;
+            let (frame, length) = discovery::parse_frame(ring.contents()).expect("well formed")?;
             let endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
             let endpoints: Vec<_> = endpoints
                 .map(|endpoint| {
