--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -326,7 +326,7 @@
     discovery("the last event not recorded", "self.last_event = number;", ""),
     discovery(
         "half a frame kept on reconnection",
-        "Self { input: Ring::default(), subscribed: false, ..*self }",
+        "Self { input: RingBuffer::default(), subscribed: false, ..*self }",
         "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -9,7 +9,7 @@
 use emberflow_model_checker::{connection_model, module_model, router_model};
 use emberflow_peer_protocol::resp::encode_array;
 use emberflow_router::bootstrap::Bootstrap;
-use emberflow_router::ring::Ring;
+use emberflow_router::ring::RingBuffer;
 use emberflow_router::{discovery, jsonrpc, resp};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -80,7 +80,7 @@
     pieces: &[&[u8]],
     parse: impl Fn(&[u8]) -> Result<Option<(T, usize)>, E>,
 ) -> Vec<Result<T, E>> {
-    let mut ring = Ring::default();
+    let mut ring = RingBuffer::default();
     let mut messages = Vec::new();
     for piece in pieces {
         ring.push(piece);
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -2,7 +2,7 @@
 
 use super::{ClientInput, MAX_TRANSIT_TIME, ScanResult};
 use crate::jsonrpc::{self, Cancellation};
-use crate::ring::{FillOutcome, Ring};
+use crate::ring::{FillOutcome, RingBuffer};
 use emberflow::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -61,9 +61,9 @@
 /// A client's connection.
 #[derive(Clone)]
 pub struct Client {
-    input: Ring,
+    input: RingBuffer,
     /// Bytes to be written to the client.
-    pub output: Ring,
+    pub output: RingBuffer,
     /// Number of bytes at the front of the input that are known to hold no newline.
     scanned_for_line: usize,
     /// Number of bytes at the front of the input that were scanned for cancellations. They end with a line.
@@ -90,8 +90,8 @@
     /// Creates a connection that is accepted at `now`.
     pub(super) fn new(now: Duration) -> Self {
         Self {
-            input: Ring::default(),
-            output: Ring::default(),
+            input: RingBuffer::default(),
+            output: RingBuffer::default(),
             scanned_for_line: 0,
             scanned_for_cancellations: 0,
             unread_cancellations: VecDeque::new(),
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::counters::Counters;
 use crate::error::DiscoveryError;
-use crate::ring::Ring;
+use crate::ring::RingBuffer;
 use emberflow::{EndpointUpdate, Lifecycle};
 use emberflow_settings::{Fields, Problem, SettingsError};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -100,7 +100,7 @@
 #[derive(Clone)]
 pub struct Discovery {
     /// Received bytes that are not decoded yet.
-    pub input: Ring,
+    pub input: RingBuffer,
     /// Whether the subscription was sent on this connection.
     pub subscribed: bool,
     /// The number of the last event that was received.
@@ -117,7 +117,7 @@
     /// Returns a receiver that resumes after `last_event` and rejects endpoints of unknown kinds or locations.
     pub fn resume_after(last_event: u64, kind_count: usize, location_count: usize) -> Self {
         Self {
-            input: Ring::default(),
+            input: RingBuffer::default(),
             subscribed: false,
             last_event,
             redial_at: Duration::ZERO,
@@ -128,7 +128,7 @@
 
     /// Returns the state for a new connection, which resumes after the same event.
     pub fn for_new_connection(&self) -> Self {
-        Self { input: Ring::default(), subscribed: false, ..*self }
+        Self { input: RingBuffer::default(), subscribed: false, ..*self }
     }
 
     /// Decodes the next frame; returns `None` until a complete one has been received. An event that was received before
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an engine.
 
 use crate::context::Context;
-use crate::ring::Ring;
+use crate::ring::RingBuffer;
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::EngineId;
@@ -47,8 +47,8 @@
 pub(super) struct Connection {
     pub engine: EngineId,
     pub state: ConnectionState,
-    pub input: Ring,
-    pub output: Ring,
+    pub input: RingBuffer,
+    pub output: RingBuffer,
     /// The attempts on the connection, by the names of their requests.
     pub attempts: BTreeMap<String, Slot>,
     /// Those of `attempts` whose calls are not part of the output yet, in the order in which they are sent.
@@ -69,8 +69,8 @@
         Self {
             engine,
             state: ConnectionState::Connecting,
-            input: Ring::default(),
-            output: Ring::default(),
+            input: RingBuffer::default(),
+            output: RingBuffer::default(),
             attempts: BTreeMap::new(),
             waiting: Vec::new(),
             dialed_at: now,
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -11,7 +11,7 @@
 
 /// A queue of bytes that were received and not yet consumed, or that are not sent yet.
 #[derive(Clone, Default)]
-pub struct Ring {
+pub struct RingBuffer {
     bytes: VecDeque<u8>,
     /// Number of bytes that were consumed or sent so far.
     front_offset: u64,
@@ -28,7 +28,7 @@
     Closed,
 }
 
-impl Ring {
+impl RingBuffer {
     /// Returns the number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.bytes.len()
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -19,7 +19,7 @@
 use crate::dispatch::{Dispatcher, RequestOutcome};
 use crate::engine_pool::PoolEvent;
 use crate::jsonrpc;
-use crate::ring::Ring;
+use crate::ring::RingBuffer;
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::{AttemptEnded, Fingerprint, RequestClass, RequestId, Scheduler};
@@ -33,7 +33,7 @@
     /// The client's former slot in the table of clients.
     pub slot: Slot,
     /// Output that was not written yet.
-    pub output: Ring,
+    pub output: RingBuffer,
 }
 
 /// The properties of a request class that the admission queue depends on.
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -1,14 +1,14 @@
 //! Tests of the codecs: the decoded messages do not depend on how the bytes are split, and malformed input is rejected.
 
 use emberflow_peer_protocol::resp::encode_array;
-use emberflow_router::{discovery, jsonrpc, resp, ring::Ring, statement};
+use emberflow_router::{discovery, jsonrpc, resp, ring::RingBuffer, statement};
 use expect_test::expect;
 
 /// Returns the messages that `parse` decodes from the input. Checks that `parse` decodes the same messages from input
 /// that arrives in two parts, for every split.
-fn decode_with_every_split(input: &[u8], parse: impl Fn(&mut Ring) -> Option<String>) -> String {
+fn decode_with_every_split(input: &[u8], parse: impl Fn(&mut RingBuffer) -> Option<String>) -> String {
     let parse_parts = |first: &[u8], second: &[u8]| {
-        let mut ring = Ring::default();
+        let mut ring = RingBuffer::default();
         let mut lines = Vec::new();
         for part in [first, second] {
             ring.push(part);
@@ -37,7 +37,7 @@
         encode_array(&[b"9b1f", b"INFO", b"-", b""]),
         encode_array(&[]),
     ];
-    let parse = |ring: &mut Ring| {
+    let parse = |ring: &mut RingBuffer| {
         let (line, length) = {
             let resp::Array { parts, length } = resp::parse_array(ring.contents()).expect("well formed")?;
             let parts: Vec<_> = parts.iter().map(|part| part.escape_ascii().to_string()).collect();
@@ -108,7 +108,7 @@
 {"jsonrpc":"2.0","id":4,"method":5}
 
 "#;
-    let parse = |ring: &mut Ring| {
+    let parse = |ring: &mut RingBuffer| {
         let (text, length) = {
             let (line, length) = jsonrpc::split_line(ring.contents(), 0)?;
             let request = jsonrpc::parse_request(line);
@@ -140,7 +140,7 @@
         let length = 9 + payload.len() as u32;
         [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
     };
-    let parse = |ring: &mut Ring| {
+    let parse = |ring: &mut RingBuffer| {
         let (text, length) = {
             let (frame, length) = discovery::parse_frame(ring.contents()).expect("well formed")?;
             let endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
