--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -241,7 +241,7 @@
         let received_before = side.peer.inbox.len();
         self.state
             .engines
-            .drain(connection, &mut side.peer, &mut self.state.context)
+            .flush(connection, &mut side.peer, &mut self.state.context)
             .expect("a write to a peer in memory fails only by blocking");
         let written = &side.peer.inbox[received_before..];
         let begins_call = written.windows(CALL_COMMAND.len()).any(|window| window == CALL_COMMAND);
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -113,7 +113,7 @@
             {
                 is_active = true;
                 let mut bytes = Vec::new();
-                unread.drain(&mut bytes).expect("a write to a vector does not fail");
+                unread.write_to(&mut bytes).expect("a write to a vector does not fail");
                 self.close_client(slot, &bytes);
             }
             if !is_active {
