--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -5,7 +5,7 @@
 pub use client::{Client, ReadOutcome};
 
 use crate::jsonrpc::Cancellation;
-use crate::slots::{Slot, Slots};
+use crate::slots::{Slot, SlotMap};
 use client::{IDLE_TIMEOUT, LINE_TIMEOUT};
 use std::hash::Hasher;
 use std::io::{self, Read, Write};
@@ -58,7 +58,7 @@
 #[derive(Clone, Default)]
 pub struct Clients {
     /// The open connections.
-    pub table: Slots<Client>,
+    pub table: SlotMap<Client>,
     /// Limit of the length of a line, in bytes.
     max_line_bytes: usize,
     /// Limit of the unsent bytes of all clients together.
@@ -86,8 +86,8 @@
     }
 
     /// Removes and returns a connection. Returns `None` if it was removed before.
-    pub fn take(&mut self, slot: Slot) -> Option<Client> {
-        let client = self.table.take(slot)?;
+    pub fn remove(&mut self, slot: Slot) -> Option<Client> {
+        let client = self.table.remove(slot)?;
         self.unsent_bytes -= client.output.len();
         Some(client)
     }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -216,16 +216,16 @@
     }
 
     fn fingerprint_request(&self, request: &Request, hasher: &mut impl Hasher) {
-        self.clients.table.index_of(request.client).hash(hasher);
+        self.clients.table.position_of(request.client).hash(hasher);
         request.client_request_id.hash(hasher);
         request.name.hash(hasher);
         request.class.hash(hasher);
         request.priority.hash(hasher);
         for attempt in &request.attempts {
-            self.engines.attempt_index(*attempt).hash(hasher);
+            self.engines.attempt_position(*attempt).hash(hasher);
         }
         for connection in &request.late_connections {
-            if let Some(index) = self.engines.connection_index(*connection) {
+            if let Some(index) = self.engines.connection_position(*connection) {
                 index.hash(hasher);
             }
         }
--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -20,7 +20,7 @@
 pub use connection::Reachability;
 pub use messages::EngineProtocolError;
 
-use crate::slots::{Slot, Slots};
+use crate::slots::{Slot, SlotMap};
 use attempt::Attempt;
 use connection::Connection;
 use emberflow::{AttemptEnded, EngineId, ProgressUpdate, RequestId};
@@ -80,8 +80,8 @@
     /// The scheduler's ids of the engines, by their ids in the endpoint list.
     engine_ids: BTreeMap<u32, EngineId>,
     next_engine: EngineId,
-    connections: Slots<Connection>,
-    attempts: Slots<Attempt>,
+    connections: SlotMap<Connection>,
+    attempts: SlotMap<Attempt>,
     /// Events to be passed on to the scheduler, in order.
     pub events: VecDeque<PoolEvent>,
     /// Operations to be carried out by the owner of the sockets, in order.
@@ -111,8 +111,8 @@
             engines: BTreeMap::new(),
             engine_ids: BTreeMap::new(),
             next_engine: EngineId::default(),
-            connections: Slots::default(),
-            attempts: Slots::default(),
+            connections: SlotMap::default(),
+            attempts: SlotMap::default(),
             events: VecDeque::new(),
             commands: VecDeque::new(),
             pending_writes: Vec::new(),
@@ -139,13 +139,13 @@
     }
 
     /// Returns the index of an attempt among the attempts in flight, for fingerprints.
-    pub fn attempt_index(&self, attempt: Slot) -> Option<usize> {
-        self.attempts.index_of(attempt)
+    pub fn attempt_position(&self, attempt: Slot) -> Option<usize> {
+        self.attempts.position_of(attempt)
     }
 
     /// Returns the index of a connection among the open connections, for fingerprints.
-    pub fn connection_index(&self, connection: Slot) -> Option<usize> {
-        self.connections.index_of(connection)
+    pub fn connection_position(&self, connection: Slot) -> Option<usize> {
+        self.connections.position_of(connection)
     }
 
     /// Whether all output of all connections has been written.
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -165,7 +165,7 @@
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) {
-        let Some(attempt) = self.attempts.take(slot) else { return };
+        let Some(attempt) = self.attempts.remove(slot) else { return };
         context.timers.clear(attempt.deadline, Timer::Attempt(slot));
         context.counters.count(outcome_counter(outcome));
         self.release_connection(slot, &attempt, context);
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -145,7 +145,7 @@
         reachability: Reachability,
         context: &mut Context,
     ) {
-        let Some(connection) = self.connections.take(slot) else { return };
+        let Some(connection) = self.connections.remove(slot) else { return };
         self.commands.push_back(PoolCommand::Close(slot));
         log::debug!(
             "connection closed: engine={} connection={slot:?} attempts={} reason=\"{reason}\"",
--- a/crates/router/src/event_loop/accepting.rs
+++ b/crates/router/src/event_loop/accepting.rs
@@ -73,7 +73,7 @@
     }
 
     fn register_client(&mut self, socket: TcpStream, address: SocketAddr) {
-        let next_slot = self.server.dispatcher.clients.table.next();
+        let next_slot = self.server.dispatcher.clients.table.next_slot();
         let record_readiness = move |router_loop: &mut Self| router_loop.client_became_ready(next_slot);
         match RegisteredSocket::register(&self.loop_handle, socket, record_readiness) {
             Ok(registered) => {
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -1,6 +1,6 @@
 //! The table of open requests.
 
-use crate::slots::{Slot, Slots};
+use crate::slots::{Slot, SlotMap};
 use emberflow::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,7 +53,7 @@
 /// The open requests, by the scheduler's ids.
 #[derive(Clone, Default)]
 pub struct RequestTable {
-    table: Slots<Request>,
+    table: SlotMap<Request>,
     slots: BTreeMap<RequestId, Slot>,
     names: BTreeSet<String>,
     /// The id of the next request.
@@ -109,7 +109,7 @@
     /// Removes and returns a request. Returns `None` if it is not open.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let slot = self.slots.remove(&id)?;
-        let request = self.table.take(slot)?;
+        let request = self.table.remove(slot)?;
         self.statement_bytes -= request.statement.len();
         self.names.remove(&request.name);
         Some(request)
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -14,7 +14,7 @@
     /// Registers a new connection of a client, and returns its slot.
     pub fn accept_client(&mut self) -> Slot {
         let Dispatcher { clients, context, .. } = &mut self.dispatcher;
-        let slot = clients.table.next();
+        let slot = clients.table.next_slot();
         let due = clients.admit(context.now());
         context.timers.set(due, Timer::Client(slot));
         context.counters.count("clients_admitted");
@@ -203,7 +203,7 @@
 
     /// Removes a client's connection; returns the requests that were open on it.
     fn remove_client(&mut self, slot: Slot, reason: CloseReason) -> Vec<RequestId> {
-        let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
+        let Some(client) = self.dispatcher.clients.remove(slot) else { return Vec::new() };
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
         self.dispatcher.context.timers.clear(client.check_due, Timer::Client(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
--- a/crates/router/src/slots.rs
+++ b/crates/router/src/slots.rs
@@ -23,29 +23,29 @@
 
 /// A table of rows, addressed by slots.
 #[derive(Clone)]
-pub struct Slots<T> {
+pub struct SlotMap<T> {
     rows: Vec<Option<Row<T>>>,
     /// Indices without a row. The last one is reused first.
     free: Vec<usize>,
     next_serial: u64,
 }
 
-impl<T> Default for Slots<T> {
+impl<T> Default for SlotMap<T> {
     fn default() -> Self {
         Self { rows: Vec::new(), free: Vec::new(), next_serial: 0 }
     }
 }
 
-impl<T> Slots<T> {
+impl<T> SlotMap<T> {
     /// Returns the slot that the next inserted row will have.
-    pub fn next(&self) -> Slot {
+    pub fn next_slot(&self) -> Slot {
         let index = self.free.last().copied().unwrap_or(self.rows.len());
         Slot { index, serial: self.next_serial }
     }
 
     /// Inserts a row, and returns its slot.
     pub fn insert(&mut self, value: T) -> Slot {
-        let slot = self.next();
+        let slot = self.next_slot();
         let row = Row { serial: slot.serial, value };
         match self.free.pop() {
             Some(index) => self.rows[index] = Some(row),
@@ -68,14 +68,14 @@
     }
 
     /// Removes and returns a row. Returns `None` if it was removed before.
-    pub fn take(&mut self, slot: Slot) -> Option<T> {
+    pub fn remove(&mut self, slot: Slot) -> Option<T> {
         self.get(slot)?;
         self.free.push(slot.index);
         self.rows[slot.index].take().map(|row| row.value)
     }
 
     /// Returns the position of a slot's row in [`Self::iter`], from 0; `None` if the row was removed.
-    pub fn index_of(&self, slot: Slot) -> Option<usize> {
+    pub fn position_of(&self, slot: Slot) -> Option<usize> {
         self.iter().position(|(other, _)| other == slot)
     }
 
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -163,7 +163,7 @@
     let ms = Duration::from_millis;
     let received_at = |arrived_at, assumed| {
         let mut clients = Clients::with_limits(1000, 1000);
-        let slot = clients.table.next();
+        let slot = clients.table.next_slot();
         clients.admit(ms(0));
         let mut input = LateLine { bytes: ReceivedBytes(b"{}\n"), arrived_at };
         match clients.read_line(slot, ms(1000), assumed, &mut input, || false) {
--- a/crates/router/tests/unit/ready_list.rs
+++ b/crates/router/tests/unit/ready_list.rs
@@ -1,13 +1,13 @@
 //! Tests of the order in which clients with unread input are read.
 
 use super::{ReadyClient, ReadyList};
-use crate::slots::{Slot, Slots};
+use crate::slots::{Slot, SlotMap};
 use expect_test::expect;
 use std::time::Duration;
 
 #[test]
 fn a_client_with_endless_input_delays_others_by_one_line_at_most() {
-    let mut table = Slots::default();
+    let mut table = SlotMap::default();
     let slots: Vec<Slot> = (0..4).map(|_| table.insert(())).collect();
     let mut ready = ReadyList::default();
     let ms = Duration::from_millis;
@@ -17,7 +17,7 @@
         let Some(ReadyClient { slot, received_since }) = ready.next() else { break };
         served.push(format!(
             "{}@{}",
-            table.index_of(slot).expect("no row was removed"),
+            table.position_of(slot).expect("no row was removed"),
             received_since.as_millis()
         ));
         if slot == slots[1] {
