--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -264,8 +264,8 @@
     Mutant {
         name: "requests of a closed client stay open",
         file: SERVER_CLIENTS,
-        from: "        client.open.into_values().collect()",
-        to: "        drop(client.open);\n        Vec::new()",
+        from: "        client.open_requests.into_values().collect()",
+        to: "        drop(client.open_requests);\n        Vec::new()",
     },
     Mutant {
         name: "a cancellation is not passed on",
@@ -312,7 +312,7 @@
     Mutant {
         name: "half a line is skipped",
         file: CLIENT,
-        from: "        self.scanned_for_line = 0;\n",
+        from: "        self.newline_free_bytes = 0;\n",
         to: "",
     },
     discovery("a change accepted after a gap", "number != last + 1", "number == u64::MAX"),
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -206,7 +206,7 @@
     }
 
     /// Settles a closed request: removes it if it is still queued, or else charges its team.
-    pub fn request_closed(&mut self, now: Duration, Completion { request, outcome }: Completion) {
+    pub fn settle(&mut self, now: Duration, Completion { request, outcome }: Completion) {
         let cost = self.costs.remove(&request);
         if self.remove(request).is_some() {
             self.queues.remove(now, request.0);
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -175,8 +175,8 @@
 
     /// Whether a client's input has ended and nothing that the client sent before can be in transit.
     pub fn has_ended_input(&self, slot: Slot, now: Duration) -> bool {
-        let ended_at = self.table.get(slot).and_then(|client| client.ended_at);
-        ended_at.is_some_and(|at| at + MAX_TRANSIT_TIME < now)
+        let input_ended_at = self.table.get(slot).and_then(|client| client.input_ended_at);
+        input_ended_at.is_some_and(|at| at + MAX_TRANSIT_TIME < now)
     }
 
     /// Appends a line to a client's output.
@@ -206,9 +206,9 @@
     }
 
     /// Removes a request that was answered or cancelled from the open requests of its client.
-    pub fn request_closed(&mut self, slot: Slot, id: u64, now: Duration) {
+    pub fn remove_request(&mut self, slot: Slot, id: u64, now: Duration) {
         let Some(client) = self.table.get_mut(slot) else { return };
-        client.open.remove(&id);
+        client.open_requests.remove(&id);
         client.last_active = now;
         if !client.accepts_lines() {
             self.maybe_finished.push(slot);
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -54,7 +54,7 @@
 #[derive(Clone)]
 struct UnreadCancellation {
     /// Offset of the line's end in the stream of all input.
-    line_end: u64,
+    line_end_offset: u64,
     cancellation: Cancellation,
 }
 
@@ -65,15 +65,15 @@
     /// Bytes to be written to the client.
     pub output: RingBuffer,
     /// Number of bytes at the front of the input that are known to hold no newline.
-    scanned_for_line: usize,
+    newline_free_bytes: usize,
     /// Number of bytes at the front of the input that were scanned for cancellations. They end with a line.
-    scanned_for_cancellations: usize,
+    cancellation_scanned_bytes: usize,
     /// The cancellations in lines that are not handled yet, in order.
     unread_cancellations: VecDeque<UnreadCancellation>,
     /// Offset of the end of the input at the last scan for cancellations, in the stream of all input.
-    scanned_end: u64,
+    scan_end_offset: u64,
     /// The open requests, by the ids of their JSON-RPC messages.
-    pub open: BTreeMap<u64, RequestId>,
+    pub open_requests: BTreeMap<u64, RequestId>,
     pub(super) has_sent_line: bool,
     /// Time at which a line was last read or began to arrive, or a request was last answered.
     pub(super) last_active: Duration,
@@ -83,7 +83,7 @@
     pub check_due: Duration,
     input_state: InputState,
     /// Time at which the end of the input was found, possibly before all input was read.
-    pub(super) ended_at: Option<Duration>,
+    pub(super) input_ended_at: Option<Duration>,
 }
 
 impl Client {
@@ -92,17 +92,17 @@
         Self {
             input: RingBuffer::default(),
             output: RingBuffer::default(),
-            scanned_for_line: 0,
-            scanned_for_cancellations: 0,
+            newline_free_bytes: 0,
+            cancellation_scanned_bytes: 0,
             unread_cancellations: VecDeque::new(),
-            scanned_end: 0,
-            open: BTreeMap::new(),
+            scan_end_offset: 0,
+            open_requests: BTreeMap::new(),
             has_sent_line: false,
             last_active: now,
             last_received: now,
             check_due: now + LINE_TIMEOUT,
             input_state: InputState::Reading,
-            ended_at: None,
+            input_ended_at: None,
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// Whether the client has no open request and no unsent output.
     pub(super) fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.output.is_empty()
+        self.open_requests.is_empty() && self.output.is_empty()
     }
 
     /// Whether a line has begun to arrive.
@@ -130,7 +130,7 @@
     pub fn summary(&self) -> String {
         format!(
             "open_requests={} unread_bytes={} unsent_bytes={}",
-            self.open.len(),
+            self.open_requests.len(),
             self.input.len(),
             self.output.len()
         )
@@ -159,7 +159,7 @@
             if let Some(line) = self.take_line(now) {
                 return ReadOutcome::Line { line, received_at: self.last_received };
             }
-            if self.scanned_for_line >= max_line_bytes {
+            if self.newline_free_bytes >= max_line_bytes {
                 self.input_state = InputState::Discarding;
                 return ReadOutcome::TooLong;
             }
@@ -213,13 +213,13 @@
 
     /// Takes the next line out of the input, if it is complete.
     fn take_line(&mut self, now: Duration) -> Option<Vec<u8>> {
-        let Some((line, length)) = jsonrpc::split_line(self.input.contents(), self.scanned_for_line) else {
-            self.scanned_for_line = self.input.len();
+        let Some((line, length)) = jsonrpc::split_line(self.input.contents(), self.newline_free_bytes) else {
+            self.newline_free_bytes = self.input.len();
             return None;
         };
         let line = line.to_vec();
         self.consume(length);
-        self.scanned_for_line = 0;
+        self.newline_free_bytes = 0;
         self.last_active = now;
         self.has_sent_line = true;
         Some(line)
@@ -228,9 +228,9 @@
     /// Removes bytes from the front of the input, and the recorded cancellations of their lines.
     fn consume(&mut self, length: usize) {
         self.input.consume(length);
-        self.scanned_for_cancellations = self.scanned_for_cancellations.saturating_sub(length);
+        self.cancellation_scanned_bytes = self.cancellation_scanned_bytes.saturating_sub(length);
         let front_offset = self.input.front_offset();
-        while self.unread_cancellations.front().is_some_and(|unread| unread.line_end <= front_offset) {
+        while self.unread_cancellations.front().is_some_and(|unread| unread.line_end_offset <= front_offset) {
             self.unread_cancellations.pop_front();
         }
     }
@@ -244,12 +244,12 @@
         socket: &mut impl ClientInput,
     ) -> ScanResult {
         let mut scan = ScanResult::default();
-        let has_requests = !self.open.is_empty() || !self.input.is_empty();
+        let has_requests = !self.open_requests.is_empty() || !self.input.is_empty();
         if self.input_state == InputState::Ended || !has_requests {
             return scan;
         }
         match self.receive(max_line_bytes, now, received_since, socket) {
-            Ok(FillOutcome::Closed) => scan.ended = self.ended_at.replace(now).is_none(),
+            Ok(FillOutcome::Closed) => scan.ended = self.input_ended_at.replace(now).is_none(),
             Ok(_) => {}
             Err(_) => scan.closed = true,
         }
@@ -259,26 +259,26 @@
 
     /// Scans the complete lines that have arrived since the last scan, and returns their cancellations.
     pub(super) fn new_cancellations(&mut self) -> Vec<Cancellation> {
-        if self.scanned_end == self.input.end_offset() {
+        if self.scan_end_offset == self.input.end_offset() {
             return Vec::new();
         }
-        self.scanned_end = self.input.end_offset();
+        self.scan_end_offset = self.input.end_offset();
         if self.input_state == InputState::Discarding {
-            self.scanned_for_cancellations = self.input.len();
+            self.cancellation_scanned_bytes = self.input.len();
         }
-        let mut line_end = self.input.front_offset() + self.scanned_for_cancellations as u64;
+        let mut line_end_offset = self.input.front_offset() + self.cancellation_scanned_bytes as u64;
         let mut found = Vec::new();
-        let unscanned = &self.input.contents()[self.scanned_for_cancellations..];
+        let unscanned = &self.input.contents()[self.cancellation_scanned_bytes..];
         let last_newline = unscanned.iter().rposition(|byte| *byte == b'\n');
         let complete = last_newline.map_or(0, |newline| newline + 1);
         for line in unscanned[..complete].split_inclusive(|byte| *byte == b'\n') {
-            line_end += line.len() as u64;
+            line_end_offset += line.len() as u64;
             if let Some(cancellation) = Cancellation::decode_line(line) {
                 found.push(cancellation.clone());
-                self.unread_cancellations.push_back(UnreadCancellation { line_end, cancellation });
+                self.unread_cancellations.push_back(UnreadCancellation { line_end_offset, cancellation });
             }
         }
-        self.scanned_for_cancellations += complete;
+        self.cancellation_scanned_bytes += complete;
         found
     }
 
@@ -290,18 +290,19 @@
     /// Feeds the state to a hasher, with times relative to `now`.
     pub(super) fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         let relative = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        (self.input.len(), self.output.len(), self.scanned_for_line, &self.open).hash(hasher);
+        (self.input.len(), self.output.len(), self.newline_free_bytes, &self.open_requests).hash(hasher);
         // All idle times beyond the timeout are equivalent.
         let last_active = self.last_active.max(now.saturating_sub(IDLE_TIMEOUT));
         (self.has_sent_line, relative(last_active), relative(self.check_due), self.input_state).hash(hasher);
-        let ended_at = self.ended_at.filter(|_| self.input_state != InputState::Ended);
-        let ended_at = ended_at.map(|at| relative(at.max(now.saturating_sub(MAX_FINGERPRINT_ENDED_TIME))));
-        (self.scanned_for_cancellations, ended_at).hash(hasher);
+        let input_ended_at = self.input_ended_at.filter(|_| self.input_state != InputState::Ended);
+        let input_ended_at =
+            input_ended_at.map(|at| relative(at.max(now.saturating_sub(MAX_FINGERPRINT_ENDED_TIME))));
+        (self.cancellation_scanned_bytes, input_ended_at).hash(hasher);
         let front_offset = self.input.front_offset();
         for unread in &self.unread_cancellations {
-            (unread.line_end - front_offset, &unread.cancellation).hash(hasher);
+            (unread.line_end_offset - front_offset, &unread.cancellation).hash(hasher);
         }
-        (self.input.end_offset() - self.scanned_end).hash(hasher);
+        (self.input.end_offset() - self.scan_end_offset).hash(hasher);
         self.has_partial_line().then(|| relative(self.last_received)).hash(hasher);
     }
 }
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -169,7 +169,7 @@
         }
         self.context.counters.count("requests_accepted");
         if let Some(client) = self.clients.table.get_mut(request.client) {
-            client.open.insert(request.client_request_id, self.requests.next_id);
+            client.open_requests.insert(request.client_request_id, self.requests.next_id);
         }
         self.requests.insert(request);
         true
@@ -196,7 +196,7 @@
         if let Some(completions) = &mut self.completions {
             completions.push(Completion { request: id, outcome });
         }
-        self.clients.request_closed(request.client, request.client_request_id, self.context.now());
+        self.clients.remove_request(request.client, request.client_request_id, self.context.now());
         for attempt in &request.attempts {
             self.engines.cancel(*attempt, &mut self.context);
         }
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -71,7 +71,7 @@
         let now = self.dispatcher.context.now();
         let completions = self.dispatcher.completions.as_mut().map(std::mem::take).unwrap_or_default();
         for completion in completions {
-            admission_queue.request_closed(now, completion);
+            admission_queue.settle(now, completion);
         }
         if let Some(arrival) = admission_queue.next_admissible(now, || self.scheduler.capacity(now)) {
             self.scheduler.accept(now, arrival, &mut self.dispatcher);
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -23,7 +23,7 @@
 
     /// Whether a client has an open request with this id.
     pub fn has_open_request(&self, client: Slot, id: u64) -> bool {
-        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
+        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open_requests.contains_key(&id))
     }
 
     /// Reads and handles the next line of a client; returns whether more input may be available. The input that is read
@@ -132,7 +132,7 @@
         let mut requests = Vec::new();
         for slot in clients {
             if let Some(client) = self.dispatcher.clients.table.get(*slot) {
-                requests.extend(client.open.values().copied());
+                requests.extend(client.open_requests.values().copied());
             }
         }
         requests
@@ -188,7 +188,7 @@
     /// Closes a client's connection and its open requests, if the gate allows it.
     pub fn close_client(&mut self, slot: Slot, reason: CloseReason) {
         let Some(client) = self.dispatcher.clients.table.get(slot) else { return };
-        if !gate::may_close(reason, client.open.len()) {
+        if !gate::may_close(reason, client.open_requests.len()) {
             log::error!(
                 "client with open requests not closed: client={slot:?} reason={reason:?} {}",
                 client.summary()
@@ -207,6 +207,6 @@
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
         self.dispatcher.context.timers.clear(client.check_due, Timer::Client(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
-        client.open.into_values().collect()
+        client.open_requests.into_values().collect()
     }
 }
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -72,7 +72,7 @@
 
     /// Returns the open request of a client that a cancellation names, by the request's name or by its id.
     pub(super) fn find_open_request(&self, client: Slot, cancellation: &Cancellation) -> Option<RequestId> {
-        for id in self.dispatcher.clients.table.get(client)?.open.values() {
+        for id in self.dispatcher.clients.table.get(client)?.open_requests.values() {
             let Some(request) = self.dispatcher.requests.get(*id) else { continue };
             if request.name == cancellation.name || Some(request.client_request_id) == cancellation.id {
                 return Some(*id);
@@ -127,11 +127,11 @@
         let class = class.ok_or_else(|| error(id, RequestErrorKind::UnknownMethod(method.to_owned())))?;
         let Some(client_request_id) = id else { return Err(error(None, RequestErrorKind::RequestWithoutId)) };
         let Some(connection) = self.dispatcher.clients.table.get(client) else { return Ok(None) };
-        if connection.open.contains_key(&client_request_id) {
+        if connection.open_requests.contains_key(&client_request_id) {
             // An error with this id would be taken for the answer to the open request.
             return Err(error(None, RequestErrorKind::IdOpen));
         }
-        if connection.open.len() >= MAX_OPEN_REQUESTS {
+        if connection.open_requests.len() >= MAX_OPEN_REQUESTS {
             return Err(error(id, RequestErrorKind::TooManyOpenOnConnection));
         }
         let name = parameters::request_name(fields);
