--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -88,7 +88,7 @@
         let call = Call {
             request: RequestId::from_index(request),
             number,
-            id: &id,
+            request_name: &id,
             class: "lookup",
             idempotency_key: None,
             statement: statement.as_bytes(),
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -217,7 +217,7 @@
         name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
         from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent_outcome,",
-        to: "if attempt.id.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
+        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
     },
     Mutant {
         name: "idle connections stay open",
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -78,7 +78,7 @@
         let call = Call {
             request,
             number: open_request.attempts.len(),
-            id: &open_request.name,
+            request_name: &open_request.name,
             class: &self.config.classes[open_request.class],
             idempotency_key: open_request.idempotency_key.as_deref(),
             statement: &open_request.statement,
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -6,14 +6,14 @@
 use emberflow::{EngineId, RequestId};
 use std::time::Duration;
 
-/// An attempt to be sent. The request's id, class, idempotency key and statement are forwarded unchanged.
+/// An attempt to be sent. The request's name, class, idempotency key and statement are forwarded unchanged.
 pub struct Call<'a> {
     /// The scheduler's id of the request.
     pub request: RequestId,
     /// The attempt's number within its request, from 0.
     pub number: usize,
-    /// The request's id on the wire.
-    pub id: &'a str,
+    /// The request's name (`req` in the client's message), by which the engine identifies the request.
+    pub request_name: &'a str,
     /// The request class, by its name in the settings.
     pub class: &'a str,
     /// The key by which the engine recognizes a repeated request; `None` if the client gave none.
@@ -57,9 +57,9 @@
     }
 
     /// Encodes the call and the messages that follow it. `time_left` is the time until the attempt's deadline.
-    pub fn encode(&self, id: &str, time_left: Duration) -> Vec<u8> {
+    pub fn encode(&self, request_name: &str, time_left: Duration) -> Vec<u8> {
         let run = EngineCommand::Run(RunCommand {
-            id,
+            id: request_name,
             class: &self.class,
             time_left,
             idempotency_key: self.idempotency_key.as_deref(),
@@ -82,8 +82,8 @@
     pub engine: EngineId,
     /// The connection that carries the attempt; `None` until one is assigned, and after it was closed.
     pub connection: Option<Slot>,
-    /// The request's id on the wire.
-    pub id: String,
+    /// The request's name, which engines use as the attempt's id.
+    pub request_name: String,
     /// The attempt's call; `None` once the call has been written.
     pub call: Option<UnwrittenCall>,
     pub sent_at: Duration,
@@ -112,7 +112,7 @@
             number: call.number,
             engine,
             connection: None,
-            id: call.id.to_owned(),
+            request_name: call.request_name.to_owned(),
             call: Some(UnwrittenCall::new(call)),
             sent_at: now,
             deadline: call.deadline,
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -32,12 +32,12 @@
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.call_offset = None;
         let engine = attempt.engine;
-        let id = attempt.id.clone();
+        let request_name = attempt.request_name.clone();
         let excluded = attempt.excluded_connections.clone();
         if attempt.resend_disabled || !self.is_ready(engine) {
             return self.end(slot, AttemptOutcome::NotSent, None, context);
         }
-        match self.select_connection(engine, &id, &excluded, context) {
+        match self.select_connection(engine, &request_name, &excluded, context) {
             Some(connection) => self.enqueue_call(slot, connection, context),
             // The router has reached its own limit of connections, so the outcome must not count against the engine.
             None => self.end(slot, AttemptOutcome::NotSent, None, context),
@@ -75,7 +75,7 @@
         let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
             return;
         };
-        let bytes = EngineCommand::Priority { id: &attempt.id, priority }.encode();
+        let bytes = EngineCommand::Priority { id: &attempt.request_name, priority }.encode();
         match &mut attempt.call {
             Some(call) if attempt.call_offset.is_none() => call.followed_by.extend(bytes),
             _ => self.write(slot, &bytes, context),
@@ -103,8 +103,8 @@
             return self.cancel(slot, context);
         };
         attempt.cancelled_at = Some(context.now());
-        let cancel = EngineCommand::Cancel { id: &attempt.id }.encode();
-        let ping = EngineCommand::Ping { id: &attempt.id }.encode();
+        let cancel = EngineCommand::Cancel { id: &attempt.request_name }.encode();
+        let ping = EngineCommand::Ping { id: &attempt.request_name }.encode();
         context.counters.count("attempts_cancelled_before_retry");
         self.write(slot, &[cancel, ping].concat(), context);
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
@@ -135,7 +135,7 @@
         if attempt.call_offset.is_none() {
             return self.end(slot, unsent_outcome, None, context);
         }
-        let id = attempt.id.as_str();
+        let id = attempt.request_name.as_str();
         let command = match attempt.result {
             Some(_) => EngineCommand::Discard { id },
             None => EngineCommand::Cancel { id },
@@ -190,7 +190,7 @@
     fn release_connection(&mut self, slot: Slot, attempt: &Attempt, context: &mut Context) {
         let Some(connection_slot) = attempt.connection else { return };
         let Some(connection) = self.connections.get_mut(connection_slot) else { return };
-        connection.attempts.remove(&attempt.id);
+        connection.attempts.remove(&attempt.request_name);
         connection.waiting.retain(|waiting| *waiting != slot);
         if connection.attempts.is_empty() {
             let idle_due = context.now() + self.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION);
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -18,14 +18,14 @@
     pub(super) fn select_connection(
         &mut self,
         engine: EngineId,
-        id: &str,
+        request_name: &str,
         excluded: &[Slot],
         context: &mut Context,
     ) -> Option<Slot> {
         let engine_connections = self.engines.get(&engine)?.connections.len();
         let engine_quota = (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
         let is_pool_full = self.connections.len() >= self.max_connections;
-        if let Some((slot, connection)) = self.least_loaded_connection(engine, id, excluded)
+        if let Some((slot, connection)) = self.least_loaded_connection(engine, request_name, excluded)
             && (connection.attempts.is_empty() || is_pool_full || engine_connections >= engine_quota)
         {
             return Some(slot);
@@ -37,16 +37,18 @@
         self.dial(engine, context)
     }
 
-    /// Returns the connection with the fewest attempts among those of an engine that can carry the request `id`.
+    /// Returns the connection with the fewest attempts among an engine's connections that can carry a request's
+    /// attempt.
     fn least_loaded_connection(
         &self,
         engine: EngineId,
-        id: &str,
+        request_name: &str,
         excluded: &[Slot],
     ) -> Option<(Slot, &Connection)> {
         let slots = &self.engines.get(&engine)?.connections;
         let open = slots.iter().filter_map(|slot| Some((*slot, self.connections.get(*slot)?)));
-        let usable = open.filter(|(slot, connection)| self.can_carry(*slot, connection, id, excluded));
+        let usable =
+            open.filter(|(slot, connection)| self.can_carry(*slot, connection, request_name, excluded));
         usable.min_by_key(|(_, connection)| {
             // Among equally loaded connections, the most recently active one is the least likely to need a health
             // check, and the others can reach their idle timeout.
@@ -55,9 +57,9 @@
         })
     }
 
-    /// Whether a connection can carry another attempt, of the request `id`.
-    fn can_carry(&self, slot: Slot, connection: &Connection, id: &str, excluded: &[Slot]) -> bool {
-        let is_separate = !excluded.contains(&slot) && !connection.attempts.contains_key(id);
+    /// Whether a connection can carry one more attempt, which is of the request with a name.
+    fn can_carry(&self, slot: Slot, connection: &Connection, request_name: &str, excluded: &[Slot]) -> bool {
+        let is_separate = !excluded.contains(&slot) && !connection.attempts.contains_key(request_name);
         is_separate && connection.attempts.len() < self.attempts_per_connection
     }
 
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -116,8 +116,8 @@
     }
 
     /// Returns the attempt on a connection whose request has this name.
-    fn attempt_named(&self, connection: Slot, id: &str) -> Option<Slot> {
-        self.connections.get(connection)?.attempts.get(id).copied()
+    fn attempt_named(&self, connection: Slot, request_name: &str) -> Option<Slot> {
+        self.connections.get(connection)?.attempts.get(request_name).copied()
     }
 
     /// Ends a cancelled attempt after its engine has acknowledged the cancellation with a pong. The engine has stopped
@@ -174,7 +174,7 @@
         let pages = fields.page_count()?;
         let usage = fields.usage()?;
         attempt.result = Some(ResultPages::new(body, pages, usage, load_report));
-        let id = attempt.id.as_str();
+        let id = attempt.request_name.as_str();
         let page_requests: Vec<Vec<u8>> =
             (1..pages).map(|page| EngineCommand::Page { id, page }.encode()).collect();
         self.write(slot, &page_requests.concat(), context);
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -16,7 +16,7 @@
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(connection) = self.connections.get_mut(slot) else { return };
         attempt.connection = Some(slot);
-        connection.attempts.insert(attempt.id.clone(), attempt_slot);
+        connection.attempts.insert(attempt.request_name.clone(), attempt_slot);
         if let Some(due) = connection.idle_due.take() {
             context.timers.clear(due, Timer::ConnectionIdle(slot));
         }
@@ -93,7 +93,7 @@
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(call) = &mut attempt.call else { return };
-        let bytes = call.encode(&attempt.id, attempt.deadline.saturating_sub(now));
+        let bytes = call.encode(&attempt.request_name, attempt.deadline.saturating_sub(now));
         call.encoded_bytes = bytes.len();
         attempt.call_offset = Some(connection.output.end_offset());
         connection.output.push(&bytes);
--- a/crates/router/tests/unit/engine_pool.rs
+++ b/crates/router/tests/unit/engine_pool.rs
@@ -68,7 +68,7 @@
     Call {
         request: RequestId(request),
         number: 0,
-        id,
+        request_name: id,
         class: "report",
         idempotency_key: None,
         statement: b"",
