--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -198,20 +198,20 @@
     Mutant {
         name: "queued calls remain at a drain",
         file: POOL_ENDPOINTS,
-        from: "let mut unsent = connection.waiting.clone();",
+        from: "let mut unsent = connection.waiting_attempts.clone();",
         to: "let mut unsent = Vec::new();",
     },
     Mutant {
         name: "a retry where a late answer may arrive",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(&slot) && ",
-        to: "let is_separate = ",
+        from: "let is_unused_by_request = !excluded.contains(&slot) && ",
+        to: "let is_unused_by_request = ",
     },
     Mutant {
         name: "a partly written call is sent again",
         file: POOL_CONNECTION,
-        from: "if attempt.has_begun(written) {",
-        to: "if attempt.has_begun(written.saturating_sub(1 << 40)) {",
+        from: "if attempt.write_has_begun(written) {",
+        to: "if attempt.write_has_begun(written.saturating_sub(1 << 40)) {",
     },
     Mutant {
         name: "a written call ends as not sent",
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -221,7 +221,7 @@
     }
 
     /// Whether all output to all clients has been written.
-    pub fn all_sent(&self) -> bool {
+    pub fn all_written(&self) -> bool {
         self.table.iter().all(|(_, client)| client.output.is_empty())
     }
 
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -126,12 +126,12 @@
     }
 
     /// Whether the attempt was cancelled and its engine has not acknowledged the cancellation.
-    pub fn is_cancelled(&self) -> bool {
+    pub fn is_cancellation_pending(&self) -> bool {
         self.cancelled_at.is_some()
     }
 
     /// Whether any byte of the call is among the first `written` bytes in the stream of its connection's output.
-    pub fn has_begun(&self, written: u64) -> bool {
+    pub fn write_has_begun(&self, written: u64) -> bool {
         self.call_offset.is_some_and(|offset| written > offset)
     }
 }
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -72,13 +72,14 @@
 
     /// Changes the priority of an attempt. The message with the new priority is sent after the attempt's call.
     pub fn update_priority(&mut self, slot: Slot, priority: u8, context: &mut Context) {
-        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
+        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
+        else {
             return;
         };
         let bytes = EngineCommand::Priority { id: &attempt.request_name, priority }.encode();
         match &mut attempt.call {
             Some(call) if attempt.call_offset.is_none() => call.followed_by.extend(bytes),
-            _ => self.write(slot, &bytes, context),
+            _ => self.append_message(slot, &bytes, context),
         }
     }
 
@@ -94,7 +95,8 @@
     /// has answered a ping that was sent after the cancellation, or once the connection is closed.
     pub fn cancel_before_resend(&mut self, slot: Slot, context: &mut Context) {
         self.retract_unsent_call(slot);
-        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
+        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
+        else {
             return;
         };
         let needs_acknowledgement =
@@ -106,7 +108,7 @@
         let cancel = EngineCommand::Cancel { id: &attempt.request_name }.encode();
         let ping = EngineCommand::Ping { id: &attempt.request_name }.encode();
         context.counters.count("attempts_cancelled_before_retry");
-        self.write(slot, &[cancel, ping].concat(), context);
+        self.append_message(slot, &[cancel, ping].concat(), context);
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
     }
 
@@ -127,7 +129,7 @@
         unsent_outcome: AttemptOutcome,
         context: &mut Context,
     ) {
-        if self.attempts.get(slot).is_some_and(Attempt::is_cancelled) {
+        if self.attempts.get(slot).is_some_and(Attempt::is_cancellation_pending) {
             return self.end(slot, outcome, None, context);
         }
         self.retract_unsent_call(slot);
@@ -141,7 +143,7 @@
             None => EngineCommand::Cancel { id },
         };
         let bytes = command.encode();
-        self.write(slot, &bytes, context);
+        self.append_message(slot, &bytes, context);
         self.end(slot, outcome, None, context);
     }
 
@@ -191,7 +193,7 @@
         let Some(connection_slot) = attempt.connection else { return };
         let Some(connection) = self.connections.get_mut(connection_slot) else { return };
         connection.attempts.remove(&attempt.request_name);
-        connection.waiting.retain(|waiting| *waiting != slot);
+        connection.waiting_attempts.retain(|waiting| *waiting != slot);
         if connection.attempts.is_empty() {
             let idle_due = context.now() + self.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION);
             connection.idle_due = Some(idle_due);
@@ -204,7 +206,7 @@
 fn late_connection(attempt: &Attempt, outcome: AttemptOutcome) -> Option<Slot> {
     let was_abandoned = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
     // After an engine has acknowledged the cancellation of an attempt, it sends no further reply to the attempt.
-    attempt.connection.filter(|_| was_abandoned && !attempt.is_cancelled())
+    attempt.connection.filter(|_| was_abandoned && !attempt.is_cancellation_pending())
 }
 
 fn log_end(ended: &AttemptEnded) {
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -52,7 +52,7 @@
     /// The attempts on the connection, by the names of their requests.
     pub attempts: BTreeMap<String, Slot>,
     /// Those of `attempts` whose calls are not part of the output yet, in the order in which they are sent.
-    pub waiting: Vec<Slot>,
+    pub waiting_attempts: Vec<Slot>,
     pub dialed_at: Duration,
     pub last_reply_at: Duration,
     /// Time by which the connection must be established; once it is, the time of its next check.
@@ -72,7 +72,7 @@
             input: RingBuffer::default(),
             output: RingBuffer::default(),
             attempts: BTreeMap::new(),
-            waiting: Vec::new(),
+            waiting_attempts: Vec::new(),
             dialed_at: now,
             last_reply_at: now,
             check_due: Some(check_due),
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -22,11 +22,14 @@
         excluded: &[Slot],
         context: &mut Context,
     ) -> Option<Slot> {
-        let engine_connections = self.engines.get(&engine)?.connections.len();
-        let engine_quota = (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
+        let engine_connection_count = self.engines.get(&engine)?.connections.len();
+        let max_engine_connections =
+            (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
         let is_pool_full = self.connections.len() >= self.max_connections;
         if let Some((slot, connection)) = self.least_loaded_connection(engine, request_name, excluded)
-            && (connection.attempts.is_empty() || is_pool_full || engine_connections >= engine_quota)
+            && (connection.attempts.is_empty()
+                || is_pool_full
+                || engine_connection_count >= max_engine_connections)
         {
             return Some(slot);
         }
@@ -59,8 +62,9 @@
 
     /// Whether a connection can carry one more attempt, which is of the request with a name.
     fn can_carry(&self, slot: Slot, connection: &Connection, request_name: &str, excluded: &[Slot]) -> bool {
-        let is_separate = !excluded.contains(&slot) && !connection.attempts.contains_key(request_name);
-        is_separate && connection.attempts.len() < self.attempts_per_connection
+        let is_unused_by_request =
+            !excluded.contains(&slot) && !connection.attempts.contains_key(request_name);
+        is_unused_by_request && connection.attempts.len() < self.attempts_per_connection
     }
 
     /// Closes the connection that has been idle longest, so that another engine can have a connection within the
@@ -177,10 +181,10 @@
     ) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.connection = None;
-        if attempt.is_cancelled() {
+        if attempt.is_cancellation_pending() {
             return self.end(slot, AttemptOutcome::Cancelled, None, context);
         }
-        if attempt.has_begun(written) {
+        if attempt.write_has_begun(written) {
             return self.end(slot, AttemptOutcome::Broken, None, context);
         }
         if reachability == Reachability::Unreachable || attempt.reassigned {
--- a/crates/router/src/engine_pool/endpoints.rs
+++ b/crates/router/src/engine_pool/endpoints.rs
@@ -29,7 +29,7 @@
     /// Adds or updates an engine by its endpoint record, and returns the endpoint under the scheduler's engine id. A
     /// draining engine gets no further calls. Connections to an earlier process of the engine are closed.
     pub fn update_endpoint(&mut self, record: &EndpointRecord, context: &mut Context) -> Endpoint {
-        let engine = self.engine_of(record);
+        let engine = self.register_engine(record);
         if !record.is_ready() {
             self.end_unsent_attempts(engine, context);
         }
@@ -61,7 +61,7 @@
     }
 
     /// Returns the scheduler's id of an engine. Adds an unknown engine under the next id.
-    fn engine_of(&mut self, record: &EndpointRecord) -> EngineId {
+    fn register_engine(&mut self, record: &EndpointRecord) -> EngineId {
         let engine = *self.engine_ids.entry(record.id).or_insert(self.next_engine);
         if engine == self.next_engine {
             let entry = Engine {
@@ -128,9 +128,9 @@
     fn end_unsent_attempts(&mut self, engine: EngineId, context: &mut Context) {
         for slot in self.connections_of(engine) {
             let Some(connection) = self.connections.get(slot) else { continue };
-            let mut unsent = connection.waiting.clone();
-            let carried: Vec<Slot> = connection.attempts.values().copied().collect();
-            unsent.extend(carried.into_iter().filter(|attempt| self.retract_unsent_call(*attempt)));
+            let mut unsent = connection.waiting_attempts.clone();
+            let attempts: Vec<Slot> = connection.attempts.values().copied().collect();
+            unsent.extend(attempts.into_iter().filter(|attempt| self.retract_unsent_call(*attempt)));
             for attempt in unsent {
                 self.end(attempt, AttemptOutcome::NotSent, None, context);
             }
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -46,14 +46,14 @@
         hasher: &mut impl Hasher,
     ) {
         let connection = attempt.connection.and_then(|connection| self.connections.get(connection));
-        let has_begun = connection
+        let write_has_begun = connection
             .filter(|_| attempt.call_offset.is_some())
-            .map(|connection| attempt.has_begun(connection.output.front_offset()));
-        let queue_position =
-            connection.map(|connection| connection.waiting.iter().position(|waiting| *waiting == slot));
+            .map(|connection| attempt.write_has_begun(connection.output.front_offset()));
+        let queue_position = connection
+            .map(|connection| connection.waiting_attempts.iter().position(|waiting| *waiting == slot));
         (attempt.request, attempt.number).hash(hasher);
         attempt.connection.and_then(|assigned| indexes.get(&assigned)).hash(hasher);
-        (has_begun, queue_position).hash(hasher);
+        (write_has_begun, queue_position).hash(hasher);
     }
 }
 
@@ -65,7 +65,7 @@
             buffered.len().hash(hasher);
         }
         buffered.hash(hasher);
-        (self.engine, self.state, self.attempts.len(), self.waiting.len()).hash(hasher);
+        (self.engine, self.state, self.attempts.len(), self.waiting_attempts.len()).hash(hasher);
         let times =
             [Some(self.dialed_at), Some(self.last_reply_at), self.check_due, self.reply_due, self.idle_due];
         times.map(|at| at.map(|at| time.micros(at))).hash(hasher);
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -157,8 +157,8 @@
 }
 
 impl ReplyKind {
-    fn decode(word: &str) -> Self {
-        match word {
+    fn decode(reply_type: &str) -> Self {
+        match reply_type {
             "HIT" => Self::Result,
             "PART" => Self::Page,
             "INFO" => Self::Progress,
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -123,7 +123,7 @@
     /// Ends a cancelled attempt after its engine has acknowledged the cancellation with a pong. The engine has stopped
     /// the attempt, and sends no further reply to it.
     fn cancel_acknowledged(&mut self, attempt: Slot, context: &mut Context) {
-        if self.attempts.get(attempt).is_some_and(Attempt::is_cancelled) {
+        if self.attempts.get(attempt).is_some_and(Attempt::is_cancellation_pending) {
             self.end(attempt, AttemptOutcome::Cancelled, None, context);
         }
     }
@@ -137,7 +137,7 @@
         let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
         let EngineReply { id: _, kind, fields, body } = reply;
         let load_report = fields.load_report()?;
-        if attempt.is_cancelled() && is_ignored_after_cancel(&kind, &fields)? {
+        if attempt.is_cancellation_pending() && is_ignored_after_cancel(&kind, &fields)? {
             return Ok(());
         }
         match kind {
@@ -153,7 +153,7 @@
                 Ok(())
             }
             ReplyKind::Pong => Ok(()),
-            ReplyKind::Unknown(word) => Err(EngineProtocolError::UnknownReply(word)),
+            ReplyKind::Unknown(reply_type) => Err(EngineProtocolError::UnknownReply(reply_type)),
         }
     }
 
@@ -177,7 +177,7 @@
         let id = attempt.request_name.as_str();
         let page_requests: Vec<Vec<u8>> =
             (1..pages).map(|page| EngineCommand::Page { id, page }.encode()).collect();
-        self.write(slot, &page_requests.concat(), context);
+        self.append_message(slot, &page_requests.concat(), context);
         self.complete_result(slot, context)
     }
 
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -20,7 +20,7 @@
         if let Some(due) = connection.idle_due.take() {
             context.timers.clear(due, Timer::ConnectionIdle(slot));
         }
-        connection.waiting.push(attempt_slot);
+        connection.waiting_attempts.push(attempt_slot);
         // The engine's host may have failed without closing the connection. Therefore the engine must answer a health
         // check before a connection is used that was inactive.
         let is_inactive = context.now() > connection.last_reply_at + self.connect_timeout;
@@ -33,7 +33,7 @@
     /// Registers a connection for writing if it has output or a waiting call that can be written.
     pub(super) fn schedule_writes(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get(slot) else { return };
-        let is_call_due = connection.accepts_calls() && !connection.waiting.is_empty();
+        let is_call_due = connection.accepts_calls() && !connection.waiting_attempts.is_empty();
         let has_writable_output = connection.is_established() && !connection.output.is_empty();
         if is_call_due && connection.check_due.is_none() {
             self.schedule_check(slot, context.now() + self.inactivity_timeout(), context);
@@ -55,10 +55,13 @@
     fn start_next_call(&mut self, slot: Slot, context: &mut Context) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return false };
-            if !connection.accepts_calls() || !connection.output.is_empty() || connection.waiting.is_empty() {
+            if !connection.accepts_calls()
+                || !connection.output.is_empty()
+                || connection.waiting_attempts.is_empty()
+            {
                 return false;
             }
-            let next = connection.waiting.remove(0);
+            let next = connection.waiting_attempts.remove(0);
             match self.may_send(next, context.now()) {
                 Ok(()) => {
                     self.encode_call(next, slot, context.now());
@@ -75,7 +78,7 @@
         gate::may_send(&CallFacts {
             is_engine_ready: self.is_ready(attempt.engine),
             may_client_have_left: attempt.resend_disabled,
-            is_cancelled: attempt.is_cancelled(),
+            is_cancelled: attempt.is_cancellation_pending(),
             time_left: attempt.deadline.saturating_sub(now),
         })
     }
@@ -115,7 +118,7 @@
         if let Some(attempt) = retracted
             && let Some(connection) = self.connections.get_mut(slot)
         {
-            connection.waiting.insert(0, attempt);
+            connection.waiting_attempts.insert(0, attempt);
         }
     }
 
@@ -155,7 +158,7 @@
     }
 
     /// Adds a message to the output of an attempt's connection.
-    pub(super) fn write(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
+    pub(super) fn append_message(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
         let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.connection) else { return };
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.output.push(bytes);
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -59,6 +59,6 @@
     /// Whether no request is open and no output is pending. Unread input of clients is not taken into account.
     pub fn is_idle(&self) -> bool {
         let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
-        requests.is_empty() && clients.all_sent() && engines.all_written()
+        requests.is_empty() && clients.all_written() && engines.all_written()
     }
 }
