--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -44,7 +44,7 @@
 }
 
 /// The properties of a request that admission depends on, apart from the scheduler's input.
-pub struct Admission {
+pub struct AdmissionParameters {
     /// The index of the team in the operator's configuration.
     pub team: usize,
     /// The urgency, from 0 for ordinary requests to 3.
@@ -58,7 +58,7 @@
     /// The latency objective of the request class.
     pub latency_objective: Duration,
     /// Minimum time between passing the request to the scheduler and the request's deadline.
-    pub margin: Duration,
+    pub dispatch_margin: Duration,
     /// Whether the client has asked to be notified of the estimated wait.
     pub wants_wait_notices: bool,
 }
@@ -104,7 +104,7 @@
         &mut self,
         now: Duration,
         arrival: Arrival,
-        admission: Admission,
+        parameters: AdmissionParameters,
     ) -> Result<(), Rejection> {
         let request = arrival.request;
         let remaining = arrival.deadline.saturating_sub(arrival.waited);
@@ -112,21 +112,21 @@
             now,
             NewRequest {
                 request: request.0,
-                team: admission.team,
-                urgency: admission.urgency,
+                team: parameters.team,
+                urgency: parameters.urgency,
                 class: arrival.class as u16,
-                work: admission.work,
-                latency_objective: admission.latency_objective,
+                work: parameters.work,
+                latency_objective: parameters.latency_objective,
                 deadline: remaining,
-                identity: Some(admission.identity),
-                key: admission.key,
+                identity: Some(parameters.identity),
+                key: parameters.key,
             },
         )?;
-        let wants_notices = admission.wants_wait_notices && self.teams.wait_notice_field.is_some();
+        let wants_notices = parameters.wants_wait_notices && self.teams.wait_notice_field.is_some();
         let queued = QueuedRequest {
             arrived_at: now.saturating_sub(arrival.waited),
             arrival,
-            dispatch_by: now + remaining.saturating_sub(admission.margin),
+            dispatch_by: now + remaining.saturating_sub(parameters.dispatch_margin),
             next_notice: wants_notices.then_some(now),
         };
         self.due.insert((queued.dispatch_by, DueAction::Dispatch, request));
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Limit of the open requests on one connection of a client.
-pub const MAX_OPEN_REQUESTS: usize = 32;
+pub const MAX_OPEN_REQUESTS_PER_CLIENT: usize = 32;
 /// Time, by the protocol, for which bytes sent before a close may still be in transit. A client that has connected, has
 /// sent input or was answered within this time may have a request in transit.
 pub const MAX_TRANSIT_TIME: Duration = Duration::from_millis(50);
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether a request with this name is open.
-    pub fn is_open(&self, name: &str) -> bool {
+    pub fn is_name_open(&self, name: &str) -> bool {
         self.names.contains(name)
     }
 
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -3,7 +3,7 @@
 
 use super::Server;
 use super::parameters::TeamParameters;
-use crate::admission_queue::{Admission, AdmissionQueue};
+use crate::admission_queue::{AdmissionParameters, AdmissionQueue};
 use crate::jsonrpc;
 use crate::timers::Timer;
 use emberflow::{Actions, Arrival};
@@ -50,16 +50,16 @@
         }
     }
 
-    fn admission_of(&self, arrival: &Arrival, team: TeamParameters, identity: u64) -> Admission {
+    fn admission_of(&self, arrival: &Arrival, team: TeamParameters, identity: u64) -> AdmissionParameters {
         let class = &self.admission_classes[arrival.class];
-        Admission {
+        AdmissionParameters {
             team: team.team,
             urgency: team.urgency,
             identity,
             key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
-            margin: self.scheduler.margin() * DISPATCH_MARGIN_INTERVALS,
+            dispatch_margin: self.scheduler.margin() * DISPATCH_MARGIN_INTERVALS,
             wants_wait_notices: team.wants_wait_notices,
         }
     }
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Server;
 use super::parameters::{self, ParameterError, RequestParameters, TeamParameters, hash_of};
-use crate::clients::MAX_OPEN_REQUESTS;
+use crate::clients::MAX_OPEN_REQUESTS_PER_CLIENT;
 use crate::dispatch::RequestOutcome;
 use crate::jsonrpc::{self, Cancellation, RequestError, RequestErrorKind, RpcRequest};
 use crate::request_table::Request;
@@ -131,7 +131,7 @@
             // An error with this id would be taken for the answer to the open request.
             return Err(error(None, RequestErrorKind::IdOpen));
         }
-        if connection.open_requests.len() >= MAX_OPEN_REQUESTS {
+        if connection.open_requests.len() >= MAX_OPEN_REQUESTS_PER_CLIENT {
             return Err(error(id, RequestErrorKind::TooManyOpenOnConnection));
         }
         let name = parameters::request_name(fields);
@@ -140,7 +140,7 @@
             return Ok(None);
         }
         // Engines identify a request by its name, whichever client sent it.
-        if self.dispatcher.requests.is_open(name) {
+        if self.dispatcher.requests.is_name_open(name) {
             return Err(error(id, RequestErrorKind::NameOpen));
         }
         Ok(Some(ValidatedRequest { id: client_request_id, class, name }))
