--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -204,8 +204,8 @@
     Mutant {
         name: "a retry where a late answer may arrive",
         file: POOL_CONNECTION,
-        from: "let is_unused_by_request = !excluded.contains(&slot) && ",
-        to: "let is_unused_by_request = ",
+        from: "!excluded.contains(&slot) && !connection.attempts.contains_key(request_name)",
+        to: "!connection.attempts.contains_key(request_name)",
     },
     Mutant {
         name: "a partly written call is sent again",
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -40,8 +40,8 @@
         self.dial(engine, context)
     }
 
-    /// Returns the connection with the fewest attempts among an engine's connections that can carry a request's
-    /// attempt.
+    /// Returns the connection with the fewest attempts among those of an engine that can carry an attempt of the request
+    /// `request_name`.
     fn least_loaded_connection(
         &self,
         engine: EngineId,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Whether a connection can carry one more attempt, which is of the request with a name.
+    /// Whether a connection can carry an attempt of the request `request_name` in addition to its present attempts.
     fn can_carry(&self, slot: Slot, connection: &Connection, request_name: &str, excluded: &[Slot]) -> bool {
         let is_unused_by_request =
             !excluded.contains(&slot) && !connection.attempts.contains_key(request_name);
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -112,8 +112,8 @@
     /// the call is encoded again with the time left when it is written. Only the call at the front of the output can be
     /// such a call.
     fn requeue_unwritten_call(&mut self, slot: Slot) {
-        let Some(connection) = self.connections.get(slot) else { return };
-        let attempts: Vec<Slot> = connection.attempts.values().copied().collect();
+        let Some(open_connection) = self.connections.get(slot) else { return };
+        let attempts: Vec<Slot> = open_connection.attempts.values().copied().collect();
         let retracted = attempts.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
         if let Some(attempt) = retracted
             && let Some(connection) = self.connections.get_mut(slot)
