--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -39,7 +39,7 @@
 /// A request for which an action is due.
 struct DueRequest {
     /// The time at which the action became due.
-    at: Duration,
+    due_at: Duration,
     request: RequestId,
 }
 
@@ -161,7 +161,7 @@
     fn due_now(&self, now: Duration, action: DueAction) -> impl Iterator<Item = DueRequest> {
         let due = self.due.iter().take_while(move |(at, ..)| *at <= now);
         due.filter(move |(_, due_action, _)| *due_action == action)
-            .map(|(at, _, request)| DueRequest { at: *at, request: *request })
+            .map(|(at, _, request)| DueRequest { due_at: *at, request: *request })
     }
 
     /// Returns the first request in the order among teams for which there is capacity.
@@ -234,8 +234,8 @@
         let sends_notices = self.teams.wait_notice_field.is_some();
         let next_notice = sends_notices.then_some(now + self.teams.wait_notice_interval);
         let mut notices = Vec::new();
-        for DueRequest { at, request } in due_requests {
-            self.due.remove(&(at, DueAction::WaitNotice, request));
+        for DueRequest { due_at, request } in due_requests {
+            self.due.remove(&(due_at, DueAction::WaitNotice, request));
             self.due.extend(next_notice.map(|next| (next, DueAction::WaitNotice, request)));
             self.queued.entry(request).and_modify(|queued| queued.next_notice = next_notice);
             if sends_notices && let Some(wait) = self.queues.estimate_wait(now, request.0) {
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -38,9 +38,9 @@
     /// Cancellations that no earlier scan has found.
     pub cancellations: Vec<Cancellation>,
     /// Whether the connection was reset or reading from it failed.
-    pub closed: bool,
+    pub connection_failed: bool,
     /// Whether this scan is the first to find that the client has shut down its sending side.
-    pub ended: bool,
+    pub input_ended: bool,
 }
 
 /// The result of checking a client whose idle timer has expired.
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -66,7 +66,8 @@
     pub output: RingBuffer,
     /// Number of bytes at the front of the input that are known to hold no newline.
     newline_free_bytes: usize,
-    /// Number of bytes at the front of the input that were scanned for cancellations. They end with a line.
+    /// Number of bytes at the front of the input that were scanned for cancellations. They end with a complete line,
+    /// unless the input is being discarded.
     cancellation_scanned_bytes: usize,
     /// The cancellations in lines that are not handled yet, in order.
     unread_cancellations: VecDeque<UnreadCancellation>,
@@ -249,9 +250,9 @@
             return scan;
         }
         match self.receive(max_line_bytes, now, received_since, socket) {
-            Ok(FillOutcome::Closed) => scan.ended = self.input_ended_at.replace(now).is_none(),
+            Ok(FillOutcome::Closed) => scan.input_ended = self.input_ended_at.replace(now).is_none(),
             Ok(_) => {}
-            Err(_) => scan.closed = true,
+            Err(_) => scan.connection_failed = true,
         }
         scan.cancellations = self.new_cancellations();
         scan
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -167,12 +167,12 @@
         }
         let written = connection.output.front_offset();
         for attempt in connection.attempts.into_values() {
-            self.connection_lost(attempt, written, reachability, context);
+            self.reassign_or_end_attempt(attempt, written, reachability, context);
         }
     }
 
     /// Ends or moves an attempt whose connection was closed after `written` bytes of its output were written.
-    fn connection_lost(
+    fn reassign_or_end_attempt(
         &mut self,
         slot: Slot,
         written: u64,
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -91,13 +91,13 @@
     NotAnObject,
     /// The member `jsonrpc` is absent or has another value.
     #[error("`jsonrpc` is not 2.0")]
-    Version,
+    InvalidVersion,
     /// The id is neither null nor a positive integer.
     #[error("`id` is not a whole number from 1 up")]
-    Id,
+    InvalidId,
     /// The method is absent or not a string.
     #[error("`method` is not text")]
-    Method,
+    InvalidMethod,
     /// No request class of the settings has the name of this method.
     #[error("no method `{0}`")]
     UnknownMethod(String),
@@ -138,9 +138,9 @@
         match self {
             Self::MalformedJson(_) | Self::LineTooLong | Self::LineIncomplete => ErrorCode::ParseError,
             Self::NotAnObject
-            | Self::Version
-            | Self::Id
-            | Self::Method
+            | Self::InvalidVersion
+            | Self::InvalidId
+            | Self::InvalidMethod
             | Self::StatusWithoutId
             | Self::RequestWithoutId
             | Self::IdOpen
@@ -221,13 +221,13 @@
         return Err(invalid(RequestErrorKind::NotAnObject));
     }
     if message.get("jsonrpc").and_then(Value::as_str) != Some(VERSION) {
-        return Err(invalid(RequestErrorKind::Version));
+        return Err(invalid(RequestErrorKind::InvalidVersion));
     }
     if has_id && id.is_none() {
-        return Err(invalid(RequestErrorKind::Id));
+        return Err(invalid(RequestErrorKind::InvalidId));
     }
     let method = message.get("method").and_then(Value::as_str).map(str::to_owned);
-    let method = method.ok_or_else(|| invalid(RequestErrorKind::Method))?;
+    let method = method.ok_or_else(|| invalid(RequestErrorKind::InvalidMethod))?;
     let params = message.get_mut("params").map_or(Value::Null, Value::take);
     Ok(RpcRequest { id, method, params })
 }
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -94,8 +94,8 @@
             for cancellation in &scan.cancellations {
                 cancelled.extend(self.find_open_request(slot, cancellation));
             }
-            ended.extend(scan.ended.then_some(slot));
-            closed.extend(scan.closed.then_some(slot));
+            ended.extend(scan.input_ended.then_some(slot));
+            closed.extend(scan.connection_failed.then_some(slot));
         }
         for slot in closed {
             cancelled.extend(self.remove_client(slot, CloseReason::Disconnected));
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -77,7 +77,8 @@
         Ok(Self { socket, token, loop_handle: loop_handle.clone() })
     }
 
-    /// Begins to connect to an address. `on_ready` is called once the connection is established or has failed.
+    /// Begins to connect to an address, and registers the socket. The connection is established once the socket is
+    /// writable.
     ///
     /// # Errors
     /// Fails if the socket cannot be opened or registered, or if connecting fails at once.
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -25,7 +25,7 @@
             return Some(group);
         }
     }
-    scanner.group_without_table()
+    scanner.group_of_other_name()
 }
 
 /// A token of a statement.
@@ -58,10 +58,10 @@
     expects_table: bool,
     /// Whether the scan is in a `FROM` clause, in which a table follows each comma.
     in_from_clause: bool,
-    /// Whether the qualified name of a table was found, whose schema has no number.
-    has_table: bool,
+    /// Whether a table was found whose name has a schema without a number.
+    has_qualified_table: bool,
     /// The first number in a qualified name that may not be the name of a table.
-    other_group: Option<u64>,
+    fallback_group: Option<u64>,
 }
 
 impl<'a> Scanner<'a> {
@@ -89,8 +89,8 @@
         if name.is_table && group.is_some() {
             return group;
         }
-        self.other_group = self.other_group.or(group);
-        self.has_table |= name.is_table;
+        self.fallback_group = self.fallback_group.or(group);
+        self.has_qualified_table |= name.is_table;
         None
     }
 
@@ -113,8 +113,8 @@
     }
 
     /// Returns the group of a statement in which no table has a schema.
-    fn group_without_table(&self) -> Option<u64> {
-        self.other_group.filter(|_| !self.has_table)
+    fn group_of_other_name(&self) -> Option<u64> {
+        self.fallback_group.filter(|_| !self.has_qualified_table)
     }
 }
 
