--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -101,10 +101,10 @@
     /// No request class of the settings has the name of this method.
     #[error("no method `{0}`")]
     UnknownMethod(String),
-    /// The status request has no id, so no answer can be sent.
+    /// The status request is a notification, so its answer could not carry an id.
     #[error("`status` without an id")]
     StatusWithoutId,
-    /// The request has no id, so no answer can be sent.
+    /// The request is a notification, so its answer could not carry an id.
     #[error("a task without an id")]
     RequestWithoutId,
     /// An open request on the same connection has the same message id.
@@ -324,7 +324,7 @@
     retry_after_ms: u64,
 }
 
-/// Encodes an error response. `retry_after_ms` is the time after which the client should retry; `None` is not sent.
+/// Encodes an error response. `retry_after_ms` is the time after which the client may retry; `None` is not sent.
 pub fn error_line(id: Option<u64>, code: ErrorCode, message: &str, retry_after_ms: Option<u64>) -> Vec<u8> {
     let data = retry_after_ms.map(|retry_after_ms| ErrorData { retry_after_ms });
     let error = ErrorObject { code: code.number(), data, message };
