--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -155,11 +155,11 @@
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) {
-        self.finish(slot, outcome, None, load_report, context);
+        self.end_with_body(slot, outcome, None, load_report, context);
     }
 
     /// Ends an attempt and queues the event for the scheduler. `body` is the complete result of a successful attempt.
-    pub(super) fn finish(
+    pub(super) fn end_with_body(
         &mut self,
         slot: Slot,
         outcome: AttemptOutcome,
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -178,7 +178,7 @@
         let page_requests: Vec<Vec<u8>> =
             (1..pages).map(|page| EngineCommand::Page { id, page }.encode()).collect();
         self.append_message(slot, &page_requests.concat(), context);
-        self.complete_result(slot, context)
+        self.end_if_result_complete(slot, context)
     }
 
     fn handle_page(
@@ -195,7 +195,7 @@
             context.counters.count("engine_answers_repeated");
             return Ok(());
         }
-        self.complete_result(slot, context)
+        self.end_if_result_complete(slot, context)
     }
 
     fn handle_progress(
@@ -214,7 +214,11 @@
 
     /// Ends an attempt once all pages of its result have arrived. Until then, limits the attempt's deadline to the time
     /// by which the next page must arrive.
-    fn complete_result(&mut self, slot: Slot, context: &mut Context) -> Result<(), EngineProtocolError> {
+    fn end_if_result_complete(
+        &mut self,
+        slot: Slot,
+        context: &mut Context,
+    ) -> Result<(), EngineProtocolError> {
         let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
         let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if !result.is_complete() {
@@ -225,7 +229,7 @@
             return Ok(());
         }
         let body = result.take_body()?;
-        self.finish(slot, AttemptOutcome::Succeeded, Some(body), None, context);
+        self.end_with_body(slot, AttemptOutcome::Succeeded, Some(body), None, context);
         Ok(())
     }
 }
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -8,11 +8,11 @@
 /// that arrives in two parts, for every split.
 fn decode_with_every_split(input: &[u8], parse: impl Fn(&mut RingBuffer) -> Option<String>) -> String {
     let parse_parts = |first: &[u8], second: &[u8]| {
-        let mut ring = RingBuffer::default();
+        let mut buffer = RingBuffer::default();
         let mut lines = Vec::new();
         for part in [first, second] {
-            ring.push(part);
-            while let Some(line) = parse(&mut ring) {
+            buffer.push(part);
+            while let Some(line) = parse(&mut buffer) {
                 lines.push(line);
             }
         }
@@ -37,13 +37,13 @@
         encode_array(&[b"9b1f", b"INFO", b"-", b""]),
         encode_array(&[]),
     ];
-    let parse = |ring: &mut RingBuffer| {
+    let parse = |buffer: &mut RingBuffer| {
         let (line, length) = {
-            let resp::Array { parts, length } = resp::parse_array(ring.contents()).expect("well formed")?;
+            let resp::Array { parts, length } = resp::parse_array(buffer.contents()).expect("well formed")?;
             let parts: Vec<_> = parts.iter().map(|part| part.escape_ascii().to_string()).collect();
             (parts.join(" | "), length)
         };
-        ring.consume(length);
+        buffer.consume(length);
         Some(line)
     };
     expect![[r#"
@@ -108,15 +108,15 @@
 {"jsonrpc":"2.0","id":4,"method":5}
 
 "#;
-    let parse = |ring: &mut RingBuffer| {
+    let parse = |buffer: &mut RingBuffer| {
         let (text, length) = {
-            let (line, length) = jsonrpc::split_line(ring.contents(), 0)?;
+            let (line, length) = jsonrpc::split_line(buffer.contents(), 0)?;
             let request = jsonrpc::parse_request(line);
             let request = request.map(|request| (request.id, request.method, request.params));
             let request = request.map_err(|error| (error.id, error.code().number(), error.to_string()));
             (format!("{request:?}"), length)
         };
-        ring.consume(length);
+        buffer.consume(length);
         Some(text)
     };
     expect![[r#"
@@ -140,9 +140,9 @@
         let length = 9 + payload.len() as u32;
         [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
     };
-    let parse = |ring: &mut RingBuffer| {
+    let parse = |buffer: &mut RingBuffer| {
         let (text, length) = {
-            let (frame, length) = discovery::parse_frame(ring.contents()).expect("well formed")?;
+            let (frame, length) = discovery::parse_frame(buffer.contents()).expect("well formed")?;
             let endpoints = frame.event.iter().flat_map(|event| &event.endpoints);
             let endpoints: Vec<_> = endpoints
                 .map(|endpoint| {
@@ -161,7 +161,7 @@
             let update = frame.event.as_ref().map(|event| event.update);
             (format!("{} {update:?} {endpoints:?}", frame.number), length)
         };
-        ring.consume(length);
+        buffer.consume(length);
         Some(text)
     };
     let well_formed =
