--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -243,7 +243,7 @@
     /// Decodes the resources that the engine used for a result, if the reply has both the cost and the memory.
     pub fn usage(&self) -> Result<Option<Usage>, EngineProtocolError> {
         let cost_and_memory = self.number("cost")?.zip(self.number("need")?);
-        Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { cost: from_ms(ms), memory_mb }))
+        Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { work: from_ms(ms), memory_mb }))
     }
 
     /// Decodes a progress report.
@@ -253,7 +253,7 @@
             (Some("advance"), Some(fraction)) => Ok(ProgressUpdate::Fraction(fraction)),
             (Some("disk"), Some(missing_mb)) => Ok(ProgressUpdate::Spilling(missing_mb)),
             (Some("stall"), Some(STALLED_FOR_MEMORY)) => Ok(ProgressUpdate::WaitingForMemory),
-            (Some("stall"), Some(STALLED_FOR_LOAD)) => Ok(ProgressUpdate::WaitingForLoad),
+            (Some("stall"), Some(STALLED_FOR_LOAD)) => Ok(ProgressUpdate::WaitingForBulkLoad),
             (None, _) => Ok(ProgressUpdate::Running),
             (detail, value) => {
                 let detail = detail.map(str::to_owned);
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -22,7 +22,7 @@
 use crate::ring::RingBuffer;
 use crate::slots::Slot;
 use crate::timers::Timer;
-use emberflow::{AttemptEnded, Fingerprint, RequestClass, RequestId, Scheduler};
+use emberflow::{AttemptEnded, FingerprintContext, RequestClass, RequestId, Scheduler};
 use state::ServerState;
 use std::hash::Hasher;
 use std::time::Duration;
@@ -106,8 +106,12 @@
     /// Feeds the state to `hasher`. Two servers with the same fingerprint react in the same way to any input.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
-        let fingerprint =
-            Fingerprint { now, more_arrivals: true, engines_interchangeable: false, engine_state: &|_| 0 };
+        let fingerprint = FingerprintContext {
+            now,
+            expects_arrivals: true,
+            engines_interchangeable: false,
+            engine_state_hash: &|_| 0,
+        };
         self.scheduler.fingerprint(&fingerprint, hasher);
         self.dispatcher.fingerprint(hasher);
         self.state.fingerprint(now, hasher);
@@ -189,7 +193,7 @@
             && let Some(usage) = &ended.usage
             && self.dispatcher.requests.get(ended.request).is_some()
         {
-            admission_queue.record_cost(ended.request, usage.cost);
+            admission_queue.record_cost(ended.request, usage.work);
         }
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -121,7 +121,7 @@
         let engine = EngineId(self.names.engines.number(engine));
         let load_report = load_report(&self.load_report_names, stats);
         let (scheduler, mut actions) = self.split(now, reply);
-        scheduler.probed(now, engine, load_report, &mut actions);
+        scheduler.probe_ended(now, engine, load_report, &mut actions);
     }
 
     fn accept(&mut self, accept: Accept<'_>, now: Duration, reply: &mut Vec<u8>) {
@@ -129,12 +129,12 @@
             request: RequestId::from_index(self.names.requests.number(accept.request)),
             class: accept.class,
             key: accept.key.map(|key| KeyId::from_index(self.names.keys.number(key))),
-            cost: accept.cost,
-            memory_mb: accept.memory_mb,
+            estimated_work: accept.cost,
+            estimated_memory_mb: accept.memory_mb,
             deadline: accept.deadline,
-            waited: Duration::ZERO,
+            queue_time: Duration::ZERO,
             is_retry: self.clients_mark_retries.then_some(accept.is_retry),
-            group: accept.group,
+            table_group: accept.group,
         };
         let (scheduler, mut actions) = self.split(now, reply);
         scheduler.accept(now, arrival, &mut actions);
@@ -170,7 +170,7 @@
             kind: row.kind,
             cell: row.cell,
             lifecycle: row.lifecycle,
-            launched: row.launched,
+            launched_at: row.launched,
         });
     }
     Ok(endpoints)
--- a/tests/traces/lifecycle.rs
+++ b/tests/traces/lifecycle.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn an_endpoint_list_that_failed_is_watched_again() {
-    let mut trace = Trace::new(1, |fleet, _, _| fleet.polls_endpoint_list = true);
+    let mut trace = Trace::new(1, |fleet, _, _| fleet.must_watch_endpoints = true);
     trace.at(900).endpoint_list_failed().wake_until(1000);
     expect![[r#"
         0     watch the endpoint list
@@ -19,10 +19,10 @@
 #[test]
 fn before_the_shutdown_deadline_each_request_gets_the_answer_that_its_effect_allows() {
     let mut trace = Trace::with_engines(1);
-    trace.accept(SHORT, 100, 300.0).accept(LONG, 900, 300.0).accept(LOAD, 900, 300.0);
+    trace.accept(SHORT, 100, 300.0).accept(LONG, 900, 300.0).accept(BULK_LOAD, 900, 300.0);
     trace
         .at(200)
-        .shutting_down(3700)
+        .start_shutdown(3700)
         .ended(0, 0, 0, Succeeded)
         .at(600)
         .accept(SHORT, 100, 300.0)
@@ -49,7 +49,7 @@
 fn the_scheduler_wakes_before_the_shutdown_deadline() {
     let mut trace = Trace::with_engines(1);
     trace.accept(LONG, 900, 300.0).decisions();
-    trace.at(30).shutting_down(130).wake_when_due().wake_when_due().wake_when_due();
+    trace.at(30).start_shutdown(130).wake_when_due().wake_when_due().wake_when_due();
     expect![[r#"
         70    reject request 0, retry after 400
     "#]]
@@ -61,7 +61,7 @@
     let mut trace = Trace::with_engines(2);
     trace.accept_many(2, SHORT, 100, 100.0).at(10);
     let removed = |engine| endpoint(engine, Lifecycle::Removed, None);
-    trace.list_engines(vec![removed(0), removed(1), endpoint(2, Lifecycle::Ready, None)]);
+    trace.update_endpoints(vec![removed(0), removed(1), endpoint(2, Lifecycle::Ready, None)]);
     trace.at(20).ended(0, 0, 0, Succeeded).at(30).ended(1, 0, 1, Broken);
     trace.at(40).ended(1, 1, 2, Succeeded);
     expect![[r#"
