--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -197,32 +197,32 @@
     Mutant {
         name: "unwritten calls kept at a drain",
         file: POOL_ATTEMPT,
-        from: "attempt.call_offset == Some(connection.output.passed())",
-        to: "attempt.call_offset == Some(connection.output.passed() + 1)",
+        from: "attempt.call_offset == Some(connection.output.front_offset())",
+        to: "attempt.call_offset == Some(connection.output.front_offset() + 1)",
     },
     Mutant {
         name: "queued calls remain at a drain",
         file: POOL_ENDPOINTS,
-        from: "let mut unsent = connection.waiting.clone();",
+        from: "let mut unsent = connection.waiting_attempts.clone();",
         to: "let mut unsent = Vec::new();",
     },
     Mutant {
         name: "a retry where a late answer may arrive",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(&slot) && ",
-        to: "let is_separate = ",
+        from: "!excluded.contains(&slot) && !connection.attempts.contains_key(request_name)",
+        to: "!connection.attempts.contains_key(request_name)",
     },
     Mutant {
         name: "a partly written call is sent again",
         file: POOL_CONNECTION,
-        from: "if attempt.has_begun(written) {",
-        to: "if attempt.has_begun(written.saturating_sub(1 << 40)) {",
+        from: "if attempt.write_has_begun(written) {",
+        to: "if attempt.write_has_begun(written.saturating_sub(1 << 40)) {",
     },
     Mutant {
         name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
-        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent,",
-        to: "if attempt.id.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent,",
+        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent_outcome,",
+        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
     },
     Mutant {
         name: "idle connections stay open",
@@ -269,8 +269,8 @@
     Mutant {
         name: "requests of a closed client stay open",
         file: SERVER_CLIENTS,
-        from: "        client.open.into_values().collect()",
-        to: "        drop(client.open);\n        Vec::new()",
+        from: "        client.open_requests.into_values().collect()",
+        to: "        drop(client.open_requests);\n        Vec::new()",
     },
     Mutant {
         name: "a cancellation is not passed on",
@@ -317,7 +317,7 @@
     Mutant {
         name: "half a line is skipped",
         file: CLIENT,
-        from: "        self.scanned_for_line = 0;\n",
+        from: "        self.newline_free_bytes = 0;\n",
         to: "",
     },
     discovery("a change accepted after a gap", "number != last + 1", "number == u64::MAX"),
@@ -331,7 +331,7 @@
     discovery("the last event not recorded", "self.last_event = number;", ""),
     discovery(
         "half a frame kept on reconnection",
-        "Self { input: Ring::default(), subscribed: false, ..*self }",
+        "Self { input: RingBuffer::default(), subscribed: false, ..*self }",
         "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -1,8 +1,8 @@
-//! One connection of a client: splits its input into lines and scans unread lines for cancellations.
+//! One connection of a client: splits the input into lines, and scans lines that are not handled yet for cancellations.
 
 use super::{ClientInput, MAX_TRANSIT_TIME, ScanResult};
 use crate::jsonrpc::{self, Cancellation};
-use crate::ring::{Filled, Ring};
+use crate::ring::{FillOutcome, RingBuffer};
 use emberflow::RequestId;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -53,66 +53,68 @@
 /// A cancellation in an unread line.
 #[derive(Clone)]
 struct UnreadCancellation {
-    /// Offset of the line's end in all input.
-    line_end: u64,
+    /// Offset of the line's end in the stream of all input.
+    line_end_offset: u64,
     cancellation: Cancellation,
 }
 
 /// A client's connection.
 #[derive(Clone)]
 pub struct Client {
-    input: Ring,
+    input: RingBuffer,
     /// Bytes to be written to the client.
-    pub output: Ring,
-    /// Bytes at the front of the input that hold no newline.
-    scanned_for_line: usize,
-    /// Bytes at the front of the input that were scanned for cancellations, up to the end of a line.
-    scanned_for_cancellations: usize,
+    pub output: RingBuffer,
+    /// Number of bytes at the front of the input that are known to hold no newline.
+    newline_free_bytes: usize,
+    /// Number of bytes at the front of the input that were scanned for cancellations. They end with a complete line,
+    /// unless the input is being discarded.
+    cancellation_scanned_bytes: usize,
+    /// The cancellations in lines that are not handled yet, in order.
     unread_cancellations: VecDeque<UnreadCancellation>,
-    /// Offset in all input up to which it was scanned for cancellations.
-    scanned_end: u64,
-    /// Open requests by their message id on this connection.
-    pub open: BTreeMap<u64, RequestId>,
+    /// Offset of the end of the input at the last scan for cancellations, in the stream of all input.
+    scan_end_offset: u64,
+    /// The open requests, by the ids of their JSON-RPC messages.
+    pub open_requests: BTreeMap<u64, RequestId>,
     pub(super) has_sent_line: bool,
     /// Time at which a line was last read or began to arrive, or a request was last answered.
     pub(super) last_active: Duration,
     /// Earliest time at which the latest input can have been received.
     last_received: Duration,
-    /// Time of the next idle check.
+    /// Time of the next idle check, for which a timer is set.
     pub check_due: Duration,
     input_state: InputState,
     /// Time at which the end of the input was found, possibly before all input was read.
-    pub(super) ended_at: Option<Duration>,
+    pub(super) input_ended_at: Option<Duration>,
 }
 
 impl Client {
     /// Creates a connection that is accepted at `now`.
     pub(super) fn new(now: Duration) -> Self {
         Self {
-            input: Ring::default(),
-            output: Ring::default(),
-            scanned_for_line: 0,
-            scanned_for_cancellations: 0,
+            input: RingBuffer::default(),
+            output: RingBuffer::default(),
+            newline_free_bytes: 0,
+            cancellation_scanned_bytes: 0,
             unread_cancellations: VecDeque::new(),
-            scanned_end: 0,
-            open: BTreeMap::new(),
+            scan_end_offset: 0,
+            open_requests: BTreeMap::new(),
             has_sent_line: false,
             last_active: now,
             last_received: now,
             check_due: now + LINE_TIMEOUT,
             input_state: InputState::Reading,
-            ended_at: None,
+            input_ended_at: None,
         }
     }
 
-    /// Whether further lines are read from the client.
+    /// Whether further lines are read from the client's connection.
     pub(super) fn accepts_lines(&self) -> bool {
         self.input_state == InputState::Reading
     }
 
     /// Whether the client has no open request and no unsent output.
     pub(super) fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.output.is_empty()
+        self.open_requests.is_empty() && self.output.is_empty()
     }
 
     /// Whether a line has begun to arrive.
@@ -129,7 +131,7 @@
     pub fn summary(&self) -> String {
         format!(
             "open_requests={} unread_bytes={} unsent_bytes={}",
-            self.open.len(),
+            self.open_requests.len(),
             self.input.len(),
             self.output.len()
         )
@@ -158,7 +160,7 @@
             if let Some(line) = self.take_line(now) {
                 return ReadOutcome::Line { line, received_at: self.last_received };
             }
-            if self.scanned_for_line >= max_line_bytes {
+            if self.newline_free_bytes >= max_line_bytes {
                 self.input_state = InputState::Discarding;
                 return ReadOutcome::TooLong;
             }
@@ -166,7 +168,7 @@
             match self.receive(max_line_bytes, now, received_since, socket) {
                 Err(_) => return ReadOutcome::Closed,
                 Ok(_) if self.input.len() > length_before => {}
-                Ok(Filled::Closed) => return self.end_input(),
+                Ok(FillOutcome::Closed) => return self.end_input(),
                 Ok(_) => return ReadOutcome::Pending,
             }
         }
@@ -179,7 +181,7 @@
         now: Duration,
         received_since: Duration,
         socket: &mut impl ClientInput,
-    ) -> io::Result<Filled> {
+    ) -> io::Result<FillOutcome> {
         let length_before = self.input.len();
         let filled = self.input.fill(socket, max_bytes);
         if self.input.len() > length_before {
@@ -203,38 +205,38 @@
     fn discard_input(&mut self, max_bytes: usize, socket: &mut impl ClientInput) -> ReadOutcome {
         self.consume(self.input.len());
         match self.input.fill(socket, max_bytes) {
-            Ok(Filled::Enough) => ReadOutcome::Discarded,
-            Ok(Filled::Drained) => ReadOutcome::Pending,
-            Ok(Filled::Closed) => self.end_input(),
+            Ok(FillOutcome::LimitReached) => ReadOutcome::Discarded,
+            Ok(FillOutcome::WouldBlock) => ReadOutcome::Pending,
+            Ok(FillOutcome::Closed) => self.end_input(),
             Err(_) => ReadOutcome::Closed,
         }
     }
 
     /// Takes the next line out of the input, if it is complete.
     fn take_line(&mut self, now: Duration) -> Option<Vec<u8>> {
-        let Some((line, length)) = jsonrpc::split_line(self.input.readable(), self.scanned_for_line) else {
-            self.scanned_for_line = self.input.len();
+        let Some((line, length)) = jsonrpc::split_line(self.input.contents(), self.newline_free_bytes) else {
+            self.newline_free_bytes = self.input.len();
             return None;
         };
         let line = line.to_vec();
         self.consume(length);
-        self.scanned_for_line = 0;
+        self.newline_free_bytes = 0;
         self.last_active = now;
         self.has_sent_line = true;
         Some(line)
     }
 
-    /// Removes bytes from the front of the input, with the cancellations in them.
+    /// Removes bytes from the front of the input, and the recorded cancellations of their lines.
     fn consume(&mut self, length: usize) {
         self.input.consume(length);
-        self.scanned_for_cancellations = self.scanned_for_cancellations.saturating_sub(length);
-        let passed = self.input.passed();
-        while self.unread_cancellations.front().is_some_and(|unread| unread.line_end <= passed) {
+        self.cancellation_scanned_bytes = self.cancellation_scanned_bytes.saturating_sub(length);
+        let front_offset = self.input.front_offset();
+        while self.unread_cancellations.front().is_some_and(|unread| unread.line_end_offset <= front_offset) {
             self.unread_cancellations.pop_front();
         }
     }
 
-    /// Reads and scans input without handling it; see [`super::Clients::scan_ahead`].
+    /// Reads input and scans it for cancellations without handling any line; see [`super::Clients::scan_ahead`].
     pub(super) fn scan_ahead(
         &mut self,
         max_line_bytes: usize,
@@ -243,14 +245,14 @@
         socket: &mut impl ClientInput,
     ) -> ScanResult {
         let mut scan = ScanResult::default();
-        let has_requests = !self.open.is_empty() || !self.input.is_empty();
+        let has_requests = !self.open_requests.is_empty() || !self.input.is_empty();
         if self.input_state == InputState::Ended || !has_requests {
             return scan;
         }
         match self.receive(max_line_bytes, now, received_since, socket) {
-            Ok(Filled::Closed) => scan.ended = self.ended_at.replace(now).is_none(),
+            Ok(FillOutcome::Closed) => scan.input_ended = self.input_ended_at.replace(now).is_none(),
             Ok(_) => {}
-            Err(_) => scan.closed = true,
+            Err(_) => scan.connection_failed = true,
         }
         scan.cancellations = self.new_cancellations();
         scan
@@ -258,49 +260,50 @@
 
     /// Scans the complete lines that have arrived since the last scan, and returns their cancellations.
     pub(super) fn new_cancellations(&mut self) -> Vec<Cancellation> {
-        if self.scanned_end == self.input.end() {
+        if self.scan_end_offset == self.input.end_offset() {
             return Vec::new();
         }
-        self.scanned_end = self.input.end();
+        self.scan_end_offset = self.input.end_offset();
         if self.input_state == InputState::Discarding {
-            self.scanned_for_cancellations = self.input.len();
+            self.cancellation_scanned_bytes = self.input.len();
         }
-        let mut line_end = self.input.passed() + self.scanned_for_cancellations as u64;
+        let mut line_end_offset = self.input.front_offset() + self.cancellation_scanned_bytes as u64;
         let mut found = Vec::new();
-        let unscanned = &self.input.readable()[self.scanned_for_cancellations..];
+        let unscanned = &self.input.contents()[self.cancellation_scanned_bytes..];
         let last_newline = unscanned.iter().rposition(|byte| *byte == b'\n');
         let complete = last_newline.map_or(0, |newline| newline + 1);
         for line in unscanned[..complete].split_inclusive(|byte| *byte == b'\n') {
-            line_end += line.len() as u64;
+            line_end_offset += line.len() as u64;
             if let Some(cancellation) = Cancellation::decode_line(line) {
                 found.push(cancellation.clone());
-                self.unread_cancellations.push_back(UnreadCancellation { line_end, cancellation });
+                self.unread_cancellations.push_back(UnreadCancellation { line_end_offset, cancellation });
             }
         }
-        self.scanned_for_cancellations += complete;
+        self.cancellation_scanned_bytes += complete;
         found
     }
 
     /// Whether an unread line cancels the request with this name and message id.
     pub(super) fn has_cancelled(&self, name: &str, id: u64) -> bool {
-        self.unread_cancellations.iter().any(|unread| unread.cancellation.names(name, id))
+        self.unread_cancellations.iter().any(|unread| unread.cancellation.matches(name, id))
     }
 
     /// Feeds the state to a hasher, with times relative to `now`.
     pub(super) fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         let relative = |at: Duration| at.as_micros() as i64 - now.as_micros() as i64;
-        (self.input.len(), self.output.len(), self.scanned_for_line, &self.open).hash(hasher);
+        (self.input.len(), self.output.len(), self.newline_free_bytes, &self.open_requests).hash(hasher);
         // All idle times beyond the timeout are equivalent.
         let last_active = self.last_active.max(now.saturating_sub(IDLE_TIMEOUT));
         (self.has_sent_line, relative(last_active), relative(self.check_due), self.input_state).hash(hasher);
-        let ended_at = self.ended_at.filter(|_| self.input_state != InputState::Ended);
-        let ended_at = ended_at.map(|at| relative(at.max(now.saturating_sub(MAX_FINGERPRINT_ENDED_TIME))));
-        (self.scanned_for_cancellations, ended_at).hash(hasher);
-        let passed = self.input.passed();
+        let input_ended_at = self.input_ended_at.filter(|_| self.input_state != InputState::Ended);
+        let input_ended_at =
+            input_ended_at.map(|at| relative(at.max(now.saturating_sub(MAX_FINGERPRINT_ENDED_TIME))));
+        (self.cancellation_scanned_bytes, input_ended_at).hash(hasher);
+        let front_offset = self.input.front_offset();
         for unread in &self.unread_cancellations {
-            (unread.line_end - passed, &unread.cancellation).hash(hasher);
+            (unread.line_end_offset - front_offset, &unread.cancellation).hash(hasher);
         }
-        (self.input.end() - self.scanned_end).hash(hasher);
+        (self.input.end_offset() - self.scan_end_offset).hash(hasher);
         self.has_partial_line().then(|| relative(self.last_received)).hash(hasher);
     }
 }
