--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -1,6 +1,5 @@
-//! The admission queue in front of the scheduler, which exists if the operator has configured teams. Queued requests
-//! are open, and the scheduler has not accepted them yet. `emberflow-teams` decides on their order and estimates
-//! their waits.
+//! The admission queue in front of the scheduler, which exists if the operator has configured teams. A queued request
+//! is open, but the scheduler has not accepted it yet. `emberflow-teams` orders the requests and estimates their waits.
 
 use crate::dispatch::{Completion, RequestOutcome};
 use emberflow::{Arrival, Capacity, RequestId};
@@ -9,21 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The actions that become due for a queued request.
+/// An action that becomes due for a queued request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum DueAction {
-    /// The request is passed to the scheduler, regardless of the order among teams.
+    /// Passes the request to the scheduler, regardless of the order among teams.
     Dispatch,
-    /// The client is notified of the estimated wait.
+    /// Notifies the client of the estimated wait.
     WaitNotice,
 }
 
 /// A request in the queue.
 #[derive(Clone)]
 struct QueuedRequest {
+    /// The scheduler's input, as it was when the request was queued.
     arrival: Arrival,
     arrived_at: Duration,
-    /// The time at which the request is passed to the scheduler at the latest.
+    /// The latest time at which the request is passed to the scheduler.
     dispatch_by: Duration,
     /// The time of the next notice to the client; `None` if the client wants none.
     next_notice: Option<Duration>,
@@ -39,27 +39,27 @@
 /// A request for which an action is due.
 struct DueRequest {
     /// The time at which the action became due.
-    at: Duration,
+    due_at: Duration,
     request: RequestId,
 }
 
 /// The properties of a request that admission depends on, apart from the scheduler's input.
-pub struct Admission {
-    /// The team's index.
+pub struct AdmissionParameters {
+    /// The index of the team in the operator's configuration.
     pub team: usize,
-    /// From 0 for ordinary requests to 3.
+    /// The urgency, from 0 for ordinary requests to 3.
     pub urgency: u8,
     /// A number that a request and its retries have in common.
     pub identity: u64,
-    /// Requests with the same key are passed to the scheduler in the order of their arrival.
+    /// The request's key. Requests with the same key are passed to the scheduler in the order of their arrival.
     pub key: Option<u64>,
-    /// Expected time on one core.
+    /// Estimated execution time on one core.
     pub work: Duration,
     /// The latency objective of the request class.
     pub latency_objective: Duration,
-    /// Time before the request's deadline at which the request is passed to the scheduler at the latest.
-    pub margin: Duration,
-    /// Whether the client wants notices of its wait.
+    /// Minimum time between passing the request to the scheduler and the request's deadline.
+    pub dispatch_margin: Duration,
+    /// Whether the client has asked to be notified of the estimated wait.
     pub wants_wait_notices: bool,
 }
 
@@ -67,7 +67,7 @@
 pub struct WaitNotice {
     /// The queued request.
     pub request: RequestId,
-    /// The estimated time in the queue, and the number of the team's requests before this one.
+    /// The estimated time in the queue, and the number of requests of the same team that are dispatched earlier.
     pub wait: WaitEstimate,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl AdmissionQueue {
-    /// Returns an empty queue. The budget of each team is full.
+    /// Creates an empty queue. The budget of each team is full.
     pub fn new(teams: TeamConfig, now: Duration) -> Self {
         Self {
             queues: Queues::new(teams.quotas.clone(), now),
@@ -99,12 +99,12 @@
     /// Queues a request.
     ///
     /// # Errors
-    /// Returns the reason of a rejection, and the time after which the request would be admitted.
+    /// Returns the reason if the request is rejected, and the time after which the request would be admitted.
     pub fn enqueue(
         &mut self,
         now: Duration,
         arrival: Arrival,
-        admission: Admission,
+        parameters: AdmissionParameters,
     ) -> Result<(), Rejection> {
         let request = arrival.request;
         let remaining = arrival.deadline.saturating_sub(arrival.queue_time);
@@ -112,21 +112,21 @@
             now,
             NewRequest {
                 id: request.0,
-                team: admission.team,
-                urgency: admission.urgency,
+                team: parameters.team,
+                urgency: parameters.urgency,
                 class: arrival.class as u16,
-                work: admission.work,
-                latency_objective: admission.latency_objective,
+                work: parameters.work,
+                latency_objective: parameters.latency_objective,
                 deadline: remaining,
-                identity: Some(admission.identity),
-                key: admission.key,
+                identity: Some(parameters.identity),
+                key: parameters.key,
             },
         )?;
-        let wants_notices = admission.wants_wait_notices && self.teams.wait_notice_field.is_some();
+        let wants_notices = parameters.wants_wait_notices && self.teams.wait_notice_field.is_some();
         let queued = QueuedRequest {
             arrived_at: now.saturating_sub(arrival.queue_time),
             arrival,
-            dispatch_by: now + remaining.saturating_sub(admission.margin),
+            dispatch_by: now + remaining.saturating_sub(parameters.dispatch_margin),
             next_notice: wants_notices.then_some(now),
         };
         self.due.insert((queued.dispatch_by, DueAction::Dispatch, request));
@@ -150,8 +150,8 @@
         self.release(now, next)
     }
 
-    /// Returns a request that must be dispatched by now. If requests of the same key arrived before it, returns the
-    /// first of them.
+    /// Returns a request whose latest dispatch time has come. If requests with the same key arrived before it, returns
+    /// the first of them.
     fn next_overdue(&self, now: Duration) -> Option<RequestId> {
         let overdue = self.due_now(now, DueAction::Dispatch).next()?;
         Some(RequestId(self.queues.first_of_key(overdue.request.0)))
@@ -161,7 +161,7 @@
     fn due_now(&self, now: Duration, action: DueAction) -> impl Iterator<Item = DueRequest> {
         let due = self.due.iter().take_while(move |(at, ..)| *at <= now);
         due.filter(move |(_, due_action, _)| *due_action == action)
-            .map(|(at, _, request)| DueRequest { at: *at, request: *request })
+            .map(|(at, _, request)| DueRequest { due_at: *at, request: *request })
     }
 
     /// Returns the first request in the order among teams for which there is capacity.
@@ -179,7 +179,7 @@
         self.release(now, oldest)
     }
 
-    /// Removes a request that is passed to the scheduler, and returns the scheduler's input.
+    /// Removes a request in order to pass it to the scheduler, and returns the scheduler's input.
     fn release(&mut self, now: Duration, request: RequestId) -> Option<Arrival> {
         self.queues.dispatch(now, request.0);
         self.remove(request).map(|queued| queued.arrival(now))
@@ -195,7 +195,7 @@
         Some(queued)
     }
 
-    /// Records the cost of a request's successful attempt. The team is charged when the request is closed.
+    /// Records the measured cost of a request's successful attempt. The team is charged when the request is closed.
     pub fn record_cost(&mut self, request: RequestId, cost: Duration) {
         self.costs.insert(request, cost);
     }
@@ -206,7 +206,7 @@
     }
 
     /// Settles a closed request: removes it if it is still queued, or else charges its team.
-    pub fn request_closed(&mut self, now: Duration, Completion { request, outcome }: Completion) {
+    pub fn settle(&mut self, now: Duration, Completion { request, outcome }: Completion) {
         let cost = self.costs.remove(&request);
         if self.remove(request).is_some() {
             self.queues.remove(now, request.0);
@@ -226,15 +226,16 @@
         self.teams = teams;
     }
 
-    /// Returns the notices that are due now and schedules the next ones. Requests without an estimate are left out.
+    /// Returns the notices that are due now, and schedules the next notice of each request. Requests without an
+    /// estimate are omitted.
     pub fn take_wait_notices(&mut self, now: Duration) -> Vec<WaitNotice> {
         let due_requests: Vec<DueRequest> = self.due_now(now, DueAction::WaitNotice).collect();
         // The operator may have switched the notices off since they were scheduled.
         let sends_notices = self.teams.wait_notice_field.is_some();
         let next_notice = sends_notices.then_some(now + self.teams.wait_notice_interval);
         let mut notices = Vec::new();
-        for DueRequest { at, request } in due_requests {
-            self.due.remove(&(at, DueAction::WaitNotice, request));
+        for DueRequest { due_at, request } in due_requests {
+            self.due.remove(&(due_at, DueAction::WaitNotice, request));
             self.due.extend(next_notice.map(|next| (next, DueAction::WaitNotice, request)));
             self.queued.entry(request).and_modify(|queued| queued.next_notice = next_notice);
             if sends_notices && let Some(wait) = self.queues.estimate_wait(now, request.0) {
@@ -244,7 +245,7 @@
         notices
     }
 
-    /// Returns the time of the next deadline in the queue.
+    /// Returns the time at which the queue must be processed next; `None` if nothing is due.
     pub fn next_deadline(&self) -> Option<Duration> {
         let first_due = self.due.first().map(|(at, ..)| *at);
         [first_due, self.queues.due()].into_iter().flatten().min()
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -10,8 +10,8 @@
 use emberflow::{AttemptEnded, AttemptOutcome, EngineId, LoadReport};
 
 impl EnginePool {
-    /// Sends an attempt. `excluded_connections` may still deliver a reply to an earlier attempt of the request; they
-    /// are not used, because replies name only the request.
+    /// Sends an attempt. The attempt does not use `excluded_connections`, on which a reply to an earlier attempt of the
+    /// request may still arrive: a reply carries only the request's name, so the attempts could not be told apart.
     pub fn send(
         &mut self,
         engine: EngineId,
@@ -26,20 +26,20 @@
         attempt
     }
 
-    /// Queues an attempt's call on a connection to its engine. Ends the attempt if the engine takes no calls or no
-    /// connection is available.
+    /// Queues an attempt's call on a connection to its engine. Ends the attempt if the engine is not ready, if the
+    /// attempt must not be resent, or if no connection is available.
     pub(super) fn assign_connection(&mut self, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.call_offset = None;
         let engine = attempt.engine;
-        let id = attempt.id.clone();
+        let request_name = attempt.request_name.clone();
         let excluded = attempt.excluded_connections.clone();
         if attempt.resend_disabled || !self.is_ready(engine) {
             return self.end(slot, AttemptOutcome::NotSent, None, context);
         }
-        match self.select_connection(engine, &id, &excluded, context) {
+        match self.select_connection(engine, &request_name, &excluded, context) {
             Some(connection) => self.enqueue_call(slot, connection, context),
-            // The router's connection limit is no fault of the engine, so the attempt does not count against it.
+            // The router has reached its own limit of connections, so the outcome must not count against the engine.
             None => self.end(slot, AttemptOutcome::NotSent, None, context),
         }
     }
@@ -62,39 +62,41 @@
         let connection = attempt.connection.and_then(|connection| self.connections.get_mut(connection));
         let Some(connection) = connection else { return false };
         let Some(call) = &attempt.call else { return false };
-        let is_unsent = attempt.call_offset == Some(connection.output.passed());
+        let is_unsent = attempt.call_offset == Some(connection.output.front_offset());
         if is_unsent {
-            connection.output.cut(call.encoded_bytes);
+            connection.output.remove_unsent(call.encoded_bytes);
             attempt.call_offset = None;
         }
         is_unsent
     }
 
-    /// Changes the priority of an attempt. The message is sent after the attempt's call.
+    /// Changes the priority of an attempt. The message with the new priority is sent after the attempt's call.
     pub fn update_priority(&mut self, slot: Slot, priority: u8, context: &mut Context) {
-        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
+        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
+        else {
             return;
         };
-        let bytes = EngineCommand::Priority { id: &attempt.id, priority }.encode();
+        let bytes = EngineCommand::Priority { id: &attempt.request_name, priority }.encode();
         match &mut attempt.call {
             Some(call) if attempt.call_offset.is_none() => call.followed_by.extend(bytes),
-            _ => self.write(slot, &bytes, context),
+            _ => self.append_message(slot, &bytes, context),
         }
     }
 
-    /// Cancels an attempt whose request gets no further attempt.
+    /// Cancels an attempt whose request is not sent again.
     pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
         self.abandon(attempt, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, context);
     }
 
     /// Cancels an attempt whose request may be sent again.
     ///
-    /// Where hedged requests are not allowed, two attempts must not run at once. The cancellation and the next call
-    /// may travel over different connections and arrive in either order. The attempt therefore ends only once the
-    /// engine has answered a ping sent after the cancellation, or once the connection is closed.
+    /// If hedged requests are not allowed, two attempts must not run at once. The cancellation and the next call may be
+    /// sent on different connections, and may arrive in either order. Therefore the attempt ends only once the engine
+    /// has answered a ping that was sent after the cancellation, or once the connection is closed.
     pub fn cancel_before_resend(&mut self, slot: Slot, context: &mut Context) {
         self.retract_unsent_call(slot);
-        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancelled()) else {
+        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
+        else {
             return;
         };
         let needs_acknowledgement =
@@ -103,45 +105,45 @@
             return self.cancel(slot, context);
         };
         attempt.cancelled_at = Some(context.now());
-        let cancel = EngineCommand::Cancel { id: &attempt.id }.encode();
-        let ping = EngineCommand::Ping { id: &attempt.id }.encode();
+        let cancel = EngineCommand::Cancel { id: &attempt.request_name }.encode();
+        let ping = EngineCommand::Ping { id: &attempt.request_name }.encode();
         context.counters.count("attempts_cancelled_before_retry");
-        self.write(slot, &[cancel, ping].concat(), context);
+        self.append_message(slot, &[cancel, ping].concat(), context);
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
     }
 
-    /// Abandons an attempt whose deadline has passed. The caller reads the attempt's connection first, so that a
-    /// result that has arrived in time counts.
+    /// Times out an attempt whose deadline has passed. The caller reads the attempt's connection first, so that a
+    /// result that arrived in time counts.
     pub fn attempt_overdue(&mut self, slot: Slot, context: &mut Context) {
         if self.attempts.get(slot).is_some_and(|attempt| attempt.deadline <= context.now()) {
             self.abandon(slot, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
         }
     }
 
-    /// Ends an attempt with `outcome` and cancels it at its engine. If no byte of its call was written, the attempt
-    /// never ran and ends with the outcome `unsent`.
+    /// Ends an attempt with `outcome`, and cancels it at its engine. If no byte of the call was written, the attempt
+    /// never ran, and ends with `unsent_outcome`.
     fn abandon(
         &mut self,
         slot: Slot,
         outcome: AttemptOutcome,
-        unsent: AttemptOutcome,
+        unsent_outcome: AttemptOutcome,
         context: &mut Context,
     ) {
-        if self.attempts.get(slot).is_some_and(Attempt::is_cancelled) {
+        if self.attempts.get(slot).is_some_and(Attempt::is_cancellation_pending) {
             return self.end(slot, outcome, None, context);
         }
         self.retract_unsent_call(slot);
         let Some(attempt) = self.attempts.get(slot) else { return };
         if attempt.call_offset.is_none() {
-            return self.end(slot, unsent, None, context);
+            return self.end(slot, unsent_outcome, None, context);
         }
-        let id = attempt.id.as_str();
+        let id = attempt.request_name.as_str();
         let command = match attempt.result {
             Some(_) => EngineCommand::Discard { id },
             None => EngineCommand::Cancel { id },
         };
         let bytes = command.encode();
-        self.write(slot, &bytes, context);
+        self.append_message(slot, &bytes, context);
         self.end(slot, outcome, None, context);
     }
 
@@ -153,11 +155,11 @@
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) {
-        self.finish(slot, outcome, None, load_report, context);
+        self.end_with_body(slot, outcome, None, load_report, context);
     }
 
-    /// Ends an attempt and queues the event for the scheduler.
-    pub(super) fn finish(
+    /// Ends an attempt and queues the event for the scheduler. `body` is the complete result of a successful attempt.
+    pub(super) fn end_with_body(
         &mut self,
         slot: Slot,
         outcome: AttemptOutcome,
@@ -165,7 +167,7 @@
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) {
-        let Some(attempt) = self.attempts.take(slot) else { return };
+        let Some(attempt) = self.attempts.remove(slot) else { return };
         context.timers.clear(attempt.deadline, Timer::Attempt(slot));
         context.counters.count(outcome_counter(outcome));
         self.release_connection(slot, &attempt, context);
@@ -186,12 +188,12 @@
         self.events.push_back(PoolEvent::Ended { ended, body, late_connection });
     }
 
-    /// Removes an attempt from its connection. A connection without attempts is idle from now on.
+    /// Removes an attempt from its connection. Starts the idle timeout of a connection without further attempts.
     fn release_connection(&mut self, slot: Slot, attempt: &Attempt, context: &mut Context) {
         let Some(connection_slot) = attempt.connection else { return };
         let Some(connection) = self.connections.get_mut(connection_slot) else { return };
-        connection.attempts.remove(&attempt.id);
-        connection.waiting.retain(|waiting| *waiting != slot);
+        connection.attempts.remove(&attempt.request_name);
+        connection.waiting_attempts.retain(|waiting| *waiting != slot);
         if connection.attempts.is_empty() {
             let idle_due = context.now() + self.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION);
             connection.idle_due = Some(idle_due);
@@ -200,11 +202,11 @@
     }
 }
 
-/// Returns the connection on which the engine may still reply to an attempt that ends with `outcome`.
+/// Returns the connection on which the engine may still reply to an attempt that has ended with `outcome`.
 fn late_connection(attempt: &Attempt, outcome: AttemptOutcome) -> Option<Slot> {
     let was_abandoned = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
-    // An engine sends no reply to an attempt after it has acknowledged the cancellation.
-    attempt.connection.filter(|_| was_abandoned && !attempt.is_cancelled())
+    // After an engine has acknowledged the cancellation of an attempt, it sends no further reply to the attempt.
+    attempt.connection.filter(|_| was_abandoned && !attempt.is_cancellation_pending())
 }
 
 fn log_end(ended: &AttemptEnded) {
