--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `emberflow-model-checker`.
 
 use crate::former_names::current_scenario_name;
 use crate::mutants;
@@ -12,19 +12,23 @@
 usage: emberflow-model-checker [SCENARIO ...]  explore the named scenarios, or all, and print the first violation
        emberflow-model-checker scenarios       list the scenarios and the invariants (also: worlds)
        emberflow-model-checker mutants [NAME ...]
-                                          plant each fault in a copy and print which invariant caught it
+                                          build a copy of the repository with each fault and print which
+                                          invariant caught it
        emberflow-model-checker help
 options of an exploration: --short        only the scenarios of the short set
                            --time S       stop after S seconds (300)
-                           --memory MB    stop when the process uses more than MB of memory (8000)
+                           --memory M     stop when the process uses more than M MiB of memory (8000)
                            --threads N    number of threads (all cores)
-exit: 0 all hold, 1 an invariant is violated, 2 bad arguments, 3 stopped before every state was explored";
+exit status: 0 all invariants hold, or every fault was caught
+             1 an invariant is violated or was never exercised, or a fault was not caught
+             2 bad arguments
+             3 stopped by the time or memory limit before every state was explored";
 
-/// The beginning of the output line that names a violated invariant.
+/// The beginning of the output line that names a violated invariant. The runner of mutants searches for it.
 pub const VIOLATION_PREFIX: &str = "violated invariant: ";
-/// The exit code for bad arguments.
+/// The exit status for bad arguments.
 const EXIT_USAGE: u8 = 2;
-/// The exit code for an exploration that a limit stopped.
+/// The exit status of an exploration that the time or memory limit has stopped.
 const EXIT_INCOMPLETE: u8 = 3;
 /// Time limit of all scenarios together, without `--time`.
 const DEFAULT_TIME: Duration = Duration::from_secs(300);
@@ -43,7 +47,7 @@
     short_set_only: bool,
     time: Duration,
     memory_mb: u64,
-    /// Number of threads; 0 for one for each core.
+    /// Number of threads; 0 means one thread for each core.
     threads: usize,
 }
 
@@ -104,7 +108,7 @@
     }
     match operands.first().map(String::as_str) {
         Some("mutants" | "scenarios" | "worlds" | "help") if has_options => {
-            Err("options belong to an exploration".into())
+            Err("--short, --time, --memory and --threads apply only to an exploration".into())
         }
         Some("mutants") => Ok(Command::PlantMutants { names: operands.split_off(1) }),
         Some("scenarios" | "worlds") if operands.len() == 1 => Ok(Command::ListScenarios),
@@ -113,7 +117,8 @@
     }
 }
 
-/// Returns the scenarios with these names or former names, or all. The error is the first unknown name.
+/// Returns the scenarios with these names or former names; without names, all scenarios. The option `--short` keeps
+/// only those of the short set. The error is the first unknown name.
 fn selected<'a>(names: &'a [String], options: &Options) -> Result<Vec<Entry>, &'a str> {
     let entries = scenarios();
     let is_unknown = |name: &&String| entries.iter().all(|entry| entry.name != current_scenario_name(name));
@@ -127,7 +132,8 @@
     Ok(entries.into_iter().filter(is_selected).collect())
 }
 
-/// Explores scenarios one after another. `is_full_set` says that every invariant must be exercised.
+/// Explores scenarios one after another until the first violation. `is_full_set` is true if the scenarios are all there
+/// are, so that every invariant must be exercised.
 fn run_exploration(entries: &[Entry], is_full_set: bool, options: &Options) -> ExitCode {
     let thread_pool = rayon::ThreadPoolBuilder::new().num_threads(options.threads).build_global();
     if let Err(error) = thread_pool {
@@ -137,7 +143,7 @@
     let mut incomplete = Vec::new();
     println!(
         "{:28} {:>9} {:>6} {:>5} {:>9} {:>8} {:>8}  covered",
-        "scenario", "states", "ends", "depth", "states/s", "seconds", "MB"
+        "scenario", "states", "final", "depth", "states/s", "seconds", "MiB"
     );
     for entry in entries {
         let time_left = options.time.saturating_sub(begun.elapsed());
@@ -152,7 +158,7 @@
         }
     }
     if !incomplete.is_empty() {
-        println!("\nincomplete, so the unexplored states are not checked: {}", incomplete.join(", "));
+        println!("\nthe time or memory limit stopped these scenarios before every state was checked: {}", incomplete.join(", "));
         return ExitCode::from(EXIT_INCOMPLETE);
     }
     conclude(is_full_set, begun.elapsed())
@@ -194,7 +200,8 @@
     println!("after {} transitions in scenario `{name}`:\n\n{}", violation.transitions, violation.test);
 }
 
-/// Concludes an exploration in which every invariant held.
+/// Prints the result of an exploration in which every invariant held. The full set of scenarios fails if an invariant
+/// was not exercised.
 fn conclude(is_full_set: bool, elapsed: Duration) -> ExitCode {
     let invariants = invariants();
     let is_unexercised = |invariant: &&InvariantEntry| !invariant.is_exercised();
@@ -202,7 +209,7 @@
         invariants.iter().filter(is_unexercised).map(|invariant| invariant.name).collect();
     if is_full_set && !unexercised.is_empty() {
         println!(
-            "\ninvariants that were not exercised, so that they prove nothing: {}",
+            "\nno explored state exercised these invariants, so nothing is shown about them: {}",
             unexercised.join(", ")
         );
         return ExitCode::FAILURE;
--- a/crates/model-checker/src/former_names.rs
+++ b/crates/model-checker/src/former_names.rs
@@ -1,6 +1,6 @@
-//! The former names of scenarios and mutants, which the command line still accepts.
+//! The former names of scenarios and mutants, which the command line still accepts in place of the current names.
 
-/// Each former name of a scenario with the current name.
+/// Pairs of a former name of a scenario and the current name.
 pub const FORMER_SCENARIO_NAMES: &[(&str, &str)] = &[
     ("keyed in a cell", "idempotency key in a cell"),
     ("keyed in a location", "idempotency key in location"),
@@ -25,7 +25,7 @@
     ("a team that floods", "a team above its share"),
 ];
 
-/// Each former name of a mutant with the current name.
+/// Pairs of a former name of a mutant and the current name.
 pub const FORMER_MUTANT_NAMES: &[(&str, &str)] = &[
     ("a client that left is not noted", "a disconnect is not recorded"),
     ("reject for anything", "unsafe rejection"),
--- a/crates/model-checker/src/invariants.rs
+++ b/crates/model-checker/src/invariants.rs
@@ -1,7 +1,7 @@
-//! The common part of all models: events of the system under test, and invariants over them.
+//! The common part of all models: the observable events of the system under test, and invariants over them.
 //!
-//! An invariant examines the state before an event and decides whether the event violates it. It relies on the records of
-//! the environment and not on the state of the system under test.
+//! An invariant examines an event and the state before it. It relies on the records of the environment; a few
+//! invariants also read the system under test, for example what it holds at the end of a run.
 
 use crate::search::Model;
 use crate::witness;
@@ -10,7 +10,7 @@
 pub struct Invariant<M: ObservedModel> {
     /// A short name, which is unique among all models.
     pub name: &'static str,
-    /// The property in one sentence.
+    /// The property that must hold, as the commands print it.
     pub description: &'static str,
     /// Whether the event violates the property in the state before it.
     pub is_violated: fn(&M, &M::State, &M::Event) -> bool,
@@ -20,9 +20,9 @@
 pub trait ObservedModel: Model + Sized + 'static {
     /// An observable action of the system under test, the passing of time, or the end of a run.
     type Event;
-    /// All invariants of the model.
+    /// All invariants of the model. If an event violates several, the first is reported.
     const INVARIANTS: &'static [Invariant<Self>];
-    /// The position of the first invariant's bit in the record of exercised invariants.
+    /// The position of the first invariant's bit in the record of exercised invariants ([`witness`]).
     const FIRST_WITNESS_BIT: usize;
 }
 
@@ -36,10 +36,10 @@
     violated.map(|invariant| invariant.name)
 }
 
-/// Records the invariants that hypothetical events would violate in a state. An event counts only if it violates exactly
-/// one invariant.
+/// Records the invariants that hypothetical events would violate in a state. An event that would violate several
+/// invariants is not counted, because it does not show that each of them is needed.
 ///
-/// The events are computed only while some invariant of the model has not been exercised.
+/// The events are computed only until every invariant of the model has been exercised.
 pub fn record_exercised<M: ObservedModel>(
     model: &M,
     state: &M::State,
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,4 +1,4 @@
-//! Explicit-state model checker for emberflow's scheduler, connections and queues.
+//! Explicit-state model checker for emberflow's scheduler, connections, discovery and team queues.
 //!
 //! Each model runs the router's code against a scripted environment. The search visits every reachable state of a small
 //! scenario and reports a shortest path on which an invariant is violated.
@@ -17,7 +17,8 @@
 pub mod wire;
 pub mod witness;
 
-/// The fixture of the repository's traces, so that a counterexample can be pasted into `tests/traces/`.
+/// The fixture of the trace tests. The scheduler model uses the same settings, so that its counterexamples can be
+/// pasted into `tests/traces/`.
 #[allow(dead_code, reason = "the model checker uses the settings alone")]
 #[path = "../../../tests/trace/mod.rs"]
 pub mod trace;
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -1,4 +1,4 @@
-//! Mutants: small faults that are planted in a copy of the code, one at a time, and that an exploration must detect.
+//! Mutants: small faults that are made in a copy of the code, one at a time, and that an exploration must detect.
 
 mod runner;
 
@@ -6,13 +6,13 @@
 
 /// One fault, as an edit of a source file.
 pub struct Mutant {
-    /// A short name, unique among all mutants.
+    /// The name on the command line, unique among all mutants.
     pub name: &'static str,
-    /// The edited file of the repository.
+    /// The edited file, relative to the root of the repository.
     pub file: &'static str,
-    /// The replaced text, which must occur in the file exactly once.
+    /// The text to replace, which must occur in the file exactly once.
     pub from: &'static str,
-    /// The replacement.
+    /// The text that replaces it; empty to delete it.
     pub to: &'static str,
 }
 
@@ -38,7 +38,7 @@
 const TEAM_REQUEST: &str = "crates/teams/src/request.rs";
 const FAIR_ORDER: &str = "crates/teams/src/fair_order.rs";
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
-/// The folder of the engine pool.
+/// The folder of the engine pool. Mutants below it are explored in the scenarios of the connection model first.
 const ENGINE_POOL: &str = "crates/router/src/engine_pool/";
 const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt_lifecycle.rs";
 const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection_lifecycle.rs";
@@ -54,7 +54,7 @@
     Mutant { name, file, from, to }
 }
 
-/// All mutants.
+/// All mutants. An exploration of all scenarios must detect each of them.
 pub const MUTANTS: &[Mutant] = &[
     scheduler(
         "attempt limit off by one",
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -1,4 +1,4 @@
-//! Plants each mutant in a copy of the repository, builds the model checker there and runs it.
+//! Makes each mutant in a copy of the repository, builds the model checker there and runs it.
 
 use super::{DISCOVERY, ENGINE_POOL, MUTANTS, Mutant};
 use crate::command::VIOLATION_PREFIX;
@@ -8,57 +8,58 @@
 use std::process::{Command, ExitCode, Output};
 use std::time::{Duration, Instant};
 
-/// The parts of the repository that a build of the model checker needs.
+/// The files and folders that a build of the model checker needs, relative to the root of the repository.
 const COPIED_PARTS: [&str; 6] = ["src", "benches", "crates", "tests", "Cargo.toml", "Cargo.lock"];
-/// The copy, below the root of the repository.
+/// The folder of the copy, relative to the root of the repository.
 const COPY: &str = "target/mutants/tree";
-/// The target folder of the builds of the copy.
+/// The target folder of the builds of the copy, relative to the root of the repository.
 const TARGET: &str = "target/mutants/built";
-/// The program that these builds produce.
+/// The program that these builds produce, relative to the root of the repository.
 const PROGRAM: &str = "target/mutants/built/release/emberflow-model-checker";
-/// The exit code of a process that panicked.
+/// The exit status of a process that has panicked.
 const EXIT_PANIC: i32 = 101;
-/// The exit code for an unknown mutant.
+/// The exit status for an unknown mutant.
 const EXIT_USAGE: u8 = 2;
 
-/// An edit that does not apply exactly once.
+/// A mutant's edit does not apply, because the text to replace does not occur exactly once.
 #[derive(Debug, thiserror::Error)]
-#[error("the edit applies {count} times in {file}: {from}")]
+#[error("{file} contains the text to replace {count} times instead of once: {from}")]
 pub struct EditError {
     count: usize,
     file: &'static str,
     from: &'static str,
 }
 
-/// The reason why a mutant could not be planted or explored.
+/// The reason why a mutant could not be made, built or explored.
 #[derive(Debug, thiserror::Error)]
 enum PlantError {
-    #[error("copying {part}: {source}")]
+    #[error("cannot copy {part} into the tree of the mutants: {source}")]
     Copy { part: &'static str, source: std::io::Error },
-    #[error("editing {file}: {source}")]
+    #[error("cannot edit the copy of {file}: {source}")]
     EditFile { file: &'static str, source: std::io::Error },
     #[error(transparent)]
     Edit(#[from] EditError),
-    #[error("running {program}: {source}")]
+    #[error("cannot run {program}: {source}")]
     Run { program: &'static str, source: std::io::Error },
-    #[error("the mutant does not build: {0}")]
+    #[error("the model checker with the mutant does not build: {0}")]
     Build(String),
 }
 
 /// The result of one mutant.
 struct Outcome {
-    /// The violated invariant, or a panic; `None` if the mutant was not caught.
+    /// The name of the violated invariant, or "a panic"; `None` if the mutant was not caught.
     caught_by: Option<String>,
+    /// The name of the scenario in which the invariant was violated; empty if there is none.
     scenario: String,
     build_time: Duration,
     check_time: Duration,
 }
 
-/// Plants the named mutants, or all, and fails unless each is caught.
+/// Makes and explores the mutants with these names or former names, or without names all. Fails unless each is caught.
 pub fn run(names: &[String]) -> ExitCode {
     let is_unknown = |name: &&String| MUTANTS.iter().all(|mutant| mutant.name != current_mutant_name(name));
     if let Some(name) = names.iter().find(is_unknown) {
-        eprintln!("emberflow-model-checker: no mutant `{name}`; there are:");
+        eprintln!("emberflow-model-checker: no mutant `{name}`; the mutants are:");
         MUTANTS.iter().for_each(|mutant| eprintln!("  {}", mutant.name));
         return ExitCode::from(EXIT_USAGE);
     }
@@ -67,7 +68,7 @@
     };
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let (mut caught, mut all) = (0, 0);
-    println!("{:40} {:24} {:>8} {:>8}  in", "mutant", "caught by", "build s", "check s");
+    println!("{:40} {:24} {:>8} {:>8}  scenario", "mutant", "caught by", "build s", "check s");
     for mutant in MUTANTS.iter().filter(is_selected) {
         all += 1;
         match plant(&root, mutant) {
@@ -143,7 +144,7 @@
         .map_err(|source| PlantError::Run { program: PROGRAM, source })
 }
 
-/// Returns the arguments that select the scenarios closest to the edited file.
+/// Returns the arguments that select the scenarios of the models that run the edited file most directly.
 fn closest_scenarios(mutant: &Mutant) -> Vec<&'static str> {
     let connections = connection_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
     let router = router_model::scenarios::SCENARIOS.iter().map(|scenario| scenario.name);
@@ -158,14 +159,15 @@
     }
 }
 
-/// Returns the violated invariant in the output, or "a panic" if an assertion of the code has detected the mutant.
+/// Returns the violated invariant that the output names, or "a panic" if the checker has panicked, because the code
+/// detects the mutant itself; `None` otherwise.
 fn caught_by(output: &str, exit_code: Option<i32>) -> Option<String> {
     let violation = output.lines().find_map(|line| line.strip_prefix(VIOLATION_PREFIX));
     let invariant = violation.and_then(|violation| violation.split(':').next()).map(str::to_owned);
     invariant.or_else(|| (exit_code == Some(EXIT_PANIC)).then(|| "a panic".to_owned()))
 }
 
-/// Returns the text with the fault. An edit that does not apply exactly once is an error.
+/// Returns the text of the mutant's file with the fault.
 pub fn edited(text: &str, mutant: &Mutant) -> Result<String, EditError> {
     match text.matches(mutant.from).count() {
         1 => Ok(text.replace(mutant.from, mutant.to)),
@@ -173,7 +175,8 @@
     }
 }
 
-/// Copies `from` to `to` and removes other files there. Equal files are not written, so that they are not rebuilt.
+/// Copies the file or folder `from` to `to`, and removes files there that `from` does not have. Equal files are not
+/// written, so that cargo does not rebuild them.
 fn mirror(from: &Path, to: &Path) -> std::io::Result<()> {
     if !from.is_dir() {
         return mirror_file(from, to);
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -12,39 +12,40 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Explores one scenario within limits of wall-clock time and of memory in MiB.
+/// Explores a scenario. The arguments are the limits of wall-clock time and of resident memory, in MiB.
 pub type Check = Box<dyn Fn(Duration, u64) -> CheckReport>;
 
-/// Replays a path in one scenario.
+/// Takes the transitions of a recorded path, one on each line in the form that a counterexample prints, and checks the
+/// invariants in every state.
 pub type Replay = Box<dyn Fn(&str) -> Result<(), ReplayError>>;
 
 /// A scenario of any model.
 pub struct Entry {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
-    /// Explores the scenario within limits of wall-clock time and of memory in MiB.
+    /// Explores the scenario.
     pub check: Check,
-    /// Replays a recorded path with one transition on each line, in the form that a counterexample prints.
+    /// Replays a recorded path in the scenario.
     pub replay: Replay,
 }
 
 /// The reason why a recorded path cannot be replayed to its end.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ReplayError {
-    /// The transition is not enabled.
+    /// A transition of the path is not enabled in the state that the path has reached.
     #[error("{transition} is not among the enabled transitions [{enabled}]")]
     NotEnabled {
         /// The line of the recorded path.
         transition: String,
-        /// The transitions that are enabled instead.
+        /// The enabled transitions, separated by commas.
         enabled: String,
     },
-    /// An invariant is violated.
-    #[error("{invariant} is violated at {transition}")]
+    /// A transition of the path violates an invariant.
+    #[error("invariant `{invariant}` is violated by {transition}")]
     Violated {
         /// The name of the invariant.
         invariant: &'static str,
@@ -55,9 +56,9 @@
 
 /// The result of the exploration of a scenario.
 pub struct CheckReport {
-    /// The figures of the search.
+    /// The size and cost of the search.
     pub extent: Extent,
-    /// The first violation, if there is one.
+    /// The first violation; `None` if every invariant holds in the explored states.
     pub violation: Option<Counterexample>,
 }
 
@@ -66,19 +67,20 @@
 pub struct Counterexample {
     /// The name of the invariant.
     pub invariant: &'static str,
-    /// The length of the path.
+    /// Number of transitions of the path.
     pub transitions: usize,
-    /// The source of a test that takes the path.
+    /// The source of a test that takes the path: for the scheduler model in the form of `tests/traces/`, for the other
+    /// models in the form of this crate's `tests/walk.rs`.
     pub test: String,
 }
 
 /// An invariant of any model.
 pub struct InvariantEntry {
-    /// The name.
+    /// The name that a counterexample prints, unique among all models.
     pub name: &'static str,
-    /// The property in one sentence.
+    /// The property that must hold, as the commands print it.
     pub description: &'static str,
-    /// The invariant's bit in the record of exercised invariants.
+    /// The position of the invariant's bit in the record of exercised invariants.
     witness_bit: usize,
 }
 
@@ -89,7 +91,7 @@
     }
 }
 
-/// Returns all scenarios.
+/// Returns the scenarios of all models, in the order in which they are explored.
 pub fn scenarios() -> Vec<Entry> {
     let mut entries: Vec<Entry> = module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
     entries.extend(connection_model::scenarios::SCENARIOS.iter().map(connection_entry));
@@ -99,13 +101,13 @@
     entries
 }
 
-/// Returns the scenario with this name or former name.
+/// Returns the scenario with this name or former name; `None` if there is none.
 pub fn scenario(name: &str) -> Option<Entry> {
     let name = current_scenario_name(name);
     scenarios().into_iter().find(|entry| entry.name == name)
 }
 
-/// Returns all invariants.
+/// Returns the invariants of all models.
 pub fn invariants() -> Vec<InvariantEntry> {
     let mut entries = Vec::new();
     append_invariants::<ModuleModel>(&mut entries);
@@ -200,7 +202,7 @@
     format!("#[test]\nfn {name}_holds() {{\n    follow({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
 }
 
-/// Takes the transitions of a recorded path, and checks every state.
+/// Takes the transitions of a recorded path from the initial state, and checks the invariants in every state.
 fn replay<M: Model>(model: &M, path: &str) -> Result<(), ReplayError>
 where
     M::Transition: Debug,
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -1,7 +1,7 @@
 //! Breadth-first search over the states of a model.
 //!
-//! Levels are visited in order, so that every run finds the same first violation, on a shortest path. For each visited state
-//! only its fingerprint and its origin stay in memory.
+//! Levels are visited in order, so that every run finds the same first violation, on a shortest path. For each
+//! visited state only its fingerprint and its predecessor stay in memory.
 
 use rayon::prelude::*;
 use std::collections::HashMap;
@@ -12,11 +12,11 @@
 /// The initial time of every model. It is above 0, so that times before the start can be represented.
 pub const START_TIME: Duration = Duration::from_secs(20);
 
-/// Number of states that are expanded in parallel between two checks of the limits.
+/// Number of states that are expanded in parallel between two checks of the time and memory limits.
 const BATCH_SIZE: usize = 4096;
-/// The transition of the initial state's origin.
+/// The transition index of the initial state, which has no predecessor.
 const NO_TRANSITION: u32 = u32::MAX;
-/// Bytes of a memory page, in which the kernel reports the resident set.
+/// Size of a memory page. The kernel reports the resident set as a number of pages.
 const PAGE_BYTES: u64 = 4096;
 const BYTES_PER_MIB: u64 = 1 << 20;
 
@@ -24,7 +24,7 @@
 pub trait Model: Sync {
     /// A state of the system under test together with its environment.
     type State: Send + Sync + Clone;
-    /// One input or event of the environment.
+    /// One input to the system under test, or the passing of time.
     type Transition: Send + Sync + Copy;
 
     /// Returns the initial state.
@@ -33,21 +33,23 @@
     fn transitions(&self, state: &Self::State, transitions: &mut Vec<Self::Transition>);
     /// Returns the state that a transition leads to.
     fn apply(&self, state: &Self::State, transition: &Self::Transition) -> Self::State;
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything in a state that influences later transitions and violations. States with equal
+    /// fingerprints are explored once.
     fn fingerprint(&self, state: &Self::State) -> u64;
-    /// Returns the name of the invariant that was violated by the transition into a state. `is_terminal` says that no
-    /// transition is enabled in the state.
+    /// Returns the name of the invariant that the transition into a state has violated, or that the state violates as
+    /// the end of a run; `None` if all invariants hold. `is_terminal` is true if no transition is enabled in the state.
     fn violated(&self, state: &Self::State, is_terminal: bool) -> Option<&'static str>;
 }
 
-/// Limits of one search.
+/// The limits at which a search stops.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Wall-clock time after which the search stops.
+    /// Wall-clock time of the search.
     pub time: Duration,
-    /// Resident memory of the process, in MiB, above which the search stops.
+    /// Resident memory of the process, in MiB.
     pub memory_mb: u64,
-    /// Number of transitions from the initial state beyond which no state is expanded; `None` for no limit.
+    /// Number of transitions from the initial state at which states are no longer expanded; `None` for no limit. Only
+    /// expanded states are checked for violations.
     pub max_depth: Option<usize>,
 }
 
@@ -56,7 +58,7 @@
 pub enum Coverage {
     /// Every reachable state.
     Complete,
-    /// Every state within [`Bounds::max_depth`].
+    /// Every state that is fewer than [`Bounds::max_depth`] transitions from the initial state.
     ToDepth,
     /// The states before the time limit was reached.
     OutOfTime,
@@ -68,7 +70,7 @@
 pub struct Violation<M: Model> {
     /// The name of the invariant.
     pub invariant: &'static str,
-    /// The path from the initial state.
+    /// The path from the initial state; empty if the initial state violates the invariant.
     pub path: Vec<Step<M>>,
 }
 
@@ -76,32 +78,32 @@
 pub struct Step<M: Model> {
     /// The state in which the transition is taken.
     pub state: M::State,
-    /// The transition.
+    /// The transition that is taken from `state`.
     pub transition: M::Transition,
 }
 
-/// Figures of a search.
+/// The size and cost of a search.
 #[derive(Clone, Debug)]
 pub struct Extent {
-    /// Number of distinct states.
+    /// Number of distinct states that were reached, including those that were not expanded.
     pub states: usize,
-    /// Number of states without an enabled transition.
+    /// Number of expanded states in which no transition is enabled.
     pub terminal_states: usize,
-    /// The length of the longest explored path.
+    /// Number of transitions from the initial state to the last level whose states were all reached.
     pub depth: usize,
-    /// The covered part of the state space.
+    /// The covered part of the state space; [`Coverage::Complete`] also if a violation ended the search.
     pub coverage: Coverage,
     /// Wall-clock time of the search.
     pub elapsed: Duration,
-    /// The largest resident memory that was observed, in MiB.
+    /// The largest resident memory that was observed between two batches of states, in MiB.
     pub memory_mb: u64,
 }
 
 /// The result of a search.
 pub struct SearchReport<M: Model> {
-    /// The figures of the search.
+    /// The size and cost of the search.
     pub extent: Extent,
-    /// The first violation, if there is one.
+    /// The first violation; `None` if every invariant holds in the expanded states.
     pub violation: Option<Violation<M>>,
 }
 
@@ -114,15 +116,15 @@
         self.0
     }
     fn write(&mut self, _: &[u8]) {
-        unreachable!("the table of origins hashes only fingerprints");
+        unreachable!("the table of predecessors hashes only fingerprints");
     }
     fn write_u64(&mut self, fingerprint: u64) {
         self.0 = fingerprint;
     }
 }
 
-/// The first way to each state, by fingerprint: the fingerprint of the preceding state, and the index of the transition
-/// among those enabled there.
+/// For the fingerprint of each reached state, the fingerprint of the state from which it was reached first, and the
+/// index of the transition among those enabled there.
 type Origins = HashMap<u64, (u64, u32), BuildHasherDefault<IdentityHasher>>;
 
 /// Visits the reachable states of a model until all are visited, an invariant is violated or a limit is reached.
@@ -154,7 +156,7 @@
     fingerprint: u64,
     violated: Option<&'static str>,
     is_terminal: bool,
-    /// The successor states that were unknown before this batch.
+    /// The successor states that were not reached before this batch.
     successors: Vec<Successor<State>>,
 }
 
@@ -212,7 +214,7 @@
                 return Ok(next_level);
             }
             let expansions: Vec<_> = batch.par_iter().map(|state| self.expand(state)).collect();
-            // Records in the order of the batch, so that the result does not depend on the order of the threads.
+            // Expansions are recorded in the order of the batch, so that the result does not depend on the threads.
             for expansion in expansions {
                 self.record(expansion, &mut next_level)?;
             }
@@ -264,7 +266,8 @@
         Ok(())
     }
 
-    /// Returns the path by which a state was first reached, recomputed from the initial state.
+    /// Returns the path on which a state was first reached. Its states are recomputed, because only their fingerprints
+    /// are stored.
     fn path_to(&self, fingerprint: u64) -> Vec<Step<M>> {
         let mut indices = Vec::new();
         let mut current = fingerprint;
@@ -287,7 +290,7 @@
     }
 }
 
-/// Returns the resident memory of this process, in MiB; 0 if the kernel does not report it.
+/// Returns the resident memory of this process, in MiB; 0 if `/proc/self/statm` cannot be read.
 pub fn resident_mb() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
--- a/crates/model-checker/src/wire.rs
+++ b/crates/model-checker/src/wire.rs
@@ -1,7 +1,7 @@
-//! In-memory peers of the router's connections: the bytes that a peer has received and the bytes that it sends.
+//! In-memory peers of the router's connections: engines and clients that receive and send bytes without sockets.
 //!
-//! The connection model and the router model share them. The bytes are encoded and decoded by `emberflow-peer-protocol`,
-//! which shares no code with the router.
+//! The connection model and the router model share them. The bytes are encoded and decoded by
+//! `emberflow-peer-protocol`, which shares no code with the router.
 
 use emberflow::Lifecycle;
 use emberflow_peer_protocol::engine::{EngineCommand, EngineReply};
@@ -13,19 +13,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Cursor, ErrorKind, Read, Write};
 
-/// The tag of every ping that the router sends.
+/// The tag of every ping that the router sends to an engine.
 const PING_TAG: &str = "0";
 
-/// The peer of a connection, to which the router writes.
+/// The receiving side of a connection, to which the router writes.
 #[derive(Clone, Default, Hash)]
 pub struct Peer {
     /// Whether the connection has been established.
     pub is_connected: bool,
-    /// Number of bytes that the peer accepts before a write blocks; `None` for no limit.
+    /// Number of further bytes that the peer accepts before a write blocks; `None` for no limit.
     pub capacity: Option<usize>,
-    /// Bytes that are received and not decoded yet.
+    /// Bytes that were received and not decoded yet.
     pub inbox: Vec<u8>,
-    /// Number of pings that are received and not answered yet.
+    /// Number of pings that were received and not answered yet.
     pub pings: usize,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The input of a connection: bytes, and the condition of the connection after them.
+/// The input of a connection: bytes, and then an error or the end of the stream.
 pub struct ScriptedInput {
     bytes: Cursor<Vec<u8>>,
     /// The error of every read after the bytes; `None` for the end of the stream.
@@ -96,12 +96,12 @@
     commands
 }
 
-/// Returns an engine's reply to a ping.
+/// Returns the bytes of an engine's reply to a ping of the router.
 pub fn pong() -> Vec<u8> {
     EngineReply::Pong.encode(PING_TAG)
 }
 
-/// Returns the endpoint list's record of an engine that is ready, on a port of the loopback address.
+/// Returns the row of the endpoint list for an engine that is ready, on a port of the loopback address.
 pub fn ready_endpoint(id: u32, port: u16) -> EndpointRecord {
     EndpointRecord {
         id,
@@ -114,8 +114,8 @@
     }
 }
 
-/// Executes the commands of the connection pool: opens and closes the peers of its connections. Returns whether there
-/// was a command.
+/// Executes the commands of the engine pool: adds a peer for each connection that it dials, and removes the peer of
+/// each connection that it closes. Returns whether there was a command.
 pub fn execute_pool_commands<P>(
     commands: &mut VecDeque<PoolCommand>,
     peers: &mut BTreeMap<Slot, P>,
--- a/crates/model-checker/src/witness.rs
+++ b/crates/model-checker/src/witness.rs
@@ -1,5 +1,9 @@
-//! The record of exercised invariants over all explored scenarios. An invariant is exercised if, in some state, one event
-//! of the system under test would violate it and no other invariant. An invariant that is never exercised proves nothing.
+//! The record of exercised invariants over all explored scenarios.
+//!
+//! An invariant is exercised if, in some explored state, a hypothetical event of the system under test would violate
+//! it and no other invariant. If an invariant is never exercised, its holding says nothing about the system.
+//!
+//! Each model has a range of bits, which ends where the range of the next model begins.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -17,19 +21,20 @@
 /// One bit for each invariant that was exercised in this process.
 static EXERCISED: AtomicU64 = AtomicU64::new(0);
 
-/// Whether the invariant with this bit was exercised.
+/// Whether the invariant with the bit at this position was exercised.
 pub fn is_exercised(bit: usize) -> bool {
     EXERCISED.load(Ordering::Relaxed) & (1 << bit) != 0
 }
 
-/// Whether all of the `count` invariants whose bits begin at `first` were exercised.
+/// Whether all of the `count` invariants from the bit at position `first` on were exercised.
 pub fn all_exercised(first: usize, count: usize) -> bool {
     let all = ((1 << count) - 1) << first;
     EXERCISED.load(Ordering::Relaxed) & all == all
 }
 
-/// Records the invariant that one event would violate, if it would violate exactly one. `violated` has an item for each
-/// invariant, the first with the bit `first`.
+/// Records the invariant that an event would violate, if it would violate exactly one. `violated` says for each
+/// invariant of a model, in order, whether the event would violate it; `first` is the position of the first
+/// invariant's bit.
 pub fn record(first: usize, violated: impl Iterator<Item = bool>) {
     let positions: Vec<usize> =
         violated.enumerate().filter(|(_, violated)| *violated).map(|(position, _)| position).collect();
