--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -1,8 +1,8 @@
-//! The connection model: the pool of engine connections and its attempts. Engines answer, shed load, send malformed, split
-//! or repeated answers, stop answering, reset connections or are replaced at their address, while calls are sent,
-//! cancelled and overdue.
+//! The connection model: the pool of engine connections and its attempts. Calls are sent, are cancelled and time out
+//! while the engine answers, rejects calls as overloaded, sends malformed, split or repeated answers, stops
+//! answering, resets connections, or is replaced by another engine at its address.
 //!
-//! The model runs the router's pool; the sockets are byte strings in memory.
+//! The model runs the router's engine pool; buffers in memory take the place of the sockets.
 
 pub mod apply;
 pub mod engine;
--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -1,4 +1,4 @@
-//! Applies transitions of the connection model, and observes the pool and the engine.
+//! Applies transitions of the connection model, and checks what the pool reports and what arrives at the engine.
 
 use super::engine::{answer_bytes, is_fault, other_message_bytes, receive_commands, record_answer};
 use super::scenario::{ConnectionScenario, EndpointChange, EngineMessage};
@@ -19,9 +19,9 @@
 
 /// Time from the start of an attempt to its deadline.
 const CALL_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time by which the reported start of a restarted engine is later than the report.
+/// The start of a restarted engine is reported as this much later than the time of the report.
 const RESTART_DELAY: Duration = Duration::from_millis(1);
-/// The name of the command that begins a call.
+/// The name of the command that carries a call, with which its bytes begin.
 const CALL_COMMAND: &[u8] = b"GET";
 /// The priority of every call.
 const PRIORITY: u8 = 1;
@@ -38,8 +38,9 @@
     run.state
 }
 
-/// Returns the cause of every attempt that ends in a transition. A well-formed message belongs to one attempt or to
-/// none. Malformed bytes may end any attempt, and the second half of an answer is not attributed to an attempt.
+/// Returns the cause to which a transition attributes the ends of attempts. A well-formed message belongs to one
+/// attempt or to none. Malformed bytes may end any attempt, and the second half of an answer is not attributed to an
+/// attempt.
 fn cause_of(transition: Transition) -> Cause {
     match transition {
         Transition::EngineSends { message: EngineMessage::Malformed | EngineMessage::SecondHalf, .. } => {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Executes the pool's commands, its pending writes and its events until there are none left.
+    /// Executes the pool's commands and pending writes, and records its events, until nothing is left to do.
     fn run_until_quiet(&mut self) {
         loop {
             let state = &mut self.state;
@@ -234,7 +235,7 @@
         self.state.attempts[attempt].outcome = Some(outcome);
     }
 
-    /// Lets the pool write to a connection as far as the engine accepts bytes, and lets the engine read the complete
+    /// Lets the pool write to a connection as many bytes as the engine accepts, and the engine read the complete
     /// commands.
     fn drain_to_engine(&mut self, connection: Slot) {
         let Some(side) = self.state.engine_sides.get_mut(&connection) else { return };
--- a/crates/model-checker/src/connection_model/engine.rs
+++ b/crates/model-checker/src/connection_model/engine.rs
@@ -6,16 +6,17 @@
 use emberflow_peer_protocol::engine::{EngineCommand, EngineReply, Progress};
 use emberflow_peer_protocol::request_id;
 
-/// A request number that no request has.
+/// The number of a request id that no request has.
 const UNKNOWN_REQUEST: u64 = u64::MAX;
 /// The result that is sent for [`UNKNOWN_REQUEST`].
 const UNKNOWN_RESULT: &[u8] = b"x\ty\tz\n";
-/// Bytes that are not a reply.
+/// The beginning of a reply in which a length is not a number.
 const MALFORMED_REPLY: &[u8] = b"*4\r\n$x";
-/// The progress that the engine reports, as a part of the work.
+/// The progress that the engine reports, as a fraction of the work.
 const REPORTED_PROGRESS: f64 = 0.5;
 
-/// Whether the engine violates the protocol by sending the message.
+/// Whether the message counts towards
+/// [`ConnectionScenario::max_faults`](super::scenario::ConnectionScenario::max_faults).
 pub fn is_fault(message: EngineMessage) -> bool {
     matches!(
         message,
@@ -50,7 +51,7 @@
     arrived
 }
 
-/// Returns the bytes of a reply to an attempt.
+/// Returns the bytes of a reply to the attempt with this index and record.
 pub fn answer_bytes(
     side: &mut EngineSide,
     attempt: usize,
@@ -99,7 +100,7 @@
     }
 }
 
-/// Records the engine's answer to an attempt.
+/// Records an answer or a progress update that the engine has sent for an attempt.
 pub fn record_answer(attempt: &mut AttemptRecord, message: EngineMessage) {
     match message {
         EngineMessage::Result | EngineMessage::FirstHalf => attempt.pages = Some(1),
--- a/crates/model-checker/src/connection_model/scenario.rs
+++ b/crates/model-checker/src/connection_model/scenario.rs
@@ -1,4 +1,4 @@
-//! The shape of a scenario of the connection model.
+//! The definition of a scenario of the connection model.
 
 /// A message of the engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,21 +9,21 @@
     FirstOfTwoPages,
     /// The second page of a result with two pages.
     SecondPage,
-    /// The rejection of a call by an engine without capacity.
+    /// The rejection of a call by an overloaded engine.
     Overloaded,
-    /// The failure of a call.
+    /// The report that a call has failed.
     Failed,
     /// A progress update.
     ProgressUpdate,
-    /// A second complete result, after one of one page or of two.
+    /// A result of one page for a call to which the engine has already sent a result of one or two pages.
     RepeatedResult,
-    /// A result with an id that no call has.
+    /// A result under an id that no call has.
     UnknownId,
-    /// The first half of a result; the second half may follow.
+    /// The first half of the bytes of a result of one page; the second half may follow.
     FirstHalf,
-    /// The second half of a result.
+    /// The second half of the bytes of a result.
     SecondHalf,
-    /// Bytes that are not a message.
+    /// Bytes that are not a message; the engine can send nothing after them on the connection.
     Malformed,
     /// The answer to a ping.
     Pong,
@@ -32,11 +32,11 @@
 /// A change of the engine that the endpoint list reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// The engine is draining.
+    /// The engine is draining: no new call may begin.
     Drains,
     /// The engine's process was restarted at its address.
     Restarts,
-    /// The engine was removed from the list, and its number may be reused.
+    /// The engine was removed from the list, and the pool has forgotten it.
     Removed,
     /// The engine was removed from the list, and another engine with another id has its address.
     Replaced,
@@ -46,7 +46,7 @@
 pub struct ConnectionScenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
     /// Number of requests.
     pub requests: usize,
@@ -54,9 +54,9 @@
     pub max_attempts: usize,
     /// The messages that the engine may send.
     pub messages: &'static [EngineMessage],
-    /// Largest number of protocol violations and resets by the engine.
+    /// Largest number of split answers, protocol violations and resets by the engine.
     pub max_faults: u8,
-    /// The changes of which the endpoint list may report one.
+    /// The changes of the engine. The endpoint list reports at most one of them in a run.
     pub endpoint_changes: &'static [EndpointChange],
     /// Largest number of connections of the pool.
     pub max_connections: usize,
@@ -64,9 +64,9 @@
     pub streams: usize,
     /// Number of bytes that a connection accepts before it blocks for the first time; `None` for no limit.
     pub initial_capacity: Option<usize>,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancels: bool,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
 }
 
--- a/crates/model-checker/src/connection_model/scenarios.rs
+++ b/crates/model-checker/src/connection_model/scenarios.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::{ConnectionScenario, EndpointChange, EngineMessage};
 
-/// The messages that conform to the protocol.
+/// The messages that conform to the protocol, each in one piece.
 const WELL_FORMED: &[EngineMessage] = &[
     EngineMessage::Result,
     EngineMessage::FirstOfTwoPages,
--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -16,17 +16,17 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The port of the engine.
+/// The port of the first engine and of its replacement.
 const ENGINE_PORT: u16 = 9;
 /// The id of the engine that is listed at the start.
 pub const FIRST_ENGINE: u32 = 7;
-/// The id of the engine that may replace the first one.
+/// The id of the engine that may replace the first one at its address.
 pub const REPLACEMENT: u32 = 8;
 
 /// The possible cause of the end of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Cause {
-    /// Any cause; every attempt may end.
+    /// A cause that is not attributed to an attempt; every attempt may end.
     Unspecified,
     /// A well-formed answer to this attempt; no other attempt may end.
     AnswerTo(usize),
@@ -36,28 +36,28 @@
 
 /// An observable action of the pool, the passing of time, or the end of a run.
 pub enum Event {
-    /// An attempt ends.
+    /// The pool reports the end of an attempt. `body` is the result; `None` if the attempt has not succeeded.
     AttemptEnds { attempt: usize, outcome: AttemptOutcome, body: Option<Vec<u8>>, cause: Cause },
     /// A call has arrived completely at the engine.
     CallArrives { attempt: usize },
     /// The pool writes the first bytes of a call.
     CallBegins,
-    /// Time passes until `to`.
+    /// The clock advances to `to`.
     TimePasses { to: Duration },
-    /// No transition is enabled.
+    /// The run ends, because no transition is enabled.
     Terminal,
 }
 
 /// The engine's side of a connection.
 #[derive(Clone, Default, Hash)]
 pub struct EngineSide {
-    /// The peer, with the bytes that the pool has written.
+    /// The receiving side of the connection, with the bytes that the pool has written.
     pub peer: Peer,
-    /// The attempts whose calls have arrived completely.
+    /// The indices of the attempts whose calls have arrived completely on this connection.
     pub received_calls: Vec<usize>,
-    /// The attempts for which another page of the result was requested.
+    /// The indices of the attempts whose second page was requested and not sent yet.
     pub requested_pages: Vec<usize>,
-    /// The second half of an answer whose first half was sent.
+    /// The second half of an answer whose first half was sent; empty if there is none.
     pub unsent_half: Vec<u8>,
     /// Whether the engine has sent malformed bytes, after which it can send nothing else.
     pub is_corrupted: bool,
@@ -73,11 +73,11 @@
 /// An attempt, as known to its caller and to the engine.
 #[derive(Clone)]
 pub struct AttemptRecord {
-    /// The request.
+    /// Index of the request.
     pub request: usize,
-    /// The number of the attempt within its request.
+    /// The number of the attempt within its request, from 0.
     pub number: usize,
-    /// The pool's handle.
+    /// The pool's handle of the attempt.
     pub slot: Slot,
     /// The time at which the attempt times out.
     pub deadline: Duration,
@@ -85,7 +85,7 @@
     pub outcome: Option<AttemptOutcome>,
     /// Number of complete arrivals of the call at an engine.
     pub arrivals: u8,
-    /// Number of pages of the engine's answer; `None` before an answer.
+    /// Number of pages of the engine's answer, 0 for an answer without a result; `None` before an answer.
     pub pages: Option<usize>,
     /// Whether the engine has sent a progress update.
     pub has_progress_update: bool,
@@ -94,22 +94,22 @@
 /// A connection on which the answer to an abandoned attempt may still arrive.
 #[derive(Clone)]
 pub struct LateAnswer {
-    /// The request of the attempt.
+    /// Index of the request of the attempt.
     pub request: usize,
-    /// The connection.
+    /// The connection on which the call was sent. No further attempt of the request may use it.
     pub connection: Slot,
 }
 
 /// The pool and its environment.
 #[derive(Clone)]
 pub struct ConnectionState {
-    /// The clock.
+    /// The current time; a run begins at [`START_TIME`].
     pub now: Duration,
-    /// The clock and timers that the pool uses.
+    /// The clock and the timers of the pool.
     pub context: Context,
     /// The system under test.
     pub engines: EnginePool,
-    /// The engine to which calls are sent.
+    /// The engine to which calls are sent: the first one or its replacement.
     pub engine: EngineId,
     /// Whether the endpoint list reports the engine as ready.
     pub engine_is_ready: bool,
@@ -119,15 +119,15 @@
     pub attempts: Vec<AttemptRecord>,
     /// The answers to abandoned attempts that may still arrive.
     pub late_answers: Vec<LateAnswer>,
-    /// Number of protocol violations and resets by the engine.
+    /// Number of split answers, protocol violations and resets by the engine so far.
     pub faults: u8,
-    /// Whether the endpoint list has changed.
+    /// Whether the endpoint list has reported its one change of the run.
     pub endpoint_has_changed: bool,
-    /// The name of the first violated invariant.
+    /// The name of the first violated invariant; `None` if all hold.
     pub violated: Option<&'static str>,
 }
 
-/// Returns the endpoint list's record of an engine that is ready.
+/// Returns the row of the endpoint list for the engine with this id, as ready.
 pub fn endpoint_record(id: u32) -> EndpointRecord {
     ready_endpoint(id, ENGINE_PORT)
 }
@@ -137,7 +137,7 @@
     format!("request {request} attempt {number}")
 }
 
-/// Returns one page of the result of an attempt.
+/// Returns the rows of one page of the result of an attempt, which differ for each request, attempt and page.
 pub fn page(request: usize, number: usize, page: usize) -> String {
     format!("request {request}\tattempt {number}\tpage {page}\n")
 }
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Returns events that a faulty pool could emit in this state.
+    /// Returns events that a faulty pool could emit in this state, to find the invariants that the state exercises.
     pub fn hypothetical_events(&self) -> Vec<Event> {
         let mut events = vec![Event::CallBegins, Event::Terminal];
         for attempt in 0..self.attempts.len() {
@@ -184,7 +184,7 @@
         events
     }
 
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything that influences later transitions and violations.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.engines.fingerprint(self.now, &mut hasher);
--- a/crates/model-checker/src/connection_model/transition.rs
+++ b/crates/model-checker/src/connection_model/transition.rs
@@ -8,23 +8,23 @@
 /// An action of the caller, the engine or the endpoint list, or the passing of time.
 #[derive(Clone, Copy, Debug)]
 pub enum Transition {
-    /// An attempt of a request is sent.
+    /// The caller sends an attempt of a request to the pool.
     SendCall { request: usize },
-    /// A connection is established.
+    /// A connection that the pool has dialled is established.
     Connect { connection: Slot },
-    /// A connection is refused.
+    /// The engine refuses a connection that the pool has dialled.
     Refuse { connection: Slot },
-    /// The engine sends a message; `attempt` is the attempt that the message answers.
+    /// The engine sends a message; `attempt` is the attempt that the message answers, `None` if it answers none.
     EngineSends { connection: Slot, attempt: Option<usize>, message: EngineMessage },
     /// The engine resets a connection.
     ResetConnection { connection: Slot },
     /// A blocked connection accepts bytes without limit from now on.
     Unblock { connection: Slot },
-    /// An attempt is cancelled.
+    /// The caller cancels an attempt in flight.
     Cancel { attempt: usize },
     /// The endpoint list reports a change of the engine.
     ChangeEndpoint { change: EndpointChange },
-    /// Time passes to the next timer.
+    /// The clock advances to the next timer of the pool.
     PassTime,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Returns the answers that the engine may send to an attempt whose call has arrived.
+/// Returns the messages that the engine may send for an attempt whose call has arrived.
 fn possible_answers(
     state: &ConnectionState,
     side: &EngineSide,
@@ -133,7 +133,8 @@
     messages
 }
 
-/// Returns the messages that answer no attempt and that the engine may send, or the second half of an answer.
+/// Returns the messages without an attempt that the engine may send: the second half of an answer, if it has not been
+/// sent, or messages that answer no attempt.
 fn possible_other_messages(side: &EngineSide, may_fail: bool) -> Vec<EngineMessage> {
     if !side.unsent_half.is_empty() {
         return vec![EngineMessage::SecondHalf];
--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -1,7 +1,8 @@
-//! The discovery model: the reader of the discovery service's connection. The service may repeat, skip, corrupt and split
-//! its frames, and the connection may be lost and established again, while the endpoint list changes.
+//! The discovery model: the router's reader of the connection to the discovery service. While the endpoint list
+//! changes, the service may repeat, skip, corrupt and split its frames, and the connection may be lost and
+//! established again.
 //!
-//! The model runs the router's reader.
+//! The model runs the router's reader; the service is scripted.
 
 pub mod invariants;
 pub mod scenario;
--- a/crates/model-checker/src/discovery_model/invariants.rs
+++ b/crates/model-checker/src/discovery_model/invariants.rs
@@ -24,7 +24,7 @@
     },
     Invariant {
         name: "up to date",
-        description: "when everything was sent, the reader's list is the service's list",
+        description: "once all events were sent, the reader's list is the service's list",
         is_violated: is_behind,
     },
 ];
--- a/crates/model-checker/src/discovery_model/scenario.rs
+++ b/crates/model-checker/src/discovery_model/scenario.rs
@@ -1,18 +1,18 @@
 //! The scenarios of the discovery model.
 
-/// A scenario: the changes of the endpoint list, and the faults of the connection.
+/// A scenario of the discovery model: the number of changes of the endpoint list, and of faults of the connection.
 pub struct DiscoveryScenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// Number of events of the endpoint list.
+    /// Largest number of changes of the endpoint list, each of which is an event.
     pub list_changes: u64,
-    /// Largest number of faulty frames.
+    /// Largest number of faulty frames that the service sends.
     pub max_faults: u8,
-    /// Largest number of lost connections.
+    /// Largest number of lost connections, apart from those that the router closes because of a faulty frame.
     pub max_disconnects: u8,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
 }
 
--- a/crates/model-checker/src/discovery_model/service.rs
+++ b/crates/model-checker/src/discovery_model/service.rs
@@ -12,33 +12,36 @@
 pub const KIND_COUNT: usize = 1;
 /// An engine kind that the settings do not name.
 const UNKNOWN_KIND: u8 = KIND_COUNT as u8;
-/// The beginning of a frame whose length is shorter than the header that it counts.
+/// The beginning of a frame whose length field says 8 bytes, which is less than the 9 bytes of the event number and
+/// kind that the field counts.
 const FRAME_WITH_BAD_LENGTH: [u8; 5] = [0, 0, 0, 8, 0];
 
 /// The endpoint list: for each engine id, whether the engine is ready.
 pub type EndpointList = BTreeMap<u32, bool>;
 
-/// A fault of a frame.
+/// A fault of a frame that the service sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FrameFault {
-    /// The last event is sent again.
+    /// The last event that was sent is sent again; the reader ignores it.
     Duplicate,
-    /// An event is omitted.
+    /// The frame carries a change, and the event before it was not sent.
     Gap,
     /// An engine has a kind that the settings do not name.
     UnknownKind,
-    /// The length is one that no frame has.
+    /// The length field is less than the length of the header that it counts.
     BadLength,
-    /// A heartbeat has the number of an event that was not sent.
+    /// A heartbeat has the number of the next event, which was not sent.
     HeartbeatAhead,
 }
 
-/// Returns the list after an event. Each event makes one engine ready or no longer ready.
+/// Returns the list after the event with this number; event 0 stands for the initial list. Each event makes one
+/// engine ready or no longer ready.
 pub fn endpoint_list(event: u64) -> EndpointList {
     (0..ENGINES).map(|id| (id, is_ready_after(event, id))).collect()
 }
 
-/// Whether an engine is ready after an event. Each engine changes at every second event, and neighbours alternate.
+/// Whether an engine is ready after an event. Each engine changes at every second event, alternating with the other
+/// engine.
 fn is_ready_after(event: u64, id: u32) -> bool {
     let changes = (event + u64::from(id)) / 2;
     changes.is_multiple_of(2)
@@ -69,12 +72,12 @@
     encode_frame(event, FrameKind::CompleteList, &endpoints)
 }
 
-/// Returns the heartbeat after an event.
+/// Returns the heartbeat with the number of an event.
 pub fn heartbeat_frame(event: u64) -> Vec<u8> {
     encode_heartbeat(event)
 }
 
-/// Returns a faulty frame that follows the event `sent`.
+/// Returns a faulty frame. `sent` is the number of the last event that was sent.
 pub fn faulty_frame(sent: u64, fault: FrameFault) -> Vec<u8> {
     match fault {
         FrameFault::Duplicate => change_frame(sent),
--- a/crates/model-checker/src/discovery_model/state.rs
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -11,21 +11,21 @@
 /// Number of locations in the settings.
 const LOCATION_COUNT: usize = 1;
 
-/// The endpoints of an accepted event.
+/// The endpoints in an event that the reader has accepted.
 pub struct AcceptedEndpoints {
-    /// Whether they are the complete list.
+    /// Whether the endpoints are the complete list and not changes to it.
     pub is_snapshot: bool,
-    /// Each engine id, and whether the engine is ready.
+    /// Pairs of an engine id and whether the engine is ready.
     pub endpoints: Vec<(u32, bool)>,
 }
 
-/// The reader's reaction to a frame, or the time at which everything was sent.
+/// The reader's reaction to its input, or the end of the events to send.
 pub enum Event {
     /// The reader accepts a frame; `accepted` is `None` for a heartbeat.
     Accepts { number: u64, accepted: Option<AcceptedEndpoints> },
     /// The reader rejects its input.
     Rejects,
-    /// Everything was sent, so that the router is up to date.
+    /// All events were sent on the current connection, so that the reader must be up to date.
     AllSent,
 }
 
@@ -34,28 +34,28 @@
 pub struct DiscoveryState {
     /// The system under test.
     reader: Discovery,
-    /// The list that the router has received.
+    /// The list that results from the accepted events.
     pub received: EndpointList,
-    /// The number of the last event of the list.
+    /// The number of the last event of the service's list; 0 before the first event.
     pub last_event: u64,
-    /// The number of the last event that was sent on this connection.
+    /// The number of the last event that was sent on this connection, or after which the service has resumed.
     pub sent_event: u64,
-    /// The second part of a frame whose first part was sent.
+    /// The second part of a frame whose first part was sent; empty if there is none.
     pub unsent_rest: Vec<u8>,
     /// Whether the reader has rejected a frame, after which the router must reconnect.
     pub must_reconnect: bool,
-    /// Number of faulty frames.
+    /// Number of faulty frames so far.
     pub faults: u8,
-    /// Number of lost connections.
+    /// Number of lost connections so far, apart from those that the router has closed because of a faulty frame.
     pub disconnects: u8,
-    /// The fault of the frame that was sent last.
+    /// The fault of the frame that the latest transition has sent; `None` if it has sent no faulty frame.
     pub frame_fault: Option<FrameFault>,
-    /// The name of the first violated invariant.
+    /// The name of the first violated invariant; `None` if all hold.
     pub violated: Option<&'static str>,
 }
 
 impl DiscoveryState {
-    /// Returns the initial state, in which the reader has the list without any event.
+    /// Returns the initial state, in which the reader has the initial list and no event was sent.
     pub fn initial() -> Self {
         Self {
             reader: Discovery::resume_after(0, KIND_COUNT, LOCATION_COUNT),
@@ -76,7 +76,7 @@
         self.reader.last_event
     }
 
-    /// Whether everything was sent on a connection that is still in use.
+    /// Whether all events were sent completely on a connection that is still in use.
     pub fn is_all_sent(&self) -> bool {
         !self.must_reconnect && self.unsent_rest.is_empty() && self.sent_event == self.last_event
     }
@@ -85,7 +85,7 @@
         self.violated = self.violated.or_else(|| first_violated(scenario, self, event));
     }
 
-    /// Returns events that a faulty reader could emit in this state.
+    /// Returns events that a faulty reader could emit in this state, to find the invariants that the state exercises.
     pub fn hypothetical_events(&self) -> Vec<Event> {
         let snapshot = |number, endpoints| Event::Accepts {
             number,
@@ -101,7 +101,7 @@
         ]
     }
 
-    /// Delivers bytes to the reader, and checks its reaction.
+    /// Delivers bytes to the reader, and checks its reaction to each complete frame.
     pub fn deliver(&mut self, scenario: &DiscoveryScenario, bytes: &[u8]) {
         self.reader.input.push(bytes);
         loop {
@@ -137,7 +137,8 @@
         self.received.extend(accepted.endpoints);
     }
 
-    /// Sends an event. A snapshot is sent for the last event, a change for the next one.
+    /// Sends an event: as the complete list after the last event, or as the change of the next event. If `split`,
+    /// only the first half of the frame is sent now.
     pub fn send_event(&mut self, scenario: &DiscoveryScenario, snapshot: bool, split: bool) {
         self.sent_event = if snapshot { self.last_event } else { self.sent_event + 1 };
         let mut bytes =
@@ -163,7 +164,7 @@
         self.unsent_rest.clear();
     }
 
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything that influences later transitions and violations.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.reader.input.len(), self.reader.last_event, &self.received).hash(&mut hasher);
--- a/crates/model-checker/src/discovery_model/transition.rs
+++ b/crates/model-checker/src/discovery_model/transition.rs
@@ -4,20 +4,21 @@
 use super::service::FrameFault;
 use super::state::DiscoveryState;
 
-/// An action of the discovery service.
+/// An action of the discovery service, or the loss of its connection.
 #[derive(Clone, Copy, Debug)]
 pub enum Transition {
-    /// The list changes.
+    /// The service's list changes, which is a new event to send.
     ChangeList,
-    /// The next event is sent, as a change or as the complete list; the second part of a split frame follows later.
+    /// The service sends the change of the next event or, as a snapshot, the complete list after the last event. The
+    /// second part of a split frame follows later.
     SendEvent { snapshot: bool, split: bool },
-    /// A heartbeat is sent.
+    /// The service sends a heartbeat with the number of the last event that it has sent.
     Heartbeat,
-    /// The second part of a frame is sent.
+    /// The service sends the second part of a split frame.
     SendRest,
-    /// A faulty frame is sent.
+    /// The service sends a faulty frame.
     SendFault { fault: FrameFault },
-    /// The connection is lost, and established again after the last accepted event.
+    /// The connection is lost or closed and established again, and the service resumes after the last accepted event.
     Reconnect,
 }
 
--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -1,7 +1,8 @@
-//! The module model: the scheduler alone, with requests, endpoint changes, progress updates and wake-ups in every order.
+//! The scheduler model: the scheduler alone, with requests, endpoint changes, progress updates and wake-ups in every
+//! order.
 //!
-//! The model runs the router's scheduler and records the observations of its environment. The invariants rely on these
-//! records alone.
+//! The model runs the router's scheduler and records what its environment (clients, engines and the endpoint list)
+//! observes. The invariants rely on these records; only the check at the end of a run asks the scheduler what it holds.
 
 pub mod apply;
 pub mod counterexample;
@@ -25,18 +26,18 @@
 use std::time::Duration;
 use transition::Transition;
 
-/// Ticks from the latest time of a final answer to the deadline.
+/// Number of scheduler ticks before a deadline by which the final answer must have been sent; the scheduler's margin.
 const FINAL_ANSWER_LEAD_TICKS: u32 = 4;
 
-/// A scenario together with the initial settings of the scheduler.
+/// A scenario together with the settings of its scheduler.
 pub struct ModuleModel {
     /// The scenario.
     pub scenario: &'static Scenario,
     /// The scheduler's settings of the fleet.
     pub fleet: Fleet,
-    /// The request classes.
+    /// The request classes, indexed by [`scenario::RequestSpec::class`].
     pub classes: Vec<RequestClass>,
-    /// The scheduler's limits of attempts.
+    /// The scheduler's limits of attempts, retries and slow start.
     pub attempt_limits: AttemptLimits,
 }
 
@@ -65,12 +66,13 @@
         &self.classes[self.requests[request.index()].class]
     }
 
-    /// Returns the time from the latest time of a final answer to the deadline.
+    /// Returns the time before a deadline by which the final answer must have been sent.
     pub fn final_answer_lead(&self) -> Duration {
         self.fleet.tick * FINAL_ANSWER_LEAD_TICKS
     }
 
-    /// Returns the time for which engines remember the idempotency key of a request; `None` without a key.
+    /// Returns the time for which engines remember the idempotency key of a request; `None` if its class has no
+    /// idempotency keys.
     pub fn retry_window(&self, request: RequestId) -> Option<Duration> {
         match &self.class_of(request).effect {
             Effect::IdempotentWithKey { window, .. } => Some(*window),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Returns the arrival of the request with this index in the scenario.
+    /// Returns the scheduler's input for the arrival of the request with this index in the scenario.
     pub fn arrival(&self, index: usize) -> Arrival {
         let request = &self.requests[index];
         Arrival {
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/module_model/apply.rs
@@ -1,4 +1,4 @@
-//! Applies transitions of the module model.
+//! Applies transitions of the scheduler model.
 
 use super::ModuleModel;
 use super::effects::{apply_events, hypothetical_events};
@@ -55,7 +55,8 @@
     next
 }
 
-/// Returns the state of the random generator before the input; `None` where the input cannot lead to an attempt.
+/// Returns the counter of random draws to set before the input; `None` for inputs that are explored with the current
+/// one.
 fn random_draw(transition: Transition) -> Option<u64> {
     match transition {
         Transition::Arrive { draw }
@@ -71,7 +72,7 @@
     }
 }
 
-/// Changes the environment and passes the input to the scheduler.
+/// Changes the environment and passes the input to the scheduler, whose actions are appended to `events`.
 fn pass_input(model: &ModuleModel, state: &mut ModuleState, transition: Transition, events: &mut EventLog) {
     match transition {
         Transition::Arrive { .. } => inputs::arrive(model, state, events),
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -1,4 +1,4 @@
-//! Prints a path of the module model as a test in the style of `tests/traces/`.
+//! Prints a path of the scheduler model as a test in the style of `tests/traces/`.
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
@@ -30,8 +30,8 @@
     text + "    expect![[\"\"]].assert_eq(&trace.decisions());\n}\n"
 }
 
-/// Returns the trace's call for a transition, after a call that sets the random draw if that is not 0. Returns `None` for
-/// the passing of time, which the next call's time expresses.
+/// Returns the source of the calls of `Trace` for a transition: a call that sets the counter of random draws, unless
+/// it is 0, and the input. Returns `None` for the passing of time, which the time of the next call expresses.
 fn trace_call(model: &ModuleModel, state: &ModuleState, transition: Transition) -> Option<String> {
     let (draw, call) = match transition {
         Transition::Arrive { draw } => (draw, arrival_call(model, state)),
--- a/crates/model-checker/src/module_model/effects.rs
+++ b/crates/model-checker/src/module_model/effects.rs
@@ -1,4 +1,4 @@
-//! The effects of the scheduler's actions on the environment of the module model.
+//! The effects of the scheduler's actions on the environment of the scheduler model.
 
 use super::ModuleModel;
 use super::event::{Event, EventLog};
@@ -76,7 +76,8 @@
     state.engine_records[engine.index()].sent.push(SentWork { at: state.now, seconds });
 }
 
-/// Returns events that a faulty scheduler could emit after an input, before it has done anything.
+/// Returns events that a faulty scheduler could emit after an input, to find the invariants that this state
+/// exercises. The scheduler's actual actions have not been applied to the state yet.
 pub fn hypothetical_events(model: &ModuleModel, state: &ModuleState) -> Vec<Event> {
     let mut events = vec![Event::TimePasses { to: state.now + LONG_TIME }, Event::Terminal];
     let engines = (0..state.engine_records.len()).map(EngineId::from_index);
--- a/crates/model-checker/src/module_model/event.rs
+++ b/crates/model-checker/src/module_model/event.rs
@@ -3,48 +3,48 @@
 use emberflow::{Actions, EngineId, RequestId};
 use std::time::Duration;
 
-/// Largest number of events after one input.
+/// Number of events after one input that no correct scheduler exceeds.
 const MAX_EVENTS_PER_INPUT: usize = 1000;
 
 /// An action of the scheduler, an answer to a client, the passing of time, or the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// An attempt is sent to an engine.
+    /// The scheduler sends an attempt to an engine; the attempt times out at `times_out_at`.
     Send { request: RequestId, engine: EngineId, times_out_at: Duration },
-    /// The memory grant of the attempt that is sent next.
+    /// The scheduler sets the memory grant, in MB, of a request's next attempt.
     Grant { request: RequestId, grant_mb: f64 },
-    /// An attempt is cancelled.
+    /// The scheduler cancels an attempt, which is counted from 0 within its request.
     Cancel { request: RequestId, attempt: usize },
-    /// A request is rejected, so that its client may retry.
+    /// The scheduler rejects a request, so that its client may retry.
     Reject { request: RequestId },
-    /// A request fails.
+    /// The scheduler fails a request.
     Fail { request: RequestId },
     /// The scheduler requests a wake-up after `wait`.
     WakeAfter { wait: Duration },
-    /// The scheduler requests the endpoint list.
+    /// The scheduler subscribes to changes of the endpoint list.
     Watch,
-    /// The scheduler sends a health check to an engine.
+    /// The scheduler requests a load report from an engine.
     Probe { engine: EngineId },
-    /// The scheduler releases an engine's number.
+    /// The scheduler releases the id of a removed engine.
     Forget { engine: EngineId },
     /// The environment passes a result to the client.
     Serve { request: RequestId },
-    /// Time passes until `to`.
+    /// The clock advances to `to`.
     TimePasses { to: Duration },
-    /// No transition is enabled.
+    /// The run ends, because no transition is enabled.
     Terminal,
 }
 
-/// The events after one input, in order.
+/// The scheduler's actions after one input, in order.
 #[derive(Default)]
 pub struct EventLog(pub Vec<Event>);
 
 impl EventLog {
-    /// Appends an event. Panics beyond [`MAX_EVENTS_PER_INPUT`], because the scheduler then processes the input forever.
+    /// Appends an event. Panics beyond [`MAX_EVENTS_PER_INPUT`], because the scheduler is then in an endless loop.
     fn push(&mut self, event: Event) {
         assert!(
             self.0.len() < MAX_EVENTS_PER_INPUT,
-            "more than {MAX_EVENTS_PER_INPUT} events after one input: {event:?}"
+            "the scheduler took more than {MAX_EVENTS_PER_INPUT} actions after one input; the next one is {event:?}"
         );
         self.0.push(event);
     }
--- a/crates/model-checker/src/module_model/inputs.rs
+++ b/crates/model-checker/src/module_model/inputs.rs
@@ -1,4 +1,5 @@
-//! The inputs of the module model: each function changes the environment and passes one input to the scheduler.
+//! The inputs of the scheduler model: each function changes the environment and passes one input to the scheduler,
+//! whose actions are appended to `events`.
 
 use super::ModuleModel;
 use super::effects::check;
@@ -10,7 +11,7 @@
     AttemptEnded, AttemptOutcome, EndpointUpdate, EngineId, Lifecycle, ProgressUpdate, RequestId,
 };
 
-/// Lets the next request arrive.
+/// Passes the next request of the scenario to the scheduler.
 pub fn arrive(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
     let arrival = model.arrival(state.requests.len());
     let deadline = state.now + arrival.deadline;
@@ -18,7 +19,7 @@
     state.scheduler.accept(state.now, arrival, events);
 }
 
-/// Reports the progress of the attempt in flight.
+/// Passes a progress update of the attempt in flight to the scheduler.
 pub fn update_progress(
     state: &mut ModuleState,
     request: usize,
@@ -31,7 +32,7 @@
     state.scheduler.progress_updated(state.now, id, attempt, update, events);
 }
 
-/// Reports a change of an engine.
+/// Reports a change of an engine to the scheduler, as the endpoint list does.
 pub fn change_endpoint(
     model: &ModuleModel,
     state: &mut ModuleState,
@@ -78,14 +79,14 @@
     state.scheduler.clients_left(state.now, &[RequestId::from_index(request)], &[], events);
 }
 
-/// Wakes the scheduler.
+/// Wakes the scheduler, which fulfils all wake-ups that are due.
 pub fn wake_up(state: &mut ModuleState, events: &mut EventLog) {
     let now = state.now;
     state.wake_ups.retain(|at| *at > now);
     state.scheduler.wake(now, events);
 }
 
-/// Begins a graceful shutdown.
+/// Begins a graceful shutdown, whose deadline is that of a request of the first class that arrives now.
 pub fn shut_down(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
     let deadline = state.now + model.classes[0].deadline;
     state.shutdown_deadline = Some(deadline);
@@ -99,7 +100,7 @@
     state.now = to;
 }
 
-/// Ends the attempt in flight. A result is first passed on to the client, if the request is still open.
+/// Ends the attempt in flight. A result first answers the request, if the request is still open.
 pub fn end_attempt(
     model: &ModuleModel,
     state: &mut ModuleState,
@@ -131,7 +132,7 @@
     state.scheduler.attempt_ended(state.now, ended, events);
 }
 
-/// Begins the cooldown of a request's key if the ended attempt may still be executed.
+/// Begins the cooldown of a request's key if an engine may still execute the ended attempt.
 fn begin_key_cooldown(model: &ModuleModel, state: &mut ModuleState, request: usize, outcome: AttemptOutcome) {
     let may_still_run =
         matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Cancelled);
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/module_model/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants of the module model, one function each.
+//! The invariants of the scheduler model, one function each.
 
 use super::ModuleModel;
 use super::event::{Event, EventLog};
@@ -10,7 +10,7 @@
 /// Relative tolerance for the rounding of sums of work.
 const ROUNDING: f64 = 1e-9;
 
-/// All invariants of the module model.
+/// All invariants of the scheduler model.
 pub const INVARIANTS: &[Invariant<ModuleModel>] = &[
     Invariant {
         name: "one answer",
@@ -54,12 +54,12 @@
     },
     Invariant {
         name: "slow start",
-        description: "an engine that is warming up gets at most this router's part of its budget in any window",
+        description: "an engine that is warming up gets at most this router's part of its budget of work in any overload window",
         is_violated: overloads_warming_engine,
     },
     Invariant {
         name: "key order",
-        description: "requests of one key run one at a time, in the order of arrival",
+        description: "requests of one key whose class keeps order run one at a time, in the order of arrival",
         is_violated: sends_out_of_order,
     },
     Invariant {
@@ -74,32 +74,32 @@
     },
     Invariant {
         name: "attempt limit",
-        description: "a request has no more attempts than allowed",
+        description: "a request has no more attempts than the settings allow",
         is_violated: exceeds_attempt_limit,
     },
     Invariant {
         name: "retry budget",
-        description: "retries stay within their budget",
+        description: "the retries in any window stay within the retry budget",
         is_violated: exceeds_retry_budget,
     },
     Invariant {
         name: "cancel",
-        description: "only an attempt in flight is cancelled, and only once",
+        description: "an attempt is cancelled only while it is in flight, at most once, and only if the settings allow cancellation",
         is_violated: cancels_nothing,
     },
     Invariant {
         name: "grant",
-        description: "a memory grant is within the largest grant of an engine",
+        description: "a memory grant is at most the largest grant that an engine kind allows",
         is_violated: grants_too_much,
     },
     Invariant {
         name: "wake-ups",
-        description: "a wake-up is due while a request is open",
+        description: "time passes with an open request only if a wake-up is requested",
         is_violated: lacks_wake_up,
     },
     Invariant {
         name: "clean end",
-        description: "after a run no request, attempt or removed engine remains",
+        description: "at the end of a run no request, attempt or removed engine remains",
         is_violated: leaves_something_behind,
     },
 ];
@@ -108,7 +108,8 @@
     &state.requests[request.index()]
 }
 
-/// Returns the request that the event sends, if it is open without an attempt in flight.
+/// Returns the request of which the event sends an attempt, if the request is queued. Other requests violate other
+/// invariants.
 fn sent_request<'a>(state: &'a ModuleState, event: &Event) -> Option<&'a RequestRecord> {
     let Event::Send { request, .. } = event else { return None };
     Some(record(state, request)).filter(|record| record.is_queued())
@@ -129,7 +130,7 @@
         request.is_open()
             && (request.deadline <= *to || state.shutdown_deadline.is_some_and(|deadline| deadline <= *to))
     };
-    // Without a due wake-up, `lacks_wake_up` is violated instead.
+    // Without a requested wake-up, `lacks_wake_up` is violated instead.
     !state.wake_ups.is_empty() && state.requests.iter().any(is_late)
 }
 
@@ -181,9 +182,11 @@
     state.engine_records[engine.index()].lifecycle != Lifecycle::Ready
 }
 
-/// Whether the event sends more to an engine that is warming up than this router's budget in the overload window. The
-/// budget is the engine's current capacity times the overload factor, over the window, divided by the number of routers.
-/// If it is less than one request, one request is allowed in a window that is longer by the same factor.
+/// Whether the event sends more work to an engine that is warming up than this router's budget for the overload window.
+///
+/// The budget is the engine's current capacity times the overload factor and the window, divided by the number of
+/// routers. If the budget is less than the work of the request, one request is allowed in a window that is longer by
+/// the same factor.
 fn overloads_warming_engine(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let record = &state.engine_records[engine.index()];
@@ -269,7 +272,8 @@
     *event == Event::Terminal && !is_quiescent(state)
 }
 
-/// Whether every request is finished, and the scheduler holds no request and no engine after an empty endpoint list.
+/// Whether every request is finished, and the scheduler, given an empty endpoint list, only forgets engines and then
+/// holds no request and no engine.
 fn is_quiescent(state: &ModuleState) -> bool {
     if state.requests.iter().any(RequestRecord::is_unfinished) {
         return false;
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/module_model/scenario.rs
@@ -1,14 +1,14 @@
-//! The definition of a scenario of the module model.
+//! The definition of a scenario of the scheduler model.
 
 use crate::trace;
 use emberflow::{AttemptLimits, AttemptOutcome, Fleet, KeyId, LoadReport, ProgressUpdate, RequestClass};
 use std::time::Duration;
 
-/// A change of the settings of the repository's traces, and its source text for counterexamples.
+/// A change to the settings of the small trace tests, with its source text, which a counterexample prints.
 pub struct Setup {
-    /// The source text of the change.
+    /// The source text of the body of `change`, in braces.
     pub text: &'static str,
-    /// Applies the change.
+    /// Changes the settings before the run.
     pub change: fn(&mut Fleet, &mut Vec<RequestClass>, &mut AttemptLimits),
 }
 
@@ -31,16 +31,16 @@
     };
 }
 
-/// The place of an engine.
+/// The location and the cell of an engine.
 #[derive(Clone, Copy)]
 pub struct EngineSpec {
-    /// The engine's location.
+    /// Index of the engine's location.
     pub location: usize,
-    /// The engine's cell, within which idempotency keys are known.
+    /// The engine's cell. Engines of one cell know one another's idempotency keys.
     pub cell: u64,
 }
 
-/// The index of the class of idempotent requests in the settings of the traces.
+/// The index of the class of idempotent requests in the settings of the small trace tests.
 pub const IDEMPOTENT: usize = 0;
 /// The index of the class with idempotency keys that are known within a cell.
 pub const KEYED_IN_CELL: usize = 1;
@@ -61,7 +61,7 @@
 pub struct RequestSpec {
     /// The index of the request class in the settings.
     pub class: usize,
-    /// The key of requests that are executed in order.
+    /// The key of requests that are executed in order; `None` for a request without an order.
     pub key: Option<KeyId>,
     /// The estimated work, in milliseconds on one core; 0 for no estimate.
     pub work_ms: u64,
@@ -93,17 +93,18 @@
 pub struct Scenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// The change of the settings of the traces.
+    /// The change to the settings of the small trace tests.
     pub setup: Setup,
-    /// The place of each engine.
+    /// The location and cell of each engine, indexed by the engine's id.
     pub engines: &'static [EngineSpec],
-    /// The kind of each engine; engines without an entry have the first kind.
+    /// The kind of each engine, indexed by the engine's id; engines without an entry have the first kind.
     pub kinds: &'static [usize],
     /// The requests in the order of arrival. Each may arrive at any time.
     pub requests: &'static [RequestSpec],
-    /// The outcomes that an attempt may have unless it is abandoned or has timed out.
+    /// The outcomes that an attempt may have. An attempt that was cancelled, whose request is answered or that has
+    /// timed out has other outcomes.
     pub outcomes: &'static [AttemptOutcome],
     /// The progress updates that an engine may send.
     pub progress_updates: &'static [ProgressUpdate],
@@ -121,20 +122,20 @@
     pub shuts_down: bool,
     /// The load report in every answer.
     pub load_report: Option<LoadReport>,
-    /// Largest delay of a wake-up.
+    /// Largest time by which a wake-up may be late.
     pub wake_up_delay: Duration,
-    /// Whether time also stops immediately before, at and immediately after each latency objective.
+    /// Whether the clock also stops 1 ms before, at and 1 ms after the end of each latency objective.
     pub stops_around_objective: bool,
-    /// Whether states that differ only in the numbers of equal engines are one state. `false` if the scheduler's result
-    /// depends on the order of engines.
+    /// Whether states that differ only in the ids of equal engines count as one state. Must be `false` if the
+    /// scheduler's choices depend on the order of engines.
     pub interchangeable_engines: bool,
-    /// Number of transitions after which no state is expanded; `None` for no limit.
+    /// Number of transitions from the initial state at which states are no longer expanded; `None` for no limit.
     pub max_depth: Option<usize>,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
 }
 
-/// All outcomes that an attempt may have unless it is abandoned.
+/// All outcomes that an attempt may have unless it was cancelled.
 pub const ALL_OUTCOMES: &[AttemptOutcome] = &[
     AttemptOutcome::Succeeded,
     AttemptOutcome::Failed,
@@ -170,7 +171,7 @@
         in_short_set: true,
     };
 
-    /// Returns the initial settings of the scheduler.
+    /// Returns the settings of the scheduler: those of the small trace tests, changed by [`Scenario::setup`].
     pub fn settings(&self) -> (Fleet, Vec<RequestClass>, AttemptLimits) {
         let (mut fleet, mut classes, mut attempt_limits) = trace::small();
         (self.setup.change)(&mut fleet, &mut classes, &mut attempt_limits);
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/module_model/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios of the module model. Each is small enough to be explored completely, unless it names a `max_depth`.
+//! The scenarios of the scheduler model. Each is small enough to be explored completely, unless it has a `max_depth`.
 
 use super::scenario::{
     EndpointChange, EngineSpec, IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, KEYED_IN_LOCATION,
@@ -10,7 +10,7 @@
 
 const ALL_CHANGES: &[EndpointChange] =
     &[EndpointChange::Drains, EndpointChange::Removed, EndpointChange::Returns, EndpointChange::Restarts];
-/// One outcome of each effect: success, failure, an attempt that never ran, and one that may have run.
+/// One outcome of each kind: success, failure, an attempt that never ran, and one that may have run.
 const MAIN_OUTCOMES: &[AttemptOutcome] =
     &[AttemptOutcome::Succeeded, AttemptOutcome::Failed, AttemptOutcome::Overloaded, AttemptOutcome::Broken];
 /// The main outcomes and a timeout, after which the attempt may still run.
@@ -28,22 +28,25 @@
     ProgressUpdate::WaitingForMemory,
     ProgressUpdate::WaitingForLoad,
 ];
-/// The delay of a late wake-up.
+/// Largest delay of a wake-up in the scenarios with late wake-ups: one tick of the scheduler.
 const LATE_WAKE_UP: Duration = Duration::from_millis(8);
-/// Work of a request that fits once into the first overload window of an engine, in milliseconds on one core.
+/// Estimated work of a request, in milliseconds on one core. The scheduler's budget for the first overload window
+/// after an engine's start allows one such request, but not two.
 const WARMING_WORK_MS: u64 = 210;
-/// Memory of a request that needs most of an engine's memory, in MB.
+/// Estimated memory of a request that needs most of an engine's 16,000 MB, in MB.
 const LARGE_MEMORY_MB: f64 = 12000.0;
-/// Depth to which "three requests" is explored.
+/// Depth to which "three requests" is explored, in transitions.
 const THREE_REQUESTS_DEPTH: usize = 6;
 const THREE_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(0, 0)];
 /// Two engines in one cell, and one in another cell and location.
 const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
 const TWO_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0)];
+/// The load report of an engine whose cores are all busy.
 const FULL_ENGINE: LoadReport =
     LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
 
-/// Two classes whose requests of one key run in order, a key cooldown, and no cancellation.
+/// Requests of one key run in order in the idempotent and the non-idempotent class, with a cooldown between them;
+/// attempts may not be cancelled.
 const KEYS_IN_ORDER_WITHOUT_CANCEL: Setup = setup!(|fleet, classes, attempt_limits| {
     classes[0].keeps_order = true;
     classes[4].keeps_order = true;
@@ -96,7 +99,7 @@
     },
     Scenario {
         name: "idempotency key in location",
-        description: "the same with a key known within its location",
+        description: "one request with an idempotency key known within its location, three engines in two locations",
         engines: ENGINES_IN_TWO_CELLS,
         requests: &[request(KEYED_IN_LOCATION)],
         max_endpoint_changes: 1,
@@ -105,7 +108,7 @@
     },
     Scenario {
         name: "idempotency key everywhere",
-        description: "the same with a key known to all engines",
+        description: "one request with an idempotency key known to all engines, three engines in two cells",
         engines: ENGINES_IN_TWO_CELLS,
         requests: &[request(KEYED_EVERYWHERE)],
         max_endpoint_changes: 1,
@@ -124,7 +127,7 @@
     },
     Scenario {
         name: "placement",
-        description: "a request placed on one kind and one location, engines that match neither, one or both",
+        description: "a request restricted to one kind and one location, engines that match both or only one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
             fleet.kinds.push(emberflow::EngineKind { cores: 8.0, memory_mb: 16000.0 });
             classes[0].kinds = Some(vec![1]);
@@ -301,7 +304,7 @@
     },
     Scenario {
         name: "retry budget, two engines",
-        description: "the same at two engines, with progress updates that report a wait for load",
+        description: "two idempotent requests, two engines, a retry budget, progress updates that report a wait for load",
         setup: setup!(|fleet, classes, attempt_limits| {
             let window = std::time::Duration::from_millis(400);
             attempt_limits.retry_budget = Some(RetryBudget { min_retries: 0.5, per_request: 0.5, window });
@@ -331,7 +334,7 @@
     },
     Scenario {
         name: "warming engine, small part",
-        description: "the same for one of forty routers, whose part is less than one request",
+        description: "an engine that restarts while two requests arrive at one of forty routers, whose part of the window is less than one request",
         setup: setup!(|fleet, classes, attempt_limits| {
             fleet.router_count = 40;
             attempt_limits.warm_up = std::time::Duration::from_millis(2000);
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/module_model/state.rs
@@ -1,4 +1,5 @@
-//! The state of the module model: the scheduler, and the records of its environment.
+//! The state of the scheduler model: the scheduler, and the records of its environment. Times are those of the model's
+//! clock, which begins at [`START_TIME`](crate::search::START_TIME).
 
 use super::ModuleModel;
 use super::scenario::EngineSpec;
@@ -11,7 +12,7 @@
 pub struct AttemptRecord {
     /// The engine to which the attempt was sent.
     pub engine: EngineId,
-    /// The time of sending.
+    /// The time at which the scheduler sent the attempt.
     pub sent_at: Duration,
     /// The time at which the attempt times out.
     pub times_out_at: Duration,
@@ -19,7 +20,7 @@
     pub outcome: Option<AttemptOutcome>,
     /// Whether the scheduler has cancelled the attempt.
     pub is_cancelled: bool,
-    /// Number of progress updates that the engine has sent.
+    /// Number of progress updates that the engine has sent for the attempt.
     pub progress_updates: u8,
 }
 
@@ -36,11 +37,11 @@
 /// The final answer to a request, or the client's disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// A result was passed to the client.
+    /// The client received a result.
     Served,
-    /// The request was rejected.
+    /// The request was rejected; the client may safely retry it.
     Rejected,
-    /// The request failed.
+    /// The request failed; it may have run.
     Failed,
     /// The client disconnected before any answer.
     ClientLeft,
@@ -49,7 +50,7 @@
 /// A request that has arrived, as known to its client.
 #[derive(Clone, Default)]
 pub struct RequestRecord {
-    /// The time of arrival.
+    /// The time at which the request arrived.
     pub arrived: Duration,
     /// The time by which the request must be answered.
     pub deadline: Duration,
@@ -89,7 +90,7 @@
 /// Work sent to an engine.
 #[derive(Clone, Copy)]
 pub struct SentWork {
-    /// The time of sending.
+    /// The time at which the work was sent.
     pub at: Duration,
     /// The estimated work, in seconds on one core.
     pub seconds: f64,
@@ -100,65 +101,65 @@
 pub struct EngineRecord {
     /// The lifecycle that the endpoint list reported last.
     pub lifecycle: Lifecycle,
-    /// Whether the scheduler has released the engine's number.
+    /// Whether the scheduler has released the engine's id.
     pub is_forgotten: bool,
     /// The time of the last restart; `None` without a restart.
     pub launched: Option<Duration>,
-    /// The work sent since the last restart.
+    /// The work sent since the last restart, or since the start of the run.
     pub sent: Vec<SentWork>,
 }
 
-/// A period in which no other request of a key may run, because an earlier attempt may still be executed.
+/// A period in which no other request of a key may be sent, because an engine may still execute an earlier attempt.
 #[derive(Clone, Copy)]
 pub struct KeyCooldown {
-    /// The key.
+    /// The key whose other requests must wait.
     pub key: KeyId,
-    /// The request whose attempt may still be executed.
+    /// The request whose attempt may still be executed. It may be sent again during the cooldown.
     pub request: RequestId,
-    /// The end of the cooldown.
+    /// The time at which the cooldown ends.
     pub until: Duration,
 }
 
 /// The scheduler and its environment.
 #[derive(Clone)]
 pub struct ModuleState {
-    /// The clock.
+    /// The current time.
     pub now: Duration,
     /// The system under test.
     pub scheduler: Scheduler,
     /// The requests that have arrived, in the order of arrival.
     pub requests: Vec<RequestRecord>,
-    /// The engines, by number.
+    /// The engines, indexed by their ids.
     pub engine_records: Vec<EngineRecord>,
-    /// The times of the requested wake-ups, sorted.
+    /// The times of the requested wake-ups that have not happened, sorted and without duplicates.
     pub wake_ups: Vec<Duration>,
     /// The times at which retries of any request were sent.
     pub retry_times: Vec<Duration>,
     /// The cooldowns that have not ended.
     pub key_cooldowns: Vec<KeyCooldown>,
-    /// Number of changes and failures of the endpoint list.
+    /// Number of changes and failures of the endpoint list so far.
     pub endpoint_changes: u8,
-    /// Number of clients that have disconnected.
+    /// Number of clients that have disconnected before an answer.
     pub departures: u8,
-    /// The time at which the process ends; `None` before the shutdown begins.
+    /// The time at which the process ends; `None` before the graceful shutdown begins.
     pub shutdown_deadline: Option<Duration>,
-    /// Whether the scheduler has requested the endpoint list.
+    /// Whether the scheduler has subscribed to the endpoint list since the list last failed.
     pub is_watching: bool,
-    /// The name of the first violated invariant.
+    /// The name of the first violated invariant; `None` if all hold.
     pub violated: Option<&'static str>,
-    /// A number that is equal for states with equal futures.
+    /// A hash of everything that influences later transitions and violations, as of the last update.
     pub fingerprint: u64,
 }
 
 impl ModuleState {
-    /// Returns the endpoint list's record of an engine.
+    /// Returns the row of an engine in the endpoint list.
     pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
         let EngineSpec { location, cell } = model.engines[engine.index()];
         let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
         Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
     }
 
-    /// Whether an open request has no attempt in flight, so that any input may lead to an attempt.
+    /// Whether an open request has no attempt in flight, so that the scheduler may send one after any input.
     pub fn has_queued_request(&self) -> bool {
         self.requests.iter().any(RequestRecord::is_queued)
     }
@@ -168,7 +169,8 @@
         self.requests.len() < model.requests.len()
     }
 
-    /// Recomputes the fingerprint. It includes times relative to now, and only those that influence a later state.
+    /// Recomputes the fingerprint. Times are hashed relative to now, and only where they influence a later state, so
+    /// that states that differ only in their absolute times are equal.
     pub fn update_fingerprint(&mut self, model: &ModuleModel) {
         let mut hasher = DefaultHasher::new();
         let engine_fingerprint = |engine| self.engine_fingerprint(model, engine);
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/module_model/transition.rs
@@ -1,4 +1,4 @@
-//! The transitions of the module model, and the conditions that enable them.
+//! The transitions of the scheduler model, and the conditions that enable them.
 
 use super::ModuleModel;
 use super::scenario::EndpointChange;
@@ -7,13 +7,15 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Smallest difference between two times at which time stops.
+/// Time between a boundary and the instants immediately before and after it at which the clock stops.
 const SMALLEST_TIME_STEP: Duration = Duration::from_millis(1);
-/// Number of random draws that are explored: one for each order of three engines.
+/// Number of values of the scheduler's draw counter that are explored: one for each order of three engines.
 const RANDOM_DRAWS: u64 = 6;
 
-/// An input to the scheduler, or the passing of time. A draw is the state of the random generator before an input after
-/// which the scheduler may choose an engine at random.
+/// An input to the scheduler, or the passing of time.
+///
+/// `draw` is the scheduler's counter of random draws, which the model sets before the input. It determines which
+/// engine the scheduler chooses at random.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Transition {
     /// The next request arrives.
@@ -24,17 +26,17 @@
     UpdateProgress { request: usize, update: ProgressUpdate, draw: u64 },
     /// The endpoint list reports a change of an engine.
     ChangeEndpoint { engine: EngineId, change: EndpointChange, draw: u64 },
-    /// The endpoint list is empty.
+    /// The endpoint list reports no engine.
     EmptyEndpointList,
     /// The endpoint list cannot be read.
     FailEndpointList,
     /// The client of an open request disconnects.
     ClientLeaves { request: usize, draw: u64 },
-    /// A wake-up that the scheduler has requested.
+    /// The scheduler is woken at a time that it has requested, or up to the scenario's delay later.
     WakeUp { draw: u64 },
     /// A graceful shutdown begins.
     ShutDown,
-    /// Time passes to the next instant at which something may change.
+    /// The clock advances to the next instant at which something may change.
     PassTime,
 }
 
@@ -52,7 +54,7 @@
     append_time_transitions(model, state, transitions);
 }
 
-/// Returns the draws to explore before an input; a single draw if no engine can be chosen.
+/// Returns the draws to explore before an input; a single draw if the scheduler has no choice between engines.
 fn draws(model: &ModuleModel, may_send: bool) -> Range<u64> {
     if may_send && model.engines.len() > 1 { 0..RANDOM_DRAWS } else { 0..1 }
 }
@@ -61,7 +63,8 @@
     state.expects_arrival(model) && state.shutdown_deadline.is_none()
 }
 
-/// Whether a request has an attempt in flight that must end now, because it is abandoned or has timed out.
+/// Whether a request has an attempt in flight that must end before time passes, because it is abandoned or has timed
+/// out.
 fn awaits_end(state: &ModuleState, request: &RequestRecord) -> bool {
     let Some(attempt) = request.in_flight() else { return false };
     is_abandoned(request, attempt) || attempt.times_out_at <= state.now
@@ -167,7 +170,7 @@
     }
 }
 
-/// Returns the next time at which something may change.
+/// Returns the next time at which the scheduler or an invariant may behave differently; `None` if there is none.
 pub fn next_instant(model: &ModuleModel, state: &ModuleState) -> Option<Duration> {
     let mut instants = Vec::new();
     for wake_up in &state.wake_ups {
--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -1,5 +1,5 @@
-//! The queue model: the queues of teams. Requests arrive, are dispatched, end with any outcome, are requeued or removed,
-//! while time passes and a team is removed.
+//! The queue model: the admission queues of the teams. Requests arrive, are dispatched, end with any outcome, are
+//! requeued or removed, while time passes and a team is removed.
 //!
 //! The model runs the router's queues.
 
--- a/crates/model-checker/src/queue_model/invariants.rs
+++ b/crates/model-checker/src/queue_model/invariants.rs
@@ -4,8 +4,8 @@
 use super::state::{Event, QueueState, RequestStatus, TEAMS};
 use crate::invariants::Invariant;
 
-/// Largest number of times that a waiting team is passed over: the largest priority gain in requests, plus one request
-/// in flight of each team. `docs/teams-design.md` derives the bound.
+/// Largest number of consecutive dispatches of the other team while a team has a waiting request: the largest
+/// priority gain in requests, plus one request in flight of each team. `docs/teams-design.md` derives the bound.
 const MAX_PASSED_OVER: u32 = 6;
 /// Interval, in dispatches of one team, at which urgency is ignored.
 const URGENCY_IGNORED_EVERY: u32 = 8;
@@ -22,7 +22,7 @@
     },
     Invariant {
         name: "work-conserving",
-        description: "if any request waits, one is dispatched",
+        description: "a dispatch takes a request if any request waits",
         is_violated: dispatches_nothing,
     },
     Invariant {
@@ -37,7 +37,7 @@
     },
     Invariant {
         name: "nothing lost",
-        description: "an unfinished request is held, and is charged while it is in flight",
+        description: "a waiting request is held, and a request in flight is charged to its team",
         is_violated: loses_request,
     },
 ];
--- a/crates/model-checker/src/queue_model/scenario.rs
+++ b/crates/model-checker/src/queue_model/scenario.rs
@@ -5,7 +5,7 @@
 
 /// The estimated work of every request, in milliseconds on one core.
 const WORK_MS: u64 = 100;
-/// An outcome with more work than was estimated.
+/// The outcome of a request that has used more work than [`WORK_MS`], the estimate.
 const MEASURED: Outcome = Outcome::Measured(Duration::from_millis(250));
 /// The highest urgency.
 const HIGHEST_URGENCY: u8 = 3;
@@ -13,44 +13,44 @@
 /// A request that arrives.
 #[derive(Clone, Copy)]
 pub struct RequestSpec {
-    /// The request's team.
+    /// Index of the request's team, 0 or 1.
     pub team: usize,
-    /// The request's urgency; a larger value is more urgent.
+    /// The request's urgency, from 0 (ordinary) to 3 (most urgent).
     pub urgency: u8,
     /// The estimated work, in milliseconds on one core.
     pub work_ms: u64,
 }
 
-/// A scenario: its requests, and the transitions that are possible.
+/// A scenario of the queue model: its requests, and the transitions that are possible.
 pub struct QueueScenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
     /// The requests in the order of arrival.
     pub requests: &'static [RequestSpec],
     /// Whether the second team has a budget.
     pub second_team_has_budget: bool,
-    /// The possible outcomes of a request.
+    /// The possible outcomes of a dispatched request; if empty, dispatched requests stay in flight.
     pub outcomes: &'static [Outcome],
-    /// Largest number of dispatched requests that are requeued.
+    /// Largest number of times that dispatched requests are requeued.
     pub max_requeues: u8,
     /// Whether clients may disconnect while their requests wait.
     pub clients_leave: bool,
     /// Whether the second team may be removed.
     pub removes_team: bool,
-    /// Largest number of steps of time to the next due change.
+    /// Largest number of times that the clock advances to the next due change of the queues.
     pub max_time_steps: u8,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
 }
 
-/// Returns an ordinary request of a team.
+/// Returns a request of a team with the lowest urgency.
 const fn ordinary(team: usize) -> RequestSpec {
     RequestSpec { team, urgency: 0, work_ms: WORK_MS }
 }
 
-/// Returns an urgent request of a team.
+/// Returns a request of a team with this urgency.
 const fn urgent(team: usize, urgency: u8) -> RequestSpec {
     RequestSpec { team, urgency, work_ms: WORK_MS }
 }
--- a/crates/model-checker/src/queue_model/state.rs
+++ b/crates/model-checker/src/queue_model/state.rs
@@ -45,22 +45,24 @@
 /// The queues and their environment.
 #[derive(Clone)]
 pub struct QueueState {
+    /// The current time; a run begins at 0.
     now: Duration,
     /// The system under test.
     pub queues: Queues,
-    /// The status of each request.
+    /// The expected status of each request, in the order of the scenario.
     pub statuses: Vec<RequestStatus>,
-    /// By team, the number of dispatches of the other team while this team had a waiting request.
+    /// By team, the number of dispatches of the other team while this team had a waiting request, since the last
+    /// dispatch of this team.
     pub passed_over: [u32; TEAMS],
-    /// By team, the number of dispatched requests.
+    /// By team, the number of dispatches so far.
     pub dispatch_counts: [u32; TEAMS],
-    /// Whether the second team was removed.
+    /// Whether the second team was removed, so that its requests belong to the first.
     pub team_removed: bool,
-    /// Number of steps of time.
+    /// Number of times that the clock has advanced.
     pub time_steps: u8,
-    /// Number of requeued requests.
+    /// Number of times that a request was requeued.
     pub requeues: u8,
-    /// The name of the first violated invariant.
+    /// The name of the first violated invariant; `None` if all hold.
     pub violated: Option<&'static str>,
 }
 
@@ -97,7 +99,7 @@
         if self.team_removed { 0 } else { request.team }
     }
 
-    /// Whether a team has a waiting request.
+    /// Whether a request that arrived for a team waits.
     pub fn has_waiting(&self, scenario: &QueueScenario, team: usize) -> bool {
         let mut requests = self.statuses.iter().zip(scenario.requests);
         requests.any(|(status, request)| *status == RequestStatus::Waiting && request.team == team)
@@ -107,7 +109,7 @@
         self.violated = self.violated.or_else(|| first_violated(scenario, self, event));
     }
 
-    /// Returns events that faulty queues could emit in this state.
+    /// Returns events that faulty queues could emit in this state, to find the invariants that the state exercises.
     pub fn hypothetical_events(&self) -> Vec<Event> {
         let requests = 0..self.statuses.len();
         let mut events: Vec<_> =
@@ -117,7 +119,7 @@
         events
     }
 
-    /// Enqueues the next request.
+    /// Enqueues the next request of the scenario.
     pub fn arrive(&mut self, scenario: &QueueScenario) {
         let is_next = |status: &RequestStatus| *status == RequestStatus::NotArrived;
         let index = self.statuses.iter().position(is_next).unwrap_or_default();
@@ -137,7 +139,7 @@
         self.statuses[index] = if is_accepted { RequestStatus::Waiting } else { RequestStatus::Finished };
     }
 
-    /// Dispatches the request that the queues name.
+    /// Dispatches the first request in the queues' dispatch order, if there is one.
     pub fn dispatch(&mut self, scenario: &QueueScenario) {
         let next = self.queues.dispatch_order().next();
         self.check(scenario, &Event::Dispatches(next));
@@ -151,7 +153,7 @@
         self.passed_over[other_team] += u32::from(self.has_waiting(scenario, other_team));
     }
 
-    /// Ends a dispatched request.
+    /// Ends a dispatched request with an outcome, which settles its charge.
     pub fn settle(&mut self, request: usize, outcome: Outcome) {
         self.queues.settle(self.now, request as RequestId, outcome);
         self.statuses[request] = RequestStatus::Finished;
@@ -170,7 +172,7 @@
         self.statuses[request] = RequestStatus::Finished;
     }
 
-    /// Removes the second team; its requests move to the first.
+    /// Removes the second team; its requests move to the first team, which has no budget.
     pub fn remove_team(&mut self) {
         self.team_removed = true;
         self.queues.reconfigure(self.now, quotas(false, 1), &[Some(0), None]);
@@ -183,7 +185,8 @@
         self.queues.advance(self.now);
     }
 
-    /// Checks the number of waiting requests and the charges.
+    /// Checks that the queues hold the expected number of waiting requests and charge each team for its requests in
+    /// flight.
     pub fn check_held(&mut self, scenario: &QueueScenario) {
         let charged = std::array::from_fn(|team| {
             if self.team_removed && team == 1 { 0.0 } else { self.queues.in_flight_charge(team) }
@@ -192,7 +195,7 @@
         self.check(scenario, &held);
     }
 
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything that influences later transitions and violations.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.queues.fingerprint(self.now, &mut hasher);
--- a/crates/model-checker/src/queue_model/transition.rs
+++ b/crates/model-checker/src/queue_model/transition.rs
@@ -9,9 +9,9 @@
 pub enum Transition {
     /// The next request arrives.
     Arrive,
-    /// The queues dispatch a request.
+    /// The first request in the queues' dispatch order is dispatched.
     Dispatch,
-    /// A dispatched request ends.
+    /// A dispatched request ends with an outcome.
     Settle { request: usize, outcome: Outcome },
     /// A dispatched request returns to its queue.
     Requeue { request: usize },
@@ -19,7 +19,7 @@
     Remove { request: usize },
     /// The second team is removed; its requests move to the first.
     RemoveTeam,
-    /// Time passes to the next due change.
+    /// The clock advances to the next due change of the queues.
     PassTime,
 }
 
--- a/crates/model-checker/src/router_model.rs
+++ b/crates/model-checker/src/router_model.rs
@@ -1,7 +1,8 @@
 //! The router model: the complete router without its sockets. It covers client connections, the dispatcher, the
 //! scheduler, the connections to one or two engines, and a graceful shutdown.
 //!
-//! The invariants rely only on the answers that clients read and on the calls that arrive at engines.
+//! The invariants rely on the answers that clients read and on the calls that arrive at engines. The router itself is
+//! asked only whether a slow client's answer is still being written, and what remains at the end of a run.
 
 pub mod apply;
 pub mod invariants;
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -22,7 +22,8 @@
     run.state
 }
 
-/// Returns the client whose input a transition is.
+/// Returns the client that sends input or closes its connection in a transition; `None` for transitions without input
+/// of a client.
 fn acting_client(transition: Transition) -> Option<usize> {
     match transition {
         Transition::SendLine { client, .. }
@@ -37,7 +38,7 @@
 struct Run<'a> {
     scenario: &'a RouterScenario,
     state: RouterState,
-    /// The client whose input the transition is.
+    /// The client that sends input or closes its connection in the transition.
     acting_client: Option<usize>,
 }
 
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Executes the server's commands, pending writes and closed connections, as the event loop does, until there are
-    /// none left.
+    /// Executes the commands and pending writes of the server and closes connections, as the router's event loop
+    /// does, until nothing is left to do.
     fn run_until_quiet(&mut self) {
         loop {
             self.state.server.process_events();
--- a/crates/model-checker/src/router_model/apply/clients.rs
+++ b/crates/model-checker/src/router_model/apply/clients.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Records a line that a client has sent completely.
+    /// Records the request or cancellation in a line that a client has sent completely.
     fn record_line(&mut self, client: usize, line: usize) {
         match self.scenario.client_lines[client][line] {
             ClientLine::Request { id, class, request_number } => {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Lets the server read the input of a client.
+    /// Passes the input of a client to the server.
     fn deliver_to_server(&mut self, client: usize, mut input: ScriptedInput) {
         let slot = self.state.clients[client].slot;
         let server = &mut self.state.server;
@@ -100,7 +100,7 @@
         self.state.clients.iter().position(|client| client.slot == slot)
     }
 
-    /// Lets a client read the last bytes of a connection that the server has closed.
+    /// Lets a client read the last bytes of a connection that the server has closed, and records the close.
     pub(super) fn close_client(&mut self, slot: Slot, unread: &[u8]) {
         self.record_answers(slot, unread);
         let Some(client) = self.client_at(slot) else { return };
@@ -120,7 +120,7 @@
         self.record_answers(slot, &peer.inbox);
     }
 
-    /// Records the answers that a client has read completely.
+    /// Adds bytes to those that a client has read, and records the answers that are complete.
     fn record_answers(&mut self, slot: Slot, bytes: &[u8]) {
         let Some(client) = self.client_at(slot) else { return };
         self.state.clients[client].partial_line.extend(bytes);
--- a/crates/model-checker/src/router_model/apply/engines.rs
+++ b/crates/model-checker/src/router_model/apply/engines.rs
@@ -61,13 +61,13 @@
         self.deliver_to_pool(connection, ScriptedInput::reset());
     }
 
-    /// Lets the pool of engine connections read the input of a connection.
+    /// Passes the input of an engine connection to the engine pool.
     fn deliver_to_pool(&mut self, connection: Slot, mut input: ScriptedInput) {
         let Dispatcher { engines, context, .. } = &mut self.state.server.dispatcher;
         engines.read(connection, &mut input, context);
     }
 
-    /// Lets an engine read the pending output of its connection.
+    /// Writes the pending output of a connection to its engine, which reads the complete commands.
     pub(super) fn drain_to_engine(&mut self, connection: Slot) {
         let Some(peer) = self.state.engine_peers.get_mut(&connection) else { return };
         let Dispatcher { engines, context, .. } = &mut self.state.server.dispatcher;
@@ -94,7 +94,7 @@
             EngineCommand::Ping { .. } => {
                 self.state.engine_peers.entry(connection).and_modify(|peer| peer.pings += 1);
             }
-            // An engine does not answer a cancelled call.
+            // An engine never answers a cancelled call.
             EngineCommand::Cancel { request_id } => {
                 let cancelled = number_of(request_id);
                 for call in &mut self.state.calls {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Returns the number of a request id; `u64::MAX`, which no request has, for a malformed id.
+/// Returns the number that a request id encodes; `u64::MAX`, which no request has, for a malformed id.
 fn number_of(request_id: &str) -> u64 {
     u64::from_str_radix(request_id, REQUEST_ID_RADIX).unwrap_or(u64::MAX)
 }
--- a/crates/model-checker/src/router_model/scenario.rs
+++ b/crates/model-checker/src/router_model/scenario.rs
@@ -2,14 +2,15 @@
 
 use std::time::Duration;
 
-/// The timeout that a client sends with every request.
+/// The timeout that clients send with every request; equals the deadline of every class in [`CONFIGURATION`].
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(320);
 /// The estimated work of every request, in milliseconds on one core.
 pub const REQUEST_WORK_MS: f64 = 20.0;
 /// The estimated memory of every request, in MB.
 pub const REQUEST_MEMORY_MB: f64 = 300.0;
 
-/// The configuration of the router: one engine kind, and one request class for each effect.
+/// The configuration of the router: one engine kind, and one request class for each effect (idempotent,
+/// non-idempotent, with an idempotency key known within a cell).
 pub const CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"1",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"bulletin":"127.0.0.1:1","known":{"no":0,"items":[]},
 "settings":{"instances":1,"myZone":0,"zones":["hall-a"],"kinds":["std-8"],"discovery":"push","tickMs":8,
@@ -23,13 +24,13 @@
 /// A line that a client may send once.
 #[derive(Clone, Copy, Debug)]
 pub enum ClientLine {
-    /// A request, with its message id on this connection, its class, and the number of its request id.
+    /// A request with the id of its JSON-RPC message, its class, and the number that its request id encodes.
     Request { id: u64, class: &'static str, request_number: u64 },
-    /// The cancellation of a request.
+    /// The cancellation of the request whose request id encodes this number.
     Cancel { request_number: u64 },
     /// A line that is not JSON.
     Malformed,
-    /// The largest number of bytes of a line, without a line feed.
+    /// As many bytes as the router accepts in a line, without a line feed.
     Endless,
 }
 
@@ -37,27 +38,27 @@
 pub struct RouterScenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
     /// Number of engines.
     pub engines: u32,
-    /// The lines that each client may send, in any order.
+    /// For each client, the lines that it may send, each once and in any order.
     pub client_lines: &'static [&'static [ClientLine]],
     /// Whether clients may close the write side of their connections, or reset them.
     pub clients_leave: bool,
-    /// Largest number of engine connections that are reset or refused.
+    /// Largest number of engine connections that engines reset or refuse.
     pub max_faults: u8,
     /// Whether the first engine may drain.
     pub drains: bool,
     /// Whether the process may receive the signal to terminate.
     pub terminates: bool,
-    /// Whether clients stop reading after a few bytes, and resume later.
+    /// Whether clients stop reading after a few bytes, and may resume later.
     pub slow_readers: bool,
     /// Whether lines arrive in two pieces.
     pub split_lines: bool,
-    /// Number of transitions after which no state is expanded; `None` for no limit.
+    /// Number of transitions from the initial state at which states are no longer expanded; `None` for no limit.
     pub max_depth: Option<usize>,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
 }
 
--- a/crates/model-checker/src/router_model/scenarios.rs
+++ b/crates/model-checker/src/router_model/scenarios.rs
@@ -5,17 +5,17 @@
 const IDEMPOTENT: ClientLine = ClientLine::Request { id: 1, class: "lookup", request_number: 1 };
 const NON_IDEMPOTENT: ClientLine = ClientLine::Request { id: 1, class: "post", request_number: 1 };
 const IDEMPOTENT_WITH_KEY: ClientLine = ClientLine::Request { id: 1, class: "book", request_number: 1 };
-/// A second message with the request of [`NON_IDEMPOTENT`].
+/// The request of [`NON_IDEMPOTENT`], sent again in another JSON-RPC message.
 const NON_IDEMPOTENT_AGAIN: ClientLine = ClientLine::Request { id: 2, class: "post", request_number: 1 };
-/// A second request on a connection.
+/// A second request of the client that sends [`NON_IDEMPOTENT`].
 const SECOND_IDEMPOTENT: ClientLine = ClientLine::Request { id: 2, class: "lookup", request_number: 2 };
 /// The first request of a second client.
 const IDEMPOTENT_OF_SECOND_CLIENT: ClientLine =
     ClientLine::Request { id: 1, class: "lookup", request_number: 2 };
 const CANCEL: ClientLine = ClientLine::Cancel { request_number: 1 };
-/// Depth to which "an open request sent again" is explored.
+/// Depth to which "an open request sent again" is explored, in transitions.
 const RESENT_REQUEST_DEPTH: usize = 12;
-/// Depth to which the scenarios with two open requests are explored.
+/// Depth to which the scenarios with two open requests are explored, in transitions.
 const TWO_REQUESTS_DEPTH: usize = 9;
 
 /// All scenarios of the router model.
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -14,54 +14,55 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Number of bytes after which a slow client stops reading; less than any answer.
+/// Number of bytes that a slow client reads before it stops reading; less than any answer has.
 const SLOW_READER_BYTES: usize = 10;
 /// The port of the first engine; the other engines have the next ports.
 const FIRST_ENGINE_PORT: u16 = 9;
 
 /// An observable action of the router, the passing of time, or the end of a run.
 pub enum Event {
-    /// A client reads an answer to the request at this position; `None` for an answer to no request of the client.
+    /// A client reads an answer. `request` is the position of the request in [`RouterState::requests`]; `None` for an
+    /// answer to no request of the client. `rows` are those of a result; `None` for an error.
     ClientReads { request: Option<usize>, rows: Option<Vec<u8>> },
     /// A call has arrived completely at an engine.
     CallArrives { request_number: u64 },
-    /// A client's connection closes after the input of client `by`.
+    /// The router closes the connection of `client` while it handles the input of client `by`.
     ClientCloses { client: usize, by: usize },
-    /// Time passes until `to`.
+    /// The clock advances to `to`.
     TimePasses { to: Duration },
-    /// No transition is enabled.
+    /// The run ends, because no transition is enabled.
     Terminal,
 }
 
-/// A client's side of its connection.
+/// A client and its side of its connection.
 #[derive(Clone)]
 pub struct ClientRecord {
     /// The router's handle of the connection.
     pub slot: Slot,
-    /// Whether neither side has closed the connection.
+    /// Whether the connection is open; false once the client has reset it or the router has closed it.
     pub is_connected: bool,
     /// Whether the client has closed its write side.
     pub is_write_closed: bool,
-    /// The lines that were sent, as a bit set.
+    /// The lines that were sent at least in part: bit n stands for the line at index n of the scenario.
     pub sent_lines: u32,
-    /// Number of bytes that the client still reads; `None` for no limit.
+    /// Number of bytes that the client still reads before it stops; `None` for no limit.
     pub capacity: Option<usize>,
-    /// The part of an incomplete line that the client has read.
+    /// The bytes of an incomplete line that the client has read.
     pub partial_line: Vec<u8>,
-    /// The line that the client has sent in part, and its second piece.
+    /// The index of the line that the client has sent in part, and the unsent second piece; `None` if there is none.
     pub unsent_rest: Option<(usize, Vec<u8>)>,
 }
 
 /// A request, as known to its client.
 #[derive(Clone)]
 pub struct RequestRecord {
-    /// The client that sent it.
+    /// Index of the client that sent the request.
     pub client: usize,
-    /// The message id on the connection.
+    /// The id of the JSON-RPC message, unique among the messages of the client.
     pub id: u64,
-    /// The number of the request id.
+    /// The number that the request id encodes. A request that is sent again has the same number.
     pub request_number: u64,
-    /// Whether its class is not idempotent.
+    /// Whether the class of the request is non-idempotent.
     pub is_non_idempotent: bool,
     /// The time by which the request must be answered.
     pub deadline: Duration,
@@ -74,35 +75,36 @@
 /// A call that has arrived completely at an engine.
 #[derive(Clone)]
 pub struct CallRecord {
-    /// The number of the request id.
+    /// The number that the request id of the call encodes.
     pub request_number: u64,
-    /// The request with that number that was open when the call arrived.
+    /// The position of the request with that number that was open when the call arrived; `None` if there was none.
     pub request: Option<usize>,
     /// The connection on which the call arrived.
     pub connection: Slot,
-    /// Whether the engine has answered the call or will not answer it.
+    /// Whether the engine has answered the call, or will not answer it because it was cancelled or the connection is
+    /// lost.
     pub has_ended: bool,
-    /// Whether the engine may have executed the call.
+    /// Whether the engine may have executed the call; false once it has rejected the call as overloaded.
     pub may_have_run: bool,
 }
 
 /// A result that an engine sent.
 #[derive(Clone)]
 pub struct ResultRecord {
-    /// The number of the request id.
+    /// The number that the request id of the call encodes.
     pub request_number: u64,
-    /// The rows of the result.
+    /// The rows of the result, which differ for each call.
     pub rows: String,
 }
 
 /// The router and its environment.
 #[derive(Clone)]
 pub struct RouterState {
-    /// The clock.
+    /// The current time; a run begins at [`START_TIME`].
     pub now: Duration,
     /// The system under test.
     pub server: Server,
-    /// The clients.
+    /// The clients, in the order of the scenario.
     pub clients: Vec<ClientRecord>,
     /// The requests that were sent completely, in the order of sending.
     pub requests: Vec<RequestRecord>,
@@ -112,13 +114,13 @@
     pub calls: Vec<CallRecord>,
     /// The results that engines sent.
     pub results: Vec<ResultRecord>,
-    /// Number of engine connections that were reset or refused.
+    /// Number of engine connections that were reset or refused so far.
     pub faults: u8,
-    /// Whether the first engine is draining.
+    /// Whether the endpoint list has reported the first engine as draining.
     pub is_draining: bool,
     /// Whether the process has received the signal to terminate.
     pub is_terminating: bool,
-    /// The name of the first violated invariant.
+    /// The name of the first violated invariant; `None` if all hold.
     pub violated: Option<&'static str>,
 }
 
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Whether a request still requires an answer. A request that the server has answered requires none while a slow
-    /// client is still reading.
+    /// Whether a request still requires an answer. A slow client cannot read an answer that the router has already
+    /// written, so such a request counts as answered.
     pub fn is_open(&self, request: &RequestRecord) -> bool {
         let client = &self.clients[request.client];
         let is_being_read =
@@ -165,13 +167,13 @@
         request.answers == 0 && !request.is_cancelled && client.is_connected && !is_being_read
     }
 
-    /// Returns the first open request with this number.
+    /// Returns the position of the first open request with this number; `None` if there is none.
     pub fn open_request(&self, request_number: u64) -> Option<usize> {
         let is_named = |request: &RequestRecord| request.request_number == request_number;
         self.requests.iter().position(|request| is_named(request) && self.is_open(request))
     }
 
-    /// Returns events that a faulty router could emit in this state.
+    /// Returns events that a faulty router could emit in this state, to find the invariants that the state exercises.
     pub fn hypothetical_events(&self) -> Vec<Event> {
         let mut events = vec![Event::Terminal, Event::TimePasses { to: Duration::MAX }];
         for (position, record) in self.requests.iter().enumerate() {
@@ -188,7 +190,7 @@
         events
     }
 
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything that influences later transitions and violations.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.server.fingerprint(&mut hasher);
@@ -216,7 +218,7 @@
     }
 }
 
-/// Returns the endpoint list's record of an engine that is ready.
+/// Returns the row of the endpoint list for the engine with this index, as ready.
 pub fn endpoint_record(engine: u32) -> EndpointRecord {
     ready_endpoint(engine, FIRST_ENGINE_PORT + engine as u16)
 }
--- a/crates/model-checker/src/router_model/transition.rs
+++ b/crates/model-checker/src/router_model/transition.rs
@@ -7,7 +7,7 @@
 /// An action of a client, an engine or the operator, or the passing of time.
 #[derive(Clone, Copy, Debug)]
 pub enum Transition {
-    /// A client sends a line, or the first piece of it.
+    /// A client sends the line at this index of the scenario, or its first piece.
     SendLine { client: usize, line: usize },
     /// A client sends the second piece of a line.
     SendRest { client: usize },
@@ -17,9 +17,9 @@
     ResetClient { client: usize },
     /// A slow client resumes reading.
     ResumeReading { client: usize },
-    /// A connection to an engine is established.
+    /// A connection that the router has dialled is established.
     Connect { connection: Slot },
-    /// A connection to an engine is refused.
+    /// An engine refuses a connection that the router has dialled.
     Refuse { connection: Slot },
     /// An engine answers a call with a result.
     AnswerResult { connection: Slot, call: usize },
@@ -35,7 +35,7 @@
     DrainEngine,
     /// The process receives the signal to terminate.
     Terminate,
-    /// Time passes to the next timer.
+    /// The clock advances to the next timer of the router.
     PassTime,
 }
 
