--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -31,9 +31,9 @@
 /// The exit status of an exploration that the time or memory limit has stopped.
 const EXIT_INCOMPLETE: u8 = 3;
 /// Time limit of all scenarios together, without `--time`.
-const DEFAULT_TIME: Duration = Duration::from_secs(300);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(300);
 /// Memory limit of the process in MiB, without `--memory`.
-const DEFAULT_MEMORY_MB: u64 = 8000;
+const DEFAULT_MEMORY_LIMIT_MIB: u64 = 8000;
 
 enum Command {
     Explore { names: Vec<String>, options: Options },
@@ -46,14 +46,19 @@
 struct Options {
     short_set_only: bool,
     time: Duration,
-    memory_mb: u64,
+    memory_mib: u64,
     /// Number of threads; 0 means one thread for each core.
     threads: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { short_set_only: false, time: DEFAULT_TIME, memory_mb: DEFAULT_MEMORY_MB, threads: 0 }
+        Self {
+            short_set_only: false,
+            time: DEFAULT_TIME_LIMIT,
+            memory_mib: DEFAULT_MEMORY_LIMIT_MIB,
+            threads: 0,
+        }
     }
 }
 
@@ -99,7 +104,7 @@
         match argument {
             Long("short") => options.short_set_only = true,
             Long("time") => options.time = Duration::from_secs(arguments.value()?.parse()?),
-            Long("memory") => options.memory_mb = arguments.value()?.parse()?,
+            Long("memory") => options.memory_mib = arguments.value()?.parse()?,
             Long("threads") => options.threads = arguments.value()?.parse()?,
             Short('h') | Long("help") => return Ok(Command::Help),
             Value(operand) => operands.push(operand.string()?),
@@ -139,51 +144,54 @@
     if let Err(error) = thread_pool {
         return usage_error(&error.to_string());
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut incomplete = Vec::new();
     println!(
         "{:28} {:>9} {:>6} {:>5} {:>9} {:>8} {:>8}  covered",
         "scenario", "states", "final", "depth", "states/s", "seconds", "MiB"
     );
     for entry in entries {
-        let time_left = options.time.saturating_sub(begun.elapsed());
-        let report = (entry.check)(time_left, options.memory_mb);
+        let time_left = options.time.saturating_sub(started_at.elapsed());
+        let report = (entry.check)(time_left, options.memory_mib);
         print_row(entry.name, &report);
         if report.violation.is_some() {
             print_violation(entry.name, &report);
             return ExitCode::FAILURE;
         }
-        if matches!(report.extent.coverage, Coverage::OutOfTime | Coverage::OutOfMemory) {
+        if matches!(report.statistics.coverage, Coverage::OutOfTime | Coverage::OutOfMemory) {
             incomplete.push(entry.name);
         }
     }
     if !incomplete.is_empty() {
-        println!("\nthe time or memory limit stopped these scenarios before every state was checked: {}", incomplete.join(", "));
+        println!(
+            "\nthe time or memory limit stopped these scenarios before every state was checked: {}",
+            incomplete.join(", ")
+        );
         return ExitCode::from(EXIT_INCOMPLETE);
     }
-    conclude(is_full_set, begun.elapsed())
+    conclude(is_full_set, started_at.elapsed())
 }
 
 fn print_row(name: &str, report: &CheckReport) {
-    let extent = &report.extent;
-    let seconds = extent.elapsed.as_secs_f64();
+    let statistics = &report.statistics;
+    let seconds = statistics.elapsed.as_secs_f64();
     println!(
         "{name:28} {:>9} {:>6} {:>5} {:>9.0} {seconds:>8.1} {:>8}  {}",
-        extent.states,
-        extent.terminal_states,
-        extent.depth,
-        extent.states as f64 / seconds,
-        extent.memory_mb,
+        statistics.states,
+        statistics.terminal_states,
+        statistics.depth,
+        statistics.states as f64 / seconds,
+        statistics.peak_memory_mib,
         coverage_text(report)
     );
 }
 
 fn coverage_text(report: &CheckReport) -> String {
-    let depth = report.extent.depth;
+    let depth = report.statistics.depth;
     if report.violation.is_some() {
         return "stopped at a violated invariant".to_owned();
     }
-    match report.extent.coverage {
+    match report.statistics.coverage {
         Coverage::Complete => "complete".to_owned(),
         Coverage::ToDepth => format!("complete to depth {depth}"),
         Coverage::OutOfTime => format!("incomplete beyond depth {depth}: out of time"),
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -100,9 +100,9 @@
         mirror(&root.join(part), &copy.join(part)).map_err(|source| PlantError::Copy { part, source })?;
     }
     edit_file(&copy, mutant)?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     build(root, &copy)?;
-    let (build_time, begun) = (begun.elapsed(), Instant::now());
+    let (build_time, started_at) = (started_at.elapsed(), Instant::now());
     // Most mutants are caught in the scenarios closest to them, which is faster than all scenarios.
     let mut checked = check(root, &closest_scenarios(mutant))?;
     if checked.status.success() {
@@ -113,7 +113,7 @@
         caught_by: caught_by(&output, checked.status.code()),
         scenario: output.split('`').nth(1).unwrap_or_default().to_owned(),
         build_time,
-        check_time: begun.elapsed(),
+        check_time: started_at.elapsed(),
     })
 }
 
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -7,7 +7,7 @@
 use crate::module_model::{self, ModuleModel, counterexample, scenario::Scenario};
 use crate::queue_model::{self, scenario::QueueScenario};
 use crate::router_model::{self, scenario::RouterScenario};
-use crate::search::{Bounds, Extent, Model, Step, explore};
+use crate::search::{Model, SearchLimits, SearchStatistics, Step, explore};
 use crate::witness;
 use std::fmt::Debug;
 use std::time::Duration;
@@ -57,7 +57,7 @@
 /// The result of the exploration of a scenario.
 pub struct CheckReport {
     /// The size and cost of the search.
-    pub extent: Extent,
+    pub statistics: SearchStatistics,
     /// The first violation; `None` if every invariant holds in the explored states.
     pub violation: Option<Counterexample>,
 }
@@ -128,10 +128,10 @@
 }
 
 fn module_entry(scenario: &'static Scenario) -> Entry {
-    let check = move |time, memory_mb| {
+    let check = move |time, memory_mib| {
         let model = ModuleModel::new(scenario);
-        let bounds = Bounds { time, memory_mb, max_depth: scenario.max_depth };
-        check(&model, bounds, |path| counterexample::test(&model, path))
+        let limits = SearchLimits { time, memory_mib, max_depth: scenario.max_depth };
+        check(&model, limits, |path| counterexample::test(&model, path))
     };
     Entry {
         name: scenario.name,
@@ -169,9 +169,9 @@
 where
     M::Transition: Debug,
 {
-    let check = move |time, memory_mb| {
-        let bounds = Bounds { time, memory_mb, max_depth };
-        check(model, bounds, |path| recorded_path_test(name, path))
+    let check = move |time, memory_mib| {
+        let limits = SearchLimits { time, memory_mib, max_depth };
+        check(model, limits, |path| recorded_path_test(name, path))
     };
     Entry {
         name,
@@ -182,14 +182,14 @@
     }
 }
 
-fn check<M: Model>(model: &M, bounds: Bounds, test: impl Fn(&[Step<M>]) -> String) -> CheckReport {
-    let report = explore(model, bounds);
+fn check<M: Model>(model: &M, limits: SearchLimits, test: impl Fn(&[Step<M>]) -> String) -> CheckReport {
+    let report = explore(model, limits);
     let violation = report.violation.map(|violation| Counterexample {
         invariant: violation.invariant,
         transitions: violation.path.len(),
         test: test(&violation.path),
     });
-    CheckReport { extent: report.extent, violation }
+    CheckReport { statistics: report.statistics, violation }
 }
 
 /// Returns the source of a test that replays a path, to be pasted into `tests/walk.rs`.
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -43,11 +43,11 @@
 
 /// The limits at which a search stops.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct SearchLimits {
     /// Wall-clock time of the search.
     pub time: Duration,
     /// Resident memory of the process, in MiB.
-    pub memory_mb: u64,
+    pub memory_mib: u64,
     /// Number of transitions from the initial state at which states are no longer expanded; `None` for no limit. Only
     /// expanded states are checked for violations.
     pub max_depth: Option<usize>,
@@ -58,7 +58,7 @@
 pub enum Coverage {
     /// Every reachable state.
     Complete,
-    /// Every state that is fewer than [`Bounds::max_depth`] transitions from the initial state.
+    /// Every state that is fewer than [`SearchLimits::max_depth`] transitions from the initial state.
     ToDepth,
     /// The states before the time limit was reached.
     OutOfTime,
@@ -84,7 +84,7 @@
 
 /// The size and cost of a search.
 #[derive(Clone, Debug)]
-pub struct Extent {
+pub struct SearchStatistics {
     /// Number of distinct states that were reached, including those that were not expanded.
     pub states: usize,
     /// Number of expanded states in which no transition is enabled.
@@ -96,13 +96,13 @@
     /// Wall-clock time of the search.
     pub elapsed: Duration,
     /// The largest resident memory that was observed between two batches of states, in MiB.
-    pub memory_mb: u64,
+    pub peak_memory_mib: u64,
 }
 
 /// The result of a search.
 pub struct SearchReport<M: Model> {
     /// The size and cost of the search.
-    pub extent: Extent,
+    pub statistics: SearchStatistics,
     /// The first violation; `None` if every invariant holds in the expanded states.
     pub violation: Option<Violation<M>>,
 }
@@ -125,24 +125,24 @@
 
 /// For the fingerprint of each reached state, the fingerprint of the state from which it was reached first, and the
 /// index of the transition among those enabled there.
-type Origins = HashMap<u64, (u64, u32), BuildHasherDefault<IdentityHasher>>;
+type Predecessors = HashMap<u64, (u64, u32), BuildHasherDefault<IdentityHasher>>;
 
 /// Visits the reachable states of a model until all are visited, an invariant is violated or a limit is reached.
-pub fn explore<M: Model>(model: &M, bounds: Bounds) -> SearchReport<M> {
-    let mut search = Search::new(model, bounds);
+pub fn explore<M: Model>(model: &M, limits: SearchLimits) -> SearchReport<M> {
+    let mut search = Search::new(model, limits);
     let violation = match search.run() {
         Ok(()) => None,
         Err(Stop::LimitReached(coverage)) => {
-            search.extent.coverage = coverage;
+            search.statistics.coverage = coverage;
             None
         }
         Err(Stop::Violated { invariant, fingerprint }) => {
             Some(Violation { invariant, path: search.path_to(fingerprint) })
         }
     };
-    search.extent.states = search.origins.len();
-    search.extent.elapsed = search.begun.elapsed();
-    SearchReport { extent: search.extent, violation }
+    search.statistics.states = search.predecessors.len();
+    search.statistics.elapsed = search.started_at.elapsed();
+    SearchReport { statistics: search.statistics, violation }
 }
 
 /// The reason why a search ended before every state was visited.
@@ -170,36 +170,36 @@
 /// A search in progress.
 struct Search<'a, M: Model> {
     model: &'a M,
-    bounds: Bounds,
-    begun: Instant,
-    origins: Origins,
-    extent: Extent,
+    limits: SearchLimits,
+    started_at: Instant,
+    predecessors: Predecessors,
+    statistics: SearchStatistics,
 }
 
 impl<'a, M: Model> Search<'a, M> {
-    fn new(model: &'a M, bounds: Bounds) -> Self {
-        let extent = Extent {
+    fn new(model: &'a M, limits: SearchLimits) -> Self {
+        let statistics = SearchStatistics {
             states: 1,
             terminal_states: 0,
             depth: 0,
             coverage: Coverage::Complete,
             elapsed: Duration::ZERO,
-            memory_mb: 0,
+            peak_memory_mib: 0,
         };
-        Self { model, bounds, begun: Instant::now(), origins: Origins::default(), extent }
+        Self { model, limits, started_at: Instant::now(), predecessors: Predecessors::default(), statistics }
     }
 
     fn run(&mut self) -> Result<(), Stop> {
         let initial_state = self.model.initial_state();
         let fingerprint = self.model.fingerprint(&initial_state);
-        self.origins.insert(fingerprint, (fingerprint, NO_TRANSITION));
+        self.predecessors.insert(fingerprint, (fingerprint, NO_TRANSITION));
         let mut level = vec![initial_state];
         while !level.is_empty() {
-            if self.bounds.max_depth.is_some_and(|max_depth| self.extent.depth >= max_depth) {
+            if self.limits.max_depth.is_some_and(|max_depth| self.statistics.depth >= max_depth) {
                 return Err(Stop::LimitReached(Coverage::ToDepth));
             }
             level = self.expand_level(level)?;
-            self.extent.depth += usize::from(!level.is_empty());
+            self.statistics.depth += usize::from(!level.is_empty());
         }
         Ok(())
     }
@@ -234,7 +234,7 @@
         for (transition, index) in transitions.iter().zip(0..) {
             let successor = self.model.apply(state, transition);
             let fingerprint = self.model.fingerprint(&successor);
-            if !self.origins.contains_key(&fingerprint) {
+            if !self.predecessors.contains_key(&fingerprint) {
                 successors.push(Successor { fingerprint, transition: index, state: successor });
             }
         }
@@ -242,12 +242,12 @@
     }
 
     fn record(&mut self, expansion: Expansion<M::State>, next_level: &mut Vec<M::State>) -> Result<(), Stop> {
-        self.extent.terminal_states += usize::from(expansion.is_terminal);
+        self.statistics.terminal_states += usize::from(expansion.is_terminal);
         if let Some(invariant) = expansion.violated {
             return Err(Stop::Violated { invariant, fingerprint: expansion.fingerprint });
         }
         for successor in expansion.successors {
-            if let Entry::Vacant(entry) = self.origins.entry(successor.fingerprint) {
+            if let Entry::Vacant(entry) = self.predecessors.entry(successor.fingerprint) {
                 entry.insert((expansion.fingerprint, successor.transition));
                 next_level.push(successor.state);
             }
@@ -256,11 +256,11 @@
     }
 
     fn check_limits(&mut self) -> Result<(), Stop> {
-        self.extent.memory_mb = self.extent.memory_mb.max(resident_mb());
-        if self.begun.elapsed() > self.bounds.time {
+        self.statistics.peak_memory_mib = self.statistics.peak_memory_mib.max(resident_mib());
+        if self.started_at.elapsed() > self.limits.time {
             return Err(Stop::LimitReached(Coverage::OutOfTime));
         }
-        if self.extent.memory_mb > self.bounds.memory_mb {
+        if self.statistics.peak_memory_mib > self.limits.memory_mib {
             return Err(Stop::LimitReached(Coverage::OutOfMemory));
         }
         Ok(())
@@ -271,11 +271,11 @@
     fn path_to(&self, fingerprint: u64) -> Vec<Step<M>> {
         let mut indices = Vec::new();
         let mut current = fingerprint;
-        while let Some((origin, index)) =
-            self.origins.get(&current).filter(|(_, index)| *index != NO_TRANSITION)
+        while let Some((predecessor, index)) =
+            self.predecessors.get(&current).filter(|(_, index)| *index != NO_TRANSITION)
         {
             indices.push(*index as usize);
-            current = *origin;
+            current = *predecessor;
         }
         let mut state = self.model.initial_state();
         let mut path = Vec::new();
@@ -291,7 +291,7 @@
 }
 
 /// Returns the resident memory of this process, in MiB; 0 if `/proc/self/statm` cannot be read.
-pub fn resident_mb() -> u64 {
+pub fn resident_mib() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * PAGE_BYTES / BYTES_PER_MIB
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -3,19 +3,19 @@
 use emberflow_model_checker::former_names::{FORMER_MUTANT_NAMES, FORMER_SCENARIO_NAMES};
 use emberflow_model_checker::mutants::{MUTANTS, edited};
 use emberflow_model_checker::registry::scenario;
-use emberflow_model_checker::search::{Bounds, Coverage, Model, explore};
+use emberflow_model_checker::search::{Coverage, Model, SearchLimits, explore};
 use expect_test::expect;
 use std::process::Command;
 use std::time::Duration;
 
-const WIDE: Bounds = Bounds { time: Duration::from_secs(600), memory_mb: 8000, max_depth: None };
+const WIDE: SearchLimits = SearchLimits { time: Duration::from_secs(600), memory_mib: 8000, max_depth: None };
 
 /// Checks that all invariants hold in every reachable state of a scenario.
 fn holds(name: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
-    let report = (scenario.check)(WIDE.time, WIDE.memory_mb);
-    assert_eq!((report.violation, report.extent.coverage), (None, Coverage::Complete), "{name}");
-    assert!(report.extent.terminal_states > 0, "{name} never ends");
+    let report = (scenario.check)(WIDE.time, WIDE.memory_mib);
+    assert_eq!((report.violation, report.statistics.coverage), (None, Coverage::Complete), "{name}");
+    assert!(report.statistics.terminal_states > 0, "{name} never ends");
 }
 
 /// Checks that a recorded path can be replayed and violates no invariant.
@@ -195,10 +195,10 @@
 
 #[test]
 fn a_search_that_runs_out_never_says_that_it_was_complete() {
-    let coverage = |bounds| format!("{:?}", explore(&Numbers, bounds).extent.coverage);
-    let deep = coverage(Bounds { max_depth: Some(3), ..WIDE });
-    let late = coverage(Bounds { time: Duration::ZERO, ..WIDE });
-    let full = coverage(Bounds { memory_mb: 0, ..WIDE });
+    let coverage = |limits| format!("{:?}", explore(&Numbers, limits).statistics.coverage);
+    let deep = coverage(SearchLimits { max_depth: Some(3), ..WIDE });
+    let late = coverage(SearchLimits { time: Duration::ZERO, ..WIDE });
+    let full = coverage(SearchLimits { memory_mib: 0, ..WIDE });
     expect![["ToDepth OutOfTime OutOfMemory"]].assert_eq(&format!("{deep} {late} {full}"));
 }
 
