--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -2,7 +2,7 @@
 
 use crate::former_names::current_scenario_name;
 use crate::mutants;
-use crate::registry::{CheckReport, Entry, InvariantEntry, invariants, scenarios};
+use crate::registry::{CheckReport, InvariantEntry, ScenarioEntry, invariants, scenarios};
 use crate::search::Coverage;
 use lexopt::prelude::*;
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
 enum Command {
     Explore { names: Vec<String>, options: Options },
     ListScenarios,
-    PlantMutants { names: Vec<String> },
+    RunMutants { names: Vec<String> },
     Help,
 }
 
@@ -65,12 +65,12 @@
 /// Runs the program with the arguments of the process.
 pub fn run() -> ExitCode {
     match parse(lexopt::Parser::from_env()) {
-        Ok(Command::Explore { names, options }) => match selected(&names, &options) {
+        Ok(Command::Explore { names, options }) => match select_scenarios(&names, &options) {
             Ok(entries) => run_exploration(&entries, names.is_empty() && !options.short_set_only, &options),
             Err(name) => usage_error(&format!("no scenario `{name}`; `scenarios` lists them")),
         },
         Ok(Command::ListScenarios) => list_scenarios(),
-        Ok(Command::PlantMutants { names }) => mutants::run(&names),
+        Ok(Command::RunMutants { names }) => mutants::run(&names),
         Ok(Command::Help) => {
             println!("{USAGE}");
             ExitCode::SUCCESS
@@ -115,7 +115,7 @@
         Some("mutants" | "scenarios" | "worlds" | "help") if has_options => {
             Err("--short, --time, --memory and --threads apply only to an exploration".into())
         }
-        Some("mutants") => Ok(Command::PlantMutants { names: operands.split_off(1) }),
+        Some("mutants") => Ok(Command::RunMutants { names: operands.split_off(1) }),
         Some("scenarios" | "worlds") if operands.len() == 1 => Ok(Command::ListScenarios),
         Some("help") => Ok(Command::Help),
         _ => Ok(Command::Explore { names: operands, options }),
@@ -124,13 +124,13 @@
 
 /// Returns the scenarios with these names or former names; without names, all scenarios. The option `--short` keeps
 /// only those of the short set. The error is the first unknown name.
-fn selected<'a>(names: &'a [String], options: &Options) -> Result<Vec<Entry>, &'a str> {
+fn select_scenarios<'a>(names: &'a [String], options: &Options) -> Result<Vec<ScenarioEntry>, &'a str> {
     let entries = scenarios();
     let is_unknown = |name: &&String| entries.iter().all(|entry| entry.name != current_scenario_name(name));
     if let Some(name) = names.iter().find(is_unknown) {
         return Err(name);
     }
-    let is_selected = |entry: &Entry| {
+    let is_selected = |entry: &ScenarioEntry| {
         let is_named = names.is_empty() || names.iter().any(|name| current_scenario_name(name) == entry.name);
         is_named && (entry.in_short_set || !options.short_set_only)
     };
@@ -139,7 +139,7 @@
 
 /// Explores scenarios one after another until the first violation. `is_full_set` is true if the scenarios are all there
 /// are, so that every invariant must be exercised.
-fn run_exploration(entries: &[Entry], is_full_set: bool, options: &Options) -> ExitCode {
+fn run_exploration(entries: &[ScenarioEntry], is_full_set: bool, options: &Options) -> ExitCode {
     let thread_pool = rayon::ThreadPoolBuilder::new().num_threads(options.threads).build_global();
     if let Err(error) = thread_pool {
         return usage_error(&error.to_string());
@@ -169,7 +169,7 @@
         );
         return ExitCode::from(EXIT_INCOMPLETE);
     }
-    conclude(is_full_set, started_at.elapsed())
+    print_result(is_full_set, started_at.elapsed())
 }
 
 fn print_row(name: &str, report: &CheckReport) {
@@ -205,12 +205,15 @@
     let invariant = invariants.iter().find(|invariant| invariant.name == violation.invariant);
     let description = invariant.map_or("", |invariant| invariant.description);
     println!("\n{VIOLATION_PREFIX}{}: {description}", violation.invariant);
-    println!("after {} transitions in scenario `{name}`:\n\n{}", violation.transitions, violation.test);
+    println!(
+        "after {} transitions in scenario `{name}`:\n\n{}",
+        violation.transitions, violation.test_source
+    );
 }
 
 /// Prints the result of an exploration in which every invariant held. The full set of scenarios fails if an invariant
 /// was not exercised.
-fn conclude(is_full_set: bool, elapsed: Duration) -> ExitCode {
+fn print_result(is_full_set: bool, elapsed: Duration) -> ExitCode {
     let invariants = invariants();
     let is_unexercised = |invariant: &&InvariantEntry| !invariant.is_exercised();
     let unexercised: Vec<_> =
--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -49,5 +49,5 @@
 impl ObservedModel for ConnectionScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::CONNECTIONS;
+    const FIRST_WITNESS_BIT: usize = witness::CONNECTION_FIRST_BIT;
 }
--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -62,5 +62,5 @@
 impl ObservedModel for DiscoveryScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::DISCOVERY;
+    const FIRST_WITNESS_BIT: usize = witness::DISCOVERY_FIRST_BIT;
 }
--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/module_model.rs
@@ -126,5 +126,5 @@
 impl ObservedModel for ModuleModel {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::MODULE;
+    const FIRST_WITNESS_BIT: usize = witness::SCHEDULER_FIRST_BIT;
 }
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/module_model/counterexample.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 
 /// Returns the source of a test that takes the path, to be pasted into `tests/traces/`.
-pub fn test(model: &ModuleModel, path: &[Step<ModuleModel>]) -> String {
+pub fn test_source(model: &ModuleModel, path: &[Step<ModuleModel>]) -> String {
     let name = model.name.replace([' ', '-'], "_");
     let setup = match model.setup.text {
         "{}" => "|_, _, _| ()".to_owned(),
--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -55,5 +55,5 @@
 impl ObservedModel for QueueScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::QUEUES;
+    const FIRST_WITNESS_BIT: usize = witness::QUEUE_FIRST_BIT;
 }
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -20,7 +20,7 @@
 pub type Replay = Box<dyn Fn(&str) -> Result<(), ReplayError>>;
 
 /// A scenario of any model.
-pub struct Entry {
+pub struct ScenarioEntry {
     /// The name on the command line and in tests.
     pub name: &'static str,
     /// The description that the command `scenarios` prints.
@@ -71,7 +71,7 @@
     pub transitions: usize,
     /// The source of a test that takes the path: for the scheduler model in the form of `tests/traces/`, for the other
     /// models in the form of this crate's `tests/walk.rs`.
-    pub test: String,
+    pub test_source: String,
 }
 
 /// An invariant of any model.
@@ -92,8 +92,9 @@
 }
 
 /// Returns the scenarios of all models, in the order in which they are explored.
-pub fn scenarios() -> Vec<Entry> {
-    let mut entries: Vec<Entry> = module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
+pub fn scenarios() -> Vec<ScenarioEntry> {
+    let mut entries: Vec<ScenarioEntry> =
+        module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
     entries.extend(connection_model::scenarios::SCENARIOS.iter().map(connection_entry));
     entries.extend(router_model::scenarios::SCENARIOS.iter().map(router_entry));
     entries.extend(discovery_model::scenario::SCENARIOS.iter().map(discovery_entry));
@@ -102,7 +103,7 @@
 }
 
 /// Returns the scenario with this name or former name; `None` if there is none.
-pub fn scenario(name: &str) -> Option<Entry> {
+pub fn scenario(name: &str) -> Option<ScenarioEntry> {
     let name = current_scenario_name(name);
     scenarios().into_iter().find(|entry| entry.name == name)
 }
@@ -127,13 +128,13 @@
     }));
 }
 
-fn module_entry(scenario: &'static Scenario) -> Entry {
+fn module_entry(scenario: &'static Scenario) -> ScenarioEntry {
     let check = move |time, memory_mib| {
         let model = ModuleModel::new(scenario);
         let limits = SearchLimits { time, memory_mib, max_depth: scenario.max_depth };
-        check(&model, limits, |path| counterexample::test(&model, path))
+        search(&model, limits, |path| counterexample::test_source(&model, path))
     };
-    Entry {
+    ScenarioEntry {
         name: scenario.name,
         description: scenario.description,
         in_short_set: scenario.in_short_set,
@@ -142,38 +143,44 @@
     }
 }
 
-fn connection_entry(scenario: &'static ConnectionScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
+fn connection_entry(scenario: &'static ConnectionScenario) -> ScenarioEntry {
+    recorded_path_entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
-fn router_entry(scenario: &'static RouterScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, scenario.max_depth)
+fn router_entry(scenario: &'static RouterScenario) -> ScenarioEntry {
+    recorded_path_entry(
+        scenario,
+        scenario.name,
+        scenario.description,
+        scenario.in_short_set,
+        scenario.max_depth,
+    )
 }
 
-fn discovery_entry(scenario: &'static DiscoveryScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
+fn discovery_entry(scenario: &'static DiscoveryScenario) -> ScenarioEntry {
+    recorded_path_entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
-fn queue_entry(scenario: &'static QueueScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
+fn queue_entry(scenario: &'static QueueScenario) -> ScenarioEntry {
+    recorded_path_entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
 /// Returns the entry of a scenario whose counterexamples are recorded paths.
-fn entry<M: Model>(
+fn recorded_path_entry<M: Model>(
     model: &'static M,
     name: &'static str,
     description: &'static str,
     in_short_set: bool,
     max_depth: Option<usize>,
-) -> Entry
+) -> ScenarioEntry
 where
     M::Transition: Debug,
 {
     let check = move |time, memory_mib| {
         let limits = SearchLimits { time, memory_mib, max_depth };
-        check(model, limits, |path| recorded_path_test(name, path))
+        search(model, limits, |path| recorded_path_test(name, path))
     };
-    Entry {
+    ScenarioEntry {
         name,
         description,
         in_short_set,
@@ -182,12 +189,16 @@
     }
 }
 
-fn check<M: Model>(model: &M, limits: SearchLimits, test: impl Fn(&[Step<M>]) -> String) -> CheckReport {
+fn search<M: Model>(
+    model: &M,
+    limits: SearchLimits,
+    test_source: impl Fn(&[Step<M>]) -> String,
+) -> CheckReport {
     let report = explore(model, limits);
     let violation = report.violation.map(|violation| Counterexample {
         invariant: violation.invariant,
         transitions: violation.path.len(),
-        test: test(&violation.path),
+        test_source: test_source(&violation.path),
     });
     CheckReport { statistics: report.statistics, violation }
 }
@@ -199,7 +210,7 @@
 {
     let name: String = scenario.chars().map(|c| if c.is_alphanumeric() { c } else { '_' }).collect();
     let lines: String = path.iter().map(|step| format!("        {:?}\n", step.transition)).collect();
-    format!("#[test]\nfn {name}_holds() {{\n    follow({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
+    format!("#[test]\nfn {name}_holds() {{\n    assert_path_holds({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
 }
 
 /// Takes the transitions of a recorded path from the initial state, and checks the invariants in every state.
--- a/crates/model-checker/src/router_model.rs
+++ b/crates/model-checker/src/router_model.rs
@@ -48,5 +48,5 @@
 impl ObservedModel for RouterScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::ROUTER;
+    const FIRST_WITNESS_BIT: usize = witness::ROUTER_FIRST_BIT;
 }
--- a/crates/model-checker/src/witness.rs
+++ b/crates/model-checker/src/witness.rs
@@ -8,15 +8,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The first bit of the invariants of the module model.
-pub const MODULE: usize = 0;
+pub const SCHEDULER_FIRST_BIT: usize = 0;
 /// The first bit of the invariants of the connection model.
-pub const CONNECTIONS: usize = 20;
+pub const CONNECTION_FIRST_BIT: usize = 20;
 /// The first bit of the invariants of the router model.
-pub const ROUTER: usize = 30;
+pub const ROUTER_FIRST_BIT: usize = 30;
 /// The first bit of the invariants of the discovery model.
-pub const DISCOVERY: usize = 40;
+pub const DISCOVERY_FIRST_BIT: usize = 40;
 /// The first bit of the invariants of the queue model.
-pub const QUEUES: usize = 50;
+pub const QUEUE_FIRST_BIT: usize = 50;
 
 /// One bit for each invariant that was exercised in this process.
 static EXERCISED: AtomicU64 = AtomicU64::new(0);
@@ -26,19 +26,19 @@
     EXERCISED.load(Ordering::Relaxed) & (1 << bit) != 0
 }
 
-/// Whether all of the `count` invariants from the bit at position `first` on were exercised.
-pub fn all_exercised(first: usize, count: usize) -> bool {
-    let all = ((1 << count) - 1) << first;
-    EXERCISED.load(Ordering::Relaxed) & all == all
+/// Whether all of the `count` invariants from the bit at position `first_bit` on were exercised.
+pub fn all_exercised(first_bit: usize, count: usize) -> bool {
+    let mask = ((1 << count) - 1) << first_bit;
+    EXERCISED.load(Ordering::Relaxed) & mask == mask
 }
 
 /// Records the invariant that an event would violate, if it would violate exactly one. `violated` says for each
-/// invariant of a model, in order, whether the event would violate it; `first` is the position of the first
+/// invariant of a model, in order, whether the event would violate it; `first_bit` is the position of the first
 /// invariant's bit.
-pub fn record(first: usize, violated: impl Iterator<Item = bool>) {
+pub fn record(first_bit: usize, violated: impl Iterator<Item = bool>) {
     let positions: Vec<usize> =
         violated.enumerate().filter(|(_, violated)| *violated).map(|(position, _)| position).collect();
-    if let [only] = positions[..] {
-        EXERCISED.fetch_or(1 << (first + only), Ordering::Relaxed);
+    if let [position] = positions[..] {
+        EXERCISED.fetch_or(1 << (first_bit + position), Ordering::Relaxed);
     }
 }
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -8,127 +8,128 @@
 use std::process::Command;
 use std::time::Duration;
 
-const WIDE: SearchLimits = SearchLimits { time: Duration::from_secs(600), memory_mib: 8000, max_depth: None };
+const GENEROUS_LIMITS: SearchLimits =
+    SearchLimits { time: Duration::from_secs(600), memory_mib: 8000, max_depth: None };
 
 /// Checks that all invariants hold in every reachable state of a scenario.
-fn holds(name: &str) {
+fn assert_holds(name: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
-    let report = (scenario.check)(WIDE.time, WIDE.memory_mib);
+    let report = (scenario.check)(GENEROUS_LIMITS.time, GENEROUS_LIMITS.memory_mib);
     assert_eq!((report.violation, report.statistics.coverage), (None, Coverage::Complete), "{name}");
     assert!(report.statistics.terminal_states > 0, "{name} never ends");
 }
 
 /// Checks that a recorded path can be replayed and violates no invariant.
-fn follow(name: &str, path: &str) {
+fn assert_path_holds(name: &str, path: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
     assert_eq!((scenario.replay)(path), Ok(()), "{name}");
 }
 
 #[test]
 fn a_drain_in_the_instant_of_an_attempts_end_or_before_the_next_attempt() {
-    holds("drain under an attempt");
+    assert_holds("drain under an attempt");
 }
 
 #[test]
 fn a_client_that_gives_up_in_the_instant_of_the_answer() {
-    holds("late wake-ups");
+    assert_holds("late wake-ups");
 }
 
 #[test]
 fn a_late_first_answer_after_its_attempt_was_cancelled() {
-    holds("silent engine");
+    assert_holds("silent engine");
 }
 
 #[test]
 fn the_process_ends_while_an_attempt_with_a_key_is_in_flight() {
-    holds("shutdown under an attempt");
+    assert_holds("shutdown under an attempt");
 }
 
 #[test]
 fn a_retry_budget_that_suffices_for_one_of_two_requests() {
-    holds("retry budget");
+    assert_holds("retry budget");
 }
 
 #[test]
 fn a_deadline_that_ends_at_the_tick_of_a_wake_up() {
-    holds("no estimates");
+    assert_holds("no estimates");
 }
 
 #[test]
 fn a_part_of_a_warming_engine_that_is_under_one_request() {
-    holds("warming engine, small part");
+    assert_holds("warming engine, small part");
 }
 
 #[test]
 fn a_placement_whose_engines_leave_and_return() {
-    holds("placement");
+    assert_holds("placement");
 }
 
 #[test]
 fn answers_split_repeated_unknown_or_malformed_and_connections_reset() {
-    holds("a connection's faults");
+    assert_holds("a connection's faults");
 }
 
 #[test]
 fn calls_blocked_on_their_connection_when_the_engine_drains() {
-    holds("a narrow connection");
-    holds("two on a narrow connection");
+    assert_holds("a narrow connection");
+    assert_holds("two on a narrow connection");
 }
 
 #[test]
 fn a_key_whose_requests_run_once_or_again_in_order_with_a_cooldown_and_no_cancel() {
-    holds("one key, non-idempotent");
-    holds("one key, two effects");
+    assert_holds("one key, non-idempotent");
+    assert_holds("one key, two effects");
 }
 
 #[test]
 fn a_client_that_withdraws_or_leaves_in_the_instant_of_the_answer() {
-    holds("one client");
+    assert_holds("one client");
 }
 
 #[test]
 fn a_client_that_leaves_with_the_answer_half_written() {
-    holds("a slow reader");
+    assert_holds("a slow reader");
 }
 
 #[test]
 fn an_engine_that_restarts_under_an_attempt_before_its_end_is_known() {
-    holds("restart under an attempt");
+    assert_holds("restart under an attempt");
 }
 
 #[test]
 fn a_client_that_resets_its_connection_beside_one_that_posts() {
-    holds("two clients");
+    assert_holds("two clients");
 }
 
 #[test]
 fn the_process_ends_under_a_drain_a_reset_and_a_non_idempotent_request() {
-    holds("shutdown of the router");
+    assert_holds("shutdown of the router");
 }
 
 #[test]
 fn an_engine_replaced_under_a_new_id_at_its_address() {
-    holds("a connection's answers");
+    assert_holds("a connection's answers");
 }
 
 #[test]
 fn the_process_ends_while_a_request_with_a_key_is_with_an_engine() {
-    holds("shutdown, idempotency key");
+    assert_holds("shutdown, idempotency key");
 }
 
 #[test]
 fn lines_in_pieces_with_time_or_an_end_between() {
-    holds("lines in pieces");
+    assert_holds("lines in pieces");
 }
 
 #[test]
 fn a_list_sent_twice_with_gaps_corrupted_in_pieces_and_again() {
-    holds("the discovery service");
+    assert_holds("the discovery service");
 }
 
 #[test]
 fn a_blocked_call_is_not_begun_after_the_drain() {
-    follow(
+    assert_path_holds(
         "two on a narrow connection",
         "
         SendCall { request: 0 }
@@ -141,7 +142,7 @@
 
 #[test]
 fn a_blocked_call_that_was_cancelled_is_not_begun_after_the_drain() {
-    follow(
+    assert_path_holds(
         "two on a narrow connection",
         "
         SendCall { request: 0 }
@@ -187,7 +188,7 @@
 
 #[test]
 fn the_first_violation_is_reported_with_a_shortest_path() {
-    let violation = explore(&Numbers, WIDE).violation.expect("it is violated at 77");
+    let violation = explore(&Numbers, GENEROUS_LIMITS).violation.expect("it is violated at 77");
     let path: Vec<u64> = violation.path.iter().map(|step| step.transition).collect();
     expect![["odd by [2, 4, 8, 9, 18, 19, 38, 76, 77]"]]
         .assert_eq(&format!("{} by {path:?}", violation.invariant));
@@ -196,9 +197,9 @@
 #[test]
 fn a_search_that_runs_out_never_says_that_it_was_complete() {
     let coverage = |limits| format!("{:?}", explore(&Numbers, limits).statistics.coverage);
-    let deep = coverage(SearchLimits { max_depth: Some(3), ..WIDE });
-    let late = coverage(SearchLimits { time: Duration::ZERO, ..WIDE });
-    let full = coverage(SearchLimits { memory_mib: 0, ..WIDE });
+    let deep = coverage(SearchLimits { max_depth: Some(3), ..GENEROUS_LIMITS });
+    let late = coverage(SearchLimits { time: Duration::ZERO, ..GENEROUS_LIMITS });
+    let full = coverage(SearchLimits { memory_mib: 0, ..GENEROUS_LIMITS });
     expect![["ToDepth OutOfTime OutOfMemory"]].assert_eq(&format!("{deep} {late} {full}"));
 }
 
