--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -4,9 +4,9 @@
 use crate::discovery_model::{self, scenario::DiscoveryScenario};
 use crate::former_names::current_scenario_name;
 use crate::invariants::ObservedModel;
-use crate::module_model::{self, ModuleModel, counterexample, scenario::Scenario};
 use crate::queue_model::{self, scenario::QueueScenario};
 use crate::router_model::{self, scenario::RouterScenario};
+use crate::scheduler_model::{self, SchedulerModel, counterexample, scenario::SchedulerScenario};
 use crate::search::{Model, SearchLimits, SearchStatistics, Step, explore};
 use crate::witness;
 use std::fmt::Debug;
@@ -94,7 +94,7 @@
 /// Returns the scenarios of all models, in the order in which they are explored.
 pub fn scenarios() -> Vec<ScenarioEntry> {
     let mut entries: Vec<ScenarioEntry> =
-        module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
+        scheduler_model::scenarios::SCENARIOS.iter().map(scheduler_entry).collect();
     entries.extend(connection_model::scenarios::SCENARIOS.iter().map(connection_entry));
     entries.extend(router_model::scenarios::SCENARIOS.iter().map(router_entry));
     entries.extend(discovery_model::scenario::SCENARIOS.iter().map(discovery_entry));
@@ -111,7 +111,7 @@
 /// Returns the invariants of all models.
 pub fn invariants() -> Vec<InvariantEntry> {
     let mut entries = Vec::new();
-    append_invariants::<ModuleModel>(&mut entries);
+    append_invariants::<SchedulerModel>(&mut entries);
     append_invariants::<ConnectionScenario>(&mut entries);
     append_invariants::<RouterScenario>(&mut entries);
     append_invariants::<DiscoveryScenario>(&mut entries);
@@ -128,9 +128,9 @@
     }));
 }
 
-fn module_entry(scenario: &'static Scenario) -> ScenarioEntry {
+fn scheduler_entry(scenario: &'static SchedulerScenario) -> ScenarioEntry {
     let check = move |time, memory_mib| {
-        let model = ModuleModel::new(scenario);
+        let model = SchedulerModel::new(scenario);
         let limits = SearchLimits { time, memory_mib, max_depth: scenario.max_depth };
         search(&model, limits, |path| counterexample::test_source(&model, path))
     };
@@ -139,7 +139,7 @@
         description: scenario.description,
         in_short_set: scenario.in_short_set,
         check: Box::new(check),
-        replay: Box::new(move |path| replay(&ModuleModel::new(scenario), path)),
+        replay: Box::new(move |path| replay(&SchedulerModel::new(scenario), path)),
     }
 }
 
--- a/crates/model-checker/src/module_model.rs
+++ b/crates/model-checker/src/scheduler_model.rs
@@ -20,8 +20,8 @@
 use crate::witness;
 use emberflow::{Arrival, AttemptLimits, Effect, EngineId, Fleet, RequestClass, RequestId};
 use event::Event;
-use scenario::Scenario;
-use state::ModuleState;
+use scenario::SchedulerScenario;
+use state::SchedulerModelState;
 use std::ops::Deref;
 use std::time::Duration;
 use transition::Transition;
@@ -30,9 +30,9 @@
 const FINAL_ANSWER_LEAD_TICKS: u32 = 4;
 
 /// A scenario together with the settings of its scheduler.
-pub struct ModuleModel {
+pub struct SchedulerModel {
     /// The scenario.
-    pub scenario: &'static Scenario,
+    pub scenario: &'static SchedulerScenario,
     /// The scheduler's settings of the fleet.
     pub fleet: Fleet,
     /// The request classes, indexed by [`scenario::RequestSpec::class`].
@@ -41,17 +41,17 @@
     pub attempt_limits: AttemptLimits,
 }
 
-impl Deref for ModuleModel {
-    type Target = Scenario;
+impl Deref for SchedulerModel {
+    type Target = SchedulerScenario;
 
-    fn deref(&self) -> &Scenario {
+    fn deref(&self) -> &SchedulerScenario {
         self.scenario
     }
 }
 
-impl ModuleModel {
+impl SchedulerModel {
     /// Returns the model of a scenario.
-    pub fn new(scenario: &'static Scenario) -> Self {
+    pub fn new(scenario: &'static SchedulerScenario) -> Self {
         let (fleet, classes, attempt_limits) = scenario.settings();
         Self { scenario, fleet, classes, attempt_limits }
     }
@@ -97,33 +97,33 @@
     }
 }
 
-impl Model for ModuleModel {
-    type State = ModuleState;
+impl Model for SchedulerModel {
+    type State = SchedulerModelState;
     type Transition = Transition;
 
-    fn initial_state(&self) -> ModuleState {
+    fn initial_state(&self) -> SchedulerModelState {
         apply::initial_state(self)
     }
 
-    fn transitions(&self, state: &ModuleState, transitions: &mut Vec<Transition>) {
+    fn transitions(&self, state: &SchedulerModelState, transitions: &mut Vec<Transition>) {
         transition::append_enabled(self, state, transitions);
     }
 
-    fn apply(&self, state: &ModuleState, transition: &Transition) -> ModuleState {
+    fn apply(&self, state: &SchedulerModelState, transition: &Transition) -> SchedulerModelState {
         apply::apply(self, state, *transition)
     }
 
-    fn fingerprint(&self, state: &ModuleState) -> u64 {
+    fn fingerprint(&self, state: &SchedulerModelState) -> u64 {
         state.fingerprint
     }
 
-    fn violated(&self, state: &ModuleState, is_terminal: bool) -> Option<&'static str> {
+    fn violated(&self, state: &SchedulerModelState, is_terminal: bool) -> Option<&'static str> {
         let at_end = || observed::first_violated(self, state, &Event::Terminal);
         state.violated.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
 
-impl ObservedModel for ModuleModel {
+impl ObservedModel for SchedulerModel {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
     const FIRST_WITNESS_BIT: usize = witness::SCHEDULER_FIRST_BIT;
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/scheduler_model/apply.rs
@@ -1,21 +1,21 @@
 //! Applies transitions of the scheduler model.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::effects::{apply_events, hypothetical_events};
 use super::event::EventLog;
 use super::inputs;
-use super::state::{EngineRecord, ModuleState};
+use super::state::{EngineRecord, SchedulerModelState};
 use super::transition::Transition;
 use crate::invariants::record_exercised;
 use crate::search::START_TIME;
 use emberflow::{EndpointUpdate, EngineId, Lifecycle, Scheduler};
 
 /// Returns the initial state, in which every engine has just been listed as ready.
-pub fn initial_state(model: &ModuleModel) -> ModuleState {
+pub fn initial_state(model: &SchedulerModel) -> SchedulerModelState {
     let (fleet, classes, attempt_limits) = model.scenario.settings();
     let record =
         EngineRecord { lifecycle: Lifecycle::Ready, is_forgotten: false, launched: None, sent: Vec::new() };
-    let mut state = ModuleState {
+    let mut state = SchedulerModelState {
         now: START_TIME,
         scheduler: Scheduler::new(fleet, classes, attempt_limits),
         requests: Vec::new(),
@@ -40,7 +40,11 @@
 }
 
 /// Returns the state that a transition leads to.
-pub fn apply(model: &ModuleModel, state: &ModuleState, transition: Transition) -> ModuleState {
+pub fn apply(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transition: Transition,
+) -> SchedulerModelState {
     let mut next = state.clone();
     let mut events = EventLog::default();
     if let Some(draw) = random_draw(transition) {
@@ -73,7 +77,12 @@
 }
 
 /// Changes the environment and passes the input to the scheduler, whose actions are appended to `events`.
-fn pass_input(model: &ModuleModel, state: &mut ModuleState, transition: Transition, events: &mut EventLog) {
+fn pass_input(
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
+    transition: Transition,
+    events: &mut EventLog,
+) {
     match transition {
         Transition::Arrive { .. } => inputs::arrive(model, state, events),
         Transition::EndAttempt { request, outcome, .. } => {
--- a/crates/model-checker/src/module_model/counterexample.rs
+++ b/crates/model-checker/src/scheduler_model/counterexample.rs
@@ -1,15 +1,15 @@
 //! Prints a path of the scheduler model as a test in the style of `tests/traces/`.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::scenario::EndpointChange;
-use super::state::ModuleState;
+use super::state::SchedulerModelState;
 use super::transition::Transition;
 use crate::search::Step;
 use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressUpdate};
 use std::fmt::Write;
 
 /// Returns the source of a test that takes the path, to be pasted into `tests/traces/`.
-pub fn test_source(model: &ModuleModel, path: &[Step<ModuleModel>]) -> String {
+pub fn test_source(model: &SchedulerModel, path: &[Step<SchedulerModel>]) -> String {
     let name = model.name.replace([' ', '-'], "_");
     let setup = match model.setup.text {
         "{}" => "|_, _, _| ()".to_owned(),
@@ -32,7 +32,7 @@
 
 /// Returns the source of the calls of `Trace` for a transition: a call that sets the counter of random draws, unless
 /// it is 0, and the input. Returns `None` for the passing of time, which the time of the next call expresses.
-fn trace_call(model: &ModuleModel, state: &ModuleState, transition: Transition) -> Option<String> {
+fn trace_call(model: &SchedulerModel, state: &SchedulerModelState, transition: Transition) -> Option<String> {
     let (draw, call) = match transition {
         Transition::Arrive { draw } => (draw, arrival_call(model, state)),
         Transition::EndAttempt { request, outcome, draw } => (draw, end_call(state, request, outcome)),
@@ -51,7 +51,7 @@
     Some(if draw > 0 { format!(".random_draws({draw}){call}") } else { call })
 }
 
-fn arrival_call(model: &ModuleModel, state: &ModuleState) -> String {
+fn arrival_call(model: &SchedulerModel, state: &SchedulerModelState) -> String {
     let request = &model.requests[state.requests.len()];
     format!(
         ".accept_keyed({}, {}, {:?}, {:?})",
@@ -59,7 +59,7 @@
     )
 }
 
-fn end_call(state: &ModuleState, request: usize, outcome: AttemptOutcome) -> String {
+fn end_call(state: &SchedulerModelState, request: usize, outcome: AttemptOutcome) -> String {
     let record = &state.requests[request];
     let attempt = record.attempts.len() - 1;
     let engine = record.attempts[attempt].engine;
@@ -68,12 +68,12 @@
     format!(".{method}({request}, {attempt}, {engine}, AttemptOutcome::{outcome:?})")
 }
 
-fn progress_call(state: &ModuleState, request: usize, update: ProgressUpdate) -> String {
+fn progress_call(state: &SchedulerModelState, request: usize, update: ProgressUpdate) -> String {
     let attempt = state.requests[request].attempts.len() - 1;
     format!(".progress_updated({request}, {attempt}, ProgressUpdate::{update:?})")
 }
 
-fn endpoint_call(state: &ModuleState, engine: EngineId, change: EndpointChange) -> String {
+fn endpoint_call(state: &SchedulerModelState, engine: EngineId, change: EndpointChange) -> String {
     let record = &state.engine_records[engine.index()];
     let launched = record.launched.map(|at| at.as_millis());
     let (lifecycle, launched) = match change {
--- a/crates/model-checker/src/module_model/effects.rs
+++ b/crates/model-checker/src/scheduler_model/effects.rs
@@ -1,8 +1,8 @@
 //! The effects of the scheduler's actions on the environment of the scheduler model.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::event::{Event, EventLog};
-use super::state::{AttemptRecord, FinalAnswer, ModuleState, SentWork};
+use super::state::{AttemptRecord, FinalAnswer, SchedulerModelState, SentWork};
 use crate::invariants::first_violated;
 use emberflow::{EngineId, RequestId};
 use std::time::Duration;
@@ -13,12 +13,12 @@
 const EXCESSIVE_GRANT_MB: f64 = u32::MAX as f64;
 
 /// Checks the invariants at an event, before the event changes the state.
-pub fn check(model: &ModuleModel, state: &mut ModuleState, event: &Event) {
+pub fn check(model: &SchedulerModel, state: &mut SchedulerModelState, event: &Event) {
     state.violated = state.violated.or_else(|| first_violated(model, state, event));
 }
 
 /// Checks and applies the scheduler's actions, up to the first violation.
-pub fn apply_events(model: &ModuleModel, state: &mut ModuleState, events: EventLog) {
+pub fn apply_events(model: &SchedulerModel, state: &mut SchedulerModelState, events: EventLog) {
     for event in events.0 {
         check(model, state, &event);
         if state.violated.is_some() {
@@ -28,7 +28,7 @@
     }
 }
 
-fn apply_event(model: &ModuleModel, state: &mut ModuleState, event: Event) {
+fn apply_event(model: &SchedulerModel, state: &mut SchedulerModelState, event: Event) {
     match event {
         Event::Send { request, engine, times_out_at } => send(model, state, request, engine, times_out_at),
         Event::Cancel { request, attempt } => {
@@ -54,8 +54,8 @@
 }
 
 fn send(
-    model: &ModuleModel,
-    state: &mut ModuleState,
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
     request: RequestId,
     engine: EngineId,
     times_out_at: Duration,
@@ -78,7 +78,7 @@
 
 /// Returns events that a faulty scheduler could emit after an input, to find the invariants that this state
 /// exercises. The scheduler's actual actions have not been applied to the state yet.
-pub fn hypothetical_events(model: &ModuleModel, state: &ModuleState) -> Vec<Event> {
+pub fn hypothetical_events(model: &SchedulerModel, state: &SchedulerModelState) -> Vec<Event> {
     let mut events = vec![Event::TimePasses { to: state.now + LONG_TIME }, Event::Terminal];
     let engines = (0..state.engine_records.len()).map(EngineId::from_index);
     for (index, record) in state.requests.iter().enumerate() {
--- a/crates/model-checker/src/module_model/inputs.rs
+++ b/crates/model-checker/src/scheduler_model/inputs.rs
@@ -1,18 +1,18 @@
 //! The inputs of the scheduler model: each function changes the environment and passes one input to the scheduler,
 //! whose actions are appended to `events`.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::effects::check;
 use super::event::{Event, EventLog};
 use super::scenario::EndpointChange;
-use super::state::{FinalAnswer, KeyCooldown, ModuleState, RequestRecord};
+use super::state::{FinalAnswer, KeyCooldown, RequestRecord, SchedulerModelState};
 use super::transition::next_instant;
 use emberflow::{
     AttemptEnded, AttemptOutcome, EndpointUpdate, EngineId, Lifecycle, ProgressUpdate, RequestId,
 };
 
 /// Passes the next request of the scenario to the scheduler.
-pub fn arrive(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
+pub fn arrive(model: &SchedulerModel, state: &mut SchedulerModelState, events: &mut EventLog) {
     let arrival = model.arrival(state.requests.len());
     let deadline = state.now + arrival.deadline;
     state.requests.push(RequestRecord { arrived: state.now, deadline, ..RequestRecord::default() });
@@ -21,7 +21,7 @@
 
 /// Passes a progress update of the attempt in flight to the scheduler.
 pub fn update_progress(
-    state: &mut ModuleState,
+    state: &mut SchedulerModelState,
     request: usize,
     update: ProgressUpdate,
     events: &mut EventLog,
@@ -34,8 +34,8 @@
 
 /// Reports a change of an engine to the scheduler, as the endpoint list does.
 pub fn change_endpoint(
-    model: &ModuleModel,
-    state: &mut ModuleState,
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
     engine: EngineId,
     change: EndpointChange,
     events: &mut EventLog,
@@ -57,7 +57,7 @@
 }
 
 /// Reports an empty endpoint list.
-pub fn empty_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+pub fn empty_endpoint_list(state: &mut SchedulerModelState, events: &mut EventLog) {
     state.endpoint_changes += 1;
     for engine in &mut state.engine_records {
         engine.lifecycle = Lifecycle::Removed;
@@ -66,35 +66,35 @@
 }
 
 /// Reports that the endpoint list could not be read.
-pub fn fail_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+pub fn fail_endpoint_list(state: &mut SchedulerModelState, events: &mut EventLog) {
     state.endpoint_changes += 1;
     state.is_watching = false;
     state.scheduler.endpoint_list_failed(state.now, events);
 }
 
 /// Reports that the client of a request has disconnected.
-pub fn client_leaves(state: &mut ModuleState, request: usize, events: &mut EventLog) {
+pub fn client_leaves(state: &mut SchedulerModelState, request: usize, events: &mut EventLog) {
     state.departures += 1;
     state.requests[request].answer = Some(FinalAnswer::ClientLeft);
     state.scheduler.clients_left(state.now, &[RequestId::from_index(request)], &[], events);
 }
 
 /// Wakes the scheduler, which fulfils all wake-ups that are due.
-pub fn wake_up(state: &mut ModuleState, events: &mut EventLog) {
+pub fn wake_up(state: &mut SchedulerModelState, events: &mut EventLog) {
     let now = state.now;
     state.wake_ups.retain(|at| *at > now);
     state.scheduler.wake(now, events);
 }
 
 /// Begins a graceful shutdown, whose deadline is that of a request of the first class that arrives now.
-pub fn shut_down(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
+pub fn shut_down(model: &SchedulerModel, state: &mut SchedulerModelState, events: &mut EventLog) {
     let deadline = state.now + model.classes[0].deadline;
     state.shutdown_deadline = Some(deadline);
     state.scheduler.shutting_down(state.now, deadline, events);
 }
 
 /// Advances the clock to the next instant at which something may change.
-pub fn pass_time(model: &ModuleModel, state: &mut ModuleState) {
+pub fn pass_time(model: &SchedulerModel, state: &mut SchedulerModelState) {
     let to = next_instant(model, state).unwrap_or(state.now);
     check(model, state, &Event::TimePasses { to });
     state.now = to;
@@ -102,8 +102,8 @@
 
 /// Ends the attempt in flight. A result first answers the request, if the request is still open.
 pub fn end_attempt(
-    model: &ModuleModel,
-    state: &mut ModuleState,
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
     request: usize,
     outcome: AttemptOutcome,
     events: &mut EventLog,
@@ -133,7 +133,12 @@
 }
 
 /// Begins the cooldown of a request's key if an engine may still execute the ended attempt.
-fn begin_key_cooldown(model: &ModuleModel, state: &mut ModuleState, request: usize, outcome: AttemptOutcome) {
+fn begin_key_cooldown(
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
+    request: usize,
+    outcome: AttemptOutcome,
+) {
     let may_still_run =
         matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Cancelled);
     let cooldown = model.attempt_limits.key_cooldown.filter(|_| may_still_run);
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -1,8 +1,8 @@
 //! The invariants of the scheduler model, one function each.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::event::{Event, EventLog};
-use super::state::{KeyCooldown, ModuleState, RequestRecord, SentWork};
+use super::state::{KeyCooldown, RequestRecord, SchedulerModelState, SentWork};
 use crate::invariants::Invariant;
 use emberflow::{Effect, EndpointUpdate, KeyId, KeyScope, Lifecycle, RequestId};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const ROUNDING: f64 = 1e-9;
 
 /// All invariants of the scheduler model.
-pub const INVARIANTS: &[Invariant<ModuleModel>] = &[
+pub const INVARIANTS: &[Invariant<SchedulerModel>] = &[
     Invariant {
         name: "one answer",
         description: "no request gets a second final answer",
@@ -104,18 +104,18 @@
     },
 ];
 
-fn record<'a>(state: &'a ModuleState, request: &RequestId) -> &'a RequestRecord {
+fn record<'a>(state: &'a SchedulerModelState, request: &RequestId) -> &'a RequestRecord {
     &state.requests[request.index()]
 }
 
 /// Returns the request of which the event sends an attempt, if the request is queued. Other requests violate other
 /// invariants.
-fn sent_request<'a>(state: &'a ModuleState, event: &Event) -> Option<&'a RequestRecord> {
+fn sent_request<'a>(state: &'a SchedulerModelState, event: &Event) -> Option<&'a RequestRecord> {
     let Event::Send { request, .. } = event else { return None };
     Some(record(state, request)).filter(|record| record.is_queued())
 }
 
-fn answers_twice(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn answers_twice(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     match event {
         Event::Reject { request } | Event::Fail { request } | Event::Serve { request } => {
             !record(state, request).is_open()
@@ -124,7 +124,7 @@
     }
 }
 
-fn answers_late(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn answers_late(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::TimePasses { to } = event else { return false };
     let is_late = |request: &RequestRecord| {
         request.is_open()
@@ -134,24 +134,28 @@
     !state.wake_ups.is_empty() && state.requests.iter().any(is_late)
 }
 
-fn sends_after_answer(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_after_answer(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     matches!(event, Event::Send { request, .. } if !record(state, request).is_open())
 }
 
-fn sends_second_attempt(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_second_attempt(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let record = record(state, request);
     record.is_open() && record.in_flight().is_some()
 }
 
-fn repeats_non_idempotent(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn repeats_non_idempotent(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let may_have_run =
         sent_request(state, event).is_some_and(|record| record.first_that_may_have_run().is_some());
     may_have_run && matches!(model.class_of(*request).effect, Effect::NonIdempotent)
 }
 
-fn repeats_outside_scope_or_window(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn repeats_outside_scope_or_window(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    event: &Event,
+) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let Some(first) = sent_request(state, event).and_then(RequestRecord::first_that_may_have_run) else {
         return false;
@@ -166,7 +170,7 @@
     !knows_key || state.now >= first.sent_at + *window
 }
 
-fn rejects_unsafely(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn rejects_unsafely(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Reject { request } = event else { return false };
     let record = record(state, request);
     let may_be_repeated = match &model.class_of(*request).effect {
@@ -177,7 +181,7 @@
     record.is_open() && !may_be_repeated && record.first_that_may_have_run().is_some()
 }
 
-fn sends_to_draining_engine(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_to_draining_engine(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { engine, .. } = event else { return false };
     state.engine_records[engine.index()].lifecycle != Lifecycle::Ready
 }
@@ -187,7 +191,7 @@
 /// The budget is the engine's current capacity times the overload factor and the window, divided by the number of
 /// routers. If the budget is less than the work of the request, one request is allowed in a window that is longer by
 /// the same factor.
-fn overloads_warming_engine(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn overloads_warming_engine(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let record = &state.engine_records[engine.index()];
     let Some(launched) = record.launched else { return false };
@@ -207,7 +211,7 @@
     recent + seconds > budget.max(seconds) * (1.0 + ROUNDING)
 }
 
-fn sends_out_of_order(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_out_of_order(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let position = request.index();
     let ordering_key = model.requests[position].key.filter(|_| model.class_of(*request).keeps_order);
@@ -217,7 +221,7 @@
     state.requests[position].is_queued() && (0..position).any(precedes)
 }
 
-fn sends_during_cooldown(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_during_cooldown(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let key: Option<KeyId> = model.requests[request.index()].key;
     let applies = |cooldown: &KeyCooldown| {
@@ -226,7 +230,7 @@
     sent_request(state, event).is_some() && state.key_cooldowns.iter().any(applies)
 }
 
-fn sends_outside_placement(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
+fn sends_outside_placement(model: &SchedulerModel, _: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let class = model.class_of(*request);
     let kind = model.kind(*engine);
@@ -235,12 +239,12 @@
     is_wrong_kind || class.locations.as_ref().is_some_and(|locations| !locations.contains(&location))
 }
 
-fn exceeds_attempt_limit(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn exceeds_attempt_limit(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let max_attempts = model.attempt_limits.max_attempts;
     sent_request(state, event).is_some_and(|record| record.attempts.len() >= max_attempts)
 }
 
-fn exceeds_retry_budget(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn exceeds_retry_budget(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Some(budget) = &model.attempt_limits.retry_budget else { return false };
     let is_retry = sent_request(state, event).is_some_and(|record| !record.attempts.is_empty());
     let is_recent = |at: Duration| at + budget.window > state.now;
@@ -249,32 +253,32 @@
     is_retry && retries + 1.0 > budget.min_retries + budget.per_request * requests
 }
 
-fn cancels_nothing(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn cancels_nothing(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Cancel { request, attempt } = event else { return false };
     let attempt = record(state, request).attempts.get(*attempt);
     let is_in_flight = attempt.is_some_and(|attempt| attempt.outcome.is_none() && !attempt.is_cancelled);
     !model.attempt_limits.may_cancel || !is_in_flight
 }
 
-fn grants_too_much(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
+fn grants_too_much(model: &SchedulerModel, _: &SchedulerModelState, event: &Event) -> bool {
     let Event::Grant { grant_mb, .. } = event else { return false };
     let fleet = &model.fleet;
     let largest = fleet.kinds.iter().map(|kind| kind.memory_mb * fleet.max_grant_share).fold(0.0, f64::max);
     *grant_mb > largest.round()
 }
 
-fn lacks_wake_up(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn lacks_wake_up(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::TimePasses { .. } = event else { return false };
     state.wake_ups.is_empty() && state.requests.iter().any(RequestRecord::is_open)
 }
 
-fn leaves_something_behind(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn leaves_something_behind(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     *event == Event::Terminal && !is_quiescent(state)
 }
 
 /// Whether every request is finished, and the scheduler, given an empty endpoint list, only forgets engines and then
 /// holds no request and no engine.
-fn is_quiescent(state: &ModuleState) -> bool {
+fn is_quiescent(state: &SchedulerModelState) -> bool {
     if state.requests.iter().any(RequestRecord::is_unfinished) {
         return false;
     }
--- a/crates/model-checker/src/module_model/scenario.rs
+++ b/crates/model-checker/src/scheduler_model/scenario.rs
@@ -19,7 +19,7 @@
 #[macro_export]
 macro_rules! setup {
     (|$fleet:ident, $classes:ident, $attempt_limits:ident| $body:block) => {
-        $crate::module_model::scenario::Setup {
+        $crate::scheduler_model::scenario::Setup {
             text: stringify!($body),
             change: |$fleet: &mut emberflow::Fleet,
                      $classes: &mut Vec<emberflow::RequestClass>,
@@ -89,8 +89,8 @@
     Restarts,
 }
 
-/// A scenario of the module model: its requests and engines, and the transitions that are possible.
-pub struct Scenario {
+/// A scenario of the scheduler model: its requests and engines, and the transitions that are possible.
+pub struct SchedulerScenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
     /// The description that the command `scenarios` prints.
@@ -146,9 +146,9 @@
     AttemptOutcome::NotSent,
 ];
 
-impl Scenario {
+impl SchedulerScenario {
     /// One idempotent request at one engine, with every outcome of its attempts and no other transition.
-    pub const BASE: Scenario = Scenario {
+    pub const BASE: SchedulerScenario = SchedulerScenario {
         name: "base",
         description: "one idempotent request at one engine",
         setup: setup!(|fleet, classes, attempt_limits| {}),
@@ -171,7 +171,7 @@
         in_short_set: true,
     };
 
-    /// Returns the settings of the scheduler: those of the small trace tests, changed by [`Scenario::setup`].
+    /// Returns the settings of the scheduler: those of the small trace tests, changed by [`SchedulerScenario::setup`].
     pub fn settings(&self) -> (Fleet, Vec<RequestClass>, AttemptLimits) {
         let (mut fleet, mut classes, mut attempt_limits) = trace::small();
         (self.setup.change)(&mut fleet, &mut classes, &mut attempt_limits);
--- a/crates/model-checker/src/module_model/scenarios.rs
+++ b/crates/model-checker/src/scheduler_model/scenarios.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::{
     EndpointChange, EngineSpec, IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, KEYED_IN_LOCATION,
-    NON_IDEMPOTENT, RequestSpec, Scenario, Setup, engine, keyed_request, request,
+    NON_IDEMPOTENT, RequestSpec, SchedulerScenario, Setup, engine, keyed_request, request,
 };
 use crate::setup;
 use emberflow::{AttemptOutcome, LoadReport, ProgressUpdate, RetryBudget};
@@ -54,9 +54,9 @@
     attempt_limits.may_cancel = false;
 });
 
-/// All scenarios of the module model.
-pub const SCENARIOS: &[Scenario] = &[
-    Scenario {
+/// All scenarios of the scheduler model.
+pub const SCENARIOS: &[SchedulerScenario] = &[
+    SchedulerScenario {
         name: "idempotent",
         description: "one idempotent request, three engines, every outcome, one endpoint change, a client that disconnects",
         engines: THREE_ENGINES,
@@ -64,9 +64,9 @@
         max_endpoint_changes: 1,
         endpoint_changes: ALL_CHANGES,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "non-idempotent",
         description: "one non-idempotent request, three engines, every outcome, two endpoint changes, a client that disconnects",
         engines: THREE_ENGINES,
@@ -75,9 +75,9 @@
         endpoint_changes: ALL_CHANGES,
         max_departures: 1,
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "drain under an attempt",
         description: "an engine that drains at the end of an attempt, or between a rejection elsewhere and the retry",
         engines: THREE_ENGINES,
@@ -85,9 +85,9 @@
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Returns],
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "idempotency key in a cell",
         description: "one request with an idempotency key known within its cell, three engines in two cells, a window shorter than the deadline",
         engines: ENGINES_IN_TWO_CELLS,
@@ -95,27 +95,27 @@
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Restarts],
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "idempotency key in location",
         description: "one request with an idempotency key known within its location, three engines in two locations",
         engines: ENGINES_IN_TWO_CELLS,
         requests: &[request(KEYED_IN_LOCATION)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "idempotency key everywhere",
         description: "one request with an idempotency key known to all engines, three engines in two cells",
         engines: ENGINES_IN_TWO_CELLS,
         requests: &[request(KEYED_EVERYWHERE)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "restart under an attempt",
         description: "an engine that restarts during an attempt and is listed again before the end of the attempt is known",
         engines: TWO_ENGINES,
@@ -123,9 +123,9 @@
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Removed, EndpointChange::Restarts],
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "placement",
         description: "a request restricted to one kind and one location, engines that match both or only one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -138,9 +138,9 @@
         requests: &[request(IDEMPOTENT)],
         max_endpoint_changes: 1,
         endpoint_changes: ALL_CHANGES,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "progress updates",
         description: "one idempotent request, two engines, two progress updates of any kind for each attempt",
         engines: TWO_ENGINES,
@@ -149,9 +149,9 @@
         progress_updates: ALL_PROGRESS_UPDATES,
         max_progress_updates: 2,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "silent engine",
         description: "progress updates that may be missing: attempts cancelled for inactivity, and a late answer to a cancelled attempt",
         engines: TWO_ENGINES,
@@ -161,18 +161,18 @@
         max_progress_updates: 3,
         stops_around_objective: true,
         wake_up_delay: LATE_WAKE_UP,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "late wake-ups",
         description: "one engine, wake-ups up to 8 ms late, times immediately before, at and after the latency objective",
         requests: &[request(IDEMPOTENT)],
         wake_up_delay: LATE_WAKE_UP,
         stops_around_objective: true,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "no engine",
         description: "no engine until the endpoint list reports one, which may be removed again",
         engines: &[engine(0, 0)],
@@ -182,9 +182,9 @@
         endpoint_changes: ALL_CHANGES,
         list_may_fail: true,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "polled endpoint list",
         description: "an endpoint list that is polled, fails and is empty",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -196,9 +196,9 @@
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Returns, EndpointChange::Restarts],
         list_may_fail: true,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "shutdown under an attempt",
         description: "a graceful shutdown while an attempt with an idempotency key is in flight",
         engines: ENGINES_IN_TWO_CELLS,
@@ -207,9 +207,9 @@
         shuts_down: true,
         max_departures: 1,
         wake_up_delay: LATE_WAKE_UP,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "shutdown before a deadline",
         description: "a process that ends before the deadline of a non-idempotent request",
         engines: TWO_ENGINES,
@@ -217,9 +217,9 @@
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         shuts_down: true,
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "one key",
         description: "two idempotent requests of one key with a cooldown, one engine",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -230,9 +230,9 @@
         requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(IDEMPOTENT, 1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Broken],
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "blocked by key order",
         description: "a request with unknown work and a short deadline behind a request of its key that stays in flight, late wake-ups",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -249,9 +249,9 @@
         ],
         outcomes: &[AttemptOutcome::Succeeded],
         wake_up_delay: LATE_WAKE_UP,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "one key, non-idempotent",
         description: "two non-idempotent requests of one key with a cooldown, no cancellation, a client that disconnects during an attempt",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -263,9 +263,9 @@
         requests: &[keyed_request(NON_IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "one key, two effects",
         description: "an idempotent request, whose retries need no cooldown, and a non-idempotent one of the same key, which needs one",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
@@ -273,9 +273,9 @@
         requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
         outcomes: OUTCOMES_THAT_MAY_RUN,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "three of one key",
         description: "a non-idempotent request between two idempotent ones of the same key: successive cooldowns",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
@@ -287,9 +287,9 @@
         ],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "retry budget",
         description: "two idempotent requests, one engine, a retry budget that suffices for one of them",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -300,9 +300,9 @@
         requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Failed],
         interchangeable_engines: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "retry budget, two engines",
         description: "two idempotent requests, two engines, a retry budget, progress updates that report a wait for load",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -316,9 +316,9 @@
         max_progress_updates: 1,
         interchangeable_engines: false,
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "warming engine",
         description: "an engine that restarts while two requests arrive, and whose first window has capacity for one",
         engines: &[engine(0, 0)],
@@ -330,9 +330,9 @@
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Restarts],
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "warming engine, small part",
         description: "an engine that restarts while two requests arrive at one of forty routers, whose part of the window is less than one request",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -344,9 +344,9 @@
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Restarts],
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "engine under pressure",
         description: "answers that report a full engine, a large and a small request",
         engines: &[engine(0, 0)],
@@ -354,17 +354,17 @@
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
         load_report: Some(FULL_ENGINE),
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "no estimates",
         description: "a request without estimates",
         engines: TWO_ENGINES,
         requests: &[RequestSpec { work_ms: 0, memory_mb: 0.0, ..request(IDEMPOTENT) }],
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "no cancellation",
         description: "attempts that may not be cancelled, with progress updates that would lead to a cancellation",
         setup: setup!(|fleet, classes, attempt_limits| {
@@ -376,9 +376,9 @@
         progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
         max_progress_updates: 1,
         max_departures: 1,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "two effects",
         description: "a non-idempotent and an idempotent request at two engines, one drain",
         engines: TWO_ENGINES,
@@ -387,18 +387,18 @@
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains],
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "two idempotency keys",
         description: "two requests with idempotency keys known within a cell at two engines of two cells",
         engines: &[engine(0, 0), engine(1, 1)],
         requests: &[request(KEYED_IN_CELL), request(KEYED_IN_CELL)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
-    Scenario {
+    SchedulerScenario {
         name: "three requests",
         description: "an idempotent request, one with an idempotency key and a non-idempotent one at three engines in two cells",
         engines: ENGINES_IN_TWO_CELLS,
@@ -409,6 +409,6 @@
         max_departures: 1,
         max_depth: Some(THREE_REQUESTS_DEPTH),
         in_short_set: false,
-        ..Scenario::BASE
+        ..SchedulerScenario::BASE
     },
 ];
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -1,7 +1,7 @@
 //! The state of the scheduler model: the scheduler, and the records of its environment. Times are those of the model's
 //! clock, which begins at [`START_TIME`](crate::search::START_TIME).
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::scenario::EngineSpec;
 use emberflow::{AttemptOutcome, Endpoint, EngineId, Fingerprint, KeyId, Lifecycle, RequestId, Scheduler};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -122,7 +122,7 @@
 
 /// The scheduler and its environment.
 #[derive(Clone)]
-pub struct ModuleState {
+pub struct SchedulerModelState {
     /// The current time.
     pub now: Duration,
     /// The system under test.
@@ -151,9 +151,9 @@
     pub fingerprint: u64,
 }
 
-impl ModuleState {
+impl SchedulerModelState {
     /// Returns the row of an engine in the endpoint list.
-    pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
+    pub fn endpoint(&self, model: &SchedulerModel, engine: EngineId) -> Endpoint {
         let EngineSpec { location, cell } = model.engines[engine.index()];
         let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
         Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched }
@@ -165,13 +165,13 @@
     }
 
     /// Whether another request may arrive.
-    pub fn expects_arrival(&self, model: &ModuleModel) -> bool {
+    pub fn expects_arrival(&self, model: &SchedulerModel) -> bool {
         self.requests.len() < model.requests.len()
     }
 
     /// Recomputes the fingerprint. Times are hashed relative to now, and only where they influence a later state, so
     /// that states that differ only in their absolute times are equal.
-    pub fn update_fingerprint(&mut self, model: &ModuleModel) {
+    pub fn update_fingerprint(&mut self, model: &SchedulerModel) {
         let mut hasher = DefaultHasher::new();
         let engine_fingerprint = |engine| self.engine_fingerprint(model, engine);
         let context = Fingerprint {
@@ -192,7 +192,7 @@
     }
 
     /// Returns the fingerprint of the environment's record of an engine.
-    fn engine_fingerprint(&self, model: &ModuleModel, engine: EngineId) -> u64 {
+    fn engine_fingerprint(&self, model: &SchedulerModel, engine: EngineId) -> u64 {
         let engine = &self.engine_records[engine.index()];
         let mut hasher = DefaultHasher::new();
         (engine.is_forgotten, engine.lifecycle == Lifecycle::Removed).hash(&mut hasher);
@@ -221,7 +221,7 @@
         }
     }
 
-    fn hash_timers(&self, model: &ModuleModel, hasher: &mut DefaultHasher) {
+    fn hash_timers(&self, model: &SchedulerModel, hasher: &mut DefaultHasher) {
         for wake_up in &self.wake_ups {
             wake_up.saturating_sub(self.now).hash(hasher);
             self.now.saturating_sub(*wake_up).hash(hasher);
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/scheduler_model/transition.rs
@@ -1,8 +1,8 @@
 //! The transitions of the scheduler model, and the conditions that enable them.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::scenario::EndpointChange;
-use super::state::{AttemptRecord, EngineRecord, ModuleState, RequestRecord};
+use super::state::{AttemptRecord, EngineRecord, RequestRecord, SchedulerModelState};
 use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressUpdate, RequestId};
 use std::ops::Range;
 use std::time::Duration;
@@ -41,7 +41,11 @@
 }
 
 /// Appends the transitions that are enabled in a state.
-pub fn append_enabled(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+pub fn append_enabled(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     if state.violated.is_some() {
         return;
     }
@@ -55,17 +59,17 @@
 }
 
 /// Returns the draws to explore before an input; a single draw if the scheduler has no choice between engines.
-fn draws(model: &ModuleModel, may_send: bool) -> Range<u64> {
+fn draws(model: &SchedulerModel, may_send: bool) -> Range<u64> {
     if may_send && model.engines.len() > 1 { 0..RANDOM_DRAWS } else { 0..1 }
 }
 
-fn accepts_arrival(model: &ModuleModel, state: &ModuleState) -> bool {
+fn accepts_arrival(model: &SchedulerModel, state: &SchedulerModelState) -> bool {
     state.expects_arrival(model) && state.shutdown_deadline.is_none()
 }
 
 /// Whether a request has an attempt in flight that must end before time passes, because it is abandoned or has timed
 /// out.
-fn awaits_end(state: &ModuleState, request: &RequestRecord) -> bool {
+fn awaits_end(state: &SchedulerModelState, request: &RequestRecord) -> bool {
     let Some(attempt) = request.in_flight() else { return false };
     is_abandoned(request, attempt) || attempt.times_out_at <= state.now
 }
@@ -77,8 +81,8 @@
 
 /// Returns the outcomes that the attempt in flight may have now.
 fn possible_outcomes(
-    model: &ModuleModel,
-    state: &ModuleState,
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
     request: &RequestRecord,
     attempt: &AttemptRecord,
 ) -> &'static [AttemptOutcome] {
@@ -95,7 +99,11 @@
     model.scenario.outcomes
 }
 
-fn append_attempt_transitions(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_attempt_transitions(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     let has_queued_request = state.has_queued_request();
     for (request, record) in state.requests.iter().enumerate() {
         let Some(attempt) = record.in_flight() else { continue };
@@ -114,7 +122,7 @@
     }
 }
 
-fn append_departures(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_departures(model: &SchedulerModel, state: &SchedulerModelState, transitions: &mut Vec<Transition>) {
     if state.departures >= model.max_departures {
         return;
     }
@@ -125,7 +133,11 @@
     }
 }
 
-fn append_endpoint_changes(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_endpoint_changes(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     let is_unfinished =
         accepts_arrival(model, state) || state.requests.iter().any(RequestRecord::is_unfinished);
     if state.endpoint_changes >= model.max_endpoint_changes || !is_unfinished {
@@ -154,7 +166,11 @@
     }
 }
 
-fn append_time_transitions(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_time_transitions(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     let next_wake_up = state.wake_ups.first().copied();
     if next_wake_up.is_some_and(|at| at <= state.now) {
         let draws = draws(model, state.has_queued_request());
@@ -171,7 +187,7 @@
 }
 
 /// Returns the next time at which the scheduler or an invariant may behave differently; `None` if there is none.
-pub fn next_instant(model: &ModuleModel, state: &ModuleState) -> Option<Duration> {
+pub fn next_instant(model: &SchedulerModel, state: &SchedulerModelState) -> Option<Duration> {
     let mut instants = Vec::new();
     for wake_up in &state.wake_ups {
         instants.extend([*wake_up, *wake_up + model.wake_up_delay]);
@@ -195,7 +211,7 @@
 }
 
 fn append_request_instants(
-    model: &ModuleModel,
+    model: &SchedulerModel,
     id: RequestId,
     request: &RequestRecord,
     instants: &mut Vec<Duration>,
--- a/crates/model-checker/src/witness.rs
+++ b/crates/model-checker/src/witness.rs
@@ -7,7 +7,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The first bit of the invariants of the module model.
+/// The first bit of the invariants of the scheduler model.
 pub const SCHEDULER_FIRST_BIT: usize = 0;
 /// The first bit of the invariants of the connection model.
 pub const CONNECTION_FIRST_BIT: usize = 20;
