--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -34,7 +34,7 @@
 ) -> ConnectionState {
     let mut run = Run { scenario, state: state.clone(), cause: cause_of(transition) };
     run.apply(transition);
-    run.run_until_quiet();
+    run.run_until_idle();
     run.state
 }
 
@@ -157,12 +157,12 @@
         let state = &mut self.state;
         state.endpoint_has_changed = true;
         let restarted_ms = (state.now + RESTART_DELAY).as_millis() as u64;
-        let first = endpoint_record(FIRST_ENGINE);
+        let first_engine = endpoint_record(FIRST_ENGINE);
         let record = match change {
-            EndpointChange::Drains => EndpointRecord { lifecycle: Lifecycle::Draining, ..first },
-            EndpointChange::Restarts => EndpointRecord { up_since_ms: restarted_ms, ..first },
+            EndpointChange::Drains => EndpointRecord { lifecycle: Lifecycle::Draining, ..first_engine },
+            EndpointChange::Restarts => EndpointRecord { up_since_ms: restarted_ms, ..first_engine },
             EndpointChange::Removed | EndpointChange::Replaced => {
-                EndpointRecord { lifecycle: Lifecycle::Removed, ..first }
+                EndpointRecord { lifecycle: Lifecycle::Removed, ..first_engine }
             }
         };
         state.engine_is_ready = record.is_ready();
@@ -196,7 +196,7 @@
     }
 
     /// Executes the pool's commands and pending writes, and records its events, until nothing is left to do.
-    fn run_until_quiet(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
             let state = &mut self.state;
             let capacity = self.scenario.initial_capacity;
--- a/crates/model-checker/src/connection_model/engine.rs
+++ b/crates/model-checker/src/connection_model/engine.rs
@@ -39,7 +39,7 @@
                 side.received_calls.push(attempt);
                 arrived.push(attempt);
             }
-            EngineCommand::Ping { .. } => side.peer.pings += 1,
+            EngineCommand::Ping { .. } => side.peer.unanswered_pings += 1,
             EngineCommand::ReadPage { request_id: id, .. } => {
                 let has_id = |attempt: &&usize| request_id(attempts[**attempt].request as u64) == id;
                 let attempt = side.received_calls.iter().rfind(has_id).copied();
@@ -86,7 +86,7 @@
     match message {
         EngineMessage::SecondHalf => std::mem::take(&mut side.unsent_half),
         EngineMessage::Pong => {
-            side.peer.pings -= 1;
+            side.peer.unanswered_pings -= 1;
             pong()
         }
         EngineMessage::UnknownId => {
--- a/crates/model-checker/src/connection_model/invariants.rs
+++ b/crates/model-checker/src/connection_model/invariants.rs
@@ -16,7 +16,7 @@
     Invariant {
         name: "truthful outcome",
         description: "an attempt whose outcome says that it never ran has not arrived completely at an engine",
-        is_violated: denies_arrival,
+        is_violated: misreports_arrival,
     },
     Invariant {
         name: "arrives once",
@@ -41,7 +41,7 @@
     Invariant {
         name: "clean pool",
         description: "at the end no attempt, connection or timer remains",
-        is_violated: leaves_something_behind,
+        is_violated: retains_state_at_end,
     },
 ];
 
@@ -55,7 +55,7 @@
     }
 }
 
-fn denies_arrival(_: &ConnectionScenario, state: &ConnectionState, event: &Event) -> bool {
+fn misreports_arrival(_: &ConnectionScenario, state: &ConnectionState, event: &Event) -> bool {
     let Event::AttemptEnds { attempt, outcome, .. } = event else { return false };
     let never_ran = matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::Unreachable);
     never_ran && state.attempts[*attempt].arrivals > 0
@@ -71,8 +71,9 @@
     let Some(body) = body else { return has_succeeded };
     let attempt = &state.attempts[*attempt];
     let pages = attempt.pages.unwrap_or(0);
-    let complete: String = (0..pages).map(|index| page(attempt.request, attempt.number, index)).collect();
-    !has_succeeded || pages == 0 || body != complete.as_bytes()
+    let expected_body: String =
+        (0..pages).map(|index| page(attempt.request, attempt.number, index)).collect();
+    !has_succeeded || pages == 0 || body != expected_body.as_bytes()
 }
 
 fn ends_another_attempt(_: &ConnectionScenario, _: &ConnectionState, event: &Event) -> bool {
@@ -88,7 +89,7 @@
     matches!(event, Event::CallBegins) && !state.engine_is_ready
 }
 
-fn leaves_something_behind(_: &ConnectionScenario, state: &ConnectionState, event: &Event) -> bool {
+fn retains_state_at_end(_: &ConnectionScenario, state: &ConnectionState, event: &Event) -> bool {
     let PoolSize { connections, attempts, .. } = state.engines.size();
     let remaining = connections + attempts + state.context.timers.len() + state.engine_sides.len();
     matches!(event, Event::Terminal) && remaining > 0
--- a/crates/model-checker/src/connection_model/transition.rs
+++ b/crates/model-checker/src/connection_model/transition.rs
@@ -140,7 +140,7 @@
         return vec![EngineMessage::SecondHalf];
     }
     let mut messages = Vec::new();
-    messages.extend((side.peer.pings > 0).then_some(EngineMessage::Pong));
+    messages.extend((side.peer.unanswered_pings > 0).then_some(EngineMessage::Pong));
     if may_fail {
         messages.extend([EngineMessage::UnknownId, EngineMessage::Malformed]);
     }
--- a/crates/model-checker/src/discovery_model/invariants.rs
+++ b/crates/model-checker/src/discovery_model/invariants.rs
@@ -10,7 +10,7 @@
     Invariant {
         name: "list as sent",
         description: "the list after an event is the service's list at that event",
-        is_violated: has_another_list,
+        is_violated: differs_from_service_list,
     },
     Invariant {
         name: "no event twice",
@@ -29,7 +29,7 @@
     },
 ];
 
-fn has_another_list(_: &DiscoveryScenario, state: &DiscoveryState, event: &Event) -> bool {
+fn differs_from_service_list(_: &DiscoveryScenario, state: &DiscoveryState, event: &Event) -> bool {
     let Event::Accepts { number, accepted: Some(accepted) } = event else { return false };
     let mut list = if accepted.is_snapshot { EndpointList::new() } else { state.received.clone() };
     list.extend(accepted.endpoints.iter().copied());
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 
 /// The files and folders that a build of the model checker needs, relative to the root of the repository.
-const COPIED_PARTS: [&str; 6] = ["src", "benches", "crates", "tests", "Cargo.toml", "Cargo.lock"];
+const COPIED_PATHS: [&str; 6] = ["src", "benches", "crates", "tests", "Cargo.toml", "Cargo.lock"];
 /// The folder of the copy, relative to the root of the repository.
-const COPY: &str = "target/mutants/tree";
+const COPY_DIR: &str = "target/mutants/tree";
 /// The target folder of the builds of the copy, relative to the root of the repository.
-const TARGET: &str = "target/mutants/built";
+const TARGET_DIR: &str = "target/mutants/built";
 /// The program that these builds produce, relative to the root of the repository.
-const PROGRAM: &str = "target/mutants/built/release/emberflow-model-checker";
+const PROGRAM_PATH: &str = "target/mutants/built/release/emberflow-model-checker";
 /// The exit status of a process that has panicked.
 const EXIT_PANIC: i32 = 101;
 /// The exit status for an unknown mutant.
@@ -32,7 +32,7 @@
 
 /// The reason why a mutant could not be made, built or explored.
 #[derive(Debug, thiserror::Error)]
-enum PlantError {
+enum MutantError {
     #[error("cannot copy {part} into the tree of the mutants: {source}")]
     Copy { part: &'static str, source: std::io::Error },
     #[error("cannot edit the copy of {file}: {source}")]
@@ -71,7 +71,7 @@
     println!("{:40} {:24} {:>8} {:>8}  scenario", "mutant", "caught by", "build s", "check s");
     for mutant in MUTANTS.iter().filter(is_selected) {
         all += 1;
-        match plant(&root, mutant) {
+        match run_mutant(&root, mutant) {
             Ok(outcome) => {
                 caught += usize::from(outcome.caught_by.is_some());
                 print_outcome(mutant, &outcome);
@@ -94,14 +94,15 @@
     );
 }
 
-fn plant(root: &Path, mutant: &Mutant) -> Result<Outcome, PlantError> {
-    let copy = root.join(COPY);
-    for part in COPIED_PARTS {
-        mirror(&root.join(part), &copy.join(part)).map_err(|source| PlantError::Copy { part, source })?;
+fn run_mutant(root: &Path, mutant: &Mutant) -> Result<Outcome, MutantError> {
+    let copy_dir = root.join(COPY_DIR);
+    for part in COPIED_PATHS {
+        mirror(&root.join(part), &copy_dir.join(part))
+            .map_err(|source| MutantError::Copy { part, source })?;
     }
-    edit_file(&copy, mutant)?;
+    edit_file(&copy_dir, mutant)?;
     let started_at = Instant::now();
-    build(root, &copy)?;
+    build(root, &copy_dir)?;
     let (build_time, started_at) = (started_at.elapsed(), Instant::now());
     // Most mutants are caught in the scenarios closest to them, which is faster than all scenarios.
     let mut checked = check(root, &closest_scenarios(mutant))?;
@@ -117,31 +118,31 @@
     })
 }
 
-fn edit_file(copy: &Path, mutant: &Mutant) -> Result<(), PlantError> {
-    let path = copy.join(mutant.file);
-    let fault = |source| PlantError::EditFile { file: mutant.file, source };
-    let text = std::fs::read_to_string(&path).map_err(fault)?;
-    std::fs::write(&path, edited(&text, mutant)?).map_err(fault)
+fn edit_file(copy_dir: &Path, mutant: &Mutant) -> Result<(), MutantError> {
+    let path = copy_dir.join(mutant.file);
+    let to_edit_error = |source| MutantError::EditFile { file: mutant.file, source };
+    let text = std::fs::read_to_string(&path).map_err(to_edit_error)?;
+    std::fs::write(&path, edited(&text, mutant)?).map_err(to_edit_error)
 }
 
-fn build(root: &Path, copy: &Path) -> Result<(), PlantError> {
+fn build(root: &Path, copy_dir: &Path) -> Result<(), MutantError> {
     let built = Command::new("cargo")
         .args(["build", "--release", "--offline", "--quiet", "--package", "emberflow-model-checker"])
-        .env("CARGO_TARGET_DIR", root.join(TARGET))
-        .current_dir(copy)
+        .env("CARGO_TARGET_DIR", root.join(TARGET_DIR))
+        .current_dir(copy_dir)
         .output()
-        .map_err(|source| PlantError::Run { program: "cargo", source })?;
+        .map_err(|source| MutantError::Run { program: "cargo", source })?;
     if built.status.success() {
         return Ok(());
     }
-    Err(PlantError::Build(String::from_utf8_lossy(&built.stderr).into_owned()))
+    Err(MutantError::Build(String::from_utf8_lossy(&built.stderr).into_owned()))
 }
 
-fn check(root: &Path, arguments: &[&str]) -> Result<Output, PlantError> {
-    Command::new(root.join(PROGRAM))
+fn check(root: &Path, arguments: &[&str]) -> Result<Output, MutantError> {
+    Command::new(root.join(PROGRAM_PATH))
         .args(arguments)
         .output()
-        .map_err(|source| PlantError::Run { program: PROGRAM, source })
+        .map_err(|source| MutantError::Run { program: PROGRAM_PATH, source })
 }
 
 /// Returns the arguments that select the scenarios of the models that run the edited file most directly.
@@ -182,12 +183,12 @@
         return mirror_file(from, to);
     }
     std::fs::create_dir_all(to)?;
-    let wanted = file_names(from)?;
-    for name in file_names(to)?.into_iter().filter(|name| !wanted.contains(name)) {
+    let source_names = file_names(from)?;
+    for name in file_names(to)?.into_iter().filter(|name| !source_names.contains(name)) {
         let stale = to.join(name);
         if stale.is_dir() { std::fs::remove_dir_all(stale)? } else { std::fs::remove_file(stale)? }
     }
-    wanted.iter().try_for_each(|name| mirror(&from.join(name), &to.join(name)))
+    source_names.iter().try_for_each(|name| mirror(&from.join(name), &to.join(name)))
 }
 
 fn mirror_file(from: &Path, to: &Path) -> std::io::Result<()> {
--- a/crates/model-checker/src/queue_model/invariants.rs
+++ b/crates/model-checker/src/queue_model/invariants.rs
@@ -10,7 +10,7 @@
 /// Interval, in dispatches of one team, at which urgency is ignored.
 const URGENCY_IGNORED_EVERY: u32 = 8;
 /// Tolerance for the rounding of sums of work, in seconds.
-const ROUNDING_S: f64 = 1e-6;
+const ROUNDING_TOLERANCE_S: f64 = 1e-6;
 const MS_PER_SECOND: f64 = 1e3;
 
 /// All invariants of the queue model.
@@ -57,7 +57,7 @@
     let dispatched = scenario.requests[index];
     let position_in_interval = state.dispatch_counts[dispatched.team] % URGENCY_IGNORED_EVERY;
     let ignores_urgency = position_in_interval == URGENCY_IGNORED_EVERY - 1;
-    if state.statuses[index] != RequestStatus::Waiting || state.team_removed || ignores_urgency {
+    if state.statuses[index] != RequestStatus::Waiting || state.is_team_removed || ignores_urgency {
         return false;
     }
     scenario.requests.iter().zip(&state.statuses).any(|(other, status)| {
@@ -76,13 +76,13 @@
 
 fn loses_request(scenario: &QueueScenario, state: &QueueState, event: &Event) -> bool {
     let Event::Holds { count, charged } = event else { return false };
-    let mut in_flight = [0.0; TEAMS];
+    let mut in_flight_work = [0.0; TEAMS];
     for (status, request) in state.statuses.iter().zip(scenario.requests) {
         if *status == RequestStatus::InFlight {
-            in_flight[state.current_team(request)] += request.work_ms as f64 / MS_PER_SECOND;
+            in_flight_work[state.current_team(request)] += request.work_ms as f64 / MS_PER_SECOND;
         }
     }
     let waiting = state.statuses.iter().filter(|status| **status == RequestStatus::Waiting).count();
-    let is_wrongly_charged = |(work, charge): (&f64, &f64)| (work - charge).abs() > ROUNDING_S;
-    waiting != *count || in_flight.iter().zip(charged).any(is_wrongly_charged)
+    let is_wrongly_charged = |(work, charge): (&f64, &f64)| (work - charge).abs() > ROUNDING_TOLERANCE_S;
+    waiting != *count || in_flight_work.iter().zip(charged).any(is_wrongly_charged)
 }
--- a/crates/model-checker/src/queue_model/scenario.rs
+++ b/crates/model-checker/src/queue_model/scenario.rs
@@ -6,7 +6,7 @@
 /// The estimated work of every request, in milliseconds on one core.
 const WORK_MS: u64 = 100;
 /// The outcome of a request that has used more work than [`WORK_MS`], the estimate.
-const MEASURED: Outcome = Outcome::Measured(Duration::from_millis(250));
+const MORE_WORK_THAN_ESTIMATED: Outcome = Outcome::Measured(Duration::from_millis(250));
 /// The highest urgency.
 const HIGHEST_URGENCY: u8 = 3;
 
@@ -64,7 +64,7 @@
         description: "three requests of two teams, one urgent, one budget, every outcome, a requeue, disconnects, a removed team",
         requests: &[ordinary(0), ordinary(1), urgent(1, 2)],
         second_team_has_budget: true,
-        outcomes: &[Outcome::Refunded, Outcome::Unknown, MEASURED],
+        outcomes: &[Outcome::Refunded, Outcome::Unknown, MORE_WORK_THAN_ESTIMATED],
         max_requeues: 1,
         clients_leave: true,
         removes_team: true,
--- a/crates/model-checker/src/queue_model/state.rs
+++ b/crates/model-checker/src/queue_model/state.rs
@@ -57,7 +57,7 @@
     /// By team, the number of dispatches so far.
     pub dispatch_counts: [u32; TEAMS],
     /// Whether the second team was removed, so that its requests belong to the first.
-    pub team_removed: bool,
+    pub is_team_removed: bool,
     /// Number of times that the clock has advanced.
     pub time_steps: u8,
     /// Number of times that a request was requeued.
@@ -87,7 +87,7 @@
             statuses: vec![RequestStatus::NotArrived; scenario.requests.len()],
             passed_over: [0; TEAMS],
             dispatch_counts: [0; TEAMS],
-            team_removed: false,
+            is_team_removed: false,
             time_steps: 0,
             requeues: 0,
             violated: None,
@@ -96,7 +96,7 @@
 
     /// Returns the team to which a request belongs now.
     pub fn current_team(&self, request: &RequestSpec) -> usize {
-        if self.team_removed { 0 } else { request.team }
+        if self.is_team_removed { 0 } else { request.team }
     }
 
     /// Whether a request that arrived for a team waits.
@@ -174,7 +174,7 @@
 
     /// Removes the second team; its requests move to the first team, which has no budget.
     pub fn remove_team(&mut self) {
-        self.team_removed = true;
+        self.is_team_removed = true;
         self.queues.reconfigure(self.now, quotas(false, 1), &[Some(0), None]);
     }
 
@@ -189,7 +189,7 @@
     /// flight.
     pub fn check_held(&mut self, scenario: &QueueScenario) {
         let charged = std::array::from_fn(|team| {
-            if self.team_removed && team == 1 { 0.0 } else { self.queues.in_flight_charge(team) }
+            if self.is_team_removed && team == 1 { 0.0 } else { self.queues.in_flight_charge(team) }
         });
         let held = Event::Holds { count: self.queues.len(), charged };
         self.check(scenario, &held);
@@ -199,7 +199,7 @@
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.queues.fingerprint(self.now, &mut hasher);
-        (&self.statuses, self.passed_over, self.dispatch_counts, self.team_removed).hash(&mut hasher);
+        (&self.statuses, self.passed_over, self.dispatch_counts, self.is_team_removed).hash(&mut hasher);
         (self.time_steps, self.requeues, self.violated).hash(&mut hasher);
         hasher.finish()
     }
--- a/crates/model-checker/src/queue_model/transition.rs
+++ b/crates/model-checker/src/queue_model/transition.rs
@@ -40,7 +40,7 @@
             _ => {}
         }
     }
-    let may_remove_team = scenario.removes_team && !state.team_removed;
+    let may_remove_team = scenario.removes_team && !state.is_team_removed;
     transitions.extend(may_remove_team.then_some(Transition::RemoveTeam));
     let may_pass_time = state.queues.due().is_some() && state.time_steps < scenario.max_time_steps;
     transitions.extend(may_pass_time.then_some(Transition::PassTime));
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -16,9 +16,9 @@
 pub fn apply(scenario: &RouterScenario, state: &RouterState, transition: Transition) -> RouterState {
     let mut run = Run { scenario, state: state.clone(), acting_client: acting_client(transition) };
     run.apply(transition);
-    run.run_until_quiet();
+    run.run_until_idle();
     run.state.server.close_finished_clients();
-    run.run_until_quiet();
+    run.run_until_idle();
     run.state
 }
 
@@ -89,13 +89,13 @@
         self.state.server.context().now = to;
         while let Some(due) = self.state.server.context().timers.pop(to) {
             self.state.server.timer_expired(due);
-            self.run_until_quiet();
+            self.run_until_idle();
         }
     }
 
     /// Executes the commands and pending writes of the server and closes connections, as the router's event loop
     /// does, until nothing is left to do.
-    fn run_until_quiet(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
             self.state.server.process_events();
             let engines = &mut self.state.server.dispatcher.engines;
--- a/crates/model-checker/src/router_model/apply/engines.rs
+++ b/crates/model-checker/src/router_model/apply/engines.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn answer_ping(&mut self, connection: Slot) {
-        self.state.engine_peers.entry(connection).and_modify(|peer| peer.pings -= 1);
+        self.state.engine_peers.entry(connection).and_modify(|peer| peer.unanswered_pings -= 1);
         self.deliver_to_pool(connection, ScriptedInput::bytes(pong()));
     }
 
@@ -92,7 +92,7 @@
                 });
             }
             EngineCommand::Ping { .. } => {
-                self.state.engine_peers.entry(connection).and_modify(|peer| peer.pings += 1);
+                self.state.engine_peers.entry(connection).and_modify(|peer| peer.unanswered_pings += 1);
             }
             // An engine never answers a cancelled call.
             EngineCommand::Cancel { request_id } => {
--- a/crates/model-checker/src/router_model/invariants.rs
+++ b/crates/model-checker/src/router_model/invariants.rs
@@ -46,7 +46,7 @@
     Invariant {
         name: "clean router",
         description: "at the end no client, request, attempt, connection or timer remains",
-        is_violated: leaves_something_behind,
+        is_violated: retains_state_at_end,
     },
 ];
 
@@ -95,7 +95,7 @@
     matches!(event, Event::ClientCloses { client, by } if client != by)
 }
 
-fn leaves_something_behind(_: &RouterScenario, state: &RouterState, event: &Event) -> bool {
+fn retains_state_at_end(_: &RouterScenario, state: &RouterState, event: &Event) -> bool {
     let dispatcher = &state.server.dispatcher;
     let PoolSize { connections, attempts, .. } = dispatcher.engines.size();
     let timers = dispatcher.context.timers.len();
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -195,7 +195,7 @@
         let mut hasher = DefaultHasher::new();
         self.server.fingerprint(&mut hasher);
         for peer in self.engine_peers.values() {
-            (peer.is_connected, peer.pings).hash(&mut hasher);
+            (peer.is_connected, peer.unanswered_pings).hash(&mut hasher);
         }
         for client in &self.clients {
             (client.is_connected, client.is_write_closed, client.sent_lines).hash(&mut hasher);
--- a/crates/model-checker/src/router_model/transition.rs
+++ b/crates/model-checker/src/router_model/transition.rs
@@ -104,7 +104,7 @@
                 Transition::AnswerFailed { connection, call },
             ]);
         }
-        transitions.extend((peer.pings > 0).then_some(Transition::AnswerPing { connection }));
+        transitions.extend((peer.unanswered_pings > 0).then_some(Transition::AnswerPing { connection }));
         transitions.extend(may_fail.then_some(Transition::ResetConnection { connection }));
     }
 }
--- a/crates/model-checker/src/scheduler_model.rs
+++ b/crates/model-checker/src/scheduler_model.rs
@@ -27,7 +27,7 @@
 use transition::Transition;
 
 /// Number of scheduler ticks before a deadline by which the final answer must have been sent; the scheduler's margin.
-const FINAL_ANSWER_LEAD_TICKS: u32 = 4;
+const FINAL_ANSWER_MARGIN_TICKS: u32 = 4;
 
 /// A scenario together with the settings of its scheduler.
 pub struct SchedulerModel {
@@ -67,13 +67,13 @@
     }
 
     /// Returns the time before a deadline by which the final answer must have been sent.
-    pub fn final_answer_lead(&self) -> Duration {
-        self.fleet.tick * FINAL_ANSWER_LEAD_TICKS
+    pub fn final_answer_margin(&self) -> Duration {
+        self.fleet.tick * FINAL_ANSWER_MARGIN_TICKS
     }
 
     /// Returns the time for which engines remember the idempotency key of a request; `None` if its class has no
     /// idempotency keys.
-    pub fn retry_window(&self, request: RequestId) -> Option<Duration> {
+    pub fn idempotency_window(&self, request: RequestId) -> Option<Duration> {
         match &self.class_of(request).effect {
             Effect::IdempotentWithKey { window, .. } => Some(*window),
             _ => None,
--- a/crates/model-checker/src/scheduler_model/apply.rs
+++ b/crates/model-checker/src/scheduler_model/apply.rs
@@ -26,7 +26,7 @@
         endpoint_changes: 0,
         departures: 0,
         shutdown_deadline: None,
-        is_watching: false,
+        is_subscribed_to_list: false,
         violated: None,
         fingerprint: 0,
     };
--- a/crates/model-checker/src/scheduler_model/effects.rs
+++ b/crates/model-checker/src/scheduler_model/effects.rs
@@ -43,7 +43,7 @@
             state.wake_ups.sort_unstable();
             state.wake_ups.dedup();
         }
-        Event::Watch => state.is_watching = true,
+        Event::Watch => state.is_subscribed_to_list = true,
         Event::Forget { engine } => state.engine_records[engine.index()].is_forgotten = true,
         Event::Grant { .. }
         | Event::Probe { .. }
@@ -83,7 +83,7 @@
     let engines = (0..state.engine_records.len()).map(EngineId::from_index);
     for (index, record) in state.requests.iter().enumerate() {
         let request = RequestId::from_index(index);
-        let times_out_at = record.deadline - model.final_answer_lead();
+        let times_out_at = record.deadline - model.final_answer_margin();
         events.extend([Event::Reject { request }, Event::Fail { request }, Event::Serve { request }]);
         events.push(Event::Grant { request, grant_mb: EXCESSIVE_GRANT_MB });
         events.extend((0..record.attempts.len()).map(|attempt| Event::Cancel { request, attempt }));
--- a/crates/model-checker/src/scheduler_model/inputs.rs
+++ b/crates/model-checker/src/scheduler_model/inputs.rs
@@ -15,7 +15,7 @@
 pub fn arrive(model: &SchedulerModel, state: &mut SchedulerModelState, events: &mut EventLog) {
     let arrival = model.arrival(state.requests.len());
     let deadline = state.now + arrival.deadline;
-    state.requests.push(RequestRecord { arrived: state.now, deadline, ..RequestRecord::default() });
+    state.requests.push(RequestRecord { arrived_at: state.now, deadline, ..RequestRecord::default() });
     state.scheduler.accept(state.now, arrival, events);
 }
 
@@ -68,7 +68,7 @@
 /// Reports that the endpoint list could not be read.
 pub fn fail_endpoint_list(state: &mut SchedulerModelState, events: &mut EventLog) {
     state.endpoint_changes += 1;
-    state.is_watching = false;
+    state.is_subscribed_to_list = false;
     state.scheduler.endpoint_list_failed(state.now, events);
 }
 
--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Relative tolerance for the rounding of sums of work.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// All invariants of the scheduler model.
 pub const INVARIANTS: &[Invariant<SchedulerModel>] = &[
@@ -85,7 +85,7 @@
     Invariant {
         name: "cancel",
         description: "an attempt is cancelled only while it is in flight, at most once, and only if the settings allow cancellation",
-        is_violated: cancels_nothing,
+        is_violated: cancels_invalidly,
     },
     Invariant {
         name: "grant",
@@ -100,7 +100,7 @@
     Invariant {
         name: "clean end",
         description: "at the end of a run no request, attempt or removed engine remains",
-        is_violated: leaves_something_behind,
+        is_violated: retains_state_at_end,
     },
 ];
 
@@ -208,7 +208,7 @@
     let window = limits.overload_window.mul_f64((seconds / budget).max(1.0));
     let is_recent = |work: &&SentWork| work.at + window > state.now;
     let recent: f64 = record.sent.iter().filter(is_recent).map(|work| work.seconds).sum();
-    recent + seconds > budget.max(seconds) * (1.0 + ROUNDING)
+    recent + seconds > budget.max(seconds) * (1.0 + ROUNDING_TOLERANCE)
 }
 
 fn sends_out_of_order(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
@@ -249,11 +249,11 @@
     let is_retry = sent_request(state, event).is_some_and(|record| !record.attempts.is_empty());
     let is_recent = |at: Duration| at + budget.window > state.now;
     let retries = state.retry_times.iter().filter(|at| is_recent(**at)).count() as f64;
-    let requests = state.requests.iter().filter(|request| is_recent(request.arrived)).count() as f64;
+    let requests = state.requests.iter().filter(|request| is_recent(request.arrived_at)).count() as f64;
     is_retry && retries + 1.0 > budget.min_retries + budget.per_request * requests
 }
 
-fn cancels_nothing(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
+fn cancels_invalidly(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Cancel { request, attempt } = event else { return false };
     let attempt = record(state, request).attempts.get(*attempt);
     let is_in_flight = attempt.is_some_and(|attempt| attempt.outcome.is_none() && !attempt.is_cancelled);
@@ -272,7 +272,7 @@
     state.wake_ups.is_empty() && state.requests.iter().any(RequestRecord::is_open)
 }
 
-fn leaves_something_behind(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
+fn retains_state_at_end(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     *event == Event::Terminal && !is_quiescent(state)
 }
 
--- a/crates/model-checker/src/scheduler_model/scenario.rs
+++ b/crates/model-checker/src/scheduler_model/scenario.rs
@@ -125,7 +125,7 @@
     /// Largest time by which a wake-up may be late.
     pub wake_up_delay: Duration,
     /// Whether the clock also stops 1 ms before, at and 1 ms after the end of each latency objective.
-    pub stops_around_objective: bool,
+    pub visits_latency_objective: bool,
     /// Whether states that differ only in the ids of equal engines count as one state. Must be `false` if the
     /// scheduler's choices depend on the order of engines.
     pub interchangeable_engines: bool,
@@ -165,7 +165,7 @@
         shuts_down: false,
         load_report: None,
         wake_up_delay: Duration::ZERO,
-        stops_around_objective: false,
+        visits_latency_objective: false,
         interchangeable_engines: true,
         max_depth: None,
         in_short_set: true,
--- a/crates/model-checker/src/scheduler_model/scenarios.rs
+++ b/crates/model-checker/src/scheduler_model/scenarios.rs
@@ -14,7 +14,7 @@
 const MAIN_OUTCOMES: &[AttemptOutcome] =
     &[AttemptOutcome::Succeeded, AttemptOutcome::Failed, AttemptOutcome::Overloaded, AttemptOutcome::Broken];
 /// The main outcomes and a timeout, after which the attempt may still run.
-const OUTCOMES_THAT_MAY_RUN: &[AttemptOutcome] = &[
+const MAIN_OUTCOMES_AND_TIMEOUT: &[AttemptOutcome] = &[
     AttemptOutcome::Succeeded,
     AttemptOutcome::Failed,
     AttemptOutcome::Overloaded,
@@ -29,7 +29,7 @@
     ProgressUpdate::WaitingForLoad,
 ];
 /// Largest delay of a wake-up in the scenarios with late wake-ups: one tick of the scheduler.
-const LATE_WAKE_UP: Duration = Duration::from_millis(8);
+const MAX_WAKE_UP_DELAY: Duration = Duration::from_millis(8);
 /// Estimated work of a request, in milliseconds on one core. The scheduler's budget for the first overload window
 /// after an engine's start allows one such request, but not two.
 const WARMING_WORK_MS: u64 = 210;
@@ -42,7 +42,7 @@
 const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
 const TWO_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0)];
 /// The load report of an engine whose cores are all busy.
-const FULL_ENGINE: LoadReport =
+const BUSY_ENGINE_REPORT: LoadReport =
     LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
 
 /// Requests of one key run in order in the idempotent and the non-idempotent class, with a cooldown between them;
@@ -159,16 +159,16 @@
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         progress_updates: &[ProgressUpdate::Running],
         max_progress_updates: 3,
-        stops_around_objective: true,
-        wake_up_delay: LATE_WAKE_UP,
+        visits_latency_objective: true,
+        wake_up_delay: MAX_WAKE_UP_DELAY,
         ..SchedulerScenario::BASE
     },
     SchedulerScenario {
         name: "late wake-ups",
         description: "one engine, wake-ups up to 8 ms late, times immediately before, at and after the latency objective",
         requests: &[request(IDEMPOTENT)],
-        wake_up_delay: LATE_WAKE_UP,
-        stops_around_objective: true,
+        wake_up_delay: MAX_WAKE_UP_DELAY,
+        visits_latency_objective: true,
         max_departures: 1,
         ..SchedulerScenario::BASE
     },
@@ -206,7 +206,7 @@
         outcomes: MAIN_OUTCOMES,
         shuts_down: true,
         max_departures: 1,
-        wake_up_delay: LATE_WAKE_UP,
+        wake_up_delay: MAX_WAKE_UP_DELAY,
         ..SchedulerScenario::BASE
     },
     SchedulerScenario {
@@ -248,7 +248,7 @@
             RequestSpec { work_ms: 0, ..keyed_request(IDEMPOTENT, 1) },
         ],
         outcomes: &[AttemptOutcome::Succeeded],
-        wake_up_delay: LATE_WAKE_UP,
+        wake_up_delay: MAX_WAKE_UP_DELAY,
         ..SchedulerScenario::BASE
     },
     SchedulerScenario {
@@ -261,7 +261,7 @@
         }),
         engines: &[engine(0, 0)],
         requests: &[keyed_request(NON_IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
-        outcomes: OUTCOMES_THAT_MAY_RUN,
+        outcomes: MAIN_OUTCOMES_AND_TIMEOUT,
         max_departures: 1,
         ..SchedulerScenario::BASE
     },
@@ -271,7 +271,7 @@
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[engine(0, 0)],
         requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
-        outcomes: OUTCOMES_THAT_MAY_RUN,
+        outcomes: MAIN_OUTCOMES_AND_TIMEOUT,
         max_departures: 1,
         ..SchedulerScenario::BASE
     },
@@ -352,7 +352,7 @@
         engines: &[engine(0, 0)],
         requests: &[request(IDEMPOTENT), RequestSpec { memory_mb: LARGE_MEMORY_MB, ..request(IDEMPOTENT) }],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        load_report: Some(FULL_ENGINE),
+        load_report: Some(BUSY_ENGINE_REPORT),
         in_short_set: false,
         ..SchedulerScenario::BASE
     },
--- a/crates/model-checker/src/scheduler_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Default)]
 pub struct RequestRecord {
     /// The time at which the request arrived.
-    pub arrived: Duration,
+    pub arrived_at: Duration,
     /// The time by which the request must be answered.
     pub deadline: Duration,
     /// The final answer; `None` while the request is open.
@@ -144,7 +144,7 @@
     /// The time at which the process ends; `None` before the graceful shutdown begins.
     pub shutdown_deadline: Option<Duration>,
     /// Whether the scheduler has subscribed to the endpoint list since the list last failed.
-    pub is_watching: bool,
+    pub is_subscribed_to_list: bool,
     /// The name of the first violated invariant; `None` if all hold.
     pub violated: Option<&'static str>,
     /// A hash of everything that influences later transitions and violations, as of the last update.
@@ -186,7 +186,8 @@
         }
         self.hash_requests(&mut hasher);
         self.hash_timers(model, &mut hasher);
-        (self.requests.len(), self.endpoint_changes, self.departures, self.is_watching).hash(&mut hasher);
+        (self.requests.len(), self.endpoint_changes, self.departures, self.is_subscribed_to_list)
+            .hash(&mut hasher);
         self.violated.hash(&mut hasher);
         self.fingerprint = hasher.finish();
     }
@@ -217,7 +218,7 @@
             let times_out_in =
                 request.in_flight().map(|attempt| attempt.times_out_at.saturating_sub(self.now));
             (last, times_out_in, request.attempts.len()).hash(hasher);
-            (request.deadline.saturating_sub(self.now), self.now - request.arrived).hash(hasher);
+            (request.deadline.saturating_sub(self.now), self.now - request.arrived_at).hash(hasher);
         }
     }
 
--- a/crates/model-checker/src/scheduler_model/transition.rs
+++ b/crates/model-checker/src/scheduler_model/transition.rs
@@ -218,12 +218,12 @@
 ) {
     instants.push(request.deadline);
     instants.extend(request.in_flight().map(|attempt| attempt.times_out_at));
-    if model.stops_around_objective {
-        let objective = request.arrived + model.class_of(id).latency_objective;
+    if model.visits_latency_objective {
+        let objective = request.arrived_at + model.class_of(id).latency_objective;
         instants.extend([objective - SMALLEST_TIME_STEP, objective, objective + SMALLEST_TIME_STEP]);
     }
-    if let (Some(window), Some(attempt)) = (model.retry_window(id), request.first_that_may_have_run()) {
-        instants.extend(before_and_at(attempt.sent_at + window - model.final_answer_lead()));
+    if let (Some(window), Some(attempt)) = (model.idempotency_window(id), request.first_that_may_have_run()) {
+        instants.extend(before_and_at(attempt.sent_at + window - model.final_answer_margin()));
     }
 }
 
--- a/crates/model-checker/src/wire.rs
+++ b/crates/model-checker/src/wire.rs
@@ -26,7 +26,7 @@
     /// Bytes that were received and not decoded yet.
     pub inbox: Vec<u8>,
     /// Number of pings that were received and not answered yet.
-    pub pings: usize,
+    pub unanswered_pings: usize,
 }
 
 impl Peer {
