--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -1,4 +1,5 @@
-//! The complete exploration of scenarios of the short set, and the search itself: finding, stopping and reporting.
+//! Tests of the model checker: scenarios of the short set are explored completely, recorded paths are replayed, and the
+//! search, the mutants' edits and the command line are checked.
 
 use emberflow_model_checker::former_names::{FORMER_MUTANT_NAMES, FORMER_SCENARIO_NAMES};
 use emberflow_model_checker::mutants::{MUTANTS, edited};
@@ -11,32 +12,36 @@
 const GENEROUS_LIMITS: SearchLimits =
     SearchLimits { time: Duration::from_secs(600), memory_mib: 8000, max_depth: None };
 
-/// Checks that all invariants hold in every reachable state of a scenario.
+/// Checks that a scenario is explored completely, that all invariants hold in every reachable state, and that some
+/// run ends.
 fn assert_holds(name: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
     let report = (scenario.check)(GENEROUS_LIMITS.time, GENEROUS_LIMITS.memory_mib);
     assert_eq!((report.violation, report.statistics.coverage), (None, Coverage::Complete), "{name}");
-    assert!(report.statistics.terminal_states > 0, "{name} never ends");
+    assert!(
+        report.statistics.terminal_states > 0,
+        "scenario `{name}` has no state without an enabled transition"
+    );
 }
 
-/// Checks that a recorded path can be replayed and violates no invariant.
+/// Checks that every transition of a recorded path is enabled when it is taken and violates no invariant.
 fn assert_path_holds(name: &str, path: &str) {
     let scenario = scenario(name).expect("the scenario is registered");
     assert_eq!((scenario.replay)(path), Ok(()), "{name}");
 }
 
 #[test]
-fn a_drain_in_the_instant_of_an_attempts_end_or_before_the_next_attempt() {
+fn an_engine_drains_at_the_end_of_an_attempt_or_before_the_retry() {
     assert_holds("drain under an attempt");
 }
 
 #[test]
-fn a_client_that_gives_up_in_the_instant_of_the_answer() {
+fn a_client_disconnects_at_the_time_of_the_answer() {
     assert_holds("late wake-ups");
 }
 
 #[test]
-fn a_late_first_answer_after_its_attempt_was_cancelled() {
+fn an_answer_arrives_after_its_attempt_was_cancelled() {
     assert_holds("silent engine");
 }
 
@@ -51,84 +56,84 @@
 }
 
 #[test]
-fn a_deadline_that_ends_at_the_tick_of_a_wake_up() {
+fn a_deadline_falls_on_the_tick_of_a_wake_up() {
     assert_holds("no estimates");
 }
 
 #[test]
-fn a_part_of_a_warming_engine_that_is_under_one_request() {
+fn slow_start_share_is_less_than_one_request() {
     assert_holds("warming engine, small part");
 }
 
 #[test]
-fn a_placement_whose_engines_leave_and_return() {
+fn engines_of_a_placement_are_removed_and_return() {
     assert_holds("placement");
 }
 
 #[test]
-fn answers_split_repeated_unknown_or_malformed_and_connections_reset() {
+fn answers_are_split_repeated_unknown_or_malformed_and_connections_reset() {
     assert_holds("a connection's faults");
 }
 
 #[test]
-fn calls_blocked_on_their_connection_when_the_engine_drains() {
+fn calls_are_blocked_on_their_connection_when_the_engine_drains() {
     assert_holds("a narrow connection");
     assert_holds("two on a narrow connection");
 }
 
 #[test]
-fn a_key_whose_requests_run_once_or_again_in_order_with_a_cooldown_and_no_cancel() {
+fn key_order_holds_with_a_cooldown_and_no_cancel() {
     assert_holds("one key, non-idempotent");
     assert_holds("one key, two effects");
 }
 
 #[test]
-fn a_client_that_withdraws_or_leaves_in_the_instant_of_the_answer() {
+fn a_client_cancels_or_disconnects_at_the_time_of_the_answer() {
     assert_holds("one client");
 }
 
 #[test]
-fn a_client_that_leaves_with_the_answer_half_written() {
+fn a_client_disconnects_while_its_answer_is_partly_written() {
     assert_holds("a slow reader");
 }
 
 #[test]
-fn an_engine_that_restarts_under_an_attempt_before_its_end_is_known() {
+fn an_engine_restarts_before_the_end_of_its_attempt_is_known() {
     assert_holds("restart under an attempt");
 }
 
 #[test]
-fn a_client_that_resets_its_connection_beside_one_that_posts() {
+fn a_client_resets_its_connection_during_anothers_request() {
     assert_holds("two clients");
 }
 
 #[test]
-fn the_process_ends_under_a_drain_a_reset_and_a_non_idempotent_request() {
+fn the_router_shuts_down_during_a_drain_and_a_connection_reset() {
     assert_holds("shutdown of the router");
 }
 
 #[test]
-fn an_engine_replaced_under_a_new_id_at_its_address() {
+fn an_engine_is_replaced_at_its_address() {
     assert_holds("a connection's answers");
 }
 
 #[test]
-fn the_process_ends_while_a_request_with_a_key_is_with_an_engine() {
+fn the_router_shuts_down_with_an_idempotency_key_in_flight() {
     assert_holds("shutdown, idempotency key");
 }
 
 #[test]
-fn lines_in_pieces_with_time_or_an_end_between() {
+fn lines_arrive_in_pieces_with_time_or_a_close_between() {
     assert_holds("lines in pieces");
 }
 
 #[test]
-fn a_list_sent_twice_with_gaps_corrupted_in_pieces_and_again() {
+fn endpoint_events_are_repeated_omitted_corrupted_or_split() {
     assert_holds("the discovery service");
 }
 
 #[test]
-fn a_blocked_call_is_not_begun_after_the_drain() {
+fn a_blocked_call_is_not_started_after_a_drain() {
     assert_path_holds(
         "two on a narrow connection",
         "
@@ -141,7 +146,7 @@
 }
 
 #[test]
-fn a_blocked_call_that_was_cancelled_is_not_begun_after_the_drain() {
+fn a_cancelled_blocked_call_is_not_started_after_a_drain() {
     assert_path_holds(
         "two on a narrow connection",
         "
@@ -155,9 +160,10 @@
 }
 
 #[test]
-fn a_path_that_is_not_there_is_reported_with_what_is_enabled() {
+fn a_disabled_transition_is_reported_with_the_enabled_ones() {
     let scenario = scenario("the discovery service").expect("the scenario is registered");
-    let error = (scenario.replay)("SendRest").expect_err("nothing was sent in part");
+    let error = (scenario.replay)("SendRest")
+        .expect_err("SendRest is not enabled, because no frame was sent in part");
     expect![[r#"SendRest is not among the enabled transitions [ChangeList, Reconnect, SendFault { fault: UnknownKind }, SendFault { fault: BadLength }, SendFault { fault: HeartbeatAhead }]"#]]
         .assert_eq(&error.to_string());
 }
@@ -188,26 +194,28 @@
 
 #[test]
 fn the_first_violation_is_reported_with_a_shortest_path() {
-    let violation = explore(&Numbers, GENEROUS_LIMITS).violation.expect("it is violated at 77");
+    let violation =
+        explore(&Numbers, GENEROUS_LIMITS).violation.expect("the invariant `odd` is violated at 77");
     let path: Vec<u64> = violation.path.iter().map(|step| step.transition).collect();
     expect![["odd by [2, 4, 8, 9, 18, 19, 38, 76, 77]"]]
         .assert_eq(&format!("{} by {path:?}", violation.invariant));
 }
 
 #[test]
-fn a_search_that_runs_out_never_says_that_it_was_complete() {
+fn a_search_stopped_by_a_limit_is_not_complete() {
     let coverage = |limits| format!("{:?}", explore(&Numbers, limits).statistics.coverage);
-    let deep = coverage(SearchLimits { max_depth: Some(3), ..GENEROUS_LIMITS });
-    let late = coverage(SearchLimits { time: Duration::ZERO, ..GENEROUS_LIMITS });
-    let full = coverage(SearchLimits { memory_mib: 0, ..GENEROUS_LIMITS });
-    expect![["ToDepth OutOfTime OutOfMemory"]].assert_eq(&format!("{deep} {late} {full}"));
+    let depth_limited = coverage(SearchLimits { max_depth: Some(3), ..GENEROUS_LIMITS });
+    let time_limited = coverage(SearchLimits { time: Duration::ZERO, ..GENEROUS_LIMITS });
+    let memory_limited = coverage(SearchLimits { memory_mib: 0, ..GENEROUS_LIMITS });
+    expect![["ToDepth OutOfTime OutOfMemory"]]
+        .assert_eq(&format!("{depth_limited} {time_limited} {memory_limited}"));
 }
 
 #[test]
-fn every_mutant_still_applies() {
+fn every_mutant_applies_exactly_once() {
     for mutant in MUTANTS {
         let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(mutant.file);
-        let text = std::fs::read_to_string(path).expect("a file of the repository");
+        let text = std::fs::read_to_string(path).expect("the edited file can be read");
         if let Err(error) = edited(&text, mutant) {
             panic!("{}: {error}", mutant.name);
         }
@@ -227,20 +235,20 @@
 
 #[test]
 fn bad_arguments_exit_with_2_and_an_incomplete_exploration_with_3() {
-    let run = |words: &[&str]| {
-        let done = Command::new(env!("CARGO_BIN_EXE_emberflow-model-checker"))
-            .args(words)
+    let exit_status = |arguments: &[&str]| {
+        let output = Command::new(env!("CARGO_BIN_EXE_emberflow-model-checker"))
+            .args(arguments)
             .output()
-            .expect("it runs");
-        done.status.code().unwrap_or(-1)
+            .expect("the model checker can be started");
+        output.status.code().unwrap_or(-1)
     };
-    let codes = [
-        run(&["no such scenario"]),
-        run(&["--fast"]),
-        run(&["--time", "soon"]),
-        run(&["--time", "0", "silent engine"]),
-        run(&["late wake-ups"]),
-        run(&["a planned restart"]),
+    let exit_statuses = [
+        exit_status(&["no such scenario"]),
+        exit_status(&["--fast"]),
+        exit_status(&["--time", "soon"]),
+        exit_status(&["--time", "0", "silent engine"]),
+        exit_status(&["late wake-ups"]),
+        exit_status(&["a planned restart"]),
     ];
-    expect![["[2, 2, 2, 3, 0, 0]"]].assert_eq(&format!("{codes:?}"));
+    expect![["[2, 2, 2, 3, 0, 0]"]].assert_eq(&format!("{exit_statuses:?}"));
 }
