--- a/crates/model-checker/src/discovery_model/scenario.rs
+++ b/crates/model-checker/src/discovery_model/scenario.rs
@@ -20,7 +20,7 @@
 pub const SCENARIOS: &[DiscoveryScenario] = &[
     DiscoveryScenario {
         name: "the discovery service",
-        description: "a list with three events, sent as changes or snapshots and in pieces, two faults, two lost connections",
+        description: "an endpoint list with three changes, sent as changes or complete lists and in pieces, two faulty frames, two lost connections",
         list_changes: 3,
         max_faults: 2,
         max_disconnects: 2,
@@ -28,7 +28,7 @@
     },
     DiscoveryScenario {
         name: "the discovery service, longer",
-        description: "a list with six events, three faults, three lost connections",
+        description: "an endpoint list with six changes, three faulty frames, three lost connections",
         list_changes: 6,
         max_faults: 3,
         max_disconnects: 3,
--- a/crates/model-checker/src/invariants.rs
+++ b/crates/model-checker/src/invariants.rs
@@ -37,7 +37,7 @@
 }
 
 /// Records the invariants that hypothetical events would violate in a state. An event that would violate several
-/// invariants is not counted, because it does not show that each of them is needed.
+/// invariants is not counted for any of them.
 ///
 /// The events are computed only until every invariant of the model has been exercised.
 pub fn record_exercised<M: ObservedModel>(
--- a/crates/model-checker/src/scheduler_model/apply.rs
+++ b/crates/model-checker/src/scheduler_model/apply.rs
@@ -13,8 +13,12 @@
 /// Returns the initial state, in which every engine has just been listed as ready.
 pub fn initial_state(model: &SchedulerModel) -> SchedulerModelState {
     let (fleet, classes, attempt_limits) = model.scenario.settings();
-    let record =
-        EngineRecord { lifecycle: Lifecycle::Ready, is_forgotten: false, launched: None, sent: Vec::new() };
+    let record = EngineRecord {
+        lifecycle: Lifecycle::Ready,
+        is_forgotten: false,
+        launched: None,
+        sent_work: Vec::new(),
+    };
     let mut state = SchedulerModelState {
         now: START_TIME,
         scheduler: Scheduler::new(fleet, classes, attempt_limits),
--- a/crates/model-checker/src/scheduler_model/effects.rs
+++ b/crates/model-checker/src/scheduler_model/effects.rs
@@ -73,7 +73,7 @@
         progress_updates: 0,
     });
     let seconds = model.requests[request.index()].work_seconds();
-    state.engine_records[engine.index()].sent.push(SentWork { at: state.now, seconds });
+    state.engine_records[engine.index()].sent_work.push(SentWork { at: state.now, seconds });
 }
 
 /// Returns events that a faulty scheduler could emit after an input, to find the invariants that this state
--- a/crates/model-checker/src/scheduler_model/inputs.rs
+++ b/crates/model-checker/src/scheduler_model/inputs.rs
@@ -49,7 +49,7 @@
         EndpointChange::Restarts => {
             record.lifecycle = Lifecycle::Ready;
             record.launched = Some(state.now);
-            record.sent.clear();
+            record.sent_work.clear();
         }
     }
     let endpoints = vec![state.endpoint(model, engine)];
--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -207,7 +207,7 @@
     let seconds = model.requests[request.index()].work_seconds();
     let window = limits.overload_window.mul_f64((seconds / budget).max(1.0));
     let is_recent = |work: &&SentWork| work.at + window > state.now;
-    let recent: f64 = record.sent.iter().filter(is_recent).map(|work| work.seconds).sum();
+    let recent: f64 = record.sent_work.iter().filter(is_recent).map(|work| work.seconds).sum();
     recent + seconds > budget.max(seconds) * (1.0 + ROUNDING_TOLERANCE)
 }
 
--- a/crates/model-checker/src/scheduler_model/scenarios.rs
+++ b/crates/model-checker/src/scheduler_model/scenarios.rs
@@ -174,7 +174,7 @@
     },
     SchedulerScenario {
         name: "no engine",
-        description: "no engine until the endpoint list reports one, which may be removed again",
+        description: "one engine that may drain, be removed, return or restart, and an endpoint list that may fail or be empty",
         engines: &[engine(0, 0)],
         requests: &[request(NON_IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
@@ -186,7 +186,7 @@
     },
     SchedulerScenario {
         name: "polled endpoint list",
-        description: "an endpoint list that is polled, fails and is empty",
+        description: "two engines, and a polled endpoint list that may fail or be empty",
         setup: setup!(|fleet, classes, attempt_limits| {
             fleet.polls_endpoint_list = true;
         }),
@@ -320,7 +320,7 @@
     },
     SchedulerScenario {
         name: "warming engine",
-        description: "an engine that restarts while two requests arrive, and whose first window has capacity for one",
+        description: "an engine that restarts while two requests arrive, and whose first overload window has capacity for one",
         engines: &[engine(0, 0)],
         requests: &[
             RequestSpec { work_ms: WARMING_WORK_MS, ..request(IDEMPOTENT) },
@@ -348,7 +348,7 @@
     },
     SchedulerScenario {
         name: "engine under pressure",
-        description: "answers that report a full engine, a large and a small request",
+        description: "answers that report an engine with all cores busy, a large and a small request",
         engines: &[engine(0, 0)],
         requests: &[request(IDEMPOTENT), RequestSpec { memory_mb: LARGE_MEMORY_MB, ..request(IDEMPOTENT) }],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
--- a/crates/model-checker/src/scheduler_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -106,7 +106,7 @@
     /// The time of the last restart; `None` without a restart.
     pub launched: Option<Duration>,
     /// The work sent since the last restart, or since the start of the run.
-    pub sent: Vec<SentWork>,
+    pub sent_work: Vec<SentWork>,
 }
 
 /// A period in which no other request of a key may be sent, because an engine may still execute an earlier attempt.
@@ -201,7 +201,7 @@
             engine.launched.is_some_and(|launched| launched + model.attempt_limits.warm_up > self.now);
         let recent_work = is_warming_up.then(|| {
             let age_and_work = |work: &SentWork| (self.now - work.at, work.seconds.to_bits());
-            engine.sent.iter().map(age_and_work).collect::<Vec<_>>()
+            engine.sent_work.iter().map(age_and_work).collect::<Vec<_>>()
         });
         recent_work.hash(&mut hasher);
         hasher.finish()
--- a/crates/model-checker/src/scheduler_model/transition.rs
+++ b/crates/model-checker/src/scheduler_model/transition.rs
@@ -204,7 +204,7 @@
     if state.expects_arrival(model) {
         let warming = state.engine_records.iter().filter(|engine| engine.launched.is_some());
         let window = model.attempt_limits.overload_window;
-        let sent_work = warming.flat_map(|engine| &engine.sent);
+        let sent_work = warming.flat_map(|engine| &engine.sent_work);
         instants.extend(sent_work.flat_map(|work| before_and_at(work.at + window)));
     }
     instants.into_iter().filter(|at| *at > state.now).min()
