--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -22,7 +22,7 @@
 /// An observable action of the router, the passing of time, or the end of a run.
 pub enum Event {
     /// A client reads an answer. `request` is the position of the request in [`RouterState::requests`]; `None` for an
-    /// answer to no request of the client. `rows` are those of a result; `None` for an error.
+    /// answer to no request of the client. `rows` are those of a result; `None` for an answer without a result.
     ClientReads { request: Option<usize>, rows: Option<Vec<u8>> },
     /// A call has arrived completely at an engine.
     CallArrives { request_number: u64 },
