--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -12,7 +12,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::ConnectionScenario;
@@ -40,8 +40,8 @@
     }
 
     fn violated(&self, state: &ConnectionState, is_terminal: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
-        let at_end = || observed::first_violated(self, state, &Event::Terminal);
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
+        let at_end = || shared_invariants::first_violated(self, state, &Event::Terminal);
         state.violated.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
--- a/crates/model-checker/src/connection_model/scenario.rs
+++ b/crates/model-checker/src/connection_model/scenario.rs
@@ -61,7 +61,7 @@
     /// Largest number of connections of the pool.
     pub max_connections: usize,
     /// Largest number of concurrent calls on a connection.
-    pub streams: usize,
+    pub max_calls_per_connection: usize,
     /// Number of bytes that a connection accepts before it blocks for the first time; `None` for no limit.
     pub initial_capacity: Option<usize>,
     /// Whether attempts in flight may be cancelled.
@@ -81,7 +81,7 @@
         max_faults: 0,
         endpoint_changes: &[],
         max_connections: 2,
-        streams: 2,
+        max_calls_per_connection: 2,
         initial_capacity: None,
         cancels: true,
         in_short_set: true,
--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -146,8 +146,12 @@
     /// Returns the initial state, in which the engine has been listed.
     pub fn new(scenario: &ConnectionScenario) -> Self {
         let mut context = Context { now: START_TIME, ..Context::default() };
-        let mut engines =
-            EnginePool::new(scenario.streams, CONNECT_TIMEOUT, IDLE_TIMEOUT, scenario.max_connections);
+        let mut engines = EnginePool::new(
+            scenario.max_calls_per_connection,
+            CONNECT_TIMEOUT,
+            IDLE_TIMEOUT,
+            scenario.max_connections,
+        );
         let engine = engines.update_endpoint(&endpoint_record(FIRST_ENGINE), &mut context).engine;
         Self {
             now: START_TIME,
--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -10,7 +10,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::DiscoveryScenario;
@@ -53,8 +53,8 @@
     }
 
     fn violated(&self, state: &DiscoveryState, _: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
-        let when_all_sent = || observed::first_violated(self, state, &Event::AllSent);
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
+        let when_all_sent = || shared_invariants::first_violated(self, state, &Event::AllSent);
         state.violated.or_else(|| state.is_all_sent().then(when_all_sent).flatten())
     }
 }
--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -8,7 +8,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::QueueScenario;
@@ -47,7 +47,7 @@
     }
 
     fn violated(&self, state: &QueueState, _: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
         state.violated
     }
 }
--- a/crates/model-checker/src/scheduler_model.rs
+++ b/crates/model-checker/src/scheduler_model.rs
@@ -15,7 +15,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use emberflow::{Arrival, AttemptLimits, Effect, EngineId, Fleet, RequestClass, RequestId};
@@ -118,7 +118,7 @@
     }
 
     fn violated(&self, state: &SchedulerModelState, is_terminal: bool) -> Option<&'static str> {
-        let at_end = || observed::first_violated(self, state, &Event::Terminal);
+        let at_end = || shared_invariants::first_violated(self, state, &Event::Terminal);
         state.violated.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
--- a/crates/model-checker/src/scheduler_model/scenario.rs
+++ b/crates/model-checker/src/scheduler_model/scenario.rs
@@ -43,11 +43,11 @@
 /// The index of the class of idempotent requests in the settings of the small trace tests.
 pub const IDEMPOTENT: usize = 0;
 /// The index of the class with idempotency keys that are known within a cell.
-pub const KEYED_IN_CELL: usize = 1;
+pub const IDEMPOTENCY_KEY_IN_CELL: usize = 1;
 /// The index of the class with idempotency keys that are known within a location.
-pub const KEYED_IN_LOCATION: usize = 2;
+pub const IDEMPOTENCY_KEY_IN_LOCATION: usize = 2;
 /// The index of the class with idempotency keys that every engine knows.
-pub const KEYED_EVERYWHERE: usize = 3;
+pub const IDEMPOTENCY_KEY_EVERYWHERE: usize = 3;
 /// The index of the class of non-idempotent requests.
 pub const NON_IDEMPOTENT: usize = 4;
 /// The estimated work of a request, in milliseconds on one core.
@@ -184,12 +184,12 @@
     EngineSpec { location, cell }
 }
 
-/// Returns a request of a class, without a key.
+/// Returns a request of a class, without an ordering key.
 pub const fn request(class: usize) -> RequestSpec {
     RequestSpec { class, key: None, work_ms: WORK_MS, memory_mb: MEMORY_MB }
 }
 
-/// Returns a request of a class, with a key.
-pub const fn keyed_request(class: usize, key: u32) -> RequestSpec {
+/// Returns a request of a class with an ordering key. The key has an effect only if the class keeps order.
+pub const fn request_of_key(class: usize, key: u32) -> RequestSpec {
     RequestSpec { key: Some(KeyId(key)), ..request(class) }
 }
--- a/crates/model-checker/src/scheduler_model/scenarios.rs
+++ b/crates/model-checker/src/scheduler_model/scenarios.rs
@@ -1,8 +1,9 @@
 //! The scenarios of the scheduler model. Each is small enough to be explored completely, unless it has a `max_depth`.
 
 use super::scenario::{
-    EndpointChange, EngineSpec, IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, KEYED_IN_LOCATION,
-    NON_IDEMPOTENT, RequestSpec, SchedulerScenario, Setup, engine, keyed_request, request,
+    EndpointChange, EngineSpec, IDEMPOTENCY_KEY_EVERYWHERE, IDEMPOTENCY_KEY_IN_CELL,
+    IDEMPOTENCY_KEY_IN_LOCATION, IDEMPOTENT, NON_IDEMPOTENT, RequestSpec, SchedulerScenario, Setup, engine,
+    request, request_of_key,
 };
 use crate::setup;
 use emberflow::{AttemptOutcome, LoadReport, ProgressUpdate, RetryBudget};
@@ -91,7 +92,7 @@
         name: "idempotency key in a cell",
         description: "one request with an idempotency key known within its cell, three engines in two cells, a window shorter than the deadline",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(KEYED_IN_CELL)],
+        requests: &[request(IDEMPOTENCY_KEY_IN_CELL)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Restarts],
         max_departures: 1,
@@ -101,7 +102,7 @@
         name: "idempotency key in location",
         description: "one request with an idempotency key known within its location, three engines in two locations",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(KEYED_IN_LOCATION)],
+        requests: &[request(IDEMPOTENCY_KEY_IN_LOCATION)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
         ..SchedulerScenario::BASE
@@ -110,7 +111,7 @@
         name: "idempotency key everywhere",
         description: "one request with an idempotency key known to all engines, three engines in two cells",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(KEYED_EVERYWHERE)],
+        requests: &[request(IDEMPOTENCY_KEY_EVERYWHERE)],
         max_endpoint_changes: 1,
         endpoint_changes: &[EndpointChange::Drains, EndpointChange::Removed],
         ..SchedulerScenario::BASE
@@ -119,7 +120,7 @@
         name: "restart under an attempt",
         description: "an engine that restarts during an attempt and is listed again before the end of the attempt is known",
         engines: TWO_ENGINES,
-        requests: &[request(KEYED_IN_CELL)],
+        requests: &[request(IDEMPOTENCY_KEY_IN_CELL)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 2,
         endpoint_changes: &[EndpointChange::Removed, EndpointChange::Restarts],
@@ -202,7 +203,7 @@
         name: "shutdown under an attempt",
         description: "a graceful shutdown while an attempt with an idempotency key is in flight",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(KEYED_IN_CELL)],
+        requests: &[request(IDEMPOTENCY_KEY_IN_CELL)],
         outcomes: MAIN_OUTCOMES,
         shuts_down: true,
         max_departures: 1,
@@ -227,7 +228,7 @@
             attempt_limits.key_cooldown = Some(std::time::Duration::from_millis(60));
         }),
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(IDEMPOTENT, 1)],
+        requests: &[request_of_key(IDEMPOTENT, 1), request_of_key(IDEMPOTENT, 1)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded, AttemptOutcome::Broken],
         max_departures: 1,
         ..SchedulerScenario::BASE
@@ -244,8 +245,8 @@
         }),
         engines: &[engine(0, 0)],
         requests: &[
-            keyed_request(NON_IDEMPOTENT, 1),
-            RequestSpec { work_ms: 0, ..keyed_request(IDEMPOTENT, 1) },
+            request_of_key(NON_IDEMPOTENT, 1),
+            RequestSpec { work_ms: 0, ..request_of_key(IDEMPOTENT, 1) },
         ],
         outcomes: &[AttemptOutcome::Succeeded],
         wake_up_delay: MAX_WAKE_UP_DELAY,
@@ -260,7 +261,7 @@
             attempt_limits.may_cancel = false;
         }),
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(NON_IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
+        requests: &[request_of_key(NON_IDEMPOTENT, 1), request_of_key(NON_IDEMPOTENT, 1)],
         outcomes: MAIN_OUTCOMES_AND_TIMEOUT,
         max_departures: 1,
         ..SchedulerScenario::BASE
@@ -270,7 +271,7 @@
         description: "an idempotent request, whose retries need no cooldown, and a non-idempotent one of the same key, which needs one",
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[engine(0, 0)],
-        requests: &[keyed_request(IDEMPOTENT, 1), keyed_request(NON_IDEMPOTENT, 1)],
+        requests: &[request_of_key(IDEMPOTENT, 1), request_of_key(NON_IDEMPOTENT, 1)],
         outcomes: MAIN_OUTCOMES_AND_TIMEOUT,
         max_departures: 1,
         ..SchedulerScenario::BASE
@@ -281,9 +282,9 @@
         setup: KEYS_IN_ORDER_WITHOUT_CANCEL,
         engines: &[engine(0, 0)],
         requests: &[
-            keyed_request(IDEMPOTENT, 1),
-            keyed_request(NON_IDEMPOTENT, 1),
-            keyed_request(IDEMPOTENT, 1),
+            request_of_key(IDEMPOTENT, 1),
+            request_of_key(NON_IDEMPOTENT, 1),
+            request_of_key(IDEMPOTENT, 1),
         ],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
@@ -393,7 +394,7 @@
         name: "two idempotency keys",
         description: "two requests with idempotency keys known within a cell at two engines of two cells",
         engines: &[engine(0, 0), engine(1, 1)],
-        requests: &[request(KEYED_IN_CELL), request(KEYED_IN_CELL)],
+        requests: &[request(IDEMPOTENCY_KEY_IN_CELL), request(IDEMPOTENCY_KEY_IN_CELL)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Broken],
         in_short_set: false,
         ..SchedulerScenario::BASE
@@ -402,7 +403,7 @@
         name: "three requests",
         description: "an idempotent request, one with an idempotency key and a non-idempotent one at three engines in two cells",
         engines: ENGINES_IN_TWO_CELLS,
-        requests: &[request(IDEMPOTENT), request(KEYED_IN_CELL), request(NON_IDEMPOTENT)],
+        requests: &[request(IDEMPOTENT), request(IDEMPOTENCY_KEY_IN_CELL), request(NON_IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
         max_endpoint_changes: 1,
         endpoint_changes: ALL_CHANGES,
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -3,8 +3,8 @@
 
 use emberflow_model_checker::scheduler_model::SchedulerModel;
 use emberflow_model_checker::scheduler_model::scenario::{
-    IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, KEYED_IN_LOCATION, NON_IDEMPOTENT, RequestSpec,
-    SchedulerScenario, engine, request,
+    IDEMPOTENCY_KEY_EVERYWHERE, IDEMPOTENCY_KEY_IN_CELL, IDEMPOTENCY_KEY_IN_LOCATION, IDEMPOTENT,
+    NON_IDEMPOTENT, RequestSpec, SchedulerScenario, engine, request,
 };
 use emberflow_model_checker::search::Model;
 use emberflow_model_checker::{connection_model, router_model, scheduler_model};
@@ -43,11 +43,11 @@
 
 const EIGHT_REQUESTS: &[RequestSpec] = &[
     request(IDEMPOTENT),
-    request(KEYED_IN_CELL),
+    request(IDEMPOTENCY_KEY_IN_CELL),
     request(NON_IDEMPOTENT),
     request(IDEMPOTENT),
-    request(KEYED_EVERYWHERE),
-    request(KEYED_IN_LOCATION),
+    request(IDEMPOTENCY_KEY_EVERYWHERE),
+    request(IDEMPOTENCY_KEY_IN_LOCATION),
     request(NON_IDEMPOTENT),
     request(IDEMPOTENT),
 ];
