--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -77,8 +77,9 @@
 
     /// Checks the invariants at an event, before the event changes the state.
     fn check(&mut self, event: &Event) {
-        let violated = self.state.violated.or_else(|| first_violated(self.scenario, &self.state, event));
-        self.state.violated = violated;
+        let violated_invariant =
+            self.state.violated_invariant.or_else(|| first_violated(self.scenario, &self.state, event));
+        self.state.violated_invariant = violated_invariant;
     }
 
     fn send_call(&mut self, request: usize) {
@@ -228,7 +229,7 @@
     fn record_end(&mut self, request: usize, number: usize, outcome: AttemptOutcome, body: Option<Vec<u8>>) {
         let is_ended = |attempt: &AttemptRecord| (attempt.request, attempt.number) == (request, number);
         let Some(attempt) = self.state.attempts.iter().position(is_ended) else {
-            self.state.violated = self.state.violated.or(Some("one end"));
+            self.state.violated_invariant = self.state.violated_invariant.or(Some("one end"));
             return;
         };
         self.check(&Event::AttemptEnds { attempt, outcome, body, cause: self.cause });
--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -124,7 +124,7 @@
     /// Whether the endpoint list has reported its one change of the run.
     pub endpoint_has_changed: bool,
     /// The name of the first violated invariant; `None` if all hold.
-    pub violated: Option<&'static str>,
+    pub violated_invariant: Option<&'static str>,
 }
 
 /// Returns the row of the endpoint list for the engine with this id, as ready.
@@ -164,7 +164,7 @@
             late_answers: Vec::new(),
             faults: 0,
             endpoint_has_changed: false,
-            violated: None,
+            violated_invariant: None,
         }
     }
 
@@ -210,7 +210,7 @@
             (answer.request, position_of.get(&answer.connection)).hash(&mut hasher);
         }
         (self.engine_is_ready, self.faults, self.endpoint_has_changed).hash(&mut hasher);
-        self.violated.hash(&mut hasher);
+        self.violated_invariant.hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/model-checker/src/connection_model/transition.rs
+++ b/crates/model-checker/src/connection_model/transition.rs
@@ -34,7 +34,7 @@
     state: &ConnectionState,
     transitions: &mut Vec<Transition>,
 ) {
-    if state.violated.is_some() {
+    if state.violated_invariant.is_some() {
         return;
     }
     for request in 0..scenario.requests {
--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -52,10 +52,10 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &DiscoveryState, _: bool) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &DiscoveryState, _: bool) -> Option<&'static str> {
         shared_invariants::record_exercised(self, state, || state.hypothetical_events());
         let when_all_sent = || shared_invariants::first_violated(self, state, &Event::AllSent);
-        state.violated.or_else(|| state.is_all_sent().then(when_all_sent).flatten())
+        state.violated_invariant.or_else(|| state.is_all_sent().then(when_all_sent).flatten())
     }
 }
 
--- a/crates/model-checker/src/discovery_model/state.rs
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -51,7 +51,7 @@
     /// The fault of the frame that the latest transition has sent; `None` if it has sent no faulty frame.
     pub frame_fault: Option<FrameFault>,
     /// The name of the first violated invariant; `None` if all hold.
-    pub violated: Option<&'static str>,
+    pub violated_invariant: Option<&'static str>,
 }
 
 impl DiscoveryState {
@@ -67,7 +67,7 @@
             faults: 0,
             disconnects: 0,
             frame_fault: None,
-            violated: None,
+            violated_invariant: None,
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     fn check(&mut self, scenario: &DiscoveryScenario, event: &Event) {
-        self.violated = self.violated.or_else(|| first_violated(scenario, self, event));
+        self.violated_invariant = self.violated_invariant.or_else(|| first_violated(scenario, self, event));
     }
 
     /// Returns events that a faulty reader could emit in this state, to find the invariants that the state exercises.
@@ -169,7 +169,7 @@
         let mut hasher = DefaultHasher::new();
         (self.reader.input.len(), self.reader.last_event, &self.received).hash(&mut hasher);
         (self.last_event, self.sent_event, &self.unsent_rest, self.must_reconnect).hash(&mut hasher);
-        (self.faults, self.disconnects, self.violated).hash(&mut hasher);
+        (self.faults, self.disconnects, self.violated_invariant).hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/model-checker/src/discovery_model/transition.rs
+++ b/crates/model-checker/src/discovery_model/transition.rs
@@ -28,7 +28,7 @@
     state: &DiscoveryState,
     transitions: &mut Vec<Transition>,
 ) {
-    if state.violated.is_some() {
+    if state.violated_invariant.is_some() {
         return;
     }
     transitions.extend((state.last_event < scenario.list_changes).then_some(Transition::ChangeList));
--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -46,9 +46,9 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &QueueState, _: bool) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &QueueState, _: bool) -> Option<&'static str> {
         shared_invariants::record_exercised(self, state, || state.hypothetical_events());
-        state.violated
+        state.violated_invariant
     }
 }
 
--- a/crates/model-checker/src/queue_model/state.rs
+++ b/crates/model-checker/src/queue_model/state.rs
@@ -63,7 +63,7 @@
     /// Number of times that a request was requeued.
     pub requeues: u8,
     /// The name of the first violated invariant; `None` if all hold.
-    pub violated: Option<&'static str>,
+    pub violated_invariant: Option<&'static str>,
 }
 
 /// Returns the quotas of `teams` teams in one organization. The second team may have a budget.
@@ -90,7 +90,7 @@
             is_team_removed: false,
             time_steps: 0,
             requeues: 0,
-            violated: None,
+            violated_invariant: None,
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     fn check(&mut self, scenario: &QueueScenario, event: &Event) {
-        self.violated = self.violated.or_else(|| first_violated(scenario, self, event));
+        self.violated_invariant = self.violated_invariant.or_else(|| first_violated(scenario, self, event));
     }
 
     /// Returns events that faulty queues could emit in this state, to find the invariants that the state exercises.
@@ -200,7 +200,7 @@
         let mut hasher = DefaultHasher::new();
         self.queues.fingerprint(self.now, &mut hasher);
         (&self.statuses, self.passed_over, self.dispatch_counts, self.is_team_removed).hash(&mut hasher);
-        (self.time_steps, self.requeues, self.violated).hash(&mut hasher);
+        (self.time_steps, self.requeues, self.violated_invariant).hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/model-checker/src/queue_model/transition.rs
+++ b/crates/model-checker/src/queue_model/transition.rs
@@ -25,7 +25,7 @@
 
 /// Appends the transitions that are enabled in a state.
 pub fn append_enabled(scenario: &QueueScenario, state: &QueueState, transitions: &mut Vec<Transition>) {
-    if state.violated.is_some() {
+    if state.violated_invariant.is_some() {
         return;
     }
     let has = |status: RequestStatus| state.statuses.contains(&status);
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -227,7 +227,7 @@
             return Err(ReplayError::NotEnabled { transition: line.to_owned(), enabled: printed.join(", ") });
         };
         state = model.apply(&state, &enabled[position]);
-        if let Some(invariant) = model.violated(&state, false) {
+        if let Some(invariant) = model.violated_invariant(&state, false) {
             return Err(ReplayError::Violated { invariant, transition: line.to_owned() });
         }
     }
--- a/crates/model-checker/src/router_model.rs
+++ b/crates/model-checker/src/router_model.rs
@@ -38,10 +38,10 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &RouterState, is_terminal: bool) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &RouterState, is_terminal: bool) -> Option<&'static str> {
         shared_invariants::record_exercised(self, state, || state.hypothetical_events());
         let at_end = || shared_invariants::first_violated(self, state, &Event::Terminal);
-        state.violated.or_else(|| is_terminal.then(at_end).flatten())
+        state.violated_invariant.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
 
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -65,8 +65,9 @@
 
     /// Checks the invariants at an event, before the event changes the state.
     fn check(&mut self, event: &Event) {
-        let violated = self.state.violated.or_else(|| first_violated(self.scenario, &self.state, event));
-        self.state.violated = violated;
+        let violated_invariant =
+            self.state.violated_invariant.or_else(|| first_violated(self.scenario, &self.state, event));
+        self.state.violated_invariant = violated_invariant;
     }
 
     fn drain_engine(&mut self) {
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -121,7 +121,7 @@
     /// Whether the process has received the signal to terminate.
     pub is_terminating: bool,
     /// The name of the first violated invariant; `None` if all hold.
-    pub violated: Option<&'static str>,
+    pub violated_invariant: Option<&'static str>,
 }
 
 impl RouterState {
@@ -154,7 +154,7 @@
             faults: 0,
             is_draining: false,
             is_terminating: false,
-            violated: None,
+            violated_invariant: None,
         }
     }
 
@@ -213,7 +213,7 @@
                 .hash(&mut hasher);
         }
         (self.faults, self.is_draining, self.is_terminating, self.server.has_stopped()).hash(&mut hasher);
-        self.violated.hash(&mut hasher);
+        self.violated_invariant.hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/model-checker/src/router_model/transition.rs
+++ b/crates/model-checker/src/router_model/transition.rs
@@ -41,7 +41,7 @@
 
 /// Appends the transitions that are enabled in a state.
 pub fn append_enabled(scenario: &RouterScenario, state: &RouterState, transitions: &mut Vec<Transition>) {
-    if state.violated.is_some() || state.server.has_stopped() {
+    if state.violated_invariant.is_some() || state.server.has_stopped() {
         return;
     }
     append_client_transitions(scenario, state, transitions);
--- a/crates/model-checker/src/scheduler_model.rs
+++ b/crates/model-checker/src/scheduler_model.rs
@@ -117,9 +117,9 @@
         state.fingerprint
     }
 
-    fn violated(&self, state: &SchedulerModelState, is_terminal: bool) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &SchedulerModelState, is_terminal: bool) -> Option<&'static str> {
         let at_end = || shared_invariants::first_violated(self, state, &Event::Terminal);
-        state.violated.or_else(|| is_terminal.then(at_end).flatten())
+        state.violated_invariant.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
 
--- a/crates/model-checker/src/scheduler_model/apply.rs
+++ b/crates/model-checker/src/scheduler_model/apply.rs
@@ -31,7 +31,7 @@
         departures: 0,
         shutdown_deadline: None,
         is_subscribed_to_list: false,
-        violated: None,
+        violated_invariant: None,
         fingerprint: 0,
     };
     let engines = (0..model.engines.len()).map(EngineId::from_index);
--- a/crates/model-checker/src/scheduler_model/effects.rs
+++ b/crates/model-checker/src/scheduler_model/effects.rs
@@ -14,14 +14,14 @@
 
 /// Checks the invariants at an event, before the event changes the state.
 pub fn check(model: &SchedulerModel, state: &mut SchedulerModelState, event: &Event) {
-    state.violated = state.violated.or_else(|| first_violated(model, state, event));
+    state.violated_invariant = state.violated_invariant.or_else(|| first_violated(model, state, event));
 }
 
 /// Checks and applies the scheduler's actions, up to the first violation.
 pub fn apply_events(model: &SchedulerModel, state: &mut SchedulerModelState, events: EventLog) {
     for event in events.0 {
         check(model, state, &event);
-        if state.violated.is_some() {
+        if state.violated_invariant.is_some() {
             return;
         }
         apply_event(model, state, event);
--- a/crates/model-checker/src/scheduler_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -146,7 +146,7 @@
     /// Whether the scheduler has subscribed to the endpoint list since the list last failed.
     pub is_subscribed_to_list: bool,
     /// The name of the first violated invariant; `None` if all hold.
-    pub violated: Option<&'static str>,
+    pub violated_invariant: Option<&'static str>,
     /// A hash of everything that influences later transitions and violations, as of the last update.
     pub fingerprint: u64,
 }
@@ -188,7 +188,7 @@
         self.hash_timers(model, &mut hasher);
         (self.requests.len(), self.endpoint_changes, self.departures, self.is_subscribed_to_list)
             .hash(&mut hasher);
-        self.violated.hash(&mut hasher);
+        self.violated_invariant.hash(&mut hasher);
         self.fingerprint = hasher.finish();
     }
 
--- a/crates/model-checker/src/scheduler_model/transition.rs
+++ b/crates/model-checker/src/scheduler_model/transition.rs
@@ -46,7 +46,7 @@
     state: &SchedulerModelState,
     transitions: &mut Vec<Transition>,
 ) {
-    if state.violated.is_some() {
+    if state.violated_invariant.is_some() {
         return;
     }
     if accepts_arrival(model, state) {
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -38,7 +38,7 @@
     fn fingerprint(&self, state: &Self::State) -> u64;
     /// Returns the name of the invariant that the transition into a state has violated, or that the state violates as
     /// the end of a run; `None` if all invariants hold. `is_terminal` is true if no transition is enabled in the state.
-    fn violated(&self, state: &Self::State, is_terminal: bool) -> Option<&'static str>;
+    fn violated_invariant(&self, state: &Self::State, is_terminal: bool) -> Option<&'static str>;
 }
 
 /// The limits at which a search stops.
@@ -154,7 +154,7 @@
 /// The result of the expansion of one state.
 struct Expansion<State> {
     fingerprint: u64,
-    violated: Option<&'static str>,
+    violated_invariant: Option<&'static str>,
     is_terminal: bool,
     /// The successor states that were not reached before this batch.
     successors: Vec<Successor<State>>,
@@ -226,8 +226,8 @@
         let mut transitions = Vec::new();
         self.model.transitions(state, &mut transitions);
         let is_terminal = transitions.is_empty();
-        let violated = self.model.violated(state, is_terminal);
-        if violated.is_some() {
+        let violated_invariant = self.model.violated_invariant(state, is_terminal);
+        if violated_invariant.is_some() {
             transitions.clear();
         }
         let mut successors = Vec::new();
@@ -238,12 +238,12 @@
                 successors.push(Successor { fingerprint, transition: index, state: successor });
             }
         }
-        Expansion { fingerprint: self.model.fingerprint(state), violated, is_terminal, successors }
+        Expansion { fingerprint: self.model.fingerprint(state), violated_invariant, is_terminal, successors }
     }
 
     fn record(&mut self, expansion: Expansion<M::State>, next_level: &mut Vec<M::State>) -> Result<(), Stop> {
         self.statistics.terminal_states += usize::from(expansion.is_terminal);
-        if let Some(invariant) = expansion.violated {
+        if let Some(invariant) = expansion.violated_invariant {
             return Err(Stop::Violated { invariant, fingerprint: expansion.fingerprint });
         }
         for successor in expansion.successors {
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -32,13 +32,13 @@
     for (length, choice) in choices.iter().enumerate() {
         let mut transitions = Vec::new();
         model.transitions(&state, &mut transitions);
-        if let Some(invariant) = model.violated(&state, transitions.is_empty()) {
+        if let Some(invariant) = model.violated_invariant(&state, transitions.is_empty()) {
             return Some((invariant, length));
         }
         let transition = transitions.get(usize::from(*choice) % transitions.len().max(1))?;
         state = model.apply(&state, transition);
     }
-    model.violated(&state, false).map(|invariant| (invariant, choices.len()))
+    model.violated_invariant(&state, false).map(|invariant| (invariant, choices.len()))
 }
 
 const EIGHT_REQUESTS: &[RequestSpec] = &[
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -187,7 +187,7 @@
     fn fingerprint(&self, state: &u64) -> u64 {
         *state
     }
-    fn violated(&self, state: &u64, _: bool) -> Option<&'static str> {
+    fn violated_invariant(&self, state: &u64, _: bool) -> Option<&'static str> {
         (*state == 77).then_some("odd")
     }
 }
