--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -142,7 +142,7 @@
 fn run_exploration(entries: &[ScenarioEntry], is_full_set: bool, options: &Options) -> ExitCode {
     let thread_pool = rayon::ThreadPoolBuilder::new().num_threads(options.threads).build_global();
     if let Err(error) = thread_pool {
-        return usage_error(&error.to_string());
+        return usage_error(&format!("cannot start the thread pool: {error}"));
     }
     let started_at = Instant::now();
     let mut incomplete = Vec::new();
--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -32,10 +32,10 @@
     state: &ConnectionState,
     transition: Transition,
 ) -> ConnectionState {
-    let mut run = Run { scenario, state: state.clone(), cause: cause_of(transition) };
-    run.apply(transition);
-    run.run_until_idle();
-    run.state
+    let mut applier = TransitionApplier { scenario, state: state.clone(), cause: cause_of(transition) };
+    applier.apply(transition);
+    applier.run_until_idle();
+    applier.state
 }
 
 /// Returns the cause to which a transition attributes the ends of attempts. A well-formed message belongs to one
@@ -51,14 +51,15 @@
     }
 }
 
-/// The application of one transition.
-struct Run<'a> {
+/// Applies one transition to a copy of a state.
+struct TransitionApplier<'a> {
     scenario: &'a ConnectionScenario,
     state: ConnectionState,
+    /// The cause to which the ends of attempts are attributed.
     cause: Cause,
 }
 
-impl Run<'_> {
+impl TransitionApplier<'_> {
     fn apply(&mut self, transition: Transition) {
         match transition {
             Transition::SendCall { request } => self.send_call(request),
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -19,6 +19,6 @@
 
 /// The fixture of the trace tests. The scheduler model uses the same settings, so that its counterexamples can be
 /// pasted into `tests/traces/`.
-#[allow(dead_code, reason = "the model checker uses the settings alone")]
+#[allow(dead_code, reason = "the model checker uses only the settings of the fixture")]
 #[path = "../../../tests/trace/mod.rs"]
 pub mod trace;
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -46,10 +46,12 @@
 const POOL_REPLIES: &str = "crates/router/src/engine_pool/replies.rs";
 const POOL_RESULT_PAGES: &str = "crates/router/src/engine_pool/result_pages.rs";
 
+/// Returns a mutant of the reader of the discovery connection.
 const fn discovery(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file: DISCOVERY, from, to }
 }
 
+/// Returns a mutant of the scheduler.
 const fn scheduler(name: &'static str, file: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file, from, to }
 }
--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -189,6 +189,7 @@
     }
 }
 
+/// Explores a model. A violation is returned as a counterexample with the source that `test_source` makes of its path.
 fn search<M: Model>(
     model: &M,
     limits: SearchLimits,
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -14,12 +14,13 @@
 
 /// Returns the state that a transition leads to.
 pub fn apply(scenario: &RouterScenario, state: &RouterState, transition: Transition) -> RouterState {
-    let mut run = Run { scenario, state: state.clone(), acting_client: acting_client(transition) };
-    run.apply(transition);
-    run.run_until_idle();
-    run.state.server.close_finished_clients();
-    run.run_until_idle();
-    run.state
+    let mut applier =
+        TransitionApplier { scenario, state: state.clone(), acting_client: acting_client(transition) };
+    applier.apply(transition);
+    applier.run_until_idle();
+    applier.state.server.close_finished_clients();
+    applier.run_until_idle();
+    applier.state
 }
 
 /// Returns the client that sends input or closes its connection in a transition; `None` for transitions without input
@@ -34,15 +35,15 @@
     }
 }
 
-/// The application of one transition.
-struct Run<'a> {
+/// Applies one transition to a copy of a state.
+struct TransitionApplier<'a> {
     scenario: &'a RouterScenario,
     state: RouterState,
     /// The client that sends input or closes its connection in the transition.
     acting_client: Option<usize>,
 }
 
-impl Run<'_> {
+impl TransitionApplier<'_> {
     fn apply(&mut self, transition: Transition) {
         match transition {
             Transition::SendLine { client, line } => self.send_line(client, line),
--- a/crates/model-checker/src/router_model/apply/clients.rs
+++ b/crates/model-checker/src/router_model/apply/clients.rs
@@ -2,7 +2,7 @@
 
 use super::super::scenario::{CLIENT_TIMEOUT, ClientLine, REQUEST_MEMORY_MB, REQUEST_WORK_MS};
 use super::super::state::{Event, RequestRecord};
-use super::Run;
+use super::TransitionApplier;
 use crate::wire::{Peer, ScriptedInput};
 use emberflow_peer_protocol::client::{
     ClientRequest, Outcome, Response, RouterMessage, encode_cancellation, take_line,
@@ -13,7 +13,7 @@
 /// A line that is not JSON.
 const MALFORMED_LINE: &[u8] = b"{\n";
 
-impl Run<'_> {
+impl TransitionApplier<'_> {
     pub(super) fn send_line(&mut self, client: usize, line: usize) {
         self.state.clients[client].sent_lines |= 1 << line;
         let mut bytes = self.line_bytes(self.scenario.client_lines[client][line]);
--- a/crates/model-checker/src/router_model/apply/engines.rs
+++ b/crates/model-checker/src/router_model/apply/engines.rs
@@ -1,7 +1,7 @@
 //! The engines of the router model: the calls that they receive and the replies that they send.
 
 use super::super::state::{CallRecord, Event, ResultRecord};
-use super::Run;
+use super::TransitionApplier;
 use crate::wire::{ScriptedInput, pong, take_commands};
 use emberflow_peer_protocol::engine::{EngineCommand, EngineReply};
 use emberflow_peer_protocol::request_id;
@@ -12,7 +12,7 @@
 /// The base of the digits of a request id.
 const REQUEST_ID_RADIX: u32 = 16;
 
-impl Run<'_> {
+impl TransitionApplier<'_> {
     pub(super) fn connect(&mut self, connection: Slot) {
         self.state.engine_peers.entry(connection).and_modify(|peer| peer.is_connected = true);
         let Dispatcher { engines, context, .. } = &mut self.state.server.dispatcher;
--- a/crates/model-checker/tests/walk.rs
+++ b/crates/model-checker/tests/walk.rs
@@ -15,7 +15,7 @@
 /// Checks that a scenario is explored completely, that all invariants hold in every reachable state, and that some
 /// run ends.
 fn assert_holds(name: &str) {
-    let scenario = scenario(name).expect("the scenario is registered");
+    let scenario = scenario(name).unwrap_or_else(|| panic!("scenario `{name}` is not registered"));
     let report = (scenario.check)(GENEROUS_LIMITS.time, GENEROUS_LIMITS.memory_mib);
     assert_eq!((report.violation, report.statistics.coverage), (None, Coverage::Complete), "{name}");
     assert!(
@@ -26,7 +26,7 @@
 
 /// Checks that every transition of a recorded path is enabled when it is taken and violates no invariant.
 fn assert_path_holds(name: &str, path: &str) {
-    let scenario = scenario(name).expect("the scenario is registered");
+    let scenario = scenario(name).unwrap_or_else(|| panic!("scenario `{name}` is not registered"));
     assert_eq!((scenario.replay)(path), Ok(()), "{name}");
 }
 
