--- a/crates/model-checker/src/scheduler_model/scenarios.rs
+++ b/crates/model-checker/src/scheduler_model/scenarios.rs
@@ -27,7 +27,7 @@
     ProgressUpdate::Fraction(0.1),
     ProgressUpdate::Spilling(200.0),
     ProgressUpdate::WaitingForMemory,
-    ProgressUpdate::WaitingForLoad,
+    ProgressUpdate::WaitingForBulkLoad,
 ];
 /// Largest delay of a wake-up in the scenarios with late wake-ups: one tick of the scheduler.
 const MAX_WAKE_UP_DELAY: Duration = Duration::from_millis(8);
@@ -43,8 +43,13 @@
 const ENGINES_IN_TWO_CELLS: &[EngineSpec] = &[engine(0, 0), engine(0, 0), engine(1, 1)];
 const TWO_ENGINES: &[EngineSpec] = &[engine(0, 0), engine(0, 0)];
 /// The load report of an engine whose cores are all busy.
-const BUSY_ENGINE_REPORT: LoadReport =
-    LoadReport { busy: Some(1.0), in_flight: None, waiting: None, memory: Some(0.5), disks: None };
+const BUSY_ENGINE_REPORT: LoadReport = LoadReport {
+    core_utilization: Some(1.0),
+    in_flight: None,
+    waiting_for_memory: None,
+    memory_utilization: Some(0.5),
+    disk_utilization: None,
+};
 
 /// Requests of one key run in order in the idempotent and the non-idempotent class, with a cooldown between them;
 /// attempts may not be cancelled.
@@ -189,7 +194,7 @@
         name: "polled endpoint list",
         description: "two engines, and a polled endpoint list that may fail or be empty",
         setup: setup!(|fleet, classes, attempt_limits| {
-            fleet.polls_endpoint_list = true;
+            fleet.must_watch_endpoints = true;
         }),
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT)],
@@ -239,7 +244,7 @@
         setup: setup!(|fleet, classes, attempt_limits| {
             classes[0].keeps_order = true;
             classes[4].keeps_order = true;
-            classes[0].late_share = 0.5;
+            classes[0].late_weight_fraction = 0.5;
             classes[0].deadline = classes[4].deadline / 2;
             attempt_limits.may_cancel = false;
         }),
@@ -313,7 +318,7 @@
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT), request(IDEMPOTENT)],
         outcomes: &[AttemptOutcome::Succeeded, AttemptOutcome::Overloaded],
-        progress_updates: &[ProgressUpdate::WaitingForLoad],
+        progress_updates: &[ProgressUpdate::WaitingForBulkLoad],
         max_progress_updates: 1,
         interchangeable_engines: false,
         in_short_set: false,
@@ -374,7 +379,7 @@
         engines: TWO_ENGINES,
         requests: &[request(IDEMPOTENT)],
         outcomes: MAIN_OUTCOMES,
-        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForLoad],
+        progress_updates: &[ProgressUpdate::Fraction(0.1), ProgressUpdate::WaitingForBulkLoad],
         max_progress_updates: 1,
         max_departures: 1,
         ..SchedulerScenario::BASE
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -63,7 +63,7 @@
     endpoint_changes: scheduler_model::scenarios::SCENARIOS[0].endpoint_changes,
     progress_updates: &[
         emberflow::ProgressUpdate::Running,
-        emberflow::ProgressUpdate::WaitingForLoad,
+        emberflow::ProgressUpdate::WaitingForBulkLoad,
         emberflow::ProgressUpdate::Fraction(0.1),
     ],
     max_progress_updates: 2,
--- a/tests/common/large_fleet.rs
+++ b/tests/common/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A scheduler with a large fleet, for the test that counts the engines an input examines and the bench that
-//! times it.
+//! A scheduler with a large fleet, for the test that counts the engines that an input examines and the benchmark that
+//! measures the time of an input.
 
 use emberflow::*;
 use std::time::Duration;
@@ -17,12 +17,12 @@
         router_count: ROUTERS,
         home_location: 0,
         kinds: vec![EngineKind { cores: 4.0, memory_mb: 4096.0 }],
-        max_grant_share: 0.4,
+        max_grant_fraction: 0.4,
         honors_priorities: true,
         shrinks_grants: false,
         progress_interval: Some(ms(500)),
         reports_only_on_probe: false,
-        polls_endpoint_list: false,
+        must_watch_endpoints: false,
         tick: ms(5),
     };
     let class = RequestClass {
@@ -30,7 +30,7 @@
         objective_stretch: 0.0,
         deadline: ms(2000),
         priority_weight: 1.0,
-        late_share: 0.0,
+        late_weight_fraction: 0.0,
         effect,
         keeps_order: false,
         kinds: None,
@@ -43,7 +43,7 @@
         max_attempts: 3,
         may_cancel: true,
         may_probe: false,
-        start_capacity: 0.3,
+        start_capacity_fraction: 0.3,
         warm_up: ms(6000),
         overload_factor: 2.5,
         overload_window: ms(1000),
@@ -56,7 +56,7 @@
 
 pub fn endpoint(engine: EngineId, lifecycle: Lifecycle) -> Endpoint {
     let cell = engine.0 as u64 / 10;
-    Endpoint { engine, location: engine.0 % LOCATIONS, kind: 0, cell, lifecycle, launched: None }
+    Endpoint { engine, location: engine.0 % LOCATIONS, kind: 0, cell, lifecycle, launched_at: None }
 }
 
 pub fn arrival(request: RequestId) -> Arrival {
@@ -64,37 +64,37 @@
         request,
         class: 0,
         key: None,
-        cost: Some(ms(20)),
-        memory_mb: Some(16.0),
+        estimated_work: Some(ms(20)),
+        estimated_memory_mb: Some(16.0),
         deadline: ms(2000),
-        waited: Duration::ZERO,
+        queue_time: Duration::ZERO,
         is_retry: None,
-        group: None,
+        table_group: None,
     }
 }
 
-/// Collects the sends of a scheduler and ignores its other actions.
+/// Collects the attempts that a scheduler sends, and ignores its other actions.
 #[derive(Default)]
-pub struct Sends(pub Vec<(RequestId, EngineId)>);
+pub struct SentAttempts(pub Vec<(RequestId, EngineId)>);
 
-impl Actions for Sends {
+impl Actions for SentAttempts {
     fn send(&mut self, request: RequestId, engine: EngineId, _: Duration) {
         self.0.push((request, engine));
     }
-    fn set_terms(&mut self, _: RequestId, _: f64, _: u8) {}
+    fn set_grant_and_priority(&mut self, _: RequestId, _: f64, _: u8) {}
     fn cancel(&mut self, _: RequestId, _: usize) {}
     fn reject(&mut self, _: RequestId, _: Option<Duration>) {}
     fn fail(&mut self, _: RequestId) {}
     fn probe(&mut self, _: EngineId) {}
     fn wake_after(&mut self, _: Duration) {}
-    fn watch(&mut self) {}
+    fn watch_endpoints(&mut self) {}
     fn forget(&mut self, _: EngineId) {}
 }
 
-/// Creates a scheduler with ready engines.
-pub fn listed(seed: u64, engines: usize, effect: Effect) -> Scheduler {
+/// Creates a scheduler whose endpoint list contains ready engines.
+pub fn scheduler_with_engines(seed: u64, engines: usize, effect: Effect) -> Scheduler {
     let mut scheduler = scheduler(seed, effect);
     let rows = (0..engines).map(|engine| endpoint(EngineId(engine), Lifecycle::Ready)).collect();
-    scheduler.endpoints_changed(Duration::ZERO, EndpointUpdate::FullList, rows, &mut Sends::default());
+    scheduler.endpoints_changed(Duration::ZERO, EndpointUpdate::FullList, rows, &mut SentAttempts::default());
     scheduler
 }
--- a/tests/traces/admission.rs
+++ b/tests/traces/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: requests that are sent at once, that wait, and that are rejected while they wait.
 
 use crate::trace::*;
-use crate::{busy_and_memory, in_flight, measure_without_estimates};
+use crate::{cores_and_memory, in_flight, measure_without_estimates};
 use emberflow::AttemptOutcome::*;
 use expect_test::expect;
 
@@ -21,10 +21,10 @@
 #[test]
 fn under_pressure_each_tier_is_limited_and_the_earliest_request_is_sent_first() {
     let mut trace = Trace::with_engines(1);
-    let busy = busy_and_memory(1.0, 0.5);
-    trace.accept(SHORT, 100, 50.0).at(100).reported(0, 0, 0, Succeeded, Some(busy));
+    let busy = cores_and_memory(1.0, 0.5);
+    trace.accept(SHORT, 100, 50.0).at(100).ended_with_load_report(0, 0, 0, Succeeded, Some(busy));
     trace.accept_many(4, LONG, 1500, 3000.0);
-    trace.at(400).reported(1, 0, 0, Succeeded, Some(busy)).wake_until(2000);
+    trace.at(400).ended_with_load_report(1, 0, 0, Succeeded, Some(busy)).wake_until(2000);
     expect![[r#"
         0     request 0 gets 63 MB, priority 1
         0     request 0 to engine 0 until 7980
@@ -40,12 +40,12 @@
 #[test]
 fn medium_requests_wait_for_memory_and_small_ones_do_not() {
     let mut trace = Trace::with_engines(1);
-    let full = busy_and_memory(0.3, 0.9);
-    let free = busy_and_memory(0.3, 0.2);
+    let full = cores_and_memory(0.3, 0.9);
+    let free = cores_and_memory(0.3, 0.2);
     trace.accept_many(3, SHORT, 100, 300.0);
-    trace.at(1200).reported(0, 0, 0, Succeeded, Some(full)).decisions();
+    trace.at(1200).ended_with_load_report(0, 0, 0, Succeeded, Some(full)).decisions();
     trace.accept(LONG, 900, 4000.0).accept(SHORT, 100, 300.0).wake_until(1500);
-    trace.reported(1, 0, 0, Succeeded, Some(free));
+    trace.ended_with_load_report(1, 0, 0, Succeeded, Some(free));
     expect![[r#"
         1200  request 4 gets 375 MB, priority 1
         1200  request 4 to engine 0 until 9180
@@ -76,10 +76,10 @@
 #[test]
 fn many_routers_pool_their_limits_at_engines_under_pressure() {
     let mut trace = Trace::new(4, |fleet, _, _| fleet.router_count = 100);
-    let busy = busy_and_memory(1.0, 0.5);
+    let busy = cores_and_memory(1.0, 0.5);
     trace.accept_many(4, SHORT, 100, 300.0).at(100);
     for request in 0..4 {
-        trace.reported(request, 0, request as usize, Succeeded, Some(busy));
+        trace.ended_with_load_report(request, 0, request as usize, Succeeded, Some(busy));
     }
     trace.decisions();
     trace.accept_many(3, LONG, 300, 300.0);
@@ -124,8 +124,8 @@
     let mut trace = Trace::with_engines(1);
     measure_without_estimates(&mut trace, 4000, 40.0);
     trace.decisions();
-    // On an idle engine each takes 0.8 s, and its objective is 2.6 s. Eight cores finish 26 requests in that
-    // time, and four times as many may be queued.
+    // On an idle engine, each request takes 0.8 s, and its latency objective is 2.6 s. Eight cores finish 26 requests
+    // in that time, and four times as many may be queued.
     trace.at(8100);
     trace.accept_many(108, SHORT, 0, 0.0);
     expect![[r#"
--- a/tests/traces/placement.rs
+++ b/tests/traces/placement.rs
@@ -1,7 +1,7 @@
-//! Placement: the engine that a request is sent to.
+//! Placement: which engine a request is sent to.
 
 use crate::trace::*;
-use crate::{busy_and_memory, busy_only, in_flight, measure_without_estimates, memory_only};
+use crate::{cores_and_memory, cores_only, in_flight, measure_without_estimates, memory_only};
 use emberflow::AttemptOutcome::*;
 use emberflow::*;
 use expect_test::expect;
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_draining_engine_or_outside_its_placement() {
+fn nothing_is_sent_to_a_draining_engine_or_a_kind_outside_the_class() {
     let mut trace = Trace::new(2, |fleet, classes, _| {
         fleet.kinds.push(EngineKind { cores: 8.0, memory_mb: 16000.0 });
         classes[LONG].kinds = Some(vec![1]);
     });
     trace
-        .list_engines(vec![Endpoint { kind: 1, ..endpoint(5, Lifecycle::Ready, None) }])
+        .update_endpoints(vec![Endpoint { kind: 1, ..endpoint(5, Lifecycle::Ready, None) }])
         .accept(LONG, 300, 300.0);
-    trace.list_engines(vec![
+    trace.update_endpoints(vec![
         Endpoint { kind: 1, ..endpoint(5, Lifecycle::Draining, None) },
         endpoint(0, Lifecycle::Draining, None),
     ]);
@@ -63,12 +63,12 @@
 #[test]
 fn recent_attempts_count_although_a_late_report_does_not_include_them() {
     let mut trace = Trace::with_engines(2);
-    let free = busy_and_memory(0.1, 0.1);
+    let free = cores_and_memory(0.1, 0.1);
     trace.accept_many(4, SHORT, 100, 300.0);
-    trace.at(20).reported(0, 0, 0, Succeeded, Some(free));
-    trace.reported(1, 0, 1, Succeeded, Some(free)).decisions();
+    trace.at(20).ended_with_load_report(0, 0, 0, Succeeded, Some(free));
+    trace.ended_with_load_report(1, 0, 1, Succeeded, Some(free)).decisions();
     for at in 3..7 {
-        trace.at(at * 10).accept(LONG, 300, 1000.0).reported(9, 0, 0, Succeeded, Some(free));
+        trace.at(at * 10).accept(LONG, 300, 1000.0).ended_with_load_report(9, 0, 0, Succeeded, Some(free));
     }
     expect![[r#"
         30    request 4 gets 1250 MB, priority 1
@@ -89,7 +89,7 @@
     let free = memory_only(0.2);
     trace.accept_many(2, LONG, 900, 900.0).at(100).progress_updated(0, 0, ProgressUpdate::Spilling(100.0));
     trace.accept(LONG, 900, 6000.0).at(600).ended(2, 0, 1, Succeeded).accept(LONG, 900, 6000.0);
-    trace.at(700).reported(0, 0, 0, Succeeded, Some(free)).accept(LONG, 900, 6000.0);
+    trace.at(700).ended_with_load_report(0, 0, 0, Succeeded, Some(free)).accept(LONG, 900, 6000.0);
     expect![[r#"
         0     request 0 gets 1125 MB, priority 1
         0     request 0 to engine 0 until 15980
@@ -102,13 +102,13 @@
 }
 
 #[test]
-fn a_request_blocked_by_bulk_loads_avoids_an_engine_where_one_of_its_group_waited() {
+fn a_request_avoids_an_engine_where_a_bulk_load_blocked_its_table_group() {
     let mut trace = Trace::new(2, |_, classes, _| classes[SHORT].waits_for_bulk_loads = true);
-    trace.accept_in_group(SHORT, 7).progress_updated(0, 0, ProgressUpdate::WaitingForLoad).at(10);
+    trace.accept_in_table_group(SHORT, 7).progress_updated(0, 0, ProgressUpdate::WaitingForBulkLoad).at(10);
     for _ in 0..3 {
-        trace.accept_in_group(SHORT, 7);
+        trace.accept_in_table_group(SHORT, 7);
     }
-    trace.accept_in_group(SHORT, 8).accept_in_group(SHORT, 8);
+    trace.accept_in_table_group(SHORT, 8).accept_in_table_group(SHORT, 8);
     expect![[r#"
         0     request 0 gets 375 MB, priority 1
         0     request 0 to engine 0 until 7980
@@ -171,9 +171,9 @@
     let mut trace = Trace::new(4, |fleet, _, attempt_limits| {
         (fleet.router_count, fleet.reports_only_on_probe, attempt_limits.may_probe) = (40, true, true);
     });
-    let report = |memory| Some(busy_and_memory(0.3, memory));
+    let report = |memory| Some(cores_and_memory(0.3, memory));
     trace.accept(LONG, 0, 2000.0).at(100).accept(LONG, 0, 2000.0).at(105).wake_now().at(110);
-    trace.probed(1, None).probed(3, report(0.1));
+    trace.probe_ended(1, None).probe_ended(3, report(0.1));
     expect![[r#"
         0     request 0 gets 2500 MB, priority 1
         0     request 0 to engine 2 until 15980
@@ -188,10 +188,10 @@
 #[test]
 fn free_cores_attract_no_request_if_reports_lack_the_memory() {
     let mut trace = Trace::new(2, |fleet, _, _| fleet.router_count = 4);
-    let report = |busy| Some(busy_only(busy));
+    let report = |cores| Some(cores_only(cores));
     trace.accept_many(2, SHORT, 100, 300.0);
-    trace.at(100).reported(0, 0, 0, Succeeded, report(0.9));
-    trace.reported(1, 0, 1, Succeeded, report(0.1)).decisions();
+    trace.at(100).ended_with_load_report(0, 0, 0, Succeeded, report(0.9));
+    trace.ended_with_load_report(1, 0, 1, Succeeded, report(0.1)).decisions();
     trace.accept_many(2, SHORT, 100, 300.0);
     expect![[r#"
         100   request 2 gets 375 MB, priority 1
