--- a/crates/model-checker/src/scheduler_model/apply.rs
+++ b/crates/model-checker/src/scheduler_model/apply.rs
@@ -16,7 +16,7 @@
     let record = EngineRecord {
         lifecycle: Lifecycle::Ready,
         is_forgotten: false,
-        launched: None,
+        launched_at: None,
         sent_work: Vec::new(),
     };
     let mut state = SchedulerModelState {
--- a/crates/model-checker/src/scheduler_model/counterexample.rs
+++ b/crates/model-checker/src/scheduler_model/counterexample.rs
@@ -75,12 +75,12 @@
 
 fn endpoint_call(state: &SchedulerModelState, engine: EngineId, change: EndpointChange) -> String {
     let record = &state.engine_records[engine.index()];
-    let launched = record.launched.map(|at| at.as_millis());
-    let (lifecycle, launched) = match change {
-        EndpointChange::Drains => (Lifecycle::Draining, launched),
-        EndpointChange::Removed => (Lifecycle::Removed, launched),
-        EndpointChange::Returns => (Lifecycle::Ready, launched),
+    let launched_at = record.launched_at.map(|at| at.as_millis());
+    let (lifecycle, launched_at) = match change {
+        EndpointChange::Drains => (Lifecycle::Draining, launched_at),
+        EndpointChange::Removed => (Lifecycle::Removed, launched_at),
+        EndpointChange::Returns => (Lifecycle::Ready, launched_at),
         EndpointChange::Restarts => (Lifecycle::Ready, Some(state.now.as_millis())),
     };
-    format!(".update_endpoint({engine}, Lifecycle::{lifecycle:?}, {launched:?})")
+    format!(".update_endpoint({engine}, Lifecycle::{lifecycle:?}, {launched_at:?})")
 }
--- a/crates/model-checker/src/scheduler_model/inputs.rs
+++ b/crates/model-checker/src/scheduler_model/inputs.rs
@@ -48,7 +48,7 @@
         EndpointChange::Returns => record.lifecycle = Lifecycle::Ready,
         EndpointChange::Restarts => {
             record.lifecycle = Lifecycle::Ready;
-            record.launched = Some(state.now);
+            record.launched_at = Some(state.now);
             record.sent_work.clear();
         }
     }
--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -194,9 +194,9 @@
 fn overloads_warming_engine(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let record = &state.engine_records[engine.index()];
-    let Some(launched) = record.launched else { return false };
+    let Some(launched_at) = record.launched_at else { return false };
     let limits = &model.attempt_limits;
-    let warmth = (state.now - launched).as_secs_f64() / limits.warm_up.as_secs_f64();
+    let warmth = (state.now - launched_at).as_secs_f64() / limits.warm_up.as_secs_f64();
     if warmth >= 1.0 {
         return false;
     }
--- a/crates/model-checker/src/scheduler_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -106,7 +106,7 @@
     /// Whether the scheduler has released the engine's id.
     pub is_forgotten: bool,
     /// The time of the last restart; `None` without a restart.
-    pub launched: Option<Duration>,
+    pub launched_at: Option<Duration>,
     /// The work sent since the last restart, or since the start of the run.
     pub sent_work: Vec<SentWork>,
 }
@@ -157,8 +157,8 @@
     /// Returns the row of an engine in the endpoint list.
     pub fn endpoint(&self, model: &SchedulerModel, engine: EngineId) -> Endpoint {
         let EngineSpec { location, cell } = model.engines[engine.index()];
-        let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
-        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched_at: launched }
+        let EngineRecord { lifecycle, launched_at, .. } = self.engine_records[engine.index()];
+        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched_at }
     }
 
     /// Whether an open request has no attempt in flight, so that the scheduler may send one after any input.
@@ -199,8 +199,9 @@
         let engine = &self.engine_records[engine.index()];
         let mut hasher = DefaultHasher::new();
         (engine.is_forgotten, engine.lifecycle == Lifecycle::Removed).hash(&mut hasher);
-        let is_warming_up =
-            engine.launched.is_some_and(|launched| launched + model.attempt_limits.warm_up > self.now);
+        let is_warming_up = engine
+            .launched_at
+            .is_some_and(|launched_at| launched_at + model.attempt_limits.warm_up > self.now);
         let recent_work = is_warming_up.then(|| {
             let age_and_work = |work: &SentWork| (self.now - work.at, work.seconds.to_bits());
             engine.sent_work.iter().map(age_and_work).collect::<Vec<_>>()
--- a/crates/model-checker/src/scheduler_model/transition.rs
+++ b/crates/model-checker/src/scheduler_model/transition.rs
@@ -162,7 +162,7 @@
         EndpointChange::Drains => engine.lifecycle == Lifecycle::Ready,
         EndpointChange::Removed => engine.lifecycle != Lifecycle::Removed,
         EndpointChange::Returns => engine.lifecycle == Lifecycle::Draining,
-        EndpointChange::Restarts => engine.launched.is_none() && !engine.is_forgotten,
+        EndpointChange::Restarts => engine.launched_at.is_none() && !engine.is_forgotten,
     }
 }
 
@@ -202,7 +202,7 @@
     }
     // Another request may fit at the end of the overload window of an engine that is warming up.
     if state.expects_arrival(model) {
-        let warming = state.engine_records.iter().filter(|engine| engine.launched.is_some());
+        let warming = state.engine_records.iter().filter(|engine| engine.launched_at.is_some());
         let window = model.attempt_limits.overload_window;
         let sent_work = warming.flat_map(|engine| &engine.sent_work);
         instants.extend(sent_work.flat_map(|work| before_and_at(work.at + window)));
