--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -196,12 +196,13 @@
     let record = &state.engine_records[engine.index()];
     let Some(launched_at) = record.launched_at else { return false };
     let limits = &model.attempt_limits;
-    let warmth = (state.now - launched_at).as_secs_f64() / limits.warm_up.as_secs_f64();
-    if warmth >= 1.0 {
+    let warm_up_progress = (state.now - launched_at).as_secs_f64() / limits.warm_up.as_secs_f64();
+    if warm_up_progress >= 1.0 {
         return false;
     }
     let cores = model.fleet.kinds[model.kind(*engine)].cores;
-    let capacity = cores * (limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * warmth);
+    let capacity =
+        cores * (limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * warm_up_progress);
     let budget = limits.overload_factor * capacity * limits.overload_window.as_secs_f64()
         / model.fleet.router_count as f64;
     let seconds = model.requests[request.index()].work_seconds();
