--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -92,8 +92,8 @@
     scheduler(
         "non-idempotent sent again",
         RETRIES,
-        "(Effect::NonIdempotent, Some(_)) => false",
-        "(Effect::NonIdempotent, Some(_)) => true",
+        "(Idempotency::NonIdempotent, Some(_)) => false",
+        "(Idempotency::NonIdempotent, Some(_)) => true",
     ),
     scheduler("unsafe rejection", RETRIES, "_ => request.first_that_may_have_run().is_none(),", "_ => true,"),
     scheduler(
@@ -130,8 +130,8 @@
     scheduler(
         "two in a warming engine's window",
         SLOW_START,
-        "sent + usual <= budget.max(usual)",
-        "sent <= budget.max(usual)",
+        "sent_work + usual_work <= budget.max(usual_work)",
+        "sent_work <= budget.max(usual_work)",
     ),
     scheduler(
         "slow start window halved",
@@ -199,32 +199,32 @@
     Mutant {
         name: "unwritten calls kept at a drain",
         file: POOL_ATTEMPT,
-        from: "attempt.call_offset == Some(connection.output.passed())",
-        to: "attempt.call_offset == Some(connection.output.passed() + 1)",
+        from: "attempt.call_offset == Some(connection.output.front_offset())",
+        to: "attempt.call_offset == Some(connection.output.front_offset() + 1)",
     },
     Mutant {
         name: "queued calls remain at a drain",
         file: POOL_ENDPOINTS,
-        from: "let mut unsent = connection.waiting.clone();",
+        from: "let mut unsent = connection.waiting_attempts.clone();",
         to: "let mut unsent = Vec::new();",
     },
     Mutant {
         name: "a retry where a late answer may arrive",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(&slot) && ",
-        to: "let is_separate = ",
+        from: "!excluded.contains(&slot) && !connection.attempts.contains_key(request_name)",
+        to: "!connection.attempts.contains_key(request_name)",
     },
     Mutant {
         name: "a partly written call is sent again",
         file: POOL_CONNECTION,
-        from: "if attempt.has_begun(written) {",
-        to: "if attempt.has_begun(written.saturating_sub(1 << 40)) {",
+        from: "if attempt.write_has_begun(written) {",
+        to: "if attempt.write_has_begun(written.saturating_sub(1 << 40)) {",
     },
     Mutant {
         name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
-        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent,",
-        to: "if attempt.id.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent,",
+        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent_outcome,",
+        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
     },
     Mutant {
         name: "idle connections stay open",
@@ -271,8 +271,8 @@
     Mutant {
         name: "requests of a closed client stay open",
         file: SERVER_CLIENTS,
-        from: "        client.open.into_values().collect()",
-        to: "        drop(client.open);\n        Vec::new()",
+        from: "        client.open_requests.into_values().collect()",
+        to: "        drop(client.open_requests);\n        Vec::new()",
     },
     Mutant {
         name: "a cancellation is not passed on",
@@ -319,7 +319,7 @@
     Mutant {
         name: "half a line is skipped",
         file: CLIENT,
-        from: "        self.scanned_for_line = 0;\n",
+        from: "        self.newline_free_bytes = 0;\n",
         to: "",
     },
     discovery("a change accepted after a gap", "number != last + 1", "number == u64::MAX"),
@@ -333,7 +333,7 @@
     discovery("the last event not recorded", "self.last_event = number;", ""),
     discovery(
         "half a frame kept on reconnection",
-        "Self { input: Ring::default(), subscribed: false, ..*self }",
+        "Self { input: RingBuffer::default(), subscribed: false, ..*self }",
         "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
--- a/crates/model-checker/src/scheduler_model.rs
+++ b/crates/model-checker/src/scheduler_model.rs
@@ -18,7 +18,7 @@
 use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
-use emberflow::{Arrival, AttemptLimits, Effect, EngineId, Fleet, RequestClass, RequestId};
+use emberflow::{Arrival, AttemptLimits, EngineId, Fleet, Idempotency, RequestClass, RequestId};
 use event::Event;
 use scenario::SchedulerScenario;
 use state::SchedulerModelState;
@@ -74,8 +74,8 @@
     /// Returns the time for which engines remember the idempotency key of a request; `None` if its class has no
     /// idempotency keys.
     pub fn idempotency_window(&self, request: RequestId) -> Option<Duration> {
-        match &self.class_of(request).effect {
-            Effect::IdempotentWithKey { window, .. } => Some(*window),
+        match &self.class_of(request).idempotency {
+            Idempotency::IdempotentWithKey { window, .. } => Some(*window),
             _ => None,
         }
     }
--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -4,7 +4,7 @@
 use super::event::{Event, EventLog};
 use super::state::{KeyCooldown, RequestRecord, SchedulerModelState, SentWork};
 use crate::invariants::Invariant;
-use emberflow::{Effect, EndpointUpdate, KeyId, KeyScope, Lifecycle, RequestId};
+use emberflow::{EndpointUpdate, Idempotency, KeyId, KeyScope, Lifecycle, RequestId};
 use std::time::Duration;
 
 /// Relative tolerance for the rounding of sums of work.
@@ -148,7 +148,7 @@
     let Event::Send { request, .. } = event else { return false };
     let may_have_run =
         sent_request(state, event).is_some_and(|record| record.first_that_may_have_run().is_some());
-    may_have_run && matches!(model.class_of(*request).effect, Effect::NonIdempotent)
+    may_have_run && matches!(model.class_of(*request).idempotency, Idempotency::NonIdempotent)
 }
 
 fn repeats_outside_scope_or_window(
@@ -160,7 +160,9 @@
     let Some(first) = sent_request(state, event).and_then(RequestRecord::first_that_may_have_run) else {
         return false;
     };
-    let Effect::IdempotentWithKey { scope, window } = &model.class_of(*request).effect else { return false };
+    let Idempotency::IdempotentWithKey { scope, window } = &model.class_of(*request).idempotency else {
+        return false;
+    };
     let (first_engine, engine) = (model.engines[first.engine.index()], model.engines[engine.index()]);
     let knows_key = match scope {
         KeyScope::All => true,
@@ -173,10 +175,10 @@
 fn rejects_unsafely(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Reject { request } = event else { return false };
     let record = record(state, request);
-    let may_be_repeated = match &model.class_of(*request).effect {
-        Effect::Idempotent => true,
-        Effect::IdempotentWithKey { scope, .. } => *scope == KeyScope::All,
-        Effect::NonIdempotent => false,
+    let may_be_repeated = match &model.class_of(*request).idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::IdempotentWithKey { scope, .. } => *scope == KeyScope::All,
+        Idempotency::NonIdempotent => false,
     };
     record.is_open() && !may_be_repeated && record.first_that_may_have_run().is_some()
 }
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -1,5 +1,5 @@
-//! The order of writes on each connection. A call joins a connection's output only once all earlier output was
-//! written, so that a waiting call can still be retracted.
+//! Writes calls and other messages to connections. A call becomes part of a connection's output only after all earlier
+//! output was written, so that a waiting call can still be retracted.
 
 use super::EnginePool;
 use crate::context::Context;
@@ -11,18 +11,18 @@
 use std::time::Duration;
 
 impl EnginePool {
-    /// Adds an attempt to a connection. The call waits there until it can be written.
+    /// Assigns an attempt to a connection, where its call waits until it can be written.
     pub(super) fn enqueue_call(&mut self, attempt_slot: Slot, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(connection) = self.connections.get_mut(slot) else { return };
         attempt.connection = Some(slot);
-        connection.attempts.insert(attempt.id.clone(), attempt_slot);
+        connection.attempts.insert(attempt.request_name.clone(), attempt_slot);
         if let Some(due) = connection.idle_due.take() {
             context.timers.clear(due, Timer::ConnectionIdle(slot));
         }
-        connection.waiting.push(attempt_slot);
-        // The machine at the other end of an inactive connection may have failed without closing it, so the engine has
-        // to answer a health check before the connection is used.
+        connection.waiting_attempts.push(attempt_slot);
+        // The engine's host may have failed without closing the connection. Therefore the engine must answer a health
+        // check before a connection is used that was inactive.
         let is_inactive = context.now() > connection.last_reply_at + self.connect_timeout;
         if connection.accepts_calls() && is_inactive {
             self.send_ping(slot, context);
@@ -33,7 +33,7 @@
     /// Registers a connection for writing if it has output or a waiting call that can be written.
     pub(super) fn schedule_writes(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get(slot) else { return };
-        let is_call_due = connection.accepts_calls() && !connection.waiting.is_empty();
+        let is_call_due = connection.accepts_calls() && !connection.waiting_attempts.is_empty();
         let has_writable_output = connection.is_established() && !connection.output.is_empty();
         if is_call_due && connection.check_due.is_none() {
             self.schedule_check(slot, context.now() + self.inactivity_timeout(), context);
@@ -43,22 +43,25 @@
         }
     }
 
-    /// Returns the requests on a connection whose calls have not been written.
+    /// Returns the requests whose calls on a connection have not been written completely.
     pub fn requests_of_unwritten_calls(&self, slot: Slot) -> Vec<RequestId> {
         let Some(connection) = self.connections.get(slot) else { return Vec::new() };
         let attempts = connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt));
         attempts.filter(|attempt| attempt.call.is_some()).map(|attempt| attempt.request).collect()
     }
 
-    /// Moves the next waiting call that may be written into a connection's output, once all earlier output was
-    /// written. Returns whether there was such a call.
+    /// Adds the next waiting call that may be written to a connection's output, if all earlier output was written.
+    /// Returns whether a call was added.
     fn start_next_call(&mut self, slot: Slot, context: &mut Context) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else { return false };
-            if !connection.accepts_calls() || !connection.output.is_empty() || connection.waiting.is_empty() {
+            if !connection.accepts_calls()
+                || !connection.output.is_empty()
+                || connection.waiting_attempts.is_empty()
+            {
                 return false;
             }
-            let next = connection.waiting.remove(0);
+            let next = connection.waiting_attempts.remove(0);
             match self.may_send(next, context.now()) {
                 Ok(()) => {
                     self.encode_call(next, slot, context.now());
@@ -75,7 +78,7 @@
         gate::may_send(&CallFacts {
             is_engine_ready: self.is_ready(attempt.engine),
             may_client_have_left: attempt.resend_disabled,
-            is_cancelled: attempt.is_cancelled(),
+            is_cancelled: attempt.is_cancellation_pending(),
             time_left: attempt.deadline.saturating_sub(now),
         })
     }
@@ -93,43 +96,44 @@
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(call) = &mut attempt.call else { return };
-        let bytes = call.encode(&attempt.id, attempt.deadline.saturating_sub(now));
+        let bytes = call.encode(&attempt.request_name, attempt.deadline.saturating_sub(now));
         call.encoded_bytes = bytes.len();
-        attempt.call_offset = Some(connection.output.end());
+        attempt.call_offset = Some(connection.output.end_offset());
         connection.output.push(&bytes);
         log::debug!(
-            "call queued: request={} attempt={} connection={slot:?} engine={}",
+            "call added to connection output: request={} attempt={} connection={slot:?} engine={}",
             attempt.request,
             attempt.number,
             attempt.engine
         );
     }
 
-    /// Takes a call of which no byte was written out of a connection's output, so that it is encoded again with the
-    /// time left by then. Such a call can only be at the front of the output.
+    /// Moves a call back from a connection's output to the waiting calls if no byte of the call was written, so that
+    /// the call is encoded again with the time left when it is written. Only the call at the front of the output can be
+    /// such a call.
     fn requeue_unwritten_call(&mut self, slot: Slot) {
-        let Some(carrier) = self.connections.get(slot) else { return };
-        let carried: Vec<Slot> = carrier.attempts.values().copied().collect();
-        let retracted = carried.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
+        let Some(open_connection) = self.connections.get(slot) else { return };
+        let attempts: Vec<Slot> = open_connection.attempts.values().copied().collect();
+        let retracted = attempts.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
         if let Some(attempt) = retracted
             && let Some(connection) = self.connections.get_mut(slot)
         {
-            connection.waiting.insert(0, attempt);
+            connection.waiting_attempts.insert(0, attempt);
         }
     }
 
-    /// Writes a connection's output and its waiting calls, until the socket accepts no more.
+    /// Writes a connection's output and its waiting calls until the socket accepts no more bytes.
     ///
     /// # Errors
     /// Returns the error of a socket that has failed.
-    pub fn drain(&mut self, slot: Slot, to: &mut impl Write, context: &mut Context) -> io::Result<()> {
+    pub fn flush(&mut self, slot: Slot, socket: &mut impl Write, context: &mut Context) -> io::Result<()> {
         self.requeue_unwritten_call(slot);
         loop {
             let connection = self.connections.get_mut(slot);
             let Some(connection) = connection.filter(|connection| connection.is_established()) else {
                 return Ok(());
             };
-            connection.output.drain(to)?;
+            connection.output.write_to(socket)?;
             if !connection.output.is_empty() {
                 return Ok(());
             }
@@ -154,7 +158,7 @@
     }
 
     /// Adds a message to the output of an attempt's connection.
-    pub(super) fn write(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
+    pub(super) fn append_message(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
         let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.connection) else { return };
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.output.push(bytes);
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -14,7 +14,7 @@
     /// Registers a new connection of a client, and returns its slot.
     pub fn accept_client(&mut self) -> Slot {
         let Dispatcher { clients, context, .. } = &mut self.dispatcher;
-        let slot = clients.table.next();
+        let slot = clients.table.next_slot();
         let due = clients.admit(context.now());
         context.timers.set(due, Timer::Client(slot));
         context.counters.count("clients_admitted");
@@ -23,7 +23,7 @@
 
     /// Whether a client has an open request with this id.
     pub fn has_open_request(&self, client: Slot, id: u64) -> bool {
-        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
+        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open_requests.contains_key(&id))
     }
 
     /// Reads and handles the next line of a client; returns whether more input may be available. The input that is read
@@ -94,8 +94,8 @@
             for cancellation in &scan.cancellations {
                 cancelled.extend(self.find_open_request(slot, cancellation));
             }
-            ended.extend(scan.ended.then_some(slot));
-            closed.extend(scan.closed.then_some(slot));
+            ended.extend(scan.input_ended.then_some(slot));
+            closed.extend(scan.connection_failed.then_some(slot));
         }
         for slot in closed {
             cancelled.extend(self.remove_client(slot, CloseReason::Disconnected));
@@ -132,7 +132,7 @@
         let mut requests = Vec::new();
         for slot in clients {
             if let Some(client) = self.dispatcher.clients.table.get(*slot) {
-                requests.extend(client.open.values().copied());
+                requests.extend(client.open_requests.values().copied());
             }
         }
         requests
@@ -188,7 +188,7 @@
     /// Closes a client's connection and its open requests, if the gate allows it.
     pub fn close_client(&mut self, slot: Slot, reason: CloseReason) {
         let Some(client) = self.dispatcher.clients.table.get(slot) else { return };
-        if !gate::may_close(reason, client.open.len()) {
+        if !gate::may_close(reason, client.open_requests.len()) {
             log::error!(
                 "client with open requests not closed: client={slot:?} reason={reason:?} {}",
                 client.summary()
@@ -203,10 +203,10 @@
 
     /// Removes a client's connection; returns the requests that were open on it.
     fn remove_client(&mut self, slot: Slot, reason: CloseReason) -> Vec<RequestId> {
-        let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
+        let Some(client) = self.dispatcher.clients.remove(slot) else { return Vec::new() };
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
         self.dispatcher.context.timers.clear(client.check_due, Timer::Client(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
-        client.open.into_values().collect()
+        client.open_requests.into_values().collect()
     }
 }
