--- a/crates/model-checker/src/registry.rs
+++ b/crates/model-checker/src/registry.rs
@@ -4,47 +4,48 @@
 use crate::discovery_model::{self, scenario::DiscoveryScenario};
 use crate::former_names::current_scenario_name;
 use crate::invariants::ObservedModel;
-use crate::module_model::{self, ModuleModel, counterexample, scenario::Scenario};
 use crate::queue_model::{self, scenario::QueueScenario};
 use crate::router_model::{self, scenario::RouterScenario};
-use crate::search::{Bounds, Extent, Model, Step, explore};
+use crate::scheduler_model::{self, SchedulerModel, counterexample, scenario::SchedulerScenario};
+use crate::search::{Model, SearchLimits, SearchStatistics, Step, explore};
 use crate::witness;
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Explores one scenario within limits of wall-clock time and of memory in MiB.
+/// Explores a scenario. The arguments are the limits of wall-clock time and of resident memory, in MiB.
 pub type Check = Box<dyn Fn(Duration, u64) -> CheckReport>;
 
-/// Replays a path in one scenario.
+/// Takes the transitions of a recorded path, one on each line in the form that a counterexample prints, and checks the
+/// invariants in every state.
 pub type Replay = Box<dyn Fn(&str) -> Result<(), ReplayError>>;
 
 /// A scenario of any model.
-pub struct Entry {
+pub struct ScenarioEntry {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
-    /// Explores the scenario within limits of wall-clock time and of memory in MiB.
+    /// Explores the scenario.
     pub check: Check,
-    /// Replays a recorded path with one transition on each line, in the form that a counterexample prints.
+    /// Replays a recorded path in the scenario.
     pub replay: Replay,
 }
 
 /// The reason why a recorded path cannot be replayed to its end.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ReplayError {
-    /// The transition is not enabled.
+    /// A transition of the path is not enabled in the state that the path has reached.
     #[error("{transition} is not among the enabled transitions [{enabled}]")]
     NotEnabled {
         /// The line of the recorded path.
         transition: String,
-        /// The transitions that are enabled instead.
+        /// The enabled transitions, separated by commas.
         enabled: String,
     },
-    /// An invariant is violated.
-    #[error("{invariant} is violated at {transition}")]
+    /// A transition of the path violates an invariant.
+    #[error("invariant `{invariant}` is violated by {transition}")]
     Violated {
         /// The name of the invariant.
         invariant: &'static str,
@@ -55,9 +56,9 @@
 
 /// The result of the exploration of a scenario.
 pub struct CheckReport {
-    /// The figures of the search.
-    pub extent: Extent,
-    /// The first violation, if there is one.
+    /// The size and cost of the search.
+    pub statistics: SearchStatistics,
+    /// The first violation; `None` if every invariant holds in the explored states.
     pub violation: Option<Counterexample>,
 }
 
@@ -66,19 +67,20 @@
 pub struct Counterexample {
     /// The name of the invariant.
     pub invariant: &'static str,
-    /// The length of the path.
+    /// Number of transitions of the path.
     pub transitions: usize,
-    /// The source of a test that takes the path.
-    pub test: String,
+    /// The source of a test that takes the path: for the scheduler model in the form of `tests/traces/`, for the other
+    /// models in the form of this crate's `tests/walk.rs`.
+    pub test_source: String,
 }
 
 /// An invariant of any model.
 pub struct InvariantEntry {
-    /// The name.
+    /// The name that a counterexample prints, unique among all models.
     pub name: &'static str,
-    /// The property in one sentence.
+    /// The property that must hold, as the commands print it.
     pub description: &'static str,
-    /// The invariant's bit in the record of exercised invariants.
+    /// The position of the invariant's bit in the record of exercised invariants.
     witness_bit: usize,
 }
 
@@ -89,9 +91,10 @@
     }
 }
 
-/// Returns all scenarios.
-pub fn scenarios() -> Vec<Entry> {
-    let mut entries: Vec<Entry> = module_model::scenarios::SCENARIOS.iter().map(module_entry).collect();
+/// Returns the scenarios of all models, in the order in which they are explored.
+pub fn scenarios() -> Vec<ScenarioEntry> {
+    let mut entries: Vec<ScenarioEntry> =
+        scheduler_model::scenarios::SCENARIOS.iter().map(scheduler_entry).collect();
     entries.extend(connection_model::scenarios::SCENARIOS.iter().map(connection_entry));
     entries.extend(router_model::scenarios::SCENARIOS.iter().map(router_entry));
     entries.extend(discovery_model::scenario::SCENARIOS.iter().map(discovery_entry));
@@ -99,16 +102,16 @@
     entries
 }
 
-/// Returns the scenario with this name or former name.
-pub fn scenario(name: &str) -> Option<Entry> {
+/// Returns the scenario with this name or former name; `None` if there is none.
+pub fn scenario(name: &str) -> Option<ScenarioEntry> {
     let name = current_scenario_name(name);
     scenarios().into_iter().find(|entry| entry.name == name)
 }
 
-/// Returns all invariants.
+/// Returns the invariants of all models.
 pub fn invariants() -> Vec<InvariantEntry> {
     let mut entries = Vec::new();
-    append_invariants::<ModuleModel>(&mut entries);
+    append_invariants::<SchedulerModel>(&mut entries);
     append_invariants::<ConnectionScenario>(&mut entries);
     append_invariants::<RouterScenario>(&mut entries);
     append_invariants::<DiscoveryScenario>(&mut entries);
@@ -125,53 +128,59 @@
     }));
 }
 
-fn module_entry(scenario: &'static Scenario) -> Entry {
-    let check = move |time, memory_mb| {
-        let model = ModuleModel::new(scenario);
-        let bounds = Bounds { time, memory_mb, max_depth: scenario.max_depth };
-        check(&model, bounds, |path| counterexample::test(&model, path))
+fn scheduler_entry(scenario: &'static SchedulerScenario) -> ScenarioEntry {
+    let check = move |time, memory_mib| {
+        let model = SchedulerModel::new(scenario);
+        let limits = SearchLimits { time, memory_mib, max_depth: scenario.max_depth };
+        search(&model, limits, |path| counterexample::test_source(&model, path))
     };
-    Entry {
+    ScenarioEntry {
         name: scenario.name,
         description: scenario.description,
         in_short_set: scenario.in_short_set,
         check: Box::new(check),
-        replay: Box::new(move |path| replay(&ModuleModel::new(scenario), path)),
+        replay: Box::new(move |path| replay(&SchedulerModel::new(scenario), path)),
     }
 }
 
-fn connection_entry(scenario: &'static ConnectionScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
+fn connection_entry(scenario: &'static ConnectionScenario) -> ScenarioEntry {
+    recorded_path_entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
-fn router_entry(scenario: &'static RouterScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, scenario.max_depth)
+fn router_entry(scenario: &'static RouterScenario) -> ScenarioEntry {
+    recorded_path_entry(
+        scenario,
+        scenario.name,
+        scenario.description,
+        scenario.in_short_set,
+        scenario.max_depth,
+    )
 }
 
-fn discovery_entry(scenario: &'static DiscoveryScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
+fn discovery_entry(scenario: &'static DiscoveryScenario) -> ScenarioEntry {
+    recorded_path_entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
-fn queue_entry(scenario: &'static QueueScenario) -> Entry {
-    entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
+fn queue_entry(scenario: &'static QueueScenario) -> ScenarioEntry {
+    recorded_path_entry(scenario, scenario.name, scenario.description, scenario.in_short_set, None)
 }
 
 /// Returns the entry of a scenario whose counterexamples are recorded paths.
-fn entry<M: Model>(
+fn recorded_path_entry<M: Model>(
     model: &'static M,
     name: &'static str,
     description: &'static str,
     in_short_set: bool,
     max_depth: Option<usize>,
-) -> Entry
+) -> ScenarioEntry
 where
     M::Transition: Debug,
 {
-    let check = move |time, memory_mb| {
-        let bounds = Bounds { time, memory_mb, max_depth };
-        check(model, bounds, |path| recorded_path_test(name, path))
+    let check = move |time, memory_mib| {
+        let limits = SearchLimits { time, memory_mib, max_depth };
+        search(model, limits, |path| recorded_path_test(name, path))
     };
-    Entry {
+    ScenarioEntry {
         name,
         description,
         in_short_set,
@@ -180,14 +189,19 @@
     }
 }
 
-fn check<M: Model>(model: &M, bounds: Bounds, test: impl Fn(&[Step<M>]) -> String) -> CheckReport {
-    let report = explore(model, bounds);
+/// Explores a model. A violation is returned as a counterexample with the source that `test_source` makes of its path.
+fn search<M: Model>(
+    model: &M,
+    limits: SearchLimits,
+    test_source: impl Fn(&[Step<M>]) -> String,
+) -> CheckReport {
+    let report = explore(model, limits);
     let violation = report.violation.map(|violation| Counterexample {
         invariant: violation.invariant,
         transitions: violation.path.len(),
-        test: test(&violation.path),
+        test_source: test_source(&violation.path),
     });
-    CheckReport { extent: report.extent, violation }
+    CheckReport { statistics: report.statistics, violation }
 }
 
 /// Returns the source of a test that replays a path, to be pasted into `tests/walk.rs`.
@@ -197,10 +211,10 @@
 {
     let name: String = scenario.chars().map(|c| if c.is_alphanumeric() { c } else { '_' }).collect();
     let lines: String = path.iter().map(|step| format!("        {:?}\n", step.transition)).collect();
-    format!("#[test]\nfn {name}_holds() {{\n    follow({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
+    format!("#[test]\nfn {name}_holds() {{\n    assert_path_holds({scenario:?}, r#\"\n{lines}    \"#);\n}}\n")
 }
 
-/// Takes the transitions of a recorded path, and checks every state.
+/// Takes the transitions of a recorded path from the initial state, and checks the invariants in every state.
 fn replay<M: Model>(model: &M, path: &str) -> Result<(), ReplayError>
 where
     M::Transition: Debug,
@@ -214,7 +228,7 @@
             return Err(ReplayError::NotEnabled { transition: line.to_owned(), enabled: printed.join(", ") });
         };
         state = model.apply(&state, &enabled[position]);
-        if let Some(invariant) = model.violated(&state, false) {
+        if let Some(invariant) = model.violated_invariant(&state, false) {
             return Err(ReplayError::Violated { invariant, transition: line.to_owned() });
         }
     }
--- a/crates/model-checker/src/module_model/inputs.rs
+++ b/crates/model-checker/src/scheduler_model/inputs.rs
@@ -1,26 +1,27 @@
-//! The inputs of the module model: each function changes the environment and passes one input to the scheduler.
+//! The inputs of the scheduler model: each function changes the environment and passes one input to the scheduler,
+//! whose actions are appended to `events`.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::effects::check;
 use super::event::{Event, EventLog};
 use super::scenario::EndpointChange;
-use super::state::{FinalAnswer, KeyCooldown, ModuleState, RequestRecord};
+use super::state::{FinalAnswer, KeyCooldown, RequestRecord, SchedulerModelState};
 use super::transition::next_instant;
 use emberflow::{
     AttemptEnded, AttemptOutcome, EndpointUpdate, EngineId, Lifecycle, ProgressUpdate, RequestId,
 };
 
-/// Lets the next request arrive.
-pub fn arrive(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
+/// Passes the next request of the scenario to the scheduler.
+pub fn arrive(model: &SchedulerModel, state: &mut SchedulerModelState, events: &mut EventLog) {
     let arrival = model.arrival(state.requests.len());
     let deadline = state.now + arrival.deadline;
-    state.requests.push(RequestRecord { arrived: state.now, deadline, ..RequestRecord::default() });
+    state.requests.push(RequestRecord { arrived_at: state.now, deadline, ..RequestRecord::default() });
     state.scheduler.accept(state.now, arrival, events);
 }
 
-/// Reports the progress of the attempt in flight.
+/// Passes a progress update of the attempt in flight to the scheduler.
 pub fn update_progress(
-    state: &mut ModuleState,
+    state: &mut SchedulerModelState,
     request: usize,
     update: ProgressUpdate,
     events: &mut EventLog,
@@ -31,10 +32,10 @@
     state.scheduler.progress_updated(state.now, id, attempt, update, events);
 }
 
-/// Reports a change of an engine.
+/// Reports a change of an engine to the scheduler, as the endpoint list does.
 pub fn change_endpoint(
-    model: &ModuleModel,
-    state: &mut ModuleState,
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
     engine: EngineId,
     change: EndpointChange,
     events: &mut EventLog,
@@ -47,8 +48,8 @@
         EndpointChange::Returns => record.lifecycle = Lifecycle::Ready,
         EndpointChange::Restarts => {
             record.lifecycle = Lifecycle::Ready;
-            record.launched = Some(state.now);
-            record.sent.clear();
+            record.launched_at = Some(state.now);
+            record.sent_work.clear();
         }
     }
     let endpoints = vec![state.endpoint(model, engine)];
@@ -56,7 +57,7 @@
 }
 
 /// Reports an empty endpoint list.
-pub fn empty_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+pub fn empty_endpoint_list(state: &mut SchedulerModelState, events: &mut EventLog) {
     state.endpoint_changes += 1;
     for engine in &mut state.engine_records {
         engine.lifecycle = Lifecycle::Removed;
@@ -65,44 +66,44 @@
 }
 
 /// Reports that the endpoint list could not be read.
-pub fn fail_endpoint_list(state: &mut ModuleState, events: &mut EventLog) {
+pub fn fail_endpoint_list(state: &mut SchedulerModelState, events: &mut EventLog) {
     state.endpoint_changes += 1;
-    state.is_watching = false;
+    state.is_subscribed_to_list = false;
     state.scheduler.endpoint_list_failed(state.now, events);
 }
 
 /// Reports that the client of a request has disconnected.
-pub fn client_leaves(state: &mut ModuleState, request: usize, events: &mut EventLog) {
+pub fn client_leaves(state: &mut SchedulerModelState, request: usize, events: &mut EventLog) {
     state.departures += 1;
     state.requests[request].answer = Some(FinalAnswer::ClientLeft);
     state.scheduler.clients_left(state.now, &[RequestId::from_index(request)], &[], events);
 }
 
-/// Wakes the scheduler.
-pub fn wake_up(state: &mut ModuleState, events: &mut EventLog) {
+/// Wakes the scheduler, which fulfils all wake-ups that are due.
+pub fn wake_up(state: &mut SchedulerModelState, events: &mut EventLog) {
     let now = state.now;
     state.wake_ups.retain(|at| *at > now);
     state.scheduler.wake(now, events);
 }
 
-/// Begins a graceful shutdown.
-pub fn shut_down(model: &ModuleModel, state: &mut ModuleState, events: &mut EventLog) {
+/// Begins a graceful shutdown, whose deadline is that of a request of the first class that arrives now.
+pub fn shut_down(model: &SchedulerModel, state: &mut SchedulerModelState, events: &mut EventLog) {
     let deadline = state.now + model.classes[0].deadline;
     state.shutdown_deadline = Some(deadline);
     state.scheduler.start_shutdown(state.now, deadline, events);
 }
 
 /// Advances the clock to the next instant at which something may change.
-pub fn pass_time(model: &ModuleModel, state: &mut ModuleState) {
+pub fn pass_time(model: &SchedulerModel, state: &mut SchedulerModelState) {
     let to = next_instant(model, state).unwrap_or(state.now);
     check(model, state, &Event::TimePasses { to });
     state.now = to;
 }
 
-/// Ends the attempt in flight. A result is first passed on to the client, if the request is still open.
+/// Ends the attempt in flight. A result first answers the request, if the request is still open.
 pub fn end_attempt(
-    model: &ModuleModel,
-    state: &mut ModuleState,
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
     request: usize,
     outcome: AttemptOutcome,
     events: &mut EventLog,
@@ -131,8 +132,13 @@
     state.scheduler.attempt_ended(state.now, ended, events);
 }
 
-/// Begins the cooldown of a request's key if the ended attempt may still be executed.
-fn begin_key_cooldown(model: &ModuleModel, state: &mut ModuleState, request: usize, outcome: AttemptOutcome) {
+/// Begins the cooldown of a request's key if an engine may still execute the ended attempt.
+fn begin_key_cooldown(
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
+    request: usize,
+    outcome: AttemptOutcome,
+) {
     let may_still_run =
         matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Broken | AttemptOutcome::Cancelled);
     let cooldown = model.attempt_limits.key_cooldown.filter(|_| may_still_run);
--- a/crates/model-checker/src/module_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -1,17 +1,17 @@
-//! The invariants of the module model, one function each.
+//! The invariants of the scheduler model, one function each.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::event::{Event, EventLog};
-use super::state::{KeyCooldown, ModuleState, RequestRecord, SentWork};
+use super::state::{KeyCooldown, RequestRecord, SchedulerModelState, SentWork};
 use crate::invariants::Invariant;
 use emberflow::{EndpointUpdate, Idempotency, KeyId, KeyScope, Lifecycle, RequestId};
 use std::time::Duration;
 
 /// Relative tolerance for the rounding of sums of work.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// All invariants of the module model.
-pub const INVARIANTS: &[Invariant<ModuleModel>] = &[
+/// All invariants of the scheduler model.
+pub const INVARIANTS: &[Invariant<SchedulerModel>] = &[
     Invariant {
         name: "one answer",
         description: "no request gets a second final answer",
@@ -54,12 +54,12 @@
     },
     Invariant {
         name: "slow start",
-        description: "an engine that is warming up gets at most this router's part of its budget in any window",
+        description: "an engine that is warming up gets at most this router's part of its budget of work in any overload window",
         is_violated: overloads_warming_engine,
     },
     Invariant {
         name: "key order",
-        description: "requests of one key run one at a time, in the order of arrival",
+        description: "requests of one key whose class keeps order run one at a time, in the order of arrival",
         is_violated: sends_out_of_order,
     },
     Invariant {
@@ -74,47 +74,48 @@
     },
     Invariant {
         name: "attempt limit",
-        description: "a request has no more attempts than allowed",
+        description: "a request has no more attempts than the settings allow",
         is_violated: exceeds_attempt_limit,
     },
     Invariant {
         name: "retry budget",
-        description: "retries stay within their budget",
+        description: "the retries in any window stay within the retry budget",
         is_violated: exceeds_retry_budget,
     },
     Invariant {
         name: "cancel",
-        description: "only an attempt in flight is cancelled, and only once",
-        is_violated: cancels_nothing,
+        description: "an attempt is cancelled only while it is in flight, at most once, and only if the settings allow cancellation",
+        is_violated: cancels_invalidly,
     },
     Invariant {
         name: "grant",
-        description: "a memory grant is within the largest grant of an engine",
+        description: "a memory grant is at most the largest grant that an engine kind allows",
         is_violated: grants_too_much,
     },
     Invariant {
         name: "wake-ups",
-        description: "a wake-up is due while a request is open",
+        description: "time passes with an open request only if a wake-up is requested",
         is_violated: lacks_wake_up,
     },
     Invariant {
         name: "clean end",
-        description: "after a run no request, attempt or removed engine remains",
-        is_violated: leaves_something_behind,
+        description: "at the end of a run no request, attempt or removed engine remains",
+        is_violated: retains_state_at_end,
     },
 ];
 
-fn record<'a>(state: &'a ModuleState, request: &RequestId) -> &'a RequestRecord {
+fn record<'a>(state: &'a SchedulerModelState, request: &RequestId) -> &'a RequestRecord {
     &state.requests[request.index()]
 }
 
-/// Returns the request that the event sends, if it is open without an attempt in flight.
-fn sent_request<'a>(state: &'a ModuleState, event: &Event) -> Option<&'a RequestRecord> {
+/// Returns the request of which the event sends an attempt, if the request is queued. Other requests violate other
+/// invariants.
+fn sent_request<'a>(state: &'a SchedulerModelState, event: &Event) -> Option<&'a RequestRecord> {
     let Event::Send { request, .. } = event else { return None };
     Some(record(state, request)).filter(|record| record.is_queued())
 }
 
-fn answers_twice(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn answers_twice(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     match event {
         Event::Reject { request } | Event::Fail { request } | Event::Serve { request } => {
             !record(state, request).is_open()
@@ -123,34 +124,38 @@
     }
 }
 
-fn answers_late(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn answers_late(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::TimePasses { to } = event else { return false };
     let is_late = |request: &RequestRecord| {
         request.is_open()
             && (request.deadline <= *to || state.shutdown_deadline.is_some_and(|deadline| deadline <= *to))
     };
-    // Without a due wake-up, `lacks_wake_up` is violated instead.
+    // Without a requested wake-up, `lacks_wake_up` is violated instead.
     !state.wake_ups.is_empty() && state.requests.iter().any(is_late)
 }
 
-fn sends_after_answer(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_after_answer(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     matches!(event, Event::Send { request, .. } if !record(state, request).is_open())
 }
 
-fn sends_second_attempt(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_second_attempt(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let record = record(state, request);
     record.is_open() && record.in_flight().is_some()
 }
 
-fn repeats_non_idempotent(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn repeats_non_idempotent(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let may_have_run =
         sent_request(state, event).is_some_and(|record| record.first_that_may_have_run().is_some());
     may_have_run && matches!(model.class_of(*request).idempotency, Idempotency::NonIdempotent)
 }
 
-fn repeats_outside_scope_or_window(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn repeats_outside_scope_or_window(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    event: &Event,
+) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let Some(first) = sent_request(state, event).and_then(RequestRecord::first_that_may_have_run) else {
         return false;
@@ -167,7 +172,7 @@
     !knows_key || state.now >= first.sent_at + *window
 }
 
-fn rejects_unsafely(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn rejects_unsafely(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Reject { request } = event else { return false };
     let record = record(state, request);
     let may_be_repeated = match &model.class_of(*request).idempotency {
@@ -178,35 +183,38 @@
     record.is_open() && !may_be_repeated && record.first_that_may_have_run().is_some()
 }
 
-fn sends_to_draining_engine(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_to_draining_engine(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { engine, .. } = event else { return false };
     state.engine_records[engine.index()].lifecycle != Lifecycle::Ready
 }
 
-/// Whether the event sends more to an engine that is warming up than this router's budget in the overload window. The
-/// budget is the engine's current capacity times the overload factor, over the window, divided by the number of routers.
-/// If it is less than one request, one request is allowed in a window that is longer by the same factor.
-fn overloads_warming_engine(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+/// Whether the event sends more work to an engine that is warming up than this router's budget for the overload window.
+///
+/// The budget is the engine's current capacity times the overload factor and the window, divided by the number of
+/// routers. If the budget is less than the work of the request, one request is allowed in a window that is longer by
+/// the same factor.
+fn overloads_warming_engine(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let record = &state.engine_records[engine.index()];
-    let Some(launched) = record.launched else { return false };
+    let Some(launched_at) = record.launched_at else { return false };
     let limits = &model.attempt_limits;
-    let warmth = (state.now - launched).as_secs_f64() / limits.warm_up.as_secs_f64();
-    if warmth >= 1.0 {
+    let warm_up_progress = (state.now - launched_at).as_secs_f64() / limits.warm_up.as_secs_f64();
+    if warm_up_progress >= 1.0 {
         return false;
     }
     let cores = model.fleet.kinds[model.kind(*engine)].cores;
-    let capacity = cores * (limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * warmth);
+    let capacity =
+        cores * (limits.start_capacity_fraction + (1.0 - limits.start_capacity_fraction) * warm_up_progress);
     let budget = limits.overload_factor * capacity * limits.overload_window.as_secs_f64()
         / model.fleet.router_count as f64;
     let seconds = model.requests[request.index()].work_seconds();
     let window = limits.overload_window.mul_f64((seconds / budget).max(1.0));
     let is_recent = |work: &&SentWork| work.at + window > state.now;
-    let recent: f64 = record.sent.iter().filter(is_recent).map(|work| work.seconds).sum();
-    recent + seconds > budget.max(seconds) * (1.0 + ROUNDING)
+    let recent: f64 = record.sent_work.iter().filter(is_recent).map(|work| work.seconds).sum();
+    recent + seconds > budget.max(seconds) * (1.0 + ROUNDING_TOLERANCE)
 }
 
-fn sends_out_of_order(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_out_of_order(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let position = request.index();
     let ordering_key = model.requests[position].key.filter(|_| model.class_of(*request).keeps_order);
@@ -216,7 +224,7 @@
     state.requests[position].is_queued() && (0..position).any(precedes)
 }
 
-fn sends_during_cooldown(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn sends_during_cooldown(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, .. } = event else { return false };
     let key: Option<KeyId> = model.requests[request.index()].key;
     let applies = |cooldown: &KeyCooldown| {
@@ -225,7 +233,7 @@
     sent_request(state, event).is_some() && state.key_cooldowns.iter().any(applies)
 }
 
-fn sends_outside_placement(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
+fn sends_outside_placement(model: &SchedulerModel, _: &SchedulerModelState, event: &Event) -> bool {
     let Event::Send { request, engine, .. } = event else { return false };
     let class = model.class_of(*request);
     let kind = model.kind(*engine);
@@ -234,28 +242,28 @@
     is_wrong_kind || class.locations.as_ref().is_some_and(|locations| !locations.contains(&location))
 }
 
-fn exceeds_attempt_limit(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn exceeds_attempt_limit(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let max_attempts = model.attempt_limits.max_attempts;
     sent_request(state, event).is_some_and(|record| record.attempts.len() >= max_attempts)
 }
 
-fn exceeds_retry_budget(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn exceeds_retry_budget(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Some(budget) = &model.attempt_limits.retry_budget else { return false };
     let is_retry = sent_request(state, event).is_some_and(|record| !record.attempts.is_empty());
     let is_recent = |at: Duration| at + budget.window > state.now;
     let retries = state.retry_times.iter().filter(|at| is_recent(**at)).count() as f64;
-    let requests = state.requests.iter().filter(|request| is_recent(request.arrived)).count() as f64;
+    let requests = state.requests.iter().filter(|request| is_recent(request.arrived_at)).count() as f64;
     is_retry && retries + 1.0 > budget.min_retries + budget.per_request * requests
 }
 
-fn cancels_nothing(model: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn cancels_invalidly(model: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::Cancel { request, attempt } = event else { return false };
     let attempt = record(state, request).attempts.get(*attempt);
     let is_in_flight = attempt.is_some_and(|attempt| attempt.outcome.is_none() && !attempt.is_cancelled);
     !model.attempt_limits.may_cancel || !is_in_flight
 }
 
-fn grants_too_much(model: &ModuleModel, _: &ModuleState, event: &Event) -> bool {
+fn grants_too_much(model: &SchedulerModel, _: &SchedulerModelState, event: &Event) -> bool {
     let Event::Grant { grant_mb, .. } = event else { return false };
     let fleet = &model.fleet;
     let largest =
@@ -263,17 +271,18 @@
     *grant_mb > largest.round()
 }
 
-fn lacks_wake_up(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn lacks_wake_up(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     let Event::TimePasses { .. } = event else { return false };
     state.wake_ups.is_empty() && state.requests.iter().any(RequestRecord::is_open)
 }
 
-fn leaves_something_behind(_: &ModuleModel, state: &ModuleState, event: &Event) -> bool {
+fn retains_state_at_end(_: &SchedulerModel, state: &SchedulerModelState, event: &Event) -> bool {
     *event == Event::Terminal && !is_quiescent(state)
 }
 
-/// Whether every request is finished, and the scheduler holds no request and no engine after an empty endpoint list.
-fn is_quiescent(state: &ModuleState) -> bool {
+/// Whether every request is finished, and the scheduler, given an empty endpoint list, only forgets engines and then
+/// holds no request and no engine.
+fn is_quiescent(state: &SchedulerModelState) -> bool {
     if state.requests.iter().any(RequestRecord::is_unfinished) {
         return false;
     }
--- a/crates/model-checker/src/module_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -1,6 +1,7 @@
-//! The state of the module model: the scheduler, and the records of its environment.
+//! The state of the scheduler model: the scheduler, and the records of its environment. Times are those of the model's
+//! clock, which begins at [`START_TIME`](crate::search::START_TIME).
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::scenario::EngineSpec;
 use emberflow::{
     AttemptOutcome, Endpoint, EngineId, FingerprintContext, KeyId, Lifecycle, RequestId, Scheduler,
@@ -13,7 +14,7 @@
 pub struct AttemptRecord {
     /// The engine to which the attempt was sent.
     pub engine: EngineId,
-    /// The time of sending.
+    /// The time at which the scheduler sent the attempt.
     pub sent_at: Duration,
     /// The time at which the attempt times out.
     pub times_out_at: Duration,
@@ -21,7 +22,7 @@
     pub outcome: Option<AttemptOutcome>,
     /// Whether the scheduler has cancelled the attempt.
     pub is_cancelled: bool,
-    /// Number of progress updates that the engine has sent.
+    /// Number of progress updates that the engine has sent for the attempt.
     pub progress_updates: u8,
 }
 
@@ -38,11 +39,11 @@
 /// The final answer to a request, or the client's disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// A result was passed to the client.
+    /// The client received a result.
     Served,
-    /// The request was rejected.
+    /// The request was rejected; the client may safely retry it.
     Rejected,
-    /// The request failed.
+    /// The request failed; it may have run.
     Failed,
     /// The client disconnected before any answer.
     ClientLeft,
@@ -51,8 +52,8 @@
 /// A request that has arrived, as known to its client.
 #[derive(Clone, Default)]
 pub struct RequestRecord {
-    /// The time of arrival.
-    pub arrived: Duration,
+    /// The time at which the request arrived.
+    pub arrived_at: Duration,
     /// The time by which the request must be answered.
     pub deadline: Duration,
     /// The final answer; `None` while the request is open.
@@ -91,7 +92,7 @@
 /// Work sent to an engine.
 #[derive(Clone, Copy)]
 pub struct SentWork {
-    /// The time of sending.
+    /// The time at which the work was sent.
     pub at: Duration,
     /// The estimated work, in seconds on one core.
     pub seconds: f64,
@@ -102,76 +103,77 @@
 pub struct EngineRecord {
     /// The lifecycle that the endpoint list reported last.
     pub lifecycle: Lifecycle,
-    /// Whether the scheduler has released the engine's number.
+    /// Whether the scheduler has released the engine's id.
     pub is_forgotten: bool,
     /// The time of the last restart; `None` without a restart.
-    pub launched: Option<Duration>,
-    /// The work sent since the last restart.
-    pub sent: Vec<SentWork>,
+    pub launched_at: Option<Duration>,
+    /// The work sent since the last restart, or since the start of the run.
+    pub sent_work: Vec<SentWork>,
 }
 
-/// A period in which no other request of a key may run, because an earlier attempt may still be executed.
+/// A period in which no other request of a key may be sent, because an engine may still execute an earlier attempt.
 #[derive(Clone, Copy)]
 pub struct KeyCooldown {
-    /// The key.
+    /// The key whose other requests must wait.
     pub key: KeyId,
-    /// The request whose attempt may still be executed.
+    /// The request whose attempt may still be executed. It may be sent again during the cooldown.
     pub request: RequestId,
-    /// The end of the cooldown.
+    /// The time at which the cooldown ends.
     pub until: Duration,
 }
 
 /// The scheduler and its environment.
 #[derive(Clone)]
-pub struct ModuleState {
-    /// The clock.
+pub struct SchedulerModelState {
+    /// The current time.
     pub now: Duration,
     /// The system under test.
     pub scheduler: Scheduler,
     /// The requests that have arrived, in the order of arrival.
     pub requests: Vec<RequestRecord>,
-    /// The engines, by number.
+    /// The engines, indexed by their ids.
     pub engine_records: Vec<EngineRecord>,
-    /// The times of the requested wake-ups, sorted.
+    /// The times of the requested wake-ups that have not happened, sorted and without duplicates.
     pub wake_ups: Vec<Duration>,
     /// The times at which retries of any request were sent.
     pub retry_times: Vec<Duration>,
     /// The cooldowns that have not ended.
     pub key_cooldowns: Vec<KeyCooldown>,
-    /// Number of changes and failures of the endpoint list.
+    /// Number of changes and failures of the endpoint list so far.
     pub endpoint_changes: u8,
-    /// Number of clients that have disconnected.
+    /// Number of clients that have disconnected before an answer.
     pub departures: u8,
-    /// The time at which the process ends; `None` before the shutdown begins.
+    /// The time at which the process ends; `None` before the graceful shutdown begins.
     pub shutdown_deadline: Option<Duration>,
-    /// Whether the scheduler has requested the endpoint list.
-    pub is_watching: bool,
-    /// The name of the first violated invariant.
-    pub violated: Option<&'static str>,
-    /// A number that is equal for states with equal futures.
+    /// Whether the scheduler has subscribed to the endpoint list since the list last failed.
+    pub is_subscribed_to_list: bool,
+    /// The name of the first violated invariant; `None` if all hold.
+    pub violated_invariant: Option<&'static str>,
+    /// A hash of everything that influences later transitions and violations, as of the last update.
     pub fingerprint: u64,
 }
 
-impl ModuleState {
-    /// Returns the endpoint list's record of an engine.
-    pub fn endpoint(&self, model: &ModuleModel, engine: EngineId) -> Endpoint {
+impl SchedulerModelState {
+    /// Returns the row of an engine in the endpoint list.
+    pub fn endpoint(&self, model: &SchedulerModel, engine: EngineId) -> Endpoint {
         let EngineSpec { location, cell } = model.engines[engine.index()];
-        let EngineRecord { lifecycle, launched, .. } = self.engine_records[engine.index()];
-        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched_at: launched }
+        let EngineRecord { lifecycle, launched_at, .. } = self.engine_records[engine.index()];
+        Endpoint { engine, location, kind: model.kind(engine), cell, lifecycle, launched_at }
     }
 
-    /// Whether an open request has no attempt in flight, so that any input may lead to an attempt.
+    /// Whether an open request has no attempt in flight, so that the scheduler may send one after any input.
     pub fn has_queued_request(&self) -> bool {
         self.requests.iter().any(RequestRecord::is_queued)
     }
 
     /// Whether another request may arrive.
-    pub fn expects_arrival(&self, model: &ModuleModel) -> bool {
+    pub fn expects_arrival(&self, model: &SchedulerModel) -> bool {
         self.requests.len() < model.requests.len()
     }
 
-    /// Recomputes the fingerprint. It includes times relative to now, and only those that influence a later state.
-    pub fn update_fingerprint(&mut self, model: &ModuleModel) {
+    /// Recomputes the fingerprint. Times are hashed relative to now, and only where they influence a later state, so
+    /// that states that differ only in their absolute times are equal.
+    pub fn update_fingerprint(&mut self, model: &SchedulerModel) {
         let mut hasher = DefaultHasher::new();
         let engine_fingerprint = |engine| self.engine_fingerprint(model, engine);
         let context = FingerprintContext {
@@ -186,21 +188,23 @@
         }
         self.hash_requests(&mut hasher);
         self.hash_timers(model, &mut hasher);
-        (self.requests.len(), self.endpoint_changes, self.departures, self.is_watching).hash(&mut hasher);
-        self.violated.hash(&mut hasher);
+        (self.requests.len(), self.endpoint_changes, self.departures, self.is_subscribed_to_list)
+            .hash(&mut hasher);
+        self.violated_invariant.hash(&mut hasher);
         self.fingerprint = hasher.finish();
     }
 
     /// Returns the fingerprint of the environment's record of an engine.
-    fn engine_fingerprint(&self, model: &ModuleModel, engine: EngineId) -> u64 {
+    fn engine_fingerprint(&self, model: &SchedulerModel, engine: EngineId) -> u64 {
         let engine = &self.engine_records[engine.index()];
         let mut hasher = DefaultHasher::new();
         (engine.is_forgotten, engine.lifecycle == Lifecycle::Removed).hash(&mut hasher);
-        let is_warming_up =
-            engine.launched.is_some_and(|launched| launched + model.attempt_limits.warm_up > self.now);
+        let is_warming_up = engine
+            .launched_at
+            .is_some_and(|launched_at| launched_at + model.attempt_limits.warm_up > self.now);
         let recent_work = is_warming_up.then(|| {
             let age_and_work = |work: &SentWork| (self.now - work.at, work.seconds.to_bits());
-            engine.sent.iter().map(age_and_work).collect::<Vec<_>>()
+            engine.sent_work.iter().map(age_and_work).collect::<Vec<_>>()
         });
         recent_work.hash(&mut hasher);
         hasher.finish()
@@ -217,11 +221,11 @@
             let times_out_in =
                 request.in_flight().map(|attempt| attempt.times_out_at.saturating_sub(self.now));
             (last, times_out_in, request.attempts.len()).hash(hasher);
-            (request.deadline.saturating_sub(self.now), self.now - request.arrived).hash(hasher);
+            (request.deadline.saturating_sub(self.now), self.now - request.arrived_at).hash(hasher);
         }
     }
 
-    fn hash_timers(&self, model: &ModuleModel, hasher: &mut DefaultHasher) {
+    fn hash_timers(&self, model: &SchedulerModel, hasher: &mut DefaultHasher) {
         for wake_up in &self.wake_ups {
             wake_up.saturating_sub(self.now).hash(hasher);
             self.now.saturating_sub(*wake_up).hash(hasher);
