--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -178,17 +178,19 @@
 
     fn pass_time(&mut self) {
         let now = self.state.now;
-        let to = self.state.context.timers.first().map_or(now, |at| at.max(now));
+        let to = self.state.context.timers.next_expiry().map_or(now, |at| at.max(now));
         self.check(&Event::TimePasses { to });
         let state = &mut self.state;
         state.now = to;
         state.context.now = to;
         while let Some(due) = state.context.timers.pop(to) {
             match due {
-                Timer::Attempt(slot) => state.engines.attempt_overdue(slot, &mut state.context),
-                Timer::Connection(slot) => state.engines.connection_check_due(slot, to, &mut state.context),
-                Timer::AnswerComplete(slot) => state.engines.reply_overdue(slot, &mut state.context),
-                Timer::ConnectionIdle(slot) => state.engines.connection_idle(slot, &mut state.context),
+                Timer::AttemptDeadline(slot) => state.engines.attempt_overdue(slot, &mut state.context),
+                Timer::ConnectionCheck(slot) => {
+                    state.engines.connection_check_due(slot, to, &mut state.context)
+                }
+                Timer::AnswerTimeout(slot) => state.engines.reply_overdue(slot, &mut state.context),
+                Timer::ConnectionIdleTimeout(slot) => state.engines.connection_idle(slot, &mut state.context),
                 _ => {}
             }
         }
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -222,7 +222,7 @@
     Mutant {
         name: "idle connections stay open",
         file: POOL_ATTEMPT,
-        from: "context.timers.set(idle_due, Timer::ConnectionIdle(connection_slot));",
+        from: "context.timers.set(idle_due, Timer::ConnectionIdleTimeout(connection_slot));",
         to: "",
     },
     Mutant {
@@ -246,7 +246,7 @@
     Mutant {
         name: "an attempt without a deadline",
         file: POOL_ATTEMPT,
-        from: "        context.timers.set(call.deadline, Timer::Attempt(attempt));\n",
+        from: "        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt));\n",
         to: "",
     },
     Mutant {
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -82,7 +82,7 @@
 
     fn pass_time(&mut self) {
         let now = self.state.now;
-        let to = self.state.server.context().timers.first().map_or(now, |at| at.max(now));
+        let to = self.state.server.context().timers.next_expiry().map_or(now, |at| at.max(now));
         self.check(&Event::TimePasses { to });
         self.state.now = to;
         self.state.server.context().now = to;
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -124,7 +124,7 @@
     fn probe(&mut self, _: EngineId) {}
 
     fn wake_after(&mut self, wait: Duration) {
-        self.context.timers.set(self.context.now() + wait, Timer::Wake);
+        self.context.timers.set(self.context.now() + wait, Timer::SchedulerWakeUp);
     }
 
     /// Has no effect: the discovery service sends its events without a request.
@@ -234,7 +234,10 @@
         for (at, timer) in self.context.timers.iter() {
             let is_of_router = matches!(
                 timer,
-                Timer::Wake | Timer::Discovery | Timer::ResumeAccepting | Timer::ShutdownCheck
+                Timer::SchedulerWakeUp
+                    | Timer::DiscoveryRedial
+                    | Timer::ResumeAccepting
+                    | Timer::ShutdownCheck
             );
             if is_of_router {
                 let microseconds_left = at.as_micros() as i64 - now.as_micros() as i64;
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -20,7 +20,7 @@
         context: &mut Context,
     ) -> Slot {
         let attempt = self.attempts.insert(Attempt::new(&call, engine, excluded_connections, context.now()));
-        context.timers.set(call.deadline, Timer::Attempt(attempt));
+        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt));
         context.counters.count("attempts_sent");
         self.assign_connection(attempt, context);
         attempt
@@ -166,7 +166,7 @@
         context: &mut Context,
     ) {
         let Some(attempt) = self.attempts.take(slot) else { return };
-        context.timers.clear(attempt.deadline, Timer::Attempt(slot));
+        context.timers.clear(attempt.deadline, Timer::AttemptDeadline(slot));
         context.counters.count(outcome_counter(outcome));
         self.release_connection(slot, &attempt, context);
         let late_connection = late_connection(&attempt, outcome);
@@ -195,7 +195,7 @@
         if connection.attempts.is_empty() {
             let idle_due = context.now() + self.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION);
             connection.idle_due = Some(idle_due);
-            context.timers.set(idle_due, Timer::ConnectionIdle(connection_slot));
+            context.timers.set(idle_due, Timer::ConnectionIdleTimeout(connection_slot));
         }
     }
 }
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -103,9 +103,9 @@
     /// Clears all pending timers of the connection, which is registered under `slot`.
     pub fn clear_timers(&self, slot: Slot, context: &mut Context) {
         let timers = [
-            (self.check_due, Timer::Connection(slot)),
-            (self.reply_due, Timer::AnswerComplete(slot)),
-            (self.idle_due, Timer::ConnectionIdle(slot)),
+            (self.check_due, Timer::ConnectionCheck(slot)),
+            (self.reply_due, Timer::AnswerTimeout(slot)),
+            (self.idle_due, Timer::ConnectionIdleTimeout(slot)),
         ];
         for (due, timer) in timers {
             if let Some(due) = due {
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -79,7 +79,7 @@
         let check_due = now + self.connect_timeout;
         context.counters.count("connections_dialled");
         let slot = self.connections.insert(Connection::new(engine, now, check_due));
-        context.timers.set(check_due, Timer::Connection(slot));
+        context.timers.set(check_due, Timer::ConnectionCheck(slot));
         self.commands.push_back(PoolCommand::Dial(slot, engine_entry.address));
         engine_entry.connections.push(slot);
         Some(slot)
@@ -103,7 +103,7 @@
             connection.last_reply_at - connection.dialed_at
         );
         if let Some(due) = connection.check_due.take() {
-            context.timers.clear(due, Timer::Connection(slot));
+            context.timers.clear(due, Timer::ConnectionCheck(slot));
         }
         self.schedule_writes(slot, context);
     }
--- a/crates/router/src/engine_pool/health_check.rs
+++ b/crates/router/src/engine_pool/health_check.rs
@@ -33,9 +33,9 @@
     pub(super) fn schedule_check(&mut self, slot: Slot, due: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if let Some(earlier) = connection.check_due.replace(due) {
-            context.timers.clear(earlier, Timer::Connection(slot));
+            context.timers.clear(earlier, Timer::ConnectionCheck(slot));
         }
-        context.timers.set(due, Timer::Connection(slot));
+        context.timers.set(due, Timer::ConnectionCheck(slot));
     }
 
     /// Checks a connection whose check is due. Closes it if it was not established in time, or if its engine has not
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -56,7 +56,7 @@
         if connection.reply_due.is_none() && !connection.input.is_empty() {
             let due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
             connection.reply_due = Some(due);
-            context.timers.set(due, Timer::AnswerComplete(slot));
+            context.timers.set(due, Timer::AnswerTimeout(slot));
         }
     }
 
@@ -79,7 +79,7 @@
             connection.input.consume(length);
             connection.last_reply_at = context.now();
             if let Some(due) = connection.reply_due.take() {
-                context.timers.clear(due, Timer::AnswerComplete(slot));
+                context.timers.clear(due, Timer::AnswerTimeout(slot));
             }
             if connection.pass_health_check() {
                 self.schedule_writes(slot, context);
@@ -213,9 +213,9 @@
         let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if !result.is_complete() {
             let page_due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
-            context.timers.clear(attempt.deadline, Timer::Attempt(slot));
+            context.timers.clear(attempt.deadline, Timer::AttemptDeadline(slot));
             attempt.deadline = attempt.deadline.min(page_due);
-            context.timers.set(attempt.deadline, Timer::Attempt(slot));
+            context.timers.set(attempt.deadline, Timer::AttemptDeadline(slot));
             return Ok(());
         }
         let body = result.take_body()?;
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -18,7 +18,7 @@
         attempt.connection = Some(slot);
         connection.attempts.insert(attempt.id.clone(), attempt_slot);
         if let Some(due) = connection.idle_due.take() {
-            context.timers.clear(due, Timer::ConnectionIdle(slot));
+            context.timers.clear(due, Timer::ConnectionIdleTimeout(slot));
         }
         connection.waiting.push(attempt_slot);
         // The machine at the other end of an inactive connection may have failed without closing it, so the engine has
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -156,7 +156,7 @@
 
     /// Records the start of a poll; returns the poll's timeout, `None` for an unlimited one.
     fn begin_poll(&mut self) -> Option<Duration> {
-        let next_timer = self.server.context().timers.first();
+        let next_timer = self.server.context().timers.next_expiry();
         let time_to_next_timer = next_timer.map(|at| at.saturating_sub(self.clock.now()));
         let has_unread_input = !self.readable_clients.is_empty()
             || !self.readable_connections.is_empty()
@@ -253,21 +253,21 @@
     /// that a delay of the router itself does not count as a timeout of the peer.
     fn before_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Client(slot) => self.read_client(slot, self.poll_times.earliest_arrival()),
-            Timer::Attempt(attempt) => {
+            Timer::ClientIdleCheck(slot) => self.read_client(slot, self.poll_times.earliest_arrival()),
+            Timer::AttemptDeadline(attempt) => {
                 if let Some(connection) = self.server.dispatcher.engines.connection_of(attempt) {
                     self.connection_ready(connection);
                 }
             }
-            Timer::Connection(slot) => self.connection_ready(slot),
-            Timer::AnswerComplete(slot) => self.read_connection(slot),
-            Timer::Discovery => self.discovery_timer_expired(),
+            Timer::ConnectionCheck(slot) => self.connection_ready(slot),
+            Timer::AnswerTimeout(slot) => self.read_connection(slot),
+            Timer::DiscoveryRedial => self.discovery_timer_expired(),
             Timer::ResumeAccepting => self.resume_accepting(),
             Timer::ShutdownCheck => self.read_before_shutdown(),
-            Timer::Reload => self.reload(),
-            Timer::Linger(slot) => drop(self.lingering.remove(&slot)),
-            Timer::Redial(slot) => self.redial_engine(slot),
-            Timer::Wake | Timer::ConnectionIdle(_) | Timer::AdmissionQueue => {}
+            Timer::ReloadRetry => self.reload(),
+            Timer::LingerTimeout(slot) => drop(self.lingering.remove(&slot)),
+            Timer::EngineRedial(slot) => self.redial_engine(slot),
+            Timer::SchedulerWakeUp | Timer::ConnectionIdleTimeout(_) | Timer::AdmissionCheck => {}
         }
     }
 
--- a/crates/router/src/event_loop/discovery_socket.rs
+++ b/crates/router/src/event_loop/discovery_socket.rs
@@ -54,9 +54,9 @@
     fn redial_discovery_after(&mut self, wait: Duration) {
         let Server { discovery, dispatcher, .. } = &mut self.server;
         let context = &mut dispatcher.context;
-        context.timers.clear(discovery.redial_at, Timer::Discovery);
+        context.timers.clear(discovery.redial_at, Timer::DiscoveryRedial);
         discovery.redial_at = context.now() + wait;
-        context.timers.set(discovery.redial_at, Timer::Discovery);
+        context.timers.set(discovery.redial_at, Timer::DiscoveryRedial);
     }
 
     /// Handles readiness of the connection's socket: reads it, or schedules a new dial if it has failed.
--- a/crates/router/src/event_loop/engine_sockets.rs
+++ b/crates/router/src/event_loop/engine_sockets.rs
@@ -61,7 +61,7 @@
     fn schedule_redial(&mut self, slot: Slot, address: SocketAddr) {
         let context = self.server.context();
         context.counters.count("dials_failed_locally");
-        context.timers.set(context.now() + REDIAL_DELAY, Timer::Redial(slot));
+        context.timers.set(context.now() + REDIAL_DELAY, Timer::EngineRedial(slot));
         self.redials.insert(slot, address);
     }
 
--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Shuts a connection down for writing and drains it until [`Timer::Linger`], so that the last answers arrive.
+    /// Shuts a connection down for writing and drains it until [`Timer::LingerTimeout`], so that the last answers arrive.
     fn linger(&mut self, slot: Slot, registered: RegisteredSocket<Self>) {
         let is_full = self.lingering.len() >= self.server.dispatcher.config.max_lingering_clients();
         if is_full || registered.socket.shutdown(Shutdown::Write).is_err() {
@@ -44,7 +44,7 @@
         }
         let context = self.server.context();
         context.counters.count("clients_drained");
-        context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::Linger(slot));
+        context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::LingerTimeout(slot));
         self.lingering.insert(slot, registered);
         self.drain_lingering(slot);
     }
--- a/crates/router/src/event_loop/reload.rs
+++ b/crates/router/src/event_loop/reload.rs
@@ -51,14 +51,14 @@
             log::error!("configuration not reloaded, retries ended: {error}");
             return;
         };
-        context.timers.set(retry.next_attempt, Timer::Reload);
+        context.timers.set(retry.next_attempt, Timer::ReloadRetry);
         self.reload_retry = Some(retry);
     }
 
     /// Reloads at once. A scheduled retry of an earlier reload is dropped.
     pub(super) fn reload_by_signal(&mut self) {
         if let Some(retry) = self.reload_retry.take() {
-            self.server.context().timers.clear(retry.next_attempt, Timer::Reload);
+            self.server.context().timers.clear(retry.next_attempt, Timer::ReloadRetry);
         }
         self.reload();
     }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -67,7 +67,7 @@
     longest_deadline: Duration,
     /// The queue in front of the scheduler; `None` if the operator has configured no teams.
     admission_queue: Option<AdmissionQueue>,
-    /// The time for which [`Timer::AdmissionQueue`] is set.
+    /// The time for which [`Timer::AdmissionCheck`] is set.
     admission_timer: Option<Duration>,
     /// By the index of the request class.
     admission_classes: Vec<AdmissionClass>,
@@ -123,19 +123,19 @@
         let now = self.dispatcher.context.now();
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
         match timer {
-            Timer::Wake => self.scheduler.wake(now, &mut self.dispatcher),
-            Timer::Attempt(slot) => engines.attempt_overdue(slot, context),
-            Timer::Connection(slot) => engines.connection_check_due(slot, now, context),
-            Timer::AnswerComplete(slot) => engines.reply_overdue(slot, context),
-            Timer::ConnectionIdle(slot) => engines.connection_idle(slot, context),
-            Timer::Client(slot) => self.client_timer_expired(slot, now),
+            Timer::SchedulerWakeUp => self.scheduler.wake(now, &mut self.dispatcher),
+            Timer::AttemptDeadline(slot) => engines.attempt_overdue(slot, context),
+            Timer::ConnectionCheck(slot) => engines.connection_check_due(slot, now, context),
+            Timer::AnswerTimeout(slot) => engines.reply_overdue(slot, context),
+            Timer::ConnectionIdleTimeout(slot) => engines.connection_idle(slot, context),
+            Timer::ClientIdleCheck(slot) => self.client_timer_expired(slot, now),
             Timer::ShutdownCheck => self.check_shutdown(),
-            Timer::Discovery
+            Timer::DiscoveryRedial
             | Timer::ResumeAccepting
-            | Timer::AdmissionQueue
-            | Timer::Reload
-            | Timer::Linger(_)
-            | Timer::Redial(_) => {}
+            | Timer::AdmissionCheck
+            | Timer::ReloadRetry
+            | Timer::LingerTimeout(_)
+            | Timer::EngineRedial(_) => {}
         }
         self.process_events();
     }
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -30,7 +30,7 @@
         self.admission_queue = None;
         self.dispatcher.completions = None;
         if let Some(at) = self.admission_timer.take() {
-            self.dispatcher.context.timers.clear(at, Timer::AdmissionQueue);
+            self.dispatcher.context.timers.clear(at, Timer::AdmissionCheck);
         }
     }
 
@@ -102,10 +102,10 @@
         }
         let timers = &mut self.dispatcher.context.timers;
         if let Some(at) = self.admission_timer {
-            timers.clear(at, Timer::AdmissionQueue);
+            timers.clear(at, Timer::AdmissionCheck);
         }
         if let Some(at) = due {
-            timers.set(at, Timer::AdmissionQueue);
+            timers.set(at, Timer::AdmissionCheck);
         }
         self.admission_timer = due;
     }
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -16,7 +16,7 @@
         let Dispatcher { clients, context, .. } = &mut self.dispatcher;
         let slot = clients.table.next();
         let due = clients.admit(context.now());
-        context.timers.set(due, Timer::Client(slot));
+        context.timers.set(due, Timer::ClientIdleCheck(slot));
         context.counters.count("clients_admitted");
         slot
     }
@@ -172,7 +172,9 @@
             return;
         }
         match self.dispatcher.clients.check_idle(slot, now) {
-            IdleCheck::CheckAgain(due) => self.dispatcher.context.timers.set(due, Timer::Client(slot)),
+            IdleCheck::CheckAgain(due) => {
+                self.dispatcher.context.timers.set(due, Timer::ClientIdleCheck(slot))
+            }
             IdleCheck::Stalled => {
                 self.dispatcher.context.counters.count("clients_stalled");
                 self.reject_line(slot, RequestError::new(None, RequestErrorKind::LineIncomplete));
@@ -205,7 +207,7 @@
     fn remove_client(&mut self, slot: Slot, reason: CloseReason) -> Vec<RequestId> {
         let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
-        self.dispatcher.context.timers.clear(client.check_due, Timer::Client(slot));
+        self.dispatcher.context.timers.clear(client.check_due, Timer::ClientIdleCheck(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
         client.open.into_values().collect()
     }
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -4,35 +4,35 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The purposes of timers.
+/// The purpose of a timer, with the slot of the object that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
-    /// The scheduler's wake-up.
-    Wake,
+    /// The wake-up that the scheduler has requested.
+    SchedulerWakeUp,
     /// The deadline of an attempt.
-    Attempt(Slot),
-    /// The check of a connection to an engine: connect timeout or health check.
-    Connection(Slot),
-    /// The time by which an engine's answer that has begun to arrive must be complete.
-    AnswerComplete(Slot),
+    AttemptDeadline(Slot),
+    /// The next check of a connection to an engine: whether it is established, still answers, or needs a health check.
+    ConnectionCheck(Slot),
+    /// The time by which an engine's answer that has begun to arrive must be complete, by connection.
+    AnswerTimeout(Slot),
     /// The idle timeout of a connection to an engine.
-    ConnectionIdle(Slot),
-    /// The next dial of the discovery service, postponed by each frame that is received.
-    Discovery,
-    /// The idle check of a client.
-    Client(Slot),
+    ConnectionIdleTimeout(Slot),
+    /// The next dial of the discovery service. Each frame that is received postpones it.
+    DiscoveryRedial,
+    /// The next check whether a client is idle for too long.
+    ClientIdleCheck(Slot),
     /// The end of a pause in accepting connections.
     ResumeAccepting,
-    /// The check whether the process may exit, during a graceful shutdown.
+    /// The next check whether the process may exit, during a graceful shutdown.
     ShutdownCheck,
-    /// The next attempt of a reload that failed.
-    Reload,
-    /// The end of the lingering close of a client's connection.
-    Linger(Slot),
-    /// The next deadline in the admission queue.
-    AdmissionQueue,
+    /// The next retry of a reload that failed.
+    ReloadRetry,
+    /// The time at which the lingering close of a client's connection ends at the latest.
+    LingerTimeout(Slot),
+    /// The time at which the admission queue is examined again, for a deadline, a notice or free capacity.
+    AdmissionCheck,
     /// The next dial of a connection to an engine, after a local failure.
-    Redial(Slot),
+    EngineRedial(Slot),
 }
 
 /// The pending timers. The same timer may be pending at several times.
@@ -42,12 +42,12 @@
 }
 
 impl Timers {
-    /// Sets a timer to expire at `at`.
+    /// Adds a timer that expires at `at`.
     pub fn set(&mut self, at: Duration, timer: Timer) {
         self.ordered.insert((at, timer));
     }
 
-    /// Removes a timer that was set to expire at `at`.
+    /// Removes the timer that was set to expire at `at`. Has no effect if there is none.
     pub fn clear(&mut self, at: Duration, timer: Timer) {
         self.ordered.remove(&(at, timer));
     }
@@ -67,12 +67,12 @@
         self.ordered.iter().copied()
     }
 
-    /// Returns the time at which the next timer expires.
-    pub fn first(&self) -> Option<Duration> {
+    /// Returns the time at which the next timer expires; `None` if no timer is pending.
+    pub fn next_expiry(&self) -> Option<Duration> {
         self.ordered.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the next timer if it has expired.
+    /// Removes and returns the next timer if it has expired at `now`.
     pub fn pop(&mut self, now: Duration) -> Option<Timer> {
         let (at, timer) = *self.ordered.first()?;
         if at > now {
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -131,7 +131,7 @@
     fn advance_time(&mut self, max_ms: u64) {
         let to =
             self.server.dispatcher.context.now() + Duration::from_micros(self.random.below(max_ms * 1000));
-        while let Some(at) = self.server.dispatcher.context.timers.first().filter(|at| *at <= to) {
+        while let Some(at) = self.server.dispatcher.context.timers.next_expiry().filter(|at| *at <= to) {
             let late = Duration::from_micros(self.random.pick(&[0, 0, 0, 700]));
             let now = self.server.dispatcher.context.now().max(at + late);
             self.server.dispatcher.context.now = now;
@@ -146,8 +146,8 @@
     /// Reads the input that arrived before a timer expired, as the event loop does, and then handles the timer.
     fn fire_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Client(slot) => self.read_client(slot, &[], StreamEnd::WouldBlock),
-            Timer::Attempt(attempt) => {
+            Timer::ClientIdleCheck(slot) => self.read_client(slot, &[], StreamEnd::WouldBlock),
+            Timer::AttemptDeadline(attempt) => {
                 if let Some(connection) = self.server.dispatcher.engines.connection_of(attempt) {
                     self.flush_connection(connection);
                 }
@@ -168,7 +168,7 @@
     }
 
     fn record_next_timer(&mut self) {
-        let first = self.server.dispatcher.context.timers.first();
+        let first = self.server.dispatcher.context.timers.next_expiry();
         let first = first.map_or(u64::MAX, |at| at.as_micros() as u64);
         self.recorder.record("due", first, &[]);
     }
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -94,7 +94,7 @@
     let slots = [server.accept_client(), server.accept_client()];
     server.dispatcher.context.now = NOW + Duration::from_secs(2);
     server.close_client(slots[0], CloseReason::Disconnected);
-    slots.into_iter().for_each(|slot| server.timer_expired(Timer::Client(slot)));
+    slots.into_iter().for_each(|slot| server.timer_expired(Timer::ClientIdleCheck(slot)));
     expect!["clients_admitted=2 clients_idle=1"].assert_eq(&server.dispatcher.context.counters.to_string());
 }
 
