--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -3,7 +3,7 @@
 
 use super::EnginePool;
 use crate::context::Context;
-use crate::gate::{self, CallFacts, CallRefusal};
+use crate::final_checks::{self, CallRefusal, CallState};
 use crate::slots::Slot;
 use crate::timers::Timer;
 use emberflow::{AttemptOutcome, RequestId};
@@ -69,10 +69,10 @@
         }
     }
 
-    /// Checks with the gate whether an attempt's call may be written at `now`.
+    /// Checks whether an attempt's call may be written at `now`.
     fn may_send(&self, slot: Slot, now: Duration) -> Result<(), CallRefusal> {
         let Some(attempt) = self.attempts.get(slot) else { return Err(CallRefusal::Cancelled) };
-        gate::may_send(&CallFacts {
+        final_checks::may_send(&CallState {
             is_engine_ready: self.is_ready(attempt.engine),
             may_client_have_left: attempt.resend_disabled,
             is_cancelled: attempt.is_cancelled(),
--- a/crates/router/src/event_loop/accepting.rs
+++ b/crates/router/src/event_loop/accepting.rs
@@ -4,7 +4,7 @@
 use super::listener::AcceptFailure;
 use crate::clients::MAX_TRANSIT_TIME;
 use crate::dispatch::Dispatcher;
-use crate::gate::CloseReason;
+use crate::final_checks::CloseReason;
 use crate::slots::Slot;
 use crate::sockets::RegisteredSocket;
 use crate::timers::Timer;
--- a/crates/router/src/event_loop/client_sockets.rs
+++ b/crates/router/src/event_loop/client_sockets.rs
@@ -2,7 +2,7 @@
 
 use super::RouterLoop;
 use crate::clients::ClientInput;
-use crate::gate::CloseReason;
+use crate::final_checks::CloseReason;
 use crate::slots::Slot;
 use crate::sockets::time_since_last_arrival;
 use std::io::{self, Read};
--- a/crates/router/src/gate.rs
+++ b/crates/router/src/final_checks.rs
@@ -1,20 +1,20 @@
-//! The last check before a call is written or a client's connection is closed. It uses the state known at that time,
-//! since the state may have changed after the decision to send or to close.
+//! The final checks, directly before a call is written or a client's connection is closed. The state may have changed
+//! since it was decided to send or to close.
 
 use crate::counters::Counters;
 use emberflow::RequestId;
 use std::time::Duration;
 
-/// The state of a call that is about to be written.
+/// The state on which it depends whether a call may be written.
 #[derive(Clone, Copy, Debug)]
-pub struct CallFacts {
-    /// Whether the engine is ready by the endpoint list.
+pub struct CallState {
+    /// Whether the endpoint list has the engine as ready.
     pub is_engine_ready: bool,
     /// Whether the client has ended its input, and may have disconnected.
     pub may_client_have_left: bool,
     /// Whether the attempt was cancelled.
     pub is_cancelled: bool,
-    /// Time until the attempt's deadline.
+    /// Time until the attempt's deadline; zero once it has passed.
     pub time_left: Duration,
 }
 
@@ -23,7 +23,7 @@
 pub enum CallRefusal {
     /// The engine is draining or was removed.
     EngineNotReady,
-    /// The client may have disconnected, so that the call may serve no client.
+    /// The client has ended its input and may have disconnected, so that no client may wait for the result.
     ClientMayHaveLeft,
     /// The attempt was cancelled.
     Cancelled,
@@ -31,11 +31,11 @@
     DeadlinePassed,
 }
 
-/// Whether a call may be written now.
+/// Checks whether a call may be written now.
 ///
 /// # Errors
 /// Returns the reason why the call must not be written.
-pub fn may_send(call: &CallFacts) -> Result<(), CallRefusal> {
+pub fn may_send(call: &CallState) -> Result<(), CallRefusal> {
     if !call.is_engine_ready {
         Err(CallRefusal::EngineNotReady)
     } else if call.may_client_have_left {
@@ -50,8 +50,8 @@
 }
 
 impl CallRefusal {
-    /// Counts and logs a call that was not written. Only a passed deadline is expected here. The other reasons are
-    /// detected before a call is queued for writing, so that they violate an invariant.
+    /// Counts and logs a call that was not written. Only a passed deadline is expected here. The router detects the
+    /// other reasons earlier and then removes the call from the queue, so each of them violates an invariant.
     pub fn record(self, request: RequestId, attempt: usize, counters: &mut Counters) {
         log::info!("call not written: request={request} attempt={attempt} reason={self:?}");
         match self {
@@ -68,13 +68,13 @@
 pub enum CloseReason {
     /// The client was idle until the idle timeout.
     Idle,
-    /// The client was idle when a new client connected at the limit of connections.
+    /// The client was idle when another client connected and the limit of connections or descriptors was reached.
     ReplacedWhileIdle,
-    /// The client has ended its input, and all its answers are written.
+    /// The client has ended its input, and all answers to it are written.
     Finished,
-    /// The client stopped sending within a line.
+    /// The client sent the beginning of a line, and not its end in time.
     LineIncomplete,
-    /// The client reads its answers too slowly.
+    /// The unwritten output to all clients exceeded its limit, and this client had the most.
     SlowReader,
     /// Writing to the client failed.
     WriteFailed,
@@ -83,7 +83,7 @@
 }
 
 impl CloseReason {
-    /// Whether the connection has failed or the client violates the protocol.
+    /// Whether the connection has failed, or the client does not send or read as it must.
     fn is_client_fault(self) -> bool {
         match self {
             Self::Idle | Self::ReplacedWhileIdle | Self::Finished => false,
@@ -92,12 +92,12 @@
     }
 }
 
-/// Whether the router may close a client's connection. A connection with open requests may be closed only for a fault
-/// of the client.
+/// Whether the router may close a client's connection with this number of open requests. A connection with open
+/// requests may be closed only for a fault of the client.
 pub fn may_close(reason: CloseReason, open_requests: usize) -> bool {
     reason.is_client_fault() || open_requests == 0
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/gate.rs"]
+#[path = "../tests/unit/final_checks.rs"]
 mod tests;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,8 @@
-//! The router: the scheduler of `emberflow` on sockets.
+//! The router: accepts requests of clients over TCP, and sends them to the engines that the scheduler of `emberflow`
+//! chooses.
 //!
 //! [`command::run`] is the program. To embed the router, read a configuration with [`bootstrap::Bootstrap`] and serve
-//! with [`event_loop::RouterLoop::run`], which returns after SIGTERM.
+//! with [`event_loop::RouterLoop::run`], which returns after SIGTERM or SIGINT once the graceful shutdown is complete.
 
 // Engineers learn the crate from its documentation, so every public item must be explained.
 #![warn(missing_docs)]
@@ -19,7 +20,7 @@
 pub mod engine_pool;
 pub mod error;
 pub mod event_loop;
-pub mod gate;
+pub mod final_checks;
 pub mod jsonrpc;
 mod ready_list;
 pub mod request_table;
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -3,7 +3,7 @@
 use super::{ClosedClient, Server};
 use crate::clients::{ClientInput, IdleCheck, ReadOutcome};
 use crate::dispatch::{Dispatcher, RequestOutcome};
-use crate::gate::{self, CloseReason};
+use crate::final_checks::{self, CloseReason};
 use crate::jsonrpc::{self, RequestError, RequestErrorKind};
 use crate::slots::Slot;
 use crate::timers::Timer;
@@ -187,10 +187,10 @@
         }
     }
 
-    /// Closes a client's connection and its open requests, if the gate allows it.
+    /// Closes a client's connection and its open requests, if [`final_checks::may_close`] allows it.
     pub fn close_client(&mut self, slot: Slot, reason: CloseReason) {
         let Some(client) = self.dispatcher.clients.table.get(slot) else { return };
-        if !gate::may_close(reason, client.open.len()) {
+        if !final_checks::may_close(reason, client.open.len()) {
             log::error!(
                 "client with open requests not closed: client={slot:?} reason={reason:?} {}",
                 client.summary()
--- a/crates/router/tests/digest/clients.rs
+++ b/crates/router/tests/digest/clients.rs
@@ -3,7 +3,7 @@
 use crate::configuration::CLASSES;
 use crate::scenario::Scenario;
 use crate::streams::{LimitedSink, ReceivedBytes, StreamEnd};
-use emberflow_router::gate::CloseReason;
+use emberflow_router::final_checks::CloseReason;
 use emberflow_router::slots::Slot;
 use serde_json::{Value, json};
 use std::time::Duration;
--- a/crates/router/tests/server.rs
+++ b/crates/router/tests/server.rs
@@ -3,7 +3,7 @@
 use emberflow_router::bootstrap::Bootstrap;
 use emberflow_router::clients::{ClientInput, Clients, ReadOutcome};
 use emberflow_router::context::Context;
-use emberflow_router::gate::CloseReason;
+use emberflow_router::final_checks::CloseReason;
 use emberflow_router::server::Server;
 use emberflow_router::slots::Slot;
 use emberflow_router::timers::Timer;
--- a/crates/router/tests/unit/gate.rs
+++ b/crates/router/tests/unit/final_checks.rs
@@ -1,10 +1,10 @@
-use super::{CallFacts, CallRefusal, CloseReason, may_close, may_send};
+use super::{CallRefusal, CallState, CloseReason, may_close, may_send};
 use crate::counters::Counters;
 use emberflow::RequestId;
 use std::time::Duration;
 
-fn call() -> CallFacts {
-    CallFacts {
+fn call() -> CallState {
+    CallState {
         is_engine_ready: true,
         may_client_have_left: false,
         is_cancelled: false,
@@ -16,13 +16,13 @@
 fn a_call_is_written_only_for_a_waiting_client_to_a_ready_engine_before_its_deadline() {
     assert_eq!(may_send(&call()), Ok(()));
     let refusals = [
-        (CallFacts { is_engine_ready: false, ..call() }, CallRefusal::EngineNotReady),
-        (CallFacts { may_client_have_left: true, ..call() }, CallRefusal::ClientMayHaveLeft),
-        (CallFacts { is_cancelled: true, ..call() }, CallRefusal::Cancelled),
-        (CallFacts { time_left: Duration::ZERO, ..call() }, CallRefusal::DeadlinePassed),
+        (CallState { is_engine_ready: false, ..call() }, CallRefusal::EngineNotReady),
+        (CallState { may_client_have_left: true, ..call() }, CallRefusal::ClientMayHaveLeft),
+        (CallState { is_cancelled: true, ..call() }, CallRefusal::Cancelled),
+        (CallState { time_left: Duration::ZERO, ..call() }, CallRefusal::DeadlinePassed),
     ];
-    for (facts, refusal) in refusals {
-        assert_eq!(may_send(&facts), Err(refusal));
+    for (call_state, refusal) in refusals {
+        assert_eq!(may_send(&call_state), Err(refusal));
     }
 }
 
