--- a/crates/operator/src/forms.rs
+++ b/crates/operator/src/forms.rs
@@ -1,4 +1,5 @@
-//! The parts of the file in their written form. Decoding validates each value by itself.
+//! The types into which serde deserializes the operator's file. Their fields correspond to those of the file, and
+//! deserialization validates each value by itself. [`crate::TeamConfig`] is built from them.
 
 use crate::error::FormError;
 use crate::limits::{MAX_NAME_BYTES, MAX_SECONDS, MAX_SHARE, MAX_WAITING, MIN_NOTICE_INTERVAL_S};
@@ -8,13 +9,13 @@
 use std::marker::PhantomData;
 use std::time::Duration;
 
-/// Checks that a number is finite, above 0 and not above `max`. `expected` describes the range in the error.
-fn bounded(value: f64, max: f64, expected: &'static str) -> Result<f64, FormError> {
-    let valid = value.is_finite() && value > 0.0 && value <= max;
-    if valid { Ok(value) } else { Err(FormError::Number { expected, found: value }) }
+/// Returns `value` if it is finite, above 0 and not above `max`. `expected` describes the range in the error.
+fn check_range(value: f64, max: f64, expected: &'static str) -> Result<f64, FormError> {
+    let is_valid = value.is_finite() && value > 0.0 && value <= max;
+    if is_valid { Ok(value) } else { Err(FormError::Number { expected, found: value }) }
 }
 
-/// The share of an organization or of a team, as a weight.
+/// The share of an organization or of a team, as a relative weight.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
 pub(crate) struct Share(pub(crate) f64);
@@ -23,11 +24,11 @@
     type Error = FormError;
 
     fn try_from(value: f64) -> Result<Self, FormError> {
-        bounded(value, MAX_SHARE, "a share above 0, up to a million").map(Self)
+        check_range(value, MAX_SHARE, "a share above 0, up to a million").map(Self)
     }
 }
 
-/// A time in seconds, above 0.
+/// A time above 0, in seconds in the file.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
 pub(crate) struct Seconds(pub(crate) Duration);
@@ -36,12 +37,12 @@
     type Error = FormError;
 
     fn try_from(value: f64) -> Result<Self, FormError> {
-        let seconds = bounded(value, MAX_SECONDS, "seconds above 0, up to a year")?;
+        let seconds = check_range(value, MAX_SECONDS, "seconds above 0, up to a year")?;
         Ok(Self(Duration::from_secs_f64(seconds)))
     }
 }
 
-/// The time between two notices to a client that waits, in seconds.
+/// The time between two notices to a client of its wait, in seconds in the file.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
 pub(crate) struct NoticeInterval(pub(crate) Duration);
@@ -51,7 +52,7 @@
 
     fn try_from(value: f64) -> Result<Self, FormError> {
         let expected = "seconds from 0.1, up to a year";
-        let seconds = bounded(value, MAX_SECONDS, expected)?;
+        let seconds = check_range(value, MAX_SECONDS, expected)?;
         if seconds < MIN_NOTICE_INTERVAL_S {
             return Err(FormError::Number { expected, found: value });
         }
@@ -59,24 +60,24 @@
     }
 }
 
-/// A limit of waiting requests.
+/// The limit of a team's waiting requests. The file may contain it with a decimal point, as `2.0`.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
-pub(crate) struct Count(pub(crate) usize);
+pub(crate) struct WaitingLimit(pub(crate) usize);
 
-impl TryFrom<f64> for Count {
+impl TryFrom<f64> for WaitingLimit {
     type Error = FormError;
 
     fn try_from(value: f64) -> Result<Self, FormError> {
-        let count = bounded(value, MAX_WAITING as f64, "a whole number from 1 to ten million")?;
-        if count.fract() > 0.0 {
+        let limit = check_range(value, MAX_WAITING as f64, "a whole number from 1 to ten million")?;
+        if limit.fract() > 0.0 {
             return Err(FormError::Number { expected: "a whole number", found: value });
         }
-        Ok(Self(count as usize))
+        Ok(Self(limit as usize))
     }
 }
 
-/// The name of a team, an organization or a field of a request.
+/// The name of a team, of an organization or of a field of a request.
 #[derive(Clone, PartialEq, Eq, Hash, Deserialize)]
 #[serde(try_from = "String")]
 pub(crate) struct Name(pub(crate) String);
@@ -92,8 +93,8 @@
     }
 }
 
-/// A budget: `work_s` seconds of work in each period of `per_s` seconds, and at most `burst_s` seconds at once. Without
-/// `burst_s`, the burst is `work_s`.
+/// A team's budget: `work_s` seconds of work in each period of `per_s` seconds. Unused work accumulates up to `burst_s`
+/// seconds, or up to `work_s` without `burst_s`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct BudgetForm {
@@ -105,7 +106,7 @@
     pub(crate) burst: Option<Seconds>,
 }
 
-/// An organization of the list.
+/// An element of the list `firms`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct OrganizationForm {
@@ -113,7 +114,7 @@
     pub(crate) share: Option<Share>,
 }
 
-/// A team of the list.
+/// An element of the list of teams.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TeamForm {
@@ -123,7 +124,7 @@
     pub(crate) share: Option<Share>,
     pub(crate) budget: Option<BudgetForm>,
     #[serde(rename = "most_waiting")]
-    pub(crate) max_waiting: Option<Count>,
+    pub(crate) max_waiting: Option<WaitingLimit>,
 }
 
 /// The team for requests that name no listed team.
@@ -133,10 +134,10 @@
     pub(crate) share: Option<Share>,
     pub(crate) budget: Option<BudgetForm>,
     #[serde(rename = "most_waiting")]
-    pub(crate) max_waiting: Option<Count>,
+    pub(crate) max_waiting: Option<WaitingLimit>,
 }
 
-/// Notices to clients of their estimated wait.
+/// Notices to clients of their estimated wait. A request subscribes to them by `field`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct WaitNoticesForm {
@@ -145,7 +146,7 @@
     pub(crate) interval: NoticeInterval,
 }
 
-/// The part of the file about teams.
+/// The value of `teams` in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct TeamsForm {
@@ -155,13 +156,15 @@
     pub(crate) teams: Vec<TeamForm>,
     #[serde(default)]
     pub(crate) others: OthersForm,
+    /// The field of a request that names its team.
     pub(crate) team_field: Option<Name>,
+    /// The field of a request that holds its urgency.
     pub(crate) urgency_field: Option<Name>,
     #[serde(rename = "waits")]
     pub(crate) wait_notices: Option<WaitNoticesForm>,
 }
 
-/// An element of a list in which names are unique.
+/// An element of a list in which each name may occur only once.
 trait Named {
     fn name(&self) -> &Name;
 }
@@ -178,7 +181,8 @@
     }
 }
 
-/// Decodes a list in which each name may occur once. An error names the path of the element that repeats a name.
+/// Deserializes a list in which each name may occur only once. The error for a repeated name has the path of the second
+/// element with the name.
 fn unique_names<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -197,19 +201,20 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Vec<T>, A::Error> {
-        let mut rows = Vec::new();
+        let mut elements = Vec::new();
         let mut names = HashSet::new();
         loop {
-            let element = UniqueElement { names: &mut names, element: PhantomData };
-            let Some(row) = sequence.next_element_seed(element)? else { break };
-            rows.push(row);
+            let seed = UniqueElement { names: &mut names, element: PhantomData };
+            let Some(element) = sequence.next_element_seed(seed)? else { break };
+            elements.push(element);
         }
-        Ok(rows)
+        Ok(elements)
     }
 }
 
-/// Decodes one element; fails if an earlier element has the same name.
+/// Deserializes one element; fails if an earlier element has the same name.
 struct UniqueElement<'a, T> {
+    /// The names of the earlier elements.
     names: &'a mut HashSet<Name>,
     element: PhantomData<T>,
 }
@@ -218,11 +223,11 @@
     type Value = T;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<T, D::Error> {
-        let row = T::deserialize(deserializer)?;
-        if self.names.insert(row.name().clone()) {
-            return Ok(row);
+        let element = T::deserialize(deserializer)?;
+        if self.names.insert(element.name().clone()) {
+            return Ok(element);
         }
-        let name = row.name().0.clone();
+        let name = element.name().0.clone();
         Err(D::Error::custom(FormError::DuplicateName { name }))
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decodes the operator's file, which is JSON5. An invalid file is rejected with the line and the path of the first
-//! error. Features that the file does not mention are off.
+//! Decodes and validates the operator's file, which is JSON5. An invalid file is rejected with the line and the path of
+//! the first error. Features that the file does not mention are off.
 
 // Engineers learn the crate from its documentation, so every public item must be explained.
 #![warn(missing_docs)]
@@ -28,7 +28,7 @@
     /// Decodes and validates the text of a file.
     ///
     /// # Errors
-    /// Returns the first error with its line and path.
+    /// Returns the first error, with its line and path.
     pub fn parse(text: &str) -> Result<Self, OperatorConfigError> {
         let mut deserializer = json5::Deserializer::from_str(text);
         serde_path_to_error::deserialize(&mut deserializer).map_err(OperatorConfigError::new)
--- a/crates/operator/src/team_config.rs
+++ b/crates/operator/src/team_config.rs
@@ -1,7 +1,9 @@
 //! The configuration of teams: their names, shares and budgets, and the fields of a request that refer to them.
 
 use crate::error::FormError;
-use crate::forms::{BudgetForm, Count, Name, OrganizationForm, OthersForm, Share, TeamForm, TeamsForm};
+use crate::forms::{
+    BudgetForm, Name, OrganizationForm, OthersForm, Share, TeamForm, TeamsForm, WaitingLimit,
+};
 use crate::limits::MAX_TEAMS;
 use emberflow_teams::{Allowance, Organization, Quotas, Team};
 use serde::Deserialize;
@@ -10,18 +12,20 @@
 use std::time::Duration;
 
 /// The index of the team for requests that name no listed team.
-const OTHERS: usize = 0;
+const OTHERS_INDEX: usize = 0;
 /// The name of the team for requests that name no listed team.
 const OTHERS_NAME: &str = "(others)";
-/// Limit of a team's waiting requests if the file has none.
+/// Limit of a team's waiting requests if the file does not set one.
 const DEFAULT_MAX_WAITING: usize = 1000;
-/// Share of an organization or a team if the file has none.
+/// Share of an organization or a team if the file does not set one.
 const DEFAULT_SHARE: f64 = 1.0;
+/// The field of a request that names its team, if the file does not set one.
 const DEFAULT_TEAM_FIELD: &str = "team";
+/// The field of a request that holds its urgency, if the file does not set one.
 const DEFAULT_URGENCY_FIELD: &str = "urgency";
 
-/// A valid configuration of teams. Index 0 is the team for requests that name no listed team; the listed teams follow
-/// in the order of the list.
+/// A valid configuration of teams. Teams are identified by an index: 0 is the team for requests that name no listed
+/// team, and the listed teams follow in the order of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "TeamsForm")]
 pub struct TeamConfig {
@@ -29,18 +33,19 @@
     pub quotas: Quotas,
     /// The names of the teams, by index.
     pub names: Vec<String>,
+    /// The indices of the listed teams, by name.
     indices: HashMap<String, usize>,
     /// The field of a request that names its team.
     pub team_field: String,
-    /// The field of a request that holds its urgency.
+    /// The field of a request that holds its urgency, from 0 to 3.
     pub urgency_field: String,
-    /// The field by which a client subscribes to notices of its wait; `None` if the feature is off.
+    /// The field of a request by which a client subscribes to notices of its wait; `None` if the feature is off.
     pub wait_notice_field: Option<String>,
     /// The time between two notices to a client; zero if the feature is off.
     pub wait_notice_interval: Duration,
 }
 
-/// A difference between two configurations of teams.
+/// A difference between two configurations of teams, with the name of the team.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TeamChange {
     /// The newer configuration does not list the team.
@@ -55,7 +60,9 @@
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Removed(name) => write!(formatter, "team {name} removed"),
-            Self::Changed(name) => write!(formatter, "team {name} has another share, budget or limit"),
+            Self::Changed(name) => {
+                write!(formatter, "team {name} changed its share, budget or limit of waiting requests")
+            }
             Self::Added(name) => write!(formatter, "team {name} added"),
         }
     }
@@ -64,21 +71,23 @@
 impl TeamConfig {
     /// Returns the index of a listed team, or the index of the team for all other requests.
     pub fn team_index(&self, name: &str) -> usize {
-        self.indices.get(name).copied().unwrap_or(OTHERS)
+        self.indices.get(name).copied().unwrap_or(OTHERS_INDEX)
     }
 
-    /// Returns for each team the index of the team with the same name in another configuration, if there is one.
+    /// Returns, by index of this configuration, the index in `other` of the team with the same name; `None` if `other`
+    /// has no such team.
     pub fn indices_in(&self, other: &Self) -> Vec<Option<usize>> {
         let mut indices = Vec::with_capacity(self.names.len());
         for (index, name) in self.names.iter().enumerate() {
-            let other_index = if index == OTHERS { Some(OTHERS) } else { other.indices.get(name).copied() };
+            let other_index =
+                if index == OTHERS_INDEX { Some(OTHERS_INDEX) } else { other.indices.get(name).copied() };
             indices.push(other_index);
         }
         indices
     }
 
-    /// Returns the differences of a newer configuration: removed and changed teams in this configuration's order, then
-    /// added teams in the newer one's.
+    /// Returns the differences of a newer configuration: first the removed and changed teams in this configuration's
+    /// order, then the added teams in the order of `newer`.
     pub fn changes(&self, newer: &Self) -> Vec<TeamChange> {
         let mut changes = Vec::new();
         for (name, newer_index) in self.names.iter().zip(self.indices_in(newer)) {
@@ -134,7 +143,7 @@
     }
 }
 
-/// Collects the quotas, names and indices of teams.
+/// Assigns indices to organizations and teams, and collects their quotas and names.
 struct QuotasBuilder {
     quotas: Quotas,
     /// The indices of the listed organizations, by name.
@@ -146,6 +155,7 @@
 }
 
 impl QuotasBuilder {
+    /// Creates a builder with the listed organizations and no team.
     fn new(listed: Vec<OrganizationForm>) -> Self {
         let mut builder = Self {
             quotas: Quotas { organizations: Vec::new(), teams: Vec::new() },
@@ -167,20 +177,22 @@
         organizations.len() - 1
     }
 
-    /// Adds the team for requests that name no listed team. An organization is added for it.
+    /// Adds the team for requests that name no listed team. It must be the first team, and gets an organization of its
+    /// own.
     fn add_others(&mut self, others: OthersForm) {
         let organization = self.add_organization(others.share);
         self.quotas.teams.push(team(organization, None, others.budget, others.max_waiting));
         self.names.push(OTHERS_NAME.to_owned());
     }
 
-    /// Adds a listed team. If the team names no organization, one is added for it with the team's share.
+    /// Adds a listed team. A team that names no organization gets one of its own, with the team's share. `index` is the
+    /// position in the list, for the error.
     fn add_team(&mut self, index: usize, form: TeamForm) -> Result<(), FormError> {
         let TeamForm { name, organization, share, budget, max_waiting } = form;
         let (organization, share) = match organization {
             None => (self.add_organization(share), None),
             Some(organization) => match self.organizations.get(&organization) {
-                Some(known) => (*known, share),
+                Some(organization) => (*organization, share),
                 None => return Err(FormError::UnknownOrganization { index, name: organization.0 }),
             },
         };
@@ -191,12 +203,12 @@
     }
 }
 
-/// Builds the quotas of a team, with defaults for values that the file does not have.
+/// Builds the quotas of a team, with defaults for values that the file does not set.
 fn team(
     organization: usize,
     share: Option<Share>,
     budget: Option<BudgetForm>,
-    max_waiting: Option<Count>,
+    max_waiting: Option<WaitingLimit>,
 ) -> Team {
     let allowance = |BudgetForm { work, period, burst }| Allowance {
         work: work.0,
@@ -207,6 +219,6 @@
         organization,
         share: share.map_or(DEFAULT_SHARE, |share| share.0),
         allowance: budget.map(allowance),
-        max_waiting: max_waiting.map_or(DEFAULT_MAX_WAITING, |count| count.0),
+        max_waiting: max_waiting.map_or(DEFAULT_MAX_WAITING, |limit| limit.0),
     }
 }
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -3,18 +3,19 @@
 use emberflow_operator::OperatorConfig;
 use expect_test::expect;
 
-fn example() -> String {
+/// Returns the operator's file among the deploy files.
+fn example_file() -> String {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/operator.json5");
-    std::fs::read_to_string(path).expect("the example")
+    std::fs::read_to_string(path).expect("the example can be read")
 }
 
 #[test]
 fn the_example_is_decoded_as_its_comments_describe() {
-    let team_config = OperatorConfig::parse(&example())
+    let team_config = OperatorConfig::parse(&example_file())
         .expect("the example is valid")
         .teams
         .expect("the example has teams");
-    let parts: Vec<String> = team_config
+    let shares: Vec<String> = team_config
         .names
         .iter()
         .map(|name| format!("{name} {:.3}", team_config.quotas.overall_share(team_config.team_index(name))))
@@ -22,7 +23,7 @@
     expect![[r#"(others) 0.143, audit 0.429, posting 0.143, payroll 0.286 | 3 [0, 2] team urgency Some("tell_wait") 1s"#]]
         .assert_eq(&format!(
             "{} | {} {:?} {} {} {:?} {:?}",
-            parts.join(", "),
+            shares.join(", "),
             team_config.team_index("payroll"),
             [team_config.team_index("nobody"), team_config.team_index("posting")],
             team_config.team_field,
@@ -33,8 +34,8 @@
 }
 
 #[test]
-fn errors_name_the_line_the_path_and_the_expected_value() {
-    let texts = [
+fn errors_contain_the_line_the_path_and_the_expected_value() {
+    let files = [
         "{}",
         "{teams: {}}",
         "{\n  tems: {}\n}",
@@ -53,9 +54,9 @@
         "{teams: {\n",
         "",
     ];
-    let printed: String = texts
+    let outcomes: String = files
         .iter()
-        .map(|text| match OperatorConfig::parse(text) {
+        .map(|file| match OperatorConfig::parse(file) {
             Ok(config) => {
                 format!("{} teams\n", config.teams.map_or(0, |team_config| team_config.names.len()))
             }
@@ -81,7 +82,7 @@
         line 1, teams.?: EOF parsing object
         .: EOF parsing object
     "#]]
-    .assert_eq(&printed);
+    .assert_eq(&outcomes);
 }
 
 #[test]
@@ -92,6 +93,6 @@
     let old = read("{teams: {list: [{name: 'a'}, {name: 'b'}, {name: 'c', budget: {work_s: 1, per_s: 2}}]}}");
     let new = read("{teams: {list: [{name: 'd'}, {name: 'c'}, {name: 'a'}]}}");
     let changes: Vec<String> = old.changes(&new).iter().map(ToString::to_string).collect();
-    expect![[r#"[Some(0), Some(3), None, Some(2)] ["team b removed", "team c has another share, budget or limit", "team d added"]"#]]
+    expect![[r#"[Some(0), Some(3), None, Some(2)] ["team b removed", "team c changed its share, budget or limit of waiting requests", "team d added"]"#]]
         .assert_eq(&format!("{:?} {:?}", old.indices_in(&new), changes));
 }
