--- a/crates/model-checker/src/discovery_model/state.rs
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    fn accept(&mut self, scenario: &DiscoveryScenario, Frame { number, event }: Frame) {
+    fn accept(&mut self, scenario: &DiscoveryScenario, Frame { event_number: number, event }: Frame) {
         let content = event.map(|EndpointEvent { update, endpoints }| AcceptedEndpoints {
             is_snapshot: update == EndpointUpdate::FullList,
             endpoints: endpoints.iter().map(|endpoint| (endpoint.id, endpoint.is_ready())).collect(),
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -174,7 +174,7 @@
         let parse = |received: &[u8]| {
             let endpoints = |event: discovery::EndpointEvent| (event.update, event.endpoints.len());
             let parsed = discovery::parse_frame(received).map_err(|error| error.to_string());
-            parsed.map(|parsed| parsed.map(|(frame, length)| ((frame.number, frame.event.map(endpoints)), length)))
+            parsed.map(|parsed| parsed.map(|(frame, length)| ((frame.event_number, frame.event.map(endpoints)), length)))
         };
         let (front, back) = bytes.split_at(at % (bytes.len() + 1));
         prop_assert_eq!(parsed_messages(&[&bytes], parse), parsed_messages(&[front, back], parse));
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -11,28 +11,28 @@
 };
 use serde_json::Value;
 
-/// Everything that a router reads from its files at start and at a reload.
+/// The decoded content of a router's files, which it reads at the start and at each reload.
 pub struct Bootstrap {
-    /// Addresses, limits and names of the router itself.
+    /// The router's own configuration: addresses, limits and names.
     pub config: RouterConfig,
-    /// The kinds of engines, and the number of routers.
+    /// The properties of the fleet: the kinds of engines, the number of routers, and how the engines behave.
     pub fleet: Fleet,
     /// The request classes, in the order of the settings.
     pub classes: Vec<RequestClass>,
-    /// Limits that hold for every attempt.
+    /// Limits of attempts and retries.
     pub attempt_limits: AttemptLimits,
-    /// The number of the last event in `events`, after which the discovery service resumes.
+    /// The number of the last event in `events`. The discovery service sends the events after it.
     pub last_event: u64,
     /// The events of the endpoint list that the configuration contains, oldest first.
     pub events: Vec<EndpointEvent>,
-    /// One error for each unknown field of the load report. These fields are ignored.
-    pub ignored_report_fields: Vec<SettingsError>,
-    /// The operator's file; the default, with all features off, without a file.
+    /// One error for each unknown figure of the load report. These figures are ignored.
+    pub ignored_report_figures: Vec<SettingsError>,
+    /// The operator's configuration; the default, with all features off, if there is no operator's file.
     pub operator_config: OperatorConfig,
 }
 
 impl Bootstrap {
-    /// Decodes a configuration file. `listen` replaces the listening address of the file.
+    /// Decodes a configuration file. `listen` replaces the listening address of the file, if given.
     ///
     /// # Errors
     /// Returns the first value that is missing or invalid, with its path.
@@ -45,7 +45,7 @@
         let classes = decode_request_classes(settings)?;
         // On sockets a health check only shows that a connection works, and the engine pool sends it by itself.
         let attempt_limits = AttemptLimits { may_probe: false, ..decode_attempt_limits(settings)? };
-        let ignored_report_fields = unknown_load_report_names(settings)?;
+        let ignored_report_figures = unknown_load_report_names(settings)?;
         Ok(Self {
             config,
             fleet,
@@ -53,15 +53,15 @@
             attempt_limits,
             last_event: initial.last_event,
             events: initial.events,
-            ignored_report_fields,
+            ignored_report_figures,
             operator_config: OperatorConfig::default(),
         })
     }
 
-    /// Decodes the operator's file, in place of the one before.
+    /// Decodes an operator's file, and replaces the operator's configuration.
     ///
     /// # Errors
-    /// Returns the first invalid value; the previous operator's configuration then stays.
+    /// Returns the first invalid value. The previous operator's configuration then stays.
     pub fn read_operator_file(&mut self, text: &str) -> Result<(), ConfigError> {
         self.operator_config = OperatorConfig::parse(text)?;
         Ok(())
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -27,11 +27,12 @@
 
 /// A command with its options.
 enum Command {
-    /// `config` is `None` if the environment names the file.
+    /// Serve until SIGTERM. `config` is `None` if the environment names the configuration file.
     Serve {
         config: Option<PathBuf>,
         operator: Option<PathBuf>,
     },
+    /// Read a configuration and print a summary.
     Check {
         config: PathBuf,
         operator: Option<PathBuf>,
@@ -40,7 +41,8 @@
     Help,
 }
 
-/// Runs the program with the arguments of the process; returns the exit status.
+/// Runs the program with the arguments of the process. Returns the exit status: 0, 1 after an error, or 2 for an
+/// invalid command line.
 pub fn run() -> ExitCode {
     let command = match parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
@@ -68,6 +70,7 @@
     Ok(())
 }
 
+/// Parses the options; the positional arguments must name the command.
 fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
     let mut words = Vec::new();
     let mut config = None;
@@ -95,15 +98,17 @@
 ) -> Result<Command, lexopt::Error> {
     let takes_operator = words.first().is_some_and(|word| word == "serve" || word == "check");
     if operator.is_some() && !takes_operator {
-        return Err("`--operator` belongs to `serve` and `check`".into());
+        return Err("`--operator` is only an option of `serve` and `check`".into());
     }
     match words {
         [word] if word == "serve" => Ok(Command::Serve { config, operator }),
         [word, path] if word == "check" => Ok(Command::Check { config: path.into(), operator }),
-        [word] if word == "check" => Err("`check` needs a file".into()),
+        [word] if word == "check" => {
+            Err("`check` must be followed by the path of a configuration file".into())
+        }
         [word] if word == "version" => Ok(Command::Version),
         [word] if word == "help" => Ok(Command::Help),
-        [] => Err("a command is missing".into()),
+        [] => Err("the command is missing: `serve`, `check`, `version` or `help`".into()),
         _ => Err(format!("unknown command: {}", words.join(OsStr::new(" ")).to_string_lossy()).into()),
     }
 }
@@ -119,7 +124,7 @@
 /// Reads a configuration and prints its summary.
 fn check(path: &Path, operator: Option<&Path>) -> Result<(), ConfigError> {
     let Bootstrap {
-        config, fleet, classes, events, last_event, ignored_report_fields, operator_config, ..
+        config, fleet, classes, events, last_event, ignored_report_figures, operator_config, ..
     } = read_files(path, operator, None)?;
     let endpoints = events.iter().flat_map(|event| &event.endpoints);
     let engine_count = endpoints.map(|endpoint| endpoint.id).collect::<BTreeSet<_>>().len();
@@ -128,7 +133,7 @@
     println!("fleet: {} routers, {engine_count} engines at event {last_event}", fleet.router_count);
     println!("{} engine kinds: {}", config.kinds.len(), config.kinds.join(", "));
     println!("{} request classes: {}", classes.len(), config.classes.join(", "));
-    for error in &ignored_report_fields {
+    for error in &ignored_report_figures {
         println!("{error} (ignored)");
     }
     if let Some(teams) = &operator_config.teams {
@@ -146,7 +151,7 @@
     shares.join(", ")
 }
 
-/// Reads the configuration and the operator's file, if one is given; returns the first error in either.
+/// Reads the configuration, and the operator's file if one is given. Returns the first error in either file.
 fn read_files(path: &Path, operator: Option<&Path>, listen: Option<&str>) -> Result<Bootstrap, ConfigError> {
     let text = read_text(path)?;
     let file =
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,4 +1,5 @@
-//! The router's configuration: addresses, limits, and the names of locations, engine kinds and request classes.
+//! The configuration of the router itself: addresses, limits, and the names of locations, engine kinds and request
+//! classes.
 
 use crate::error::ConfigError;
 use emberflow_settings::{Fields, Problem, SettingsError, clients_mark_retries};
@@ -7,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of a megabyte in the configuration.
+/// Bytes of a megabyte (MB) in the configuration.
 pub const BYTES_PER_MB: usize = 1 << 20;
 
 /// Connections of clients may use the descriptors of the process divided by this number. The descriptors that neither
@@ -17,9 +18,9 @@
 const ENGINE_DESCRIPTORS_DIVISOR: usize = 3;
 /// Lingering connections of clients may use the descriptors divided by this number.
 const LINGERING_DESCRIPTORS_DIVISOR: usize = 12;
-/// Statements, answers and clients' lines may each use the memory divided by this number.
+/// Each of these may use the memory of the process divided by this number: the statements of open requests, the
+/// unwritten answers, and the unfinished lines of clients.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
-/// Base of the seed's digits.
 const SEED_RADIX: u32 = 16;
 
 /// The configuration of a router, apart from the scheduler's settings.
@@ -31,11 +32,11 @@
     pub listen_address: SocketAddr,
     /// The address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Seed of the scheduler's random choices.
+    /// Seed of the scheduler's random choices, in hexadecimal in the file.
     pub seed: u64,
     /// Maximum number of open file descriptors of the process.
     pub max_descriptors: usize,
-    /// Memory that the process may use. A part of it bounds the buffers.
+    /// Memory that the process may use. A part of it is the limit of each kind of buffer.
     pub memory_bytes: usize,
     /// Names of the locations, by the index that the scheduler and the discovery service use.
     pub locations: Vec<String>,
@@ -45,9 +46,9 @@
     pub classes: Vec<String>,
     /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Maximum number of open requests of all clients.
+    /// Maximum number of open requests of all clients, at least 1; `usize::MAX` if the settings have no limit.
     pub max_open_requests: usize,
-    /// Maximum number of concurrent attempts on one connection to an engine.
+    /// Maximum number of concurrent attempts on one connection to an engine, at least 1.
     pub streams_per_connection: usize,
     /// Time within which a dialled connection to an engine must be established.
     pub connect_timeout: Duration,
@@ -77,16 +78,16 @@
             seed: parse_seed(seed)?,
             max_descriptors: limits.index("sockets")?,
             memory_bytes: limits.index("memory_mb")?.saturating_mul(BYTES_PER_MB),
-            locations: unique_names(settings.rows("zones")?.map(Ok))?,
-            kinds: unique_names(settings.rows("kinds")?.map(Ok))?,
-            classes: unique_names(settings.rows("categories")?.map(|row| row.field("name")))?,
+            locations: unique_names(settings.elements("zones")?.map(Ok))?,
+            kinds: unique_names(settings.elements("kinds")?.map(Ok))?,
+            classes: unique_names(settings.elements("categories")?.map(|class| class.field("name")))?,
             clients_mark_retries: clients_mark_retries(settings)?,
             max_open_requests: max_open_requests(caps)?,
             streams_per_connection: caps.index("streamsPerConn")?.max(1),
             connect_timeout: caps.time("connectTimeoutMs")?,
             engine_idle_close: caps.time("idleCloseMs")?,
             allows_concurrent_attempts: caps.optional("mayDuplicate", Fields::flag)?.unwrap_or(true),
-            settings_hash: hash_of(settings.value()),
+            settings_hash: settings_hash(settings.value()),
         })
     }
 
@@ -105,7 +106,7 @@
         self.max_descriptors / ENGINE_DESCRIPTORS_DIVISOR
     }
 
-    /// Maximum bytes of one line of a client. The lines of all clients together fit into one buffer limit.
+    /// Maximum bytes of one line of a client. The lines of all clients together fit into [`Self::max_buffered_bytes`].
     pub fn max_line_bytes(&self) -> usize {
         self.max_buffered_bytes() / self.max_clients().max(1)
     }
@@ -115,11 +116,12 @@
         self.memory_bytes / BUFFER_MEMORY_DIVISOR
     }
 
-    /// Returns the parts of `other` that differ and take effect only after a restart, as they are named in the log.
+    /// Returns the parts of the configuration in which `other` differs and that take effect only after a restart. The
+    /// names are those for the log.
     pub fn restart_only_changes(&self, other: &Self) -> Vec<&'static str> {
         let same_limits =
             self.max_descriptors == other.max_descriptors && self.memory_bytes == other.memory_bytes;
-        let is_unchanged_by_part = [
+        let restart_only_parts = [
             ("`listen`", self.listen_address == other.listen_address),
             ("`limits`", same_limits),
             ("`zones`", self.locations == other.locations),
@@ -127,7 +129,7 @@
             ("the settings", self.settings_hash == other.settings_hash),
         ];
         let mut changed = Vec::new();
-        for (part, is_unchanged) in is_unchanged_by_part {
+        for (part, is_unchanged) in restart_only_parts {
             if !is_unchanged {
                 changed.push(part);
             }
@@ -136,22 +138,22 @@
     }
 }
 
-/// Decodes the limit of open requests: at least one, and unlimited if the settings have none.
+/// Decodes the limit of open requests, which is at least 1. Without the setting there is no limit.
 fn max_open_requests(caps: Fields<'_>) -> Result<usize, SettingsError> {
     let limit = caps.optional("maxOpen", Fields::not_negative)?;
     Ok(limit.map_or(usize::MAX, |limit| limit as usize).max(1))
 }
 
 fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Address { field, text: text.to_owned() })
+    text.parse().map_err(|_| ConfigError::Address { field, found: text.to_owned() })
 }
 
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(text, SEED_RADIX)
-        .map_err(|source| ConfigError::Seed { text: text.to_owned(), source })
+        .map_err(|source| ConfigError::Seed { found: text.to_owned(), source })
 }
 
-/// Returns the texts of a list; fails if one occurs twice.
+/// Reads a list of names; fails if a name occurs twice, since names are resolved to indices in the list.
 fn unique_names<'a>(
     fields: impl Iterator<Item = Result<Fields<'a>, SettingsError>>,
 ) -> Result<Vec<String>, SettingsError> {
@@ -160,14 +162,14 @@
         let field = field?;
         let name = field.as_text()?.to_owned();
         if names.contains(&name) {
-            return Err(field.error(Problem::Duplicate { name }));
+            return Err(field.error(Problem::DuplicateName { name }));
         }
         names.push(name);
     }
     Ok(names)
 }
 
-fn hash_of(settings: &Value) -> u64 {
+fn settings_hash(settings: &Value) -> u64 {
     let mut hasher = DefaultHasher::new();
     settings.to_string().hash(&mut hasher);
     hasher.finish()
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Decodes the events of the discovery service's endpoint list: the initial ones from the configuration, the later
-//! ones from binary frames.
+//! Decodes the events of the endpoint list. The configuration contains the first events; the discovery service sends
+//! the later ones as binary frames.
 
 use crate::counters::Counters;
 use crate::error::DiscoveryError;
@@ -10,15 +10,15 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Bytes of a frame's length prefix.
+/// Bytes of a frame's length prefix, which does not count itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the event number at the start of a frame. The frame's kind follows in one byte.
+/// Bytes of the event number, with which a frame begins after its length. The frame's kind follows in one byte.
 const NUMBER_BYTES: usize = 8;
-/// Bytes of the event number and the kind.
-const HEADER_BYTES: usize = NUMBER_BYTES + 1;
-/// Bytes of one endpoint in a frame.
-const RECORD_BYTES: usize = 27;
-/// Bytes of the largest frame that is accepted, which has space for some 38,000 endpoints.
+/// Bytes of the event number and the kind. The payload follows them.
+pub(crate) const HEADER_BYTES: usize = NUMBER_BYTES + 1;
+/// Bytes of one endpoint in a frame's payload.
+pub(crate) const RECORD_BYTES: usize = 27;
+/// Bytes of the largest frame that is accepted, without its length prefix. It has space for some 38,000 endpoints.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// Kind of a heartbeat, which has no payload.
@@ -28,7 +28,7 @@
 /// Kind of a frame with the changed endpoints.
 const CHANGES_FRAME: u8 = 2;
 
-// Positions of the fields in a record.
+// Byte positions of the fields in an endpoint's record. The bytes between them are not used.
 const ID_RANGE: Range<usize> = 0..4;
 const IP_RANGE: Range<usize> = 4..8;
 const PORT_RANGE: Range<usize> = 8..10;
@@ -38,16 +38,18 @@
 const CELL_RANGE: Range<usize> = 13..15;
 const UP_SINCE_RANGE: Range<usize> = 19..27;
 
-// States of an endpoint in a record.
+// Values of the state byte in an endpoint's record.
 const READY_STATE: u8 = 0;
 const DRAINING_STATE: u8 = 1;
 const REMOVED_STATE: u8 = 2;
 
-/// Base of the digits in the id of an endpoint of the configuration, after the prefix.
-const ID_RADIX: u32 = 16;
+/// Prefix of an engine's id in the configuration. The id's number follows as hexadecimal digits.
 const ID_PREFIX: &str = "s-";
+const ID_RADIX: u32 = 16;
+/// The form of an engine's id, for errors.
+const EXPECTED_ID: &str = "`s-` with a hexadecimal number of up to 32 bits";
 
-/// An engine in the endpoint list.
+/// An engine in an event of the endpoint list.
 pub struct EndpointRecord {
     /// The engine's id in the endpoint list.
     pub id: u32,
@@ -55,11 +57,11 @@
     pub address: SocketAddr,
     /// Whether the engine is ready, draining or removed.
     pub lifecycle: Lifecycle,
-    /// The index of the engine's location in the settings.
+    /// The index of the engine's location in the settings, counted from 0.
     pub location: usize,
-    /// The index of the engine's kind in the settings.
+    /// The index of the engine's kind in the settings, counted from 0.
     pub kind: usize,
-    /// The failure domain within the location.
+    /// The number of the failure domain within the location.
     pub cell: u64,
     /// Start of the engine's process, in milliseconds since the Unix epoch; 0 if unknown.
     pub up_since_ms: u64,
@@ -74,23 +76,23 @@
 
 /// An event of the endpoint list.
 pub struct EndpointEvent {
-    /// Whether the event contains the complete list or only the changed endpoints.
+    /// Whether `endpoints` is the complete list or only the changed endpoints.
     pub update: EndpointUpdate,
-    /// The endpoints of the event.
+    /// The endpoints, in the order of the frame or of the configuration.
     pub endpoints: Vec<EndpointRecord>,
 }
 
 /// A frame from the discovery service.
 pub struct Frame {
     /// The number of the frame's event; for a heartbeat, the number of the service's last event.
-    pub number: u64,
+    pub event_number: u64,
     /// The event; `None` for a heartbeat and for an event that was received before.
     pub event: Option<EndpointEvent>,
 }
 
-/// The events of the configuration, and the number of the last one.
+/// The events that the configuration contains, and the number of the last one.
 pub struct InitialEvents {
-    /// The number of the last event, after which the discovery service resumes.
+    /// The number of the last event. The discovery service sends the events after it.
     pub last_event: u64,
     /// The events, oldest first.
     pub events: Vec<EndpointEvent>,
@@ -103,9 +105,9 @@
     pub input: Ring,
     /// Whether the subscription was sent on this connection.
     pub subscribed: bool,
-    /// The number of the last event that was received.
+    /// The number of the last event that was received from the service or the configuration.
     pub last_event: u64,
-    /// The time at which the connection is dialled again unless a frame is received before.
+    /// The time at which a new connection is dialled, unless a frame is received before.
     pub redial_at: Duration,
     /// Number of engine kinds in the settings.
     kind_count: usize,
@@ -114,7 +116,8 @@
 }
 
 impl Discovery {
-    /// Returns a receiver that resumes after `last_event` and rejects endpoints of unknown kinds or locations.
+    /// Creates a receiver that subscribes to the events after `last_event`. Endpoints whose kind or location is not
+    /// below `kind_count` or `location_count` are rejected.
     pub fn resume_after(last_event: u64, kind_count: usize, location_count: usize) -> Self {
         Self {
             input: Ring::default(),
@@ -126,7 +129,8 @@
         }
     }
 
-    /// Returns the state for a new connection, which resumes after the same event.
+    /// Returns the state for a new connection, without the buffered input. The new subscription resumes after the last
+    /// received event.
     pub fn for_new_connection(&self) -> Self {
         Self { input: Ring::default(), subscribed: false, ..*self }
     }
@@ -135,22 +139,22 @@
     /// is returned as a heartbeat.
     ///
     /// # Errors
-    /// Fails if the frame is malformed, if events are missing before it, or if the settings do not name the kind or the
-    /// location of an endpoint. The connection must then be replaced.
+    /// Fails if the frame is malformed, if the receiver has missed an event before the frame, or if the settings do not
+    /// name the kind or the location of an endpoint. The caller must then replace the connection.
     pub fn next_frame(&mut self, counters: &mut Counters) -> Result<Option<Frame>, DiscoveryError> {
         let Some((frame, length)) = parse_frame(self.input.readable())? else { return Ok(None) };
         self.input.consume(length);
         self.check_endpoints(&frame)?;
-        let (number, last) = (frame.number, self.last_event);
+        let (number, last) = (frame.event_number, self.last_event);
         match frame.event.as_ref().map(|event| event.update) {
-            None if number > last => Err(DiscoveryError::MissedEvents { number, last }),
+            None if number > last => Err(DiscoveryError::MissedBeforeHeartbeat { number, last }),
             Some(_) if number <= last => {
                 counters.count("discovery_events_repeated");
-                Ok(Some(Frame { number, event: None }))
+                Ok(Some(Frame { event_number: number, event: None }))
             }
             None if number < last => Ok(Some(frame)),
             Some(EndpointUpdate::Changes) if number != last + 1 => {
-                Err(DiscoveryError::EventGap { number, last })
+                Err(DiscoveryError::MissedBeforeChanges { number, last })
             }
             _ => {
                 self.last_event = number;
@@ -159,20 +163,26 @@
         }
     }
 
-    /// Fails for an endpoint whose kind or location the settings do not name.
+    /// Fails if the frame has an endpoint whose kind or location the settings do not name.
     fn check_endpoints(&self, frame: &Frame) -> Result<(), DiscoveryError> {
         let Some(event) = &frame.event else { return Ok(()) };
         for endpoint in &event.endpoints {
             if endpoint.kind >= self.kind_count || endpoint.location >= self.location_count {
                 let EndpointRecord { kind, location, .. } = *endpoint;
-                return Err(DiscoveryError::UnknownKindOrLocation { kind, location });
+                return Err(DiscoveryError::UnknownKindOrLocation {
+                    kind,
+                    location,
+                    kind_count: self.kind_count,
+                    location_count: self.location_count,
+                });
             }
         }
         Ok(())
     }
 }
 
-/// Decodes the frame at the start of `bytes`; returns it with its length on the wire, or `None` if it is incomplete.
+/// Decodes the frame at the start of `bytes`. Returns the frame and its length in bytes with the length prefix, or
+/// `None` if the frame is incomplete.
 ///
 /// # Errors
 /// Fails if the length, the kind, the payload or the state of an endpoint is invalid.
@@ -184,12 +194,12 @@
     }
     let Some(frame) = rest.get(..length) else { return Ok(None) };
     let (header, payload) = frame.split_at(HEADER_BYTES);
-    let number = big_endian(&header[..NUMBER_BYTES]);
+    let event_number = big_endian(&header[..NUMBER_BYTES]);
     let event = parse_event(header[NUMBER_BYTES], payload)?;
-    Ok(Some((Frame { number, event }, LENGTH_BYTES + length)))
+    Ok(Some((Frame { event_number, event }, LENGTH_BYTES + length)))
 }
 
-/// Decodes the payload of a frame; returns `None` for a heartbeat.
+/// Decodes the payload of a frame of this kind; returns `None` for a heartbeat.
 fn parse_event(kind: u8, payload: &[u8]) -> Result<Option<EndpointEvent>, DiscoveryError> {
     let has_complete_records = payload.len().is_multiple_of(RECORD_BYTES);
     let update = match kind {
@@ -223,7 +233,7 @@
     })
 }
 
-/// Decodes an unsigned number of up to 8 bytes.
+/// Decodes an unsigned big-endian number of up to 8 bytes.
 fn big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |number, byte| number << u8::BITS | u64::from(*byte))
 }
@@ -239,66 +249,67 @@
 ) -> Result<InitialEvents, SettingsError> {
     let known = file.object("known")?;
     let mut events = Vec::new();
-    for item in known.rows("items")? {
+    for item in known.elements("items")? {
         events.push(configured_event(item, locations, kinds)?);
     }
     Ok(InitialEvents { last_event: known.unsigned("no")?, events })
 }
 
+/// Decodes an event of the configuration.
 fn configured_event(
     item: Fields<'_>,
     locations: &[String],
     kinds: &[String],
 ) -> Result<EndpointEvent, SettingsError> {
     let roster = item.object("roster")?;
-    let members = roster.rows("members")?;
+    let members = roster.elements("members")?;
     let update = if roster.flag("complete")? { EndpointUpdate::FullList } else { EndpointUpdate::Changes };
     let endpoints =
-        members.map(|row| configured_endpoint(row, locations, kinds)).collect::<Result<_, _>>()?;
+        members.map(|member| configured_endpoint(member, locations, kinds)).collect::<Result<_, _>>()?;
     Ok(EndpointEvent { update, endpoints })
 }
 
+/// Decodes an endpoint of an event of the configuration.
 fn configured_endpoint(
-    row: Fields<'_>,
+    member: Fields<'_>,
     locations: &[String],
     kinds: &[String],
 ) -> Result<EndpointRecord, SettingsError> {
-    let id = row.text("id")?;
-    let address = row.text("host_port")?;
+    let id = member.text("id")?;
+    let address = member.text("host_port")?;
     let id_number = id.strip_prefix(ID_PREFIX).and_then(|digits| u32::from_str_radix(digits, ID_RADIX).ok());
-    let lifecycle = match row.text("phase")? {
+    let lifecycle = match member.text("phase")? {
         "ready" => Lifecycle::Ready,
         "gone" => Lifecycle::Removed,
         _ => Lifecycle::Draining,
     };
     Ok(EndpointRecord {
-        id: id_number.ok_or_else(|| malformed(row, "id", "an engine's id"))?,
-        address: address.parse().map_err(|_| malformed(row, "host_port", "an address with a port"))?,
+        id: id_number.ok_or_else(|| invalid_field(member, "id", EXPECTED_ID))?,
+        address: address
+            .parse()
+            .map_err(|_| invalid_field(member, "host_port", "an IP address with a port"))?,
         lifecycle,
-        location: index_of_name(row, "locality", locations)?,
-        kind: index_of_name(row, "flavor", kinds)?,
-        cell: row.get_number("cell").unwrap_or(0.0) as u64,
-        up_since_ms: row.get_number("up_since_ms").unwrap_or(0.0) as u64,
+        location: index_of_name(member, "locality", locations)?,
+        kind: index_of_name(member, "flavor", kinds)?,
+        cell: member.get_number("cell").unwrap_or(0.0) as u64,
+        up_since_ms: member.get_number("up_since_ms").unwrap_or(0.0) as u64,
     })
 }
 
-/// Returns the error for a text field that does not have the expected form.
-fn malformed(row: Fields<'_>, field_name: &str, expected: &'static str) -> SettingsError {
-    match row.field(field_name) {
-        Ok(field) => {
-            let found = field.as_text().unwrap_or_default().to_owned();
-            field.error(Problem::Malformed { expected, found })
-        }
+/// Returns the error that a field is not what `expected` describes, or that the field is missing.
+fn invalid_field(member: Fields<'_>, field_name: &str, expected: &'static str) -> SettingsError {
+    match member.field(field_name) {
+        Ok(field) => field.invalid(expected),
         Err(missing) => missing,
     }
 }
 
-/// Returns the index in `names` of the text of a field.
-fn index_of_name(row: Fields<'_>, field_name: &str, names: &[String]) -> Result<usize, SettingsError> {
-    let name = row.text(field_name)?;
+/// Reads a name from a field, and returns its index in `names`.
+fn index_of_name(member: Fields<'_>, field_name: &str, names: &[String]) -> Result<usize, SettingsError> {
+    let name = member.text(field_name)?;
     let index = names.iter().position(|known| known == name);
     match index {
         Some(index) => Ok(index),
-        None => Err(row.field(field_name)?.error(Problem::NotInSettings { name: name.to_owned() })),
+        None => Err(member.field(field_name)?.error(Problem::NotInSettings { name: name.to_owned() })),
     }
 }
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,5 +1,6 @@
-//! Errors of the configuration, of serving, and of the discovery service's connection.
+//! Errors of the configuration, of a running router, and of the connection to the discovery service.
 
+use crate::discovery::{HEADER_BYTES, MAX_FRAME_BYTES, RECORD_BYTES};
 use emberflow_operator::OperatorConfigError;
 use emberflow_settings::SettingsError;
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
     #[error("no configuration file: neither `--config` nor EDGE_CONFIG is set")]
     NoPath,
     /// A file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: the file cannot be read: {source}", path.display())]
     Read {
         /// Path of the file.
         path: PathBuf,
@@ -21,19 +22,19 @@
         source: std::io::Error,
     },
     /// The configuration file is not JSON.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: the file is not JSON: {source}", path.display())]
     Json {
         /// Path of the file.
         path: PathBuf,
         /// The first syntax error, with its line and column.
         source: serde_json::Error,
     },
-    /// A file has an invalid value.
+    /// The configuration file or the operator's file has an invalid value.
     #[error("{}: {source}", path.display())]
     InFile {
         /// Path of the file.
         path: PathBuf,
-        /// The first invalid value.
+        /// The error of the first invalid value.
         source: Box<ConfigError>,
     },
     /// A value of the configuration file is missing or invalid.
@@ -43,47 +44,49 @@
     #[error(transparent)]
     OperatorFile(#[from] OperatorConfigError),
     /// An address cannot be parsed.
-    #[error("`{field}` is not an address with a port: {text}")]
+    #[error("`{field}` must be an IP address with a port, found {found}")]
     Address {
-        /// Name of the setting; `listen` also for an address from EDGE_LISTEN.
+        /// Name of the field; `listen` also for an address from EDGE_LISTEN.
         field: &'static str,
-        /// The value in place of an address.
-        text: String,
+        /// The text in place of an address.
+        found: String,
     },
     /// The seed cannot be parsed.
-    #[error("`seed` is not hexadecimal: {text}")]
+    #[error("`seed` must be a hexadecimal number of up to 64 bits, found {found}: {source}")]
     Seed {
-        /// The value in place of a seed.
-        text: String,
+        /// The text in place of a seed.
+        found: String,
         /// The reason: no digits, a character that is no digit, or a number beyond 64 bits.
         source: ParseIntError,
     },
     /// The file of a reload configures a router with another name.
-    #[error("`name` is `{name}`, the file configures another router")]
+    #[error("the file configures the router `{found}`, expected this router, `{expected}`")]
     OtherRouter {
-        /// The router's name in the file of the reload.
-        name: String,
+        /// The name of the router that reloads its configuration.
+        expected: String,
+        /// The router's name in the file.
+        found: String,
     },
 }
 
-/// Errors that prevent a router from starting, or end it.
+/// Errors that prevent a router from starting, or that stop a running router.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The listening socket cannot be opened.
-    #[error("listening on {address}: {source}")]
+    #[error("the router cannot listen on {address}: {source}")]
     Listen {
         /// The address on which the router was to accept clients.
         address: SocketAddr,
         /// The error of the system call.
         source: std::io::Error,
     },
-    /// The event loop failed while it did `action`.
-    #[error("{action}: {source}")]
+    /// An operation of the event loop failed.
+    #[error("the event loop failed while {action}: {source}")]
     EventLoop {
-        /// The operation that failed, such as `waiting for events`.
+        /// The operation that failed, as a phrase that follows `while`: `waiting for events`.
         action: &'static str,
         /// The error of the event loop's library.
         source: calloop::Error,
@@ -91,64 +94,77 @@
 }
 
 impl ServeError {
-    /// Returns a function that converts an error of the event loop. `action` names the operation that failed.
+    /// Returns a function that converts an error of the event loop. `action` names the operation that failed, as in
+    /// [`Self::EventLoop`].
     pub(crate) fn event_loop(action: &'static str) -> impl Fn(calloop::Error) -> Self {
         move |source| Self::EventLoop { action, source }
     }
 }
 
-/// Errors of the discovery service's connection, and of its frames.
+/// Errors of the connection to the discovery service, and of the frames received on it.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
     /// The service closed the connection.
     #[error("the discovery service closed the connection")]
     Closed,
     /// The connection could not be established.
-    #[error("connecting: {0}")]
+    #[error("the connection to the discovery service was not established: {0}")]
     Connect(std::io::Error),
     /// The subscription could not be sent.
-    #[error("sending the last event's number: {0}")]
+    #[error("sending the subscription to the discovery service failed: {0}")]
     Subscribe(std::io::Error),
     /// The connection could not be read.
-    #[error("reading: {0}")]
+    #[error("reading from the discovery service failed: {0}")]
     Read(std::io::Error),
     /// A frame is shorter than its header, or longer than the limit.
-    #[error("invalid frame length of {bytes} bytes")]
+    #[error("frame length must be {HEADER_BYTES} to {MAX_FRAME_BYTES} bytes, found {bytes}")]
     FrameLength {
-        /// The length in the frame, which counts the header and the payload.
+        /// The length in the frame's prefix, which counts the header and the payload.
         bytes: usize,
     },
     /// The kind of a frame is unknown, or its payload does not fit the kind.
-    #[error("invalid frame of kind {kind} with a payload of {bytes} bytes")]
+    #[error(
+        "frame must be of kind 0 without payload, or of kind 1 or 2 with records of {RECORD_BYTES} bytes, found kind \
+         {kind} with {bytes} bytes"
+    )]
     FrameKind {
-        /// The kind on the wire.
+        /// The value of the frame's kind byte.
         kind: u8,
-        /// Length of the payload.
+        /// Length of the frame's payload.
         bytes: usize,
     },
     /// An endpoint's state is unknown.
-    #[error("unknown endpoint state {0}")]
+    #[error("endpoint state must be 0 (ready), 1 (draining) or 2 (removed), found {0}")]
     EndpointState(u8),
     /// The settings do not name an endpoint's kind or location.
-    #[error("endpoint of kind {kind} in location {location}, which the settings do not name")]
+    #[error(
+        "endpoint must have one of {kind_count} kinds and one of {location_count} locations, found kind {kind} and \
+         location {location}"
+    )]
     UnknownKindOrLocation {
-        /// Index of the endpoint's kind among the kinds of the settings.
+        /// Index of the endpoint's kind, counted from 0.
         kind: usize,
-        /// Index of the endpoint's location among the locations of the settings.
+        /// Index of the endpoint's location, counted from 0.
         location: usize,
+        /// Number of engine kinds in the settings.
+        kind_count: usize,
+        /// Number of locations in the settings.
+        location_count: usize,
     },
-    /// The service has sent more events than were received.
-    #[error("events are missing: heartbeat for event {number}, last event received is {last}")]
-    MissedEvents {
-        /// Number of the service's last event, which the heartbeat carries.
+    /// A heartbeat names a later event than the last one that the router received.
+    #[error(
+        "the router missed events: the heartbeat is for event {number}, the last event received is {last}"
+    )]
+    MissedBeforeHeartbeat {
+        /// Number of the service's last event, from the heartbeat.
         number: u64,
         /// Number of the last event that the router received.
         last: u64,
     },
-    /// A list of changes does not follow the last event.
-    #[error("events are missing: changes with event {number}, last event received is {last}")]
-    EventGap {
-        /// Number of the event with the changes.
+    /// An event with changes is not the next one after the last event that the router received.
+    #[error("the router missed events: the changes are of event {number}, the last event received is {last}")]
+    MissedBeforeChanges {
+        /// Number of the event with the changes, which is greater than `last + 1`.
         number: u64,
         /// Number of the last event that the router received.
         last: u64,
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -1,5 +1,5 @@
 //! The event loop, which owns all sockets, the clock and the signals. It passes the input of sockets and signals to
-//! the [`Server`], and carries out the server's writes, dials and closes. All decisions are the server's.
+//! the [`Server`], and carries out the writes, dials and closes that the server decides on.
 //!
 //! While the loop polls, callbacks only record which sockets became ready. Each iteration then handles the recorded
 //! events in a fixed order, so that the outcome does not depend on the order in which the sockets became ready.
@@ -38,10 +38,10 @@
 /// Maximum number of lines read from all clients, and of chunks drained from one closed client, in one iteration.
 const MAX_READS_PER_ITERATION: usize = 64;
 
-/// An iteration of the loop that handles events for at least this time is counted and logged.
+/// An iteration of the loop that handles events for at least this time is counted and logged as slow.
 const SLOW_ITERATION: Duration = Duration::from_millis(50);
 
-/// Reads the configuration, at the start and at each reload.
+/// Reads the configuration. It is called at the start and at each reload.
 type ReadBootstrap = Box<dyn Fn() -> Result<Bootstrap, ConfigError>>;
 
 /// A router with its sockets, clock and signals.
@@ -50,18 +50,18 @@
     clock: Clock,
     loop_handle: LoopHandle<'static, RouterLoop>,
     listener: Listener,
-    /// Open connections of clients.
+    /// Open connections of clients, without lingering ones.
     clients: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
     /// Open connections to engines.
     connections: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
-    /// Addresses of connections to engines whose dial failed locally and is repeated.
+    /// Addresses of connections to engines whose dial failed for a local cause and will be repeated.
     redials: BTreeMap<Slot, SocketAddr>,
-    /// The connection to the discovery service.
+    /// The connection to the discovery service; `None` until it is dialled again after a failure.
     discovery: Option<RegisteredSocket<RouterLoop>>,
-    /// Connections of clients that are shut down for writing and still drained.
+    /// Connections of clients that are shut down for writing and whose input is still discarded.
     lingering: BTreeMap<Slot, RegisteredSocket<RouterLoop>>,
-    /// Lingering connections with more input than one iteration drains.
-    undrained: Vec<Slot>,
+    /// Lingering connections with more input than one iteration discards.
+    undrained_lingering: Vec<Slot>,
     /// Clients that may have unread input.
     readable_clients: ReadyList,
     /// Connections to engines that may have unread input.
@@ -70,25 +70,26 @@
     clients_to_scan: Vec<Slot>,
     /// Whether the connection to the discovery service became ready during the poll.
     discovery_is_ready: bool,
-    /// Whether connections that wait to be accepted were seen during the poll.
+    /// Whether the poll found connections that wait to be accepted.
     listener_is_ready: bool,
-    /// Signals that were received during the poll.
+    /// Signals that were received during the poll, in order.
     signals: Vec<Signal>,
     poll_times: PollTimes,
     read_bootstrap: ReadBootstrap,
-    /// The retry of a reload that failed, while one is scheduled.
+    /// The scheduled retry of a reload that failed, if any.
     reload_retry: Option<ReloadRetry>,
 }
 
 impl RouterLoop {
-    /// Serves until a graceful shutdown is complete. Reads the configuration at the start and at each SIGHUP.
+    /// Serves until a graceful shutdown is complete. Calls `read` for the configuration at the start and at each
+    /// SIGHUP.
     ///
     /// # Errors
     /// Fails if the configuration is invalid, if the router cannot listen, or if polling for events fails.
     pub fn run(read: impl Fn() -> Result<Bootstrap, ConfigError> + 'static) -> Result<(), ServeError> {
         let bootstrap = read()?;
-        for error in &bootstrap.ignored_report_fields {
-            log::warn!("load report field ignored: {error}");
+        for error in &bootstrap.ignored_report_figures {
+            log::warn!("load report figure ignored: {error}");
         }
         let mut event_loop =
             EventLoop::try_new().map_err(ServeError::event_loop("creating the event loop"))?;
@@ -101,8 +102,8 @@
         }
         router_loop.drain_clients(&mut event_loop);
         log::info!("counters at exit: {}", router_loop.server.dispatcher.counters_line());
-        // Dropping the event loop unblocks the signals. A second SIGTERM would then kill the process before it
-        // exits, and the shutdown would be reported as failed.
+        // The event loop is not dropped, since that would unblock the signals: a second SIGTERM would then kill the
+        // process before it exits, and the shutdown would be reported as failed.
         std::mem::forget(event_loop);
         Ok(())
     }
@@ -125,13 +126,13 @@
     ) -> Result<Self, ServeError> {
         let record_readiness = |router_loop: &mut Self| router_loop.listener_is_ready = true;
         let listener = Listener::open(&loop_handle, &bootstrap.config, record_readiness)?;
-        let clock = Clock::starting(bootstrap.attempt_limits.warm_up);
+        let clock = Clock::starting_at(bootstrap.attempt_limits.warm_up);
         let mut context = Context { now: clock.now(), ..Context::default() };
         context.record_wall_clock_offset(clock.wall_clock_offset());
         let server = Server::new(bootstrap, context);
         let mut router_loop = Self {
             server,
-            poll_times: PollTimes::starting(clock.now()),
+            poll_times: PollTimes::before_first_poll(clock.now()),
             clock,
             loop_handle,
             listener,
@@ -140,7 +141,7 @@
             redials: BTreeMap::new(),
             discovery: None,
             lingering: BTreeMap::new(),
-            undrained: Vec::new(),
+            undrained_lingering: Vec::new(),
             readable_clients: ReadyList::default(),
             readable_connections: BTreeSet::new(),
             clients_to_scan: Vec::new(),
@@ -154,32 +155,32 @@
         Ok(router_loop)
     }
 
-    /// Records the start of a poll; returns the poll's timeout, `None` for an unlimited one.
+    /// Records the start of a poll. Returns the poll's timeout; `None` if the poll waits without a limit.
     fn begin_poll(&mut self) -> Option<Duration> {
         let next_timer = self.server.context().timers.next_expiry();
         let time_to_next_timer = next_timer.map(|at| at.saturating_sub(self.clock.now()));
         let has_unread_input = !self.readable_clients.is_empty()
             || !self.readable_connections.is_empty()
-            || !self.undrained.is_empty();
+            || !self.undrained_lingering.is_empty();
         self.poll_times.poll_begins(&self.clock);
         if has_unread_input { Some(Duration::ZERO) } else { time_to_next_timer }
     }
 
-    /// Reads the clock for the next event.
+    /// Sets the server's time to the current time, for the next event.
     fn update_time(&mut self) {
         self.poll_times.poll_ended(&self.clock);
         self.server.context().now = self.clock.now();
     }
 
-    /// Handles all events of the last poll, in a fixed order. Clients' disconnects come before events that free
-    /// capacity, and changes of the endpoint list before anything is sent.
+    /// Handles all events of the last poll, in a fixed order. Disconnects of clients come before events that free
+    /// capacity, and changes of the endpoint list before any attempt is sent.
     ///
     /// A flood of lines from clients cannot delay other events for long: expired timers are handled before each line,
     /// clients are read in rotation, one line each, and the sockets are polled again after
     /// [`MAX_READS_PER_ITERATION`] lines.
     fn handle_events(&mut self) {
         self.scan_clients();
-        for slot in std::mem::take(&mut self.undrained) {
+        for slot in std::mem::take(&mut self.undrained_lingering) {
             self.drain_lingering(slot);
         }
         if std::mem::take(&mut self.discovery_is_ready) {
@@ -201,7 +202,7 @@
         self.apply_changes();
     }
 
-    /// Logs the counters and handles a signal.
+    /// Logs the counters, and then reloads the configuration at SIGHUP or begins the shutdown at SIGTERM and SIGINT.
     fn handle_signal(&mut self, signal: Signal) {
         self.update_time();
         log::info!("counters: {}", self.server.dispatcher.counters_line());
@@ -213,7 +214,7 @@
         self.apply_changes();
     }
 
-    /// Counts and logs a slow iteration: events that arrived during it were handled late.
+    /// Counts and logs the iteration if it was slow, since events that arrived during the iteration are handled late.
     fn record_iteration(&mut self) {
         let handling_time = self.poll_times.handling_time(&self.clock);
         if handling_time < SLOW_ITERATION {
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Does the sockets' part of an expired timer. Input that arrived before the timer expired is read first, so
+    /// Does the work on sockets for an expired timer. Input that arrived before the timer expired is read first, so
     /// that a delay of the router itself does not count as a timeout of the peer.
     fn before_timer(&mut self, timer: Timer) {
         match timer {
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Carries out the server's pending writes, dials and closes, until none are left.
+    /// Carries out the server's pending writes, dials and closes, and those that result from them, until none are left.
     fn apply_changes(&mut self) {
         loop {
             self.server.process_events();
--- a/crates/router/src/event_loop/accepting.rs
+++ b/crates/router/src/event_loop/accepting.rs
@@ -12,15 +12,17 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Whether there may be more connections to accept.
+/// Whether the router tries to accept another connection.
 enum AcceptProgress {
+    /// More connections may wait.
     MayHaveMore,
+    /// No connection waits, or accepting is paused.
     Finished,
 }
 
 impl RouterLoop {
     /// Accepts all waiting connections. At the limit of clients, each new connection replaces the client that was
-    /// idle longest. If no client is idle, accepting pauses, and connections wait in the kernel's queue.
+    /// idle longest. If no client is idle, accepting pauses, and connections wait in the kernel's backlog.
     pub(super) fn accept_clients(&mut self) {
         let listener = Rc::clone(&self.listener.socket);
         while let AcceptProgress::MayHaveMore = self.accept_client(&listener) {}
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Handles a failed accept. If the process has no descriptor left, closes an idle client to free one.
+    /// Handles a failed accept. If the process has no descriptor left, closes an idle client to free one. Otherwise
+    /// pauses accepting, unless only the accepted connection has failed.
     fn accept_failed(&mut self, error: &io::Error, idle_client: Option<Slot>) -> AcceptProgress {
         let failure = AcceptFailure::of(error);
         match failure {
@@ -54,10 +57,10 @@
             AcceptFailure::OutOfDescriptors | AcceptFailure::OutOfResources => {}
         }
         self.server.context().counters.count("accepts_failed");
-        log::warn!("accepting a connection failed: error={error:?}");
+        log::warn!("accepting a client's connection failed: error={error:?}");
         let replaced_client = match failure {
             AcceptFailure::OutOfDescriptors => idle_client.or_else(|| self.longest_idle_client()),
-            // Closing a client of this process would not relieve the machine.
+            // Closing a client of this process would not help if the whole machine lacks resources.
             _ => None,
         };
         match replaced_client {
@@ -94,8 +97,8 @@
         clients.table.len() >= config.max_clients()
     }
 
-    /// Returns the client that was idle longest. Its input is read first, since a connection must not be closed with
-    /// an unread request.
+    /// Returns the client that was idle longest. Its input is read first, since a connection with an unread request
+    /// must not be closed.
     fn longest_idle_client(&mut self) -> Option<Slot> {
         loop {
             let now = self.server.context().now();
@@ -107,25 +110,27 @@
         }
     }
 
+    /// Closes an idle client, to make room for a new one.
     fn close_for_capacity(&mut self, slot: Slot) {
         self.server.context().counters.count("clients_closed_for_capacity");
         self.server.close_client(slot, CloseReason::ReplacedWhileIdle);
         self.apply_changes();
     }
 
+    /// Stops polling the listening socket, and schedules the end of the pause.
     fn pause_accepting(&mut self) {
         let context = self.server.context();
         context.counters.count("accepts_paused");
         context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::ResumeAccepting);
         if let Err(error) = self.loop_handle.disable(&self.listener.token) {
-            log::warn!("pausing the accepting of connections failed: error={error:?}");
+            log::warn!("disabling the listening socket for a pause failed: error={error:?}");
         }
     }
 
     /// Accepts connections again after a pause.
     pub(super) fn resume_accepting(&mut self) {
         if let Err(error) = self.loop_handle.enable(&self.listener.token) {
-            log::error!("resuming the accepting of connections failed: error={error:?}");
+            log::error!("enabling the listening socket after a pause failed: error={error:?}");
             self.server.context().counters.check_invariant(false, "accepting_not_resumed");
         }
     }
--- a/crates/router/src/event_loop/client_sockets.rs
+++ b/crates/router/src/event_loop/client_sockets.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The kernel reports the time of the last arrival by a coarse clock, so that new input may seem a few milliseconds
-/// old.
+/// Tolerance for the time of the last arrival. The kernel reports it by a coarse clock, so that new input may seem a
+/// few milliseconds old.
 const ARRIVAL_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// A client's socket, with the information needed to date its input.
+/// A client's socket, with the times that bound the arrival of its input.
 struct SocketReader {
     socket: Rc<TcpStream>,
     /// When the poll began that reported the socket as readable.
@@ -28,8 +28,8 @@
 }
 
 impl ClientInput for SocketReader {
-    /// Returns `assumed`, unless the last bytes arrived clearly before it: the process was then not scheduled during
-    /// the poll, and earlier bytes may have arrived at any time since the poll began.
+    /// Returns `assumed`, unless the last bytes arrived clearly before that time. The operating system then did not
+    /// schedule the process during the poll, and earlier bytes may have arrived at any time since the poll began.
     fn earliest_arrival(&self, now: Duration, assumed: Duration) -> Duration {
         let last_arrival = now.saturating_sub(time_since_last_arrival(&self.socket));
         let was_polled_late = last_arrival + ARRIVAL_TOLERANCE < assumed;
@@ -48,7 +48,7 @@
         self.clients_to_scan.push(slot);
     }
 
-    /// Scans the input of all clients that became ready, for cancelled requests and closed connections.
+    /// Scans the input of all clients that became ready. The scan finds cancelled requests and closed connections.
     pub(super) fn scan_clients(&mut self) {
         if self.clients_to_scan.is_empty() {
             return;
@@ -59,22 +59,23 @@
         self.apply_changes();
     }
 
-    fn reader(&self, socket: &Rc<TcpStream>) -> SocketReader {
+    fn reader_of(&self, socket: &Rc<TcpStream>) -> SocketReader {
         SocketReader { socket: Rc::clone(socket), poll_began_at: self.poll_times.began_at() }
     }
 
-    /// Scans the input of some clients, for cancelled requests and closed connections.
+    /// Scans the input of the clients in `slots`. The scan finds cancelled requests and closed connections.
     pub(super) fn scan(&mut self, slots: &[Slot]) {
         let mut readers = Vec::new();
         for slot in slots {
             if let Some(registered) = self.clients.get(slot) {
-                readers.push((*slot, self.reader(&registered.socket)));
+                readers.push((*slot, self.reader_of(&registered.socket)));
             }
         }
         self.server.scan_clients(self.poll_times.earliest_arrival(), readers);
     }
 
-    /// Reads the next line of a client, which was received at `received_since` at the earliest.
+    /// Writes a client's pending output, and then reads its next line. The unread input was received at
+    /// `received_since` at the earliest.
     pub(super) fn read_client(&mut self, slot: Slot, received_since: Duration) {
         self.update_time();
         let Some(registered) = self.clients.get(&slot) else { return };
@@ -83,7 +84,7 @@
             return self.apply_changes();
         }
         let has_failed = || !matches!(socket.take_error(), Ok(None));
-        if self.server.read_client_line(slot, received_since, &mut self.reader(&socket), has_failed) {
+        if self.server.read_client_line(slot, received_since, &mut self.reader_of(&socket), has_failed) {
             self.readable_clients.add(slot, self.server.dispatcher.context.now());
         }
         self.apply_changes();
--- a/crates/router/src/event_loop/discovery_socket.rs
+++ b/crates/router/src/event_loop/discovery_socket.rs
@@ -1,4 +1,4 @@
-//! The connection to the discovery service.
+//! Dials and reads the connection to the discovery service.
 
 use super::RouterLoop;
 use crate::discovery::MAX_FRAME_BYTES;
@@ -12,21 +12,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The connection is dialled again after this time without a frame. The service sends at least a heartbeat each second.
+/// Time without a frame after which a new connection is dialled. The service sends at least a heartbeat each second.
 const INACTIVITY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time from a failure of the connection to the next dial.
 const REDIAL_DELAY: Duration = Duration::from_millis(200);
-/// Time within which a dialled connection must be established. An event must take effect within 4 s, which leaves
-/// time for a second dial.
+/// Time within which a dialled connection must be established. An event must take effect within 4 s, so there must be
+/// time left for a second dial.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of buffered bytes: an incomplete frame, and a complete one.
+/// Maximum number of buffered bytes, which holds a complete frame and an incomplete one.
 const MAX_BUFFERED_BYTES: usize = 2 * MAX_FRAME_BYTES;
 
 impl RouterLoop {
-    /// Replaces the connection by a new one. Input of the old connection is read first.
+    /// Replaces the connection by a new one. Events that have arrived on the old connection are applied first.
     pub(super) fn dial_discovery(&mut self) {
         if let Err(error) = self.read_discovery() {
-            log::debug!("discovery connection replaced after a failure: error={:?}", error.to_string());
+            log::debug!("discovery connection failed before it was replaced: error={:?}", error.to_string());
         }
         self.server.discovery = self.server.discovery.for_new_connection();
         self.server.context().counters.count("discovery_dialled");
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Dials again, unless the connection has unread input: the timer may have expired because the router was late.
+    /// Dials again, unless the connection has unread frames: the timer may have expired only because the router was
+    /// late.
     pub(super) fn discovery_timer_expired(&mut self) {
         self.discovery_ready();
         if self.server.discovery.redial_at <= self.server.dispatcher.context.now() {
@@ -50,16 +51,17 @@
         }
     }
 
-    /// Schedules the next dial of the service after `wait`, in place of the one scheduled before.
-    fn redial_discovery_after(&mut self, wait: Duration) {
+    /// Schedules the next dial of the service after `delay`, in place of the dial that was scheduled before.
+    fn redial_discovery_after(&mut self, delay: Duration) {
         let Server { discovery, dispatcher, .. } = &mut self.server;
         let context = &mut dispatcher.context;
         context.timers.clear(discovery.redial_at, Timer::DiscoveryRedial);
-        discovery.redial_at = context.now() + wait;
+        discovery.redial_at = context.now() + delay;
         context.timers.set(discovery.redial_at, Timer::DiscoveryRedial);
     }
 
-    /// Handles readiness of the connection's socket: reads it, or schedules a new dial if it has failed.
+    /// Handles readiness of the connection's socket: reads the socket, or schedules a new dial if the connection has
+    /// failed.
     pub(super) fn discovery_ready(&mut self) {
         self.update_time();
         if let Err(error) = self.read_discovery() {
--- a/crates/router/src/event_loop/engine_sockets.rs
+++ b/crates/router/src/event_loop/engine_sockets.rs
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time from a dial that failed locally to the next one.
+/// Time from a dial that failed for a local cause to the next one.
 const REDIAL_DELAY: Duration = Duration::from_millis(20);
 
-/// Errors of a dial with a temporary cause on this machine, such as a lack of ports, descriptors or memory.
+/// Errors of a dial whose cause is temporary and on this machine, such as a lack of ports, descriptors or memory.
 const LOCAL_DIAL_ERRORS: [libc::c_int; 9] = [
     libc::EADDRNOTAVAIL,
     libc::EADDRINUSE,
@@ -27,7 +27,7 @@
 ];
 
 /// Whether a dial failed for a local cause, so that the engine may be reachable.
-fn is_local(error: &io::Error) -> bool {
+fn has_local_cause(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|code| LOCAL_DIAL_ERRORS.contains(&code))
 }
 
@@ -49,7 +49,7 @@
         };
         match RegisteredSocket::dial(&self.loop_handle, address, record_readiness) {
             Ok(registered) => drop(self.connections.insert(slot, registered)),
-            Err(error) if is_local(&error) => self.schedule_redial(slot, address),
+            Err(error) if has_local_cause(&error) => self.schedule_redial(slot, address),
             Err(error) => {
                 log::info!("dialling an engine failed: address={address} error={error:?}");
                 let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Schedules another dial of a connection whose dial failed for a local cause.
     fn schedule_redial(&mut self, slot: Slot, address: SocketAddr) {
         let context = self.server.context();
         context.counters.count("dials_failed_locally");
@@ -65,8 +66,8 @@
         self.redials.insert(slot, address);
     }
 
-    /// Repeats a dial that failed locally, unless the connection was closed meanwhile. The connect timeout still
-    /// counts from the first dial.
+    /// Repeats a dial that failed for a local cause, unless the connection was closed meanwhile. The connect timeout
+    /// still counts from the first dial.
     pub(super) fn redial_engine(&mut self, slot: Slot) {
         if let Some(address) = self.redials.remove(&slot) {
             self.dial_engine(slot, address);
@@ -94,8 +95,8 @@
         self.apply_changes();
     }
 
-    /// Scans the clients whose calls are written next. A client may have disconnected or cancelled since the call
-    /// was decided on, and a slow iteration must not send calls for it.
+    /// Scans the clients whose calls are written next. A client may have disconnected or cancelled its request since
+    /// the scheduler decided on the call. Even after a slow iteration, no call must be sent for such a client.
     fn scan_clients_of_unwritten_calls(&mut self, connection: Slot) {
         let dispatcher = &self.server.dispatcher;
         let requests = dispatcher.engines.requests_of_unwritten_calls(connection);
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Reads a limited part of a connection's input; the next iteration continues if there is more.
+    /// Reads a limited part of a connection's input. If there is more, the next iteration continues.
     pub(super) fn read_connection(&mut self, slot: Slot) {
         let Some(registered) = self.connections.get(&slot) else { return };
         let Dispatcher { engines, context, .. } = &mut self.server.dispatcher;
--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -1,8 +1,8 @@
 //! Lingering close of clients' connections.
 //!
 //! The kernel resets a connection that is closed with unread input, and the client then loses the last answers.
-//! Such a connection is first shut down for writing, and its input is discarded until the client closes its side or
-//! the time is up.
+//! Therefore such a connection is first shut down for writing. Its input is discarded until the client closes its side,
+//! for [`MAX_TRANSIT_TIME`] at most.
 
 use super::{MAX_READS_PER_ITERATION, RouterLoop};
 use crate::clients::MAX_TRANSIT_TIME;
@@ -14,11 +14,12 @@
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
 
-/// Bytes that one system call peeks at or discards.
+/// Maximum number of bytes that one system call peeks at or discards.
 const CHUNK_BYTES: usize = 4096;
 
 impl RouterLoop {
-    /// Closes a client's socket after a last attempt to write its output. Lingers if the socket has unread input.
+    /// Closes a removed client's socket, after a last attempt to write its output. Lingers if the socket has unread
+    /// input.
     pub(super) fn close_client_socket(&mut self, client: ClosedClient) {
         let ClosedClient { slot, mut output } = client;
         let Some(registered) = self.clients.remove(&slot) else { return };
@@ -27,7 +28,7 @@
         let unwritten_bytes = output.len();
         if unread_bytes + unwritten_bytes > 0 {
             log::debug!(
-                "client closed with data left: client={slot:?} unwritten_bytes={unwritten_bytes} \
+                "client closed with unwritten or unread data: client={slot:?} unwritten_bytes={unwritten_bytes} \
                  unread_bytes>={unread_bytes}"
             );
         }
@@ -36,10 +37,11 @@
         }
     }
 
-    /// Shuts a connection down for writing and drains it until [`Timer::LingerTimeout`], so that the last answers arrive.
+    /// Shuts a connection down for writing and discards its input until [`Timer::LingerTimeout`], so that the last
+    /// answers arrive. At the limit of lingering connections, closes the connection at once.
     fn linger(&mut self, slot: Slot, registered: RegisteredSocket<Self>) {
-        let is_full = self.lingering.len() >= self.server.dispatcher.config.max_lingering_clients();
-        if is_full || registered.socket.shutdown(Shutdown::Write).is_err() {
+        let is_at_limit = self.lingering.len() >= self.server.dispatcher.config.max_lingering_clients();
+        if is_at_limit || registered.socket.shutdown(Shutdown::Write).is_err() {
             return;
         }
         let context = self.server.context();
@@ -49,17 +51,18 @@
         self.drain_lingering(slot);
     }
 
-    /// Discards the input of a lingering connection, and closes it at the end of its input.
+    /// Discards the input of a lingering connection, and closes the connection at the end of its input.
     pub(super) fn drain_lingering(&mut self, slot: Slot) {
         match self.lingering.get(&slot).map(|registered| drain_input(&registered.socket)) {
-            Some(Filled::Enough) => self.undrained.push(slot),
+            Some(Filled::Enough) => self.undrained_lingering.push(slot),
             Some(Filled::Closed) => drop(self.lingering.remove(&slot)),
             Some(Filled::Drained) | None => {}
         }
     }
 }
 
-/// Returns the number of unread bytes in a connection's socket, or [`CHUNK_BYTES`] if there are more.
+/// Returns the number of unread bytes in a connection's socket, but at most [`CHUNK_BYTES`]. Returns 0 if the socket
+/// has failed.
 fn unread_bytes(socket: &TcpStream) -> usize {
     loop {
         match socket.peek(&mut [0; CHUNK_BYTES]) {
@@ -70,7 +73,7 @@
     }
 }
 
-/// Discards a connection's input, up to the limit of an iteration.
+/// Discards a connection's input, up to [`MAX_READS_PER_ITERATION`] chunks. Returns `Filled::Enough` at that limit.
 pub(super) fn drain_input(mut socket: &TcpStream) -> Filled {
     let mut chunk = [0; CHUNK_BYTES];
     for _ in 0..MAX_READS_PER_ITERATION {
--- a/crates/router/src/event_loop/listener.rs
+++ b/crates/router/src/event_loop/listener.rs
@@ -13,7 +13,7 @@
 pub(super) struct Listener {
     /// The listening socket, shared with its event source.
     pub socket: Rc<TcpListener>,
-    /// The registration, which is disabled while accepting is paused.
+    /// The registration with the event loop, which is disabled while accepting is paused.
     pub token: RegistrationToken,
 }
 
@@ -50,16 +50,17 @@
 pub(super) enum AcceptFailure {
     /// No connection waits to be accepted.
     NoConnection,
-    /// The connection failed before it was accepted; more connections may wait.
+    /// The connection failed before it was accepted. More connections may wait.
     ConnectionFailed,
     /// The process has reached its limit of descriptors.
     OutOfDescriptors,
-    /// The machine temporarily lacks descriptors, buffers or memory.
+    /// The machine temporarily lacks descriptors, buffers or memory. Unknown errors are counted here.
     OutOfResources,
 }
 
 impl AcceptFailure {
-    /// Classifies an error of accept. On Linux, accept also returns pending network errors of the new connection.
+    /// Classifies an error of `accept`. On Linux, `accept` also returns network errors that are pending on the new
+    /// connection.
     pub fn of(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(libc::EAGAIN) => Self::NoConnection,
--- a/crates/router/src/event_loop/poll_times.rs
+++ b/crates/router/src/event_loop/poll_times.rs
@@ -1,4 +1,4 @@
-//! The times of polls, which bound the time at which input that is read now can have arrived.
+//! The times of the last polls. They bound the time at which input that is read now can have arrived.
 
 use crate::clock::Clock;
 use std::time::Duration;
@@ -6,25 +6,26 @@
 /// The phases of an iteration of the event loop.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
+    /// Waiting for events.
     Polling,
     /// Handling the events of the last poll.
     Handling,
 }
 
-/// The times of the last poll, on the router's clock.
+/// The times of the last two polls, on the router's clock.
 pub(super) struct PollTimes {
     phase: Phase,
     /// The start of the last poll.
     began_at: Duration,
     /// The end of the last poll.
     ended_at: Duration,
-    /// Time from the end of the poll before the last one to the start of the last one.
+    /// Time from the end of the second-to-last poll to the start of the last one.
     previous_handling_time: Duration,
 }
 
 impl PollTimes {
-    /// Returns the times before the first poll.
-    pub fn starting(now: Duration) -> Self {
+    /// Returns the initial times, before the first poll.
+    pub fn before_first_poll(now: Duration) -> Self {
         Self { phase: Phase::Handling, began_at: now, ended_at: now, previous_handling_time: Duration::ZERO }
     }
 
@@ -49,13 +50,14 @@
         self.began_at
     }
 
-    /// Returns the time since the last poll ended.
+    /// Returns the time since the last poll ended, in which its events were handled.
     pub fn handling_time(&self, clock: &Clock) -> Duration {
         clock.now().saturating_sub(self.ended_at)
     }
 
-    /// Returns the earliest time at which input found by the last poll can have arrived: the poll before did not find
-    /// it, so that it may have arrived while the events of that poll were handled. Deadlines count from this time.
+    /// Returns the earliest time at which input that the last poll found can have arrived. The previous poll did not
+    /// find the input, so it may have arrived while the events of that poll were handled. Deadlines count from this
+    /// time.
     pub fn earliest_arrival(&self) -> Duration {
         self.ended_at.saturating_sub(self.previous_handling_time)
     }
--- a/crates/router/src/event_loop/shutdown.rs
+++ b/crates/router/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! The sockets' part of a graceful shutdown.
+//! The work on sockets during a graceful shutdown.
 
 use super::RouterLoop;
 use super::lingering::drain_input;
@@ -8,8 +8,8 @@
 use std::net::Shutdown;
 
 impl RouterLoop {
-    /// Accepts all waiting connections and reads all clients, so that no request is left unread when the server checks
-    /// whether the process may exit.
+    /// Accepts all waiting connections and reads a line of each client, if the server is otherwise idle. The server
+    /// then does not let the process exit while a request is unread.
     pub(super) fn read_before_shutdown(&mut self) {
         if self.server.is_idle() {
             self.accept_clients();
@@ -26,7 +26,7 @@
     /// close, for [`MAX_TRANSIT_TIME`] at most. See [`Self::linger`] for the reason.
     pub(super) fn drain_clients(&mut self, event_loop: &mut EventLoop<'static, Self>) {
         let deadline = self.clock.now() + MAX_TRANSIT_TIME;
-        // New connections would only wake the loop. If disabling fails, the deadline still holds.
+        // New connections would only wake the loop. If disabling the listener fails, the deadline still ends the loop.
         let _ = self.loop_handle.disable(&self.listener.token);
         self.clients.retain(|_, registered| registered.socket.shutdown(Shutdown::Write).is_ok());
         loop {
--- a/crates/router/src/event_loop/signals.rs
+++ b/crates/router/src/event_loop/signals.rs
@@ -7,7 +7,7 @@
 
 const WATCHED_SIGNALS: [Signal; 4] = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1];
 
-/// Blocks the signals' default actions. The loop calls `on_signal` instead.
+/// Blocks the default actions of [`WATCHED_SIGNALS`]. The loop calls `on_signal` for each of them instead.
 ///
 /// # Errors
 /// Fails if the signals cannot be blocked or registered with the loop.
--- a/crates/router/src/server/endpoints.rs
+++ b/crates/router/src/server/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, from the configuration and from the discovery service.
+//! Applies events of the endpoint list, which come from the configuration and from the discovery service.
 
 use super::Server;
 use crate::discovery::EndpointEvent;
@@ -23,17 +23,17 @@
         self.process_events();
     }
 
-    /// Applies all complete frames that were received; returns whether there were any.
+    /// Applies all complete frames that were received; returns whether there were any, heartbeats included.
     ///
     /// # Errors
-    /// Returns the first invalid frame. The connection must then be replaced.
+    /// Returns the error of the first invalid frame. The caller must then replace the connection.
     pub fn receive_endpoint_events(&mut self) -> Result<bool, DiscoveryError> {
         let mut received_any = false;
         while let Some(frame) = self.discovery.next_frame(&mut self.dispatcher.context.counters)? {
             received_any = true;
             if let Some(event) = frame.event {
                 let engines = event.endpoints.len();
-                log::info!("endpoint event received: number={} engines={engines}", frame.number);
+                log::info!("endpoint event received: number={} engines={engines}", frame.event_number);
                 self.endpoints_changed(&event);
             }
         }
--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -42,7 +42,7 @@
         fleet: 1 routers, 1 engines at event 1
         1 engine kinds: std-8
         1 request classes: lookup
-        `settings.report.names[2]` is unknown: moon (ignored)
+        `settings.report.names[2]` is not a known figure of a load report: moon (ignored)
     "#]]
     .assert_eq(&run(&["check"], "moon", &readme_configuration().replace("\"x1\"", "\"moon\"")));
 }
@@ -74,17 +74,17 @@
     }
     expect![[r#"
         Some(1) emberflow: FILE: `settings.categories[0].keyScope` is missing
-        Some(1) emberflow: FILE: `settings.categories[0].keyScope` is unknown: galaxy
-        Some(1) emberflow: FILE: `settings.kinds` needs one element for each kind (1), but has 2
-        Some(1) emberflow: FILE: `settings.zones[1]` is listed twice: hall-a
-        Some(1) emberflow: FILE: `settings.myZone` is 1, past the end of a list of 1
-        Some(1) emberflow: FILE: `known.items[0].roster.members[0].locality` is not in the settings: hall-z
-        Some(1) emberflow: FILE: `known.items[0].roster.members[0].id` is not an engine's id: 1
-        Some(1) emberflow: FILE: `known.items[0].roster.members[0].host_port` is not an address with a port: somewhere
+        Some(1) emberflow: FILE: `settings.categories[0].keyScope` must be one of `all`, `zone`, `cell`, found `galaxy`
+        Some(1) emberflow: FILE: `settings.kinds` must have one element for each kind (1), found 2
+        Some(1) emberflow: FILE: `settings.zones[1]` repeats the name hall-a, which must be unique in the list
+        Some(1) emberflow: FILE: `settings.myZone` must be an index below 1, found 1
+        Some(1) emberflow: FILE: `known.items[0].roster.members[0].locality` must be a name that the settings list, found hall-z
+        Some(1) emberflow: FILE: `known.items[0].roster.members[0].id` must be `s-` with a hexadecimal number of up to 32 bits, found "1"
+        Some(1) emberflow: FILE: `known.items[0].roster.members[0].host_port` must be an IP address with a port, found "somewhere"
         Some(1) emberflow: FILE: `settings.report.names[1]` is not text
-        Some(1) emberflow: FILE: `settings.report.how` is unknown: pigeon
-        Some(1) emberflow: FILE: `settings.caps.connectTimeoutMs` is not a time in milliseconds
-        Some(1) emberflow: FILE: `settings.caps.mayDuplicate` is not true or false
+        Some(1) emberflow: FILE: `settings.report.how` must be one of `answers`, `probe`, `none`, found `pigeon`
+        Some(1) emberflow: FILE: `settings.caps.connectTimeoutMs` must be a time in milliseconds from 0 up, found -1
+        Some(1) emberflow: FILE: `settings.caps.mayDuplicate` must be true or false, found "no"
         Some(1) emberflow: FILE: `settings.rules.spareAttempts` requires `countedOverMs`, which is missing
     "#]]
     .assert_eq(&reports);
--- a/crates/router/tests/codecs.rs
+++ b/crates/router/tests/codecs.rs
@@ -153,7 +153,7 @@
                 })
                 .collect();
             let update = frame.event.as_ref().map(|event| event.update);
-            (format!("{} {update:?} {endpoints:?}", frame.number), length)
+            (format!("{} {update:?} {endpoints:?}", frame.event_number), length)
         };
         ring.consume(length);
         Some(text)
@@ -178,11 +178,11 @@
         .map(|bytes| format!("{:?}\n", discovery::parse_frame(bytes).err().map(|error| error.to_string())))
         .collect();
     expect![[r#"
-        Some("invalid frame of kind 3 with a payload of 0 bytes")
-        Some("invalid frame of kind 2 with a payload of 26 bytes")
-        Some("unknown endpoint state 7")
-        Some("invalid frame length of 4294967295 bytes")
-        Some("invalid frame length of 0 bytes")
+        Some("frame must be of kind 0 without payload, or of kind 1 or 2 with records of 27 bytes, found kind 3 with 0 bytes")
+        Some("frame must be of kind 0 without payload, or of kind 1 or 2 with records of 27 bytes, found kind 2 with 26 bytes")
+        Some("endpoint state must be 0 (ready), 1 (draining) or 2 (removed), found 7")
+        Some("frame length must be 9 to 1048576 bytes, found 4294967295")
+        Some("frame length must be 9 to 1048576 bytes, found 0")
     "#]]
     .assert_eq(&errors);
 }
--- a/crates/router/tests/sockets/harness/log_lines.rs
+++ b/crates/router/tests/sockets/harness/log_lines.rs
@@ -7,7 +7,7 @@
 /// A reload has failed. The previous configuration stays in effect.
 pub const RELOAD_FAILED: &str = "configuration not reloaded";
 /// A reload read the configuration of another router.
-pub const CONFIGURATION_OF_ANOTHER: &str = "`name` is `n1`, the file configures another router";
+pub const CONFIGURATION_OF_ANOTHER: &str = "the file configures the router `n1`, expected this router, `n0`";
 /// A reload read settings that take effect at a restart only.
 pub const SETTINGS_NEED_RESTART: &str = "configuration change needs a restart: changed=the settings";
 /// A reload removed a team whose requests were queued.
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -143,11 +143,11 @@
     ];
     expect![[r#"
         Some(1) emberflow: no configuration file: neither `--config` nor EDGE_CONFIG is set
-        Some(1) emberflow: /nowhere/at/all: No such file or directory (os error 2)
+        Some(1) emberflow: /nowhere/at/all: the file cannot be read: No such file or directory (os error 2)
         Some(1) emberflow: /empty.json: `limits` is missing
-        Some(1) emberflow: /broken.json: EOF while parsing a value at line 1 column 8
+        Some(1) emberflow: /broken.json: the file is not JSON: EOF while parsing a value at line 1 column 8
         Some(2) emberflow: unknown command: dance
-        Some(1) emberflow: listening on the address: Address already in use (os error 98)
-        Some(2) emberflow: a command is missing"#]]
+        Some(1) emberflow: the router cannot listen on the address: Address already in use (os error 98)
+        Some(2) emberflow: the command is missing: `serve`, `check`, `version` or `help`"#]]
     .assert_eq(&failures.join("\n"));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decodes the settings that every router receives at start into the types of the `emberflow` library. The settings
-//! have the same form on the simulator's wire and in a configuration file.
+//! Decodes the settings that every router receives at start into the types of the `emberflow` library. The simulator
+//! sends the same settings as a configuration file contains.
 //!
-//! [`Fields`] reads single values and names their path in errors. Each of the other modules decodes one part of the
-//! settings, which the caller passes as an object.
+//! [`Fields`] reads single values and names their path in errors. Each of the other functions takes the settings'
+//! object and decodes one part of it.
 
 // Engineers learn the crate from its documentation, so every public item must be explained.
 #![warn(missing_docs)]
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -3,23 +3,23 @@
 use crate::{Fields, Problem, SettingsError};
 use emberflow::LoadReport;
 
-// Names of the figures that the scheduler uses, in the settings and on the wire.
+// Names of the figures that the scheduler uses. Each figure may have any of its names, in the settings and on the wire.
 const BUSY_NAMES: &[&str] = &["busy", "util"];
 const IN_FLIGHT_NAMES: &[&str] = &["rif", "inflight"];
 const WAITING_NAMES: &[&str] = &["q", "queue"];
 const MEMORY_NAMES: &[&str] = &["x0"];
 const DISKS_NAMES: &[&str] = &["x1"];
 /// All figures that the scheduler uses.
-const USED: [&[&str]; 5] = [BUSY_NAMES, IN_FLIGHT_NAMES, WAITING_NAMES, MEMORY_NAMES, DISKS_NAMES];
+const USED_FIGURES: [&[&str]; 5] = [BUSY_NAMES, IN_FLIGHT_NAMES, WAITING_NAMES, MEMORY_NAMES, DISKS_NAMES];
 /// Names of figures that are part of a load report and that the scheduler does not use.
-const IGNORED: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
+const IGNORED_FIGURES: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
 
 /// The ways in which engines report their load.
 #[derive(PartialEq, Eq)]
 pub(crate) enum ReportMode {
-    /// With each answer.
+    /// Engines report their load with each answer.
     WithAnswers,
-    /// In reply to a health check.
+    /// Engines report their load in reply to a health check only.
     OnProbe,
     /// Engines do not report their load.
     Never,
@@ -27,8 +27,8 @@
 
 impl ReportMode {
     /// Decodes the settings' `report.how`.
-    pub(crate) fn read(params: Fields<'_>) -> Result<Self, SettingsError> {
-        let report = params.object("report")?;
+    pub(crate) fn read(settings: Fields<'_>) -> Result<Self, SettingsError> {
+        let report = settings.object("report")?;
         report
             .one_of("how", [("answers", Self::WithAnswers), ("probe", Self::OnProbe), ("none", Self::Never)])
     }
@@ -38,10 +38,10 @@
 ///
 /// # Errors
 /// Returns the first value that is missing or invalid.
-pub fn load_report_names(params: Fields<'_>) -> Result<Vec<String>, SettingsError> {
-    match ReportMode::read(params)? {
+pub fn load_report_names(settings: Fields<'_>) -> Result<Vec<String>, SettingsError> {
+    match ReportMode::read(settings)? {
         ReportMode::Never => Ok(Vec::new()),
-        ReportMode::WithAnswers | ReportMode::OnProbe => params.object("report")?.text_list("names"),
+        ReportMode::WithAnswers | ReportMode::OnProbe => settings.object("report")?.text_list("names"),
     }
 }
 
@@ -49,27 +49,27 @@
 ///
 /// # Errors
 /// Returns the first value that is missing or has the wrong type.
-pub fn unknown_load_report_names(params: Fields<'_>) -> Result<Vec<SettingsError>, SettingsError> {
+pub fn unknown_load_report_names(settings: Fields<'_>) -> Result<Vec<SettingsError>, SettingsError> {
     let mut unknown = Vec::new();
-    if load_report_names(params)?.is_empty() {
+    if load_report_names(settings)?.is_empty() {
         return Ok(unknown);
     }
-    for field in params.object("report")?.rows("names")? {
+    for field in settings.object("report")?.elements("names")? {
         let name = field.as_text()?;
         if !is_known(name) {
-            unknown.push(field.error(Problem::Unknown { found: name.to_owned() }));
+            unknown.push(field.error(Problem::UnknownFigure { name: name.to_owned() }));
         }
     }
     Ok(unknown)
 }
 
-/// Whether the scheduler uses a figure of this name, or ignores it on purpose.
+/// Whether a figure of this name is part of a load report, whether or not the scheduler uses it.
 fn is_known(name: &str) -> bool {
-    IGNORED.contains(&name) || USED.iter().any(|names| names.contains(&name))
+    IGNORED_FIGURES.contains(&name) || USED_FIGURES.iter().any(|names| names.contains(&name))
 }
 
-/// Builds a load report from single figures. `figure` is called once for each figure, with all names that it has in the
-/// settings and on the wire, and returns the figure's value or `None` if the report does not contain it.
+/// Builds a load report from single figures. `figure` is called once for each figure that the scheduler uses, with all
+/// names that the figure may have. `figure` returns the value, or `None` if the engine did not report the figure.
 ///
 /// # Errors
 /// Returns the first error of `figure`.
--- a/crates/settings/src/time.rs
+++ b/crates/settings/src/time.rs
@@ -1,15 +1,15 @@
-//! Conversion of times on the wire and in files, which are in milliseconds with microseconds as fractions.
+//! Conversion of times on the wire and in files, which are milliseconds with up to three decimal places.
 
 use std::time::Duration;
 
-const MICROS_PER_MS: f64 = 1e3;
+const MICROSECONDS_PER_MS: f64 = 1e3;
 
-/// Converts from milliseconds, rounded to microseconds. A negative time becomes zero.
+/// Converts milliseconds to a duration, rounded to microseconds. A negative time becomes zero.
 pub fn from_ms(ms: f64) -> Duration {
-    Duration::from_micros((ms * MICROS_PER_MS).round() as u64)
+    Duration::from_micros((ms * MICROSECONDS_PER_MS).round() as u64)
 }
 
-/// Converts to milliseconds, truncated to microseconds.
+/// Converts a duration to milliseconds, truncated to microseconds.
 pub fn to_ms(time: Duration) -> f64 {
-    time.as_micros() as f64 / MICROS_PER_MS
+    time.as_micros() as f64 / MICROSECONDS_PER_MS
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Errors of settings with invalid, unknown, inconsistent or missing values.
+//! Errors of settings with invalid, unknown, inconsistent or missing values, and acceptance of unusual ones.
 
 use emberflow_settings::{
     Fields, SettingsError, clients_mark_retries, decode_attempt_limits, decode_fleet, decode_request_classes,
@@ -7,6 +7,7 @@
 use expect_test::expect;
 use serde_json::{Value, json};
 
+/// Returns valid settings with all parts.
 fn settings() -> Value {
     json!({
         "caps": {"cancel": true, "maxRetryAfterMs": 2000.0, "mostTries": 3, "probes": false, "retryAfter": true},
@@ -31,23 +32,24 @@
     })
 }
 
-/// Returns the settings with other values at these paths. Null removes a value.
-fn with(changes: &[(&str, Value)]) -> Value {
+/// Returns a file whose settings have these values at these paths. Null counts as an absent value.
+fn file_with(changes: &[(&str, Value)]) -> Value {
     let mut file = json!({"settings": settings()});
     for (path, value) in changes {
-        let mut at = &mut file["settings"];
+        let mut target = &mut file["settings"];
         for step in path.split('/') {
-            at = match step.parse::<usize>() {
-                Ok(place) => &mut at[place],
-                Err(_) => &mut at[step],
+            target = match step.parse::<usize>() {
+                Ok(index) => &mut target[index],
+                Err(_) => &mut target[step],
             };
         }
-        *at = value.clone();
+        *target = value.clone();
     }
     file
 }
 
-fn read(file: &Value) -> Result<(), SettingsError> {
+/// Decodes all parts of the settings in a file.
+fn decode(file: &Value) -> Result<(), SettingsError> {
     let settings = Fields::of(file).object("settings")?;
     decode_fleet(1, settings)?;
     decode_request_classes(settings)?;
@@ -57,103 +59,106 @@
     Ok(())
 }
 
-fn errors(table: &[(&str, Value)]) -> String {
-    let error = |(path, value): &(&str, Value)| {
-        let printed = read(&with(&[(path, value.clone())])).err();
-        let printed = printed.map_or("NO ERROR".into(), |error| error.to_string());
-        format!("{path} {value}: {printed}\n")
+/// Returns a line with the error of each change of the settings.
+fn errors(changes: &[(&str, Value)]) -> String {
+    let line = |(path, value): &(&str, Value)| {
+        let error = decode(&file_with(&[(path, value.clone())])).err();
+        let text = error.map_or("NO ERROR".into(), |error| error.to_string());
+        format!("{path} {value}: {text}\n")
     };
-    table.iter().map(error).collect()
+    changes.iter().map(line).collect()
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of values and their errors")]
 fn values_out_of_range_are_reported_by_their_path() {
     let positive = ["domain/kindCores/1", "domain/sizeMb/0", "domain/parallelism/1", "rules/overloadFactor"];
-    let times =
+    let positive_times =
         ["categories/0/onTimeMs", "categories/1/deadlineMs", "rules/fallMs", "tickMs", "rules/warmUpMs"];
-    let spans = ["domain/tellsEveryMs", "rules/keyQuietMs", "caps/maxRetryAfterMs", "categories/1/windowMs"];
-    let shares = ["rules/startCapacity", "domain/largestShare", "categories/1/lateShare"];
-    let amounts =
+    let times = ["domain/tellsEveryMs", "rules/keyQuietMs", "caps/maxRetryAfterMs", "categories/1/windowMs"];
+    let fractions = ["rules/startCapacity", "domain/largestShare", "categories/1/lateShare"];
+    let non_negative =
         ["categories/0/gain", "categories/0/aimStretch", "rules/spareAttempts", "rules/extraPerRequest"];
-    let mut table = Vec::new();
+    let mut changes = Vec::new();
     positive
         .into_iter()
-        .for_each(|path| table.extend([(path, json!(0)), (path, json!(-1.5)), (path, json!("8"))]));
-    times.into_iter().for_each(|path| table.extend([(path, json!(0)), (path, json!(-1)), (path, json!([]))]));
-    table.extend([("rules/countedOverMs", json!(0))]);
-    spans.into_iter().for_each(|path| table.extend([(path, json!(-0.5)), (path, json!("soon"))]));
-    shares.into_iter().for_each(|path| table.extend([(path, json!(-0.1)), (path, json!(1.01))]));
-    amounts.into_iter().for_each(|path| table.push((path, json!(-1))));
-    table.extend([("caps/mostTries", json!(0)), ("caps/mostTries", json!(1.5)), ("instances", json!(0))]);
+        .for_each(|path| changes.extend([(path, json!(0)), (path, json!(-1.5)), (path, json!("8"))]));
+    positive_times
+        .into_iter()
+        .for_each(|path| changes.extend([(path, json!(0)), (path, json!(-1)), (path, json!([]))]));
+    changes.extend([("rules/countedOverMs", json!(0))]);
+    times.into_iter().for_each(|path| changes.extend([(path, json!(-0.5)), (path, json!("soon"))]));
+    fractions.into_iter().for_each(|path| changes.extend([(path, json!(-0.1)), (path, json!(1.01))]));
+    non_negative.into_iter().for_each(|path| changes.push((path, json!(-1))));
+    changes.extend([("caps/mostTries", json!(0)), ("caps/mostTries", json!(1.5)), ("instances", json!(0))]);
     expect![[r#"
-        domain/kindCores/1 0: `settings.domain.kindCores[1]` is not a number above 0
-        domain/kindCores/1 -1.5: `settings.domain.kindCores[1]` is not a number above 0
-        domain/kindCores/1 "8": `settings.domain.kindCores[1]` is not a number above 0
-        domain/sizeMb/0 0: `settings.domain.sizeMb[0]` is not a number above 0
-        domain/sizeMb/0 -1.5: `settings.domain.sizeMb[0]` is not a number above 0
-        domain/sizeMb/0 "8": `settings.domain.sizeMb[0]` is not a number above 0
-        domain/parallelism/1 0: `settings.domain.parallelism[1]` is not a number above 0
-        domain/parallelism/1 -1.5: `settings.domain.parallelism[1]` is not a number above 0
-        domain/parallelism/1 "8": `settings.domain.parallelism[1]` is not a number above 0
-        rules/overloadFactor 0: `settings.rules.overloadFactor` is not a number above 0
-        rules/overloadFactor -1.5: `settings.rules.overloadFactor` is not a number above 0
-        rules/overloadFactor "8": `settings.rules.overloadFactor` is not a number above 0
-        categories/0/onTimeMs 0: `settings.categories[0].onTimeMs` is not a time in milliseconds above 0
-        categories/0/onTimeMs -1: `settings.categories[0].onTimeMs` is not a time in milliseconds above 0
-        categories/0/onTimeMs []: `settings.categories[0].onTimeMs` is not a time in milliseconds above 0
-        categories/1/deadlineMs 0: `settings.categories[1].deadlineMs` is not a time in milliseconds above 0
-        categories/1/deadlineMs -1: `settings.categories[1].deadlineMs` is not a time in milliseconds above 0
-        categories/1/deadlineMs []: `settings.categories[1].deadlineMs` is not a time in milliseconds above 0
-        rules/fallMs 0: `settings.rules.fallMs` is not a time in milliseconds above 0
-        rules/fallMs -1: `settings.rules.fallMs` is not a time in milliseconds above 0
-        rules/fallMs []: `settings.rules.fallMs` is not a time in milliseconds above 0
-        tickMs 0: `settings.tickMs` is not a time in milliseconds above 0
-        tickMs -1: `settings.tickMs` is not a time in milliseconds above 0
-        tickMs []: `settings.tickMs` is not a time in milliseconds above 0
-        rules/warmUpMs 0: `settings.rules.warmUpMs` is not a time in milliseconds above 0
-        rules/warmUpMs -1: `settings.rules.warmUpMs` is not a time in milliseconds above 0
-        rules/warmUpMs []: `settings.rules.warmUpMs` is not a time in milliseconds above 0
-        rules/countedOverMs 0: `settings.rules.countedOverMs` is not a time in milliseconds above 0
-        domain/tellsEveryMs -0.5: `settings.domain.tellsEveryMs` is not a time in milliseconds
-        domain/tellsEveryMs "soon": `settings.domain.tellsEveryMs` is not a time in milliseconds
-        rules/keyQuietMs -0.5: `settings.rules.keyQuietMs` is not a time in milliseconds
-        rules/keyQuietMs "soon": `settings.rules.keyQuietMs` is not a time in milliseconds
-        caps/maxRetryAfterMs -0.5: `settings.caps.maxRetryAfterMs` is not a time in milliseconds
-        caps/maxRetryAfterMs "soon": `settings.caps.maxRetryAfterMs` is not a time in milliseconds
-        categories/1/windowMs -0.5: `settings.categories[1].windowMs` is not a time in milliseconds
-        categories/1/windowMs "soon": `settings.categories[1].windowMs` is not a time in milliseconds
-        rules/startCapacity -0.1: `settings.rules.startCapacity` is not a number from 0 to 1
-        rules/startCapacity 1.01: `settings.rules.startCapacity` is not a number from 0 to 1
-        domain/largestShare -0.1: `settings.domain.largestShare` is not a number from 0 to 1
-        domain/largestShare 1.01: `settings.domain.largestShare` is not a number from 0 to 1
-        categories/1/lateShare -0.1: `settings.categories[1].lateShare` is not a number from 0 to 1
-        categories/1/lateShare 1.01: `settings.categories[1].lateShare` is not a number from 0 to 1
-        categories/0/gain -1: `settings.categories[0].gain` is not a number from 0 up
-        categories/0/aimStretch -1: `settings.categories[0].aimStretch` is not a number from 0 up
-        rules/spareAttempts -1: `settings.rules.spareAttempts` is not a number from 0 up
-        rules/extraPerRequest -1: `settings.rules.extraPerRequest` is not a number from 0 up
-        caps/mostTries 0: `settings.caps.mostTries` is not a whole number from 1 up
-        caps/mostTries 1.5: `settings.caps.mostTries` is not a whole number from 1 up
-        instances 0: `settings.instances` is not a whole number from 1 up
+        domain/kindCores/1 0: `settings.domain.kindCores[1]` must be a number above 0, found 0
+        domain/kindCores/1 -1.5: `settings.domain.kindCores[1]` must be a number above 0, found -1.5
+        domain/kindCores/1 "8": `settings.domain.kindCores[1]` must be a number above 0, found "8"
+        domain/sizeMb/0 0: `settings.domain.sizeMb[0]` must be a number above 0, found 0
+        domain/sizeMb/0 -1.5: `settings.domain.sizeMb[0]` must be a number above 0, found -1.5
+        domain/sizeMb/0 "8": `settings.domain.sizeMb[0]` must be a number above 0, found "8"
+        domain/parallelism/1 0: `settings.domain.parallelism[1]` must be a number above 0, found 0
+        domain/parallelism/1 -1.5: `settings.domain.parallelism[1]` must be a number above 0, found -1.5
+        domain/parallelism/1 "8": `settings.domain.parallelism[1]` must be a number above 0, found "8"
+        rules/overloadFactor 0: `settings.rules.overloadFactor` must be a number above 0, found 0
+        rules/overloadFactor -1.5: `settings.rules.overloadFactor` must be a number above 0, found -1.5
+        rules/overloadFactor "8": `settings.rules.overloadFactor` must be a number above 0, found "8"
+        categories/0/onTimeMs 0: `settings.categories[0].onTimeMs` must be a time in milliseconds above 0, found 0
+        categories/0/onTimeMs -1: `settings.categories[0].onTimeMs` must be a time in milliseconds above 0, found -1
+        categories/0/onTimeMs []: `settings.categories[0].onTimeMs` must be a time in milliseconds above 0, found a list
+        categories/1/deadlineMs 0: `settings.categories[1].deadlineMs` must be a time in milliseconds above 0, found 0
+        categories/1/deadlineMs -1: `settings.categories[1].deadlineMs` must be a time in milliseconds above 0, found -1
+        categories/1/deadlineMs []: `settings.categories[1].deadlineMs` must be a time in milliseconds above 0, found a list
+        rules/fallMs 0: `settings.rules.fallMs` must be a time in milliseconds above 0, found 0
+        rules/fallMs -1: `settings.rules.fallMs` must be a time in milliseconds above 0, found -1
+        rules/fallMs []: `settings.rules.fallMs` must be a time in milliseconds above 0, found a list
+        tickMs 0: `settings.tickMs` must be a time in milliseconds above 0, found 0
+        tickMs -1: `settings.tickMs` must be a time in milliseconds above 0, found -1
+        tickMs []: `settings.tickMs` must be a time in milliseconds above 0, found a list
+        rules/warmUpMs 0: `settings.rules.warmUpMs` must be a time in milliseconds above 0, found 0
+        rules/warmUpMs -1: `settings.rules.warmUpMs` must be a time in milliseconds above 0, found -1
+        rules/warmUpMs []: `settings.rules.warmUpMs` must be a time in milliseconds above 0, found a list
+        rules/countedOverMs 0: `settings.rules.countedOverMs` must be a time in milliseconds above 0, found 0
+        domain/tellsEveryMs -0.5: `settings.domain.tellsEveryMs` must be a time in milliseconds from 0 up, found -0.5
+        domain/tellsEveryMs "soon": `settings.domain.tellsEveryMs` must be a time in milliseconds from 0 up, found "soon"
+        rules/keyQuietMs -0.5: `settings.rules.keyQuietMs` must be a time in milliseconds from 0 up, found -0.5
+        rules/keyQuietMs "soon": `settings.rules.keyQuietMs` must be a time in milliseconds from 0 up, found "soon"
+        caps/maxRetryAfterMs -0.5: `settings.caps.maxRetryAfterMs` must be a time in milliseconds from 0 up, found -0.5
+        caps/maxRetryAfterMs "soon": `settings.caps.maxRetryAfterMs` must be a time in milliseconds from 0 up, found "soon"
+        categories/1/windowMs -0.5: `settings.categories[1].windowMs` must be a time in milliseconds from 0 up, found -0.5
+        categories/1/windowMs "soon": `settings.categories[1].windowMs` must be a time in milliseconds from 0 up, found "soon"
+        rules/startCapacity -0.1: `settings.rules.startCapacity` must be a number from 0 to 1, found -0.1
+        rules/startCapacity 1.01: `settings.rules.startCapacity` must be a number from 0 to 1, found 1.01
+        domain/largestShare -0.1: `settings.domain.largestShare` must be a number from 0 to 1, found -0.1
+        domain/largestShare 1.01: `settings.domain.largestShare` must be a number from 0 to 1, found 1.01
+        categories/1/lateShare -0.1: `settings.categories[1].lateShare` must be a number from 0 to 1, found -0.1
+        categories/1/lateShare 1.01: `settings.categories[1].lateShare` must be a number from 0 to 1, found 1.01
+        categories/0/gain -1: `settings.categories[0].gain` must be a number from 0 up, found -1
+        categories/0/aimStretch -1: `settings.categories[0].aimStretch` must be a number from 0 up, found -1
+        rules/spareAttempts -1: `settings.rules.spareAttempts` must be a number from 0 up, found -1
+        rules/extraPerRequest -1: `settings.rules.extraPerRequest` must be a number from 0 up, found -1
+        caps/mostTries 0: `settings.caps.mostTries` must be a whole number from 1 up, found 0
+        caps/mostTries 1.5: `settings.caps.mostTries` must be a whole number from 1 up, found 1.5
+        instances 0: `settings.instances` must be a whole number from 1 up, found 0
     "#]]
-    .assert_eq(&errors(&table));
+    .assert_eq(&errors(&changes));
 }
 
 #[test]
 fn unknown_names_are_reported_by_their_path() {
     expect![[r#"
-        categories/0/repeat "maybe": `settings.categories[0].repeat` is unknown: maybe
-        categories/1/keyScope "galaxy": `settings.categories[1].keyScope` is unknown: galaxy
-        discovery "pull": `settings.discovery` is unknown: pull
-        domain/whenShort "wait": `settings.domain.whenShort` is unknown: wait
-        report/how "pigeon": `settings.report.how` is unknown: pigeon
+        categories/0/repeat "maybe": `settings.categories[0].repeat` must be one of `repeatable`, `once`, `by_key`, found `maybe`
+        categories/1/keyScope "galaxy": `settings.categories[1].keyScope` must be one of `all`, `zone`, `cell`, found `galaxy`
+        discovery "pull": `settings.discovery` must be one of `push`, `ask`, found `pull`
+        domain/whenShort "wait": `settings.domain.whenShort` must be one of `line_up`, `cut`, `overcommit`, found `wait`
+        report/how "pigeon": `settings.report.how` must be one of `answers`, `probe`, `none`, found `pigeon`
         report/names/2 7: `settings.report.names[2]` is not text
-        myZone 2: `settings.myZone` is 2, past the end of a list of 2
-        categories/0/allowedOn [0,2]: `settings.categories[0].allowedOn[1]` is 2, past the end of a list of 2
-        categories/0/allowedOn ["std-8"]: `settings.categories[0].allowedOn[0]` is not an index
-        categories/1/zonesOpen [5]: `settings.categories[1].zonesOpen[0]` is 5, past the end of a list of 2
-        categories/1/zonesOpen [1,-1]: `settings.categories[1].zonesOpen[1]` is not an index
+        myZone 2: `settings.myZone` must be an index below 2, found 2
+        categories/0/allowedOn [0,2]: `settings.categories[0].allowedOn[1]` must be an index below 2, found 2
+        categories/0/allowedOn ["std-8"]: `settings.categories[0].allowedOn[0]` must be an index from 0 up, found "std-8"
+        categories/1/zonesOpen [5]: `settings.categories[1].zonesOpen[0]` must be an index below 2, found 5
+        categories/1/zonesOpen [1,-1]: `settings.categories[1].zonesOpen[1]` must be an index from 0 up, found -1
     "#]]
     .assert_eq(&errors(&[
         ("categories/0/repeat", json!("maybe")),
@@ -173,15 +178,15 @@
 #[test]
 fn missing_values_and_other_types_are_reported_by_their_path() {
     expect![[r#"
-        categories []: `settings.categories` has no class
+        categories []: `settings.categories` must have at least one element, one for each class, found none
         categories/1 "load": `settings.categories[1].onTimeMs` is missing
         categories/1/keyScope null: `settings.categories[1].keyScope` is missing
         categories/1/windowMs null: `settings.categories[1].windowMs` is missing
-        categories/1/keepOrder "yes": `settings.categories[1].keepOrder` is not true or false
+        categories/1/keepOrder "yes": `settings.categories[1].keepOrder` must be true or false, found "yes"
         caps null: `settings.caps` is missing
-        caps/probes 0: `settings.caps.probes` is not true or false
-        clientHabits true: `settings.clientHabits` is not an object
-        clientHabits/marksRetry 1: `settings.clientHabits.marksRetry` is not true or false
+        caps/probes 0: `settings.caps.probes` must be true or false, found 0
+        clientHabits true: `settings.clientHabits` must be an object, found true
+        clientHabits/marksRetry 1: `settings.clientHabits.marksRetry` must be true or false, found 1
         domain/lanesCount null: `settings.domain.lanesCount` is missing
         report/names null: `settings.report.names` is missing
         report/how null: `settings.report.how` is missing
@@ -205,15 +210,15 @@
 }
 
 #[test]
-fn lists_of_different_lengths_and_incomplete_rules_are_reported_by_their_path() {
+fn wrong_list_lengths_and_missing_windows_are_reported_by_path() {
     expect![[r#"
-        domain/kindCores []: `settings.domain.kindCores` has no kind
-        domain/sizeMb [16384.0]: `settings.domain.sizeMb` needs one element for each kind (2), but has 1
-        kinds ["std-8"]: `settings.kinds` needs one element for each kind (2), but has 1
-        domain/parallelism [1]: `settings.domain.parallelism` needs one element for each class (2), but has 1
-        domain/writesTables [true,false,true]: `settings.domain.writesTables` needs one element for each class (2), but has 3
-        domain/blockedByLoads []: `settings.domain.blockedByLoads` needs one element for each class (2), but has 0
-        domain/blockedByLoads/1 1: `settings.domain.blockedByLoads[1]` is not true or false
+        domain/kindCores []: `settings.domain.kindCores` must have at least one element, one for each kind, found none
+        domain/sizeMb [16384.0]: `settings.domain.sizeMb` must have one element for each kind (2), found 1
+        kinds ["std-8"]: `settings.kinds` must have one element for each kind (2), found 1
+        domain/parallelism [1]: `settings.domain.parallelism` must have one element for each class (2), found 1
+        domain/writesTables [true,false,true]: `settings.domain.writesTables` must have one element for each class (2), found 3
+        domain/blockedByLoads []: `settings.domain.blockedByLoads` must have one element for each class (2), found 0
+        domain/blockedByLoads/1 1: `settings.domain.blockedByLoads[1]` must be true or false, found 1
         rules/countedOverMs null: `settings.rules.spareAttempts` requires `countedOverMs`, which is missing
         rules {"extraPerRequest":0,"fallMs":1,"overloadFactor":2,"startCapacity":0,"warmUpMs":1}: `settings.rules.extraPerRequest` requires `countedOverMs`, which is missing
     "#]].assert_eq(&errors(&[
@@ -251,14 +256,14 @@
         vec![("unheard", json!({"of": 1})), ("rules/unheard", json!("of"))],
     ];
     for changes in accepted {
-        assert_eq!(read(&with(&changes)), Ok(()), "{changes:?}");
+        assert_eq!(decode(&file_with(&changes)), Ok(()), "{changes:?}");
     }
 }
 
 #[test]
 fn unknown_figures_of_load_reports_are_reported() {
     let unknown_figures = |how: &str, names: &[&str]| {
-        let file = with(&[("report", json!({"how": how, "names": names}))]);
+        let file = file_with(&[("report", json!({"how": how, "names": names}))]);
         let unknown = unknown_load_report_names(Fields::of(&file).object("settings").expect("settings"))
             .expect("the settings are valid");
         unknown.iter().map(ToString::to_string).collect::<Vec<_>>()
@@ -268,5 +273,8 @@
         assert_eq!(unknown_figures("answers", &[known]), [] as [&str; 0], "{known}");
     }
     assert_eq!(unknown_figures("none", &["moon"]), [] as [&str; 0]);
-    assert_eq!(unknown_figures("probe", &["q", "moon"]), ["`settings.report.names[1]` is unknown: moon"]);
+    assert_eq!(
+        unknown_figures("probe", &["q", "moon"]),
+        ["`settings.report.names[1]` is not a known figure of a load report: moon"]
+    );
 }
