--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of the simulator's input and of the output.
+//! Errors of the adapter's input and output.
 
 use emberflow_settings::SettingsError;
 use std::fmt::{Display, Formatter};
 use thiserror::Error;
 
-/// An error with the line of input that led to it.
+/// An error with the line of the input at which it occurred.
 #[derive(Debug, Error)]
 pub struct InputError {
     /// The number of the line, counted from 1; `None` if the error is at the end of the input.
     pub line: Option<usize>,
-    /// The error.
+    /// The cause.
     #[source]
     pub error: AdapterError,
 }
@@ -27,50 +27,50 @@
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
-    #[error("reading standard input: {0}")]
+    #[error("standard input cannot be read: {0}")]
     Input(std::io::Error),
     /// Standard output cannot be written.
-    #[error("writing standard output: {0}")]
+    #[error("standard output cannot be written: {0}")]
     Output(std::io::Error),
-    /// A line is not JSON.
+    /// A line of the input is not JSON.
     #[error("malformed JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// A field of a message, or of the settings in it, is missing or invalid.
     #[error(transparent)]
     Field(#[from] SettingsError),
     /// A batch begins before the previous one has ended.
-    #[error("a batch begins inside another")]
+    #[error("`BEGIN_BATCH` inside a batch, expected `END` first")]
     NestedBatch,
     /// A message is outside a batch.
-    #[error("`{operation}` outside a batch")]
+    #[error("`{operation}` outside a batch, expected `BEGIN_BATCH` first")]
     OutsideBatch {
         /// The message's `op`.
         operation: String,
     },
-    /// A message has an unknown kind.
-    #[error("unknown `op` {operation}")]
+    /// The operation of a message is unknown.
+    #[error("unknown operation: `op` is {operation}")]
     UnknownOperation {
         /// The message's `op`.
         operation: String,
     },
     /// A message is addressed to an instance that was not started or was killed.
-    #[error("event for the unknown instance {0}")]
+    #[error("unknown instance: `who` is {0}, which was not started or was killed")]
     UnknownInstance(u64),
-    /// An announcement refers to a table that was not sent.
-    #[error("`ref` names no table")]
-    UnknownTable,
-    /// An attempt ended in an unknown way.
-    #[error("unknown `result` {0}")]
+    /// An announcement refers to a table of endpoints that was not sent.
+    #[error("unknown table of endpoints: `ref` is {0}")]
+    UnknownTable(u64),
+    /// The outcome of an attempt is unknown.
+    #[error("unknown outcome of an attempt: `result` is {0}")]
     UnknownResult(String),
-    /// A progress update has an unknown kind.
-    #[error("`sort` {sort} with `value` {value} is unknown")]
+    /// The kind of a progress update is unknown, or the reason of a wait.
+    #[error("unknown progress update: `sort` is {sort} and `value` is {value}")]
     UnknownProgress {
         /// The message's `sort`.
         sort: u64,
         /// The message's `value`.
         value: f64,
     },
-    /// The input ended before a batch did.
-    #[error("input ended inside a batch")]
+    /// The input ended inside a batch.
+    #[error("input ended inside a batch, expected `END` first")]
     UnfinishedBatch,
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,6 +1,7 @@
-//! Decodes the simulator's messages to an instance into the scheduler's terms.
+//! Decodes the simulator's messages to an instance into inputs of the scheduler.
 //!
-//! Requests, engines and keys keep the simulator's names here. The instance maps the names to numbers.
+//! The decoded events still contain the simulator's names of requests, engines and keys. The instance maps them to
+//! numbers.
 
 use crate::error::AdapterError;
 use emberflow::{AttemptOutcome, EndpointUpdate, Lifecycle, ProgressUpdate, Usage};
@@ -8,30 +9,30 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// An input of an instance's scheduler.
+/// An input of an instance's scheduler. `engine` and `request` are the simulator's names.
 pub enum Event<'a> {
     /// The endpoint list could not be read.
     EndpointListFailed,
-    /// The rows of a table are the new endpoint list, or changes of the list.
+    /// A table of endpoints, given by its number, is the new endpoint list or contains changes of the list.
     EndpointsChanged { update: EndpointUpdate, table: u64 },
     /// A request has arrived.
-    Accept(Accept<'a>),
+    RequestArrived(ArrivedRequest<'a>),
     /// An attempt has ended.
-    AttemptEnded(AttemptEnd<'a>),
+    AttemptEnded(EndedAttempt<'a>),
     /// An engine has reported the progress of an attempt.
     Progress { request: &'a str, attempt: usize, update: ProgressUpdate },
     /// The client of a request has cancelled it or disconnected.
     ClientLeft { request: &'a str },
     /// The scheduler's wake-up is due.
     Wake,
-    /// An engine has answered a health check.
-    Probed { engine: &'a str, stats: Option<&'a [Value]> },
+    /// An engine has answered a health check, with the figures of its load report if there is one.
+    Probed { engine: &'a str, report_figures: Option<&'a [Value]> },
     /// A message that is not an input of the scheduler.
     Ignored,
 }
 
 /// A request that has arrived.
-pub struct Accept<'a> {
+pub struct ArrivedRequest<'a> {
     /// The request's name.
     pub request: &'a str,
     /// The index of the request class.
@@ -40,18 +41,18 @@
     pub key: Option<&'a str>,
     /// Expected time on one core.
     pub cost: Option<Duration>,
-    /// Expected memory.
+    /// Expected memory, in MB.
     pub memory_mb: Option<f64>,
-    /// Time until the request's deadline.
+    /// Time from the message to the request's deadline.
     pub deadline: Duration,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// The group of tables that the request uses.
+    /// The number of the group of tables that the request uses, if known.
     pub group: Option<u64>,
 }
 
 /// The end of an attempt.
-pub struct AttemptEnd<'a> {
+pub struct EndedAttempt<'a> {
     /// The request's name.
     pub request: &'a str,
     /// The attempt's number within the request, counted from 0.
@@ -62,10 +63,10 @@
     pub outcome: AttemptOutcome,
     /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The work and memory that the attempt used.
+    /// The work and memory that the attempt used; `None` if the message does not say.
     pub usage: Option<Usage>,
-    /// The figures of the engine's load report.
-    pub stats: Option<&'a [Value]>,
+    /// The figures of the engine's load report, in the order of the settings; `None` without a report.
+    pub report_figures: Option<&'a [Value]>,
     /// Whether the request has been answered, by this attempt or before.
     pub request_done: bool,
 }
@@ -74,11 +75,11 @@
 pub struct EndpointRow<'a> {
     /// The engine's name.
     pub engine: &'a str,
-    /// The index of the engine's location.
+    /// The index of the engine's location, counted from 0.
     pub location: usize,
-    /// The index of the engine's kind.
+    /// The index of the engine's kind, counted from 0.
     pub kind: usize,
-    /// The failure domain within the location.
+    /// The number of the failure domain within the location.
     pub cell: u64,
     /// Whether the engine is ready, draining or removed.
     pub lifecycle: Lifecycle,
@@ -86,33 +87,39 @@
     pub launched: Option<Duration>,
 }
 
-/// The values of `sort` in a progress message: a fraction of the work, missing memory in MB, or a wait.
+/// `sort` of a progress message whose `value` is the completed fraction of the work.
 const FRACTION_PROGRESS: u64 = 1;
+/// `sort` of a progress message whose `value` is the missing memory in MB.
 const SPILLING_PROGRESS: u64 = 2;
+/// `sort` of a progress message whose `value` is the reason of a wait.
 const WAITING_PROGRESS: u64 = 3;
-/// The values of `value` in a progress message about a wait.
+/// `value` of a progress message about a wait for memory.
 const WAIT_FOR_MEMORY: f64 = 1.0;
+/// `value` of a progress message about a wait for a bulk load.
 const WAIT_FOR_LOAD: f64 = 2.0;
 
-/// In a field for the usage of an attempt, a millisecond of work counts as much as this number of memory steps.
-const MEMORY_STEPS: u64 = 4096;
-/// Memory of one step, in MB.
-const STEP_MB: u64 = 4;
+/// `usedUp` is the work of an attempt in milliseconds, times this factor, plus the memory in units of
+/// [`USAGE_MEMORY_UNIT_MB`].
+const USAGE_WORK_FACTOR: u64 = 4096;
+/// Unit of the memory in `usedUp`, in MB.
+const USAGE_MEMORY_UNIT_MB: u64 = 4;
 
 impl<'a> Event<'a> {
-    /// Decodes a message whose `op` is `operation`.
+    /// Decodes a message to an instance. `operation` is the message's `op`.
     ///
     /// # Errors
     /// Fails if the operation is unknown, or if a field is missing or invalid.
     pub fn decode(operation: &str, line: Fields<'a>) -> Result<Self, AdapterError> {
         Ok(match operation {
             "ANNOUNCE" => Self::decode_announcement(line)?,
-            "ACCEPT" => Self::Accept(Accept::decode(line)?),
-            "ENDED" => Self::AttemptEnded(AttemptEnd::decode(line)?),
+            "ACCEPT" => Self::RequestArrived(ArrivedRequest::decode(line)?),
+            "ENDED" => Self::AttemptEnded(EndedAttempt::decode(line)?),
             "NOTICE" => Self::decode_progress(line)?,
             "CANCELLED_BY_CLIENT" => Self::ClientLeft { request: line.text("ref")? },
             "BELL" => Self::Wake,
-            "PROBE_DONE" => Self::Probed { engine: line.text("engine")?, stats: stats(line) },
+            "PROBE_DONE" => {
+                Self::Probed { engine: line.text("engine")?, report_figures: report_figures(line) }
+            }
             "INBOX" | "STARTED" => Self::Ignored,
             _ => return Err(AdapterError::UnknownOperation { operation: operation.to_owned() }),
         })
@@ -142,7 +149,7 @@
     }
 }
 
-impl<'a> Accept<'a> {
+impl<'a> ArrivedRequest<'a> {
     fn decode(line: Fields<'a>) -> Result<Self, SettingsError> {
         Ok(Self {
             request: line.text("ref")?,
@@ -157,7 +164,7 @@
     }
 }
 
-impl<'a> AttemptEnd<'a> {
+impl<'a> EndedAttempt<'a> {
     fn decode(line: Fields<'a>) -> Result<Self, AdapterError> {
         Ok(Self {
             request: line.text("ref")?,
@@ -166,14 +173,14 @@
             outcome: attempt_outcome(line.text("result")?)?,
             elapsed: line.time("delaySeenMs")?,
             usage: usage(line),
-            stats: stats(line),
+            report_figures: report_figures(line),
             request_done: line.flag("noMore")?,
         })
     }
 }
 
 impl<'a> EndpointRow<'a> {
-    /// Decodes a row. Paths in errors start at the row.
+    /// Decodes a row of a table. Paths in errors start at the row.
     ///
     /// # Errors
     /// Fails if a field is missing or invalid.
@@ -194,18 +201,17 @@
     }
 }
 
-/// Decodes the work and memory that an attempt used. One number holds the milliseconds of work times [`MEMORY_STEPS`],
-/// plus the memory in steps.
+/// Decodes the work and memory that an attempt used. See [`USAGE_WORK_FACTOR`] for the encoding.
 fn usage(line: Fields<'_>) -> Option<Usage> {
-    let used = line.get_number("usedUp").unwrap_or(0.0) as u64;
-    (used > 0).then(|| Usage {
-        cost: Duration::from_millis(used / MEMORY_STEPS),
-        memory_mb: (used % MEMORY_STEPS * STEP_MB) as f64,
+    let encoded = line.get_number("usedUp").unwrap_or(0.0) as u64;
+    (encoded > 0).then(|| Usage {
+        cost: Duration::from_millis(encoded / USAGE_WORK_FACTOR),
+        memory_mb: (encoded % USAGE_WORK_FACTOR * USAGE_MEMORY_UNIT_MB) as f64,
     })
 }
 
-/// Returns the figures of a load report, in the order of the settings.
-fn stats(line: Fields<'_>) -> Option<&[Value]> {
+/// Returns the figures of a load report, in the order of the settings; `None` if the message has no report.
+fn report_figures(line: Fields<'_>) -> Option<&[Value]> {
     line.get("stats")?.as_array().map(Vec::as_slice)
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The host of all instances, which reads batches of messages and replies at the end of each batch.
+//! Reads batches of messages, passes them to the instances, and replies at the end of each batch.
 
 use crate::error::AdapterError;
 use crate::instance::{Instance, Tables};
@@ -10,10 +10,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The message of the last panic, for the reply to the simulator.
+/// The message of the last panic, which a `FAULT` message reports to the simulator.
 static LAST_PANIC: Mutex<String> = Mutex::new(String::new());
 
-/// Installs a hook that stores and prints the message of each panic.
+/// Installs a panic hook that stores the message in [`LAST_PANIC`] and prints it.
 pub fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("{panic}");
@@ -26,25 +26,27 @@
 /// The batch of messages that is being read.
 #[derive(Clone, Copy)]
 struct Batch {
-    /// The time of all messages in the batch.
+    /// The time of all messages in the batch, on the simulator's clock.
     now: Duration,
-    /// The batch's number, which the reply repeats.
+    /// The number of the batch, which the reply repeats.
     frame: u64,
 }
 
-/// All instances, and the reply to the current batch.
+/// All instances, with the current batch and its reply.
 #[derive(Default)]
 pub struct Host {
-    /// By the simulator's numbers.
+    /// Instances by the simulator's numbers.
     instances: BTreeMap<u64, Instance>,
+    /// All tables that were sent, for all instances.
     tables: Tables,
+    /// `None` between two batches.
     batch: Option<Batch>,
-    /// The reply to the current batch.
+    /// The actions of the current batch, as lines.
     reply: Vec<u8>,
-    /// The instance that panicked in the current batch.
+    /// The first instance that panicked in the current batch.
     panicked: Option<u64>,
-    /// The warnings that were printed. Each is printed once.
-    warnings: BTreeSet<String>,
+    /// The warnings that were printed, so that each is printed only once.
+    printed_warnings: BTreeSet<String>,
 }
 
 impl Host {
@@ -77,7 +79,8 @@
         if self.batch.is_some() { Err(AdapterError::UnfinishedBatch) } else { Ok(()) }
     }
 
-    /// Passes a message to its instance. After a panic, skips the rest of the batch.
+    /// Passes a message to its instance. After a panic in the batch, skips the message, since the reply will only
+    /// contain the fault.
     fn handle_event(&mut self, operation: &str, line: Fields<'_>, now: Duration) -> Result<(), AdapterError> {
         let number = line.unsigned("who")?;
         if self.panicked.is_some() {
@@ -86,7 +89,7 @@
         if operation == "NEW_INSTANCE" {
             self.warn_about_unknown_figures(line)?;
         }
-        match catch_unwind(AssertUnwindSafe(|| self.dispatch(operation, number, line, now))) {
+        match catch_unwind(AssertUnwindSafe(|| self.handle_instance_message(operation, number, line, now))) {
             Ok(result) => result,
             Err(_) => {
                 self.panicked = Some(number);
@@ -95,7 +98,8 @@
         }
     }
 
-    fn dispatch(
+    /// Starts or kills the instance with this number, or passes the message to it.
+    fn handle_instance_message(
         &mut self,
         operation: &str,
         number: u64,
@@ -119,9 +123,9 @@
     /// Prints a warning for each unknown figure of the load report, once for all instances.
     fn warn_about_unknown_figures(&mut self, line: Fields<'_>) -> Result<(), AdapterError> {
         for unknown in unknown_load_report_names(line.object("params")?)? {
-            let unknown = unknown.to_string();
-            if self.warnings.insert(unknown.clone()) {
-                eprintln!("emberflow-simulator-adapter: {unknown} (ignored)");
+            let warning = unknown.to_string();
+            if self.printed_warnings.insert(warning.clone()) {
+                eprintln!("emberflow-simulator-adapter: {warning} (ignored)");
             }
         }
         Ok(())
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::action_writer::ActionWriter;
 use crate::error::AdapterError;
-use crate::event::{Accept, AttemptEnd, EndpointRow, Event};
+use crate::event::{ArrivedRequest, EndedAttempt, EndpointRow, Event};
 use crate::names::{NameTable, Names};
 use emberflow::{
     Arrival, AttemptEnded, Endpoint, EndpointUpdate, EngineId, KeyId, LoadReport, RequestId, Scheduler,
@@ -16,22 +16,22 @@
 use std::convert::Infallible;
 use std::time::Duration;
 
-/// Rows of endpoints, by the number of the table.
+/// Tables of endpoints, by the simulator's numbers. The rows of a table are not decoded.
 pub type Tables = HashMap<u64, Vec<Value>>;
 
-/// A router instance.
+/// A router instance of the simulation.
 pub struct Instance {
     /// The simulator's number of the instance.
     number: u64,
     scheduler: Scheduler,
-    /// The names of the figures in a load report, in their order.
+    /// The names of the figures in the engines' load reports, in the order of the figures.
     load_report_names: Vec<String>,
     clients_mark_retries: bool,
     names: Names,
 }
 
 impl Instance {
-    /// Creates an instance with the settings of a `NEW_INSTANCE` message.
+    /// Creates an instance with the settings and the seed of a `NEW_INSTANCE` message.
     ///
     /// # Errors
     /// Fails if a setting is missing or invalid.
@@ -61,37 +61,37 @@
     ) -> Result<(), AdapterError> {
         match Event::decode(operation, line)? {
             Event::EndpointListFailed => {
-                let (scheduler, mut actions) = self.split(now, reply);
+                let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
                 scheduler.endpoint_list_failed(now, &mut actions);
             }
             Event::EndpointsChanged { update, table } => {
-                let rows = tables.get(&table).ok_or(AdapterError::UnknownTable)?;
+                let rows = tables.get(&table).ok_or(AdapterError::UnknownTable(table))?;
                 self.endpoints_changed(update, rows, now, reply)?;
             }
-            Event::Accept(accept) => self.accept(accept, now, reply),
+            Event::RequestArrived(request) => self.accept(request, now, reply),
             Event::AttemptEnded(end) => self.attempt_ended(end, now, reply),
             Event::Progress { request, attempt, update } => {
                 let Some(request) = self.known_request(request) else { return Ok(()) };
-                let (scheduler, mut actions) = self.split(now, reply);
+                let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
                 scheduler.progress_updated(now, request, attempt, update, &mut actions);
             }
             Event::ClientLeft { request } => {
                 let Some(request) = self.known_request(request) else { return Ok(()) };
-                let (scheduler, mut actions) = self.split(now, reply);
+                let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
                 scheduler.clients_left(now, &[request], &[], &mut actions);
             }
             Event::Wake => {
-                let (scheduler, mut actions) = self.split(now, reply);
+                let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
                 scheduler.wake(now, &mut actions);
             }
-            Event::Probed { engine, stats } => self.probed(engine, stats, now, reply),
+            Event::Probed { engine, report_figures } => self.probed(engine, report_figures, now, reply),
             Event::Ignored => {}
         }
         Ok(())
     }
 
-    /// Returns the scheduler and a writer for its actions.
-    fn split<'a>(
+    /// Returns the scheduler, and a writer that appends the scheduler's actions to `reply`.
+    fn scheduler_and_writer<'a>(
         &'a mut self,
         now: Duration,
         reply: &'a mut Vec<u8>,
@@ -101,7 +101,7 @@
     }
 
     fn known_request(&self, name: &str) -> Option<RequestId> {
-        self.names.requests.known(name).map(RequestId::from_index)
+        self.names.requests.get(name).map(RequestId::from_index)
     }
 
     fn endpoints_changed(
@@ -112,37 +112,37 @@
         reply: &mut Vec<u8>,
     ) -> Result<(), AdapterError> {
         let endpoints = endpoints(rows, &mut self.names.engines)?;
-        let (scheduler, mut actions) = self.split(now, reply);
+        let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
         scheduler.endpoints_changed(now, update, endpoints, &mut actions);
         Ok(())
     }
 
-    fn probed(&mut self, engine: &str, stats: Option<&[Value]>, now: Duration, reply: &mut Vec<u8>) {
-        let engine = EngineId(self.names.engines.number(engine));
-        let load_report = load_report(&self.load_report_names, stats);
-        let (scheduler, mut actions) = self.split(now, reply);
+    fn probed(&mut self, engine: &str, report_figures: Option<&[Value]>, now: Duration, reply: &mut Vec<u8>) {
+        let engine = EngineId(self.names.engines.get_or_assign(engine));
+        let load_report = load_report(&self.load_report_names, report_figures);
+        let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
         scheduler.probed(now, engine, load_report, &mut actions);
     }
 
-    fn accept(&mut self, accept: Accept<'_>, now: Duration, reply: &mut Vec<u8>) {
+    fn accept(&mut self, arrived: ArrivedRequest<'_>, now: Duration, reply: &mut Vec<u8>) {
         let arrival = Arrival {
-            request: RequestId::from_index(self.names.requests.number(accept.request)),
-            class: accept.class,
-            key: accept.key.map(|key| KeyId::from_index(self.names.keys.number(key))),
-            cost: accept.cost,
-            memory_mb: accept.memory_mb,
-            deadline: accept.deadline,
+            request: RequestId::from_index(self.names.requests.get_or_assign(arrived.request)),
+            class: arrived.class,
+            key: arrived.key.map(|key| KeyId::from_index(self.names.keys.get_or_assign(key))),
+            cost: arrived.cost,
+            memory_mb: arrived.memory_mb,
+            deadline: arrived.deadline,
             waited: Duration::ZERO,
-            is_retry: self.clients_mark_retries.then_some(accept.is_retry),
-            group: accept.group,
+            is_retry: self.clients_mark_retries.then_some(arrived.is_retry),
+            group: arrived.group,
         };
-        let (scheduler, mut actions) = self.split(now, reply);
+        let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
         scheduler.accept(now, arrival, &mut actions);
     }
 
-    fn attempt_ended(&mut self, end: AttemptEnd<'_>, now: Duration, reply: &mut Vec<u8>) {
-        // Numbers are assigned at the first mention, so that the engine gets one even if the request is unknown.
-        let engine = EngineId(self.names.engines.number(end.engine));
+    fn attempt_ended(&mut self, end: EndedAttempt<'_>, now: Duration, reply: &mut Vec<u8>) {
+        // The engine must get its number even if the request is unknown: numbers follow the order of the first use.
+        let engine = EngineId(self.names.engines.get_or_assign(end.engine));
         let Some(request) = self.known_request(end.request) else { return };
         let ended = AttemptEnded {
             request,
@@ -151,10 +151,10 @@
             outcome: end.outcome,
             elapsed: end.elapsed,
             usage: end.usage,
-            load_report: load_report(&self.load_report_names, end.stats),
+            load_report: load_report(&self.load_report_names, end.report_figures),
             request_done: end.request_done,
         };
-        let (scheduler, mut actions) = self.split(now, reply);
+        let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
         scheduler.attempt_ended(now, ended, &mut actions);
     }
 }
@@ -165,7 +165,7 @@
     for row in rows {
         let row = EndpointRow::decode(row)?;
         endpoints.push(Endpoint {
-            engine: EngineId(engines.number(row.engine)),
+            engine: EngineId(engines.get_or_assign(row.engine)),
             location: row.location,
             kind: row.kind,
             cell: row.cell,
@@ -176,13 +176,13 @@
     Ok(endpoints)
 }
 
-/// Decodes a load report, whose figures are in the order of `report_names`. Returns `None` if the message has no
-/// report.
-fn load_report(report_names: &[String], stats: Option<&[Value]>) -> Option<LoadReport> {
-    let stats = stats?;
+/// Builds a load report from its figures, which are in the order of `report_names`. Returns `None` if the message has
+/// no report.
+fn load_report(report_names: &[String], report_figures: Option<&[Value]>) -> Option<LoadReport> {
+    let report_figures = report_figures?;
     let figure = |accepted_names: &[&str]| {
         let index = report_names.iter().position(|name| accepted_names.contains(&name.as_str()));
-        Ok::<_, Infallible>(index.and_then(|index| stats.get(index)?.as_f64()))
+        Ok::<_, Infallible>(index.and_then(|index| report_figures.get(index)?.as_f64()))
     };
     let Ok(report) = build_load_report(figure);
     Some(report)
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs many router instances on the simulator's wire. Messages are read from standard input, one JSON object on each
-//! line, and actions are written to standard output. All decisions are the scheduler's.
+//! Runs one scheduler for each router instance of a simulator. The adapter reads the simulator's messages from standard
+//! input, one JSON object on each line, and writes the schedulers' actions to standard output in the same form.
 
 mod action_writer;
 mod error;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Handles all input up to the first error.
+/// Handles all lines of standard input; stops at the first error.
 fn run() -> Result<(), InputError> {
     let mut host = Host::default();
     let mut output = std::io::stdout().lock();
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,8 +1,8 @@
-//! Tables that map the simulator's names to numbers.
+//! Tables that map the simulator's names to the numbers by which the scheduler identifies requests, engines and keys.
 
 use std::collections::HashMap;
 
-/// The names that one instance has used.
+/// The names in the messages to one instance.
 #[derive(Default)]
 pub struct Names {
     /// Names of requests.
@@ -13,7 +13,7 @@
     pub keys: NameTable,
 }
 
-/// Names with numbers, in the order of their first use.
+/// Names with numbers. Numbers are assigned from 0 in the order in which the names are first used.
 #[derive(Default)]
 pub struct NameTable {
     numbers: HashMap<String, usize>,
@@ -22,8 +22,8 @@
 
 impl NameTable {
     /// Returns the number of a name. A new name gets the next number.
-    pub fn number(&mut self, name: &str) -> usize {
-        if let Some(number) = self.known(name) {
+    pub fn get_or_assign(&mut self, name: &str) -> usize {
+        if let Some(number) = self.get(name) {
             return number;
         }
         let number = self.names.len();
@@ -32,12 +32,12 @@
         number
     }
 
-    /// Returns the number of a name that was used before.
-    pub fn known(&self, name: &str) -> Option<usize> {
+    /// Returns the number of a name; `None` if the name was not used before.
+    pub fn get(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
-    /// Returns the name with a number. Panics if the number was not assigned.
+    /// Returns the name that has this number. Panics if the number was not assigned.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
--- a/crates/simulator-adapter/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -1,5 +1,6 @@
-//! Guards the adapter's behaviour against changes of its code: runs with valid input from seeds, and one digest of all
-//! bytes of output. The input reacts to the previous output, so that attempts end and requests are retried.
+//! Guards against unintended changes of the adapter's behaviour: feeds the adapter pseudo-random valid input, and
+//! compares a digest of all output with the expected one. The input reacts to earlier output, so that attempts end and
+//! requests are retried.
 
 use expect_test::expect;
 use serde_json::{Value, json};
@@ -14,9 +15,10 @@
 const ENGINES: u64 = 5;
 /// An engine whose attempts end only when they are cancelled or time out.
 const UNRESPONSIVE_ENGINE: &str = "e:1";
-const REPORTED: [&str; 6] = ["busy", "rif", "q", "x0", "x1", "qps"];
+/// Names of the figures in the engines' load reports.
+const REPORT_FIGURES: [&str; 6] = ["busy", "rif", "q", "x0", "x1", "qps"];
 
-/// How often messages and actions must occur, so that the digest covers them.
+/// Minimum number of messages and actions by kind, so that the digest covers each kind.
 const MINIMUM_COUNTS: [(&str, u64); 24] = [
     ("ACCEPT", 1000),
     ("ANNOUNCE broken", 50),
@@ -48,7 +50,7 @@
 struct SplitMix64(u64);
 
 impl SplitMix64 {
-    fn number(&mut self) -> u64 {
+    fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -56,7 +58,7 @@
     }
 
     fn below(&mut self, end: u64) -> u64 {
-        self.number() % end.max(1)
+        self.next_u64() % end.max(1)
     }
 
     fn one_in(&mut self, count: u64) -> bool {
@@ -68,12 +70,12 @@
     }
 }
 
-/// The digest of all runs' output, and the lines of their input and output by kind.
+/// The digest of the output of all runs, and the number of lines of input and output by kind.
 #[derive(Default)]
 struct Record {
     digest: Sha256,
-    messages: BTreeMap<String, u64>,
-    actions: BTreeMap<String, u64>,
+    message_counts: BTreeMap<String, u64>,
+    action_counts: BTreeMap<String, u64>,
 }
 
 /// An attempt that is in flight.
@@ -82,11 +84,13 @@
     request: String,
     number: u64,
     engine: String,
-    sent_ms: f64,
-    abandon_ms: f64,
+    sent_at_ms: f64,
+    /// The time after which the router abandons the attempt.
+    abandon_at_ms: f64,
     cancelled: bool,
 }
 
+/// A run of the adapter, with the engines and clients that it is connected to.
 struct Simulation<'a> {
     random: SplitMix64,
     record: &'a mut Record,
@@ -97,22 +101,26 @@
     /// Lines of the batch that is being built.
     batch: String,
     attempts: Vec<Attempt>,
-    /// The number of attempts, by instance and request.
+    /// The number of attempts that were sent, by instance and request.
     attempt_counts: BTreeMap<(u64, String), u64>,
-    /// Requests without a final answer.
+    /// Requests without a final answer: the instance and the request.
     unanswered: Vec<(u64, String)>,
-    /// The times at which instances are to be woken, with their numbers.
+    /// Wake-ups that were requested: the time in milliseconds, and the instance.
     wakes: Vec<(f64, u64)>,
     /// Health checks that were requested: the instance and the engine.
     probes: Vec<(u64, String)>,
+    /// Instances that wait for the next endpoint list.
     subscribers: Vec<u64>,
-    requests: u64,
-    tables: u64,
+    /// Number of requests that were sent.
+    request_count: u64,
+    /// Number of tables of endpoints that were sent.
+    table_count: u64,
 }
 
+/// Returns the settings of an instance, which depend on the seed so that the runs cover most features.
 fn settings(random: &mut SplitMix64, seed: u64) -> Value {
-    let class = |repeat: &str, latency_objective: f64| {
-        json!({"deadlineMs": latency_objective * 4.0, "gain": 1, "lateShare": 0.1, "onTimeMs": latency_objective, "repeat": repeat,
+    let class = |repeat: &str, objective_ms: f64| {
+        json!({"deadlineMs": objective_ms * 4.0, "gain": 1, "lateShare": 0.1, "onTimeMs": objective_ms, "repeat": repeat,
             "keyScope": "cell", "windowMs": 300.0, "keepOrder": repeat == "by_key" && seed.is_multiple_of(2)})
     };
     let caps = json!({"cancel": !seed.is_multiple_of(5), "maxRetryAfterMs": 100.0, "mostTries": 1 + random.below(3),
@@ -126,7 +134,7 @@
     json!({"caps": caps, "domain": domain, "discovery": discovery,
         "categories": [class("repeatable", 100.0), class("once", 150.0), class("by_key", 120.0),
             class("repeatable", 300.0)],
-        "instances": INSTANCES, "myZone": 0, "report": {"how": how, "names": REPORTED},
+        "instances": INSTANCES, "myZone": 0, "report": {"how": how, "names": REPORT_FIGURES},
         "rules": {"fallMs": 200.0, "overloadFactor": 2.5, "startCapacity": 0.3, "warmUpMs": 300.0,
             "countedOverMs": 500.0, "spareAttempts": 3, "extraPerRequest": 0.3},
         "clientHabits": {"marksRetry": seed.is_multiple_of(2)},
@@ -157,8 +165,8 @@
             wakes: Vec::new(),
             probes: Vec::new(),
             subscribers: Vec::new(),
-            requests: 0,
-            tables: 0,
+            request_count: 0,
+            table_count: 0,
         }
     }
 
@@ -189,7 +197,7 @@
         self.announce(instance);
     }
 
-    /// Kills an instance with all its attempts, and starts another in its place.
+    /// Kills an instance with all its attempts, and starts a new one with the same number.
     fn restart(&mut self, instance: u64, seed: u64) {
         self.send(json!({"op": "KILLED", "who": instance}));
         self.attempts.retain(|attempt| attempt.instance != instance);
@@ -201,7 +209,7 @@
     }
 
     fn send(&mut self, line: Value) {
-        *self.record.messages.entry(kind_of(&line)).or_default() += 1;
+        *self.record.message_counts.entry(kind_of(&line)).or_default() += 1;
         self.batch += &format!("{line}\n");
     }
 
@@ -219,7 +227,7 @@
             self.record.digest.update(&line);
             let action: Value = serde_json::from_str(&line).expect("the adapter writes JSON");
             assert_ne!(action["op"], "FAULT", "{action} after {lines}");
-            *self.record.actions.entry(kind_of(&action)).or_default() += 1;
+            *self.record.action_counts.entry(kind_of(&action)).or_default() += 1;
             if action["op"] == "READY" {
                 return;
             }
@@ -263,20 +271,21 @@
         let number = *attempt_count;
         *attempt_count += 1;
         if number > 0 {
-            *self.record.actions.entry("sent again".into()).or_default() += 1;
+            *self.record.action_counts.entry("sent again".into()).or_default() += 1;
         }
         self.attempts.push(Attempt {
             instance,
             request,
             number,
             engine,
-            sent_ms: self.now_ms,
-            abandon_ms: action["abandonAtMs"].as_f64().expect("a time"),
+            sent_at_ms: self.now_ms,
+            abandon_at_ms: action["abandonAtMs"].as_f64().expect("a time"),
             cancelled: false,
         });
     }
 
-    /// Announces the endpoint list to subscribers, wakes instances and ends attempts whose time is up.
+    /// Announces the endpoint list to subscribers, wakes the instances whose wake-up is due, and ends the attempts that
+    /// the router has abandoned.
     fn deliver_due(&mut self) {
         for instance in std::mem::take(&mut self.subscribers) {
             self.announce(instance);
@@ -285,16 +294,15 @@
         let due: Vec<u64> =
             self.wakes.extract_if(.., |(at, _)| *at <= now_ms).map(|(_, instance)| instance).collect();
         due.into_iter().for_each(|instance| self.send(json!({"op": "BELL", "who": instance, "keyBack": 0})));
-        // Attempts end at the time after which the router abandons them.
-        while let Some(at) = self.attempts.iter().position(|attempt| attempt.abandon_ms <= now_ms) {
+        while let Some(at) = self.attempts.iter().position(|attempt| attempt.abandon_at_ms <= now_ms) {
             self.end_attempt(at, "timed_out");
         }
     }
 
     fn answer_probes(&mut self) {
         for (instance, engine) in std::mem::take(&mut self.probes) {
-            let stats = self.stats();
-            self.send(json!({"op": "PROBE_DONE", "who": instance, "engine": engine, "stats": stats}));
+            let load_report = self.load_report();
+            self.send(json!({"op": "PROBE_DONE", "who": instance, "engine": engine, "stats": load_report}));
         }
     }
 
@@ -319,8 +327,8 @@
 
     fn accept(&mut self) {
         let instance = self.random.below(INSTANCES);
-        let request = format!("t/{}", self.requests);
-        self.requests += 1;
+        let request = format!("t/{}", self.request_count);
+        self.request_count += 1;
         let mut line = json!({"op": "ACCEPT", "who": instance, "ref": request, "qos": self.random.below(4),
             "graceMs": self.random.pick(&[60.0, 240.0, 400.0, 1200.0]), "repeat": self.random.one_in(4)});
         if !self.random.one_in(4) {
@@ -351,22 +359,23 @@
     }
 
     fn end_attempt(&mut self, at: usize, result: &str) {
-        let Attempt { instance, request, number, engine, sent_ms, .. } = self.attempts.remove(at);
+        let Attempt { instance, request, number, engine, sent_at_ms, .. } = self.attempts.remove(at);
         let unanswered = (instance, request.clone());
         let request_done = !self.unanswered.contains(&unanswered);
         let mut line = json!({"op": "ENDED", "who": instance, "ref": request, "hop": number, "engine": engine,
-            "result": result, "delaySeenMs": self.now_ms - sent_ms, "noMore": request_done});
+            "result": result, "delaySeenMs": self.now_ms - sent_at_ms, "noMore": request_done});
         if result == "success" {
             self.unanswered.retain(|other| *other != unanswered);
             line["usedUp"] = json!(self.random.below(60) * 4096 + self.random.below(400));
         }
         if !self.random.one_in(3) {
-            line["stats"] = self.stats();
+            line["stats"] = self.load_report();
         }
         self.send(line);
     }
 
-    fn stats(&mut self) -> Value {
+    /// Returns random figures in the order of [`REPORT_FIGURES`].
+    fn load_report(&mut self) -> Value {
         let busy = self.random.below(100) as f64 / 100.0;
         let memory = self.random.below(100) as f64 / 100.0;
         json!([busy, self.random.below(9), self.random.below(5), memory, 0.25, 17])
@@ -392,13 +401,14 @@
         self.send(json!({"op": "CANCELLED_BY_CLIENT", "who": instance, "ref": request}));
     }
 
-    /// Announces the complete endpoint list, changes of it, or that it cannot be read.
+    /// Announces the complete endpoint list, changes of the list, or that the list cannot be read. The first
+    /// announcements contain all engines as healthy.
     fn announce(&mut self, instance: u64) {
-        let first = self.tables < INSTANCES;
+        let first = self.table_count < INSTANCES;
         let mode =
             if first { "stale_copy" } else { self.random.pick(&["stale_copy", "patch", "patch", "broken"]) };
-        let table = self.tables;
-        self.tables += 1;
+        let table = self.table_count;
+        self.table_count += 1;
         let mut rows = Vec::new();
         for engine in 0..ENGINES {
             if first || !self.random.one_in(3) {
@@ -414,7 +424,7 @@
     }
 }
 
-/// Returns the kind of a line, by its operation, result and mode.
+/// Returns the kind of a line: its operation, with the result or the mode if it has one.
 fn kind_of(line: &Value) -> String {
     let words = ["op", "result", "mode"].iter().filter_map(|name| line[name].as_str());
     words.collect::<Vec<_>>().join(" ")
@@ -424,13 +434,13 @@
 fn the_digest_of_the_output_is_unchanged() {
     let mut record = Record::default();
     (0..RUNS).for_each(|seed| Simulation::new(seed, &mut record).run(seed));
-    let Record { digest, messages, actions } = record;
+    let Record { digest, message_counts, action_counts } = record;
     for (kind, minimum) in MINIMUM_COUNTS {
-        let times = actions.get(kind).or(messages.get(kind)).copied().unwrap_or_default();
-        assert!(times >= minimum, "only {times} times: {kind}");
+        let count = action_counts.get(kind).or(message_counts.get(kind)).copied().unwrap_or_default();
+        assert!(count >= minimum, "{kind} occurred {count} times, expected at least {minimum}");
     }
-    let lines = |kinds: BTreeMap<String, u64>| -> String {
-        kinds.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect()
+    let lines = |counts: BTreeMap<String, u64>| -> String {
+        counts.iter().map(|(kind, count)| format!("{kind}: {count}\n")).collect()
     };
     let digest: String = digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
     expect![[r#"
@@ -468,5 +478,5 @@
         sent again: 807
         ea7c33236761dac4772577de124cbb1654efa65205b4b0b9d83910491fb3f054
     "#]]
-    .assert_eq(&format!("{}\n{}{digest}\n", lines(messages), lines(actions)));
+    .assert_eq(&format!("{}\n{}{digest}\n", lines(message_counts), lines(action_counts)));
 }
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -1,9 +1,10 @@
-//! The adapter's output, messages and exit status for invalid input and for a short batch.
+//! The adapter's output, error messages and exit status for a short batch and for invalid input.
 
 use expect_test::expect;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Runs the adapter on `input`; returns its output, its error messages and whether it succeeded.
 fn run(input: &str) -> String {
     let adapter = Command::new(env!("CARGO_BIN_EXE_emberflow-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -28,16 +29,17 @@
 "report":{"how":"none","names":[]},"rules":{"fallMs":1000.0,"overloadFactor":2.5,"startCapacity":0.3,"warmUpMs":9.0},
 "tenants":[],"tickMs":5.0,"unheard":{"of":1}}"#;
 
-/// Starts an instance with each of these settings.
-fn start_instances(params: &[String]) -> String {
+/// Runs a batch that starts one instance with each of these settings.
+fn start_instances(settings_of_instances: &[String]) -> String {
     let line = |(who, settings): (usize, &String)| {
         format!(r#"{{"op":"NEW_INSTANCE","who":{who},"rngSeed":5,"params":{}}}"#, settings.replace('\n', ""))
             + "\n"
     };
-    let lines: String = params.iter().enumerate().map(line).collect();
+    let lines: String = settings_of_instances.iter().enumerate().map(line).collect();
     run(&format!("{{\"op\":\"BEGIN_BATCH\",\"atTimeMs\":10.0,\"frame\":1}}\n{lines}{{\"op\":\"END\"}}\n"))
 }
 
+/// Runs a batch that starts instance 3, announces one engine, and contains `events`.
 fn run_batch(events: &str) -> String {
     let params = PARAMS.replace('\n', "");
     run(&format!(
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn a_request_is_sent_and_the_end_of_input_is_clean() {
+fn a_request_is_sent_and_the_adapter_succeeds_at_the_end_of_input() {
     let accept =
         r#"{"op":"ACCEPT","who":3,"ref":"t/a","estimateMs":12.0,"qos":0,"graceMs":240.0,"needMb":384}"#;
     expect![[r#"
@@ -66,8 +68,8 @@
 }
 
 #[test]
-fn bad_lines_are_reported_by_number_and_nothing_is_written() {
-    let bad = [
+fn invalid_lines_are_reported_by_number_and_nothing_is_written() {
+    let invalid_lines = [
         "{oops",
         r#"{"op":"DANCE","who":3}"#,
         r#"{"op":"ACCEPT","who":3,"ref":"t/a"}"#,
@@ -75,19 +77,19 @@
         r#"{"op":"BELL"}"#,
         r#"{"op":"ENDED","who":3,"ref":"t/a","hop":0,"engine":"e:1","result":"maybe"}"#,
     ];
-    let printed: String = bad.into_iter().map(run_batch).collect();
+    let printed: String = invalid_lines.into_iter().map(run_batch).collect();
     expect![[r#"
         emberflow-simulator-adapter: line 5: malformed JSON: key must be a string at line 1 column 2
         success: false
-        emberflow-simulator-adapter: line 5: unknown `op` DANCE
+        emberflow-simulator-adapter: line 5: unknown operation: `op` is DANCE
         success: false
         emberflow-simulator-adapter: line 5: `qos` is missing
         success: false
-        emberflow-simulator-adapter: line 5: event for the unknown instance 4
+        emberflow-simulator-adapter: line 5: unknown instance: `who` is 4, which was not started or was killed
         success: false
         emberflow-simulator-adapter: line 5: `who` is missing
         success: false
-        emberflow-simulator-adapter: line 5: unknown `result` maybe
+        emberflow-simulator-adapter: line 5: unknown outcome of an attempt: `result` is maybe
         success: false
     "#]]
     .assert_eq(&printed);
@@ -105,7 +107,7 @@
 #[test]
 fn input_that_ends_inside_a_batch_is_an_error() {
     expect![[r#"
-        emberflow-simulator-adapter: input ended inside a batch
+        emberflow-simulator-adapter: input ended inside a batch, expected `END` first
         success: false
     "#]]
     .assert_eq(&run("{\"op\":\"BEGIN_BATCH\",\"atTimeMs\":1,\"frame\":1}\n"));
@@ -124,13 +126,13 @@
     expect![[r#"
         emberflow-simulator-adapter: line 2: `params.rules.fallMs` is missing
         success: false
-        emberflow-simulator-adapter: line 2: `params.categories[0].keyScope` is unknown: galaxy
+        emberflow-simulator-adapter: line 2: `params.categories[0].keyScope` must be one of `all`, `zone`, `cell`, found `galaxy`
         success: false
-        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` needs one element for each kind (1), but has 2
+        emberflow-simulator-adapter: line 2: `params.domain.sizeMb` must have one element for each kind (1), found 2
         success: false
         emberflow-simulator-adapter: line 2: `params.report.names[1]` is not text
         success: false
-        emberflow-simulator-adapter: line 2: `params.tickMs` is not a time in milliseconds above 0
+        emberflow-simulator-adapter: line 2: `params.tickMs` must be a time in milliseconds above 0, found -5.0
         success: false
     "#]]
     .assert_eq(&printed);
@@ -141,7 +143,7 @@
     let params = PARAMS.replace(r#""how":"none","names":[]"#, r#""how":"answers","names":["q","moon"]"#);
     expect![[r#"
         {"frame":1,"op":"READY"}
-        emberflow-simulator-adapter: `params.report.names[1]` is unknown: moon (ignored)
+        emberflow-simulator-adapter: `params.report.names[1]` is not a known figure of a load report: moon (ignored)
         success: true
     "#]]
     .assert_eq(&start_instances(&[params.clone(), params]));
