--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Counters by name. Displayed as `name=count` pairs in the order of the names.
+/// Counters by name. They are displayed as `name=count` pairs in alphabetical order.
 #[derive(Clone, Default)]
 pub struct Counters {
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl Counters {
-    /// Increments a counter.
+    /// Increments the counter with this name, which starts at 0.
     pub fn count(&mut self, name: &'static str) {
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// Checks an invariant. If it does not hold, a debug build panics, and a release build counts and logs the
-    /// violation.
+    /// Records whether an invariant holds. If it does not, a debug build panics, and a release build counts and logs
+    /// the violation under the counter `violation`.
     pub fn check_invariant(&mut self, holds: bool, violation: &'static str) {
         debug_assert!(holds, "{violation}");
         if !holds {
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,8 +1,8 @@
-//! The router without sockets and clock. The server decodes the input of clients, engines and the discovery service,
-//! passes it to the scheduler, and collects the scheduler's decisions as bytes to write and connections to dial or
-//! close.
+//! The router without its sockets and its clock. The server decodes the input of clients, engines and the discovery
+//! service and passes it to the scheduler. The scheduler's decisions become bytes to write and connections to dial or
+//! close, which the owner of the sockets carries out.
 //!
-//! All methods read the time from [`Context::now`], which the caller sets before each call.
+//! All methods read the time from [`Context::now`], which the caller must set before each call.
 
 mod admission;
 mod clients;
@@ -27,12 +27,12 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// A removed client, whose connection the owner of the sockets closes.
+/// A removed client, whose connection the owner of the sockets must close.
 #[derive(Clone)]
 pub struct ClosedClient {
     /// The client's former slot in the table of clients.
     pub slot: Slot,
-    /// Output that was not written yet.
+    /// Output that was not written before the client was removed.
     pub output: Ring,
 }
 
@@ -54,24 +54,24 @@
 #[derive(Clone)]
 pub struct Server {
     scheduler: Scheduler,
-    /// Carries out the scheduler's decisions.
+    /// The clients, engines and open requests, on which the scheduler's decisions are carried out.
     pub dispatcher: Dispatcher,
     /// The receiving side of the discovery service's connection.
     pub discovery: Discovery,
-    /// Clients that were removed and whose sockets the caller has not closed yet.
+    /// Removed clients whose sockets must still be closed. The owner of the sockets takes them from the list.
     pub closed_clients: Vec<ClosedClient>,
     state: ServerState,
-    /// Whether clients may have unread input, as set by the owner of the sockets. Delays the end of a shutdown.
+    /// Whether clients may have unread input, which delays the end of a shutdown. Set by the owner of the sockets.
     pub has_unread_input: bool,
-    /// The longest deadline of any request class.
+    /// The longest deadline of all request classes. It limits the duration of a shutdown.
     longest_deadline: Duration,
     /// The queue in front of the scheduler; `None` if the operator has configured no teams.
     admission_queue: Option<AdmissionQueue>,
-    /// The time for which [`Timer::AdmissionCheck`] is set.
+    /// The time for which [`Timer::AdmissionCheck`] is set; `None` if it is not set.
     admission_timer: Option<Duration>,
-    /// By the index of the request class.
+    /// One element for each request class, by the scheduler's index.
     admission_classes: Vec<AdmissionClass>,
-    /// The longest Retry-After that a client may be given.
+    /// The longest `retry_after` of a rejection; `None` if rejections contain no `retry_after`.
     max_retry_after: Option<Duration>,
 }
 
@@ -118,7 +118,8 @@
         &mut self.dispatcher.context
     }
 
-    /// Handles an expired timer. The caller first reads the socket that the timer is about.
+    /// Handles an expired timer. The caller must first read the socket to which the timer belongs, so that input that
+    /// has arrived in time counts.
     pub fn timer_expired(&mut self, timer: Timer) {
         let now = self.dispatcher.context.now();
         let Dispatcher { engines, context, .. } = &mut self.dispatcher;
@@ -140,7 +141,7 @@
         self.process_events();
     }
 
-    /// Passes all events of attempts to the scheduler, and then queued requests for which there is capacity.
+    /// Passes all events of attempts to the scheduler, and then the queued requests for which there is capacity.
     pub fn process_events(&mut self) {
         self.process_attempt_events();
         while self.admit_next() {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Records a connection on which the engine may still answer an abandoned attempt of the request.
+    /// Records that the engine may still answer an abandoned attempt of the request on this connection.
     fn record_late_connection(&mut self, request: RequestId, connection: Slot) {
         if let Some(request) = self.dispatcher.requests.get_mut(request) {
             request.late_connections.push(connection);
@@ -175,7 +176,7 @@
     fn attempt_ended(&mut self, now: Duration, mut ended: AttemptEnded, body: Option<Vec<u8>>) {
         if let Some(body) = body {
             self.record_cost(&ended);
-            // Has no effect if the client has cancelled the request.
+            // This has no effect if the client has cancelled the request.
             let result = |id| jsonrpc::result_line(id, &body);
             self.dispatcher.answer_request(ended.request, RequestOutcome::Succeeded, result);
         }
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of requests by team: passes requests through the admission queue to the scheduler, and applies changes of
-//! the teams.
+//! Admission of requests by team: queues requests, passes them to the scheduler once there is capacity, and applies
+//! changes of the teams.
 
 use super::Server;
 use super::parameters::TeamParameters;
@@ -11,12 +11,12 @@
 use emberflow_teams::Rejection;
 use std::time::Duration;
 
-/// How many intervals of the scheduler before its deadline a request leaves the queue at the latest. The scheduler
-/// needs the time to answer it.
-const DISPATCH_MARGIN_INTERVALS: u32 = 2;
+/// Time before its deadline at which a request leaves the queue at the latest, as a multiple of the scheduler's margin
+/// for the final answer. The scheduler needs this time to answer the request.
+const DISPATCH_LEAD_MARGINS: u32 = 2;
 
 impl Server {
-    /// Opens an empty admission queue for the teams.
+    /// Creates an empty admission queue for the teams.
     pub(super) fn open_admission_queue(&mut self, teams: TeamConfig, now: Duration) {
         log::info!("admission queue opened: teams={} budgets=full", teams.names.len());
         self.admission_queue = Some(AdmissionQueue::new(teams, now));
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Queues a request. If the queue rejects it, answers the client with the time after which it would be admitted.
+    /// Queues a request. If the queue rejects the request, answers the client with the time after which the request
+    /// would be admitted.
     pub(super) fn enqueue(&mut self, now: Duration, arrival: Arrival, team: TeamParameters, identity: u64) {
         let admission = self.admission_of(&arrival, team, identity);
         let request = arrival.request;
@@ -45,11 +46,12 @@
                 "request rejected by the admission queue: request={request} reason={reason:?} \
                  retry_after={retry_after:?}"
             );
-            let retry_after = self.max_retry_after.map(|longest| retry_after.min(longest));
+            let retry_after = self.max_retry_after.map(|max| retry_after.min(max));
             self.dispatcher.reject(request, retry_after);
         }
     }
 
+    /// Returns the properties of a request on which the admission queue depends.
     fn admission_of(&self, arrival: &Arrival, team: TeamParameters, identity: u64) -> Admission {
         let class = &self.admission_classes[arrival.class];
         Admission {
@@ -59,13 +61,13 @@
             key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
-            margin: self.scheduler.margin() * DISPATCH_MARGIN_INTERVALS,
+            margin: self.scheduler.margin() * DISPATCH_LEAD_MARGINS,
             wants_wait_notices: team.wants_wait_notices,
         }
     }
 
-    /// Settles closed requests, and passes the next queued request to the scheduler if there is capacity for it. If
-    /// there is none, notifies clients of their wait. Returns whether a request was passed on.
+    /// Charges closed requests to their teams, and passes the next queued request to the scheduler if there is capacity
+    /// for it. Otherwise notifies clients of their wait. Returns whether a request was passed on.
     pub(super) fn admit_next(&mut self) -> bool {
         let Some(admission_queue) = &mut self.admission_queue else { return false };
         let now = self.dispatcher.context.now();
@@ -82,6 +84,7 @@
         false
     }
 
+    /// Notifies the clients whose notice is due of their estimated wait.
     fn send_wait_notices(&mut self, now: Duration) {
         let Some(admission_queue) = &mut self.admission_queue else { return };
         for notice in admission_queue.take_wait_notices(now) {
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Sets the timer for the queue's next deadline. Capacity may also become free through time alone, so that the
-    /// timer expires at the latest after one interval of the scheduler.
+    /// Sets the timer for the queue's next deadline. Capacity may also become free without any event, only because time
+    /// passes, so the timer expires at the latest after the scheduler's margin.
     fn schedule_admission_timer(&mut self, now: Duration) {
         let next_deadline = self.admission_queue.as_ref().and_then(AdmissionQueue::next_deadline);
         let due = next_deadline.map(|at| at.min(now + self.scheduler.margin()));
@@ -117,8 +120,8 @@
         }
     }
 
-    /// Applies the teams of a reloaded operator's file. Queued requests stay with their team. If the file has no teams,
-    /// all queued requests are passed to the scheduler.
+    /// Applies the teams of a reloaded operator's file. Queued requests stay with the team of the same name. If the
+    /// file has no teams, all queued requests are passed to the scheduler.
     pub fn apply_teams(&mut self, teams: Option<TeamConfig>) {
         let now = self.dispatcher.context.now();
         match (&mut self.admission_queue, teams) {
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: registers and closes them, reads their lines, and closes cancelled requests.
+//! Connections of clients: registers and closes them, reads their lines, and closes requests that were cancelled.
 
 use super::{ClosedClient, Server};
 use crate::clients::{ClientInput, IdleCheck, ReadOutcome};
@@ -15,18 +15,18 @@
     pub fn accept_client(&mut self) -> Slot {
         let Dispatcher { clients, context, .. } = &mut self.dispatcher;
         let slot = clients.table.next();
-        let due = clients.admit(context.now());
-        context.timers.set(due, Timer::ClientIdleCheck(slot));
+        let check_due = clients.admit(context.now());
+        context.timers.set(check_due, Timer::ClientIdleCheck(slot));
         context.counters.count("clients_admitted");
         slot
     }
 
-    /// Whether a client has an open request with this id.
+    /// Whether a client has an open request with this message id.
     pub fn has_open_request(&self, client: Slot, id: u64) -> bool {
         self.dispatcher.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
     }
 
-    /// Reads and handles the next line of a client; returns whether more input may be available. The input that is read
+    /// Reads and handles the next line of a client. Returns whether more input may be available. The input that is read
     /// now was received at `received_since` at the earliest. `has_failed` returns whether the socket has an error.
     pub fn read_client_line(
         &mut self,
@@ -44,7 +44,7 @@
             ReadOutcome::TooLong => {
                 self.reject_line(slot, RequestError::new(None, RequestErrorKind::LineTooLong))
             }
-            ReadOutcome::EndOfInput => self.clients_departed(Vec::new(), vec![slot]),
+            ReadOutcome::EndOfInput => self.stop_unwanted_work(Vec::new(), vec![slot]),
             ReadOutcome::Closed => {
                 self.close_client(slot, CloseReason::Disconnected);
                 return false;
@@ -54,14 +54,15 @@
         true
     }
 
-    /// Handles a line that was received `waited` ago. Cancellations in the lines behind it take effect first.
+    /// Handles a line that was received `waited` ago. Cancellations in the client's later lines take effect first, so
+    /// that no attempt is sent for a cancelled request.
     fn handle_line(&mut self, slot: Slot, line: &[u8], waited: Duration) {
         let mut cancelled = Vec::new();
         for cancellation in self.dispatcher.clients.new_cancellations(slot) {
             cancelled.extend(self.find_open_request(slot, &cancellation));
         }
         if !cancelled.is_empty() {
-            self.clients_departed(cancelled, Vec::new());
+            self.stop_unwanted_work(cancelled, Vec::new());
         }
         if let Err(error) = self.handle_message(slot, line, waited) {
             self.reject_line(slot, error);
@@ -77,9 +78,9 @@
         self.dispatcher.clients.send_line(slot, &jsonrpc::error_line(id, error.code(), &message, None));
     }
 
-    /// Scans the input of clients, received at `received_since` at the earliest, for cancellations and for the end of
-    /// the input. The caller scans all clients before it handles other events, so that no attempt is sent for a client
-    /// that does not wait any more.
+    /// Scans the unread input of clients, received at `received_since` at the earliest, for cancellations and for the
+    /// end of the input. The caller must scan all clients before it handles other events, so that no attempt is sent
+    /// for a client that no longer waits for the result.
     pub fn scan_clients<R: ClientInput>(
         &mut self,
         received_since: Duration,
@@ -101,13 +102,14 @@
             cancelled.extend(self.remove_client(slot, CloseReason::Disconnected));
         }
         if !cancelled.is_empty() || !ended.is_empty() {
-            self.clients_departed(cancelled, ended);
+            self.stop_unwanted_work(cancelled, ended);
         }
     }
 
-    /// Closes cancelled requests, and stops new work for the clients in `ended`. Those have ended their input and may
-    /// have disconnected: their queued requests are rejected, and their attempts are awaited but not resent.
-    pub(super) fn clients_departed(&mut self, mut cancelled: Vec<RequestId>, ended: Vec<Slot>) {
+    /// Closes the `cancelled` requests, and starts no new work for the clients in `ended`, which have ended their input
+    /// and may have disconnected. Queued requests of those clients are rejected. Their attempts continue, but are not
+    /// resent.
+    pub(super) fn stop_unwanted_work(&mut self, mut cancelled: Vec<RequestId>, ended: Vec<Slot>) {
         let now = self.dispatcher.context.now();
         cancelled
             .retain(|request| self.dispatcher.close_request(*request, RequestOutcome::Cancelled).is_some());
@@ -138,7 +140,7 @@
         requests
     }
 
-    /// Prevents a request's attempts from being written again on another connection.
+    /// Prevents the calls of a request's attempts from being written again on another connection.
     fn forbid_resending(&mut self, request: RequestId) {
         let Dispatcher { requests, engines, context, .. } = &mut self.dispatcher;
         if let Some(request) = requests.get(request) {
@@ -152,7 +154,8 @@
         self.admission_queue.as_ref().is_some_and(|queue| queue.contains(request))
     }
 
-    /// Closes clients that have ended their input and received all answers, and clients that read too slowly.
+    /// Closes clients that have ended their input and received all answers. Closes the slowest readers while the unsent
+    /// output exceeds its limit.
     pub fn close_finished_clients(&mut self) {
         for slot in std::mem::take(&mut self.dispatcher.clients.maybe_finished) {
             if self.dispatcher.clients.is_finished(slot) {
@@ -165,15 +168,15 @@
         }
     }
 
-    /// Closes a client that was idle for too long or stopped within a line; otherwise sets its timer again.
+    /// Closes a client that was idle for too long or left a line incomplete. Otherwise schedules the next check.
     pub(super) fn client_timer_expired(&mut self, slot: Slot, now: Duration) {
         // The event loop has just read the client, which may have closed it.
         if self.dispatcher.clients.table.get(slot).is_none() {
             return;
         }
         match self.dispatcher.clients.check_idle(slot, now) {
-            IdleCheck::CheckAgain(due) => {
-                self.dispatcher.context.timers.set(due, Timer::ClientIdleCheck(slot))
+            IdleCheck::CheckAgain(check_due) => {
+                self.dispatcher.context.timers.set(check_due, Timer::ClientIdleCheck(slot))
             }
             IdleCheck::Stalled => {
                 self.dispatcher.context.counters.count("clients_stalled");
@@ -192,14 +195,14 @@
         let Some(client) = self.dispatcher.clients.table.get(slot) else { return };
         if !final_checks::may_close(reason, client.open.len()) {
             log::error!(
-                "client with open requests not closed: client={slot:?} reason={reason:?} {}",
+                "client not closed, since it has open requests: client={slot:?} reason={reason:?} {}",
                 client.summary()
             );
             return self.dispatcher.context.counters.check_invariant(false, "invariant_violations");
         }
-        let open = self.remove_client(slot, reason);
-        if !open.is_empty() {
-            self.clients_departed(open, Vec::new());
+        let open_requests = self.remove_client(slot, reason);
+        if !open_requests.is_empty() {
+            self.stop_unwanted_work(open_requests, Vec::new());
         }
     }
 
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -11,14 +11,15 @@
 
 /// Number of hexadecimal digits in a request's name.
 const NAME_DIGITS: usize = 16;
-/// Upper limit of numbers from clients, in milliseconds or MB. Estimates must not learn from impossible values.
+/// Upper limit of numbers from clients, in milliseconds or MB. The scheduler's estimates must not be distorted by
+/// impossible values.
 const MAX_NUMBER: f64 = 1e9;
-/// The urgency of ordinary requests.
-const ORDINARY_URGENCY: u8 = 0;
+/// The urgency of a request that does not state one.
+const DEFAULT_URGENCY: u8 = 0;
 /// The highest urgency.
 const MAX_URGENCY: u8 = 3;
 
-/// Errors in a request's parameters. The client receives the text.
+/// Errors in a request's parameters. The texts are part of the protocol: the client receives them.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParameterError {
     #[error(transparent)]
@@ -47,17 +48,17 @@
 pub(super) struct RequestParameters {
     /// The key of requests that may have to run in order.
     pub ordering_key: Option<KeyId>,
-    /// Expected time on one core.
+    /// Expected time on one core; `None` if the client states none.
     pub cost: Option<Duration>,
-    /// Expected memory.
+    /// Expected memory, in MB; `None` if the client states none.
     pub memory_mb: Option<f64>,
-    /// Time from the request to the answer's deadline, in milliseconds.
+    /// Time from the arrival of the request to its deadline, in milliseconds.
     pub deadline_ms: f64,
     /// The key by which engines recognize a repeated request.
     pub idempotency_key: Option<String>,
     /// The statement that engines run.
     pub statement: Vec<u8>,
-    /// The group of tables that the statement reads, if its text names one.
+    /// The group of tables that the statement uses, if its text names one.
     pub table_group: Option<u64>,
     /// Whether the client marks the request as a retry.
     pub is_resent: bool,
@@ -102,18 +103,18 @@
     }
 }
 
-/// The parameters that the admission queue depends on. The operator's file names their fields.
+/// The parameters on which the admission queue depends. The operator's file names the fields that contain them.
 pub(super) struct TeamParameters {
     /// The team's index.
     pub team: usize,
-    /// From 0 for ordinary requests to 3.
+    /// From 0, the default, to [`MAX_URGENCY`].
     pub urgency: u8,
     /// Whether the client subscribes to notices of its wait.
     pub wants_wait_notices: bool,
 }
 
 impl TeamParameters {
-    /// Decodes the fields that the operator's file names.
+    /// Decodes the fields that `teams` names.
     ///
     /// # Errors
     /// Returns the first invalid field.
@@ -123,7 +124,7 @@
             return Err(ParameterError::TeamName { field: teams.team_field.clone() });
         }
         let urgency = match fields.get(&teams.urgency_field) {
-            None => ORDINARY_URGENCY,
+            None => DEFAULT_URGENCY,
             Some(value) => decode_urgency(value)
                 .ok_or_else(|| ParameterError::Urgency { field: teams.urgency_field.clone() })?,
         };
@@ -133,15 +134,15 @@
     }
 }
 
-/// Returns the name by which engines know a request: 16 hexadecimal digits.
+/// Decodes the name by which engines identify a request: 16 hexadecimal digits.
 pub(super) fn request_name<'a>(fields: Fields<'a>) -> Result<&'a str, ParameterError> {
     let name = fields.text("req")?;
     let is_hexadecimal = name.bytes().all(|byte| byte.is_ascii_hexdigit());
     if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::Name) }
 }
 
-/// Returns the number by which the scheduler knows a name. Requests of two names with the same hash only wait for each
-/// other.
+/// Returns the number by which the scheduler identifies a name. If two names have the same hash, their requests only
+/// wait for each other.
 pub(super) fn hash_of(name: &str) -> u32 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
@@ -167,7 +168,7 @@
     }
 }
 
-/// Decodes the mark of a retry, a boolean or 0 or 1.
+/// Decodes whether the client marks the request as a retry. The mark is a boolean, 0 or 1.
 fn resent_flag(fields: Fields<'_>) -> Result<bool, ParameterError> {
     let Some(value) = fields.get("resent") else { return Ok(false) };
     if let Some(flag) = value.as_bool() {
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -11,23 +11,26 @@
 use emberflow_settings::{Fields, from_ms};
 use std::time::Duration;
 
-/// Longer deadlines of clients are shortened to this one.
+/// Maximum deadline of a request. Longer ones are shortened to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-/// Time reserved for the transit of a request and its answer. The protocol extends each deadline by as much on sockets.
+/// Part of each deadline that is reserved for the transit of the request and its answer. For sockets, the protocol
+/// extends each deadline by as much.
 const NETWORK_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// A request's message with undecoded parameters.
+/// The message of a request, whose parameters are not decoded yet.
 struct RequestMessage<'a> {
     client: Slot,
-    /// `None` for a notification.
+    /// The message id; `None` for a notification.
     id: Option<u64>,
+    /// The name of the request class.
     method: &'a str,
+    /// The parameters.
     fields: Fields<'a>,
     /// Time since the message was received.
     waited: Duration,
 }
 
-/// The id, class and name of a request that may be opened.
+/// The message id, class and name of a request that may be opened.
 struct ValidatedRequest<'a> {
     id: u64,
     class: usize,
@@ -38,7 +41,7 @@
     /// Handles a message that was received `waited` ago.
     ///
     /// # Errors
-    /// Returns the error that the client is answered with.
+    /// Returns the error to be sent to the client.
     pub(super) fn handle_message(
         &mut self,
         client: Slot,
@@ -66,7 +69,7 @@
 
     fn cancel_request(&mut self, client: Slot, cancellation: &Cancellation) {
         if let Some(request) = self.find_open_request(client, cancellation) {
-            self.clients_departed(vec![request], Vec::new());
+            self.stop_unwanted_work(vec![request], Vec::new());
         }
     }
 
@@ -81,7 +84,8 @@
         None
     }
 
-    /// Validates and decodes a request, opens it, and passes it to the scheduler or into the admission queue.
+    /// Validates and decodes a request, adds it to the open requests, and passes it to the admission queue, or to the
+    /// scheduler if there is no queue.
     fn handle_request(&mut self, message: RequestMessage<'_>) -> Result<(), RequestError> {
         let now = self.dispatcher.context.now();
         let RequestMessage { client, id, method, fields, waited } = message;
@@ -115,8 +119,9 @@
         Ok(())
     }
 
-    /// Checks a request's class, id and name, and that the limit and the other open requests allow it. Returns `None`
-    /// for a request that needs no answer.
+    /// Checks a request's class, id and name, the limit of open requests of the connection, and that no open request
+    /// has the same id or name. Returns `None` for a request that needs no answer, since the client has cancelled it or
+    /// left.
     fn validate<'a>(
         &mut self,
         message: &RequestMessage<'a>,
@@ -128,7 +133,7 @@
         let Some(client_request_id) = id else { return Err(error(None, RequestErrorKind::RequestWithoutId)) };
         let Some(connection) = self.dispatcher.clients.table.get(client) else { return Ok(None) };
         if connection.open.contains_key(&client_request_id) {
-            // An error with this id would be taken for the answer to the open request.
+            // The client would take an error with this id for the answer to the open request.
             return Err(error(None, RequestErrorKind::IdOpen));
         }
         if connection.open.len() >= MAX_OPEN_REQUESTS {
@@ -139,14 +144,14 @@
         if self.is_cancelled(client, client_request_id, name)? {
             return Ok(None);
         }
-        // Engines identify a request by its name, whichever client sent it.
+        // Engines identify a request by its name alone, so the name must be unique among the requests of all clients.
         if self.dispatcher.requests.is_open(name) {
             return Err(error(id, RequestErrorKind::NameOpen));
         }
         Ok(Some(ValidatedRequest { id: client_request_id, class, name }))
     }
 
-    /// Whether a client has cancelled a request before it was read. Fails if the client has ended its input
+    /// Whether a client has cancelled a request before the request was read. Fails if the client has ended its input
     /// meanwhile, so that no attempt is sent for a client that may have disconnected.
     fn is_cancelled(&mut self, client: Slot, id: u64, name: &str) -> Result<bool, RequestError> {
         let now = self.dispatcher.context.now();
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -10,15 +10,16 @@
 /// Time after SIGTERM during which clients may still connect and send requests. SIGKILL follows SIGTERM after the
 /// longest deadline of any request class, up to [`MAX_COUNTED_DEADLINE`], plus this time.
 const LATE_CLIENT_WINDOW: Duration = Duration::from_millis(700);
-/// Upper limit of the longest deadline in the time from SIGTERM to SIGKILL.
+/// Longest deadline that counts in the time from SIGTERM to SIGKILL.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time reserved for the delivery of the signal and of the last answers.
+/// Time reserved before SIGKILL for the delivery of the SIGTERM and of the last answers.
 const DELIVERY_ALLOWANCE: Duration = Duration::from_millis(150);
 /// Time between two checks whether the process may exit.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Server {
-    /// Begins a graceful shutdown. The process may exit once no request is open, or shortly before SIGKILL.
+    /// Begins a graceful shutdown. The process may exit once no request is open, and exits shortly before SIGKILL at
+    /// the latest.
     pub fn begin_shutdown(&mut self) {
         if self.is_shutting_down() {
             return;
@@ -39,12 +40,12 @@
         self.state != ServerState::Serving
     }
 
-    /// Whether the process may exit.
+    /// Whether the shutdown is complete, so that the process may exit.
     pub fn has_stopped(&self) -> bool {
         matches!(self.state, ServerState::Stopped { .. })
     }
 
-    /// Stops the server if no request is open or the deadline has passed, and schedules the next check.
+    /// Updates whether the process may exit: no request is open, or the deadline has passed. Schedules the next check.
     pub(super) fn check_shutdown(&mut self) {
         let now = self.dispatcher.context.now();
         let is_drained = self.is_idle() && !self.has_unread_input;
@@ -56,7 +57,7 @@
         self.dispatcher.context.timers.set(now + CHECK_INTERVAL, Timer::ShutdownCheck);
     }
 
-    /// Whether no request is open and no output is pending. Unread input of clients is not taken into account.
+    /// Whether no request is open and no output is pending. Clients may still have unread input.
     pub fn is_idle(&self) -> bool {
         let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
         requests.is_empty() && clients.all_sent() && engines.all_written()
--- a/crates/router/src/server/state.rs
+++ b/crates/router/src/server/state.rs
@@ -3,19 +3,19 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// The phases of a server.
+/// The phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerState {
-    /// Serving without a planned end.
+    /// No shutdown has begun.
     Serving,
-    /// Finishing open requests. The process exits at `deadline` at the latest.
+    /// A graceful shutdown has begun, and open requests are finished. The process exits at `deadline` at the latest.
     Draining { deadline: Duration },
     /// The process may exit: no request was open at the last check, or the deadline had passed.
     Stopped { deadline: Duration },
 }
 
 impl ServerState {
-    /// Returns the time at which the process exits at the latest, once a shutdown has begun.
+    /// Returns the time at which the process exits at the latest; `None` before a shutdown.
     pub(super) fn deadline(self) -> Option<Duration> {
         match self {
             Self::Serving => None,
