--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -189,7 +189,7 @@
                 Timer::ConnectionCheck(slot) => {
                     state.engines.connection_check_due(slot, to, &mut state.context)
                 }
-                Timer::AnswerTimeout(slot) => state.engines.reply_overdue(slot, &mut state.context),
+                Timer::ReplyTimeout(slot) => state.engines.reply_overdue(slot, &mut state.context),
                 Timer::ConnectionIdleTimeout(slot) => state.engines.connection_idle(slot, &mut state.context),
                 _ => {}
             }
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -43,9 +43,9 @@
 /// Errors of values that have the right type but are not valid.
 #[derive(Debug, Error)]
 pub(crate) enum FormError {
-    /// A number is out of its range.
+    /// A number is out of its range, or not an integer where one is required.
     #[error("expected {expected}, found {found:?}")]
-    Number { expected: &'static str, found: f64 },
+    InvalidNumber { expected: &'static str, found: f64 },
     /// A name is empty or too long.
     #[error("expected a name of 1 to {max} bytes, found one of {found} bytes", max = MAX_NAME_BYTES)]
     NameLength { found: usize },
--- a/crates/operator/src/forms.rs
+++ b/crates/operator/src/forms.rs
@@ -12,7 +12,7 @@
 /// Returns `value` if it is finite, above 0 and not above `max`. `expected` describes the range in the error.
 fn check_range(value: f64, max: f64, expected: &'static str) -> Result<f64, FormError> {
     let is_valid = value.is_finite() && value > 0.0 && value <= max;
-    if is_valid { Ok(value) } else { Err(FormError::Number { expected, found: value }) }
+    if is_valid { Ok(value) } else { Err(FormError::InvalidNumber { expected, found: value }) }
 }
 
 /// The share of an organization or of a team, as a relative weight.
@@ -54,7 +54,7 @@
         let expected = "seconds from 0.1, up to a year";
         let seconds = check_range(value, MAX_SECONDS, expected)?;
         if seconds < MIN_NOTICE_INTERVAL_S {
-            return Err(FormError::Number { expected, found: value });
+            return Err(FormError::InvalidNumber { expected, found: value });
         }
         Ok(Self(Duration::from_secs_f64(seconds)))
     }
@@ -71,7 +71,7 @@
     fn try_from(value: f64) -> Result<Self, FormError> {
         let limit = check_range(value, MAX_WAITING as f64, "a whole number from 1 to ten million")?;
         if limit.fract() > 0.0 {
-            return Err(FormError::Number { expected: "a whole number", found: value });
+            return Err(FormError::InvalidNumber { expected: "a whole number", found: value });
         }
         Ok(Self(limit as usize))
     }
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -72,35 +72,35 @@
 
 /// Parses the options; the positional arguments must name the command.
 fn parse(mut arguments: lexopt::Parser) -> Result<Command, lexopt::Error> {
-    let mut words = Vec::new();
+    let mut positionals = Vec::new();
     let mut config = None;
     let mut operator = None;
     while let Some(argument) = arguments.next()? {
         match argument {
-            Long("config") if words == ["serve"] && config.is_none() => {
+            Long("config") if positionals == ["serve"] && config.is_none() => {
                 config = Some(arguments.value()?.into());
             }
             Long("operator") if operator.is_none() => operator = Some(arguments.value()?.into()),
             Short('h') | Long("help") => return Ok(Command::Help),
             Short('V') | Long("version") => return Ok(Command::Version),
-            Value(word) => words.push(word),
+            Value(word) => positionals.push(word),
             other => return Err(other.unexpected()),
         }
     }
-    command_of(&words, config, operator)
+    command_of(&positionals, config, operator)
 }
 
 /// Returns the command that the positional arguments name, with its options.
 fn command_of(
-    words: &[OsString],
+    positionals: &[OsString],
     config: Option<PathBuf>,
     operator: Option<PathBuf>,
 ) -> Result<Command, lexopt::Error> {
-    let takes_operator = words.first().is_some_and(|word| word == "serve" || word == "check");
+    let takes_operator = positionals.first().is_some_and(|word| word == "serve" || word == "check");
     if operator.is_some() && !takes_operator {
         return Err("`--operator` is only an option of `serve` and `check`".into());
     }
-    match words {
+    match positionals {
         [word] if word == "serve" => Ok(Command::Serve { config, operator }),
         [word, path] if word == "check" => Ok(Command::Check { config: path.into(), operator }),
         [word] if word == "check" => {
@@ -109,14 +109,14 @@
         [word] if word == "version" => Ok(Command::Version),
         [word] if word == "help" => Ok(Command::Help),
         [] => Err("the command is missing: `serve`, `check`, `version` or `help`".into()),
-        _ => Err(format!("unknown command: {}", words.join(OsStr::new(" ")).to_string_lossy()).into()),
+        _ => Err(format!("unknown command: {}", positionals.join(OsStr::new(" ")).to_string_lossy()).into()),
     }
 }
 
 fn serve(config: Option<PathBuf>, operator: Option<PathBuf>) -> Result<(), ServeError> {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let from_environment = || std::env::var_os("EDGE_CONFIG").map(PathBuf::from);
-    let path = config.or_else(from_environment).ok_or(ConfigError::NoPath)?;
+    let path = config.or_else(from_environment).ok_or(ConfigError::NoConfigFile)?;
     let listen = std::env::var("EDGE_LISTEN").ok();
     RouterLoop::run(move || read_files(&path, operator.as_deref(), listen.as_deref()))
 }
@@ -165,7 +165,7 @@
 }
 
 fn error_in_file(path: &Path, source: ConfigError) -> ConfigError {
-    ConfigError::InFile { path: path.into(), source: Box::new(source) }
+    ConfigError::InvalidFile { path: path.into(), source: Box::new(source) }
 }
 
 fn read_text(path: &Path) -> Result<String, ConfigError> {
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -104,7 +104,7 @@
     pub fn clear_timers(&self, slot: Slot, context: &mut Context) {
         let timers = [
             (self.check_due, Timer::ConnectionCheck(slot)),
-            (self.reply_due, Timer::AnswerTimeout(slot)),
+            (self.reply_due, Timer::ReplyTimeout(slot)),
             (self.idle_due, Timer::ConnectionIdleTimeout(slot)),
         ];
         for (due, timer) in timers {
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -56,7 +56,7 @@
         if connection.reply_due.is_none() && !connection.input.is_empty() {
             let due = context.now() + self.connect_timeout * REPLY_CONNECT_TIMEOUTS;
             connection.reply_due = Some(due);
-            context.timers.set(due, Timer::AnswerTimeout(slot));
+            context.timers.set(due, Timer::ReplyTimeout(slot));
         }
     }
 
@@ -79,7 +79,7 @@
             connection.input.consume(length);
             connection.last_reply_at = context.now();
             if let Some(due) = connection.reply_due.take() {
-                context.timers.clear(due, Timer::AnswerTimeout(slot));
+                context.timers.clear(due, Timer::ReplyTimeout(slot));
             }
             if connection.pass_health_check() {
                 self.schedule_writes(slot, context);
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -10,9 +10,9 @@
 /// Errors of reading a configuration or an operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The command line and the environment name no configuration file.
+    /// Neither the command line nor the environment names a configuration file.
     #[error("no configuration file: neither `--config` nor EDGE_CONFIG is set")]
-    NoPath,
+    NoConfigFile,
     /// A file cannot be read.
     #[error("{}: the file cannot be read: {source}", path.display())]
     Read {
@@ -31,7 +31,7 @@
     },
     /// The configuration file or the operator's file has an invalid value.
     #[error("{}: {source}", path.display())]
-    InFile {
+    InvalidFile {
         /// Path of the file.
         path: PathBuf,
         /// The error of the first invalid value.
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -261,7 +261,7 @@
                 }
             }
             Timer::ConnectionCheck(slot) => self.connection_ready(slot),
-            Timer::AnswerTimeout(slot) => self.read_connection(slot),
+            Timer::ReplyTimeout(slot) => self.read_connection(slot),
             Timer::DiscoveryRedial => self.discovery_timer_expired(),
             Timer::ResumeAccepting => self.resume_accepting(),
             Timer::ShutdownCheck => self.read_before_shutdown(),
--- a/crates/router/src/event_loop/accepting.rs
+++ b/crates/router/src/event_loop/accepting.rs
@@ -121,6 +121,7 @@
     fn pause_accepting(&mut self) {
         let context = self.server.context();
         context.counters.count("accepts_paused");
+        // Clients that were active within this time are not replaced, so a client may be replaceable after the pause.
         context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::ResumeAccepting);
         if let Err(error) = self.loop_handle.disable(&self.listener.token) {
             log::warn!("disabling the listening socket for a pause failed: error={error:?}");
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -127,7 +127,7 @@
             Timer::SchedulerWakeUp => self.scheduler.wake(now, &mut self.dispatcher),
             Timer::AttemptDeadline(slot) => engines.attempt_overdue(slot, context),
             Timer::ConnectionCheck(slot) => engines.connection_check_due(slot, now, context),
-            Timer::AnswerTimeout(slot) => engines.reply_overdue(slot, context),
+            Timer::ReplyTimeout(slot) => engines.reply_overdue(slot, context),
             Timer::ConnectionIdleTimeout(slot) => engines.connection_idle(slot, context),
             Timer::ClientIdleCheck(slot) => self.client_timer_expired(slot, now),
             Timer::ShutdownCheck => self.check_shutdown(),
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -23,21 +23,21 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParameterError {
     #[error(transparent)]
-    Field(#[from] SettingsError),
+    InvalidField(#[from] SettingsError),
     #[error("`{0}` is out of range")]
-    OutOfRange(&'static str),
+    NumberOutOfRange(&'static str),
     #[error("`req` is not 16 hex digits")]
-    Name,
+    RequestName,
     #[error("`opkey` holds more than letters and digits")]
     IdempotencyKey,
     #[error("`timeout` is not above 0")]
-    Deadline,
+    NoDeadline,
     #[error("`data` is not base64")]
-    Encoding,
+    DataNotBase64,
     #[error("`data` is no text")]
-    Statement,
+    DataNotUtf8,
     #[error("`resent` is not 0 or 1")]
-    Resent,
+    RetryMark,
     #[error("`{field}` is over {MAX_NAME_BYTES} bytes")]
     TeamName { field: String },
     #[error("`{field}` is not 0, 1, 2 or 3")]
@@ -75,11 +75,11 @@
             return Err(ParameterError::IdempotencyKey);
         }
         let ordering_key = optional_text(fields, "subject")?.map(|subject| KeyId(hash_of(subject)));
-        let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::Deadline)?;
+        let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::NoDeadline)?;
         let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
         let memory_mb = positive_number(fields, "memory")?;
-        let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::Encoding)?;
-        let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::Statement)?;
+        let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::DataNotBase64)?;
+        let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::DataNotUtf8)?;
         let table_group = statement::table_group(statement_text);
         let is_resent = resent_flag(fields)?;
         Ok(Self {
@@ -138,7 +138,7 @@
 pub(super) fn request_name<'a>(fields: Fields<'a>) -> Result<&'a str, ParameterError> {
     let name = fields.text("req")?;
     let is_hexadecimal = name.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::Name) }
+    if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::RequestName) }
 }
 
 /// Returns the number by which the scheduler identifies a name. If two names have the same hash, their requests only
@@ -163,7 +163,7 @@
 fn positive_number(fields: Fields<'_>, name: &'static str) -> Result<Option<f64>, ParameterError> {
     let value = fields.optional(name, Fields::number)?;
     match value {
-        Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::OutOfRange(name)),
+        Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::NumberOutOfRange(name)),
         value => Ok(value.filter(|value| *value > 0.0)),
     }
 }
@@ -177,6 +177,6 @@
     match value.as_u64() {
         Some(0) => Ok(false),
         Some(1) => Ok(true),
-        _ => Err(ParameterError::Resent),
+        _ => Err(ParameterError::RetryMark),
     }
 }
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -13,8 +13,8 @@
     AttemptDeadline(Slot),
     /// The next check of a connection to an engine: whether it is established, still answers, or needs a health check.
     ConnectionCheck(Slot),
-    /// The time by which an engine's answer that has begun to arrive must be complete, by connection.
-    AnswerTimeout(Slot),
+    /// The time by which an engine's reply that has begun to arrive on a connection must be complete.
+    ReplyTimeout(Slot),
     /// The idle timeout of a connection to an engine.
     ConnectionIdleTimeout(Slot),
     /// The next dial of the discovery service. Each frame that is received postpones it.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -29,7 +29,7 @@
     /// The time of all messages in the batch, on the simulator's clock.
     now: Duration,
     /// The number of the batch, which the reply repeats.
-    frame: u64,
+    number: u64,
 }
 
 /// All instances, with the current batch and its reply.
@@ -60,12 +60,12 @@
         match (line.text("op")?, self.batch) {
             ("BEGIN_BATCH", None) => {
                 let now = line.time("atTimeMs")?;
-                self.batch = Some(Batch { now, frame: line.unsigned("frame")? });
+                self.batch = Some(Batch { now, number: line.unsigned("frame")? });
                 Ok(())
             }
             ("BEGIN_BATCH", Some(_)) => Err(AdapterError::NestedBatch),
             (operation, None) => Err(AdapterError::OutsideBatch { operation: operation.to_owned() }),
-            ("END", Some(batch)) => self.end_batch(batch.frame, output),
+            ("END", Some(batch)) => self.end_batch(batch.number, output),
             ("TABLE", Some(_)) => {
                 self.tables.insert(line.unsigned("ref")?, line.list("items")?.to_vec());
                 Ok(())
@@ -132,13 +132,13 @@
     }
 
     /// Writes the reply: all actions of the batch, or a fault message if an instance panicked.
-    fn end_batch(&mut self, frame: u64, output: &mut impl Write) -> Result<(), AdapterError> {
-        if let Some(number) = self.panicked.take() {
+    fn end_batch(&mut self, batch_number: u64, output: &mut impl Write) -> Result<(), AdapterError> {
+        if let Some(instance) = self.panicked.take() {
             let message = LAST_PANIC.lock().map(|message| message.clone()).unwrap_or_default();
-            let fault = json!({"op": "FAULT", "who": number, "noteText": message});
+            let fault = json!({"op": "FAULT", "who": instance, "noteText": message});
             self.reply = format!("{fault}\n").into();
         }
-        let ready = json!({"op": "READY", "frame": frame});
+        let ready = json!({"op": "READY", "frame": batch_number});
         writeln!(self.reply, "{ready}").expect("writing to memory does not fail");
         output.write_all(&self.reply).and_then(|()| output.flush()).map_err(AdapterError::Output)?;
         self.reply.clear();
