--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -78,14 +78,14 @@
     scheduler(
         "drained engine allowed",
         PLACEMENT,
-        "engine.lifecycle.accepts_requests() && is_placed && in_scope",
-        "is_placed && in_scope",
+        "engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope",
+        "is_allowed_by_class && is_in_key_scope",
     ),
     scheduler(
         "placement ignored",
         PLACEMENT,
-        "engine.lifecycle.accepts_requests() && is_placed && in_scope",
-        "engine.lifecycle.accepts_requests() && in_scope",
+        "engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope",
+        "engine.lifecycle.accepts_requests() && is_in_key_scope",
     ),
     scheduler(
         "non-idempotent sent again",
@@ -103,14 +103,14 @@
     scheduler(
         "key order ignored",
         ORDERING,
-        "key_queue.requests.front() == Some(&id)\n            && key_queue.cooldown",
-        "key_queue.cooldown",
+        "key_queue.requests.front() == Some(&id)\n            && key_queue\n",
+        "key_queue\n",
     ),
     scheduler(
         "key cooldown ignored",
         ORDERING,
-        "cooldown.after == id || cooldown.until <= now",
-        "cooldown.after == id || cooldown.until > Duration::ZERO",
+        "cooldown.exempt_request == id || cooldown.until <= now",
+        "cooldown.exempt_request == id || cooldown.until > Duration::ZERO",
     ),
     scheduler(
         "key cooldown after breaks forgotten",
@@ -140,7 +140,7 @@
     scheduler(
         "no slow start after a launch",
         ENGINE_STATE,
-        "warming_since: row.launched,",
+        "warming_since: row.launched_at,",
         "warming_since: None,",
     ),
     scheduler(
@@ -153,10 +153,15 @@
     scheduler(
         "a queued request answered long after its deadline",
         DEADLINES,
-        "|| soon >= request.deadline\n",
-        "|| soon >= request.deadline + (request.deadline - request.arrived_at)\n",
+        "|| due_by >= request.deadline\n",
+        "|| due_by >= request.deadline + (request.deadline - request.arrived_at)\n",
+    ),
+    scheduler(
+        "answers too late",
+        DEADLINES,
+        "let due_by = now + self.final_answer_lead();",
+        "let due_by = now;",
     ),
-    scheduler("answers too late", DEADLINES, "let soon = now + self.final_answer_lead();", "let soon = now;"),
     scheduler(
         "no wake-up for an attempt in flight",
         DEADLINES,
@@ -186,7 +191,7 @@
     scheduler(
         "the end of the process is ignored",
         DEADLINES,
-        "soon >= self.shutdown_at || request.is_queued()",
+        "due_by >= self.shutdown_at || request.is_queued()",
         "request.is_queued()",
     ),
     Mutant {
@@ -288,7 +293,7 @@
     Mutant {
         name: "the scheduler misses the shutdown",
         file: SERVER_SHUTDOWN,
-        from: "        self.scheduler.shutting_down(now, deadline, &mut self.dispatcher);\n",
+        from: "        self.scheduler.start_shutdown(now, deadline, &mut self.dispatcher);\n",
         to: "",
     },
     Mutant {
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -11,8 +11,8 @@
 use emberflow_teams::Rejection;
 use std::time::Duration;
 
-/// Time before its deadline at which a request leaves the queue at the latest, as a multiple of the scheduler's margin
-/// for the final answer. The scheduler needs this time to answer the request.
+/// Time before its deadline at which a request leaves the queue at the latest, as a multiple of the scheduler's answer
+/// margin. The scheduler needs this time to answer the request.
 const DISPATCH_LEAD_MARGINS: u32 = 2;
 
 impl Server {
@@ -61,7 +61,7 @@
             key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
-            margin: self.scheduler.margin() * DISPATCH_LEAD_MARGINS,
+            margin: self.scheduler.answer_margin() * DISPATCH_LEAD_MARGINS,
             wants_wait_notices: team.wants_wait_notices,
         }
     }
@@ -96,10 +96,10 @@
     }
 
     /// Sets the timer for the queue's next deadline. Capacity may also become free without any event, only because time
-    /// passes, so the timer expires at the latest after the scheduler's margin.
+    /// passes, so the timer expires at the latest after the scheduler's answer margin.
     fn schedule_admission_timer(&mut self, now: Duration) {
         let next_deadline = self.admission_queue.as_ref().and_then(AdmissionQueue::next_deadline);
-        let due = next_deadline.map(|at| at.min(now + self.scheduler.margin()));
+        let due = next_deadline.map(|at| at.min(now + self.scheduler.answer_margin()));
         if due == self.admission_timer {
             return;
         }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -17,12 +17,12 @@
         router_count: settings.count("instances")?,
         home_location: settings.field("myZone")?.as_index(location_count)?,
         kinds: engine_kinds(settings, domain)?,
-        max_grant_share: domain.fraction("largestShare")?,
+        max_grant_fraction: domain.fraction("largestShare")?,
         shrinks_grants: domain.optional("whenShort", shrinks_grants)?.unwrap_or(false),
         honors_priorities: domain.flag("lanesCount")?,
         progress_interval: progress_interval.filter(|interval| !interval.is_zero()),
         reports_only_on_probe: ReportMode::read(settings)? == ReportMode::OnProbe,
-        polls_endpoint_list: settings.one_of("discovery", [("push", false), ("ask", true)])?,
+        must_watch_endpoints: settings.one_of("discovery", [("push", false), ("ask", true)])?,
         tick: settings.positive_time("tickMs")?,
     })
 }
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -48,7 +48,7 @@
             objective_stretch: class.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
             deadline: class.positive_time("deadlineMs")?,
             priority_weight: class.not_negative("gain")?,
-            late_share: class.fraction("lateShare")?,
+            late_weight_fraction: class.fraction("lateShare")?,
             effect: effect(class)?,
             keeps_order: class.optional("keepOrder", Fields::flag)?.unwrap_or(false),
             kinds: class.optional("allowedOn", |class, name| class.indices(name, Some(self.kind_count)))?,
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -45,7 +45,7 @@
         }));
     }
 
-    fn set_terms(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
+    fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.write(json!({
             "op": "PROVIDE",
             "ref": self.request_name(request),
@@ -77,7 +77,7 @@
         self.write(json!({"op": "AFTER", "offsetMs": to_ms(wait), "keyBack": 0}));
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.write(json!({"op": "SUBSCRIBE", "on": true}));
     }
 
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -142,7 +142,7 @@
             (FRACTION_PROGRESS, fraction) => ProgressUpdate::Fraction(fraction),
             (SPILLING_PROGRESS, missing_mb) => ProgressUpdate::Spilling(missing_mb),
             (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressUpdate::WaitingForMemory,
-            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForLoad,
+            (WAITING_PROGRESS, WAIT_FOR_LOAD) => ProgressUpdate::WaitingForBulkLoad,
             (sort, value) => return Err(AdapterError::UnknownProgress { sort, value }),
         };
         Ok(Self::Progress { request, attempt, update })
@@ -205,7 +205,7 @@
 fn usage(line: Fields<'_>) -> Option<Usage> {
     let encoded = line.get_number("usedUp").unwrap_or(0.0) as u64;
     (encoded > 0).then(|| Usage {
-        cost: Duration::from_millis(encoded / USAGE_WORK_FACTOR),
+        work: Duration::from_millis(encoded / USAGE_WORK_FACTOR),
         memory_mb: (encoded % USAGE_WORK_FACTOR * USAGE_MEMORY_UNIT_MB) as f64,
     })
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -121,7 +121,7 @@
         let engine = EngineId(self.names.engines.get_or_assign(engine));
         let load_report = load_report(&self.load_report_names, report_figures);
         let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
-        scheduler.probed(now, engine, load_report, &mut actions);
+        scheduler.probe_ended(now, engine, load_report, &mut actions);
     }
 
     fn accept(&mut self, arrived: ArrivedRequest<'_>, now: Duration, reply: &mut Vec<u8>) {
@@ -129,12 +129,12 @@
             request: RequestId::from_index(self.names.requests.get_or_assign(arrived.request)),
             class: arrived.class,
             key: arrived.key.map(|key| KeyId::from_index(self.names.keys.get_or_assign(key))),
-            cost: arrived.cost,
-            memory_mb: arrived.memory_mb,
+            estimated_work: arrived.cost,
+            estimated_memory_mb: arrived.memory_mb,
             deadline: arrived.deadline,
-            waited: Duration::ZERO,
+            queue_time: Duration::ZERO,
             is_retry: self.clients_mark_retries.then_some(arrived.is_retry),
-            group: arrived.group,
+            table_group: arrived.group,
         };
         let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
         scheduler.accept(now, arrival, &mut actions);
@@ -170,7 +170,7 @@
             kind: row.kind,
             cell: row.cell,
             lifecycle: row.lifecycle,
-            launched: row.launched,
+            launched_at: row.launched,
         });
     }
     Ok(endpoints)
--- a/tests/digest/settings.rs
+++ b/tests/digest/settings.rs
@@ -4,34 +4,42 @@
 use emberflow::*;
 use std::time::Duration;
 
-/// The behaviour of clients and engines in one run; integers without a unit are percentages.
+/// The behaviour of clients and engines in one run.
 pub struct Environment {
-    pub estimates: u64,
-    pub usages: u64,
-    pub load_report: u64,
-    pub reports_busy: bool,
+    /// Probability that a request has estimates.
+    pub estimate_percent: u64,
+    /// Probability that a successful answer contains the usage.
+    pub usage_percent: u64,
+    /// Probability that an answer contains a load report.
+    pub load_report_percent: u64,
+    pub reports_cores: bool,
     pub reports_in_flight: bool,
     pub reports_memory: bool,
     pub marks_retries: bool,
-    pub faults: u64,
-    pub longest_gap: u64,
+    /// Probability that an attempt ends with a random failure.
+    pub fault_percent: u64,
+    /// Longest time between two arrivals.
+    pub longest_gap_ms: u64,
+    /// Number of requests, unless a burst at the end adds more.
     pub requests: usize,
     pub shuts_down: bool,
     pub progress_interval: Option<Duration>,
 }
 
-/// The actual state of an engine.
+/// The actual state of a simulated engine, which the scheduler does not know.
 #[derive(Clone)]
-pub struct Machine {
+pub struct SimulatedEngine {
     pub location: usize,
     pub kind: usize,
     pub cell: u64,
     pub ready: bool,
     pub removed: bool,
-    pub launched: Option<Duration>,
+    pub launched_at: Option<Duration>,
     /// Factor by which the engine slows its attempts.
     pub slowness: f64,
+    /// Whether the engine sends neither answers nor progress updates.
     pub silent: bool,
+    /// Whether each attempt at the engine fails soon.
     pub fails: bool,
 }
 
@@ -53,7 +61,7 @@
         objective_stretch: random.one_of(&[0.0, 1.0, 2.0, 4.0]),
         deadline: latency_objective * random.inclusive(1, 8) as u32,
         priority_weight: random.between(0.5, 8.0),
-        late_share: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
+        late_weight_fraction: random.one_of(&[0.0, 0.0, 0.2, 0.8]),
         effect: effect(random),
         keeps_order: random.percent(25),
         kinds: random.maybe(15, |random| vec![random.below(kinds)]),
@@ -77,12 +85,12 @@
         router_count: random.one_of(&[1, 1, 1, 2, 8, 40]),
         home_location: random.below(3),
         kinds: (0..=random.below(3)).map(|_| engine_kind(random)).collect(),
-        max_grant_share: random.one_of(&[0.25, 0.5, 0.9]),
+        max_grant_fraction: random.one_of(&[0.25, 0.5, 0.9]),
         honors_priorities: random.percent(50),
         shrinks_grants: random.percent(40),
         progress_interval: random.maybe(60, |random| random.time(20, 120)),
         reports_only_on_probe: random.percent(35),
-        polls_endpoint_list: random.percent(50),
+        must_watch_endpoints: random.percent(50),
         tick: random.time(2, 8),
     }
 }
@@ -92,7 +100,7 @@
         max_attempts: random.one_of(&[1, 2, 3, 3, 5]),
         may_cancel: random.percent(80),
         may_probe: random.percent(80),
-        start_capacity: random.one_of(&[0.1, 0.3, 1.0]),
+        start_capacity_fraction: random.one_of(&[0.1, 0.3, 1.0]),
         warm_up: random.time(100, 3000),
         overload_factor: random.one_of(&[0.5, 1.0, 2.0]),
         overload_window: random.time(50, 500),
@@ -108,43 +116,43 @@
 
 pub fn environment(random: &mut Random, fleet: &Fleet) -> Environment {
     Environment {
-        estimates: random.one_of(&[0, 50, 95, 100, 100]),
-        usages: random.one_of(&[0, 60, 100]),
-        load_report: random.one_of(&[0, 50, 100]),
-        reports_busy: random.percent(60),
+        estimate_percent: random.one_of(&[0, 50, 95, 100, 100]),
+        usage_percent: random.one_of(&[0, 60, 100]),
+        load_report_percent: random.one_of(&[0, 50, 100]),
+        reports_cores: random.percent(60),
         reports_in_flight: random.percent(60),
         reports_memory: random.percent(70),
         marks_retries: random.percent(50),
-        faults: random.one_of(&[0, 3, 10, 30]),
-        longest_gap: random.one_of(&[3, 8, 20, 60]),
+        fault_percent: random.one_of(&[0, 3, 10, 30]),
+        longest_gap_ms: random.one_of(&[3, 8, 20, 60]),
         requests: random.one_of(&[20, 30, 50, 70]),
         shuts_down: random.percent(25),
         progress_interval: fleet.progress_interval,
     }
 }
 
-pub fn machine(random: &mut Random, kinds: usize, launched: Option<Duration>) -> Machine {
+pub fn simulated_engine(random: &mut Random, kinds: usize, launched_at: Option<Duration>) -> SimulatedEngine {
     let location = random.below(3);
-    Machine {
+    SimulatedEngine {
         location,
         kind: random.below(kinds),
         cell: (location * 2 + random.below(2)) as u64,
         ready: random.percent(92),
         removed: false,
-        launched,
+        launched_at,
         slowness: random.one_of(&[1.0, 1.0, 1.0, 1.5, 4.0, 12.0]),
         silent: random.percent(5),
         fails: random.percent(5),
     }
 }
 
-pub fn endpoint(engine: EngineId, machine: &Machine) -> Endpoint {
-    let Machine { location, kind, cell, ready, removed, launched, .. } = *machine;
+pub fn endpoint(engine: EngineId, simulated: &SimulatedEngine) -> Endpoint {
+    let SimulatedEngine { location, kind, cell, ready, removed, launched_at, .. } = *simulated;
     let lifecycle = match (ready, removed) {
         (true, false) => Lifecycle::Ready,
         (true, true) => Lifecycle::Retiring,
         (false, true) => Lifecycle::Removed,
         (false, false) => Lifecycle::Draining,
     };
-    Endpoint { engine, location, kind, cell, lifecycle, launched }
+    Endpoint { engine, location, kind, cell, lifecycle, launched_at }
 }
