--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -49,9 +49,9 @@
     /// The key of requests that may have to run in order.
     pub ordering_key: Option<KeyId>,
     /// Expected time on one core; `None` if the client states none.
-    pub cost: Option<Duration>,
+    pub estimated_work: Option<Duration>,
     /// Expected memory, in MB; `None` if the client states none.
-    pub memory_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// Time from the arrival of the request to its deadline, in milliseconds.
     pub deadline_ms: f64,
     /// The key by which engines recognize a repeated request.
@@ -76,16 +76,16 @@
         }
         let ordering_key = optional_text(fields, "subject")?.map(|subject| KeyId(hash_of(subject)));
         let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::NoDeadline)?;
-        let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
-        let memory_mb = positive_number(fields, "memory")?;
+        let estimated_work = positive_number(fields, "ms")?.map(from_ms).filter(|work| !work.is_zero());
+        let estimated_memory_mb = positive_number(fields, "memory")?;
         let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::DataNotBase64)?;
         let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::DataNotUtf8)?;
         let table_group = statement::table_group(statement_text);
         let is_resent = resent_flag(fields)?;
         Ok(Self {
             ordering_key,
-            cost,
-            memory_mb,
+            estimated_work,
+            estimated_memory_mb,
             deadline_ms,
             idempotency_key: idempotency_key.map(str::to_owned),
             statement,
@@ -97,8 +97,10 @@
 
 impl fmt::Display for RequestParameters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { cost, memory_mb, table_group, deadline_ms, is_resent, idempotency_key, .. } = self;
-        write!(f, "cost={cost:?} memory_mb={memory_mb:?} table_group={table_group:?} ")?;
+        let Self { estimated_work, estimated_memory_mb, table_group, .. } = self;
+        write!(f, "estimated_work={estimated_work:?} estimated_memory_mb={estimated_memory_mb:?} ")?;
+        write!(f, "table_group={table_group:?} ")?;
+        let Self { deadline_ms, is_resent, idempotency_key, .. } = self;
         write!(f, "deadline_ms={deadline_ms} resent={is_resent} idempotency_key={idempotency_key:?}")
     }
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -26,7 +26,7 @@
     /// The scheduler's wake-up is due.
     Wake,
     /// An engine has answered a health check, with the figures of its load report if there is one.
-    Probed { engine: &'a str, report_figures: Option<&'a [Value]> },
+    ProbeEnded { engine: &'a str, report_figures: Option<&'a [Value]> },
     /// A message that is not an input of the scheduler.
     Ignored,
 }
@@ -40,15 +40,15 @@
     /// The key of requests that may have to run in order.
     pub key: Option<&'a str>,
     /// Expected time on one core.
-    pub cost: Option<Duration>,
+    pub estimated_work: Option<Duration>,
     /// Expected memory, in MB.
-    pub memory_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// Time from the message to the request's deadline.
     pub deadline: Duration,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
     /// The number of the group of tables that the request uses, if known.
-    pub group: Option<u64>,
+    pub table_group: Option<u64>,
 }
 
 /// The end of an attempt.
@@ -118,7 +118,7 @@
             "CANCELLED_BY_CLIENT" => Self::ClientLeft { request: line.text("ref")? },
             "BELL" => Self::Wake,
             "PROBE_DONE" => {
-                Self::Probed { engine: line.text("engine")?, report_figures: report_figures(line) }
+                Self::ProbeEnded { engine: line.text("engine")?, report_figures: report_figures(line) }
             }
             "INBOX" | "STARTED" => Self::Ignored,
             _ => return Err(AdapterError::UnknownOperation { operation: operation.to_owned() }),
@@ -155,11 +155,11 @@
             request: line.text("ref")?,
             class: line.index("qos")?,
             key: line.optional("table", Fields::text)?,
-            cost: line.get_time("estimateMs").filter(|cost| !cost.is_zero()),
-            memory_mb: line.get_number("needMb").filter(|memory| *memory > 0.0),
+            estimated_work: line.get_time("estimateMs").filter(|work| !work.is_zero()),
+            estimated_memory_mb: line.get_number("needMb").filter(|memory| *memory > 0.0),
             deadline: from_ms(line.number("graceMs")?),
             is_retry: line.get_flag("repeat"),
-            group: line.get_number("tableGroup").map(|group| group as u64),
+            table_group: line.get_number("tableGroup").map(|group| group as u64),
         })
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -84,7 +84,9 @@
                 let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
                 scheduler.wake(now, &mut actions);
             }
-            Event::Probed { engine, report_figures } => self.probed(engine, report_figures, now, reply),
+            Event::ProbeEnded { engine, report_figures } => {
+                self.probe_ended(engine, report_figures, now, reply)
+            }
             Event::Ignored => {}
         }
         Ok(())
@@ -117,7 +119,13 @@
         Ok(())
     }
 
-    fn probed(&mut self, engine: &str, report_figures: Option<&[Value]>, now: Duration, reply: &mut Vec<u8>) {
+    fn probe_ended(
+        &mut self,
+        engine: &str,
+        report_figures: Option<&[Value]>,
+        now: Duration,
+        reply: &mut Vec<u8>,
+    ) {
         let engine = EngineId(self.names.engines.get_or_assign(engine));
         let load_report = load_report(&self.load_report_names, report_figures);
         let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
@@ -129,12 +137,12 @@
             request: RequestId::from_index(self.names.requests.get_or_assign(arrived.request)),
             class: arrived.class,
             key: arrived.key.map(|key| KeyId::from_index(self.names.keys.get_or_assign(key))),
-            estimated_work: arrived.cost,
-            estimated_memory_mb: arrived.memory_mb,
+            estimated_work: arrived.estimated_work,
+            estimated_memory_mb: arrived.estimated_memory_mb,
             deadline: arrived.deadline,
             queue_time: Duration::ZERO,
             is_retry: self.clients_mark_retries.then_some(arrived.is_retry),
-            table_group: arrived.group,
+            table_group: arrived.table_group,
         };
         let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
         scheduler.accept(now, arrival, &mut actions);
