--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -88,7 +88,7 @@
         let call = Call {
             request: RequestId::from_index(request),
             number,
-            id: &id,
+            request_name: &id,
             class: "lookup",
             idempotency_key: None,
             statement: statement.as_bytes(),
@@ -243,7 +243,7 @@
         let received_before = side.peer.inbox.len();
         self.state
             .engines
-            .drain(connection, &mut side.peer, &mut self.state.context)
+            .flush(connection, &mut side.peer, &mut self.state.context)
             .expect("a write to a peer in memory fails only by blocking");
         let written = &side.peer.inbox[received_before..];
         let begins_call = written.windows(CALL_COMMAND.len()).any(|window| window == CALL_COMMAND);
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::counters::Counters;
 use crate::error::DiscoveryError;
-use crate::ring::Ring;
+use crate::ring::RingBuffer;
 use emberflow::{EndpointUpdate, Lifecycle};
 use emberflow_settings::{Fields, Problem, SettingsError};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -102,7 +102,7 @@
 #[derive(Clone)]
 pub struct Discovery {
     /// Received bytes that are not decoded yet.
-    pub input: Ring,
+    pub input: RingBuffer,
     /// Whether the subscription was sent on this connection.
     pub subscribed: bool,
     /// The number of the last event that was received from the service or the configuration.
@@ -120,7 +120,7 @@
     /// below `kind_count` or `location_count` are rejected.
     pub fn resume_after(last_event: u64, kind_count: usize, location_count: usize) -> Self {
         Self {
-            input: Ring::default(),
+            input: RingBuffer::default(),
             subscribed: false,
             last_event,
             redial_at: Duration::ZERO,
@@ -132,7 +132,7 @@
     /// Returns the state for a new connection, without the buffered input. The new subscription resumes after the last
     /// received event.
     pub fn for_new_connection(&self) -> Self {
-        Self { input: Ring::default(), subscribed: false, ..*self }
+        Self { input: RingBuffer::default(), subscribed: false, ..*self }
     }
 
     /// Decodes the next frame; returns `None` until a complete one has been received. An event that was received before
@@ -142,7 +142,7 @@
     /// Fails if the frame is malformed, if the receiver has missed an event before the frame, or if the settings do not
     /// name the kind or the location of an endpoint. The caller must then replace the connection.
     pub fn next_frame(&mut self, counters: &mut Counters) -> Result<Option<Frame>, DiscoveryError> {
-        let Some((frame, length)) = parse_frame(self.input.readable())? else { return Ok(None) };
+        let Some((frame, length)) = parse_frame(self.input.contents())? else { return Ok(None) };
         self.input.consume(length);
         self.check_endpoints(&frame)?;
         let (number, last) = (frame.event_number, self.last_event);
--- a/crates/router/src/server/clients.rs
+++ b/crates/router/src/server/clients.rs
@@ -14,7 +14,7 @@
     /// Registers a new connection of a client, and returns its slot.
     pub fn accept_client(&mut self) -> Slot {
         let Dispatcher { clients, context, .. } = &mut self.dispatcher;
-        let slot = clients.table.next();
+        let slot = clients.table.next_slot();
         let check_due = clients.admit(context.now());
         context.timers.set(check_due, Timer::ClientIdleCheck(slot));
         context.counters.count("clients_admitted");
@@ -23,7 +23,7 @@
 
     /// Whether a client has an open request with this message id.
     pub fn has_open_request(&self, client: Slot, id: u64) -> bool {
-        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open.contains_key(&id))
+        self.dispatcher.clients.table.get(client).is_some_and(|client| client.open_requests.contains_key(&id))
     }
 
     /// Reads and handles the next line of a client. Returns whether more input may be available. The input that is read
@@ -95,8 +95,8 @@
             for cancellation in &scan.cancellations {
                 cancelled.extend(self.find_open_request(slot, cancellation));
             }
-            ended.extend(scan.ended.then_some(slot));
-            closed.extend(scan.closed.then_some(slot));
+            ended.extend(scan.input_ended.then_some(slot));
+            closed.extend(scan.connection_failed.then_some(slot));
         }
         for slot in closed {
             cancelled.extend(self.remove_client(slot, CloseReason::Disconnected));
@@ -134,7 +134,7 @@
         let mut requests = Vec::new();
         for slot in clients {
             if let Some(client) = self.dispatcher.clients.table.get(*slot) {
-                requests.extend(client.open.values().copied());
+                requests.extend(client.open_requests.values().copied());
             }
         }
         requests
@@ -193,7 +193,7 @@
     /// Closes a client's connection and its open requests, if [`final_checks::may_close`] allows it.
     pub fn close_client(&mut self, slot: Slot, reason: CloseReason) {
         let Some(client) = self.dispatcher.clients.table.get(slot) else { return };
-        if !final_checks::may_close(reason, client.open.len()) {
+        if !final_checks::may_close(reason, client.open_requests.len()) {
             log::error!(
                 "client not closed, since it has open requests: client={slot:?} reason={reason:?} {}",
                 client.summary()
@@ -208,10 +208,10 @@
 
     /// Removes a client's connection; returns the requests that were open on it.
     fn remove_client(&mut self, slot: Slot, reason: CloseReason) -> Vec<RequestId> {
-        let Some(client) = self.dispatcher.clients.take(slot) else { return Vec::new() };
+        let Some(client) = self.dispatcher.clients.remove(slot) else { return Vec::new() };
         log::debug!("client closed: client={slot:?} reason={reason:?} {}", client.summary());
         self.dispatcher.context.timers.clear(client.check_due, Timer::ClientIdleCheck(slot));
         self.closed_clients.push(ClosedClient { slot, output: client.output });
-        client.open.into_values().collect()
+        client.open_requests.into_values().collect()
     }
 }
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -60,6 +60,6 @@
     /// Whether no request is open and no output is pending. Clients may still have unread input.
     pub fn is_idle(&self) -> bool {
         let Dispatcher { requests, clients, engines, .. } = &self.dispatcher;
-        requests.is_empty() && clients.all_sent() && engines.all_written()
+        requests.is_empty() && clients.all_written() && engines.all_written()
     }
 }
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -1,7 +1,7 @@
 //! Decodes request classes: their latency objectives, deadlines and weights, and whether their requests are idempotent.
 
 use crate::{Fields, Problem, SettingsError};
-use emberflow::{Effect, KeyScope, RequestClass};
+use emberflow::{Idempotency, KeyScope, RequestClass};
 
 /// Decodes all request classes from the settings' object, in the order of the settings.
 ///
@@ -49,7 +49,7 @@
             deadline: class.positive_time("deadlineMs")?,
             priority_weight: class.not_negative("gain")?,
             late_weight_fraction: class.fraction("lateShare")?,
-            effect: effect(class)?,
+            idempotency: idempotency(class)?,
             keeps_order: class.optional("keepOrder", Fields::flag)?.unwrap_or(false),
             kinds: class.optional("allowedOn", |class, name| class.indices(name, Some(self.kind_count)))?,
             locations: class.optional("zonesOpen", |class, name| class.indices(name, self.location_count))?,
@@ -79,12 +79,14 @@
 }
 
 /// Decodes whether requests of a class are idempotent.
-fn effect(class: Fields<'_>) -> Result<Effect, SettingsError> {
+fn idempotency(class: Fields<'_>) -> Result<Idempotency, SettingsError> {
     let repeat = [("repeatable", Repeat::Repeatable), ("once", Repeat::Once), ("by_key", Repeat::ByKey)];
     Ok(match class.one_of("repeat", repeat)? {
-        Repeat::Repeatable => Effect::Idempotent,
-        Repeat::Once => Effect::NonIdempotent,
-        Repeat::ByKey => Effect::IdempotentWithKey { scope: scope(class)?, window: class.time("windowMs")? },
+        Repeat::Repeatable => Idempotency::Idempotent,
+        Repeat::Once => Idempotency::NonIdempotent,
+        Repeat::ByKey => {
+            Idempotency::IdempotentWithKey { scope: scope(class)?, window: class.time("windowMs")? }
+        }
     })
 }
 
