--- a/crates/router/src/event_loop/lingering.rs
+++ b/crates/router/src/event_loop/lingering.rs
@@ -73,7 +73,8 @@
     }
 }
 
-/// Discards a connection's input, up to [`MAX_READS_PER_ITERATION`] chunks. Returns `FillOutcome::LimitReached` at that limit.
+/// Discards a connection's input, up to [`MAX_READS_PER_ITERATION`] chunks. Returns `FillOutcome::LimitReached` at
+/// that limit.
 pub(super) fn drain_input(mut socket: &TcpStream) -> FillOutcome {
     let mut chunk = [0; CHUNK_BYTES];
     for _ in 0..MAX_READS_PER_ITERATION {
