--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -1,4 +1,4 @@
-//! Applies transitions of the connection model, and observes the pool and the engine.
+//! Applies transitions of the connection model, and checks what the pool reports and what arrives at the engine.
 
 use super::engine::{answer_bytes, is_fault, other_message_bytes, receive_commands, record_answer};
 use super::scenario::{ConnectionScenario, EndpointChange, EngineMessage};
@@ -19,9 +19,9 @@
 
 /// Time from the start of an attempt to its deadline.
 const CALL_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time by which the reported start of a restarted engine is later than the report.
+/// The start of a restarted engine is reported as this much later than the time of the report.
 const RESTART_DELAY: Duration = Duration::from_millis(1);
-/// The name of the command that begins a call.
+/// The name of the command that carries a call, with which its bytes begin.
 const CALL_COMMAND: &[u8] = b"GET";
 /// The priority of every call.
 const PRIORITY: u8 = 1;
@@ -32,14 +32,15 @@
     state: &ConnectionState,
     transition: Transition,
 ) -> ConnectionState {
-    let mut run = Run { scenario, state: state.clone(), cause: cause_of(transition) };
-    run.apply(transition);
-    run.run_until_quiet();
-    run.state
+    let mut applier = TransitionApplier { scenario, state: state.clone(), cause: cause_of(transition) };
+    applier.apply(transition);
+    applier.run_until_idle();
+    applier.state
 }
 
-/// Returns the cause of every attempt that ends in a transition. A well-formed message belongs to one attempt or to
-/// none. Malformed bytes may end any attempt, and the second half of an answer is not attributed to an attempt.
+/// Returns the cause to which a transition attributes the ends of attempts. A well-formed message belongs to one
+/// attempt or to none. Malformed bytes may end any attempt, and the second half of an answer is not attributed to an
+/// attempt.
 fn cause_of(transition: Transition) -> Cause {
     match transition {
         Transition::EngineSends { message: EngineMessage::Malformed | EngineMessage::SecondHalf, .. } => {
@@ -50,14 +51,15 @@
     }
 }
 
-/// The application of one transition.
-struct Run<'a> {
+/// Applies one transition to a copy of a state.
+struct TransitionApplier<'a> {
     scenario: &'a ConnectionScenario,
     state: ConnectionState,
+    /// The cause to which the ends of attempts are attributed.
     cause: Cause,
 }
 
-impl Run<'_> {
+impl TransitionApplier<'_> {
     fn apply(&mut self, transition: Transition) {
         match transition {
             Transition::SendCall { request } => self.send_call(request),
@@ -76,8 +78,9 @@
 
     /// Checks the invariants at an event, before the event changes the state.
     fn check(&mut self, event: &Event) {
-        let violated = self.state.violated.or_else(|| first_violated(self.scenario, &self.state, event));
-        self.state.violated = violated;
+        let violated_invariant =
+            self.state.violated_invariant.or_else(|| first_violated(self.scenario, &self.state, event));
+        self.state.violated_invariant = violated_invariant;
     }
 
     fn send_call(&mut self, request: usize) {
@@ -156,12 +159,12 @@
         let state = &mut self.state;
         state.endpoint_has_changed = true;
         let restarted_ms = (state.now + RESTART_DELAY).as_millis() as u64;
-        let first = endpoint_record(FIRST_ENGINE);
+        let first_engine = endpoint_record(FIRST_ENGINE);
         let record = match change {
-            EndpointChange::Drains => EndpointRecord { lifecycle: Lifecycle::Draining, ..first },
-            EndpointChange::Restarts => EndpointRecord { up_since_ms: restarted_ms, ..first },
+            EndpointChange::Drains => EndpointRecord { lifecycle: Lifecycle::Draining, ..first_engine },
+            EndpointChange::Restarts => EndpointRecord { up_since_ms: restarted_ms, ..first_engine },
             EndpointChange::Removed | EndpointChange::Replaced => {
-                EndpointRecord { lifecycle: Lifecycle::Removed, ..first }
+                EndpointRecord { lifecycle: Lifecycle::Removed, ..first_engine }
             }
         };
         state.engine_is_ready = record.is_ready();
@@ -178,24 +181,26 @@
 
     fn pass_time(&mut self) {
         let now = self.state.now;
-        let to = self.state.context.timers.first().map_or(now, |at| at.max(now));
+        let to = self.state.context.timers.next_expiry().map_or(now, |at| at.max(now));
         self.check(&Event::TimePasses { to });
         let state = &mut self.state;
         state.now = to;
         state.context.now = to;
         while let Some(due) = state.context.timers.pop(to) {
             match due {
-                Timer::Attempt(slot) => state.engines.attempt_overdue(slot, &mut state.context),
-                Timer::Connection(slot) => state.engines.connection_check_due(slot, to, &mut state.context),
-                Timer::AnswerComplete(slot) => state.engines.reply_overdue(slot, &mut state.context),
-                Timer::ConnectionIdle(slot) => state.engines.connection_idle(slot, &mut state.context),
+                Timer::AttemptDeadline(slot) => state.engines.attempt_overdue(slot, &mut state.context),
+                Timer::ConnectionCheck(slot) => {
+                    state.engines.connection_check_due(slot, to, &mut state.context)
+                }
+                Timer::ReplyTimeout(slot) => state.engines.reply_overdue(slot, &mut state.context),
+                Timer::ConnectionIdleTimeout(slot) => state.engines.connection_idle(slot, &mut state.context),
                 _ => {}
             }
         }
     }
 
-    /// Executes the pool's commands, its pending writes and its events until there are none left.
-    fn run_until_quiet(&mut self) {
+    /// Executes the pool's commands and pending writes, and records its events, until nothing is left to do.
+    fn run_until_idle(&mut self) {
         loop {
             let state = &mut self.state;
             let capacity = self.scenario.initial_capacity;
@@ -227,14 +232,14 @@
     fn record_end(&mut self, request: usize, number: usize, outcome: AttemptOutcome, body: Option<Vec<u8>>) {
         let is_ended = |attempt: &AttemptRecord| (attempt.request, attempt.number) == (request, number);
         let Some(attempt) = self.state.attempts.iter().position(is_ended) else {
-            self.state.violated = self.state.violated.or(Some("one end"));
+            self.state.violated_invariant = self.state.violated_invariant.or(Some("one end"));
             return;
         };
         self.check(&Event::AttemptEnds { attempt, outcome, body, cause: self.cause });
         self.state.attempts[attempt].outcome = Some(outcome);
     }
 
-    /// Lets the pool write to a connection as far as the engine accepts bytes, and lets the engine read the complete
+    /// Lets the pool write to a connection as many bytes as the engine accepts, and the engine read the complete
     /// commands.
     fn drain_to_engine(&mut self, connection: Slot) {
         let Some(side) = self.state.engine_sides.get_mut(&connection) else { return };
--- a/crates/model-checker/src/discovery_model.rs
+++ b/crates/model-checker/src/discovery_model.rs
@@ -1,7 +1,8 @@
-//! The discovery model: the reader of the discovery service's connection. The service may repeat, skip, corrupt and split
-//! its frames, and the connection may be lost and established again, while the endpoint list changes.
+//! The discovery model: the router's reader of the connection to the discovery service. While the endpoint list
+//! changes, the service may repeat, skip, corrupt and split its frames, and the connection may be lost and
+//! established again.
 //!
-//! The model runs the router's reader.
+//! The model runs the router's reader; the service is scripted.
 
 pub mod invariants;
 pub mod scenario;
@@ -9,7 +10,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::DiscoveryScenario;
@@ -51,15 +52,15 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &DiscoveryState, _: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
-        let when_all_sent = || observed::first_violated(self, state, &Event::AllSent);
-        state.violated.or_else(|| state.is_all_sent().then(when_all_sent).flatten())
+    fn violated_invariant(&self, state: &DiscoveryState, _: bool) -> Option<&'static str> {
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
+        let when_all_sent = || shared_invariants::first_violated(self, state, &Event::AllSent);
+        state.violated_invariant.or_else(|| state.is_all_sent().then(when_all_sent).flatten())
     }
 }
 
 impl ObservedModel for DiscoveryScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::DISCOVERY;
+    const FIRST_WITNESS_BIT: usize = witness::DISCOVERY_FIRST_BIT;
 }
--- a/crates/model-checker/src/queue_model/transition.rs
+++ b/crates/model-checker/src/queue_model/transition.rs
@@ -9,9 +9,9 @@
 pub enum Transition {
     /// The next request arrives.
     Arrive,
-    /// The queues dispatch a request.
+    /// The first request in the queues' dispatch order is dispatched.
     Dispatch,
-    /// A dispatched request ends.
+    /// A dispatched request ends with an outcome.
     Settle { request: usize, outcome: Outcome },
     /// A dispatched request returns to its queue.
     Requeue { request: usize },
@@ -19,13 +19,13 @@
     Remove { request: usize },
     /// The second team is removed; its requests move to the first.
     RemoveTeam,
-    /// Time passes to the next due change.
+    /// The clock advances to the next due change of the queues.
     PassTime,
 }
 
 /// Appends the transitions that are enabled in a state.
 pub fn append_enabled(scenario: &QueueScenario, state: &QueueState, transitions: &mut Vec<Transition>) {
-    if state.violated.is_some() {
+    if state.violated_invariant.is_some() {
         return;
     }
     let has = |status: RequestStatus| state.statuses.contains(&status);
@@ -40,7 +40,7 @@
             _ => {}
         }
     }
-    let may_remove_team = scenario.removes_team && !state.team_removed;
+    let may_remove_team = scenario.removes_team && !state.is_team_removed;
     transitions.extend(may_remove_team.then_some(Transition::RemoveTeam));
     let may_pass_time = state.queues.due().is_some() && state.time_steps < scenario.max_time_steps;
     transitions.extend(may_pass_time.then_some(Transition::PassTime));
--- a/crates/model-checker/src/module_model/transition.rs
+++ b/crates/model-checker/src/scheduler_model/transition.rs
@@ -1,19 +1,21 @@
-//! The transitions of the module model, and the conditions that enable them.
+//! The transitions of the scheduler model, and the conditions that enable them.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::scenario::EndpointChange;
-use super::state::{AttemptRecord, EngineRecord, ModuleState, RequestRecord};
+use super::state::{AttemptRecord, EngineRecord, RequestRecord, SchedulerModelState};
 use emberflow::{AttemptOutcome, EngineId, Lifecycle, ProgressUpdate, RequestId};
 use std::ops::Range;
 use std::time::Duration;
 
-/// Smallest difference between two times at which time stops.
+/// Time between a boundary and the instants immediately before and after it at which the clock stops.
 const SMALLEST_TIME_STEP: Duration = Duration::from_millis(1);
-/// Number of random draws that are explored: one for each order of three engines.
+/// Number of values of the scheduler's draw counter that are explored: one for each order of three engines.
 const RANDOM_DRAWS: u64 = 6;
 
-/// An input to the scheduler, or the passing of time. A draw is the state of the random generator before an input after
-/// which the scheduler may choose an engine at random.
+/// An input to the scheduler, or the passing of time.
+///
+/// `draw` is the scheduler's counter of random draws, which the model sets before the input. It determines which
+/// engine the scheduler chooses at random.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Transition {
     /// The next request arrives.
@@ -24,23 +26,27 @@
     UpdateProgress { request: usize, update: ProgressUpdate, draw: u64 },
     /// The endpoint list reports a change of an engine.
     ChangeEndpoint { engine: EngineId, change: EndpointChange, draw: u64 },
-    /// The endpoint list is empty.
+    /// The endpoint list reports no engine.
     EmptyEndpointList,
     /// The endpoint list cannot be read.
     FailEndpointList,
     /// The client of an open request disconnects.
     ClientLeaves { request: usize, draw: u64 },
-    /// A wake-up that the scheduler has requested.
+    /// The scheduler is woken at a time that it has requested, or up to the scenario's delay later.
     WakeUp { draw: u64 },
     /// A graceful shutdown begins.
     ShutDown,
-    /// Time passes to the next instant at which something may change.
+    /// The clock advances to the next instant at which something may change.
     PassTime,
 }
 
 /// Appends the transitions that are enabled in a state.
-pub fn append_enabled(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
-    if state.violated.is_some() {
+pub fn append_enabled(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
+    if state.violated_invariant.is_some() {
         return;
     }
     if accepts_arrival(model, state) {
@@ -52,17 +58,18 @@
     append_time_transitions(model, state, transitions);
 }
 
-/// Returns the draws to explore before an input; a single draw if no engine can be chosen.
-fn draws(model: &ModuleModel, may_send: bool) -> Range<u64> {
+/// Returns the draws to explore before an input; a single draw if the scheduler has no choice between engines.
+fn draws(model: &SchedulerModel, may_send: bool) -> Range<u64> {
     if may_send && model.engines.len() > 1 { 0..RANDOM_DRAWS } else { 0..1 }
 }
 
-fn accepts_arrival(model: &ModuleModel, state: &ModuleState) -> bool {
+fn accepts_arrival(model: &SchedulerModel, state: &SchedulerModelState) -> bool {
     state.expects_arrival(model) && state.shutdown_deadline.is_none()
 }
 
-/// Whether a request has an attempt in flight that must end now, because it is abandoned or has timed out.
-fn awaits_end(state: &ModuleState, request: &RequestRecord) -> bool {
+/// Whether a request has an attempt in flight that must end before time passes, because it is abandoned or has timed
+/// out.
+fn awaits_end(state: &SchedulerModelState, request: &RequestRecord) -> bool {
     let Some(attempt) = request.in_flight() else { return false };
     is_abandoned(request, attempt) || attempt.times_out_at <= state.now
 }
@@ -74,8 +81,8 @@
 
 /// Returns the outcomes that the attempt in flight may have now.
 fn possible_outcomes(
-    model: &ModuleModel,
-    state: &ModuleState,
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
     request: &RequestRecord,
     attempt: &AttemptRecord,
 ) -> &'static [AttemptOutcome] {
@@ -92,7 +99,11 @@
     model.scenario.outcomes
 }
 
-fn append_attempt_transitions(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_attempt_transitions(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     let has_queued_request = state.has_queued_request();
     for (request, record) in state.requests.iter().enumerate() {
         let Some(attempt) = record.in_flight() else { continue };
@@ -111,7 +122,7 @@
     }
 }
 
-fn append_departures(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_departures(model: &SchedulerModel, state: &SchedulerModelState, transitions: &mut Vec<Transition>) {
     if state.departures >= model.max_departures {
         return;
     }
@@ -122,7 +133,11 @@
     }
 }
 
-fn append_endpoint_changes(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_endpoint_changes(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     let is_unfinished =
         accepts_arrival(model, state) || state.requests.iter().any(RequestRecord::is_unfinished);
     if state.endpoint_changes >= model.max_endpoint_changes || !is_unfinished {
@@ -147,11 +162,15 @@
         EndpointChange::Drains => engine.lifecycle == Lifecycle::Ready,
         EndpointChange::Removed => engine.lifecycle != Lifecycle::Removed,
         EndpointChange::Returns => engine.lifecycle == Lifecycle::Draining,
-        EndpointChange::Restarts => engine.launched.is_none() && !engine.is_forgotten,
+        EndpointChange::Restarts => engine.launched_at.is_none() && !engine.is_forgotten,
     }
 }
 
-fn append_time_transitions(model: &ModuleModel, state: &ModuleState, transitions: &mut Vec<Transition>) {
+fn append_time_transitions(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transitions: &mut Vec<Transition>,
+) {
     let next_wake_up = state.wake_ups.first().copied();
     if next_wake_up.is_some_and(|at| at <= state.now) {
         let draws = draws(model, state.has_queued_request());
@@ -167,8 +186,8 @@
     }
 }
 
-/// Returns the next time at which something may change.
-pub fn next_instant(model: &ModuleModel, state: &ModuleState) -> Option<Duration> {
+/// Returns the next time at which the scheduler or an invariant may behave differently; `None` if there is none.
+pub fn next_instant(model: &SchedulerModel, state: &SchedulerModelState) -> Option<Duration> {
     let mut instants = Vec::new();
     for wake_up in &state.wake_ups {
         instants.extend([*wake_up, *wake_up + model.wake_up_delay]);
@@ -183,28 +202,28 @@
     }
     // Another request may fit at the end of the overload window of an engine that is warming up.
     if state.expects_arrival(model) {
-        let warming = state.engine_records.iter().filter(|engine| engine.launched.is_some());
+        let warming = state.engine_records.iter().filter(|engine| engine.launched_at.is_some());
         let window = model.attempt_limits.overload_window;
-        let sent_work = warming.flat_map(|engine| &engine.sent);
+        let sent_work = warming.flat_map(|engine| &engine.sent_work);
         instants.extend(sent_work.flat_map(|work| before_and_at(work.at + window)));
     }
     instants.into_iter().filter(|at| *at > state.now).min()
 }
 
 fn append_request_instants(
-    model: &ModuleModel,
+    model: &SchedulerModel,
     id: RequestId,
     request: &RequestRecord,
     instants: &mut Vec<Duration>,
 ) {
     instants.push(request.deadline);
     instants.extend(request.in_flight().map(|attempt| attempt.times_out_at));
-    if model.stops_around_objective {
-        let objective = request.arrived + model.class_of(id).latency_objective;
+    if model.visits_latency_objective {
+        let objective = request.arrived_at + model.class_of(id).latency_objective;
         instants.extend([objective - SMALLEST_TIME_STEP, objective, objective + SMALLEST_TIME_STEP]);
     }
-    if let (Some(window), Some(attempt)) = (model.retry_window(id), request.first_that_may_have_run()) {
-        instants.extend(before_and_at(attempt.sent_at + window - model.final_answer_lead()));
+    if let (Some(window), Some(attempt)) = (model.idempotency_window(id), request.first_that_may_have_run()) {
+        instants.extend(before_and_at(attempt.sent_at + window - model.final_answer_margin()));
     }
 }
 
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -11,32 +11,33 @@
 
 /// Number of hexadecimal digits in a request's name.
 const NAME_DIGITS: usize = 16;
-/// Upper limit of numbers from clients, in milliseconds or MB. Estimates must not learn from impossible values.
+/// Upper limit of numbers from clients, in milliseconds or MB. The scheduler's estimates must not be distorted by
+/// impossible values.
 const MAX_NUMBER: f64 = 1e9;
-/// The urgency of ordinary requests.
-const ORDINARY_URGENCY: u8 = 0;
+/// The urgency of a request that does not state one.
+const DEFAULT_URGENCY: u8 = 0;
 /// The highest urgency.
 const MAX_URGENCY: u8 = 3;
 
-/// Errors in a request's parameters. The client receives the text.
+/// Errors in a request's parameters. The texts are part of the protocol: the client receives them.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParameterError {
     #[error(transparent)]
-    Field(#[from] SettingsError),
+    InvalidField(#[from] SettingsError),
     #[error("`{0}` is out of range")]
-    OutOfRange(&'static str),
+    NumberOutOfRange(&'static str),
     #[error("`req` is not 16 hex digits")]
-    Name,
+    RequestName,
     #[error("`opkey` holds more than letters and digits")]
     IdempotencyKey,
     #[error("`timeout` is not above 0")]
-    Deadline,
+    NoDeadline,
     #[error("`data` is not base64")]
-    Encoding,
+    DataNotBase64,
     #[error("`data` is no text")]
-    Statement,
+    DataNotUtf8,
     #[error("`resent` is not 0 or 1")]
-    Resent,
+    RetryMark,
     #[error("`{field}` is over {MAX_NAME_BYTES} bytes")]
     TeamName { field: String },
     #[error("`{field}` is not 0, 1, 2 or 3")]
@@ -47,17 +48,17 @@
 pub(super) struct RequestParameters {
     /// The key of requests that may have to run in order.
     pub ordering_key: Option<KeyId>,
-    /// Expected time on one core.
-    pub cost: Option<Duration>,
-    /// Expected memory.
-    pub memory_mb: Option<f64>,
-    /// Time from the request to the answer's deadline, in milliseconds.
+    /// Expected time on one core; `None` if the client states none.
+    pub estimated_work: Option<Duration>,
+    /// Expected memory, in MB; `None` if the client states none.
+    pub estimated_memory_mb: Option<f64>,
+    /// Time from the arrival of the request to its deadline, in milliseconds.
     pub deadline_ms: f64,
     /// The key by which engines recognize a repeated request.
     pub idempotency_key: Option<String>,
     /// The statement that engines run.
     pub statement: Vec<u8>,
-    /// The group of tables that the statement reads, if its text names one.
+    /// The group of tables that the statement uses, if its text names one.
     pub table_group: Option<u64>,
     /// Whether the client marks the request as a retry.
     pub is_resent: bool,
@@ -74,17 +75,17 @@
             return Err(ParameterError::IdempotencyKey);
         }
         let ordering_key = optional_text(fields, "subject")?.map(|subject| KeyId(hash_of(subject)));
-        let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::Deadline)?;
-        let cost = positive_number(fields, "ms")?.map(from_ms).filter(|cost| !cost.is_zero());
-        let memory_mb = positive_number(fields, "memory")?;
-        let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::Encoding)?;
-        let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::Statement)?;
+        let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::NoDeadline)?;
+        let estimated_work = positive_number(fields, "ms")?.map(from_ms).filter(|work| !work.is_zero());
+        let estimated_memory_mb = positive_number(fields, "memory")?;
+        let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::DataNotBase64)?;
+        let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::DataNotUtf8)?;
         let table_group = statement::table_group(statement_text);
         let is_resent = resent_flag(fields)?;
         Ok(Self {
             ordering_key,
-            cost,
-            memory_mb,
+            estimated_work,
+            estimated_memory_mb,
             deadline_ms,
             idempotency_key: idempotency_key.map(str::to_owned),
             statement,
@@ -96,24 +97,26 @@
 
 impl fmt::Display for RequestParameters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { cost, memory_mb, table_group, deadline_ms, is_resent, idempotency_key, .. } = self;
-        write!(f, "cost={cost:?} memory_mb={memory_mb:?} table_group={table_group:?} ")?;
+        let Self { estimated_work, estimated_memory_mb, table_group, .. } = self;
+        write!(f, "estimated_work={estimated_work:?} estimated_memory_mb={estimated_memory_mb:?} ")?;
+        write!(f, "table_group={table_group:?} ")?;
+        let Self { deadline_ms, is_resent, idempotency_key, .. } = self;
         write!(f, "deadline_ms={deadline_ms} resent={is_resent} idempotency_key={idempotency_key:?}")
     }
 }
 
-/// The parameters that the admission queue depends on. The operator's file names their fields.
+/// The parameters on which the admission queue depends. The operator's file names the fields that contain them.
 pub(super) struct TeamParameters {
     /// The team's index.
     pub team: usize,
-    /// From 0 for ordinary requests to 3.
+    /// From 0, the default, to [`MAX_URGENCY`].
     pub urgency: u8,
     /// Whether the client subscribes to notices of its wait.
     pub wants_wait_notices: bool,
 }
 
 impl TeamParameters {
-    /// Decodes the fields that the operator's file names.
+    /// Decodes the fields that `teams` names.
     ///
     /// # Errors
     /// Returns the first invalid field.
@@ -123,7 +126,7 @@
             return Err(ParameterError::TeamName { field: teams.team_field.clone() });
         }
         let urgency = match fields.get(&teams.urgency_field) {
-            None => ORDINARY_URGENCY,
+            None => DEFAULT_URGENCY,
             Some(value) => decode_urgency(value)
                 .ok_or_else(|| ParameterError::Urgency { field: teams.urgency_field.clone() })?,
         };
@@ -133,15 +136,15 @@
     }
 }
 
-/// Returns the name by which engines know a request: 16 hexadecimal digits.
+/// Decodes the name by which engines identify a request: 16 hexadecimal digits.
 pub(super) fn request_name<'a>(fields: Fields<'a>) -> Result<&'a str, ParameterError> {
     let name = fields.text("req")?;
     let is_hexadecimal = name.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::Name) }
+    if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::RequestName) }
 }
 
-/// Returns the number by which the scheduler knows a name. Requests of two names with the same hash only wait for each
-/// other.
+/// Returns the number by which the scheduler identifies a name. If two names have the same hash, their requests only
+/// wait for each other.
 pub(super) fn hash_of(name: &str) -> u32 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
@@ -162,12 +165,12 @@
 fn positive_number(fields: Fields<'_>, name: &'static str) -> Result<Option<f64>, ParameterError> {
     let value = fields.optional(name, Fields::number)?;
     match value {
-        Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::OutOfRange(name)),
+        Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::NumberOutOfRange(name)),
         value => Ok(value.filter(|value| *value > 0.0)),
     }
 }
 
-/// Decodes the mark of a retry, a boolean or 0 or 1.
+/// Decodes whether the client marks the request as a retry. The mark is a boolean, 0 or 1.
 fn resent_flag(fields: Fields<'_>) -> Result<bool, ParameterError> {
     let Some(value) = fields.get("resent") else { return Ok(false) };
     if let Some(flag) = value.as_bool() {
@@ -176,6 +179,6 @@
     match value.as_u64() {
         Some(0) => Ok(false),
         Some(1) => Ok(true),
-        _ => Err(ParameterError::Resent),
+        _ => Err(ParameterError::RetryMark),
     }
 }
