--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -5,14 +5,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests by the memory that they need, relative to the memory target.
+/// The tiers into which requests are divided by their expected memory. `Gateway::tier` computes the thresholds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     /// Requests that need too little memory to be limited.
     Unlimited,
     Small,
+    /// Requests of medium memory, and all requests without an estimate of their work.
     Medium,
-    /// Requests that run one at a time on an engine.
+    /// Requests that need the most memory. This router sends an engine only one of them at a time.
     Largest,
 }
 
@@ -21,7 +22,7 @@
     pub const ALL: [Self; 4] = [Self::Unlimited, Self::Small, Self::Medium, Self::Largest];
 }
 
-/// The fleet at the time of an input. Sending a request updates it.
+/// The fleet at the time of an input. Updated with each request that is sent and each engine that is forgotten.
 pub struct FleetSnapshot {
     /// Time of the input.
     pub now: Duration,
@@ -29,22 +30,23 @@
     pub slowdowns: Vec<f64>,
     /// Fraction of the fleet's capacity that this router uses.
     pub fleet_share: f64,
-    /// Fraction of one engine that this router uses, if it uses the engine at all.
+    /// Fraction of an engine's capacity that this router uses, for an engine in its subset.
     pub engine_share: f64,
-    /// Fraction of the slow-start budget of one engine that this router uses.
+    /// Fraction of an engine's slow-start budget that this router may use, for an engine in its subset.
     pub slow_start_share: f64,
     /// The engines that the input examines, and their conditions.
     pub engines: EngineConditions,
-    /// Gateways by engine kind; empty if no request is queued.
+    /// Gateways by engine kind; empty if the snapshot was taken without `may_send`.
     pub gateways: Vec<Gateway>,
     /// Engine kinds and tiers without capacity. Later requests of such a tier wait behind the first one.
     pub blocked_tiers: BTreeSet<(usize, Tier)>,
-    /// Number of engines that were examined.
+    /// Number of engines that were examined: those of the snapshot, once for the snapshot and once more for each
+    /// choice of an engine.
     pub engines_examined: u64,
 }
 
 impl FleetSnapshot {
-    /// Adds an attempt that was sent to an engine of this kind to the measurements of the kind.
+    /// Adds an attempt that was sent now to the gateway of its engine's kind. `kind` is the index of that kind.
     pub fn count_sent(&mut self, engine: EngineId, kind: usize, sent: &InFlightAttempt) {
         let is_under_pressure = self.engines[&engine].is_under_pressure();
         let gateway = &mut self.gateways[kind];
@@ -58,22 +60,26 @@
 /// The conditions of the engines of a snapshot.
 pub type EngineConditions = BTreeMap<EngineId, EngineCondition>;
 
-/// The condition of one engine.
+/// The pressure, activity and speed of one engine at the time of the input.
 pub struct EngineCondition {
-    /// Whether the engine is under pressure; `None` if no recent measurement shows it.
+    /// Whether the engine is under pressure. Without a recent measurement, it is assumed to be under pressure if most
+    /// measured engines are; otherwise `None`.
     pub under_pressure: Option<bool>,
-    /// Time without activity, as a multiple of the time after which the engine counts as inactive.
+    /// Time without activity, as a multiple of the time after which the engine counts as inactive; 0 without attempts
+    /// in flight.
     pub inactivity_ratio: f64,
-    /// Whether the engine is ejected and gets recovery attempts only.
+    /// Whether the engine is ejected. It gets recovery attempts only, unless all engines that a request may use are
+    /// ejected.
     pub is_outlier: bool,
-    /// Factor, at most 1, by which the engine's slowdown reduces its limits under pressure.
+    /// Factor, at most 1, by which the engine's limits under pressure are multiplied. It decreases with the slowdown of
+    /// the engine or, if that is unknown, of the fleet.
     pub limit_factor: f64,
-    /// The engine's slowdown relative to that of the fleet.
+    /// The engine's slowdown relative to that of the fleet; 1 if the engine's slowdown is unknown.
     pub relative_slowdown: f64,
 }
 
 impl EngineCondition {
-    /// Returns whether the engine is known to be under pressure.
+    /// Returns whether the engine is measured or assumed to be under pressure.
     pub fn is_under_pressure(&self) -> bool {
         self.under_pressure == Some(true)
     }
@@ -89,19 +95,22 @@
     pub unreported_memory_limit: f64,
     /// Number of engines that accept requests, at least 1.
     pub engine_count: f64,
-    /// Attempts of the small tier in flight.
+    /// Number of this router's attempts of the small tier in flight.
     pub small_count: f64,
-    /// Attempts of the medium tier in flight.
+    /// Number of this router's attempts of the medium tier in flight.
     pub medium_count: f64,
-    /// Mean memory utilization in the load reports; `None` if no report contains any.
+    /// Mean memory utilization in the load reports; `None` if no report contains it or engines report only in answer
+    /// to a probe.
     pub mean_memory_utilization: Option<f64>,
-    /// Mean core utilization in the load reports; `None` if no report contains any.
+    /// Mean core utilization in the load reports, without those where it is estimated from the requests in flight;
+    /// `None` if there are no others or engines report only in answer to a probe.
     pub mean_core_utilization: Option<f64>,
-    /// Whether the engines report their number of requests in flight.
+    /// Whether an engine has reported its number of requests in flight without its core utilization. Always false if
+    /// engines report only in answer to a probe.
     pub reports_in_flight: bool,
-    /// Resources of this router's attempts in flight.
+    /// Resources of this router's attempts in flight, without inactive ones.
     pub local_load: Resources,
-    /// Threads of this router's attempts at engines under pressure, by tier.
+    /// Threads of this router's attempts at engines under pressure, by tier, with an upper bound for each engine.
     pub threads_under_pressure: [f64; Tier::ALL.len()],
     /// Sum of the cores of the engines under pressure, each multiplied by the engine's limit factor.
     pub cores_under_pressure: f64,
--- a/tests/digest/attempts.rs
+++ b/tests/digest/attempts.rs
@@ -6,7 +6,7 @@
 
 impl Simulation {
     /// Starts an attempt that the scheduler has sent.
-    pub(super) fn start_attempt(&mut self, request: RequestId, engine: EngineId, until: Duration) {
+    pub(super) fn start_attempt(&mut self, request: RequestId, engine: EngineId, timeout_at: Duration) {
         let client_request = self.client_requests.get_mut(&request).expect("the request has arrived");
         let attempt = client_request.attempts;
         client_request.attempts += 1;
@@ -17,8 +17,9 @@
         let estimate_error = random.one_of(&[0.7, 1.0, 1.0, 1.2, 2.0, 10.0]);
         let run = ideal_run.mul_f64(estimate_error * simulated.slowness * random.between(0.9, 1.6)) + ms(1);
         let is_silent = simulated.silent;
-        let (wait, outcome) = self.attempt_end(engine, run, until.saturating_sub(self.now));
-        self.running.insert((request, attempt), RunningAttempt { engine, sent: self.now, until, run });
+        let (wait, outcome) = self.attempt_end(engine, run, timeout_at.saturating_sub(self.now));
+        self.running
+            .insert((request, attempt), RunningAttempt { engine, sent_at: self.now, timeout_at, run });
         self.schedule(wait, Event::AttemptOutcome(request, attempt, outcome));
         if let Some(interval) = self.environment.progress_interval.filter(|_| !is_silent) {
             self.schedule(interval, Event::Progress(request, attempt));
@@ -79,7 +80,7 @@
             None
         };
         let client_request = self.client_requests.get_mut(&request).expect("the request has arrived");
-        let elapsed = self.now - running.sent;
+        let elapsed = self.now - running.sent_at;
         let estimate = client_request.arrival.estimated_memory_mb.unwrap_or(100.0);
         let random = &mut self.random;
         let has_usage =
@@ -105,11 +106,12 @@
 
     /// Sends a random progress update of an attempt in flight.
     pub(super) fn send_progress(&mut self, request: RequestId, attempt: usize) {
-        let Some(RunningAttempt { engine, sent, until, run }) = self.running.get(&(request, attempt)) else {
+        let Some(RunningAttempt { engine, sent_at, timeout_at, run }) = self.running.get(&(request, attempt))
+        else {
             return;
         };
-        let (elapsed, random) = (self.now - *sent, &mut self.random);
-        if self.simulated_engines[engine].silent || *until <= self.now {
+        let (elapsed, random) = (self.now - *sent_at, &mut self.random);
+        if self.simulated_engines[engine].silent || *timeout_at <= self.now {
             return;
         }
         let done = elapsed.as_nanos() as f64 / run.as_nanos() as f64;
--- a/tests/digest/log.rs
+++ b/tests/digest/log.rs
@@ -1,4 +1,5 @@
-//! The log of all runs: a digest and counts of the scheduler's actions and of the test's inputs and queries.
+//! The log of all runs: a digest over all entries, and the number of entries of each kind. An entry records an action
+//! of the scheduler, an input, or the answer to a query.
 
 use emberflow::*;
 use sha2::{Digest, Sha256};
@@ -21,7 +22,7 @@
 
 /// An action that the simulation carries out after the input that caused the action.
 pub enum PendingAction {
-    Attempt { request: RequestId, engine: EngineId, until: Duration },
+    Attempt { request: RequestId, engine: EngineId, timeout_at: Duration },
     Cancel { request: RequestId, attempt: usize },
     Answered(RequestId),
     Probe(EngineId),
@@ -51,9 +52,9 @@
 }
 
 impl Actions for Log {
-    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
-        self.add(SEND, &[request.0.into(), engine.0 as u64, nanoseconds(until)]);
-        self.pending.push(PendingAction::Attempt { request, engine, until });
+    fn send(&mut self, request: RequestId, engine: EngineId, timeout_at: Duration) {
+        self.add(SEND, &[request.0.into(), engine.0 as u64, nanoseconds(timeout_at)]);
+        self.pending.push(PendingAction::Attempt { request, engine, timeout_at });
     }
     fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.add(SET_GRANT_AND_PRIORITY, &[request.0.into(), grant_mb.to_bits(), priority.into()]);
--- a/tests/digest/random.rs
+++ b/tests/digest/random.rs
@@ -5,7 +5,7 @@
 /// A SplitMix64 generator, whose numbers do not depend on the machine or on versions of crates.
 pub struct Random {
     pub state: u64,
-    /// Whether times are rounded to whole milliseconds, so that several events occur at the same time.
+    /// Whether times are rounded down to whole milliseconds. Events then often occur at the same time.
     pub whole_milliseconds: bool,
 }
 
@@ -32,7 +32,7 @@
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Returns a number between `min` and `max`.
+    /// Returns a number of at least `min` and below `max`.
     pub fn between(&mut self, min: f64, max: f64) -> f64 {
         min + self.fraction() * (max - min)
     }
@@ -52,7 +52,7 @@
         self.rounded(time)
     }
 
-    /// Rounds a time down to whole milliseconds if the run uses whole milliseconds.
+    /// Returns the time, rounded down to whole milliseconds if `whole_milliseconds` is set.
     pub fn rounded(&self, time: Duration) -> Duration {
         if self.whole_milliseconds { Duration::from_millis(time.as_millis() as u64) } else { time }
     }
--- a/tests/digest/simulation.rs
+++ b/tests/digest/simulation.rs
@@ -16,7 +16,7 @@
     Duration::from_millis(ms)
 }
 
-/// A request as its client knows it.
+/// A request that has arrived, with the number of attempts sent so far and whether it needs no further answer.
 pub struct ClientRequest {
     pub arrival: Arrival,
     pub attempts: usize,
@@ -26,8 +26,8 @@
 /// An attempt in flight.
 pub struct RunningAttempt {
     pub engine: EngineId,
-    pub sent: Duration,
-    pub until: Duration,
+    pub sent_at: Duration,
+    pub timeout_at: Duration,
     /// Time that the engine needs for the attempt.
     pub run: Duration,
 }
@@ -57,7 +57,7 @@
     pub(super) classes: Vec<(Duration, f64)>,
     pub(super) now: Duration,
     pub(super) events: BTreeMap<(Duration, u64), Event>,
-    /// Number of events scheduled so far, which orders events of the same time.
+    /// Number of events scheduled so far. Events of the same time occur in the order in which they were scheduled.
     pub(super) scheduled: u64,
     /// Id of the next request, which is also the number of requests that have arrived.
     pub(super) next_request: RequestId,
@@ -175,8 +175,8 @@
     pub(super) fn carry_out_actions(&mut self) {
         for pending in std::mem::take(&mut self.log.pending) {
             match pending {
-                PendingAction::Attempt { request, engine, until } => {
-                    self.start_attempt(request, engine, until)
+                PendingAction::Attempt { request, engine, timeout_at } => {
+                    self.start_attempt(request, engine, timeout_at)
                 }
                 PendingAction::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
                 PendingAction::Answered(request) => self.answer_request(request),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -76,8 +76,8 @@
     let mut sent = SentAttempts::default();
     scheduler.accept(Duration::ZERO, arrival(RequestId(0)), &mut sent);
     let (_, first) = sent.0[0];
-    let broken = ended(RequestId(0), 0, first, AttemptOutcome::Failed);
-    scheduler.attempt_ended(ms(20), broken, &mut sent);
+    let failed = ended(RequestId(0), 0, first, AttemptOutcome::Failed);
+    scheduler.attempt_ended(ms(20), failed, &mut sent);
     let (_, second) = sent.0[1];
     assert_eq!(second.0 / 10, first.0 / 10, "the retry was sent to another cell");
     assert_ne!(second, first, "the retry was sent to the engine that failed");
--- a/tests/trace/action_log.rs
+++ b/tests/trace/action_log.rs
@@ -7,7 +7,7 @@
 /// Records each action as one line, which starts with the time of the action in milliseconds.
 #[derive(Default)]
 pub struct ActionLog {
-    /// The lines so far.
+    /// The lines that were recorded since the text was last taken.
     pub text: String,
     /// The time of the current input in milliseconds.
     pub now_ms: u64,
@@ -23,8 +23,8 @@
 }
 
 impl Actions for ActionLog {
-    fn send(&mut self, request: RequestId, engine: EngineId, until: Duration) {
-        self.add(format_args!("request {request} to engine {engine} until {}", until.as_millis()));
+    fn send(&mut self, request: RequestId, engine: EngineId, timeout_at: Duration) {
+        self.add(format_args!("request {request} to engine {engine} until {}", timeout_at.as_millis()));
     }
     fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
         self.add(format_args!("request {request} gets {grant_mb} MB, priority {priority}"));
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -23,11 +23,11 @@
     Duration::from_millis(ms)
 }
 
-/// A scheduler, the current time, and the decisions so far.
+/// A scheduler with a log of its decisions. The log also holds the current time.
 pub struct Trace {
     scheduler: Scheduler,
     log: ActionLog,
-    /// The number of the next request.
+    /// The id that the next accepted request gets; ids start at 0.
     next_request: RequestId,
     /// Deadlines by request class.
     deadlines: Vec<Duration>,
@@ -108,7 +108,7 @@
         self
     }
 
-    /// Sets the number of random draws so far, which determines the next random choice.
+    /// Sets the number of random draws so far. The next random choice between engines depends on it.
     #[allow(dead_code, reason = "called by counterexamples that the model checker prints")]
     pub fn set_random_draws(&mut self, draws: u64) -> &mut Self {
         self.scheduler.set_random_draws(draws);
--- a/tests/trace/requests.rs
+++ b/tests/trace/requests.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 impl Trace {
-    /// Accepts a request with the client's estimates of its work and memory; 0 stands for no estimate.
+    /// Accepts a request with the client's estimates of its work and memory. An estimate of 0 means that the client
+    /// gives none.
     pub fn accept(&mut self, class: usize, work_ms: u64, memory_mb: f64) -> &mut Self {
         self.accept_keyed(class, work_ms, memory_mb, None)
     }
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -62,9 +62,9 @@
     (fleet, classes(), attempt_limits)
 }
 
-/// Returns settings like [`base`] with short times, so that a request is finished after few inputs. Request classes:
-/// 0 is idempotent, 1 to 3 have an idempotency key whose scope is the cell, the location and the whole fleet, and 4 is
-/// non-idempotent.
+/// Returns settings like [`base`] with short times, so that a request is finished after few inputs. Request class 0
+/// is idempotent. Classes 1, 2 and 3 have an idempotency key, whose scope is a cell, a location and the whole fleet.
+/// Class 4 is non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
     let window = ms(120);
--- a/tests/traces/estimates.rs
+++ b/tests/traces/estimates.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_first_requests_without_estimates_do_not_make_later_ones_look_too_slow() {
+fn the_first_requests_without_estimates_do_not_cause_later_rejections() {
     let mut trace = Trace::with_engines(1);
     trace.accept_many(2, SHORT, 0, 0.0).at(100).succeeded_after(0, 0, 100, None).accept(SHORT, 0, 0.0);
     expect![[r#"
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_request_with_much_reported_work_does_not_make_its_engine_look_slow() {
+fn a_request_with_much_reported_work_does_not_count_as_slowed_down() {
     let mut trace = trace_with_one_reported_usage();
     trace.at(5000).accept(SHORT, 0, 0.0).at(7000).succeeded_with_usage(1, 0, 2000, 100.0);
     trace.accept_many(2, SHORT, 0, 0.0).wake_until(7100);
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -1,5 +1,5 @@
-//! Short traces of decisions, one for each limit and each failure. Tests that run with `UPDATE_EXPECT=1` update the
-//! expected texts; read the diff before you commit it.
+//! Short traces of decisions, which show how the scheduler applies its limits and handles failures. Running the tests
+//! with `UPDATE_EXPECT=1` updates the expected texts; read the diff before you commit it.
 
 mod admission;
 mod deadlines;
@@ -29,13 +29,13 @@
     LoadReport { memory_utilization: Some(memory), ..LoadReport::default() }
 }
 
-/// Returns a load report with only the number of requests in flight.
+/// Returns a load report with only the number of requests that the engine runs or queues.
 fn in_flight_only(requests: f64) -> Option<LoadReport> {
     Some(LoadReport { in_flight: Some(requests), ..LoadReport::default() })
 }
 
-/// Continues a trace with two requests without estimates. The first one succeeds after `elapsed_ms`, with a report of
-/// the engine's requests in flight; the second one is then accepted.
+/// Continues a trace with two requests without estimates: accepts the first one, ends it with success at `elapsed_ms`
+/// with a report of the engine's requests in flight, and then accepts the second one.
 fn measure_without_estimates(trace: &mut Trace, elapsed_ms: u64, requests_in_flight: f64) {
     trace.accept(SHORT, 0, 0.0).at(elapsed_ms).succeeded_after(
         0,
