--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sets the number of random draws so far, which determines the next random choice.
+    /// Sets the number of random draws so far. The next random choice between engines depends on it.
     pub fn set_random_draws(&mut self, draws: u64) {
         self.state.random_draws = draws;
     }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,5 +1,5 @@
-//! Ids: numbers that the caller assigns to requests, engines and keys. Each kind has its own type, so that the
-//! compiler rejects the id of an engine in place of the id of a request.
+//! The ids of requests, engines and keys. An id is a number that the caller assigns. Requests, engines and keys have
+//! different id types, so that the compiler rejects an engine's id where a request's id is expected.
 
 use std::fmt::{Debug, Display, Formatter, Result};
 
--- a/src/input.rs
+++ b/src/input.rs
@@ -98,7 +98,7 @@
     NotSent,
 }
 
-/// The end of an attempt.
+/// The end of an attempt, with the usage and the load that the engine reported in its answer.
 #[derive(Clone)]
 pub struct AttemptEnded {
     /// The request that the attempt belongs to.
@@ -107,7 +107,7 @@
     pub attempt: usize,
     /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// How the attempt ended, which tells whether it may have run.
+    /// How the attempt ended, and therefore whether it may have run.
     pub outcome: AttemptOutcome,
     /// Time since the attempt was sent.
     pub elapsed: Duration,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -67,8 +67,8 @@
         self.record_sent(now, id, to.engine, to.tier, grant_mb)
     }
 
-    /// Probes engines without a recent load report, if engines report their load only in answer to a probe. Does
-    /// so only while a request could be sent.
+    /// Probes engines without a recent load report, if engines report their load only in answer to a probe. Probes
+    /// at most once in each probe interval, and only while the order of its key allows a queued request to be sent.
     pub fn probe_unreported_engines(
         &mut self,
         snapshot: &mut FleetSnapshot,
@@ -117,8 +117,8 @@
     }
 
     /// Returns the shortest objective budget of a usual request, over all classes. It limits the queue time of
-    /// all requests without estimates. They share the medium tier, where a request with a longer budget would
-    /// block the others.
+    /// all requests without a key and without an estimate of their work. They share the medium tier, where a request
+    /// with a longer budget would block the others.
     fn shortest_objective_budget(&self) -> Duration {
         let budgets = self.classes.iter().enumerate().map(|(index, class)| {
             let variable = class.objective_stretch * self.usual_work(index) / class.threads.max(1.0);
@@ -127,9 +127,9 @@
         budgets.min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns the queued requests with more work before them than this router's share of all cores can do
-    /// within their objective budget. Guards against floods of requests, which would let the queue, and the time
-    /// that each input takes, grow without bound.
+    /// Returns the queued requests without attempts whose own work and the work before them are more than this
+    /// router's share of all cores can do within their objective budget. Guards against floods of requests, which
+    /// would let the queue, and the time that each input takes, grow without bound.
     fn requests_beyond_capacity(&self, snapshot: &FleetSnapshot) -> BTreeSet<RequestId> {
         let kinds = self.fleet.kinds.iter().enumerate();
         let fleet_cores: f64 =
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -28,8 +28,9 @@
         self.answer_margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
-    /// Answers requests without a result: all requests shortly before the shutdown deadline, and queued requests
-    /// shortly before their own deadline, or at once if no further attempt is allowed or useful.
+    /// Answers requests without a result. Shortly before the shutdown deadline, all requests are answered. A queued
+    /// request is answered shortly before its own deadline, or at once if no further attempt is allowed or worth the
+    /// work. Returns whether any request was answered.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let due_by = now + self.final_answer_lead();
@@ -125,8 +126,8 @@
         true
     }
 
-    /// Requests the next wake-up. Also subscribes to changes of the endpoint list, if the scheduler must do so and
-    /// is not subscribed.
+    /// Requests the next wake-up while the scheduler holds any request. Also subscribes to changes of the endpoint
+    /// list, if the scheduler must do so and is not subscribed.
     pub fn schedule_wake(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         if self.fleet.must_watch_endpoints && !self.is_watching_endpoints {
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -10,7 +10,7 @@
 const GRANT_FACTOR: f64 = 1.25;
 /// Memory grant as a multiple of the usual memory of the class, for a request without an estimate.
 const GRANT_FACTOR_UNESTIMATED: f64 = 1.5;
-/// Fraction of the class's requests with reported usage whose memory a grant without an estimate must cover.
+/// Quantile of the reported memory of the class that the grant of a request without an estimate must cover.
 const GRANT_QUANTILE: f64 = 0.9;
 
 /// Priority of bulk loads. They are served first, because other requests on the engine wait for them.
@@ -47,8 +47,9 @@
         self.new_request(now, arrival, self.expected_resources(arrival), self.elapsed_before_arrival(arrival))
     }
 
-    /// Returns the time that passed between a client's first request and the retry that arrives now. A retry has
-    /// a shorter deadline than usual, and the difference also counts against its latency objective.
+    /// Returns the time that has passed since a client's first request, if the arrival is a retry. A retry has a
+    /// shorter deadline than usual, and the difference also counts against its latency objective. An arrival is
+    /// treated as a retry unless the client has marked it as a first request.
     fn elapsed_before_arrival(&self, arrival: &Arrival) -> Duration {
         if arrival.is_retry == Some(false) {
             return Duration::ZERO;
@@ -57,7 +58,8 @@
         usual_deadline.saturating_sub(arrival.deadline)
     }
 
-    /// Records the deadline and the expected work of an arrival, and creates its request.
+    /// Records the deadline of an arrival and, if the client gave an estimate, the expected work. Creates the request
+    /// of the arrival.
     pub fn update_estimates_from_arrival(&mut self, now: Duration, arrival: &Arrival) -> Request {
         // Marked retries are left out, because their shorter deadlines would lower the usual deadline.
         if arrival.is_retry != Some(true) {
@@ -71,8 +73,8 @@
         request
     }
 
-    /// Records the usage of an ended attempt. Returns the ideal run of the request in seconds, which is computed
-    /// from that usage if the client gave no estimate.
+    /// Records the usage of an ended attempt. Returns the ideal run of the request in seconds. If the attempt
+    /// succeeded and the client gave no estimate of the work, the ideal run is computed from the work of the attempt.
     pub fn update_estimates_from_outcome(
         &mut self,
         now: Duration,
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -15,9 +15,10 @@
 
 /// The load of an engine once it has one more request.
 pub struct ProjectedLoad {
-    /// Fraction of the memory in use.
+    /// Fraction of the memory in use that is compared with the limit of admission.
     pub memory_utilization: f64,
-    /// Sum of the fractions of memory and cores in use.
+    /// Sum of the fractions of memory and cores in use. For an engine without a usable report, when no report contains
+    /// the memory, only this router's attempts count, as fractions of its share of the engine.
     combined_utilization: f64,
 }
 
@@ -50,12 +51,13 @@
         load: LoadReport,
         ended: Option<RequestId>,
     ) {
-        let granted = self.record_load_report(now, id, load).and_then(|load| load.memory_utilization);
-        if let Some(granted) = granted
-            && granted > 0.0
+        let granted_fraction =
+            self.record_load_report(now, id, load).and_then(|load| load.memory_utilization);
+        if let Some(granted_fraction) = granted_fraction
+            && granted_fraction > 0.0
             && !self.fleet.reports_only_on_probe
         {
-            self.record_fleet_share(now, granted, ended);
+            self.record_fleet_share(now, granted_fraction, ended);
         }
     }
 
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Returns this router's share of the fleet: the mean of the samples, or an equal share before the first
-    /// one.
+    /// Returns this router's share of the fleet, at most 1: the mean of the samples, but at least `MIN_FLEET_SHARE`
+    /// of an equal share, or an equal share before the first sample.
     pub fn fleet_share(&self) -> f64 {
         let equal = 1.0 / self.fleet.router_count.max(1) as f64;
         let measured = self.fleet_shares.mean();
@@ -82,7 +84,7 @@
     }
 
     /// Returns whether the progress updates of an attempt have stopped, because the answer was lost or the
-    /// engine is unresponsive.
+    /// engine is unresponsive. Always false if engines send no progress updates.
     pub fn is_attempt_inactive(&self, now: Duration, attempt: &InFlightAttempt) -> bool {
         let Some(interval) = self.fleet.progress_interval else { return false };
         let active_since = now.saturating_sub(interval * ATTEMPT_INACTIVE_AFTER_INTERVALS);
@@ -221,8 +223,8 @@
     }
 
     /// Returns the memory utilization that is compared with the limit of admission. Reports in answer to a probe
-    /// are late, and other routers probe too, so that an engine with such a report also accepts requests if the
-    /// estimate is below the limit.
+    /// are late, and other routers probe too, so that an engine with such a report also accepts requests if only the
+    /// estimate is below the limit. The report itself counts divided by `MEMORY_TARGET_FRACTION`.
     fn memory_for_admission(&self, memory: f64, estimated: f64) -> f64 {
         if self.state.fleet.reports_only_on_probe {
             estimated.min(memory / MEMORY_TARGET_FRACTION)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -29,7 +29,8 @@
 const SENT_WORK_SAMPLES: usize = 1024;
 /// Samples in the window of this router's share of the fleet.
 const FLEET_SHARE_SAMPLES: usize = 256;
-/// Initial memory target, as a fraction of the memory in this router's share of an engine.
+/// Memory target without any change by pressure, as a fraction of an engine's memory times this router's fleet
+/// share.
 const MEMORY_TARGET_FRACTION: f64 = 0.5;
 /// Elapsed time of an engine's successful attempts, as a multiple of their ideal runs, above which the engine
 /// is under pressure.
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -39,9 +39,9 @@
         inactive / activity_timeout.max(seconds(self.shortest_objective()))
     }
 
-    /// Returns whether an engine fails often. Guards against engines that fail fast or are down: they look idle
-    /// and would attract requests. The window grows with the number of consecutive failures, because the recovery
-    /// attempts of many routers add up.
+    /// Returns whether an engine fails often enough to be ejected. Engines that fail fast or are down must be ejected,
+    /// because they appear idle and would attract requests. The window of failures grows with the number of
+    /// consecutive failures, because the recovery attempts of many routers add up.
     pub fn is_failing(&self, engine: &Engine, now: Duration) -> bool {
         let newest_first = engine.failures.since(Duration::ZERO);
         let consecutive = newest_first.take_while(|failure| *failure > 0.0).count();
@@ -51,7 +51,8 @@
             && mean(recent()).is_some_and(|rate| rate >= MIN_FAILURE_RATE)
     }
 
-    /// Records the outcome of an attempt for its engine: a failure, a slowdown or a shortage of memory.
+    /// Records the outcome of an attempt for its engine: a failure, a success with its slowdown, or a shortage of
+    /// memory.
     pub fn update_outlier_detection(
         &mut self,
         now: Duration,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Records the elapsed time of a successful attempt as a multiple of the run on an idle engine. Recent runs
-    /// are not a stable reference, because they become longer during a lasting overload.
+    /// Records the elapsed time of a successful attempt as a multiple of the run on an idle engine. Recent
+    /// runs would be an unstable reference, because they become longer during a lasting overload.
     fn record_slowdown(
         &mut self,
         now: Duration,
@@ -149,7 +150,8 @@
     }
 }
 
-/// Returns whether the engine has been inactive for so long that its attempts are retried at other engines.
+/// Returns whether the engine has been inactive long enough for its attempts to be cancelled and retried at other
+/// engines.
 fn is_engine_inactive(condition: &EngineCondition) -> bool {
     condition.inactivity_ratio >= INACTIVITY_RATIO_FOR_RETRY
 }
@@ -161,8 +163,8 @@
     }
 }
 
-/// Ejects an engine that is down, and starts its warm-up: the engine will be cold when it is back, and the
-/// endpoint list may show the restart late.
+/// Ejects an engine that is down, and starts its warm-up now: the engine will have to warm up after its restart,
+/// and the endpoint list may show the restart late.
 fn eject_and_restart_warm_up(engine: &mut Engine, now: Duration) {
     record_ejection(engine, now);
     engine.warming_since = Some(now);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -15,7 +15,8 @@
     pub kind: usize,
     /// Tier of the request at engines of that kind.
     pub tier: Tier,
-    /// Fraction of the engine's memory and cores that stays free once the engine has the request.
+    /// Fraction of the engine's memory and cores that stays free once the engine has the request; lower for a slow
+    /// engine, and negative for an overloaded one.
     free_fraction: f64,
 }
 
@@ -112,8 +113,8 @@
         candidates
     }
 
-    /// Returns the fraction of an engine that stays free once the engine has the request; `None` if the engine
-    /// lacks the capacity.
+    /// Returns the fraction of an engine that stays free once the engine has the request, reduced if the engine is
+    /// slower than the fleet; `None` if the engine lacks the capacity.
     fn free_fraction(
         &self,
         candidate: &Candidate<'_>,
@@ -167,10 +168,10 @@
     /// table group, then engines in the home location, then at random.
     fn tie_preference(&self, id: EngineId, request: &Request) -> (bool, bool, u64) {
         let engine = &self.engines[&id];
-        let has_read_table_group =
+        let is_recent_table_group =
             request.table_group.is_some_and(|group| engine.recent_table_groups.contains(&group));
         let is_at_home = engine.location == self.fleet.home_location;
-        (has_read_table_group, is_at_home, self.pseudo_random(id, self.random_draws))
+        (is_recent_table_group, is_at_home, self.pseudo_random(id, self.random_draws))
     }
 
     /// Returns whether the request would wait for a bulk load at the engine: a bulk load that this router has
@@ -206,13 +207,16 @@
         engine.lifecycle.accepts_requests() && is_allowed_by_class && is_in_key_scope
     }
 
-    /// Returns whether the request is not restricted to some engines of a kind, by the locations of its class or
-    /// by the scope of its idempotency key.
+    /// Returns whether the request may use all engines of the kinds that its class allows. Otherwise, the locations of
+    /// its class or the scope of its idempotency key exclude some of them.
     fn may_use_all_engines(&self, request: &Request) -> bool {
         let class = &self.classes[request.class];
-        let is_restricted_by_retry = matches!(&class.idempotency, Idempotency::IdempotentWithKey { scope, .. } if *scope != KeyScope::All);
+        let has_limited_key_scope = matches!(
+            &class.idempotency,
+            Idempotency::IdempotentWithKey { scope, .. } if *scope != KeyScope::All
+        );
         let may_have_run = request.first_that_may_have_run().is_some();
-        class.locations.is_none() && !(is_restricted_by_retry && may_have_run)
+        class.locations.is_none() && !(has_limited_key_scope && may_have_run)
     }
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -60,7 +60,8 @@
         Some(limits.overload_factor * capacity * seconds(limits.overload_window) * share)
     }
 
-    /// Returns the work in core-seconds that a request of this class takes from the slow-start budget.
+    /// Returns the work in core-seconds that a request of this class needs in the slow-start budget: the usual work
+    /// of the class, but at least one tick.
     pub fn slow_start_work(&self, class: usize) -> f64 {
         self.usual_work(class).max(seconds(self.fleet.tick))
     }
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -74,8 +74,8 @@
         (fleet_share * self.fleet_to_subset_ratio()).min(1.0)
     }
 
-    /// Returns this router's share of an engine's slow-start budget. The share is at most the engine
-    /// share, because some engines are used by more routers than the mean.
+    /// Returns this router's share of an engine's slow-start budget. The share may be lower than the engine share,
+    /// because some engines are used by more routers than the mean, but is never lower than the fleet share.
     pub fn slow_start_share(&self, fleet_share: f64) -> f64 {
         let factor = self.fleet_to_subset_ratio() / MAX_ROUTERS_PER_ENGINE_RATIO;
         if factor > 1.0 { (fleet_share * factor).min(1.0) } else { fleet_share }
--- a/src/policy/windows.rs
+++ b/src/policy/windows.rs
@@ -25,7 +25,8 @@
         self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(self.fleet.tick)
     }
 
-    /// Returns the start of the window in which slowdowns count.
+    /// Returns the start of the window in which measured slowdowns count: `now` minus the length of the window, but
+    /// at least 0.
     pub fn slowdown_window_start(&self, now: Duration) -> Duration {
         now.saturating_sub(self.shortest_objective() * SLOWDOWN_WINDOW_OBJECTIVES)
     }
@@ -52,8 +53,8 @@
         self.shortest_objective() * REPORT_AGING_OBJECTIVES
     }
 
-    /// Returns the interval between rounds of probes, which is also the age from which an engine's last report
-    /// is too old, so that the engine may be probed again.
+    /// Returns the interval between rounds of probes. An engine may be probed again once its last report is older
+    /// than this interval.
     pub fn probe_interval(&self) -> Duration {
         self.shortest_objective() / PROBES_PER_OBJECTIVE
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -20,8 +20,8 @@
         Self { state: SchedulerState::new(fleet, classes, attempt_limits, WINDOW_SIZES) }
     }
 
-    /// Returns the number of engines that all inputs so far have examined. It measures the cost of inputs without
-    /// a clock.
+    /// Returns the total number of engines examined by the inputs so far. It measures the cost of inputs without a
+    /// clock. An engine counts each time that it is examined.
     pub fn engines_examined(&self) -> u64 {
         self.state.engines_examined
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -40,13 +40,14 @@
     pub memory_mb: f64,
 }
 
-/// One class of requests.
+/// The settings that all requests of one class share.
 pub struct RequestClass {
     /// Fixed part of the latency objective, counted from the arrival.
     pub latency_objective: Duration,
     /// Variable part of the latency objective, as a multiple of the request's ideal run.
     pub objective_stretch: f64,
-    /// The usual deadline of a request, counted from the arrival.
+    /// The usual deadline of a request, counted from the arrival. The scheduler does not read it, since each arrival
+    /// contains its own deadline.
     pub deadline: Duration,
     /// Priority weight of a request that is answered within its latency objective, relative to other classes.
     pub priority_weight: f64,
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -1,4 +1,4 @@
-//! What this router knows about an engine.
+//! The record of one engine: its endpoint, its attempts in flight, its measurements and its last load report.
 
 use super::{AttemptId, Resources, Tier, WindowSizes};
 use crate::samples::SampleWindow;
@@ -18,7 +18,7 @@
 }
 
 impl InFlightAttempt {
-    /// Returns the id of the attempt.
+    /// Returns the request of the attempt and the attempt's index in that request.
     pub fn id(&self) -> AttemptId {
         AttemptId { request: self.request, attempt: self.attempt }
     }
@@ -36,7 +36,7 @@
     pub load: LoadReport,
 }
 
-/// One engine of the endpoint list.
+/// One engine that the endpoint list contains, or contained until it was removed.
 #[derive(Clone)]
 pub struct Engine {
     pub location: usize,
@@ -61,7 +61,8 @@
     pub failures: SampleWindow,
     /// Time of the last answer or progress update; before the first one, the time at which the engine was listed.
     pub last_activity_at: Duration,
-    /// Time at which the engine last reported a shortage of memory or rejected an attempt as overloaded.
+    /// Time at which the engine last reported a shortage of memory or rejected an attempt as overloaded; `None` if
+    /// neither has happened since its last start.
     pub memory_shortage_at: Option<Duration>,
     /// The last load report; `None` if this router has received none since the engine's last start.
     pub report: Option<ReceivedReport>,
--- a/src/state/engine_index.rs
+++ b/src/state/engine_index.rs
@@ -86,7 +86,7 @@
         self.accepting.values().sum()
     }
 
-    /// Returns the engines of one cell.
+    /// Returns the engines of one cell, including those that accept no requests.
     pub fn in_cell(&self, cell: u64) -> impl Iterator<Item = EngineId> {
         self.by_cell.get(&cell).into_iter().flatten().copied()
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -51,12 +51,12 @@
     pub engines: BTreeMap<EngineId, Engine>,
     /// Indexes over `engines`.
     pub engine_index: EngineIndex,
-    /// Number of engines that all inputs so far have examined, which measures the cost of inputs without a clock.
+    /// Total number of engines examined by the inputs so far. Measures the cost of inputs without a clock.
     pub engines_examined: u64,
     pub key_queues: BTreeMap<KeyId, KeyQueue>,
     /// Measurements by request class.
     pub estimates: Vec<ClassEstimates>,
-    /// Samples of this router's fraction of the memory that the whole fleet has granted.
+    /// Samples of this router's fleet share: the memory granted to its requests as a fraction of all granted memory.
     pub fleet_shares: SampleWindow,
     /// Times at which requests were accepted, within the window of the retry budget.
     pub accepted_at: VecDeque<Duration>,
@@ -70,7 +70,7 @@
     pub shutdown_at: Duration,
     /// Whether the scheduler is subscribed to changes of the endpoint list.
     pub is_watching_endpoints: bool,
-    /// Number of random draws so far, which makes the next draw differ from earlier ones.
+    /// Number of random draws so far. It is part of each draw, so that the next draw differs from earlier ones.
     pub random_draws: u64,
 }
 
@@ -119,7 +119,7 @@
         engine.in_flight.iter().map(|attempt| &self.requests[&attempt.request])
     }
 
-    /// Returns the queue of a request's key.
+    /// Returns the queue of a request's key; `None` if the request has no key or the key has no queue.
     pub fn key_queue(&self, request: &Request) -> Option<&KeyQueue> {
         request.key.and_then(|key| self.key_queues.get(&key))
     }
--- a/src/state/recording.rs
+++ b/src/state/recording.rs
@@ -110,17 +110,17 @@
     /// the `ended` one, divided by the memory that the fleet has granted if every engine has granted the reported
     /// fraction. A sample from the reporting engine alone would be too high, since most reports come with an
     /// answer to this router.
-    pub fn record_fleet_share(&mut self, now: Duration, granted: f64, ended: Option<RequestId>) {
+    pub fn record_fleet_share(&mut self, now: Duration, granted_fraction: f64, ended: Option<RequestId>) {
         let others = self.in_flight().filter(|(request, _)| Some(*request) != ended);
         let local_mb: f64 =
             others.map(|(_, request)| request.attempts[request.attempts.len() - 1].grant_mb).sum();
         let kinds = self.fleet.kinds.iter().enumerate();
         let fleet_mb: f64 =
             kinds.map(|(kind, size)| self.engine_index.accepting(kind) as f64 * size.memory_mb).sum();
-        self.fleet_shares.push(now, (local_mb / (granted * fleet_mb.max(1.0))).min(1.0));
+        self.fleet_shares.push(now, (local_mb / (granted_fraction * fleet_mb.max(1.0))).min(1.0));
     }
 
-    /// Records the end of an attempt and returns the attempt; `None` if the attempt is unknown.
+    /// Records the end of an attempt and whether its request is done. Returns the attempt; `None` if it is unknown.
     pub fn record_ended(&mut self, ended: &AttemptEnded) -> Option<Attempt> {
         let request = self.requests.get_mut(&ended.request)?;
         if ended.request_done {
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Removes requests that are done and have no attempt in flight, and key queues that are empty and not cooling
-    /// down. Returns whether any request was removed.
+    /// Removes requests that are done and have no attempt in flight. If there were any, also removes key queues that
+    /// are empty and not cooling down. Returns whether any request was removed.
     pub fn remove_finished_requests(&mut self, now: Duration) -> bool {
         let finished = self.requests.extract_if(.., |_, request| request.is_finished());
         let finished: BTreeMap<RequestId, Request> = finished.collect();
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -19,9 +19,9 @@
 /// The resources that a request is expected to need.
 #[derive(Clone, Copy)]
 pub struct ExpectedResources {
-    /// Work in core-seconds.
+    /// Work in core-seconds; 0 if there is neither an estimate nor an earlier measurement.
     pub work: f64,
-    /// Memory in MB.
+    /// Memory in MB; 0 if there is neither an estimate nor an earlier measurement.
     pub memory_mb: f64,
 }
 
@@ -77,7 +77,7 @@
         self.attempts.last().is_some_and(|attempt| attempt.outcome.is_none())
     }
 
-    /// Returns the id of the last attempt. `request` is the id of this request.
+    /// Returns the id of the last attempt; at least one must have been sent. `request` is the id of this request.
     pub fn last_attempt(&self, request: RequestId) -> AttemptId {
         AttemptId { request, attempt: self.attempts.len() - 1 }
     }
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -3,7 +3,7 @@
 /// An amount of memory and threads.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Resources {
-    /// Memory in MB.
+    /// Sum of the memory grants in MB.
     pub memory_mb: f64,
     /// Threads, each of which keeps one core busy.
     pub threads: f64,
