--- a/src/actions.rs
+++ b/src/actions.rs
@@ -8,10 +8,10 @@
 pub trait Actions {
     /// Sends the request's next attempt to the engine. The attempt times out at `timeout_at`.
     fn send(&mut self, request: RequestId, engine: EngineId, timeout_at: Duration);
-    /// Sets the memory grant in MB of the request's next attempt, and the priority of the request. Called right
-    /// before [`Self::send`].
+    /// Sets the memory grant in MB of the request's next attempt, and the priority of the request, which is from 1 to
+    /// 3, with 3 served first. Called right before [`Self::send`].
     fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8);
-    /// Cancels an attempt in flight.
+    /// Cancels an attempt in flight. `attempt` is its index among the request's attempts, from 0.
     fn cancel(&mut self, request: RequestId, attempt: usize);
     /// Answers the request without a result. The client may safely retry, after `retry_after` if it is given.
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>);
--- a/src/handlers.rs
+++ b/src/handlers.rs
@@ -104,7 +104,8 @@
         self.apply_rules(now, actions);
     }
 
-    /// Returns the expected work of a request, as time on one core; zero if nothing is known about its class.
+    /// Returns the expected work of a request, as time on one core; zero if the client gave no estimate and no work of
+    /// its class is recorded.
     pub fn expected_work(&self, arrival: &Arrival) -> Duration {
         duration(self.state.expected_resources(arrival).work)
     }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -81,7 +81,7 @@
         ended: &AttemptEnded,
         attempt: &Attempt,
     ) -> f64 {
-        self.record_memory_usage(now, ended, attempt);
+        self.record_usage(now, ended, attempt);
         let request = &self.requests[&ended.request];
         if request.estimated_work.is_some() || ended.outcome != AttemptOutcome::Succeeded {
             return request.ideal_run_seconds;
@@ -95,7 +95,9 @@
         work / threads.max(1.0)
     }
 
-    fn record_memory_usage(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) {
+    /// Records the usage that the engine reported. Without reported usage, records the memory that the attempt needed,
+    /// if that is known.
+    fn record_usage(&mut self, now: Duration, ended: &AttemptEnded, attempt: &Attempt) {
         let request = &self.requests[&ended.request];
         let estimates = &mut self.estimates[request.class];
         if let Some(usage) = &ended.usage {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! The decisions of the scheduler, one concern in each file. They are methods of
-//! `SchedulerState` that the rules in `scheduler.rs` and the inputs in `handlers.rs` call.
+//! The decisions of the scheduler, one concern in each file. They are methods of `SchedulerState` that the rules in
+//! `scheduler.rs` and the inputs in `handlers.rs` call.
 
 mod admission;
 mod deadlines;
--- a/src/policy/windows.rs
+++ b/src/policy/windows.rs
@@ -20,7 +20,7 @@
 const RECOVERY_ATTEMPTS_PER_OBJECTIVE: f64 = 2.0;
 
 impl SchedulerState {
-    /// Returns the shortest latency objective of all classes.
+    /// Returns the shortest latency objective of all classes, without its variable part.
     pub fn shortest_objective(&self) -> Duration {
         self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(self.fleet.tick)
     }
