--- a/crates/model-checker/src/connection_model.rs
+++ b/crates/model-checker/src/connection_model.rs
@@ -1,8 +1,8 @@
-//! The connection model: the pool of engine connections and its attempts. Engines answer, shed load, send malformed, split
-//! or repeated answers, stop answering, reset connections or are replaced at their address, while calls are sent,
-//! cancelled and overdue.
+//! The connection model: the pool of engine connections and its attempts. Calls are sent, are cancelled and time out
+//! while the engine answers, rejects calls as overloaded, sends malformed, split or repeated answers, stops
+//! answering, resets connections, or is replaced by another engine at its address.
 //!
-//! The model runs the router's pool; the sockets are byte strings in memory.
+//! The model runs the router's engine pool; buffers in memory take the place of the sockets.
 
 pub mod apply;
 pub mod engine;
@@ -12,7 +12,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::ConnectionScenario;
@@ -39,15 +39,15 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &ConnectionState, is_terminal: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
-        let at_end = || observed::first_violated(self, state, &Event::Terminal);
-        state.violated.or_else(|| is_terminal.then(at_end).flatten())
+    fn violated_invariant(&self, state: &ConnectionState, is_terminal: bool) -> Option<&'static str> {
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
+        let at_end = || shared_invariants::first_violated(self, state, &Event::Terminal);
+        state.violated_invariant.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
 
 impl ObservedModel for ConnectionScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::CONNECTIONS;
+    const FIRST_WITNESS_BIT: usize = witness::CONNECTION_FIRST_BIT;
 }
--- a/crates/model-checker/src/queue_model.rs
+++ b/crates/model-checker/src/queue_model.rs
@@ -1,5 +1,5 @@
-//! The queue model: the queues of teams. Requests arrive, are dispatched, end with any outcome, are requeued or removed,
-//! while time passes and a team is removed.
+//! The queue model: the admission queues of the teams. Requests arrive, are dispatched, end with any outcome, are
+//! requeued or removed, while time passes and a team is removed.
 //!
 //! The model runs the router's queues.
 
@@ -8,7 +8,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::QueueScenario;
@@ -46,14 +46,14 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &QueueState, _: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
-        state.violated
+    fn violated_invariant(&self, state: &QueueState, _: bool) -> Option<&'static str> {
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
+        state.violated_invariant
     }
 }
 
 impl ObservedModel for QueueScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::QUEUES;
+    const FIRST_WITNESS_BIT: usize = witness::QUEUE_FIRST_BIT;
 }
--- a/crates/model-checker/src/queue_model/state.rs
+++ b/crates/model-checker/src/queue_model/state.rs
@@ -45,23 +45,25 @@
 /// The queues and their environment.
 #[derive(Clone)]
 pub struct QueueState {
+    /// The current time; a run begins at 0.
     now: Duration,
     /// The system under test.
     pub queues: Queues,
-    /// The status of each request.
+    /// The expected status of each request, in the order of the scenario.
     pub statuses: Vec<RequestStatus>,
-    /// By team, the number of dispatches of the other team while this team had a waiting request.
+    /// By team, the number of dispatches of the other team while this team had a waiting request, since the last
+    /// dispatch of this team.
     pub passed_over: [u32; TEAMS],
-    /// By team, the number of dispatched requests.
+    /// By team, the number of dispatches so far.
     pub dispatch_counts: [u32; TEAMS],
-    /// Whether the second team was removed.
-    pub team_removed: bool,
-    /// Number of steps of time.
+    /// Whether the second team was removed, so that its requests belong to the first.
+    pub is_team_removed: bool,
+    /// Number of times that the clock has advanced.
     pub time_steps: u8,
-    /// Number of requeued requests.
+    /// Number of times that a request was requeued.
     pub requeues: u8,
-    /// The name of the first violated invariant.
-    pub violated: Option<&'static str>,
+    /// The name of the first violated invariant; `None` if all hold.
+    pub violated_invariant: Option<&'static str>,
 }
 
 /// Returns the quotas of `teams` teams in one organization. The second team may have a budget.
@@ -85,29 +87,29 @@
             statuses: vec![RequestStatus::NotArrived; scenario.requests.len()],
             passed_over: [0; TEAMS],
             dispatch_counts: [0; TEAMS],
-            team_removed: false,
+            is_team_removed: false,
             time_steps: 0,
             requeues: 0,
-            violated: None,
+            violated_invariant: None,
         }
     }
 
     /// Returns the team to which a request belongs now.
     pub fn current_team(&self, request: &RequestSpec) -> usize {
-        if self.team_removed { 0 } else { request.team }
+        if self.is_team_removed { 0 } else { request.team }
     }
 
-    /// Whether a team has a waiting request.
+    /// Whether a request that arrived for a team waits.
     pub fn has_waiting(&self, scenario: &QueueScenario, team: usize) -> bool {
         let mut requests = self.statuses.iter().zip(scenario.requests);
         requests.any(|(status, request)| *status == RequestStatus::Waiting && request.team == team)
     }
 
     fn check(&mut self, scenario: &QueueScenario, event: &Event) {
-        self.violated = self.violated.or_else(|| first_violated(scenario, self, event));
+        self.violated_invariant = self.violated_invariant.or_else(|| first_violated(scenario, self, event));
     }
 
-    /// Returns events that faulty queues could emit in this state.
+    /// Returns events that faulty queues could emit in this state, to find the invariants that the state exercises.
     pub fn hypothetical_events(&self) -> Vec<Event> {
         let requests = 0..self.statuses.len();
         let mut events: Vec<_> =
@@ -117,7 +119,7 @@
         events
     }
 
-    /// Enqueues the next request.
+    /// Enqueues the next request of the scenario.
     pub fn arrive(&mut self, scenario: &QueueScenario) {
         let is_next = |status: &RequestStatus| *status == RequestStatus::NotArrived;
         let index = self.statuses.iter().position(is_next).unwrap_or_default();
@@ -137,7 +139,7 @@
         self.statuses[index] = if is_accepted { RequestStatus::Waiting } else { RequestStatus::Finished };
     }
 
-    /// Dispatches the request that the queues name.
+    /// Dispatches the first request in the queues' dispatch order, if there is one.
     pub fn dispatch(&mut self, scenario: &QueueScenario) {
         let next = self.queues.dispatch_order().next();
         self.check(scenario, &Event::Dispatches(next));
@@ -151,7 +153,7 @@
         self.passed_over[other_team] += u32::from(self.has_waiting(scenario, other_team));
     }
 
-    /// Ends a dispatched request.
+    /// Ends a dispatched request with an outcome, which settles its charge.
     pub fn settle(&mut self, request: usize, outcome: Outcome) {
         self.queues.settle(self.now, request as RequestId, outcome);
         self.statuses[request] = RequestStatus::Finished;
@@ -170,9 +172,9 @@
         self.statuses[request] = RequestStatus::Finished;
     }
 
-    /// Removes the second team; its requests move to the first.
+    /// Removes the second team; its requests move to the first team, which has no budget.
     pub fn remove_team(&mut self) {
-        self.team_removed = true;
+        self.is_team_removed = true;
         self.queues.reconfigure(self.now, quotas(false, 1), &[Some(0), None]);
     }
 
@@ -183,21 +185,22 @@
         self.queues.advance(self.now);
     }
 
-    /// Checks the number of waiting requests and the charges.
+    /// Checks that the queues hold the expected number of waiting requests and charge each team for its requests in
+    /// flight.
     pub fn check_held(&mut self, scenario: &QueueScenario) {
         let charged = std::array::from_fn(|team| {
-            if self.team_removed && team == 1 { 0.0 } else { self.queues.in_flight_charge(team) }
+            if self.is_team_removed && team == 1 { 0.0 } else { self.queues.in_flight_charge(team) }
         });
         let held = Event::Holds { count: self.queues.len(), charged };
         self.check(scenario, &held);
     }
 
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything that influences later transitions and violations.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.queues.fingerprint(self.now, &mut hasher);
-        (&self.statuses, self.passed_over, self.dispatch_counts, self.team_removed).hash(&mut hasher);
-        (self.time_steps, self.requeues, self.violated).hash(&mut hasher);
+        (&self.statuses, self.passed_over, self.dispatch_counts, self.is_team_removed).hash(&mut hasher);
+        (self.time_steps, self.requeues, self.violated_invariant).hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -14,15 +14,17 @@
 
 /// Returns the state that a transition leads to.
 pub fn apply(scenario: &RouterScenario, state: &RouterState, transition: Transition) -> RouterState {
-    let mut run = Run { scenario, state: state.clone(), acting_client: acting_client(transition) };
-    run.apply(transition);
-    run.run_until_quiet();
-    run.state.server.close_finished_clients();
-    run.run_until_quiet();
-    run.state
+    let mut applier =
+        TransitionApplier { scenario, state: state.clone(), acting_client: acting_client(transition) };
+    applier.apply(transition);
+    applier.run_until_idle();
+    applier.state.server.close_finished_clients();
+    applier.run_until_idle();
+    applier.state
 }
 
-/// Returns the client whose input a transition is.
+/// Returns the client that sends input or closes its connection in a transition; `None` for transitions without input
+/// of a client.
 fn acting_client(transition: Transition) -> Option<usize> {
     match transition {
         Transition::SendLine { client, .. }
@@ -33,15 +35,15 @@
     }
 }
 
-/// The application of one transition.
-struct Run<'a> {
+/// Applies one transition to a copy of a state.
+struct TransitionApplier<'a> {
     scenario: &'a RouterScenario,
     state: RouterState,
-    /// The client whose input the transition is.
+    /// The client that sends input or closes its connection in the transition.
     acting_client: Option<usize>,
 }
 
-impl Run<'_> {
+impl TransitionApplier<'_> {
     fn apply(&mut self, transition: Transition) {
         match transition {
             Transition::SendLine { client, line } => self.send_line(client, line),
@@ -64,8 +66,9 @@
 
     /// Checks the invariants at an event, before the event changes the state.
     fn check(&mut self, event: &Event) {
-        let violated = self.state.violated.or_else(|| first_violated(self.scenario, &self.state, event));
-        self.state.violated = violated;
+        let violated_invariant =
+            self.state.violated_invariant.or_else(|| first_violated(self.scenario, &self.state, event));
+        self.state.violated_invariant = violated_invariant;
     }
 
     fn drain_engine(&mut self) {
@@ -88,13 +91,13 @@
         self.state.server.context().now = to;
         while let Some(due) = self.state.server.context().timers.pop(to) {
             self.state.server.timer_expired(due);
-            self.run_until_quiet();
+            self.run_until_idle();
         }
     }
 
-    /// Executes the server's commands, pending writes and closed connections, as the event loop does, until there are
-    /// none left.
-    fn run_until_quiet(&mut self) {
+    /// Executes the commands and pending writes of the server and closes connections, as the router's event loop
+    /// does, until nothing is left to do.
+    fn run_until_idle(&mut self) {
         loop {
             self.state.server.process_events();
             let engines = &mut self.state.server.dispatcher.engines;
