--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -93,7 +93,7 @@
     pub memory_target_mb: f64,
     /// Largest fraction of an engine's memory that may be filled if its load is estimated and not reported.
     pub unreported_memory_limit: f64,
-    /// Number of engines that accept requests, at least 1.
+    /// Number of engines of the kind in the whole fleet that accept requests, at least 1.
     pub engine_count: f64,
     /// Number of this router's attempts of the small tier in flight.
     pub small_count: f64,
@@ -110,7 +110,8 @@
     pub reports_in_flight: bool,
     /// Resources of this router's attempts in flight, without inactive ones.
     pub local_load: Resources,
-    /// Threads of this router's attempts at engines under pressure, by tier, with an upper bound for each engine.
+    /// Threads of this router's attempts at engines under pressure, by tier. Attempts that were in flight before the
+    /// input count up to a limit for each engine.
     pub threads_under_pressure: [f64; Tier::ALL.len()],
     /// Sum of the cores of the engines under pressure, each multiplied by the engine's limit factor.
     pub cores_under_pressure: f64,
