--- a/crates/model-checker/src/discovery_model/scenario.rs
+++ b/crates/model-checker/src/discovery_model/scenario.rs
@@ -1,18 +1,18 @@
 //! The scenarios of the discovery model.
 
-/// A scenario: the changes of the endpoint list, and the faults of the connection.
+/// A scenario of the discovery model: the number of changes of the endpoint list, and of faults of the connection.
 pub struct DiscoveryScenario {
     /// The name on the command line and in tests.
     pub name: &'static str,
-    /// A description in one sentence.
+    /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// Number of events of the endpoint list.
+    /// Largest number of changes of the endpoint list, each of which is an event.
     pub list_changes: u64,
-    /// Largest number of faulty frames.
+    /// Largest number of faulty frames that the service sends.
     pub max_faults: u8,
-    /// Largest number of lost connections.
+    /// Largest number of lost connections, apart from those that the router closes because of a faulty frame.
     pub max_disconnects: u8,
-    /// Whether the scenario belongs to the short set.
+    /// Whether the option `--short` selects the scenario.
     pub in_short_set: bool,
 }
 
@@ -20,7 +20,7 @@
 pub const SCENARIOS: &[DiscoveryScenario] = &[
     DiscoveryScenario {
         name: "the discovery service",
-        description: "a list with three events, sent as changes or snapshots and in pieces, two faults, two lost connections",
+        description: "an endpoint list with three changes, sent as changes or complete lists and in pieces, two faulty frames, two lost connections",
         list_changes: 3,
         max_faults: 2,
         max_disconnects: 2,
@@ -28,7 +28,7 @@
     },
     DiscoveryScenario {
         name: "the discovery service, longer",
-        description: "a list with six events, three faults, three lost connections",
+        description: "an endpoint list with six changes, three faulty frames, three lost connections",
         list_changes: 6,
         max_faults: 3,
         max_disconnects: 3,
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -1,4 +1,4 @@
-//! Mutants: small faults that are planted in a copy of the code, one at a time, and that an exploration must detect.
+//! Mutants: small faults that are made in a copy of the code, one at a time, and that an exploration must detect.
 
 mod runner;
 
@@ -6,13 +6,13 @@
 
 /// One fault, as an edit of a source file.
 pub struct Mutant {
-    /// A short name, unique among all mutants.
+    /// The name on the command line, unique among all mutants.
     pub name: &'static str,
-    /// The edited file of the repository.
+    /// The edited file, relative to the root of the repository.
     pub file: &'static str,
-    /// The replaced text, which must occur in the file exactly once.
+    /// The text to replace, which must occur in the file exactly once.
     pub from: &'static str,
-    /// The replacement.
+    /// The text that replaces it; empty to delete it.
     pub to: &'static str,
 }
 
@@ -38,7 +38,7 @@
 const TEAM_REQUEST: &str = "crates/teams/src/request.rs";
 const FAIR_ORDER: &str = "crates/teams/src/fair_order.rs";
 const DISCOVERY: &str = "crates/router/src/discovery.rs";
-/// The folder of the engine pool.
+/// The folder of the engine pool. Mutants below it are explored in the scenarios of the connection model first.
 const ENGINE_POOL: &str = "crates/router/src/engine_pool/";
 const POOL_ATTEMPT: &str = "crates/router/src/engine_pool/attempt_lifecycle.rs";
 const POOL_CONNECTION: &str = "crates/router/src/engine_pool/connection_lifecycle.rs";
@@ -46,15 +46,17 @@
 const POOL_REPLIES: &str = "crates/router/src/engine_pool/replies.rs";
 const POOL_RESULT_PAGES: &str = "crates/router/src/engine_pool/result_pages.rs";
 
+/// Returns a mutant of the reader of the discovery connection.
 const fn discovery(name: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file: DISCOVERY, from, to }
 }
 
+/// Returns a mutant of the scheduler.
 const fn scheduler(name: &'static str, file: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file, from, to }
 }
 
-/// All mutants.
+/// All mutants. An exploration of all scenarios must detect each of them.
 pub const MUTANTS: &[Mutant] = &[
     scheduler(
         "attempt limit off by one",
@@ -197,32 +199,32 @@
     Mutant {
         name: "unwritten calls kept at a drain",
         file: POOL_ATTEMPT,
-        from: "attempt.call_offset == Some(connection.output.passed())",
-        to: "attempt.call_offset == Some(connection.output.passed() + 1)",
+        from: "attempt.call_offset == Some(connection.output.front_offset())",
+        to: "attempt.call_offset == Some(connection.output.front_offset() + 1)",
     },
     Mutant {
         name: "queued calls remain at a drain",
         file: POOL_ENDPOINTS,
-        from: "let mut unsent = connection.waiting.clone();",
+        from: "let mut unsent = connection.waiting_attempts.clone();",
         to: "let mut unsent = Vec::new();",
     },
     Mutant {
         name: "a retry where a late answer may arrive",
         file: POOL_CONNECTION,
-        from: "let is_separate = !excluded.contains(&slot) && ",
-        to: "let is_separate = ",
+        from: "!excluded.contains(&slot) && !connection.attempts.contains_key(request_name)",
+        to: "!connection.attempts.contains_key(request_name)",
     },
     Mutant {
         name: "a partly written call is sent again",
         file: POOL_CONNECTION,
-        from: "if attempt.has_begun(written) {",
-        to: "if attempt.has_begun(written.saturating_sub(1 << 40)) {",
+        from: "if attempt.write_has_begun(written) {",
+        to: "if attempt.write_has_begun(written.saturating_sub(1 << 40)) {",
     },
     Mutant {
         name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
-        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent,",
-        to: "if attempt.id.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent,",
+        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent_outcome,",
+        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
     },
     Mutant {
         name: "idle connections stay open",
@@ -269,8 +271,8 @@
     Mutant {
         name: "requests of a closed client stay open",
         file: SERVER_CLIENTS,
-        from: "        client.open.into_values().collect()",
-        to: "        drop(client.open);\n        Vec::new()",
+        from: "        client.open_requests.into_values().collect()",
+        to: "        drop(client.open_requests);\n        Vec::new()",
     },
     Mutant {
         name: "a cancellation is not passed on",
@@ -317,7 +319,7 @@
     Mutant {
         name: "half a line is skipped",
         file: CLIENT,
-        from: "        self.scanned_for_line = 0;\n",
+        from: "        self.newline_free_bytes = 0;\n",
         to: "",
     },
     discovery("a change accepted after a gap", "number != last + 1", "number == u64::MAX"),
@@ -331,7 +333,7 @@
     discovery("the last event not recorded", "self.last_event = number;", ""),
     discovery(
         "half a frame kept on reconnection",
-        "Self { input: Ring::default(), subscribed: false, ..*self }",
+        "Self { input: RingBuffer::default(), subscribed: false, ..*self }",
         "Self { input: self.input.clone(), subscribed: false, ..*self }",
     ),
     Mutant {
--- a/crates/model-checker/src/module_model/apply.rs
+++ b/crates/model-checker/src/scheduler_model/apply.rs
@@ -1,21 +1,25 @@
-//! Applies transitions of the module model.
+//! Applies transitions of the scheduler model.
 
-use super::ModuleModel;
+use super::SchedulerModel;
 use super::effects::{apply_events, hypothetical_events};
 use super::event::EventLog;
 use super::inputs;
-use super::state::{EngineRecord, ModuleState};
+use super::state::{EngineRecord, SchedulerModelState};
 use super::transition::Transition;
 use crate::invariants::record_exercised;
 use crate::search::START_TIME;
 use emberflow::{EndpointUpdate, EngineId, Lifecycle, Scheduler};
 
 /// Returns the initial state, in which every engine has just been listed as ready.
-pub fn initial_state(model: &ModuleModel) -> ModuleState {
+pub fn initial_state(model: &SchedulerModel) -> SchedulerModelState {
     let (fleet, classes, attempt_limits) = model.scenario.settings();
-    let record =
-        EngineRecord { lifecycle: Lifecycle::Ready, is_forgotten: false, launched: None, sent: Vec::new() };
-    let mut state = ModuleState {
+    let record = EngineRecord {
+        lifecycle: Lifecycle::Ready,
+        is_forgotten: false,
+        launched_at: None,
+        sent_work: Vec::new(),
+    };
+    let mut state = SchedulerModelState {
         now: START_TIME,
         scheduler: Scheduler::new(fleet, classes, attempt_limits),
         requests: Vec::new(),
@@ -26,8 +30,8 @@
         endpoint_changes: 0,
         departures: 0,
         shutdown_deadline: None,
-        is_watching: false,
-        violated: None,
+        is_subscribed_to_list: false,
+        violated_invariant: None,
         fingerprint: 0,
     };
     let engines = (0..model.engines.len()).map(EngineId::from_index);
@@ -40,7 +44,11 @@
 }
 
 /// Returns the state that a transition leads to.
-pub fn apply(model: &ModuleModel, state: &ModuleState, transition: Transition) -> ModuleState {
+pub fn apply(
+    model: &SchedulerModel,
+    state: &SchedulerModelState,
+    transition: Transition,
+) -> SchedulerModelState {
     let mut next = state.clone();
     let mut events = EventLog::default();
     if let Some(draw) = random_draw(transition) {
@@ -55,7 +63,8 @@
     next
 }
 
-/// Returns the state of the random generator before the input; `None` where the input cannot lead to an attempt.
+/// Returns the counter of random draws to set before the input; `None` for inputs that are explored with the current
+/// one.
 fn random_draw(transition: Transition) -> Option<u64> {
     match transition {
         Transition::Arrive { draw }
@@ -71,8 +80,13 @@
     }
 }
 
-/// Changes the environment and passes the input to the scheduler.
-fn pass_input(model: &ModuleModel, state: &mut ModuleState, transition: Transition, events: &mut EventLog) {
+/// Changes the environment and passes the input to the scheduler, whose actions are appended to `events`.
+fn pass_input(
+    model: &SchedulerModel,
+    state: &mut SchedulerModelState,
+    transition: Transition,
+    events: &mut EventLog,
+) {
     match transition {
         Transition::Arrive { .. } => inputs::arrive(model, state, events),
         Transition::EndAttempt { request, outcome, .. } => {
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -1,7 +1,7 @@
 //! Breadth-first search over the states of a model.
 //!
-//! Levels are visited in order, so that every run finds the same first violation, on a shortest path. For each visited state
-//! only its fingerprint and its origin stay in memory.
+//! Levels are visited in order, so that every run finds the same first violation, on a shortest path. For each
+//! visited state only its fingerprint and its predecessor stay in memory.
 
 use rayon::prelude::*;
 use std::collections::HashMap;
@@ -12,11 +12,11 @@
 /// The initial time of every model. It is above 0, so that times before the start can be represented.
 pub const START_TIME: Duration = Duration::from_secs(20);
 
-/// Number of states that are expanded in parallel between two checks of the limits.
+/// Number of states that are expanded in parallel between two checks of the time and memory limits.
 const BATCH_SIZE: usize = 4096;
-/// The transition of the initial state's origin.
+/// The transition index of the initial state, which has no predecessor.
 const NO_TRANSITION: u32 = u32::MAX;
-/// Bytes of a memory page, in which the kernel reports the resident set.
+/// Size of a memory page. The kernel reports the resident set as a number of pages.
 const PAGE_BYTES: u64 = 4096;
 const BYTES_PER_MIB: u64 = 1 << 20;
 
@@ -24,7 +24,7 @@
 pub trait Model: Sync {
     /// A state of the system under test together with its environment.
     type State: Send + Sync + Clone;
-    /// One input or event of the environment.
+    /// One input to the system under test, or the passing of time.
     type Transition: Send + Sync + Copy;
 
     /// Returns the initial state.
@@ -33,21 +33,23 @@
     fn transitions(&self, state: &Self::State, transitions: &mut Vec<Self::Transition>);
     /// Returns the state that a transition leads to.
     fn apply(&self, state: &Self::State, transition: &Self::Transition) -> Self::State;
-    /// Returns a number that is equal for states with equal futures.
+    /// Returns a hash of everything in a state that influences later transitions and violations. States with equal
+    /// fingerprints are explored once.
     fn fingerprint(&self, state: &Self::State) -> u64;
-    /// Returns the name of the invariant that was violated by the transition into a state. `is_terminal` says that no
-    /// transition is enabled in the state.
-    fn violated(&self, state: &Self::State, is_terminal: bool) -> Option<&'static str>;
+    /// Returns the name of the invariant that the transition into a state has violated, or that the state violates as
+    /// the end of a run; `None` if all invariants hold. `is_terminal` is true if no transition is enabled in the state.
+    fn violated_invariant(&self, state: &Self::State, is_terminal: bool) -> Option<&'static str>;
 }
 
-/// Limits of one search.
+/// The limits at which a search stops.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Wall-clock time after which the search stops.
+pub struct SearchLimits {
+    /// Wall-clock time of the search.
     pub time: Duration,
-    /// Resident memory of the process, in MiB, above which the search stops.
-    pub memory_mb: u64,
-    /// Number of transitions from the initial state beyond which no state is expanded; `None` for no limit.
+    /// Resident memory of the process, in MiB.
+    pub memory_mib: u64,
+    /// Number of transitions from the initial state at which states are no longer expanded; `None` for no limit. Only
+    /// expanded states are checked for violations.
     pub max_depth: Option<usize>,
 }
 
@@ -56,7 +58,7 @@
 pub enum Coverage {
     /// Every reachable state.
     Complete,
-    /// Every state within [`Bounds::max_depth`].
+    /// Every state that is fewer than [`SearchLimits::max_depth`] transitions from the initial state.
     ToDepth,
     /// The states before the time limit was reached.
     OutOfTime,
@@ -68,7 +70,7 @@
 pub struct Violation<M: Model> {
     /// The name of the invariant.
     pub invariant: &'static str,
-    /// The path from the initial state.
+    /// The path from the initial state; empty if the initial state violates the invariant.
     pub path: Vec<Step<M>>,
 }
 
@@ -76,32 +78,32 @@
 pub struct Step<M: Model> {
     /// The state in which the transition is taken.
     pub state: M::State,
-    /// The transition.
+    /// The transition that is taken from `state`.
     pub transition: M::Transition,
 }
 
-/// Figures of a search.
+/// The size and cost of a search.
 #[derive(Clone, Debug)]
-pub struct Extent {
-    /// Number of distinct states.
+pub struct SearchStatistics {
+    /// Number of distinct states that were reached, including those that were not expanded.
     pub states: usize,
-    /// Number of states without an enabled transition.
+    /// Number of expanded states in which no transition is enabled.
     pub terminal_states: usize,
-    /// The length of the longest explored path.
+    /// Number of transitions from the initial state to the last level whose states were all reached.
     pub depth: usize,
-    /// The covered part of the state space.
+    /// The covered part of the state space; [`Coverage::Complete`] also if a violation ended the search.
     pub coverage: Coverage,
     /// Wall-clock time of the search.
     pub elapsed: Duration,
-    /// The largest resident memory that was observed, in MiB.
-    pub memory_mb: u64,
+    /// The largest resident memory that was observed between two batches of states, in MiB.
+    pub peak_memory_mib: u64,
 }
 
 /// The result of a search.
 pub struct SearchReport<M: Model> {
-    /// The figures of the search.
-    pub extent: Extent,
-    /// The first violation, if there is one.
+    /// The size and cost of the search.
+    pub statistics: SearchStatistics,
+    /// The first violation; `None` if every invariant holds in the expanded states.
     pub violation: Option<Violation<M>>,
 }
 
@@ -114,33 +116,33 @@
         self.0
     }
     fn write(&mut self, _: &[u8]) {
-        unreachable!("the table of origins hashes only fingerprints");
+        unreachable!("the table of predecessors hashes only fingerprints");
     }
     fn write_u64(&mut self, fingerprint: u64) {
         self.0 = fingerprint;
     }
 }
 
-/// The first way to each state, by fingerprint: the fingerprint of the preceding state, and the index of the transition
-/// among those enabled there.
-type Origins = HashMap<u64, (u64, u32), BuildHasherDefault<IdentityHasher>>;
+/// For the fingerprint of each reached state, the fingerprint of the state from which it was reached first, and the
+/// index of the transition among those enabled there.
+type Predecessors = HashMap<u64, (u64, u32), BuildHasherDefault<IdentityHasher>>;
 
 /// Visits the reachable states of a model until all are visited, an invariant is violated or a limit is reached.
-pub fn explore<M: Model>(model: &M, bounds: Bounds) -> SearchReport<M> {
-    let mut search = Search::new(model, bounds);
+pub fn explore<M: Model>(model: &M, limits: SearchLimits) -> SearchReport<M> {
+    let mut search = Search::new(model, limits);
     let violation = match search.run() {
         Ok(()) => None,
         Err(Stop::LimitReached(coverage)) => {
-            search.extent.coverage = coverage;
+            search.statistics.coverage = coverage;
             None
         }
         Err(Stop::Violated { invariant, fingerprint }) => {
             Some(Violation { invariant, path: search.path_to(fingerprint) })
         }
     };
-    search.extent.states = search.origins.len();
-    search.extent.elapsed = search.begun.elapsed();
-    SearchReport { extent: search.extent, violation }
+    search.statistics.states = search.predecessors.len();
+    search.statistics.elapsed = search.started_at.elapsed();
+    SearchReport { statistics: search.statistics, violation }
 }
 
 /// The reason why a search ended before every state was visited.
@@ -152,9 +154,9 @@
 /// The result of the expansion of one state.
 struct Expansion<State> {
     fingerprint: u64,
-    violated: Option<&'static str>,
+    violated_invariant: Option<&'static str>,
     is_terminal: bool,
-    /// The successor states that were unknown before this batch.
+    /// The successor states that were not reached before this batch.
     successors: Vec<Successor<State>>,
 }
 
@@ -168,36 +170,36 @@
 /// A search in progress.
 struct Search<'a, M: Model> {
     model: &'a M,
-    bounds: Bounds,
-    begun: Instant,
-    origins: Origins,
-    extent: Extent,
+    limits: SearchLimits,
+    started_at: Instant,
+    predecessors: Predecessors,
+    statistics: SearchStatistics,
 }
 
 impl<'a, M: Model> Search<'a, M> {
-    fn new(model: &'a M, bounds: Bounds) -> Self {
-        let extent = Extent {
+    fn new(model: &'a M, limits: SearchLimits) -> Self {
+        let statistics = SearchStatistics {
             states: 1,
             terminal_states: 0,
             depth: 0,
             coverage: Coverage::Complete,
             elapsed: Duration::ZERO,
-            memory_mb: 0,
+            peak_memory_mib: 0,
         };
-        Self { model, bounds, begun: Instant::now(), origins: Origins::default(), extent }
+        Self { model, limits, started_at: Instant::now(), predecessors: Predecessors::default(), statistics }
     }
 
     fn run(&mut self) -> Result<(), Stop> {
         let initial_state = self.model.initial_state();
         let fingerprint = self.model.fingerprint(&initial_state);
-        self.origins.insert(fingerprint, (fingerprint, NO_TRANSITION));
+        self.predecessors.insert(fingerprint, (fingerprint, NO_TRANSITION));
         let mut level = vec![initial_state];
         while !level.is_empty() {
-            if self.bounds.max_depth.is_some_and(|max_depth| self.extent.depth >= max_depth) {
+            if self.limits.max_depth.is_some_and(|max_depth| self.statistics.depth >= max_depth) {
                 return Err(Stop::LimitReached(Coverage::ToDepth));
             }
             level = self.expand_level(level)?;
-            self.extent.depth += usize::from(!level.is_empty());
+            self.statistics.depth += usize::from(!level.is_empty());
         }
         Ok(())
     }
@@ -212,7 +214,7 @@
                 return Ok(next_level);
             }
             let expansions: Vec<_> = batch.par_iter().map(|state| self.expand(state)).collect();
-            // Records in the order of the batch, so that the result does not depend on the order of the threads.
+            // Expansions are recorded in the order of the batch, so that the result does not depend on the threads.
             for expansion in expansions {
                 self.record(expansion, &mut next_level)?;
             }
@@ -224,28 +226,28 @@
         let mut transitions = Vec::new();
         self.model.transitions(state, &mut transitions);
         let is_terminal = transitions.is_empty();
-        let violated = self.model.violated(state, is_terminal);
-        if violated.is_some() {
+        let violated_invariant = self.model.violated_invariant(state, is_terminal);
+        if violated_invariant.is_some() {
             transitions.clear();
         }
         let mut successors = Vec::new();
         for (transition, index) in transitions.iter().zip(0..) {
             let successor = self.model.apply(state, transition);
             let fingerprint = self.model.fingerprint(&successor);
-            if !self.origins.contains_key(&fingerprint) {
+            if !self.predecessors.contains_key(&fingerprint) {
                 successors.push(Successor { fingerprint, transition: index, state: successor });
             }
         }
-        Expansion { fingerprint: self.model.fingerprint(state), violated, is_terminal, successors }
+        Expansion { fingerprint: self.model.fingerprint(state), violated_invariant, is_terminal, successors }
     }
 
     fn record(&mut self, expansion: Expansion<M::State>, next_level: &mut Vec<M::State>) -> Result<(), Stop> {
-        self.extent.terminal_states += usize::from(expansion.is_terminal);
-        if let Some(invariant) = expansion.violated {
+        self.statistics.terminal_states += usize::from(expansion.is_terminal);
+        if let Some(invariant) = expansion.violated_invariant {
             return Err(Stop::Violated { invariant, fingerprint: expansion.fingerprint });
         }
         for successor in expansion.successors {
-            if let Entry::Vacant(entry) = self.origins.entry(successor.fingerprint) {
+            if let Entry::Vacant(entry) = self.predecessors.entry(successor.fingerprint) {
                 entry.insert((expansion.fingerprint, successor.transition));
                 next_level.push(successor.state);
             }
@@ -254,25 +256,26 @@
     }
 
     fn check_limits(&mut self) -> Result<(), Stop> {
-        self.extent.memory_mb = self.extent.memory_mb.max(resident_mb());
-        if self.begun.elapsed() > self.bounds.time {
+        self.statistics.peak_memory_mib = self.statistics.peak_memory_mib.max(resident_mib());
+        if self.started_at.elapsed() > self.limits.time {
             return Err(Stop::LimitReached(Coverage::OutOfTime));
         }
-        if self.extent.memory_mb > self.bounds.memory_mb {
+        if self.statistics.peak_memory_mib > self.limits.memory_mib {
             return Err(Stop::LimitReached(Coverage::OutOfMemory));
         }
         Ok(())
     }
 
-    /// Returns the path by which a state was first reached, recomputed from the initial state.
+    /// Returns the path on which a state was first reached. Its states are recomputed, because only their fingerprints
+    /// are stored.
     fn path_to(&self, fingerprint: u64) -> Vec<Step<M>> {
         let mut indices = Vec::new();
         let mut current = fingerprint;
-        while let Some((origin, index)) =
-            self.origins.get(&current).filter(|(_, index)| *index != NO_TRANSITION)
+        while let Some((predecessor, index)) =
+            self.predecessors.get(&current).filter(|(_, index)| *index != NO_TRANSITION)
         {
             indices.push(*index as usize);
-            current = *origin;
+            current = *predecessor;
         }
         let mut state = self.model.initial_state();
         let mut path = Vec::new();
@@ -287,8 +290,8 @@
     }
 }
 
-/// Returns the resident memory of this process, in MiB; 0 if the kernel does not report it.
-pub fn resident_mb() -> u64 {
+/// Returns the resident memory of this process, in MiB; 0 if `/proc/self/statm` cannot be read.
+pub fn resident_mib() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * PAGE_BYTES / BYTES_PER_MIB
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -8,25 +8,28 @@
 use emberflow::{AttemptOutcome, EngineId};
 use std::cmp::Reverse;
 
-/// Connections that an engine may have however many engines there are.
+/// Lower bound of the limit of connections to one engine, which otherwise falls with the number of engines.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 4;
 
 impl EnginePool {
-    /// Selects a connection for another attempt: an idle one; otherwise a new one, within the connection limits of the
-    /// engine and of the router; otherwise the one with the fewest attempts. Attempts are spread over connections
-    /// because the loss of a connection ends all attempts on it.
+    /// Selects a connection for an attempt: an idle one if there is any, otherwise a new one within the connection
+    /// limits of the engine and of the router, otherwise the one with the fewest attempts. Attempts are spread over
+    /// connections, because the loss of a connection ends all attempts on it.
     pub(super) fn select_connection(
         &mut self,
         engine: EngineId,
-        id: &str,
+        request_name: &str,
         excluded: &[Slot],
         context: &mut Context,
     ) -> Option<Slot> {
-        let engine_connections = self.engines.get(&engine)?.connections.len();
-        let engine_quota = (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
+        let engine_connection_count = self.engines.get(&engine)?.connections.len();
+        let max_engine_connections =
+            (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
         let is_pool_full = self.connections.len() >= self.max_connections;
-        if let Some((slot, connection)) = self.least_loaded_connection(engine, id, excluded)
-            && (connection.attempts.is_empty() || is_pool_full || engine_connections >= engine_quota)
+        if let Some((slot, connection)) = self.least_loaded_connection(engine, request_name, excluded)
+            && (connection.attempts.is_empty()
+                || is_pool_full
+                || engine_connection_count >= max_engine_connections)
         {
             return Some(slot);
         }
@@ -37,39 +40,47 @@
         self.dial(engine, context)
     }
 
-    /// Returns the connection with the fewest attempts among those of an engine that can carry the request `id`.
+    /// Returns the connection with the fewest attempts among those of an engine that can carry an attempt of the request
+    /// `request_name`.
     fn least_loaded_connection(
         &self,
         engine: EngineId,
-        id: &str,
+        request_name: &str,
         excluded: &[Slot],
     ) -> Option<(Slot, &Connection)> {
         let slots = &self.engines.get(&engine)?.connections;
         let open = slots.iter().filter_map(|slot| Some((*slot, self.connections.get(*slot)?)));
-        let usable = open.filter(|(slot, connection)| self.can_carry(*slot, connection, id, excluded));
+        let usable =
+            open.filter(|(slot, connection)| self.can_carry(*slot, connection, request_name, excluded));
         usable.min_by_key(|(_, connection)| {
-            // The most recently active of equally loaded connections needs no health check, and the others can reach
-            // their idle timeout.
+            // Among equally loaded connections, the most recently active one is the least likely to need a health
+            // check, and the others can reach their idle timeout.
             let most_recent = Reverse(connection.last_reply_at);
             (connection.attempts.len(), !connection.is_established(), most_recent)
         })
     }
 
-    /// Whether a connection can carry another attempt, of the request `id`.
-    fn can_carry(&self, slot: Slot, connection: &Connection, id: &str, excluded: &[Slot]) -> bool {
-        let is_separate = !excluded.contains(&slot) && !connection.attempts.contains_key(id);
-        is_separate && connection.attempts.len() < self.attempts_per_connection
+    /// Whether a connection can carry an attempt of the request `request_name` in addition to its present attempts.
+    fn can_carry(&self, slot: Slot, connection: &Connection, request_name: &str, excluded: &[Slot]) -> bool {
+        let is_unused_by_request =
+            !excluded.contains(&slot) && !connection.attempts.contains_key(request_name);
+        is_unused_by_request && connection.attempts.len() < self.attempts_per_connection
     }
 
-    /// Closes the connection that has been idle longest, to free its place for another engine. Returns whether there
-    /// was an idle connection.
+    /// Closes the connection that has been idle longest, so that another engine can have a connection within the
+    /// router's limit. Returns whether there was an idle connection.
     fn close_longest_idle(&mut self, context: &mut Context) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempts.is_empty());
         let Some((slot, _)) = idle.min_by_key(|(_, connection)| connection.last_reply_at) else {
             return false;
         };
         context.counters.count("connections_closed_for_capacity");
-        self.close_connection(slot, "idle, closed for another engine", Reachability::Reachable, context);
+        self.close_connection(
+            slot,
+            "idle, closed to connect to another engine",
+            Reachability::Reachable,
+            context,
+        );
         true
     }
 
@@ -122,17 +133,17 @@
         self.close_connection(slot, reason, reachability, context);
     }
 
-    /// Closes a connection whose idle timeout has expired.
+    /// Closes a connection if its idle timeout has expired.
     pub fn connection_idle(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get(slot) else { return };
         let is_due = connection.idle_due.is_some_and(|due| due <= context.now());
         if connection.attempts.is_empty() && is_due {
-            self.close_connection(slot, "idle", Reachability::Reachable, context);
+            self.close_connection(slot, "idle timeout expired", Reachability::Reachable, context);
         }
     }
 
-    /// Closes a connection and ends or moves the attempts on it. A reset of a new or an idle connection is no fault of a
-    /// reachable engine, so an unwritten call moves to another connection, once.
+    /// Closes a connection, and ends or moves the attempts on it. A reachable engine may reset a new or an idle
+    /// connection without being at fault, so an unwritten call moves to another connection, once.
     pub fn close_connection(
         &mut self,
         slot: Slot,
@@ -140,7 +151,7 @@
         reachability: Reachability,
         context: &mut Context,
     ) {
-        let Some(connection) = self.connections.take(slot) else { return };
+        let Some(connection) = self.connections.remove(slot) else { return };
         self.commands.push_back(PoolCommand::Close(slot));
         log::debug!(
             "connection closed: engine={} connection={slot:?} attempts={} reason=\"{reason}\"",
@@ -154,14 +165,14 @@
         if reachability == Reachability::Reachable && !connection.attempts.is_empty() {
             context.counters.count("connections_lost");
         }
-        let written = connection.output.passed();
+        let written = connection.output.front_offset();
         for attempt in connection.attempts.into_values() {
-            self.connection_lost(attempt, written, reachability, context);
+            self.reassign_or_end_attempt(attempt, written, reachability, context);
         }
     }
 
-    /// Ends or moves an attempt whose connection was closed after `written` bytes of output.
-    fn connection_lost(
+    /// Ends or moves an attempt whose connection was closed after `written` bytes of its output were written.
+    fn reassign_or_end_attempt(
         &mut self,
         slot: Slot,
         written: u64,
@@ -170,10 +181,10 @@
     ) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.connection = None;
-        if attempt.is_cancelled() {
+        if attempt.is_cancellation_pending() {
             return self.end(slot, AttemptOutcome::Cancelled, None, context);
         }
-        if attempt.has_begun(written) {
+        if attempt.write_has_begun(written) {
             return self.end(slot, AttemptOutcome::Broken, None, context);
         }
         if reachability == Reachability::Unreachable || attempt.reassigned {
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -1,33 +1,34 @@
-//! A buffer for one direction of a connection.
+//! A byte buffer for one direction of a connection, with offsets into the stream of all bytes.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Result, Write};
 
-/// Limit of the bytes read from a socket in one call.
+/// Limit of the bytes read from a socket by one system call.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Limit of the capacity that an empty buffer retains. A router has many buffers, and each may grow for a large answer.
+/// Limit of the capacity that an empty buffer retains. Each of the router's many buffers may grow for a large answer,
+/// and would otherwise keep that memory.
 const MAX_EMPTY_CAPACITY: usize = 4 * 1024;
 
-/// A queue of bytes: received and not yet consumed, or not yet sent.
+/// A queue of bytes that were received and not yet consumed, or that are not sent yet.
 #[derive(Clone, Default)]
-pub struct Ring {
+pub struct RingBuffer {
     bytes: VecDeque<u8>,
-    /// Number of all bytes consumed or sent.
-    passed: u64,
+    /// Number of bytes that were consumed or sent so far.
+    front_offset: u64,
 }
 
-/// How reading into a buffer ended.
+/// Why reading into a buffer ended.
 #[derive(Debug, PartialEq)]
-pub enum Filled {
+pub enum FillOutcome {
     /// The socket has no more input at present.
-    Drained,
+    WouldBlock,
     /// The buffer holds the requested number of bytes. The socket may have more.
-    Enough,
+    LimitReached,
     /// The peer has shut down its sending side.
     Closed,
 }
 
-impl Ring {
+impl RingBuffer {
     /// Returns the number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.bytes.len()
@@ -39,59 +40,65 @@
     }
 
     /// Returns the offset of the buffer's end in the stream of all bytes.
-    pub fn end(&self) -> u64 {
-        self.passed + self.bytes.len() as u64
+    pub fn end_offset(&self) -> u64 {
+        self.front_offset + self.bytes.len() as u64
     }
 
     /// Returns the offset of the buffer's front in the stream of all bytes.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn front_offset(&self) -> u64 {
+        self.front_offset
     }
 
-    /// Appends bytes.
+    /// Appends bytes to the end of the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend(bytes);
     }
 
-    /// Returns all bytes in the buffer.
-    pub fn readable(&mut self) -> &[u8] {
+    /// Returns all bytes in the buffer as one slice.
+    pub fn contents(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
-    /// Removes bytes from the front that were handled or sent.
+    /// Removes bytes from the front that were handled or sent, and advances the offset of the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
-        self.passed += count as u64;
+        self.front_offset += count as u64;
         if self.bytes.is_empty() && self.bytes.capacity() > MAX_EMPTY_CAPACITY {
             self.bytes = VecDeque::new();
         }
     }
 
-    /// Removes bytes from the front that are not to be sent. They do not advance the offsets.
-    pub fn cut(&mut self, count: usize) {
+    /// Removes bytes from the front that must not be sent. The offset of the front stays the same.
+    pub fn remove_unsent(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
 
-    /// Reads until the socket has no more input or the buffer holds `max_bytes`.
-    pub fn fill(&mut self, from: &mut impl Read, max_bytes: usize) -> Result<Filled> {
+    /// Reads until the socket has no more input, or until the buffer holds `max_bytes`.
+    ///
+    /// # Errors
+    /// Returns the error of a socket that has failed. The bytes that were read before stay in the buffer.
+    pub fn fill(&mut self, socket: &mut impl Read, max_bytes: usize) -> Result<FillOutcome> {
         let mut chunk = [0; CHUNK_BYTES];
         while self.bytes.len() < max_bytes {
             let capacity = CHUNK_BYTES.min(max_bytes - self.bytes.len());
-            match from.read(&mut chunk[..capacity]) {
-                Ok(0) => return Ok(Filled::Closed),
+            match socket.read(&mut chunk[..capacity]) {
+                Ok(0) => return Ok(FillOutcome::Closed),
                 Ok(count) => self.push(&chunk[..count]),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(Filled::Drained),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(FillOutcome::WouldBlock),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
         }
-        Ok(Filled::Enough)
+        Ok(FillOutcome::LimitReached)
     }
 
-    /// Writes until the buffer is empty or the socket accepts no more.
-    pub fn drain(&mut self, to: &mut impl Write) -> Result<()> {
+    /// Writes until the buffer is empty, or until the socket accepts no more bytes.
+    ///
+    /// # Errors
+    /// Returns the error of a socket that has failed.
+    pub fn write_to(&mut self, socket: &mut impl Write) -> Result<()> {
         while !self.bytes.is_empty() {
-            match to.write(self.bytes.as_slices().0) {
+            match socket.write(self.bytes.as_slices().0) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => self.consume(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
