--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -34,7 +34,7 @@
     Invalid {
         /// The accepted values, such as `a number above 0` or `an address with a port`.
         expected: &'static str,
-        /// The value as JSON; only the type of a list or an object.
+        /// The value as JSON; `a list` or `an object` in place of one, since its JSON may be long.
         found: String,
     },
     /// The value is not among the accepted names.
@@ -54,7 +54,7 @@
     /// The value is an index past the end of its list.
     #[error("must be an index below {length}, found {index}")]
     IndexOutOfRange {
-        /// The index, counted from 0.
+        /// The index that was found. Valid ones are from 0 to `length - 1`.
         index: usize,
         /// The number of elements in the list.
         length: usize,
@@ -62,7 +62,7 @@
     /// The list needs at least one element.
     #[error("must have at least one element, one for each {element}, found none")]
     Empty {
-        /// The object that an element describes: `class` or `kind`.
+        /// The kind of object that an element describes: `class` or `kind`.
         element: &'static str,
     },
     /// The list must have one element for each element of another list.
@@ -72,7 +72,7 @@
         found: usize,
         /// The required number of elements.
         expected: usize,
-        /// The object that an element describes: `class` or `kind`.
+        /// The kind of object that an element describes: `class` or `kind`.
         element: &'static str,
     },
     /// The value has an effect only together with another one, which is missing.
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -12,12 +12,13 @@
 #[derive(Clone, Copy)]
 pub struct Fields<'a> {
     value: &'a Value,
-    /// The whole message or file, which contains `value`. Paths start here, and are determined only for an error.
+    /// The message or file that contains `value`. The path from `root` to `value` is searched for only when an error
+    /// is built.
     root: &'a Value,
 }
 
 impl<'a> Fields<'a> {
-    /// Wraps a whole message or file. Paths in errors start at this value.
+    /// Wraps a whole message or file. Paths in errors are relative to it.
     pub fn of(value: &'a Value) -> Self {
         Self { value, root: value }
     }
@@ -93,7 +94,7 @@
         self.field(name)?.read("a whole number from 1 up", positive_index)
     }
 
-    /// Reads a number of either sign.
+    /// Reads a number, which may be negative.
     pub fn number(self, name: &str) -> Result<f64, SettingsError> {
         let field = self.field(name)?;
         field.value.as_f64().ok_or_else(|| field.error(Problem::WrongType { expected: "a number" }))
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -3,15 +3,22 @@
 use crate::{Fields, Problem, SettingsError};
 use emberflow::LoadReport;
 
-// Names of the figures that the scheduler uses. Each figure may have any of its names, in the settings and on the wire.
-const BUSY_NAMES: &[&str] = &["busy", "util"];
+// Each of these constants lists the names of one figure that the scheduler uses. The settings and the engines may use
+// any of the names.
+const CORE_UTILIZATION_NAMES: &[&str] = &["busy", "util"];
 const IN_FLIGHT_NAMES: &[&str] = &["rif", "inflight"];
-const WAITING_NAMES: &[&str] = &["q", "queue"];
-const MEMORY_NAMES: &[&str] = &["x0"];
-const DISKS_NAMES: &[&str] = &["x1"];
-/// All figures that the scheduler uses.
-const USED_FIGURES: [&[&str]; 5] = [BUSY_NAMES, IN_FLIGHT_NAMES, WAITING_NAMES, MEMORY_NAMES, DISKS_NAMES];
-/// Names of figures that are part of a load report and that the scheduler does not use.
+const WAITING_FOR_MEMORY_NAMES: &[&str] = &["q", "queue"];
+const MEMORY_UTILIZATION_NAMES: &[&str] = &["x0"];
+const DISK_UTILIZATION_NAMES: &[&str] = &["x1"];
+/// The names of all figures that the scheduler uses.
+const USED_FIGURES: [&[&str]; 5] = [
+    CORE_UTILIZATION_NAMES,
+    IN_FLIGHT_NAMES,
+    WAITING_FOR_MEMORY_NAMES,
+    MEMORY_UTILIZATION_NAMES,
+    DISK_UTILIZATION_NAMES,
+];
+/// Names of figures that engines may report and that the scheduler deliberately ignores.
 const IGNORED_FIGURES: [&str; 6] = ["lat_ms", "latency_ms", "rate", "qps", "fail_rate", "eps"];
 
 /// The ways in which engines report their load.
@@ -34,7 +41,8 @@
     }
 }
 
-/// Decodes the names of the figures in a load report, in their order. The list is empty if engines do not report load.
+/// Decodes the names of the figures in a load report, in the order of the figures. The list is empty if engines do not
+/// report their load.
 ///
 /// # Errors
 /// Returns the first value that is missing or invalid.
@@ -45,7 +53,7 @@
     }
 }
 
-/// Returns one error for each figure of a load report whose name is unknown. Such a figure is ignored.
+/// Returns an error for each figure in the settings whose name is unknown. The scheduler ignores these figures.
 ///
 /// # Errors
 /// Returns the first value that is missing or has the wrong type.
@@ -63,13 +71,13 @@
     Ok(unknown)
 }
 
-/// Whether a figure of this name is part of a load report, whether or not the scheduler uses it.
+/// Whether a figure has a known name. The scheduler uses the figure or deliberately ignores it.
 fn is_known(name: &str) -> bool {
     IGNORED_FIGURES.contains(&name) || USED_FIGURES.iter().any(|names| names.contains(&name))
 }
 
-/// Builds a load report from single figures. `figure` is called once for each figure that the scheduler uses, with all
-/// names that the figure may have. `figure` returns the value, or `None` if the engine did not report the figure.
+/// Builds a load report. Calls `figure` once for each figure that the scheduler uses, with all names that the figure
+/// may have. `figure` must return the value, or `None` if the engine did not report the figure.
 ///
 /// # Errors
 /// Returns the first error of `figure`.
@@ -77,10 +85,10 @@
     mut figure: impl FnMut(&[&str]) -> Result<Option<f64>, E>,
 ) -> Result<LoadReport, E> {
     Ok(LoadReport {
-        core_utilization: figure(BUSY_NAMES)?,
+        core_utilization: figure(CORE_UTILIZATION_NAMES)?,
         in_flight: figure(IN_FLIGHT_NAMES)?,
-        waiting_for_memory: figure(WAITING_NAMES)?,
-        memory_utilization: figure(MEMORY_NAMES)?,
-        disk_utilization: figure(DISKS_NAMES)?,
+        waiting_for_memory: figure(WAITING_FOR_MEMORY_NAMES)?,
+        memory_utilization: figure(MEMORY_UTILIZATION_NAMES)?,
+        disk_utilization: figure(DISK_UTILIZATION_NAMES)?,
     })
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -264,8 +264,9 @@
 fn unknown_figures_of_load_reports_are_reported() {
     let unknown_figures = |how: &str, names: &[&str]| {
         let file = file_with(&[("report", json!({"how": how, "names": names}))]);
-        let unknown = unknown_load_report_names(Fields::of(&file).object("settings").expect("settings"))
-            .expect("the settings are valid");
+        let unknown =
+            unknown_load_report_names(Fields::of(&file).object("settings").expect("the file has settings"))
+                .expect("the settings are valid");
         unknown.iter().map(ToString::to_string).collect::<Vec<_>>()
     };
     for known in ["rif", "q", "busy", "lat_ms", "rate", "fail_rate", "x0", "x1", "inflight", "queue", "util"]
