--- a/crates/operator/src/team_config.rs
+++ b/crates/operator/src/team_config.rs
@@ -177,16 +177,16 @@
         organizations.len() - 1
     }
 
-    /// Adds the team for requests that name no listed team. It must be the first team, and gets an organization of its
-    /// own.
+    /// Adds the team for requests that name no listed team, and creates an organization for it. Must be called before
+    /// any listed team is added, since the team has index 0.
     fn add_others(&mut self, others: OthersForm) {
         let organization = self.add_organization(others.share);
         self.quotas.teams.push(team(organization, None, others.budget, others.max_waiting));
         self.names.push(OTHERS_NAME.to_owned());
     }
 
-    /// Adds a listed team. A team that names no organization gets one of its own, with the team's share. `index` is the
-    /// position in the list, for the error.
+    /// Adds a listed team. If the team names no organization, creates one for it with the team's share. `index` is the
+    /// team's position in the list, for the error.
     fn add_team(&mut self, index: usize, form: TeamForm) -> Result<(), FormError> {
         let TeamForm { name, organization, share, budget, max_waiting } = form;
         let (organization, share) = match organization {
--- a/crates/router/src/bootstrap.rs
+++ b/crates/router/src/bootstrap.rs
@@ -13,7 +13,7 @@
 
 /// The decoded content of a router's files, which it reads at the start and at each reload.
 pub struct Bootstrap {
-    /// The router's own configuration: addresses, limits and names.
+    /// Addresses and limits of the router, and the names of locations, engine kinds and request classes.
     pub config: RouterConfig,
     /// The properties of the fleet: the kinds of engines, the number of routers, and how the engines behave.
     pub fleet: Fleet,
--- a/crates/router/src/event_loop/accepting.rs
+++ b/crates/router/src/event_loop/accepting.rs
@@ -12,7 +12,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Whether the router tries to accept another connection.
+/// Whether the router tries to accept another connection in this iteration.
 enum AcceptProgress {
     /// More connections may wait.
     MayHaveMore,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Handles a failed accept. If the process has no descriptor left, closes an idle client to free one. Otherwise
-    /// pauses accepting, unless only the accepted connection has failed.
+    /// Handles the error of a failed accept. If the process has no descriptor left, closes an idle client to free one.
+    /// Pauses accepting if no client is idle, or if the machine lacks resources.
     fn accept_failed(&mut self, error: &io::Error, idle_client: Option<Slot>) -> AcceptProgress {
         let failure = AcceptFailure::of(error);
         match failure {
@@ -60,7 +60,7 @@
         log::warn!("accepting a client's connection failed: error={error:?}");
         let replaced_client = match failure {
             AcceptFailure::OutOfDescriptors => idle_client.or_else(|| self.longest_idle_client()),
-            // Closing a client of this process would not help if the whole machine lacks resources.
+            // If the machine lacks resources, closing one client of this process does not free enough of them.
             _ => None,
         };
         match replaced_client {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Closes an idle client, to make room for a new one.
+    /// Closes an idle client, so that a new connection can be accepted.
     fn close_for_capacity(&mut self, slot: Slot) {
         self.server.context().counters.count("clients_closed_for_capacity");
         self.server.close_client(slot, CloseReason::ReplacedWhileIdle);
@@ -121,7 +121,7 @@
     fn pause_accepting(&mut self) {
         let context = self.server.context();
         context.counters.count("accepts_paused");
-        // Clients that were active within this time are not replaced, so a client may be replaceable after the pause.
+        // A client does not count as idle within this time after its last activity, so one may be idle after the pause.
         context.timers.set(context.now() + MAX_TRANSIT_TIME, Timer::ResumeAccepting);
         if let Err(error) = self.loop_handle.disable(&self.listener.token) {
             log::warn!("disabling the listening socket for a pause failed: error={error:?}");
--- a/crates/router/src/event_loop/shutdown.rs
+++ b/crates/router/src/event_loop/shutdown.rs
@@ -8,8 +8,8 @@
 use std::net::Shutdown;
 
 impl RouterLoop {
-    /// Accepts all waiting connections and reads a line of each client, if the server is otherwise idle. The server
-    /// then does not let the process exit while a request is unread.
+    /// Accepts all waiting connections and reads a line of each client, if the server is otherwise idle. Records
+    /// whether there is more input, since the process must not exit while a request is unread.
     pub(super) fn read_before_shutdown(&mut self) {
         if self.server.is_idle() {
             self.accept_clients();
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -54,7 +54,7 @@
 #[derive(Clone)]
 pub struct Server {
     scheduler: Scheduler,
-    /// The clients, engines and open requests, on which the scheduler's decisions are carried out.
+    /// Carries out the scheduler's decisions. Owns the clients, the engines and the open requests.
     pub dispatcher: Dispatcher,
     /// The receiving side of the discovery service's connection.
     pub discovery: Discovery,
--- a/crates/router/src/server/admission.rs
+++ b/crates/router/src/server/admission.rs
@@ -11,9 +11,9 @@
 use emberflow_teams::Rejection;
 use std::time::Duration;
 
-/// Time before its deadline at which a request leaves the queue at the latest, as a multiple of the scheduler's answer
-/// margin. The scheduler needs this time to answer the request.
-const DISPATCH_LEAD_MARGINS: u32 = 2;
+/// A request leaves the queue at the latest this multiple of the scheduler's answer margin before its deadline. The
+/// scheduler needs the time to answer the request.
+const DISPATCH_MARGIN_FACTOR: u32 = 2;
 
 impl Server {
     /// Creates an empty admission queue for the teams.
@@ -61,7 +61,7 @@
             key: arrival.key.filter(|_| class.keeps_order).map(|key| u64::from(key.0)),
             work: self.scheduler.expected_work(arrival),
             latency_objective: class.latency_objective,
-            dispatch_margin: self.scheduler.answer_margin() * DISPATCH_LEAD_MARGINS,
+            dispatch_margin: self.scheduler.answer_margin() * DISPATCH_MARGIN_FACTOR,
             wants_wait_notices: team.wants_wait_notices,
         }
     }
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -143,8 +143,8 @@
     if name.len() == NAME_DIGITS && is_hexadecimal { Ok(name) } else { Err(ParameterError::RequestName) }
 }
 
-/// Returns the number by which the scheduler identifies a name. If two names have the same hash, their requests only
-/// wait for each other.
+/// Returns the number by which the scheduler identifies an ordering key, and by which the admission queue identifies an
+/// idempotency key or a request's name. Requests of two ordering keys with the same hash only wait for each other.
 pub(super) fn hash_of(name: &str) -> u32 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
--- a/crates/router/src/server/requests.rs
+++ b/crates/router/src/server/requests.rs
@@ -13,18 +13,18 @@
 
 /// Maximum deadline of a request. Longer ones are shortened to it.
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-/// Part of each deadline that is reserved for the transit of the request and its answer. For sockets, the protocol
-/// extends each deadline by as much.
+/// Part of each deadline that is reserved for the transit of the request and its answer. The protocol extends the
+/// deadlines of requests on sockets by this time.
 const NETWORK_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// The message of a request, whose parameters are not decoded yet.
+/// The message by which a client sends a request.
 struct RequestMessage<'a> {
     client: Slot,
     /// The message id; `None` for a notification.
     id: Option<u64>,
     /// The name of the request class.
     method: &'a str,
-    /// The parameters.
+    /// The undecoded parameters.
     fields: Fields<'a>,
     /// Time since the message was received.
     waited: Duration,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the open request of a client that a cancellation names, by the request's name or by its id.
+    /// Returns the open request of a client that a cancellation names, by the request's name or by its message id.
     pub(super) fn find_open_request(&self, client: Slot, cancellation: &Cancellation) -> Option<RequestId> {
         for id in self.dispatcher.clients.table.get(client)?.open_requests.values() {
             let Some(request) = self.dispatcher.requests.get(*id) else { continue };
--- a/crates/router/src/timers.rs
+++ b/crates/router/src/timers.rs
@@ -9,7 +9,7 @@
 pub enum Timer {
     /// The wake-up that the scheduler has requested.
     SchedulerWakeUp,
-    /// The deadline of an attempt.
+    /// The deadline of an attempt, at which the attempt times out and is cancelled at its engine.
     AttemptDeadline(Slot),
     /// The next check of a connection to an engine: whether it is established, still answers, or needs a health check.
     ConnectionCheck(Slot),
