--- a/crates/teams/src/fair_order.rs
+++ b/crates/teams/src/fair_order.rs
@@ -1,11 +1,12 @@
 //! Start-time fair queueing of flows: orders the flows by their dispatched work divided by their share.
 //!
-//! A flow is an organization, or a team within its organization. The order knows requests only by their work.
+//! A flow is an organization, or a team within its organization. The order does not store requests: the caller passes
+//! the work of each dispatched request.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// Virtual times are whole numbers of nanoseconds.
+/// Virtual times are in whole nanoseconds.
 const NANOS_PER_SECOND: f64 = 1e9;
 
 /// Whether a budget covers a flow's next request. Flows over their budget come after all others.
@@ -35,7 +36,7 @@
     sort_key: Option<SortKey>,
 }
 
-/// Flows in the order in which they are served by their shares.
+/// The order in which flows are served, so that each gets its share of the work.
 #[derive(Clone, Debug, Default)]
 pub struct FairOrder {
     flows: Vec<Flow>,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Advances the virtual time to the start of the flow's next request, which is being dispatched.
+    /// Advances the virtual time before the dispatch of the flow's next request, to that request's start at most.
     pub fn begin_service(&mut self, index: usize) {
         // A flow that precedes the others by its priority must not advance the virtual time past their start.
         let first = self.active.first().map_or(index, |key| key.flow);
--- a/crates/teams/src/quotas.rs
+++ b/crates/teams/src/quotas.rs
@@ -47,7 +47,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: expected {expected}")]
 pub struct QuotaError {
-    /// Path of the invalid value with the field names of the operator's file, such as `teams[2].share`.
+    /// Path of the invalid value, such as `teams[2].share`: the index in [`Quotas`], and the name of the field in the
+    /// operator's file.
     pub path: String,
     /// Description of the valid values.
     pub expected: &'static str,
--- a/crates/teams/src/service_rate.rs
+++ b/crates/teams/src/service_rate.rs
@@ -4,7 +4,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// An estimate of a wait. Nine of ten actual waits should lie from `low` to `high`.
+/// An estimate of a wait. At least nine of ten actual waits should lie between `low` and `high`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitEstimate {
     /// Estimated 3 % quantile of the wait.
--- a/crates/teams/src/team_queue.rs
+++ b/crates/teams/src/team_queue.rs
@@ -19,7 +19,7 @@
 /// The waiting requests of all teams.
 pub(crate) type WaitingTable = IndexMap<RequestId, WaitingRequest>;
 
-/// The queue of one team.
+/// A team's waiting requests, with its budget and its position in the fair order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TeamQueue {
     lanes: BTreeMap<Lane, BTreeMap<Arrival, RequestId>>,
@@ -61,14 +61,14 @@
         self.length == 0
     }
 
-    /// Adds a waiting request.
+    /// Adds a waiting request to its lane.
     pub(crate) fn insert(&mut self, id: RequestId, request: &WaitingRequest) {
         self.lanes.entry(lane(request)).or_default().insert(request.arrival, id);
         self.length += 1;
         self.work_by_urgency[usize::from(request.urgency)] += request.work;
     }
 
-    /// Removes a waiting request.
+    /// Removes a request that was added by [`Self::insert`].
     pub(crate) fn remove(&mut self, request: &WaitingRequest) {
         let key = lane(request);
         if let Some(requests) = self.lanes.get_mut(&key) {
--- a/crates/teams/tests/scenarios/harness.rs
+++ b/crates/teams/tests/scenarios/harness.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: the queues under test, a clock in milliseconds and a log of the results.
+//! Harness of the scenarios: holds the queues under test, advances their time and logs the results.
 
 use emberflow_teams::{
     Allowance, NewRequest, Organization, Outcome, Queues, Quotas, Rejection, RequestId, Team,
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Returns a time in milliseconds.
+/// Converts milliseconds to a duration.
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
@@ -27,10 +27,10 @@
     Quotas { organizations: vec![Organization { share: 1.0 }], teams: teams.iter().map(team).collect() }
 }
 
-/// Queues under test, a clock and a log.
+/// A running scenario.
 pub struct Scenario {
     pub queues: Queues,
-    /// Time since the start.
+    /// Time since the start of the scenario.
     pub now_ms: u64,
     /// Number of the next request, counted from 0.
     pub next_request: RequestId,
@@ -43,7 +43,7 @@
         Self { queues: Queues::new(quotas, Duration::ZERO), now_ms: 0, next_request: 0, log: String::new() }
     }
 
-    /// Advances the clock and the queues.
+    /// Advances the time, and updates the queues' order of dispatch.
     pub fn advance_to(&mut self, now_ms: u64) -> &mut Self {
         self.now_ms = now_ms;
         self.queues.advance(ms(now_ms));
@@ -75,12 +75,12 @@
         self
     }
 
-    /// Enqueues a request of `work_ms` milliseconds of work.
+    /// Enqueues a request of a team with `work_ms` milliseconds of work. Logs a rejection.
     pub fn enqueue(&mut self, team: usize, work_ms: u64) -> &mut Self {
         self.enqueue_with(|new_request| (new_request.team, new_request.work) = (team, ms(work_ms)))
     }
 
-    /// Dispatches the next `count` requests and logs them.
+    /// Dispatches the next request `count` times. Logs each request, or that none waits.
     pub fn dispatch(&mut self, count: usize) -> &mut Self {
         for _ in 0..count {
             let next = self.queues.dispatch_order().next();
@@ -94,13 +94,13 @@
         self
     }
 
-    /// Settles a dispatched request.
+    /// Settles a dispatched request at the current time.
     pub fn settle(&mut self, request: RequestId, outcome: Outcome) -> &mut Self {
         self.queues.settle(ms(self.now_ms), request, outcome);
         self
     }
 
-    /// Adds a line with the time to the log.
+    /// Appends the current time in milliseconds and `line` to the log.
     pub fn log(&mut self, line: String) -> &mut Self {
         let _ = writeln!(self.log, "{:<6}{line}", self.now_ms);
         self
