--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -13,11 +13,11 @@
 pub enum Event<'a> {
     /// The endpoint list could not be read.
     EndpointListFailed,
-    /// A table of endpoints, given by its number, is the new endpoint list or contains changes of the list.
+    /// The endpoint list has changed. The table with this number contains the complete list or the changed endpoints.
     EndpointsChanged { update: EndpointUpdate, table: u64 },
-    /// A request has arrived.
+    /// The instance has received a request from a client.
     RequestArrived(ArrivedRequest<'a>),
-    /// An attempt has ended.
+    /// The engine has answered an attempt, or the attempt has ended without an answer.
     AttemptEnded(EndedAttempt<'a>),
     /// An engine has reported the progress of an attempt.
     Progress { request: &'a str, attempt: usize, update: ProgressUpdate },
@@ -31,19 +31,19 @@
     Ignored,
 }
 
-/// A request that has arrived.
+/// The properties of a request at its arrival.
 pub struct ArrivedRequest<'a> {
     /// The request's name.
     pub request: &'a str,
     /// The index of the request class.
     pub class: usize,
-    /// The key of requests that may have to run in order.
+    /// Requests with the same key run in order of arrival, if their class requires it.
     pub key: Option<&'a str>,
     /// Expected time on one core.
     pub estimated_work: Option<Duration>,
     /// Expected memory, in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// Time from the message to the request's deadline.
+    /// Time from the arrival to the request's deadline.
     pub deadline: Duration,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
@@ -51,7 +51,7 @@
     pub table_group: Option<u64>,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt, and the engine's usage and load at its end.
 pub struct EndedAttempt<'a> {
     /// The request's name.
     pub request: &'a str,
@@ -84,7 +84,7 @@
     /// Whether the engine is ready, draining or removed.
     pub lifecycle: Lifecycle,
     /// The time at which the engine was started, if known.
-    pub launched: Option<Duration>,
+    pub launched_at: Option<Duration>,
 }
 
 /// `sort` of a progress message whose `value` is the completed fraction of the work.
@@ -196,7 +196,7 @@
                 "deregistered" => Lifecycle::Removed,
                 _ => Lifecycle::Draining,
             },
-            launched: row.get_time("launchedMs").filter(|at| !at.is_zero()),
+            launched_at: row.get_time("launchedMs").filter(|at| !at.is_zero()),
         })
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -178,7 +178,7 @@
             kind: row.kind,
             cell: row.cell,
             lifecycle: row.lifecycle,
-            launched_at: row.launched,
+            launched_at: row.launched_at,
         });
     }
     Ok(endpoints)
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -5,9 +5,9 @@
 /// The names in the messages to one instance.
 #[derive(Default)]
 pub struct Names {
-    /// Names of requests.
+    /// Names of requests, which the simulator calls `ref`.
     pub requests: NameTable,
-    /// Names of engines.
+    /// Names of engines, including removed ones.
     pub engines: NameTable,
     /// Keys of requests that may have to run in order.
     pub keys: NameTable,
--- a/crates/simulator-adapter/tests/digest.rs
+++ b/crates/simulator-adapter/tests/digest.rs
@@ -221,7 +221,7 @@
         loop {
             let mut line = String::new();
             assert!(
-                self.output.read_line(&mut line).expect("the adapter writes") > 0,
+                self.output.read_line(&mut line).expect("the adapter's output can be read") > 0,
                 "the adapter ended early after {lines}"
             );
             self.record.digest.update(&line);
@@ -237,7 +237,7 @@
 
     /// Applies an action to the simulated engines and clients.
     fn handle_action(&mut self, action: &Value) {
-        let instance = action["who"].as_u64().expect("an instance");
+        let instance = action["who"].as_u64().expect("`who` is the number of an instance");
         let text = |name: &str| action[name].as_str().unwrap_or_default().to_owned();
         let request = text("ref");
         match action["op"].as_str().unwrap_or_default() {
@@ -258,7 +258,7 @@
             }
             "TOUCH" => self.probes.push((instance, text("engine"))),
             "AFTER" => {
-                let at = self.now_ms + action["offsetMs"].as_f64().expect("a time");
+                let at = self.now_ms + action["offsetMs"].as_f64().expect("`offsetMs` is a number");
                 self.wakes.push((at, instance));
             }
             "SUBSCRIBE" => self.subscribers.push(instance),
@@ -279,7 +279,7 @@
             number,
             engine,
             sent_at_ms: self.now_ms,
-            abandon_at_ms: action["abandonAtMs"].as_f64().expect("a time"),
+            abandon_at_ms: action["abandonAtMs"].as_f64().expect("`abandonAtMs` is a number"),
             cancelled: false,
         });
     }
--- a/crates/simulator-adapter/tests/input.rs
+++ b/crates/simulator-adapter/tests/input.rs
@@ -19,7 +19,7 @@
         .write_all(input.as_bytes())
         .expect("the adapter reads its input");
     let done = adapter.wait_with_output().expect("the adapter ends");
-    let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
+    let text = |bytes| String::from_utf8(bytes).expect("the adapter writes UTF-8");
     format!("{}{}success: {}\n", text(done.stdout), text(done.stderr), done.status.success())
 }
 
