--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -140,7 +140,7 @@
 
 /// Decodes the limit of open requests, which is at least 1. Without the setting there is no limit.
 fn max_open_requests(caps: Fields<'_>) -> Result<usize, SettingsError> {
-    let limit = caps.optional("maxOpen", Fields::not_negative)?;
+    let limit = caps.optional("maxOpen", Fields::non_negative)?;
     Ok(limit.map_or(usize::MAX, |limit| limit as usize).max(1))
 }
 
--- a/crates/settings/src/attempt_limits.rs
+++ b/crates/settings/src/attempt_limits.rs
@@ -17,7 +17,7 @@
     let retry_budget = retry_budget(rules)?;
     let max_retry_after = caps.optional("maxRetryAfterMs", Fields::time)?;
     Ok(AttemptLimits {
-        max_attempts: caps.count("mostTries")?,
+        max_attempts: caps.positive_integer("mostTries")?,
         may_cancel: caps.flag("cancel")?,
         may_probe: caps.optional("probes", Fields::flag)?.unwrap_or(false),
         start_capacity_fraction: rules.fraction("startCapacity")?,
@@ -41,7 +41,7 @@
 /// Decodes a number of the retry budget, which is 0 if it is absent. Fails if the settings have the number but no
 /// window, since the number would then have no effect.
 fn budget_amount(rules: Fields<'_>, name: &str, window: Option<Duration>) -> Result<f64, SettingsError> {
-    let amount = rules.optional(name, Fields::not_negative)?;
+    let amount = rules.optional(name, Fields::non_negative)?;
     if amount.is_some() && window.is_none() {
         return Err(rules.field(name)?.error(Problem::RequiresField { required: RETRY_WINDOW }));
     }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -57,7 +57,7 @@
         self.get(name).map(|value| Self { value, ..self }).ok_or_else(missing)
     }
 
-    /// Reads a field with `read`, unless it is absent or null.
+    /// Reads a field with `read`; returns `None` if the field is absent or null.
     pub fn optional<T>(
         self,
         name: &str,
@@ -90,8 +90,8 @@
     }
 
     /// Reads an integer from 1 up.
-    pub fn count(self, name: &str) -> Result<usize, SettingsError> {
-        self.field(name)?.read("a whole number from 1 up", positive_index)
+    pub fn positive_integer(self, name: &str) -> Result<usize, SettingsError> {
+        self.field(name)?.read("a whole number from 1 up", positive_integer)
     }
 
     /// Reads a number, which may be negative.
@@ -106,7 +106,7 @@
     }
 
     /// Reads a finite number from 0 up.
-    pub fn not_negative(self, name: &str) -> Result<f64, SettingsError> {
+    pub fn non_negative(self, name: &str) -> Result<f64, SettingsError> {
         self.field(name)?.read("a number from 0 up", non_negative)
     }
 
@@ -237,7 +237,7 @@
     value.as_u64()?.try_into().ok()
 }
 
-fn positive_index(value: &Value) -> Option<usize> {
+fn positive_integer(value: &Value) -> Option<usize> {
     as_index(value).filter(|index| *index > 0)
 }
 
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -14,7 +14,7 @@
     let progress_interval = domain.optional("tellsEveryMs", Fields::time)?;
     Ok(Fleet {
         seed,
-        router_count: settings.count("instances")?,
+        router_count: settings.positive_integer("instances")?,
         home_location: settings.field("myZone")?.as_index(location_count)?,
         kinds: engine_kinds(settings, domain)?,
         max_grant_fraction: domain.fraction("largestShare")?,
--- a/crates/settings/src/request_classes.rs
+++ b/crates/settings/src/request_classes.rs
@@ -45,9 +45,9 @@
     fn request_class(&self, index: usize, class: Fields<'_>) -> Result<RequestClass, SettingsError> {
         Ok(RequestClass {
             latency_objective: class.positive_time("onTimeMs")?,
-            objective_stretch: class.optional("aimStretch", Fields::not_negative)?.unwrap_or(0.0),
+            objective_stretch: class.optional("aimStretch", Fields::non_negative)?.unwrap_or(0.0),
             deadline: class.positive_time("deadlineMs")?,
-            priority_weight: class.not_negative("gain")?,
+            priority_weight: class.non_negative("gain")?,
             late_weight_fraction: class.fraction("lateShare")?,
             idempotency: idempotency(class)?,
             keeps_order: class.optional("keepOrder", Fields::flag)?.unwrap_or(false),
