--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -195,9 +195,9 @@
         Some(queued)
     }
 
-    /// Records the measured cost of a request's successful attempt. The team is charged when the request is closed.
-    pub fn record_cost(&mut self, request: RequestId, cost: Duration) {
-        self.costs.insert(request, cost);
+    /// Records the measured work of a request's successful attempt. The team is charged when the request is closed.
+    pub fn record_work(&mut self, request: RequestId, work: Duration) {
+        self.costs.insert(request, work);
     }
 
     /// Whether a request is queued.
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -27,7 +27,7 @@
 
 /// A command with its options.
 enum Command {
-    /// Serve until SIGTERM. `config` is `None` if the environment names the configuration file.
+    /// Serve until a graceful shutdown is complete. `config` is `None` if the environment names the configuration file.
     Serve {
         config: Option<PathBuf>,
         operator: Option<PathBuf>,
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -244,7 +244,7 @@
             self.update_time();
             let now = self.server.context().now();
             let Some(timer) = self.server.context().timers.pop(now) else { break };
-            self.before_timer(timer);
+            self.handle_sockets_for_timer(timer);
             self.server.timer_expired(timer);
             self.apply_changes();
         }
@@ -252,7 +252,7 @@
 
     /// Does the work on sockets for an expired timer. Input that arrived before the timer expired is read first, so
     /// that a delay of the router itself does not count as a timeout of the peer.
-    fn before_timer(&mut self, timer: Timer) {
+    fn handle_sockets_for_timer(&mut self, timer: Timer) {
         match timer {
             Timer::ClientIdleCheck(slot) => self.read_client(slot, self.poll_times.earliest_arrival()),
             Timer::AttemptDeadline(attempt) => {
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -103,7 +103,8 @@
         server
     }
 
-    /// Feeds the state to `hasher`. Two servers with the same fingerprint react in the same way to any input.
+    /// Feeds the state to `hasher`, without the admission queue and the connection to the discovery service. If two
+    /// servers do not differ in these, and have the same fingerprint, they react in the same way to any input.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let now = self.dispatcher.context.now();
         let fingerprint = FingerprintContext {
@@ -179,7 +180,7 @@
 
     fn attempt_ended(&mut self, now: Duration, mut ended: AttemptEnded, body: Option<Vec<u8>>) {
         if let Some(body) = body {
-            self.record_cost(&ended);
+            self.record_work(&ended);
             // This has no effect if the client has cancelled the request.
             let result = |id| jsonrpc::result_line(id, &body);
             self.dispatcher.answer_request(ended.request, RequestOutcome::Succeeded, result);
@@ -188,13 +189,13 @@
         self.scheduler.attempt_ended(now, ended, &mut self.dispatcher);
     }
 
-    /// Records the cost of a successful attempt, which is charged to the budget of the request's team.
-    fn record_cost(&mut self, ended: &AttemptEnded) {
+    /// Records the measured work of a successful attempt, which is charged to the budget of the request's team.
+    fn record_work(&mut self, ended: &AttemptEnded) {
         if let Some(admission_queue) = &mut self.admission_queue
             && let Some(usage) = &ended.usage
             && self.dispatcher.requests.get(ended.request).is_some()
         {
-            admission_queue.record_cost(ended.request, usage.work);
+            admission_queue.record_work(ended.request, usage.work);
         }
     }
 }
--- a/crates/router/src/server/parameters.rs
+++ b/crates/router/src/server/parameters.rs
@@ -75,13 +75,13 @@
             return Err(ParameterError::IdempotencyKey);
         }
         let ordering_key = optional_text(fields, "subject")?.map(|subject| KeyId(hash_of(subject)));
-        let deadline_ms = positive_number(fields, "timeout")?.ok_or(ParameterError::NoDeadline)?;
-        let estimated_work = positive_number(fields, "ms")?.map(from_ms).filter(|work| !work.is_zero());
-        let estimated_memory_mb = positive_number(fields, "memory")?;
+        let deadline_ms = optional_number(fields, "timeout")?.ok_or(ParameterError::NoDeadline)?;
+        let estimated_work = optional_number(fields, "ms")?.map(from_ms).filter(|work| !work.is_zero());
+        let estimated_memory_mb = optional_number(fields, "memory")?;
         let statement = jsonrpc::decode_body(fields.text("data")?).ok_or(ParameterError::DataNotBase64)?;
         let statement_text = std::str::from_utf8(&statement).map_err(|_| ParameterError::DataNotUtf8)?;
         let table_group = statement::table_group(statement_text);
-        let is_resent = resent_flag(fields)?;
+        let is_resent = retry_mark(fields)?;
         Ok(Self {
             ordering_key,
             estimated_work,
@@ -145,9 +145,9 @@
 
 /// Returns the number by which the scheduler identifies an ordering key, and by which the admission queue identifies an
 /// idempotency key or a request's name. Requests of two ordering keys with the same hash only wait for each other.
-pub(super) fn hash_of(name: &str) -> u32 {
+pub(super) fn hash_of(text: &str) -> u32 {
     let mut hasher = DefaultHasher::new();
-    name.hash(&mut hasher);
+    text.hash(&mut hasher);
     hasher.finish() as u32
 }
 
@@ -161,8 +161,8 @@
     fields.optional(name, Fields::text)
 }
 
-/// Decodes an optional number from 0 to [`MAX_NUMBER`]; returns `None` for 0.
-fn positive_number(fields: Fields<'_>, name: &'static str) -> Result<Option<f64>, ParameterError> {
+/// Decodes a number from 0 to [`MAX_NUMBER`]; returns `None` if the number is absent or 0.
+fn optional_number(fields: Fields<'_>, name: &'static str) -> Result<Option<f64>, ParameterError> {
     let value = fields.optional(name, Fields::number)?;
     match value {
         Some(value) if !(0.0..=MAX_NUMBER).contains(&value) => Err(ParameterError::NumberOutOfRange(name)),
@@ -171,7 +171,7 @@
 }
 
 /// Decodes whether the client marks the request as a retry. The mark is a boolean, 0 or 1.
-fn resent_flag(fields: Fields<'_>) -> Result<bool, ParameterError> {
+fn retry_mark(fields: Fields<'_>) -> Result<bool, ParameterError> {
     let Some(value) = fields.get("resent") else { return Ok(false) };
     if let Some(flag) = value.as_bool() {
         return Ok(flag);
