--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -109,36 +109,36 @@
     ///
     /// # Errors
     /// Fails if the operation is unknown, or if a field is missing or invalid.
-    pub fn decode(operation: &str, line: Fields<'a>) -> Result<Self, AdapterError> {
+    pub fn decode(operation: &str, message: Fields<'a>) -> Result<Self, AdapterError> {
         Ok(match operation {
-            "ANNOUNCE" => Self::decode_announcement(line)?,
-            "ACCEPT" => Self::RequestArrived(ArrivedRequest::decode(line)?),
-            "ENDED" => Self::AttemptEnded(EndedAttempt::decode(line)?),
-            "NOTICE" => Self::decode_progress(line)?,
-            "CANCELLED_BY_CLIENT" => Self::ClientLeft { request: line.text("ref")? },
+            "ANNOUNCE" => Self::decode_announcement(message)?,
+            "ACCEPT" => Self::RequestArrived(ArrivedRequest::decode(message)?),
+            "ENDED" => Self::AttemptEnded(EndedAttempt::decode(message)?),
+            "NOTICE" => Self::decode_progress(message)?,
+            "CANCELLED_BY_CLIENT" => Self::ClientLeft { request: message.text("ref")? },
             "BELL" => Self::Wake,
             "PROBE_DONE" => {
-                Self::ProbeEnded { engine: line.text("engine")?, report_figures: report_figures(line) }
+                Self::ProbeEnded { engine: message.text("engine")?, report_figures: report_figures(message) }
             }
             "INBOX" | "STARTED" => Self::Ignored,
             _ => return Err(AdapterError::UnknownOperation { operation: operation.to_owned() }),
         })
     }
 
-    fn decode_announcement(line: Fields<'_>) -> Result<Self, AdapterError> {
-        let update = match line.text("mode")? {
+    fn decode_announcement(message: Fields<'_>) -> Result<Self, AdapterError> {
+        let update = match message.text("mode")? {
             "broken" => return Ok(Self::EndpointListFailed),
             "patch" => EndpointUpdate::Changes,
             _ => EndpointUpdate::FullList,
         };
-        Ok(Self::EndpointsChanged { update, table: line.unsigned("ref")? })
+        Ok(Self::EndpointsChanged { update, table: message.unsigned("ref")? })
     }
 
-    fn decode_progress(line: Fields<'a>) -> Result<Self, AdapterError> {
-        let request = line.text("ref")?;
-        let attempt = line.index("hop")?;
-        let value = line.number("value")?;
-        let update = match (line.unsigned("sort")?, value) {
+    fn decode_progress(message: Fields<'a>) -> Result<Self, AdapterError> {
+        let request = message.text("ref")?;
+        let attempt = message.index("hop")?;
+        let value = message.number("value")?;
+        let update = match (message.unsigned("sort")?, value) {
             (FRACTION_PROGRESS, fraction) => ProgressUpdate::Fraction(fraction),
             (SPILLING_PROGRESS, missing_mb) => ProgressUpdate::Spilling(missing_mb),
             (WAITING_PROGRESS, WAIT_FOR_MEMORY) => ProgressUpdate::WaitingForMemory,
@@ -150,31 +150,31 @@
 }
 
 impl<'a> ArrivedRequest<'a> {
-    fn decode(line: Fields<'a>) -> Result<Self, SettingsError> {
+    fn decode(message: Fields<'a>) -> Result<Self, SettingsError> {
         Ok(Self {
-            request: line.text("ref")?,
-            class: line.index("qos")?,
-            key: line.optional("table", Fields::text)?,
-            estimated_work: line.get_time("estimateMs").filter(|work| !work.is_zero()),
-            estimated_memory_mb: line.get_number("needMb").filter(|memory| *memory > 0.0),
-            deadline: from_ms(line.number("graceMs")?),
-            is_retry: line.get_flag("repeat"),
-            table_group: line.get_number("tableGroup").map(|group| group as u64),
+            request: message.text("ref")?,
+            class: message.index("qos")?,
+            key: message.optional("table", Fields::text)?,
+            estimated_work: message.get_time("estimateMs").filter(|work| !work.is_zero()),
+            estimated_memory_mb: message.get_number("needMb").filter(|memory| *memory > 0.0),
+            deadline: from_ms(message.number("graceMs")?),
+            is_retry: message.get_flag("repeat"),
+            table_group: message.get_number("tableGroup").map(|group| group as u64),
         })
     }
 }
 
 impl<'a> EndedAttempt<'a> {
-    fn decode(line: Fields<'a>) -> Result<Self, AdapterError> {
+    fn decode(message: Fields<'a>) -> Result<Self, AdapterError> {
         Ok(Self {
-            request: line.text("ref")?,
-            attempt: line.index("hop")?,
-            engine: line.text("engine")?,
-            outcome: attempt_outcome(line.text("result")?)?,
-            elapsed: line.time("delaySeenMs")?,
-            usage: usage(line),
-            report_figures: report_figures(line),
-            request_done: line.flag("noMore")?,
+            request: message.text("ref")?,
+            attempt: message.index("hop")?,
+            engine: message.text("engine")?,
+            outcome: attempt_outcome(message.text("result")?)?,
+            elapsed: message.time("delaySeenMs")?,
+            usage: usage(message),
+            report_figures: report_figures(message),
+            request_done: message.flag("noMore")?,
         })
     }
 }
@@ -202,8 +202,8 @@
 }
 
 /// Decodes the work and memory that an attempt used. See [`USAGE_WORK_FACTOR`] for the encoding.
-fn usage(line: Fields<'_>) -> Option<Usage> {
-    let encoded = line.get_number("usedUp").unwrap_or(0.0) as u64;
+fn usage(message: Fields<'_>) -> Option<Usage> {
+    let encoded = message.get_number("usedUp").unwrap_or(0.0) as u64;
     (encoded > 0).then(|| Usage {
         work: Duration::from_millis(encoded / USAGE_WORK_FACTOR),
         memory_mb: (encoded % USAGE_WORK_FACTOR * USAGE_MEMORY_UNIT_MB) as f64,
@@ -211,8 +211,8 @@
 }
 
 /// Returns the figures of a load report, in the order of the settings; `None` if the message has no report.
-fn report_figures(line: Fields<'_>) -> Option<&[Value]> {
-    line.get("stats")?.as_array().map(Vec::as_slice)
+fn report_figures(message: Fields<'_>) -> Option<&[Value]> {
+    message.get("stats")?.as_array().map(Vec::as_slice)
 }
 
 fn attempt_outcome(result: &str) -> Result<AttemptOutcome, AdapterError> {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -56,21 +56,21 @@
     /// Fails if the line is invalid or the reply cannot be written.
     pub fn handle_line(&mut self, text: &str, output: &mut impl Write) -> Result<(), AdapterError> {
         let value = serde_json::from_str(text)?;
-        let line = Fields::of(&value);
-        match (line.text("op")?, self.batch) {
+        let message = Fields::of(&value);
+        match (message.text("op")?, self.batch) {
             ("BEGIN_BATCH", None) => {
-                let now = line.time("atTimeMs")?;
-                self.batch = Some(Batch { now, number: line.unsigned("frame")? });
+                let now = message.time("atTimeMs")?;
+                self.batch = Some(Batch { now, number: message.unsigned("frame")? });
                 Ok(())
             }
             ("BEGIN_BATCH", Some(_)) => Err(AdapterError::NestedBatch),
             (operation, None) => Err(AdapterError::OutsideBatch { operation: operation.to_owned() }),
             ("END", Some(batch)) => self.end_batch(batch.number, output),
             ("TABLE", Some(_)) => {
-                self.tables.insert(line.unsigned("ref")?, line.list("items")?.to_vec());
+                self.tables.insert(message.unsigned("ref")?, message.list("items")?.to_vec());
                 Ok(())
             }
-            (operation, Some(batch)) => self.handle_event(operation, line, batch.now),
+            (operation, Some(batch)) => self.handle_event(operation, message, batch.now),
         }
     }
 
@@ -81,15 +81,21 @@
 
     /// Passes a message to its instance. After a panic in the batch, skips the message, since the reply will only
     /// contain the fault.
-    fn handle_event(&mut self, operation: &str, line: Fields<'_>, now: Duration) -> Result<(), AdapterError> {
-        let number = line.unsigned("who")?;
+    fn handle_event(
+        &mut self,
+        operation: &str,
+        message: Fields<'_>,
+        now: Duration,
+    ) -> Result<(), AdapterError> {
+        let number = message.unsigned("who")?;
         if self.panicked.is_some() {
             return Ok(());
         }
         if operation == "NEW_INSTANCE" {
-            self.warn_about_unknown_figures(line)?;
+            self.warn_about_unknown_figures(message)?;
         }
-        match catch_unwind(AssertUnwindSafe(|| self.handle_instance_message(operation, number, line, now))) {
+        match catch_unwind(AssertUnwindSafe(|| self.handle_instance_message(operation, number, message, now)))
+        {
             Ok(result) => result,
             Err(_) => {
                 self.panicked = Some(number);
@@ -103,26 +109,26 @@
         &mut self,
         operation: &str,
         number: u64,
-        line: Fields<'_>,
+        message: Fields<'_>,
         now: Duration,
     ) -> Result<(), AdapterError> {
         let unknown = || AdapterError::UnknownInstance(number);
         match operation {
             "NEW_INSTANCE" => {
-                self.instances.insert(number, Instance::new(number, line)?);
+                self.instances.insert(number, Instance::new(number, message)?);
                 Ok(())
             }
             "KILLED" => self.instances.remove(&number).map(drop).ok_or_else(unknown),
             _ => {
                 let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
-                instance.handle(operation, line, now, &self.tables, &mut self.reply)
+                instance.handle(operation, message, now, &self.tables, &mut self.reply)
             }
         }
     }
 
     /// Prints a warning for each unknown figure of the load report, once for all instances.
-    fn warn_about_unknown_figures(&mut self, line: Fields<'_>) -> Result<(), AdapterError> {
-        for unknown in unknown_load_report_names(line.object("params")?)? {
+    fn warn_about_unknown_figures(&mut self, message: Fields<'_>) -> Result<(), AdapterError> {
+        for unknown in unknown_load_report_names(message.object("params")?)? {
             let warning = unknown.to_string();
             if self.printed_warnings.insert(warning.clone()) {
                 eprintln!("emberflow-simulator-adapter: {warning} (ignored)");
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -35,14 +35,14 @@
     ///
     /// # Errors
     /// Fails if a setting is missing or invalid.
-    pub fn new(number: u64, line: Fields<'_>) -> Result<Self, AdapterError> {
-        let params = line.object("params")?;
-        let load_report_names = load_report_names(params)?;
-        let seed = line.unsigned("rngSeed")?;
-        let fleet = decode_fleet(seed, params)?;
+    pub fn new(number: u64, message: Fields<'_>) -> Result<Self, AdapterError> {
+        let settings = message.object("params")?;
+        let load_report_names = load_report_names(settings)?;
+        let seed = message.unsigned("rngSeed")?;
+        let fleet = decode_fleet(seed, settings)?;
         let scheduler =
-            Scheduler::new(fleet, decode_request_classes(params)?, decode_attempt_limits(params)?);
-        let clients_mark_retries = clients_mark_retries(params)?;
+            Scheduler::new(fleet, decode_request_classes(settings)?, decode_attempt_limits(settings)?);
+        let clients_mark_retries = clients_mark_retries(settings)?;
         Ok(Self { number, scheduler, load_report_names, clients_mark_retries, names: Names::default() })
     }
 
@@ -54,12 +54,12 @@
     pub fn handle(
         &mut self,
         operation: &str,
-        line: Fields<'_>,
+        message: Fields<'_>,
         now: Duration,
         tables: &Tables,
         reply: &mut Vec<u8>,
     ) -> Result<(), AdapterError> {
-        match Event::decode(operation, line)? {
+        match Event::decode(operation, message)? {
             Event::EndpointListFailed => {
                 let (scheduler, mut actions) = self.scheduler_and_writer(now, reply);
                 scheduler.endpoint_list_failed(now, &mut actions);
--- a/crates/teams/src/queues/mod.rs
+++ b/crates/teams/src/queues/mod.rs
@@ -108,7 +108,8 @@
         Ok(())
     }
 
-    /// Rejects a request if its team's queue is full, or if the expected wait and work exceed its deadline.
+    /// Rejects a request if its team's queue is full, or if the expected wait and work exceed its deadline. The
+    /// deadline is not checked if the expected wait is zero, as it is while the service rate is unknown.
     fn check_admission(&self, new_request: &NewRequest, expected_wait: Duration) -> Result<(), Rejection> {
         let NewRequest { team, work, deadline, .. } = *new_request;
         if self.team_queues[team].len() >= self.quotas.teams[team].max_waiting {
