--- a/crates/router/src/engine_pool.rs
+++ b/crates/router/src/engine_pool.rs
@@ -47,7 +47,7 @@
         request: RequestId,
         /// The attempt's number within its request.
         attempt: usize,
-        /// The stage or the completed fraction of the attempt.
+        /// The state or the completed fraction of the attempt, as the engine reported it.
         progress: ProgressUpdate,
     },
 }
@@ -79,7 +79,8 @@
     engines: BTreeMap<EngineId, Engine>,
     /// The scheduler's ids of the engines, by their ids in the endpoint list.
     engine_ids: BTreeMap<u32, EngineId>,
-    next_engine: EngineId,
+    /// The id of the next engine that is added.
+    next_engine_id: EngineId,
     connections: SlotMap<Connection>,
     attempts: SlotMap<Attempt>,
     /// Events to be passed on to the scheduler, in order.
@@ -110,7 +111,7 @@
         Self {
             engines: BTreeMap::new(),
             engine_ids: BTreeMap::new(),
-            next_engine: EngineId::default(),
+            next_engine_id: EngineId::default(),
             connections: SlotMap::default(),
             attempts: SlotMap::default(),
             events: VecDeque::new(),
--- a/crates/router/src/engine_pool/attempt.rs
+++ b/crates/router/src/engine_pool/attempt.rs
@@ -100,17 +100,17 @@
     pub resend_disabled: bool,
     /// Time at which the attempt was cancelled, if the engine has to acknowledge the cancellation.
     pub cancelled_at: Option<Duration>,
-    /// The pages received so far; `None` until the first page of the result has arrived.
+    /// The result, of which further pages may still be missing; `None` until its first page has arrived.
     pub result: Option<ResultPages>,
 }
 
 impl Attempt {
     /// Creates an attempt that is sent at `now`, without a connection.
-    pub fn new(call: &Call<'_>, engine: EngineId, excluded_connections: &[Slot], now: Duration) -> Self {
+    pub fn new(call: &Call<'_>, engine_id: EngineId, excluded_connections: &[Slot], now: Duration) -> Self {
         Self {
             request: call.request,
             number: call.number,
-            engine,
+            engine: engine_id,
             connection: None,
             request_name: call.request_name.to_owned(),
             call: Some(UnwrittenCall::new(call)),
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -10,16 +10,18 @@
 use emberflow::{AttemptEnded, AttemptOutcome, EngineId, LoadReport};
 
 impl EnginePool {
-    /// Sends an attempt. The attempt does not use `excluded_connections`, on which a reply to an earlier attempt of the
-    /// request may still arrive: a reply carries only the request's name, so the attempts could not be told apart.
+    /// Sends an attempt, and returns its slot. The attempt is not sent on any of the `excluded_connections`, because a
+    /// reply to an earlier attempt of the same request may still arrive there. A reply carries only the name of the
+    /// request, so it would be mistaken for a reply to the new attempt.
     pub fn send(
         &mut self,
-        engine: EngineId,
+        engine_id: EngineId,
         call: Call<'_>,
         excluded_connections: &[Slot],
         context: &mut Context,
     ) -> Slot {
-        let attempt = self.attempts.insert(Attempt::new(&call, engine, excluded_connections, context.now()));
+        let attempt =
+            self.attempts.insert(Attempt::new(&call, engine_id, excluded_connections, context.now()));
         context.timers.set(call.deadline, Timer::Attempt(attempt));
         context.counters.count("attempts_sent");
         self.assign_connection(attempt, context);
@@ -31,15 +33,15 @@
     pub(super) fn assign_connection(&mut self, slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(slot) else { return };
         attempt.call_offset = None;
-        let engine = attempt.engine;
+        let engine_id = attempt.engine;
         let request_name = attempt.request_name.clone();
         let excluded = attempt.excluded_connections.clone();
-        if attempt.resend_disabled || !self.is_ready(engine) {
+        if attempt.resend_disabled || !self.is_ready(engine_id) {
             return self.end(slot, AttemptOutcome::NotSent, None, context);
         }
-        match self.select_connection(engine, &request_name, &excluded, context) {
+        match self.select_connection(engine_id, &request_name, &excluded, context) {
             Some(connection) => self.enqueue_call(slot, connection, context),
-            // The router has reached its own limit of connections, so the outcome must not count against the engine.
+            // The router has reached its limit of connections. The outcome must not count as a failure of the engine.
             None => self.end(slot, AttemptOutcome::NotSent, None, context),
         }
     }
@@ -91,8 +93,9 @@
     /// Cancels an attempt whose request may be sent again.
     ///
     /// If hedged requests are not allowed, two attempts must not run at once. The cancellation and the next call may be
-    /// sent on different connections, and may arrive in either order. Therefore the attempt ends only once the engine
-    /// has answered a ping that was sent after the cancellation, or once the connection is closed.
+    /// sent on different connections, and may arrive in either order. Therefore an attempt without a result, whose call
+    /// was written at least in part, stays in flight until the engine has answered a ping that was sent after the
+    /// cancellation. It also ends with a final reply, when the connection is closed, or at the attempt's deadline.
     pub fn cancel_before_resend(&mut self, slot: Slot, context: &mut Context) {
         self.retract_unsent_call(slot);
         let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
@@ -147,7 +150,7 @@
         self.end(slot, outcome, None, context);
     }
 
-    /// Ends an attempt without a result.
+    /// Ends an attempt without a complete result.
     pub(super) fn end(
         &mut self,
         slot: Slot,
@@ -205,7 +208,8 @@
 /// Returns the connection on which the engine may still reply to an attempt that has ended with `outcome`.
 fn late_connection(attempt: &Attempt, outcome: AttemptOutcome) -> Option<Slot> {
     let was_abandoned = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
-    // After an engine has acknowledged the cancellation of an attempt, it sends no further reply to the attempt.
+    // An attempt with a pending cancellation usually ends when its engine acknowledges the cancellation. The engine
+    // sends no further reply after that.
     attempt.connection.filter(|_| was_abandoned && !attempt.is_cancellation_pending())
 }
 
@@ -222,7 +226,7 @@
     );
 }
 
-/// Returns the counter of attempts that ended with `outcome`.
+/// Returns the name of the counter of attempts that ended with `outcome`.
 fn outcome_counter(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Succeeded => "attempts_succeeded",
--- a/crates/router/src/engine_pool/connection.rs
+++ b/crates/router/src/engine_pool/connection.rs
@@ -33,7 +33,6 @@
     }
 }
 
-/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum ConnectionState {
     Connecting,
@@ -65,9 +64,9 @@
 
 impl Connection {
     /// Creates a connection that is dialled at `now` and must be established by `check_due`.
-    pub fn new(engine: EngineId, now: Duration, check_due: Duration) -> Self {
+    pub fn new(engine_id: EngineId, now: Duration, check_due: Duration) -> Self {
         Self {
-            engine,
+            engine: engine_id,
             state: ConnectionState::Connecting,
             input: RingBuffer::default(),
             output: RingBuffer::default(),
--- a/crates/router/src/engine_pool/connection_lifecycle.rs
+++ b/crates/router/src/engine_pool/connection_lifecycle.rs
@@ -14,19 +14,20 @@
 impl EnginePool {
     /// Selects a connection for an attempt: an idle one if there is any, otherwise a new one within the connection
     /// limits of the engine and of the router, otherwise the one with the fewest attempts. Attempts are spread over
-    /// connections, because the loss of a connection ends all attempts on it.
+    /// connections, because the loss of a connection ends all attempts on it. Returns `None` if no connection can carry
+    /// the attempt and the router has reached its limit of connections.
     pub(super) fn select_connection(
         &mut self,
-        engine: EngineId,
+        engine_id: EngineId,
         request_name: &str,
         excluded: &[Slot],
         context: &mut Context,
     ) -> Option<Slot> {
-        let engine_connection_count = self.engines.get(&engine)?.connections.len();
+        let engine_connection_count = self.engines.get(&engine_id)?.connections.len();
         let max_engine_connections =
             (self.max_connections / self.engines.len()).max(MIN_CONNECTIONS_PER_ENGINE);
         let is_pool_full = self.connections.len() >= self.max_connections;
-        if let Some((slot, connection)) = self.least_loaded_connection(engine, request_name, excluded)
+        if let Some((slot, connection)) = self.least_loaded_connection(engine_id, request_name, excluded)
             && (connection.attempts.is_empty()
                 || is_pool_full
                 || engine_connection_count >= max_engine_connections)
@@ -37,18 +38,18 @@
             context.counters.count("connections_over_the_limit");
             return None;
         }
-        self.dial(engine, context)
+        self.dial(engine_id, context)
     }
 
     /// Returns the connection with the fewest attempts among those of an engine that can carry an attempt of the request
     /// `request_name`.
     fn least_loaded_connection(
         &self,
-        engine: EngineId,
+        engine_id: EngineId,
         request_name: &str,
         excluded: &[Slot],
     ) -> Option<(Slot, &Connection)> {
-        let slots = &self.engines.get(&engine)?.connections;
+        let slots = &self.engines.get(&engine_id)?.connections;
         let open = slots.iter().filter_map(|slot| Some((*slot, self.connections.get(*slot)?)));
         let usable =
             open.filter(|(slot, connection)| self.can_carry(*slot, connection, request_name, excluded));
@@ -84,15 +85,15 @@
         true
     }
 
-    fn dial(&mut self, engine: EngineId, context: &mut Context) -> Option<Slot> {
-        let engine_entry = self.engines.get_mut(&engine)?;
+    fn dial(&mut self, engine_id: EngineId, context: &mut Context) -> Option<Slot> {
+        let engine = self.engines.get_mut(&engine_id)?;
         let now = context.now();
         let check_due = now + self.connect_timeout;
         context.counters.count("connections_dialled");
-        let slot = self.connections.insert(Connection::new(engine, now, check_due));
+        let slot = self.connections.insert(Connection::new(engine_id, now, check_due));
         context.timers.set(check_due, Timer::Connection(slot));
-        self.commands.push_back(PoolCommand::Dial(slot, engine_entry.address));
-        engine_entry.connections.push(slot);
+        self.commands.push_back(PoolCommand::Dial(slot, engine.address));
+        engine.connections.push(slot);
         Some(slot)
     }
 
--- a/crates/router/src/engine_pool/fingerprint.rs
+++ b/crates/router/src/engine_pool/fingerprint.rs
@@ -24,8 +24,8 @@
     pub fn fingerprint(&self, now: Duration, hasher: &mut impl Hasher) {
         let time = RelativeTime { now };
         let indexes: BTreeMap<Slot, usize> = self.connections.iter().map(|(slot, _)| slot).zip(0..).collect();
-        for (number, engine) in &self.engines {
-            (number, engine.ready, engine.launched.map(|at| time.micros(at))).hash(hasher);
+        for (engine_id, engine) in &self.engines {
+            (engine_id, engine.ready, engine.launched.map(|at| time.micros(at))).hash(hasher);
             engine.connections.iter().for_each(|slot| indexes.get(slot).hash(hasher));
         }
         for (_, connection) in self.connections.iter() {
--- a/crates/router/src/engine_pool/health_check.rs
+++ b/crates/router/src/engine_pool/health_check.rs
@@ -10,7 +10,7 @@
 use crate::timers::Timer;
 use std::time::Duration;
 
-/// The id of a health check's ping. It differs from every request's name, which has 16 digits.
+/// The id of a health check's ping. It differs from every request's name, which has 16 hexadecimal digits.
 const HEALTH_CHECK_ID: &str = "0";
 /// Ratio of the inactivity timeout to the connect timeout.
 const INACTIVITY_TIMEOUT_RATIO: u32 = 2;
@@ -40,8 +40,9 @@
     }
 
     /// Checks a connection whose check is due. Closes the connection if it was not established in time, or if its
-    /// engine did not answer a health check or acknowledge a cancellation in time. The caller reads the connection
-    /// first, so that replies that arrived in time count.
+    /// engine did not answer a health check or acknowledge a cancellation in time. Otherwise starts a health check if
+    /// the connection is in use and inactive, or schedules its next check. The caller reads the connection first, so
+    /// that replies that arrived in time count.
     pub fn connection_check_due(&mut self, slot: Slot, now: Duration, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.check_due.is_none_or(|due| due > now) {
--- a/crates/router/src/engine_pool/messages.rs
+++ b/crates/router/src/engine_pool/messages.rs
@@ -17,10 +17,10 @@
 const FIELD_SEPARATORS: (char, char) = (',', '=');
 /// The same separators within a load report.
 const LOAD_SEPARATORS: (char, char) = (';', ':');
-/// Value of a `stall` report if the engine lacks memory for the attempt.
+/// Value of a `stall` report if the attempt waits for memory.
 const STALLED_FOR_MEMORY: f64 = 1.0;
-/// Value of a `stall` report if other load on the engine delays the attempt.
-const STALLED_FOR_LOAD: f64 = 2.0;
+/// Value of a `stall` report if the attempt waits for a bulk load of its table group.
+const STALLED_FOR_BULK_LOAD: f64 = 2.0;
 
 /// An error in a reply of an engine. The router logs the error and closes the connection.
 #[derive(Debug, Error)]
@@ -220,7 +220,7 @@
         self.text("use").map(parse_load_report).transpose()
     }
 
-    /// Whether the result has further pages.
+    /// Whether a result has more than one page. A reply that does not give the number of pages has one.
     pub fn has_further_pages(&self) -> Result<bool, EngineProtocolError> {
         Ok(self.number("pages")?.is_some_and(|pages| pages > 1.0))
     }
@@ -240,7 +240,8 @@
         Ok(page as usize)
     }
 
-    /// Decodes the resources that the engine used for a result, if the reply has both the cost and the memory.
+    /// Decodes the resources that the engine used for a result: the cost in ms and the memory in MB. Returns `None`
+    /// unless the reply has both.
     pub fn usage(&self) -> Result<Option<Usage>, EngineProtocolError> {
         let cost_and_memory = self.number("cost")?.zip(self.number("need")?);
         Ok(cost_and_memory.map(|(ms, memory_mb)| Usage { work: from_ms(ms), memory_mb }))
@@ -253,7 +254,7 @@
             (Some("advance"), Some(fraction)) => Ok(ProgressUpdate::Fraction(fraction)),
             (Some("disk"), Some(missing_mb)) => Ok(ProgressUpdate::Spilling(missing_mb)),
             (Some("stall"), Some(STALLED_FOR_MEMORY)) => Ok(ProgressUpdate::WaitingForMemory),
-            (Some("stall"), Some(STALLED_FOR_LOAD)) => Ok(ProgressUpdate::WaitingForBulkLoad),
+            (Some("stall"), Some(STALLED_FOR_BULK_LOAD)) => Ok(ProgressUpdate::WaitingForBulkLoad),
             (None, _) => Ok(ProgressUpdate::Running),
             (detail, value) => {
                 let detail = detail.map(str::to_owned);
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -12,7 +12,8 @@
 use emberflow::{AttemptOutcome, EngineId, LoadReport};
 use std::io::Read;
 
-/// Limit of the bytes that are read from a connection in one iteration of the event loop.
+/// Limit of the bytes that a connection's input buffer holds after reading, and therefore of the bytes that are read in
+/// one iteration of the event loop.
 const MAX_READ_BYTES_PER_ITERATION: usize = 256 * 1024;
 /// Ratio of the reply timeout to the connect timeout. A reply that has begun to arrive must be complete, and the next
 /// page of a result must arrive, within the reply timeout.
@@ -23,11 +24,11 @@
     /// be more input to read.
     pub fn read(&mut self, slot: Slot, socket: &mut impl Read, context: &mut Context) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else { return false };
-        let engine = connection.engine;
+        let engine_id = connection.engine;
         let filled = connection.input.fill(socket, MAX_READ_BYTES_PER_ITERATION);
         if let Err(error) = self.process_input(slot, context) {
             context.counters.count("engine_input_malformed");
-            self.log_malformed_input(engine, slot, &error);
+            self.log_malformed_input(engine_id, slot, &error);
             self.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
             return false;
         }
@@ -44,14 +45,15 @@
         matches!(filled, Ok(FillOutcome::LimitReached)) && self.connections.get(slot).is_some()
     }
 
-    fn log_malformed_input(&self, engine: EngineId, slot: Slot, error: &EngineProtocolError) {
-        let address = self.engines.get(&engine).map_or_else(String::new, |entry| entry.address.to_string());
+    fn log_malformed_input(&self, engine_id: EngineId, slot: Slot, error: &EngineProtocolError) {
+        let engine = self.engines.get(&engine_id);
+        let address = engine.map_or_else(String::new, |engine| engine.address.to_string());
         log::warn!(
-            "malformed engine input: engine={engine} address={address} connection={slot:?} error=\"{error}\""
+            "malformed engine input: engine={engine_id} address={address} connection={slot:?} error=\"{error}\""
         );
     }
 
-    /// Sets the reply timeout if a reply has begun to arrive.
+    /// Sets the reply timeout if a reply has begun to arrive and the timeout is not set yet.
     fn schedule_reply_timeout(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if connection.reply_due.is_none() && !connection.input.is_empty() {
@@ -101,12 +103,13 @@
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
         if reply.kind == ReplyKind::Pong {
-            if let Some(attempt) = self.attempt_named(connection, &reply.id) {
+            // The answer to a health check carries the name of no request.
+            if let Some(attempt) = self.attempt_by_request_name(connection, &reply.id) {
                 self.cancel_acknowledged(attempt, context);
             }
             return Ok(());
         }
-        match self.attempt_named(connection, &reply.id) {
+        match self.attempt_by_request_name(connection, &reply.id) {
             Some(attempt) => self.handle_reply(attempt, reply, context),
             None => {
                 context.counters.count("engine_answers_without_attempt");
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Returns the attempt on a connection whose request has this name.
-    fn attempt_named(&self, connection: Slot, request_name: &str) -> Option<Slot> {
+    /// Returns the attempt of the request `request_name` on a connection; `None` if the connection carries none.
+    fn attempt_by_request_name(&self, connection: Slot, request_name: &str) -> Option<Slot> {
         self.connections.get(connection)?.attempts.get(request_name).copied()
     }
 
--- a/crates/router/src/engine_pool/result_pages.rs
+++ b/crates/router/src/engine_pool/result_pages.rs
@@ -28,7 +28,8 @@
         Self { pages, usage, load_report }
     }
 
-    /// Adds the page with a number. Returns false if that page has arrived before, or if the result has no such page.
+    /// Adds a page by its number, from 0. Returns false if that page has arrived before, or if the result has no page
+    /// with that number.
     pub fn add(&mut self, page: usize, body: Vec<u8>) -> bool {
         match self.pages.get_mut(page) {
             Some(missing @ None) => {
--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -12,25 +12,26 @@
 
 impl EnginePool {
     /// Assigns an attempt to a connection, where its call waits until it can be written.
-    pub(super) fn enqueue_call(&mut self, attempt_slot: Slot, slot: Slot, context: &mut Context) {
+    pub(super) fn enqueue_call(&mut self, attempt_slot: Slot, connection_slot: Slot, context: &mut Context) {
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
-        let Some(connection) = self.connections.get_mut(slot) else { return };
-        attempt.connection = Some(slot);
+        let Some(connection) = self.connections.get_mut(connection_slot) else { return };
+        attempt.connection = Some(connection_slot);
         connection.attempts.insert(attempt.request_name.clone(), attempt_slot);
         if let Some(due) = connection.idle_due.take() {
-            context.timers.clear(due, Timer::ConnectionIdle(slot));
+            context.timers.clear(due, Timer::ConnectionIdle(connection_slot));
         }
         connection.waiting_attempts.push(attempt_slot);
         // The engine's host may have failed without closing the connection. Therefore the engine must answer a health
-        // check before a connection is used that was inactive.
+        // check before an inactive connection is used.
         let is_inactive = context.now() > connection.last_reply_at + self.connect_timeout;
         if connection.accepts_calls() && is_inactive {
-            self.send_ping(slot, context);
+            self.send_ping(connection_slot, context);
         }
-        self.schedule_writes(slot, context);
+        self.schedule_writes(connection_slot, context);
     }
 
-    /// Registers a connection for writing if it has output or a waiting call that can be written.
+    /// Registers a connection for writing if it has output or a waiting call that can be written. Schedules a check of
+    /// a connection on which a call is to be written, unless one is scheduled already.
     pub(super) fn schedule_writes(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get(slot) else { return };
         let is_call_due = connection.accepts_calls() && !connection.waiting_attempts.is_empty();
@@ -92,8 +93,8 @@
     }
 
     /// Adds an attempt's call to its connection's output, with the time left at `now`.
-    fn encode_call(&mut self, attempt_slot: Slot, slot: Slot, now: Duration) {
-        let Some(connection) = self.connections.get_mut(slot) else { return };
+    fn encode_call(&mut self, attempt_slot: Slot, connection_slot: Slot, now: Duration) {
+        let Some(connection) = self.connections.get_mut(connection_slot) else { return };
         let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         let Some(call) = &mut attempt.call else { return };
         let bytes = call.encode(&attempt.request_name, attempt.deadline.saturating_sub(now));
@@ -101,7 +102,7 @@
         attempt.call_offset = Some(connection.output.end_offset());
         connection.output.push(&bytes);
         log::debug!(
-            "call added to connection output: request={} attempt={} connection={slot:?} engine={}",
+            "call added to connection output: request={} attempt={} connection={connection_slot:?} engine={}",
             attempt.request,
             attempt.number,
             attempt.engine
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Drops the calls that were written on a connection. A written call is never sent on another connection.
+    /// Drops the stored copies of the calls that were written completely on a connection. A written call is never sent
+    /// on another connection.
     fn drop_written_calls(&mut self, slot: Slot) {
         let attempts =
             self.connections.get(slot).into_iter().flat_map(|connection| connection.attempts.values());
