--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -17,7 +17,6 @@
     WaitNotice,
 }
 
-/// A request in the queue.
 #[derive(Clone)]
 struct QueuedRequest {
     /// The scheduler's input, as it was when the request was queued.
@@ -59,7 +58,8 @@
     pub latency_objective: Duration,
     /// Minimum time between passing the request to the scheduler and the request's deadline.
     pub dispatch_margin: Duration,
-    /// Whether the client has asked to be notified of the estimated wait.
+    /// Whether the client has asked for notices of the estimated wait. They are sent only if the operator's file names
+    /// the parameter by which clients ask for them.
     pub wants_wait_notices: bool,
 }
 
@@ -99,7 +99,8 @@
     /// Queues a request.
     ///
     /// # Errors
-    /// Returns the reason if the request is rejected, and the time after which the request would be admitted.
+    /// Returns the reason if the request is rejected, and the time after which a similar request is expected to be
+    /// accepted.
     pub fn enqueue(
         &mut self,
         now: Duration,
@@ -220,7 +221,8 @@
         self.queues.settle(now, request.0, charge);
     }
 
-    /// Replaces the teams. Queued requests move to the team with the same name.
+    /// Replaces the teams. Queued requests move to the team with the same name, or to the first team if their team was
+    /// removed.
     pub fn apply_teams(&mut self, now: Duration, teams: TeamConfig) {
         self.queues.reconfigure(now, teams.quotas.clone(), &self.teams.indices_in(&teams));
         self.teams = teams;
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -113,8 +113,8 @@
         slowest.map(|(slot, _)| slot)
     }
 
-    /// Checks a client whose idle timer has expired. A client without open requests is closed if it sends nothing or
-    /// leaves a line incomplete.
+    /// Checks a client whose idle timer has expired. A client without open requests and unsent output is to be closed
+    /// if it sends nothing or leaves a line incomplete.
     pub fn check_idle(&mut self, slot: Slot, now: Duration) -> IdleCheck {
         let Some(client) = self.table.get_mut(slot) else { return IdleCheck::Idle };
         let has_partial_line = client.has_partial_line();
--- a/crates/router/src/clients/client.rs
+++ b/crates/router/src/clients/client.rs
@@ -35,7 +35,8 @@
     Line {
         /// The line without its newline.
         line: Vec<u8>,
-        /// Earliest time at which the newline can have been received.
+        /// Earliest time at which the latest input can have been received. That input ends with or after the line's
+        /// newline.
         received_at: Duration,
     },
     /// The line exceeds the limit. All further input is discarded.
@@ -76,7 +77,8 @@
     /// The open requests, by the ids of their JSON-RPC messages.
     pub open_requests: BTreeMap<u64, RequestId>,
     pub(super) has_sent_line: bool,
-    /// Time at which a line was last read or began to arrive, or a request was last answered.
+    /// Time of the client's last activity: the connection was accepted, a line was read, a line after the first began
+    /// to arrive, or a request was answered or cancelled.
     pub(super) last_active: Duration,
     /// Earliest time at which the latest input can have been received.
     last_received: Duration,
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -31,7 +31,7 @@
 }
 
 impl RequestOutcome {
-    /// Returns the counter of requests with this outcome.
+    /// Returns the name of the counter of requests with this outcome.
     pub fn counter(self) -> &'static str {
         match self {
             Self::Succeeded => "requests_succeeded",
@@ -54,7 +54,7 @@
 /// The state on which the scheduler's actions take effect: open requests, clients and engines.
 #[derive(Clone)]
 pub struct Dispatcher {
-    /// The router's configuration.
+    /// The router's configuration as read at its start. A reload replaces the discovery address.
     pub config: RouterConfig,
     /// The time, the timers and the counters of the router.
     pub context: Context,
@@ -64,7 +64,7 @@
     pub engines: EnginePool,
     /// The open requests.
     pub requests: RequestTable,
-    /// Whether any engine has been ready since the start.
+    /// Whether any engine has been ready since the start of the router. A router reports itself as serving only then.
     pub had_ready_endpoint: bool,
     /// The completions that the admission queue has not processed yet; `None` without an admission queue.
     pub completions: Option<Vec<Completion>>,
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Feeds the router's own timers to `hasher`. The other timers are part of the fingerprints of connections,
-    /// attempts and clients.
+    /// Feeds the timers to `hasher` that belong to no connection, attempt or client. The due times of the other timers
+    /// are part of the fingerprints of their connections, attempts and clients.
     fn fingerprint_timers(&self, now: Duration, hasher: &mut impl Hasher) {
         for (at, timer) in self.context.timers.iter() {
             let is_router_timer = matches!(
--- a/crates/router/src/jsonrpc.rs
+++ b/crates/router/src/jsonrpc.rs
@@ -169,12 +169,14 @@
 pub struct Cancellation {
     /// The request's name (`req`); empty if the cancellation does not give it.
     pub name: String,
-    /// The id of the JSON-RPC message that sent the request, on the same connection.
+    /// The id of the JSON-RPC message that sent the request, on the same connection; `None` if the cancellation does
+    /// not give it.
     pub id: Option<u64>,
 }
 
 impl Cancellation {
-    /// Decodes the parameters of a cancellation. If they give no id, the id of the cancellation's own message is used.
+    /// Decodes the parameters of a cancellation. `message_id` is the id of the cancellation message itself, and
+    /// identifies the request if the parameters contain no valid id.
     pub fn decode(message_id: Option<u64>, params: Fields<'_>) -> Self {
         let name = params.text("req").unwrap_or_default().to_owned();
         let id = params.unsigned("id").ok().or(message_id);
--- a/crates/router/src/ready_list.rs
+++ b/crates/router/src/ready_list.rs
@@ -25,7 +25,8 @@
 }
 
 impl ReadyList {
-    /// Adds a client. If the client is already on the list, the earlier of the two times is kept.
+    /// Adds a client whose unread input arrived at `received_since` at the earliest. If the client is already on the
+    /// list, keeps the earlier of the two times.
     pub fn add(&mut self, slot: Slot, received_since: Duration) {
         let earliest = self.received_since.entry(slot).or_insert(received_since);
         *earliest = received_since.min(*earliest);
--- a/crates/router/src/request_table.rs
+++ b/crates/router/src/request_table.rs
@@ -26,7 +26,7 @@
     pub grant_mb: f64,
     /// The request's priority at an engine; a higher number is served first.
     pub priority: u8,
-    /// All attempts of the request so far. The index is the attempt's number.
+    /// The slots of all attempts of the request, including those that have ended. The index is the attempt's number.
     pub attempts: Vec<Slot>,
     /// Connections on which an engine may still answer an abandoned attempt.
     pub late_connections: Vec<Slot>,
@@ -56,7 +56,7 @@
     table: SlotMap<Request>,
     slots: BTreeMap<RequestId, Slot>,
     names: BTreeSet<String>,
-    /// The id of the next request.
+    /// The id that [`Self::insert`] gives to the next request. Ids ascend, and wrap around after the largest.
     pub next_id: RequestId,
     /// Bytes of the statements of all open requests.
     statement_bytes: usize,
--- a/crates/router/src/ring.rs
+++ b/crates/router/src/ring.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Default)]
 pub struct RingBuffer {
     bytes: VecDeque<u8>,
-    /// Number of bytes that were consumed or sent so far.
+    /// Offset of the first byte in the stream of all bytes: the number of bytes that were consumed or sent before it.
     front_offset: u64,
 }
 
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Removes bytes from the front that must not be sent. The offset of the front stays the same.
+    /// Removes unsent bytes from the front, which are never sent. The offset of the front stays the same, since it
+    /// counts only bytes that were sent.
     pub fn remove_unsent(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
--- a/crates/router/src/sockets.rs
+++ b/crates/router/src/sockets.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the time since the last bytes of a connection arrived, as the kernel reports it in milliseconds; zero if the
-/// time is unknown.
+/// time is unknown, or less than 1 ms.
 pub fn time_since_last_arrival(socket: &TcpStream) -> Duration {
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -36,7 +36,7 @@
     Word(&'a [u8]),
     /// A quoted name, without its quotes.
     QuotedName(&'a [u8]),
-    /// A string literal, by its quote, or any other byte.
+    /// The opening quote of a string literal, which is skipped, or any other byte.
     Other(u8),
 }
 
