--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -4,7 +4,7 @@
 use expect_test::expect;
 use std::process::Command;
 
-/// Returns the configuration in the README.
+/// Extracts the example configuration from the README: the first indented JSON text, up to the next empty line.
 fn readme_configuration() -> String {
     let text = include_str!("../../../README.md");
     let lines = text.lines().skip_while(|line| !line.starts_with("    {\"name\":"));
--- a/crates/router/tests/digest/engines.rs
+++ b/crates/router/tests/digest/engines.rs
@@ -156,11 +156,11 @@
             self.recorder.record("to engine", connection.number, &sink.written);
         }
         connection.received.extend(sink.written);
-        self.engine_reads_commands(slot);
+        self.engine_handles_commands(slot);
     }
 
     /// Decodes all complete commands, and replies to those that engines answer at once.
-    fn engine_reads_commands(&mut self, slot: Slot) {
+    fn engine_handles_commands(&mut self, slot: Slot) {
         let Some(connection) = self.connections.get_mut(&slot) else { return };
         while let Some(resp::Array { parts, length }) =
             resp::parse_array(&connection.received).expect("the server sends RESP")
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -31,7 +31,7 @@
     pub connection_count: u64,
     /// The name of the next request, as a number.
     pub next_req: u64,
-    /// The number of calls for each request.
+    /// The number of calls that engines received for each request, by the request's name.
     pub calls_by_request: BTreeMap<String, u64>,
     /// Bytes from the discovery service that the server has not received yet.
     pub discovery_input: Vec<u8>,
--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -6,13 +6,13 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Lines of all clients that the router reads in one iteration of its loop.
+/// Number of lines that the router reads in one iteration of its event loop, from all clients together.
 const LINES_READ_PER_ITERATION: usize = 64;
-/// Limit of the bytes of a line under the limits of these tests.
+/// Limit of the length of a client's line in bytes, under the resource limits of these tests.
 const MAX_LINE_BYTES: usize = 8192;
 
 #[test]
-fn malformed_client_input_gets_the_standard_errors_and_reaches_no_engine() {
+fn malformed_client_input_gets_the_standard_errors_and_is_not_accepted() {
     let mut router = RouterHarness::start("client-input", 1, &ordinary_settings());
     let mut client = router.connect_client();
     let malformed_lines = [
@@ -34,6 +34,7 @@
         client.send_line(line);
         router.record_answer(&mut client);
     }
+    // Opens as many requests as the connection may have, then repeats an id, and then exceeds the limit.
     for id in (1..=32).chain([1, 33]) {
         client.send_request(id, "lookup");
     }
@@ -42,7 +43,7 @@
     client_of_same_request.send_request(2, "lookup");
     router.record_answer(&mut client_of_same_request);
     let mut client_without_line_end = router.connect_client();
-    // The router may close the connection before all of it is written.
+    // The router may close the connection before the whole line is written.
     let _ = client_without_line_end.socket().write_all(&vec![b'x'; 1 << 20]);
     router.record_answer(&mut client_without_line_end);
     let mut other_client = router.connect_client();
@@ -98,8 +99,8 @@
     .assert_eq(&router.finish(&["requests_succeeded", "requests_cancelled", "attempts_cancelled"]));
 }
 
-/// One request fills the engine and others are queued. Their clients cancel, half-close, reset or close at the same
-/// moment as the first result frees capacity.
+/// One request fills the engine, and others are queued. While the router is stopped, their clients cancel, half-close,
+/// reset or close, so that the router finds these events together with the result that frees the engine's capacity.
 #[test]
 fn a_queued_request_is_not_sent_however_its_client_disconnects() {
     let mut router = RouterHarness::start("leaves", 1, &long_queueing_settings());
@@ -121,7 +122,7 @@
         new_client.send(&filling_request(7));
         let half_closed = clients.remove(4);
         clients.remove(3).reset();
-        // All other clients close, except for the first two.
+        // All remaining clients close, except for the first two.
         clients.truncate(2);
         half_closed
     });
@@ -227,7 +228,10 @@
             Err(error) => panic!("the stopped router keeps the connection open: {error}"),
         }
     }
-    assert!(sent > 1 << 20, "{sent} bytes fit into one line");
+    assert!(
+        sent > 1 << 20,
+        "the buffers of both sockets were full after {sent} bytes, expected more than 1 MiB"
+    );
     socket.set_nonblocking(false).expect("a socket can be blocking");
 }
 
@@ -235,7 +239,7 @@
 struct ClosingRouter {
     router: RouterHarness,
     client: TestClient,
-    /// Stay connected, so that the router reads a line of each of them.
+    /// The other clients stay connected, so that the router reads a line of each of them.
     _other_clients: Vec<TestClient>,
 }
 
@@ -249,9 +253,10 @@
     }
 }
 
-/// Starts a router with many clients, one of which sends a line without end by `send`. `arriving_bytes` of that line
-/// arrive before the router reads any. The router reads one line of each client per iteration. It closes the connection
-/// of that client before it reads from it again, so that the rest of the line is unread in the socket.
+/// Starts a router with many clients, and calls `send` for one of them to send a line without end. The router is stopped
+/// until `arriving_bytes` of that line have arrived. It then reads at most one line of each client per iteration, and
+/// closes the connection of that client before it reads from it again, so that the rest of the line stays unread in the
+/// socket.
 fn close_with_unread_input(
     name: &str,
     arriving_bytes: usize,
@@ -265,7 +270,7 @@
     }
     let mut client = router.connect_client();
     client.status(1);
-    // The router must read none of the following input in an iteration that has already begun.
+    // The router must not read any of the following input in an iteration that has already begun.
     router.wait_until_asleep();
     router.stop();
     for other_client in &mut other_clients {
@@ -292,7 +297,8 @@
     .assert_eq(&closing.finish());
 }
 
-/// The unread input exceeds both the limit of an iteration and the socket's buffer. The router reads all of it.
+/// The unread input exceeds both the bytes that the router discards in one iteration and the buffer of the socket. The
+/// router reads all of it before it closes the connection.
 #[test]
 fn a_connection_closed_with_much_unread_input_delivers_its_last_answer() {
     let closing = close_with_unread_input("unending-much", 2 * MAX_LINE_BYTES, |client| {
--- a/crates/router/tests/sockets/harness/client.rs
+++ b/crates/router/tests/sockets/harness/client.rs
@@ -37,7 +37,7 @@
     ClientRequest { memory_mb: LARGE_MEMORY_MB, ..request(id, "lookup", LONG_REQUEST_TIMEOUT) }
 }
 
-/// Returns a lookup of a team that needs most of an engine's memory for two seconds.
+/// Returns a lookup of a team, with estimates of two seconds of work and of most of an engine's memory.
 pub fn large_request(team: &str, id: u64, timeout: Duration) -> ClientRequest {
     ClientRequest {
         team: Some(team.to_owned()),
--- a/crates/router/tests/sockets/harness/engine.rs
+++ b/crates/router/tests/sockets/harness/engine.rs
@@ -10,20 +10,21 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A page of a result with three columns.
+/// A page of a result: one row of three columns.
 pub const ROWS: &str = "a\tb\tc\n";
 
-/// Time without a call after which a test assumes that no further call is sent.
+/// Time without a command after which a test assumes that the router sends no further call.
 const QUIET_TIME: Duration = Duration::from_millis(300);
 /// Limit of the bytes read from a connection at a time.
 const CHUNK_BYTES: usize = 4096;
-/// The name of the call's field whose value differs between runs.
+/// Prefix of the field that carries the time left for a call. Its value differs between runs.
 const TIME_LEFT_FIELD: &str = "budget=";
 
 /// A connection of the router to an engine.
 struct EngineConnection {
     /// `None` once either side has closed the connection.
     socket: Option<TcpStream>,
+    /// Received bytes that do not form a complete command yet.
     input: Vec<u8>,
 }
 
@@ -39,9 +40,9 @@
 pub struct TestEngine {
     listener: TcpListener,
     connections: Vec<EngineConnection>,
-    /// The time left that the last call of each request carried.
+    /// The time left that the last call of each request carried, by request.
     time_left_by_request: BTreeMap<u64, Duration>,
-    /// The index of the connection on which the last command for each request arrived.
+    /// The index of the connection on which the last command for each request arrived, by request.
     connection_by_request: BTreeMap<u64, usize>,
     /// Commands that the test has not taken yet.
     commands: VecDeque<ReceivedCommand>,
@@ -88,7 +89,7 @@
         self.commands.pop_front().expect("there is a command")
     }
 
-    /// Waits for a command. Returns whether one has arrived within `time`.
+    /// Waits up to `time` for a command or the close of a connection. Returns whether either has arrived.
     pub fn has_command_within(&mut self, time: Duration) -> bool {
         let end = Instant::now() + time;
         while self.commands.is_empty() && Instant::now() < end {
@@ -143,7 +144,7 @@
         self.commands.push_back(received);
     }
 
-    /// Returns the next call. Drops other commands before it.
+    /// Returns the text of the next call. Drops other commands before it.
     pub fn next_call(&mut self) -> String {
         let (_, text) = self.take_call();
         text
@@ -165,12 +166,12 @@
         }
     }
 
-    /// Waits for `awaited` calls, and then until no call arrives for [`QUIET_TIME`]. Answers each call with [`ROWS`],
-    /// and returns the requests.
-    pub fn answer_calls(&mut self, awaited: usize) -> Vec<u64> {
+    /// Waits for `expected_count` calls, and then until no command arrives for [`QUIET_TIME`]. Answers each call with
+    /// [`ROWS`], and returns the requests, which are fewer if a call does not arrive within [`TEST_TIMEOUT`].
+    pub fn answer_calls(&mut self, expected_count: usize) -> Vec<u64> {
         let mut requests = Vec::new();
         loop {
-            let timeout = if requests.len() < awaited { TEST_TIMEOUT } else { QUIET_TIME };
+            let timeout = if requests.len() < expected_count { TEST_TIMEOUT } else { QUIET_TIME };
             if !self.has_command_within(timeout) {
                 return requests;
             }
@@ -186,7 +187,8 @@
         self.time_left_by_request[&request]
     }
 
-    /// Returns the index of the connection on which the last command for a request arrived, or 0 without one.
+    /// Returns the index of the connection on which the last command for a request arrived, or 0 if none
+    /// has arrived.
     pub fn connection_of(&self, request: u64) -> usize {
         self.connection_by_request.get(&request).copied().unwrap_or_default()
     }
@@ -206,7 +208,7 @@
         self.send(request, EngineReply::Page { page, rows: rows.as_bytes() });
     }
 
-    /// Reports that a request is stalled until memory is free.
+    /// Reports that a request waits for memory.
     pub fn send_stalled(&mut self, request: u64) {
         self.send(request, EngineReply::Progress(Some(Progress::WaitingForMemory)));
     }
@@ -226,14 +228,14 @@
         self.send_bytes(connection, &reply.encode(&request_id(request)));
     }
 
-    /// Sends a reply of any type and fields, which may be malformed.
+    /// Sends a reply with a type and fields as text, so that they may be malformed.
     pub fn send_raw_reply(&mut self, request: u64, reply_type: &str, fields: &str) {
         let id = request_id(request);
         let parts = [id.as_bytes(), reply_type.as_bytes(), fields.as_bytes(), b""];
         self.send_bytes(self.connection_of(request), &encode_array(&parts));
     }
 
-    /// Sends bytes: a part of a reply, or any bytes.
+    /// Sends bytes on a connection, for example a part of a reply or malformed input.
     pub fn send_bytes(&mut self, connection: usize, bytes: &[u8]) {
         let mut socket = self.connections[connection].socket.as_ref().expect("the connection is open");
         socket.set_nonblocking(false).expect("a socket can be blocking");
--- a/crates/router/tests/sockets/harness/log_lines.rs
+++ b/crates/router/tests/sockets/harness/log_lines.rs
@@ -14,9 +14,9 @@
 pub const TEAM_REMOVED: &str = "team posting removed";
 /// A reload removed all teams.
 pub const TEAMS_REMOVED: &str = "admission queue closed";
-/// The connection to discovery was lost.
+/// The connection to the discovery service failed after the router had subscribed to events.
 pub const DISCOVERY_LOST: &str = "discovery connection lost";
-/// An invalid line of a client.
+/// The router answered an invalid line of a client with an error.
 pub const CLIENT_LINE_REJECTED: &str = "client line rejected";
 /// The first request that the router accepted.
 pub const FIRST_REQUEST: &str = "request=0 ";
--- a/crates/router/tests/sockets/harness/peers.rs
+++ b/crates/router/tests/sockets/harness/peers.rs
@@ -1,4 +1,4 @@
-//! The peers of a router: connects its clients, and plays its engines and its discovery service.
+//! The peers of a router under test: connects clients, and accepts connections as its engines and discovery service.
 
 use super::client::TestClient;
 use super::discovery::TestDiscovery;
@@ -8,12 +8,12 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 impl RouterHarness {
-    /// Connects clients.
+    /// Connects `count` clients, whose reads fail after the test timeout.
     pub fn connect_clients(&self, count: usize) -> Vec<TestClient> {
         (0..count).map(|_| self.connect_client()).collect()
     }
 
-    /// Connects a client.
+    /// Connects a client, whose reads fail after the test timeout.
     pub fn connect_client(&self) -> TestClient {
         let socket = TcpStream::connect(self.address).expect("the router listens");
         TestClient::new(with_test_timeout(socket))
--- a/crates/router/tests/sockets/harness/sockets.rs
+++ b/crates/router/tests/sockets/harness/sockets.rs
@@ -28,7 +28,7 @@
     socket
 }
 
-/// Returns the address of a listener.
+/// Returns the address at which a listener accepts connections, with the port that the kernel chose.
 pub fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("a bound listener has an address")
 }
--- a/crates/router/tests/sockets/harness/transcript.rs
+++ b/crates/router/tests/sockets/harness/transcript.rs
@@ -85,8 +85,8 @@
 
     /// Answers the further calls to an engine, and records their requests in ascending order; see
     /// [`TestEngine::answer_calls`].
-    pub fn record_further_calls(&mut self, engine: &mut TestEngine, awaited: usize) -> &mut Self {
-        let mut requests = engine.answer_calls(awaited);
+    pub fn record_further_calls(&mut self, engine: &mut TestEngine, expected_count: usize) -> &mut Self {
+        let mut requests = engine.answer_calls(expected_count);
         requests.sort_unstable();
         self.record(format!("further calls: {requests:?}"))
     }
