--- a/crates/router/tests/digest/engines.rs
+++ b/crates/router/tests/digest/engines.rs
@@ -171,9 +171,9 @@
             self.recorder.count(format!("engine receives {command}"));
             match command {
                 "GET" => {
-                    let sent = self.calls_by_request.entry(id.clone()).or_default();
-                    *sent += 1;
-                    if *sent > 1 {
+                    let call_count = self.calls_by_request.entry(id.clone()).or_default();
+                    *call_count += 1;
+                    if *call_count > 1 {
                         self.recorder.count("attempts retried");
                     }
                     connection.calls.push(id.clone());
--- a/crates/router/tests/digest/main.rs
+++ b/crates/router/tests/digest/main.rs
@@ -1,4 +1,4 @@
-//! Guards refactorings that must not change behaviour. Random scenarios are drawn from seeds and run on the server
+//! Checks that refactorings do not change behaviour. Random scenarios are drawn from seeds and run on the server
 //! without sockets or clock. One digest covers all that the server's peers observe: the bytes on each connection, the
 //! connections that are dialled and closed, and the time of the next timer. Log lines are not in the digest.
 
@@ -18,8 +18,8 @@
 
 const SCENARIOS: u64 = 160;
 
-/// How often a case must occur in the scenarios, so that the digest covers it: as peers observe it, or as the server
-/// counts it.
+/// The minimum number of times that each case must occur in the scenarios, so that the digest covers it. A case has the
+/// name of an observation of the recorder, or of a counter of the server.
 const MINIMUM_COUNTS: [(&str, u64); 40] = [
     ("results", 1000),
     ("status", 200),
--- a/crates/router/tests/digest/random.rs
+++ b/crates/router/tests/digest/random.rs
@@ -11,10 +11,12 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number below `end`, or 0 if `end` is 0.
     pub fn below(&mut self, end: u64) -> u64 {
         self.next_u64() % end.max(1)
     }
 
+    /// Returns true once in `count` calls on average.
     pub fn one_in(&mut self, count: u64) -> bool {
         self.below(count) == 0
     }
--- a/crates/router/tests/digest/recorder.rs
+++ b/crates/router/tests/digest/recorder.rs
@@ -13,9 +13,10 @@
 }
 
 impl Recorder {
-    /// Adds to the digest that bytes of a kind were sent on a connection.
-    pub fn record(&mut self, kind: &str, connection: u64, bytes: &[u8]) {
-        for part in [kind.as_bytes(), &connection.to_le_bytes(), bytes] {
+    /// Adds an observation to the digest. `number` is that of a connection, of a step or of an event, depending on the
+    /// kind, or a time in microseconds.
+    pub fn record(&mut self, kind: &str, number: u64, bytes: &[u8]) {
+        for part in [kind.as_bytes(), &number.to_le_bytes(), bytes] {
             self.digest.update((part.len() as u64).to_le_bytes());
             self.digest.update(part);
         }
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -143,7 +143,8 @@
         self.server.dispatcher.context.now = self.server.dispatcher.context.now().max(end);
     }
 
-    /// Reads the input that arrived before a timer expired, as the event loop does, and then handles the timer.
+    /// Handles a timer that has expired. Before that, handles the unread input of the timer's client, as the event loop
+    /// does, or writes the output of the connection of the timer's attempt.
     fn fire_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Client(slot) => self.read_client(slot, &[], StreamEnd::WouldBlock),
--- a/crates/router/tests/sockets/discovery.rs
+++ b/crates/router/tests/sockets/discovery.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: draining and restarted engines, malformed frames, and a lost or inactive discovery service.
+//! Tests of the endpoint list: draining and restarted engines, malformed frames, and a lost or inactive discovery
+//! service.
 
 use crate::harness::*;
 use expect_test::expect;
--- a/crates/router/tests/sockets/engine_connections.rs
+++ b/crates/router/tests/sockets/engine_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: health checks before use, resets, malformed input, and unwritten calls.
+//! Tests of connections to engines: health checks before use, resets, malformed input, and unwritten calls.
 
 use crate::harness::*;
 use emberflow_peer_protocol::engine::EngineReply;
@@ -15,7 +15,7 @@
 const MEDIUM_CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Time after which an idle connection needs a health check under [`MEDIUM_CONNECT_TIMEOUT`].
 const LONGER_THAN_MEDIUM_CONNECT_TIMEOUT: Duration = Duration::from_millis(2100);
-/// A part of an engine's reply, in bytes.
+/// Number of bytes of an engine's reply that is sent only in part.
 const INCOMPLETE_REPLY_BYTES: usize = 6;
 
 #[test]
@@ -158,7 +158,7 @@
     .assert_eq(&router.finish(&["attempts_succeeded", "attempts_broken"]));
 }
 
-/// Disconnects the client of a call, or drains its engine. Returns the client if it still reads.
+/// Disconnects the client of a call, or drains its engine. Returns the client if it can still receive its answer.
 type DisconnectOrDrain = fn(&mut TestDiscovery, TestClient, SocketAddr) -> Option<TestClient>;
 
 /// Sends a call that waits for the health check of an idle connection. Runs `action` at the same moment as the engine
--- a/crates/router/tests/sockets/harness/kernel.rs
+++ b/crates/router/tests/sockets/harness/kernel.rs
@@ -9,7 +9,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Instant;
 
-/// Number of polls after which a process that sleeps with nothing in transit to it counts as idle.
+/// Number of consecutive polls that must find a process asleep, with nothing in transit to it, for it to count as idle.
 const IDLE_POLLS: usize = 10;
 /// Number of consecutive polls that must find a process asleep for it to count as asleep.
 const ASLEEP_POLLS: usize = 3;
--- a/crates/router/tests/sockets/harness/process.rs
+++ b/crates/router/tests/sockets/harness/process.rs
@@ -150,7 +150,7 @@
         self.signal("-HUP");
     }
 
-    /// Sends the router a signal, as an option of `kill`: `-TERM`.
+    /// Sends the router a signal, given as an option of `kill`, for example `-TERM`.
     pub fn signal(&self, signal: &str) {
         let mut kill = Command::new("kill");
         kill.arg(signal).arg(self.process.id().to_string());
--- a/crates/router/tests/sockets/limits.rs
+++ b/crates/router/tests/sockets/limits.rs
@@ -40,7 +40,9 @@
 
 #[test]
 fn the_router_does_not_read_from_a_client_that_does_not_read() {
+    /// Number of requests whose answers exceed the buffers of the kernel.
     const MORE_THAN_THE_KERNEL_BUFFERS: u64 = 2000;
+    /// Number of pages of each answer.
     const PAGES: u32 = 8;
     let limits = ResourceLimits { memory_mb: 4, descriptors: 64 };
     let (mut router, mut client, mut engine) =
@@ -236,7 +238,7 @@
         // The router may close the connection before it has read all bytes.
         let _ = socket.write_all(&bytes);
         let _ = socket.shutdown(Shutdown::Write);
-        reader.join().expect("the reader only stops at the end of the connection");
+        reader.join().expect("the reading thread does not panic");
     })
 }
 
@@ -269,7 +271,7 @@
         complete_answers += usize::from(client.read_line() == answer);
     }
     for flood in floods {
-        flood.join().expect("a flood only stops at the router's close");
+        flood.join().expect("the thread of a flood does not panic");
     }
     drop(silent_clients);
     router.record(format!("{complete_answers} complete answers in order"));
--- a/crates/router/tests/sockets/reload.rs
+++ b/crates/router/tests/sockets/reload.rs
@@ -93,7 +93,7 @@
     router.write_configuration(&complete);
     router.wait_for_log(log_lines::SETTINGS_NEED_RESTART);
     let _moved_discovery = router.accept_discovery();
-    // The request classes are those of the start.
+    // The request classes are still those that the router read at its start.
     let (mut router, mut client, mut engine) = with_client_and_engine(router);
     client.send_request(1, "lookup");
     router.record_further_calls(&mut engine, 1).record_answer(&mut client);
--- a/crates/router/tests/sockets/requests.rs
+++ b/crates/router/tests/sockets/requests.rs
@@ -241,7 +241,7 @@
 }
 
 /// Without hedged requests, two attempts must not run at once, although the cancellation of the first and the retry may
-/// travel over two connections.
+/// be sent over two connections, and may arrive in either order.
 #[test]
 fn a_cancelled_attempt_is_retried_once_its_engine_acknowledged_the_cancellation() {
     let without_hedging = settings(Duration::from_secs(1), LONG_REQUEST_TIMEOUT)
@@ -291,7 +291,9 @@
 /// time at which the line can have arrived, so that no call carries more time than its client has left.
 #[test]
 fn deadlines_of_lines_read_late_count_from_their_earliest_arrival() {
+    /// Time after each request for which the process stays suspended.
     const PAUSE: Duration = Duration::from_millis(300);
+    /// Tolerance of the comparison of the times left.
     const SLACK: Duration = Duration::from_millis(150);
     let (router, mut client, mut engine) = start_with_one_engine("late-wake-up", &ordinary_settings());
     router.wait_until_asleep();
--- a/crates/router/tests/sockets/shutdown.rs
+++ b/crates/router/tests/sockets/shutdown.rs
@@ -8,9 +8,9 @@
 
 /// Longer than the minimum time for which the process serves after SIGTERM. After that time, the process ends once no
 /// request is open.
-const SHUTDOWN_GRACE: Duration = Duration::from_millis(750);
+const LONGER_THAN_MIN_SERVING_TIME: Duration = Duration::from_millis(750);
 /// Longer than the interval in which the router checks whether it may end.
-const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const LONGER_THAN_SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The deadline of the settings, which limits the time of a graceful shutdown.
 const SHUTDOWN_DEADLINE: Duration = Duration::from_millis(600);
@@ -71,13 +71,13 @@
     router.record_next_call(&mut engine);
     router.signal("-TERM");
     router.wait_for_log(log_lines::COUNTERS);
-    std::thread::sleep(SHUTDOWN_GRACE);
+    std::thread::sleep(LONGER_THAN_MIN_SERVING_TIME);
     let mut new_client = router.while_stopped(|router| {
         engine.send_result(1, ROWS);
         known_client.send_request(2, "lookup");
         let mut new_client = router.connect_client();
         new_client.send_request(3, "lookup");
-        std::thread::sleep(SHUTDOWN_CHECK_INTERVAL);
+        std::thread::sleep(LONGER_THAN_SHUTDOWN_CHECK_INTERVAL);
         new_client
     });
     router.record_further_calls(&mut engine, 2);
--- a/crates/router/tests/unit/clock.rs
+++ b/crates/router/tests/unit/clock.rs
@@ -8,6 +8,7 @@
 
 /// The Unix time of a launch ten seconds ago, by a correct wall clock.
 const LAUNCH: Duration = Duration::from_secs(10_090);
+/// Difference between a correct wall clock and the router's clock.
 const CORRECT_OFFSET: Duration = Duration::from_secs(10_000);
 
 fn launch_time(offsets: &[Duration]) -> Duration {
