--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -1,8 +1,8 @@
-//! The command line.
+//! The command line of `emberflow-model-checker`.
 
 use crate::former_names::current_scenario_name;
 use crate::mutants;
-use crate::registry::{CheckReport, Entry, InvariantEntry, invariants, scenarios};
+use crate::registry::{CheckReport, InvariantEntry, ScenarioEntry, invariants, scenarios};
 use crate::search::Coverage;
 use lexopt::prelude::*;
 use std::process::ExitCode;
@@ -12,29 +12,33 @@
 usage: emberflow-model-checker [SCENARIO ...]  explore the named scenarios, or all, and print the first violation
        emberflow-model-checker scenarios       list the scenarios and the invariants (also: worlds)
        emberflow-model-checker mutants [NAME ...]
-                                          plant each fault in a copy and print which invariant caught it
+                                          build a copy of the repository with each fault and print which
+                                          invariant caught it
        emberflow-model-checker help
 options of an exploration: --short        only the scenarios of the short set
                            --time S       stop after S seconds (300)
-                           --memory MB    stop when the process uses more than MB of memory (8000)
+                           --memory M     stop when the process uses more than M MiB of memory (8000)
                            --threads N    number of threads (all cores)
-exit: 0 all hold, 1 an invariant is violated, 2 bad arguments, 3 stopped before every state was explored";
+exit status: 0 all invariants hold, or every fault was caught
+             1 an invariant is violated or was never exercised, or a fault was not caught
+             2 bad arguments
+             3 stopped by the time or memory limit before every state was explored";
 
-/// The beginning of the output line that names a violated invariant.
+/// The beginning of the output line that names a violated invariant. The runner of mutants searches for it.
 pub const VIOLATION_PREFIX: &str = "violated invariant: ";
-/// The exit code for bad arguments.
+/// The exit status for bad arguments.
 const EXIT_USAGE: u8 = 2;
-/// The exit code for an exploration that a limit stopped.
+/// The exit status of an exploration that the time or memory limit has stopped.
 const EXIT_INCOMPLETE: u8 = 3;
 /// Time limit of all scenarios together, without `--time`.
-const DEFAULT_TIME: Duration = Duration::from_secs(300);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(300);
 /// Memory limit of the process in MiB, without `--memory`.
-const DEFAULT_MEMORY_MB: u64 = 8000;
+const DEFAULT_MEMORY_LIMIT_MIB: u64 = 8000;
 
 enum Command {
     Explore { names: Vec<String>, options: Options },
     ListScenarios,
-    PlantMutants { names: Vec<String> },
+    RunMutants { names: Vec<String> },
     Help,
 }
 
@@ -42,26 +46,31 @@
 struct Options {
     short_set_only: bool,
     time: Duration,
-    memory_mb: u64,
-    /// Number of threads; 0 for one for each core.
+    memory_mib: u64,
+    /// Number of threads; 0 means one thread for each core.
     threads: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { short_set_only: false, time: DEFAULT_TIME, memory_mb: DEFAULT_MEMORY_MB, threads: 0 }
+        Self {
+            short_set_only: false,
+            time: DEFAULT_TIME_LIMIT,
+            memory_mib: DEFAULT_MEMORY_LIMIT_MIB,
+            threads: 0,
+        }
     }
 }
 
 /// Runs the program with the arguments of the process.
 pub fn run() -> ExitCode {
     match parse(lexopt::Parser::from_env()) {
-        Ok(Command::Explore { names, options }) => match selected(&names, &options) {
+        Ok(Command::Explore { names, options }) => match select_scenarios(&names, &options) {
             Ok(entries) => run_exploration(&entries, names.is_empty() && !options.short_set_only, &options),
             Err(name) => usage_error(&format!("no scenario `{name}`; `scenarios` lists them")),
         },
         Ok(Command::ListScenarios) => list_scenarios(),
-        Ok(Command::PlantMutants { names }) => mutants::run(&names),
+        Ok(Command::RunMutants { names }) => mutants::run(&names),
         Ok(Command::Help) => {
             println!("{USAGE}");
             ExitCode::SUCCESS
@@ -95,7 +104,7 @@
         match argument {
             Long("short") => options.short_set_only = true,
             Long("time") => options.time = Duration::from_secs(arguments.value()?.parse()?),
-            Long("memory") => options.memory_mb = arguments.value()?.parse()?,
+            Long("memory") => options.memory_mib = arguments.value()?.parse()?,
             Long("threads") => options.threads = arguments.value()?.parse()?,
             Short('h') | Long("help") => return Ok(Command::Help),
             Value(operand) => operands.push(operand.string()?),
@@ -104,80 +113,85 @@
     }
     match operands.first().map(String::as_str) {
         Some("mutants" | "scenarios" | "worlds" | "help") if has_options => {
-            Err("options belong to an exploration".into())
+            Err("--short, --time, --memory and --threads apply only to an exploration".into())
         }
-        Some("mutants") => Ok(Command::PlantMutants { names: operands.split_off(1) }),
+        Some("mutants") => Ok(Command::RunMutants { names: operands.split_off(1) }),
         Some("scenarios" | "worlds") if operands.len() == 1 => Ok(Command::ListScenarios),
         Some("help") => Ok(Command::Help),
         _ => Ok(Command::Explore { names: operands, options }),
     }
 }
 
-/// Returns the scenarios with these names or former names, or all. The error is the first unknown name.
-fn selected<'a>(names: &'a [String], options: &Options) -> Result<Vec<Entry>, &'a str> {
+/// Returns the scenarios with these names or former names; without names, all scenarios. The option `--short` keeps
+/// only those of the short set. The error is the first unknown name.
+fn select_scenarios<'a>(names: &'a [String], options: &Options) -> Result<Vec<ScenarioEntry>, &'a str> {
     let entries = scenarios();
     let is_unknown = |name: &&String| entries.iter().all(|entry| entry.name != current_scenario_name(name));
     if let Some(name) = names.iter().find(is_unknown) {
         return Err(name);
     }
-    let is_selected = |entry: &Entry| {
+    let is_selected = |entry: &ScenarioEntry| {
         let is_named = names.is_empty() || names.iter().any(|name| current_scenario_name(name) == entry.name);
         is_named && (entry.in_short_set || !options.short_set_only)
     };
     Ok(entries.into_iter().filter(is_selected).collect())
 }
 
-/// Explores scenarios one after another. `is_full_set` says that every invariant must be exercised.
-fn run_exploration(entries: &[Entry], is_full_set: bool, options: &Options) -> ExitCode {
+/// Explores scenarios one after another until the first violation. `is_full_set` is true if the scenarios are all there
+/// are, so that every invariant must be exercised.
+fn run_exploration(entries: &[ScenarioEntry], is_full_set: bool, options: &Options) -> ExitCode {
     let thread_pool = rayon::ThreadPoolBuilder::new().num_threads(options.threads).build_global();
     if let Err(error) = thread_pool {
-        return usage_error(&error.to_string());
+        return usage_error(&format!("cannot start the thread pool: {error}"));
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut incomplete = Vec::new();
     println!(
         "{:28} {:>9} {:>6} {:>5} {:>9} {:>8} {:>8}  covered",
-        "scenario", "states", "ends", "depth", "states/s", "seconds", "MB"
+        "scenario", "states", "final", "depth", "states/s", "seconds", "MiB"
     );
     for entry in entries {
-        let time_left = options.time.saturating_sub(begun.elapsed());
-        let report = (entry.check)(time_left, options.memory_mb);
+        let time_left = options.time.saturating_sub(started_at.elapsed());
+        let report = (entry.check)(time_left, options.memory_mib);
         print_row(entry.name, &report);
         if report.violation.is_some() {
             print_violation(entry.name, &report);
             return ExitCode::FAILURE;
         }
-        if matches!(report.extent.coverage, Coverage::OutOfTime | Coverage::OutOfMemory) {
+        if matches!(report.statistics.coverage, Coverage::OutOfTime | Coverage::OutOfMemory) {
             incomplete.push(entry.name);
         }
     }
     if !incomplete.is_empty() {
-        println!("\nincomplete, so the unexplored states are not checked: {}", incomplete.join(", "));
+        println!(
+            "\nthe time or memory limit stopped these scenarios before every state was checked: {}",
+            incomplete.join(", ")
+        );
         return ExitCode::from(EXIT_INCOMPLETE);
     }
-    conclude(is_full_set, begun.elapsed())
+    print_result(is_full_set, started_at.elapsed())
 }
 
 fn print_row(name: &str, report: &CheckReport) {
-    let extent = &report.extent;
-    let seconds = extent.elapsed.as_secs_f64();
+    let statistics = &report.statistics;
+    let seconds = statistics.elapsed.as_secs_f64();
     println!(
         "{name:28} {:>9} {:>6} {:>5} {:>9.0} {seconds:>8.1} {:>8}  {}",
-        extent.states,
-        extent.terminal_states,
-        extent.depth,
-        extent.states as f64 / seconds,
-        extent.memory_mb,
+        statistics.states,
+        statistics.terminal_states,
+        statistics.depth,
+        statistics.states as f64 / seconds,
+        statistics.peak_memory_mib,
         coverage_text(report)
     );
 }
 
 fn coverage_text(report: &CheckReport) -> String {
-    let depth = report.extent.depth;
+    let depth = report.statistics.depth;
     if report.violation.is_some() {
         return "stopped at a violated invariant".to_owned();
     }
-    match report.extent.coverage {
+    match report.statistics.coverage {
         Coverage::Complete => "complete".to_owned(),
         Coverage::ToDepth => format!("complete to depth {depth}"),
         Coverage::OutOfTime => format!("incomplete beyond depth {depth}: out of time"),
@@ -191,18 +205,22 @@
     let invariant = invariants.iter().find(|invariant| invariant.name == violation.invariant);
     let description = invariant.map_or("", |invariant| invariant.description);
     println!("\n{VIOLATION_PREFIX}{}: {description}", violation.invariant);
-    println!("after {} transitions in scenario `{name}`:\n\n{}", violation.transitions, violation.test);
+    println!(
+        "after {} transitions in scenario `{name}`:\n\n{}",
+        violation.transitions, violation.test_source
+    );
 }
 
-/// Concludes an exploration in which every invariant held.
-fn conclude(is_full_set: bool, elapsed: Duration) -> ExitCode {
+/// Prints the result of an exploration in which every invariant held. The full set of scenarios fails if an invariant
+/// was not exercised.
+fn print_result(is_full_set: bool, elapsed: Duration) -> ExitCode {
     let invariants = invariants();
     let is_unexercised = |invariant: &&InvariantEntry| !invariant.is_exercised();
     let unexercised: Vec<_> =
         invariants.iter().filter(is_unexercised).map(|invariant| invariant.name).collect();
     if is_full_set && !unexercised.is_empty() {
         println!(
-            "\ninvariants that were not exercised, so that they prove nothing: {}",
+            "\nno explored state exercised these invariants, so nothing is shown about them: {}",
             unexercised.join(", ")
         );
         return ExitCode::FAILURE;
--- a/crates/model-checker/src/router_model.rs
+++ b/crates/model-checker/src/router_model.rs
@@ -1,7 +1,8 @@
 //! The router model: the complete router without its sockets. It covers client connections, the dispatcher, the
 //! scheduler, the connections to one or two engines, and a graceful shutdown.
 //!
-//! The invariants rely only on the answers that clients read and on the calls that arrive at engines.
+//! The invariants rely on the answers that clients read and on the calls that arrive at engines. The router itself is
+//! asked only whether a slow client's answer is still being written, and what remains at the end of a run.
 
 pub mod apply;
 pub mod invariants;
@@ -10,7 +11,7 @@
 pub mod state;
 pub mod transition;
 
-use crate::invariants::{self as observed, Invariant, ObservedModel};
+use crate::invariants::{self as shared_invariants, Invariant, ObservedModel};
 use crate::search::Model;
 use crate::witness;
 use scenario::RouterScenario;
@@ -37,15 +38,15 @@
         state.fingerprint()
     }
 
-    fn violated(&self, state: &RouterState, is_terminal: bool) -> Option<&'static str> {
-        observed::record_exercised(self, state, || state.hypothetical_events());
-        let at_end = || observed::first_violated(self, state, &Event::Terminal);
-        state.violated.or_else(|| is_terminal.then(at_end).flatten())
+    fn violated_invariant(&self, state: &RouterState, is_terminal: bool) -> Option<&'static str> {
+        shared_invariants::record_exercised(self, state, || state.hypothetical_events());
+        let at_end = || shared_invariants::first_violated(self, state, &Event::Terminal);
+        state.violated_invariant.or_else(|| is_terminal.then(at_end).flatten())
     }
 }
 
 impl ObservedModel for RouterScenario {
     type Event = Event;
     const INVARIANTS: &'static [Invariant<Self>] = invariants::INVARIANTS;
-    const FIRST_WITNESS_BIT: usize = witness::ROUTER;
+    const FIRST_WITNESS_BIT: usize = witness::ROUTER_FIRST_BIT;
 }
