--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -60,7 +60,7 @@
     in_from_clause: bool,
     /// Whether a table was found whose name has a schema without a number.
     has_qualified_table: bool,
-    /// The first number in a qualified name that may not be the name of a table.
+    /// The first number in a qualified name that is not at a position where a statement names a table.
     fallback_group: Option<u64>,
 }
 
