--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -112,7 +112,7 @@
         self.queues.enqueue(
             now,
             NewRequest {
-                request: request.0,
+                id: request.0,
                 team: parameters.team,
                 urgency: parameters.urgency,
                 class: arrival.class as u16,
