--- a/crates/router/src/statement.rs
+++ b/crates/router/src/statement.rs
@@ -36,7 +36,7 @@
     Word(&'a [u8]),
     /// A quoted name, without its quotes.
     QuotedName(&'a [u8]),
-    /// A string literal, by its quote, or any other byte.
+    /// The opening quote of a string literal, which is skipped, or any other byte.
     Other(u8),
 }
 
@@ -60,7 +60,7 @@
     in_from_clause: bool,
     /// Whether a table was found whose name has a schema without a number.
     has_qualified_table: bool,
-    /// The first number in a qualified name that may not be the name of a table.
+    /// The first number in a qualified name that is not at a position where a statement names a table.
     fallback_group: Option<u64>,
 }
 
--- a/crates/router/tests/digest/engines.rs
+++ b/crates/router/tests/digest/engines.rs
@@ -156,11 +156,11 @@
             self.recorder.record("to engine", connection.number, &sink.written);
         }
         connection.received.extend(sink.written);
-        self.engine_reads_commands(slot);
+        self.engine_handles_commands(slot);
     }
 
     /// Decodes all complete commands, and replies to those that engines answer at once.
-    fn engine_reads_commands(&mut self, slot: Slot) {
+    fn engine_handles_commands(&mut self, slot: Slot) {
         let Some(connection) = self.connections.get_mut(&slot) else { return };
         while let Some(resp::Array { parts, length }) =
             resp::parse_array(&connection.received).expect("the server sends RESP")
@@ -171,9 +171,9 @@
             self.recorder.count(format!("engine receives {command}"));
             match command {
                 "GET" => {
-                    let sent = self.calls_by_request.entry(id.clone()).or_default();
-                    *sent += 1;
-                    if *sent > 1 {
+                    let call_count = self.calls_by_request.entry(id.clone()).or_default();
+                    *call_count += 1;
+                    if *call_count > 1 {
                         self.recorder.count("attempts retried");
                     }
                     connection.calls.push(id.clone());
