--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -131,8 +131,9 @@
         return Err(name);
     }
     let is_selected = |entry: &ScenarioEntry| {
-        let is_named = names.is_empty() || names.iter().any(|name| current_scenario_name(name) == entry.name);
-        is_named && (entry.in_short_set || !options.short_set_only)
+        let matches_names =
+            names.is_empty() || names.iter().any(|name| current_scenario_name(name) == entry.name);
+        matches_names && (entry.in_short_set || !options.short_set_only)
     };
     Ok(entries.into_iter().filter(is_selected).collect())
 }
--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -1,4 +1,5 @@
-//! Applies transitions of the connection model, and checks what the pool reports and what arrives at the engine.
+//! Applies transitions of the connection model. Checks the invariants for the ends of attempts that the pool reports and
+//! for the calls that arrive at the engine.
 
 use super::engine::{answer_bytes, is_fault, other_message_bytes, receive_commands, record_answer};
 use super::scenario::{ConnectionScenario, EndpointChange, EngineMessage};
--- a/crates/model-checker/src/connection_model/scenario.rs
+++ b/crates/model-checker/src/connection_model/scenario.rs
@@ -1,6 +1,6 @@
 //! The definition of a scenario of the connection model.
 
-/// A message of the engine.
+/// A message, or half of one, that the scripted engine sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineMessage {
     /// A result of one page.
@@ -13,7 +13,7 @@
     Overloaded,
     /// The report that a call has failed.
     Failed,
-    /// A progress update.
+    /// A progress update of an unanswered call, at most one for each attempt.
     ProgressUpdate,
     /// A result of one page for a call to which the engine has already sent a result of one or two pages.
     RepeatedResult,
@@ -48,7 +48,7 @@
     pub name: &'static str,
     /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// Number of requests.
+    /// Number of requests, which have the indices from 0 up.
     pub requests: usize,
     /// Largest number of attempts of each request.
     pub max_attempts: usize,
--- a/crates/model-checker/src/connection_model/state.rs
+++ b/crates/model-checker/src/connection_model/state.rs
@@ -119,7 +119,7 @@
     pub attempts: Vec<AttemptRecord>,
     /// The answers to abandoned attempts that may still arrive.
     pub late_answers: Vec<LateAnswer>,
-    /// Number of split answers, protocol violations and resets by the engine so far.
+    /// Number of faults of the engine: split answers, protocol violations and resets.
     pub faults: u8,
     /// Whether the endpoint list has reported its one change of the run.
     pub endpoint_has_changed: bool,
--- a/crates/model-checker/src/discovery_model/service.rs
+++ b/crates/model-checker/src/discovery_model/service.rs
@@ -34,8 +34,8 @@
     HeartbeatAhead,
 }
 
-/// Returns the list after the event with this number; event 0 stands for the initial list. Each event makes one
-/// engine ready or no longer ready.
+/// Returns the list after the event with this number, or the initial list for 0. Each event changes whether one engine
+/// is ready.
 pub fn endpoint_list(event: u64) -> EndpointList {
     (0..ENGINES).map(|id| (id, is_ready_after(event, id))).collect()
 }
@@ -59,7 +59,7 @@
     Endpoint { state, ..Endpoint::ready(id, ADDRESS) }
 }
 
-/// Returns the frame with the change of an event.
+/// Returns the frame of an event, from 1, as a change: it contains only the engine that the event changes.
 pub fn change_frame(event: u64) -> Vec<u8> {
     let (id, is_ready) = changed_engine(event);
     encode_frame(event, FrameKind::Changes, &[endpoint(id, is_ready)])
@@ -72,7 +72,7 @@
     encode_frame(event, FrameKind::CompleteList, &endpoints)
 }
 
-/// Returns the heartbeat with the number of an event.
+/// Returns a heartbeat, which contains the number of an event and no engines.
 pub fn heartbeat_frame(event: u64) -> Vec<u8> {
     encode_heartbeat(event)
 }
--- a/crates/model-checker/src/discovery_model/state.rs
+++ b/crates/model-checker/src/discovery_model/state.rs
@@ -44,9 +44,9 @@
     pub unsent_rest: Vec<u8>,
     /// Whether the reader has rejected a frame, after which the router must reconnect.
     pub must_reconnect: bool,
-    /// Number of faulty frames so far.
+    /// Number of faulty frames that the service has sent.
     pub faults: u8,
-    /// Number of lost connections so far, apart from those that the router has closed because of a faulty frame.
+    /// Number of lost connections. A connection that the router closes because of a faulty frame is not counted.
     pub disconnects: u8,
     /// The fault of the frame that the latest transition has sent; `None` if it has sent no faulty frame.
     pub frame_fault: Option<FrameFault>,
--- a/crates/model-checker/src/invariants.rs
+++ b/crates/model-checker/src/invariants.rs
@@ -22,7 +22,7 @@
     type Event;
     /// All invariants of the model. If an event violates several, the first is reported.
     const INVARIANTS: &'static [Invariant<Self>];
-    /// The position of the first invariant's bit in the record of exercised invariants ([`witness`]).
+    /// The first invariant's bit in the record of exercised invariants ([`witness`]); the others have the next bits.
     const FIRST_WITNESS_BIT: usize;
 }
 
--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -51,7 +51,6 @@
     Mutant { name, file: DISCOVERY, from, to }
 }
 
-/// Returns a mutant of the scheduler.
 const fn scheduler(name: &'static str, file: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file, from, to }
 }
--- a/crates/model-checker/src/queue_model/scenario.rs
+++ b/crates/model-checker/src/queue_model/scenario.rs
@@ -7,7 +7,6 @@
 const WORK_MS: u64 = 100;
 /// The outcome of a request that has used more work than [`WORK_MS`], the estimate.
 const MORE_WORK_THAN_ESTIMATED: Outcome = Outcome::Measured(Duration::from_millis(250));
-/// The highest urgency.
 const HIGHEST_URGENCY: u8 = 3;
 
 /// A request that arrives.
@@ -29,7 +28,7 @@
     pub description: &'static str,
     /// The requests in the order of arrival.
     pub requests: &'static [RequestSpec],
-    /// Whether the second team has a budget.
+    /// Whether the second team has a budget; the first team never has one.
     pub second_team_has_budget: bool,
     /// The possible outcomes of a dispatched request; if empty, dispatched requests stay in flight.
     pub outcomes: &'static [Outcome],
@@ -50,7 +49,6 @@
     RequestSpec { team, urgency: 0, work_ms: WORK_MS }
 }
 
-/// Returns a request of a team with this urgency.
 const fn urgent(team: usize, urgency: u8) -> RequestSpec {
     RequestSpec { team, urgency, work_ms: WORK_MS }
 }
--- a/crates/model-checker/src/queue_model/state.rs
+++ b/crates/model-checker/src/queue_model/state.rs
@@ -21,7 +21,7 @@
     burst: Duration::from_millis(150),
 };
 
-/// The status of a request.
+/// The status that a request must have in the queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestStatus {
     /// The request has not arrived.
@@ -54,7 +54,7 @@
     /// By team, the number of dispatches of the other team while this team had a waiting request, since the last
     /// dispatch of this team.
     pub passed_over: [u32; TEAMS],
-    /// By team, the number of dispatches so far.
+    /// Number of dispatched requests of each team, by the team for which the request arrived.
     pub dispatch_counts: [u32; TEAMS],
     /// Whether the second team was removed, so that its requests belong to the first.
     pub is_team_removed: bool,
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -1,4 +1,4 @@
-//! Applies transitions of the router model, and observes what clients and engines receive.
+//! Applies transitions of the router model, and checks the answers that clients read and the calls that engines receive.
 
 mod clients;
 mod engines;
--- a/crates/model-checker/src/router_model/apply/clients.rs
+++ b/crates/model-checker/src/router_model/apply/clients.rs
@@ -79,8 +79,9 @@
             }
             ClientLine::Cancel { request_number } => {
                 for request in &mut self.state.requests {
-                    let is_named = request.client == client && request.request_number == request_number;
-                    request.is_cancelled |= is_named && request.answers == 0;
+                    let is_cancelled_request =
+                        request.client == client && request.request_number == request_number;
+                    request.is_cancelled |= is_cancelled_request && request.answers == 0;
                 }
             }
             ClientLine::Malformed | ClientLine::Endless => {}
--- a/crates/model-checker/src/router_model/scenario.rs
+++ b/crates/model-checker/src/router_model/scenario.rs
@@ -9,8 +9,8 @@
 /// The estimated memory of every request, in MB.
 pub const REQUEST_MEMORY_MB: f64 = 300.0;
 
-/// The configuration of the router: one engine kind, and one request class for each effect (idempotent,
-/// non-idempotent, with an idempotency key known within a cell).
+/// The configuration of the router: one engine kind, an idempotent request class, a non-idempotent one, and one with an
+/// idempotency key that is known within a cell.
 pub const CONFIGURATION: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"1",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"bulletin":"127.0.0.1:1","known":{"no":0,"items":[]},
 "settings":{"instances":1,"myZone":0,"zones":["hall-a"],"kinds":["std-8"],"discovery":"push","tickMs":8,
@@ -40,7 +40,7 @@
     pub name: &'static str,
     /// The description that the command `scenarios` prints.
     pub description: &'static str,
-    /// Number of engines.
+    /// Number of engines, all of which are listed as ready at the start.
     pub engines: u32,
     /// For each client, the lines that it may send, each once and in any order.
     pub client_lines: &'static [&'static [ClientLine]],
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -43,7 +43,7 @@
     pub is_connected: bool,
     /// Whether the client has closed its write side.
     pub is_write_closed: bool,
-    /// The lines that were sent at least in part: bit n stands for the line at index n of the scenario.
+    /// Bit n is set if the client has sent the line at index n of the scenario, or its first piece.
     pub sent_lines: u32,
     /// Number of bytes that the client still reads before it stops; `None` for no limit.
     pub capacity: Option<usize>,
@@ -114,7 +114,7 @@
     pub calls: Vec<CallRecord>,
     /// The results that engines sent.
     pub results: Vec<ResultRecord>,
-    /// Number of engine connections that were reset or refused so far.
+    /// Number of connections that engines have reset or refused.
     pub faults: u8,
     /// Whether the endpoint list has reported the first engine as draining.
     pub is_draining: bool,
@@ -158,19 +158,19 @@
         }
     }
 
-    /// Whether a request still requires an answer. A slow client cannot read an answer that the router has already
-    /// written, so such a request counts as answered.
+    /// Whether a request still requires an answer. A request of a slow client counts as answered once the router has
+    /// answered it, since the client may not have read the complete answer yet.
     pub fn is_open(&self, request: &RequestRecord) -> bool {
         let client = &self.clients[request.client];
-        let is_being_read =
+        let is_answer_unread =
             client.capacity.is_some() && !self.server.has_open_request(client.slot, request.id);
-        request.answers == 0 && !request.is_cancelled && client.is_connected && !is_being_read
+        request.answers == 0 && !request.is_cancelled && client.is_connected && !is_answer_unread
     }
 
     /// Returns the position of the first open request with this number; `None` if there is none.
     pub fn open_request(&self, request_number: u64) -> Option<usize> {
-        let is_named = |request: &RequestRecord| request.request_number == request_number;
-        self.requests.iter().position(|request| is_named(request) && self.is_open(request))
+        let has_number = |request: &RequestRecord| request.request_number == request_number;
+        self.requests.iter().position(|request| has_number(request) && self.is_open(request))
     }
 
     /// Returns events that a faulty router could emit in this state, to find the invariants that the state exercises.
--- a/crates/model-checker/src/scheduler_model.rs
+++ b/crates/model-checker/src/scheduler_model.rs
@@ -2,7 +2,8 @@
 //! order.
 //!
 //! The model runs the router's scheduler and records what its environment (clients, engines and the endpoint list)
-//! observes. The invariants rely on these records; only the check at the end of a run asks the scheduler what it holds.
+//! observes. The invariants rely on these records; only the invariant for the end of a run also checks that the
+//! scheduler holds no request and no engine.
 
 pub mod apply;
 pub mod counterexample;
@@ -31,7 +32,7 @@
 
 /// A scenario together with the settings of its scheduler.
 pub struct SchedulerModel {
-    /// The scenario.
+    /// The scenario, from which the other fields are made.
     pub scenario: &'static SchedulerScenario,
     /// The scheduler's settings of the fleet.
     pub fleet: Fleet,
@@ -56,12 +57,12 @@
         Self { scenario, fleet, classes, attempt_limits }
     }
 
-    /// Returns the kind of an engine; the first kind if the scenario names none.
+    /// Returns the kind of an engine; the first kind if the scenario specifies none.
     pub fn kind(&self, engine: EngineId) -> usize {
         self.kinds.get(engine.index()).copied().unwrap_or(0)
     }
 
-    /// Returns the class of a request.
+    /// Returns the class of a request, whose id encodes its index in the scenario.
     pub fn class_of(&self, request: RequestId) -> &RequestClass {
         &self.classes[self.requests[request.index()].class]
     }
--- a/crates/model-checker/src/scheduler_model/event.rs
+++ b/crates/model-checker/src/scheduler_model/event.rs
@@ -3,7 +3,7 @@
 use emberflow::{Actions, EngineId, RequestId};
 use std::time::Duration;
 
-/// Number of events after one input that no correct scheduler exceeds.
+/// Maximum number of events after one input; only a scheduler in an endless loop exceeds it.
 const MAX_EVENTS_PER_INPUT: usize = 1000;
 
 /// An action of the scheduler, an answer to a client, the passing of time, or the end of a run.
@@ -15,9 +15,9 @@
     Grant { request: RequestId, grant_mb: f64 },
     /// The scheduler cancels an attempt, which is counted from 0 within its request.
     Cancel { request: RequestId, attempt: usize },
-    /// The scheduler rejects a request, so that its client may retry.
+    /// The scheduler answers a request with a rejection, after which its client may safely retry.
     Reject { request: RequestId },
-    /// The scheduler fails a request.
+    /// The scheduler answers a request with a failure; the request may have run.
     Fail { request: RequestId },
     /// The scheduler requests a wake-up after `wait`.
     WakeAfter { wait: Duration },
--- a/crates/model-checker/src/scheduler_model/inputs.rs
+++ b/crates/model-checker/src/scheduler_model/inputs.rs
@@ -86,7 +86,7 @@
     state.scheduler.wake(now, events);
 }
 
-/// Begins a graceful shutdown, whose deadline is that of a request of the first class that arrives now.
+/// Begins a graceful shutdown, which lasts at most as long as the deadline of the first request class.
 pub fn shut_down(model: &SchedulerModel, state: &mut SchedulerModelState, events: &mut EventLog) {
     let deadline = state.now + model.classes[0].deadline;
     state.shutdown_deadline = Some(deadline);
--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -10,7 +10,7 @@
 /// Relative tolerance for the rounding of sums of work.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// All invariants of the scheduler model.
+/// All invariants of the scheduler model. If an event violates several, the first is reported.
 pub const INVARIANTS: &[Invariant<SchedulerModel>] = &[
     Invariant {
         name: "one answer",
--- a/crates/model-checker/src/scheduler_model/scenario.rs
+++ b/crates/model-checker/src/scheduler_model/scenario.rs
@@ -14,8 +14,7 @@
 
 /// Returns a `Setup` with a closure and the source text of its body.
 ///
-/// A counterexample contains the source text, so that the body may name only items that tests in `tests/traces/` can
-/// name.
+/// A counterexample contains the source text, so the body may use only items that tests in `tests/traces/` can use.
 #[macro_export]
 macro_rules! setup {
     (|$fleet:ident, $classes:ident, $attempt_limits:ident| $body:block) => {
@@ -179,7 +178,7 @@
     }
 }
 
-/// Returns an engine in a location and cell.
+/// Returns an engine in the location with this index and the cell with this number.
 pub const fn engine(location: usize, cell: u64) -> EngineSpec {
     EngineSpec { location, cell }
 }
--- a/crates/model-checker/src/scheduler_model/state.rs
+++ b/crates/model-checker/src/scheduler_model/state.rs
@@ -63,7 +63,7 @@
 }
 
 impl RequestRecord {
-    /// Returns the attempt in flight.
+    /// Returns the attempt in flight; `None` before the first attempt and after the end of each attempt.
     pub fn in_flight(&self) -> Option<&AttemptRecord> {
         self.attempts.last().filter(|attempt| attempt.outcome.is_none())
     }
@@ -139,7 +139,7 @@
     pub retry_times: Vec<Duration>,
     /// The cooldowns that have not ended.
     pub key_cooldowns: Vec<KeyCooldown>,
-    /// Number of changes and failures of the endpoint list so far.
+    /// Number of changes and failures that the endpoint list has reported.
     pub endpoint_changes: u8,
     /// Number of clients that have disconnected before an answer.
     pub departures: u8,
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -9,7 +9,8 @@
 use std::hash::{BuildHasherDefault, Hasher};
 use std::time::{Duration, Instant};
 
-/// The initial time of every model. It is above 0, so that times before the start can be represented.
+/// The initial time of the scheduler, connection and router models. It is above 0, so that times before the start can be
+/// represented.
 pub const START_TIME: Duration = Duration::from_secs(20);
 
 /// Number of states that are expanded in parallel between two checks of the time and memory limits.
@@ -27,7 +28,7 @@
     /// One input to the system under test, or the passing of time.
     type Transition: Send + Sync + Copy;
 
-    /// Returns the initial state.
+    /// Returns the state in which every run begins.
     fn initial_state(&self) -> Self::State;
     /// Appends the transitions that are enabled in a state, always in the same order.
     fn transitions(&self, state: &Self::State, transitions: &mut Vec<Self::Transition>);
--- a/crates/model-checker/src/wire.rs
+++ b/crates/model-checker/src/wire.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Cursor, ErrorKind, Read, Write};
 
-/// The tag of every ping that the router sends to an engine.
-const PING_TAG: &str = "0";
+/// The tag of the router's health checks of a connection, and of every pong of the scripted engines.
+const HEALTH_CHECK_TAG: &str = "0";
 
 /// The receiving side of a connection, to which the router writes.
 #[derive(Clone, Default, Hash)]
@@ -90,15 +90,15 @@
 /// Removes all complete commands from the front of an engine's inbox and returns them.
 pub fn take_commands(inbox: &mut Vec<u8>) -> Vec<EngineCommand> {
     let mut commands = Vec::new();
-    while let Ok(Some(words)) = take_array(inbox) {
-        commands.push(EngineCommand::decode(&words));
+    while let Ok(Some(parts)) = take_array(inbox) {
+        commands.push(EngineCommand::decode(&parts));
     }
     commands
 }
 
-/// Returns the bytes of an engine's reply to a ping of the router.
+/// Returns the bytes of an engine's reply to a health check of the router.
 pub fn pong() -> Vec<u8> {
-    EngineReply::Pong.encode(PING_TAG)
+    EngineReply::Pong.encode(HEALTH_CHECK_TAG)
 }
 
 /// Returns the row of the endpoint list for an engine that is ready, on a port of the loopback address.
--- a/crates/model-checker/src/witness.rs
+++ b/crates/model-checker/src/witness.rs
@@ -1,7 +1,7 @@
 //! The record of exercised invariants over all explored scenarios.
 //!
 //! An invariant is exercised if, in some explored state, a hypothetical event of the system under test would violate
-//! it and no other invariant. If an invariant is never exercised, its holding says nothing about the system.
+//! it and no other invariant. An invariant that is never exercised shows nothing about the system when it holds.
 //!
 //! Each model has a range of bits, which ends where the range of the next model begins.
 
@@ -18,7 +18,7 @@
 /// The first bit of the invariants of the queue model.
 pub const QUEUE_FIRST_BIT: usize = 50;
 
-/// One bit for each invariant that was exercised in this process.
+/// Bit n is set if the invariant with bit n was exercised in this process.
 static EXERCISED: AtomicU64 = AtomicU64::new(0);
 
 /// Whether the invariant with the bit at this position was exercised.
--- a/crates/model-checker/tests/random.rs
+++ b/crates/model-checker/tests/random.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Takes one enabled transition for each choice: the one at the index of the choice, modulo their number. Returns the
-/// violated invariant and the number of transitions before the violation; `None` if all invariants hold.
+/// Takes one enabled transition for each choice; its index is the choice modulo the number of enabled transitions.
+/// Returns the violated invariant and the number of transitions before the violation; `None` if all invariants hold.
 fn random_run<M: Model>(model: &M, choices: &[u16]) -> Option<(&'static str, usize)> {
     let mut state = model.initial_state();
     for (length, choice) in choices.iter().enumerate() {
@@ -52,8 +52,8 @@
     request(IDEMPOTENT),
 ];
 
-/// A scenario that is too large to explore completely: eight requests, which have all effects, at five engines in three
-/// cells.
+/// A scenario that is too large to explore completely: eight requests, with every kind of idempotency, at five engines in
+/// three cells.
 static LARGE: SchedulerScenario = SchedulerScenario {
     name: "large",
     engines: &[engine(0, 0), engine(0, 0), engine(0, 1), engine(1, 2), engine(1, 2)],
@@ -117,9 +117,9 @@
     prop::collection::vec(prop_oneof![4 => well_formed, 1 => noise], 0..6).prop_map(|parts| parts.concat())
 }
 
-/// Bytes of a frame's event number and kind, which its length field counts.
+/// Length of a frame's event number and kind, in bytes; the length field of the frame includes them.
 const FRAME_HEADER_BYTES: u32 = 9;
-/// Bytes of an engine's record in a frame.
+/// Length of an engine's record in a frame, in bytes.
 const ROW_BYTES: usize = 27;
 
 /// Bytes that resemble frames of the discovery service: frames of a correct length, mixed with noise.
