--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -51,7 +51,7 @@
     answered: BTreeSet<u64>,
     next_id: u64,
     last_used_at: Duration,
-    /// Whether requests may be sent; false for connections for a status request and for those that stay idle.
+    /// Whether requests may be sent on the connection; false if it serves a status request or is meant to stay idle.
     is_for_requests: bool,
 }
 
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -9,11 +9,11 @@
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 /// The kinds of engines, in the order of the settings.
 pub const KINDS: [&str; 1] = ["std"];
-/// Number of cells in each zone.
+/// Number of cells in each zone; the engines of a zone are assigned to them in turn.
 pub const CELLS_PER_ZONE: usize = 8;
-/// Cores of each engine.
+/// Number of cores of each engine, in the settings and in the load model of the emulated engines.
 pub const CORES_PER_ENGINE: f64 = 2.0;
-/// Memory of each engine, in MB.
+/// Memory of each engine in the settings, in MB. The load model of the emulated engines has no memory.
 const ENGINE_MEMORY_MB: f64 = 4096.0;
 /// Fraction of an engine's cores that is busy when the engine runs at its capacity.
 const UTILIZATION_AT_CAPACITY: f64 = 0.85;
@@ -119,7 +119,7 @@
                 "startCapacity": SLOW_START.start_capacity, "warmUpMs": milliseconds(SLOW_START.warm_up)}}})
 }
 
-/// Returns a request class as the settings have it.
+/// Returns the entry of a request class in the settings.
 fn class_settings(class: RequestClass) -> Value {
     let idempotency = match class {
         RequestClass::Lookup | RequestClass::Report => "repeatable",
@@ -132,7 +132,7 @@
         "repeat": idempotency, "keyScope": "all", "windowMs": milliseconds(IDEMPOTENCY_WINDOW)})
 }
 
-/// Returns a duration in whole milliseconds, the unit of the settings.
+/// Converts a duration to the unit of the settings; fractions of a millisecond are dropped.
 fn milliseconds(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -86,7 +86,6 @@
         Ok(())
     }
 
-    /// Returns the number of the last event.
     fn last_event(&self) -> u64 {
         self.changes.len() as u64
     }
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -1,5 +1,5 @@
-//! Emulated engines, up to thousands in one process. Each engine has its own address in 127.0.0.0/8, runs calls
-//! according to a small load model, and has the fault that was last set.
+//! Emulated engines, up to thousands in one process. Each engine has its own address in 127.0.0.0/8 and runs calls
+//! according to a small load model. It has at most one fault at a time.
 
 mod calls;
 
@@ -27,11 +27,11 @@
 /// Length of each write of an engine with [`EngineFault::SmallWrites`], in bytes.
 const SMALL_WRITE_BYTES: usize = 7;
 
-/// A fault of an engine.
+/// The fault of an engine, which lasts until another value is set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineFault {
     None,
-    /// The engine reads nothing and sends nothing.
+    /// The engine handles no commands and sends nothing; results of calls that end meanwhile are lost.
     Silent,
     /// The engine runs calls and sends nothing.
     Mute,
--- a/crates/soak/src/engines/calls.rs
+++ b/crates/soak/src/engines/calls.rs
@@ -14,7 +14,7 @@
 const MAX_RUNNING_CALLS: usize = (MAX_CALLS_PER_CORE * CORES_PER_ENGINE) as usize;
 /// The work of a statement that does not specify it.
 const DEFAULT_WORK: Duration = Duration::from_millis(10);
-/// The needed memory that each result reports, in MB.
+/// The memory need that each result reports, in MB.
 const NEEDED_MEMORY_MB: f64 = 10.0;
 
 /// A call that an engine runs.
@@ -27,7 +27,7 @@
     ends_at: Duration,
 }
 
-/// Identifies the running call of a timer.
+/// Identifies the call for which a timer was set. A timer is ignored if its call no longer runs.
 #[derive(Clone, Debug)]
 pub struct CallKey {
     engine: usize,
@@ -35,7 +35,7 @@
     request_id: String,
 }
 
-/// A timer of an engine.
+/// A timer of a call that an engine runs.
 #[derive(Clone, Debug)]
 pub enum EngineTimer {
     /// The run time of the call is over.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the reply to a call that the engine does not run; `None` if the engine accepts calls.
+    /// Returns the reply with which the engine refuses a new call; `None` if it runs the call.
     fn refusal(&self) -> Option<EngineReply<'static>> {
         if self.fault == EngineFault::Failing {
             return Some(EngineReply::Failed);
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of a run. They are checked without the routers' own data: against the records of clients and engines,
-//! and against the exits and resource usage of the routers' processes.
+//! The invariants of a run. They are checked against the records of clients and engines, and against the exits and
+//! resource usage of the routers' processes. The routers' own data is not used.
 
 use crate::classes::RequestClass;
 use crate::config::{MAX_ATTEMPTS, ProcessLimits, SlowStart};
@@ -26,7 +26,7 @@
 const SPREAD: f64 = 2.0;
 /// Takes the place of [`SPREAD`] for a small N.
 const SMALL_SPREAD: f64 = 3.0;
-/// Minimum fraction of requests that are served in time, among those whose clients keep waiting.
+/// Minimum fraction of requests that are served in time. Requests whose clients depart are not counted.
 const MIN_FRACTION_SERVED: f64 = 0.2;
 const KB_PER_MB: u64 = 1024;
 
@@ -181,8 +181,8 @@
         .then(|| format!("the call has {call_time_left:?} left, its client {client_time_left:?}"))
 }
 
-/// Describes a request whose client kept waiting and got no answer, or got the answer too late. The requests of a
-/// router that was killed may be lost.
+/// Describes a request that was not answered within [`LATE_ANSWER_LIMIT`] after its deadline. Requests whose client
+/// departed are exempt, and so are the requests of a router that was killed, since they may be lost.
 fn describe_loss(
     request: &RequestRecord,
     records: &Records,
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -46,10 +46,10 @@
     /// Seconds for which clients send requests.
     #[arg(long, default_value_t = 15.0, value_parser = parse_seconds)]
     pub seconds: f64,
-    /// Number of routers.
+    /// Number of routers to start.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(VALID_ROUTER_COUNTS))]
     pub routers: u8,
-    /// Number of engines.
+    /// Number of emulated engines.
     #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u16).range(VALID_ENGINE_COUNTS))]
     pub engines: u16,
     /// Mean number of requests per second to each router.
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -1,4 +1,4 @@
-//! The records of a run: the events of each request as clients and engines have seen them. The invariants are checked
+//! The records of a run: the events of each request as clients and engines have observed them. The invariants are checked
 //! against them. All times count from the start of the run.
 
 use crate::classes::RequestClass;
@@ -190,7 +190,7 @@
 }
 
 impl Records {
-    /// Returns the duration of the longest stall.
+    /// Returns the duration of the longest stall; zero if there was none.
     pub fn longest_stall(&self) -> Duration {
         self.stalls.iter().map(Stall::duration).max().unwrap_or_default()
     }
@@ -201,7 +201,8 @@
         overlapping.map(Stall::duration).sum()
     }
 
-    /// Returns the fraction of requests that succeeded in time, among those whose clients kept waiting.
+    /// Returns the fraction of requests that succeeded before their deadline. Requests whose clients departed are not
+    /// counted; 0 if there are no others.
     pub fn fraction_served(&self) -> f64 {
         let mut count = 0;
         let mut served = 0;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -32,7 +32,7 @@
     pub seed: u64,
     /// Number of requests that clients sent.
     pub requests: usize,
-    /// Fraction of requests that succeeded in time, among those whose clients kept waiting.
+    /// Fraction of requests that succeeded before their deadline, without the requests whose clients departed.
     pub served: f64,
     /// Number of requests whose first answer is a rejection.
     pub rejected: usize,
@@ -52,7 +52,7 @@
     pub descriptors: usize,
     /// The longest stall of the emulation.
     pub longest_stall_ms: u128,
-    /// Number of violations by invariant.
+    /// Number of violations of each invariant; an invariant that held has no entry.
     pub violations: BTreeMap<Invariant, usize>,
     /// The first few violations.
     pub first_violations: Vec<Violation>,
--- a/crates/soak/src/routers.rs
+++ b/crates/soak/src/routers.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// The slowdown factor of a process without a delay.
+/// The slowdown factor of a process that is not slowed down.
 const NO_SLOWDOWN: f64 = 1.0;
 
 /// The phase of a router's process.
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Writes the configuration and starts the process.
+    /// Writes the configuration and starts the process, whose log is appended to that of the earlier processes.
     pub fn start(&mut self, program: &Path, shim: &Path, config: &str, now: Duration) -> io::Result<()> {
         fs::write(&self.config, config)?;
         let log = File::options().create(true).append(true).open(&self.log)?;
@@ -139,7 +139,7 @@
     unsafe { command.pre_exec(set_death_signal) };
 }
 
-/// Returns the processor time of a process in user and kernel mode.
+/// Returns the processor time of a process, in user and kernel mode together; `None` if it cannot be read.
 fn cpu_time(process: &Path) -> Option<Duration> {
     // Indices of the fields of `/proc/PID/stat` after the program's name; the process's state has index 0.
     const USER_TIME: usize = 11;
--- a/crates/soak/src/soak_run.rs
+++ b/crates/soak/src/soak_run.rs
@@ -61,7 +61,7 @@
     pub shim: PathBuf,
 }
 
-/// A run of the soak.
+/// A run of the soak: its event loop, the emulated peers, and the routers under test.
 pub struct SoakRun {
     poll: Poll,
     started_at: Instant,
@@ -104,7 +104,7 @@
             routers.push(Router::new(index.into(), address, directory, faults));
         }
         let faults = faults::draw(&mut rng, &options.fault_kinds(), options.seconds);
-        // Clients have a generator of their own, so that their draws do not depend on those of the run.
+        // Clients have a separate random generator, so that draws elsewhere in the run do not change theirs.
         let clients = Clients::new(FIRST_CLIENT_TOKEN, FIRST_ENGINE_TOKEN, StdRng::seed_from_u64(seed ^ 1));
         Ok(Self {
             poll,
--- a/crates/soak/src/soak_run/fault_injection.rs
+++ b/crates/soak/src/soak_run/fault_injection.rs
@@ -15,7 +15,6 @@
 
 /// A fault of drawn engines affects at most one in this many engines.
 const ENGINES_PER_AFFECTED_ENGINE: usize = 3;
-/// The fault of an engine that is slow.
 const SLOW_ENGINE: EngineFault = EngineFault::Slow { slowdown: 8.0 };
 /// A router is stopped by SIGSTOP for the fault's duration divided by this number.
 const STOP_DURATION_DIVISOR: u32 = 4;
@@ -28,7 +27,7 @@
 const RECONNECT_TIME: Duration = Duration::from_secs(4);
 
 impl SoakRun {
-    /// Injects a fault.
+    /// Injects a fault, and sets the timer that ends it if it lasts.
     pub(super) fn inject(&mut self, fault: Fault, now: Duration) -> io::Result<()> {
         let router = fault.target % self.routers.len();
         match fault.kind {
--- a/crates/soak/src/soak_run/timers.rs
+++ b/crates/soak/src/soak_run/timers.rs
@@ -5,23 +5,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What happens when a timer expires. Routers and engines are given by their indices.
+/// The action of the event loop when a timer expires. `router` and `engines` are indices.
 pub enum Timer {
-    SendRequest { router: usize },
-    CancelRequest { request_id: String },
-    CloseConnection { request_id: String },
+    SendRequest {
+        router: usize,
+    },
+    CancelRequest {
+        request_id: String,
+    },
+    CloseConnection {
+        request_id: String,
+    },
     Engine(EngineTimer),
     InjectFault(Fault),
-    EndEngineFault { engines: Vec<usize> },
-    ResumeAccepting { engines: Vec<usize> },
-    StopDrainedEngines { engines: Vec<usize> },
-    RestartEngines { engines: Vec<usize> },
+    EndEngineFault {
+        engines: Vec<usize>,
+    },
+    ResumeAccepting {
+        engines: Vec<usize>,
+    },
+    StopDrainedEngines {
+        engines: Vec<usize>,
+    },
+    RestartEngines {
+        engines: Vec<usize>,
+    },
     EndDiscoveryFault,
-    KillTerminatedRouter { router: usize },
-    StartRouter { router: usize },
-    ContinueRouter { router: usize, stopped_at: Duration },
+    KillTerminatedRouter {
+        router: usize,
+    },
+    StartRouter {
+        router: usize,
+    },
+    ContinueRouter {
+        router: usize,
+        stopped_at: Duration,
+    },
+    /// Sends the heartbeats of discovery, and closes idle connections of clients.
     Heartbeat,
+    /// Sends a status request to each router that is starting.
     RequestStatus,
+    /// Measures how late the event loop is.
     Tick,
     SampleUsage,
 }
@@ -36,7 +60,7 @@
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BTreeMap<(Duration, u64), Timer>,
-    /// Number of timers that were set so far.
+    /// Number of timers that were set; orders timers with the same due time.
     set_count: u64,
 }
 
--- a/crates/soak/src/sockets.rs
+++ b/crates/soak/src/sockets.rs
@@ -25,7 +25,7 @@
     input: Vec<u8>,
     arrivals: Arrivals,
     output: Vec<u8>,
-    /// Whether writing is suspended; output is kept in the buffer.
+    /// While true, nothing is written and all output stays in the buffer.
     pub is_muted: bool,
     /// Maximum length of each write, in bytes; `None` for no limit.
     pub write_size: Option<usize>,
