--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -89,7 +89,7 @@
         self.first_sent_at.elapsed() > self.profile.deadline + ANSWER_GRACE
     }
 
-    /// Returns the time until the request's deadline, in whole milliseconds.
+    /// Returns the time until the request's deadline; zero after it. The elapsed time is rounded down to milliseconds.
     fn time_left(&self) -> Duration {
         let elapsed_ms = self.first_sent_at.elapsed().as_millis() as u64;
         self.profile.deadline.saturating_sub(Duration::from_millis(elapsed_ms))
@@ -219,7 +219,7 @@
         Ok(false)
     }
 
-    /// Reads a line. If the read times out, the bytes of an incomplete line are kept.
+    /// Reads a line. If the read times out, `partial_line` keeps the bytes of an incomplete line for the next read.
     fn read(&mut self) -> std::io::Result<Incoming> {
         match self.socket.read_until(b'\n', &mut self.partial_line) {
             Ok(0) => Ok(Incoming::Closed),
--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -3,9 +3,9 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Cores of each engine.
+/// Number of cores of each engine, in the settings and in the load model of the emulated engines.
 pub const CORES_PER_ENGINE: f64 = 4.0;
-/// Memory of each engine, in MB.
+/// Memory of each engine, in MB, in the settings and in the load model of the emulated engines.
 pub const ENGINE_MEMORY_MB: f64 = 4096.0;
 /// Cores that the router may use.
 const ROUTER_CORES: f64 = 1.0;
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -10,7 +10,7 @@
 
 #[derive(Default)]
 struct EndpointList {
-    /// The number of the last event.
+    /// The number of the last event; the initial list is event 1.
     last_event: u64,
     endpoints: Vec<Endpoint>,
     /// The connections of routers that get the changes of the list.
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -21,14 +21,14 @@
 /// Relative speed of an engine's cores without a fault.
 const NORMAL_SPEED: f64 = 1.0;
 const MS_PER_SECOND: f64 = 1e3;
-/// The tag of every pong, whatever the tag of the ping.
+/// The tag of every pong, which is the tag of the router's health checks; the tag of the ping is ignored.
 const PONG_TAG: &str = "0";
 /// The rows of a complete result.
 const RESULT: &str = "1\t2\t3\n";
 /// The rows of a truncated result, which ends within its row.
 const TRUNCATED_RESULT: &str = "1\t2";
 
-/// The faults of an engine.
+/// The faults that an engine has at the same time; the default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineFault {
     /// Relative speed of the engine's cores; `None` for the normal speed of 1.
@@ -72,7 +72,7 @@
         Ok(Self { address, fault, thread: Some(thread) })
     }
 
-    /// Sets the faults of the engine.
+    /// Replaces the faults of the engine from its next polling round on.
     pub fn set_fault(&self, fault: EngineFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -18,7 +18,7 @@
     Unanswered,
 }
 
-/// A request and its outcome.
+/// The outcome of a request, with the times of its last run.
 #[derive(Clone, Debug)]
 pub struct RequestOutcome {
     pub team: &'static str,
--- a/crates/emulator/src/run_log.rs
+++ b/crates/emulator/src/run_log.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the last run of a request.
+    /// Returns the last run of a request; `None` if no engine has started it.
     pub fn last_run(&self, request_id: &str) -> Option<Run> {
         self.runs().get(request_id).copied()
     }
--- a/crates/emulator/src/skewed.rs
+++ b/crates/emulator/src/skewed.rs
@@ -15,7 +15,7 @@
 }}";
 const WAIT_FIELD: &str = "tell_wait";
 const ENGINES: u32 = 3;
-/// Connections of the flooding team, which has more open requests than one connection allows.
+/// Connections of the flooding team, which needs more open requests than one connection allows.
 const FLOODING_CONNECTIONS: usize = 4;
 /// Rates on each connection of the flooding team, as a multiple of the base rates.
 const FLOOD_FACTOR: f64 = 2.5;
@@ -32,7 +32,7 @@
 const WINDOW_S: u64 = 10;
 /// Announced waits up to this likely wait, in seconds, are not compared with the actual waits.
 const SHORT_WAIT_S: f64 = 0.1;
-/// Lower bound of divisors that may be 0.
+/// Lower bound of divisors, so that none is 0.
 const MIN_DIVISOR: f64 = 1e-9;
 const MEDIAN: f64 = 0.5;
 const P99: f64 = 0.99;
--- a/crates/emulator/tests/demo.rs
+++ b/crates/emulator/tests/demo.rs
@@ -38,7 +38,7 @@
     socket.set_read_timeout(Some(timeout)).expect("a socket takes a read timeout");
     let statement = "select work_ms=20 need_mb=50";
     let parts = [b"GET", id.as_bytes(), b"queue=lookup,mem=50", statement.as_bytes()];
-    socket.write_all(&encode_array(&parts)).expect("the engine reads");
+    socket.write_all(&encode_array(&parts)).expect("the engine accepts the bytes of the call");
     let mut bytes = [0; 4096];
     match socket.read(&mut bytes) {
         Ok(0) => "closed".to_owned(),
--- a/crates/fault-shim/src/failures.rs
+++ b/crates/fault-shim/src/failures.rs
@@ -6,7 +6,7 @@
 
 /// The injected failures of one function of the C library.
 pub struct Failures {
-    /// Number of calls so far.
+    /// Number of calls of the function in this process, including those that failed.
     calls: AtomicU64,
     /// The values of `errno` of the failures, used in turn. A repeated call may succeed after any of them.
     errors: &'static [c_int],
--- a/crates/fault-shim/src/sockets.rs
+++ b/crates/fault-shim/src/sockets.rs
@@ -18,7 +18,7 @@
     function
 }
 
-/// Defines a function `$getter` that returns the C library's function `$name`, which is looked up at the first call.
+/// Defines the function `$getter`. It returns the C library's function `$name`, and looks it up at its first call only.
 macro_rules! c_function {
     ($getter:ident, $name:literal, $signature:ty) => {
         fn $getter() -> $signature {
--- a/crates/peer-protocol/src/client.rs
+++ b/crates/peer-protocol/src/client.rs
@@ -93,7 +93,7 @@
     line(json!({"jsonrpc": JSON_RPC_VERSION, "method": CANCEL_METHOD, "params": {"req": request_id}}))
 }
 
-/// Encodes a status request, which asks whether the router accepts requests.
+/// Encodes a status request. The answer, [`Outcome::Status`], says whether the router accepts requests.
 pub fn encode_status_request(id: u64) -> Vec<u8> {
     line(json!({"jsonrpc": JSON_RPC_VERSION, "id": id, "method": STATUS_METHOD, "params": {}}))
 }
@@ -102,7 +102,7 @@
     format!("{message}\n").into_bytes()
 }
 
-/// A message from a router.
+/// A decoded line from a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterMessage {
     /// The answer to a request or a status request.
--- a/crates/peer-protocol/src/discovery.rs
+++ b/crates/peer-protocol/src/discovery.rs
@@ -53,7 +53,7 @@
     pub kind: u8,
     /// The number of the engine's cell.
     pub cell: u16,
-    /// The engine's size in permille of [`ORDINARY_SIZE_PERMILLE`].
+    /// The engine's size in permille of the size of an ordinary engine.
     pub size_permille: u32,
     /// When the engine started, in milliseconds since the Unix epoch; 0 if it started long ago.
     pub up_since_ms: u64,
@@ -124,7 +124,8 @@
     [&length.to_be_bytes()[..], &event_number.to_be_bytes(), &[kind as u8], &payload].concat()
 }
 
-/// Encodes the heartbeat that discovery sends each second; `last_event` is the number of the last event that it sent.
+/// Encodes the heartbeat that discovery sends each second; `last_event` is the number of the event that the router got
+/// last.
 pub fn encode_heartbeat(last_event: u64) -> Vec<u8> {
     encode_frame(last_event, FrameKind::Heartbeat, &[])
 }
--- a/crates/peer-protocol/src/engine.rs
+++ b/crates/peer-protocol/src/engine.rs
@@ -85,7 +85,7 @@
     pub idempotency_key: Option<String>,
     /// The memory that the router grants, in MB. `None` also for 0, which leaves the amount to the engine.
     pub granted_memory_mb: Option<f64>,
-    /// The priority, from 0 to 3.
+    /// The priority, from 0 to 3; calls with a higher priority run first.
     pub priority: Option<u8>,
 }
 
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -10,7 +10,7 @@
 //! | `GET`, `DROP`, `RANK`, `PAGE`, `CLOSE`, `PING` | [`EngineCommand`](engine::EngineCommand) |
 //! | `HIT`, `PART`, `SHED`, `FAULT`, `LATE`, `INFO`, `PONG` | [`EngineReply`](engine::EngineReply) |
 //! | `req`, `timeout`, `opkey`, `resent`, `ms`, `memory` of a request | [`ClientRequest`](client::ClientRequest) |
-//! | `withdraw`, `holdoff`, `waiting` | cancellation, Retry-After, [`WaitAnnouncement`](client::WaitAnnouncement) |
+//! | `withdraw`, `holdoff`, `waiting` | cancellation of a request, Retry-After of a rejection, [`WaitAnnouncement`](client::WaitAnnouncement) |
 //! | `bulletin`, `roster`, `phase` | discovery, endpoint list, [`EngineState`](discovery::EngineState) |
 
 // Engineers learn the crate from its documentation, so every public item needs a doc comment.
