--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Sets the number of random draws so far. The next random choice between engines depends on it.
+    /// Sets the number of the next random draw, on which the choice between engines depends. Each attempt that is sent
+    /// increments it.
     pub fn set_random_draws(&mut self, draws: u64) {
         self.state.random_draws = draws;
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -127,9 +127,9 @@
         budgets.min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns the queued requests without attempts whose own work and the work before them are more than this
-    /// router's share of all cores can do within their objective budget. Guards against floods of requests, which
-    /// would let the queue, and the time that each input takes, grow without bound.
+    /// Returns the queued requests that have no attempt and cannot meet their latency objective: this router's share of
+    /// all cores cannot do their work and the work queued before them within their objective budget. Guards against
+    /// floods of requests, which would let the queue, and the time that each input takes, grow without bound.
     fn requests_beyond_capacity(&self, snapshot: &FleetSnapshot) -> BTreeSet<RequestId> {
         let kinds = self.fleet.kinds.iter().enumerate();
         let fleet_cores: f64 =
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -28,9 +28,10 @@
         self.answer_margin() * FINAL_ANSWER_LEAD_MARGINS
     }
 
-    /// Answers requests without a result. Shortly before the shutdown deadline, all requests are answered. A queued
-    /// request is answered shortly before its own deadline, or at once if no further attempt is allowed or worth the
-    /// work. Returns whether any request was answered.
+    /// Rejects or fails the requests whose final answer is due. Shortly before the shutdown deadline, these are all
+    /// requests. Before that, a queued request is answered shortly before its own deadline. It is answered at once if
+    /// its client may have left, if it must not be retried, or if a retry would cost more than a late answer is worth.
+    /// Returns whether any request was answered.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
         let now = snapshot.now;
         let due_by = now + self.final_answer_lead();
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -90,8 +90,8 @@
     time.as_secs_f64()
 }
 
-/// Converts seconds to a time, rounded down to whole microseconds. Returns 0 for a negative number, and at most
-/// `MAX_MICROSECONDS`.
+/// Converts seconds to a time, rounded down to whole microseconds. The result is limited to the range
+/// from 0 to `MAX_MICROSECONDS`.
 pub fn duration(seconds: f64) -> Duration {
     Duration::from_micros((seconds * MICROSECONDS_PER_SECOND).clamp(0.0, MAX_MICROSECONDS) as u64)
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -20,7 +20,7 @@
         Self { state: SchedulerState::new(fleet, classes, attempt_limits, WINDOW_SIZES) }
     }
 
-    /// Returns the total number of engines examined by the inputs so far. It measures the cost of inputs without a
+    /// Returns the number of engines examined, added up over all inputs. It measures the cost of inputs without a
     /// clock. An engine counts each time that it is examined.
     pub fn engines_examined(&self) -> u64 {
         self.state.engines_examined
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -46,8 +46,8 @@
     pub latency_objective: Duration,
     /// Variable part of the latency objective, as a multiple of the request's ideal run.
     pub objective_stretch: f64,
-    /// The usual deadline of a request, counted from the arrival. The scheduler does not read it, since each arrival
-    /// contains its own deadline.
+    /// The usual deadline of a request, counted from the arrival. The scheduler does not read it; it uses the
+    /// deadline that each arrival contains.
     pub deadline: Duration,
     /// Priority weight of a request that is answered within its latency objective, relative to other classes.
     pub priority_weight: f64,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -51,7 +51,7 @@
     pub engines: BTreeMap<EngineId, Engine>,
     /// Indexes over `engines`.
     pub engine_index: EngineIndex,
-    /// Total number of engines examined by the inputs so far. Measures the cost of inputs without a clock.
+    /// Number of engines examined, added up over all inputs. Measures the cost of inputs without a clock.
     pub engines_examined: u64,
     pub key_queues: BTreeMap<KeyId, KeyQueue>,
     /// Measurements by request class.
@@ -70,7 +70,8 @@
     pub shutdown_at: Duration,
     /// Whether the scheduler is subscribed to changes of the endpoint list.
     pub is_watching_endpoints: bool,
-    /// Number of random draws so far. It is part of each draw, so that the next draw differs from earlier ones.
+    /// Number of the next random draw, which chooses between equally good engines. Each attempt that is sent
+    /// increments it, so that the draws differ.
     pub random_draws: u64,
 }
 
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -93,7 +93,7 @@
     pub memory_target_mb: f64,
     /// Largest fraction of an engine's memory that may be filled if its load is estimated and not reported.
     pub unreported_memory_limit: f64,
-    /// Number of engines of the kind in the whole fleet that accept requests, at least 1.
+    /// Number of engines of the kind in the fleet that accept requests; 1 if none does.
     pub engine_count: f64,
     /// Number of this router's attempts of the small tier in flight.
     pub small_count: f64,
--- a/tests/digest/random.rs
+++ b/tests/digest/random.rs
@@ -5,7 +5,7 @@
 /// A SplitMix64 generator, whose numbers do not depend on the machine or on versions of crates.
 pub struct Random {
     pub state: u64,
-    /// Whether times are rounded down to whole milliseconds. Events then often occur at the same time.
+    /// Rounds times down to milliseconds, so that events often occur at the same time.
     pub whole_milliseconds: bool,
 }
 
@@ -52,7 +52,7 @@
         self.rounded(time)
     }
 
-    /// Returns the time, rounded down to whole milliseconds if `whole_milliseconds` is set.
+    /// Rounds a time down to milliseconds if `whole_milliseconds` is set; otherwise returns it unchanged.
     pub fn rounded(&self, time: Duration) -> Duration {
         if self.whole_milliseconds { Duration::from_millis(time.as_millis() as u64) } else { time }
     }
--- a/tests/digest/simulation.rs
+++ b/tests/digest/simulation.rs
@@ -16,10 +16,12 @@
     Duration::from_millis(ms)
 }
 
-/// A request that has arrived, with the number of attempts sent so far and whether it needs no further answer.
+/// A request that has arrived.
 pub struct ClientRequest {
     pub arrival: Arrival,
+    /// Number of attempts that the scheduler has sent, including those that have ended.
     pub attempts: usize,
+    /// Whether the client needs no further answer, because it has one or has cancelled the request.
     pub answered: bool,
 }
 
@@ -57,7 +59,8 @@
     pub(super) classes: Vec<(Duration, f64)>,
     pub(super) now: Duration,
     pub(super) events: BTreeMap<(Duration, u64), Event>,
-    /// Number of events scheduled so far. Events of the same time occur in the order in which they were scheduled.
+    /// Number of events that were scheduled. It is the second part of the keys of `events`, so that events of the same
+    /// time occur in the order in which they were scheduled.
     pub(super) scheduled: u64,
     /// Id of the next request, which is also the number of requests that have arrived.
     pub(super) next_request: RequestId,
--- a/tests/trace/mod.rs
+++ b/tests/trace/mod.rs
@@ -108,7 +108,7 @@
         self
     }
 
-    /// Sets the number of random draws so far. The next random choice between engines depends on it.
+    /// Sets the number of the next random draw, on which the choice between engines depends.
     #[allow(dead_code, reason = "called by counterexamples that the model checker prints")]
     pub fn set_random_draws(&mut self, draws: u64) -> &mut Self {
         self.scheduler.set_random_draws(draws);
