--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -247,8 +247,8 @@
     Mutant {
         name: "an answer ends any attempt",
         file: POOL_REPLIES,
-        from: "match self.attempt_by_request_name(connection, &reply.id) {",
-        to: "match self.attempt_by_request_name(connection, &reply.id).or_else(|| self.connections.get(connection)?.attempts.values().next().copied()) {",
+        from: "match self.attempt_by_request_name(connection_slot, &reply.id) {",
+        to: "match self.attempt_by_request_name(connection_slot, &reply.id).or_else(|| self.connections.get(connection_slot)?.attempts.values().next().copied()) {",
     },
     Mutant {
         name: "an attempt without a deadline",
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -64,7 +64,8 @@
     pub engines: EnginePool,
     /// The open requests.
     pub requests: RequestTable,
-    /// Whether any engine has been ready since the start of the router. A router reports itself as serving only then.
+    /// Whether any engine has been ready since the start of the router. The router reports itself as serving only
+    /// after that.
     pub had_ready_endpoint: bool,
     /// The completions that the admission queue has not processed yet; `None` without an admission queue.
     pub completions: Option<Vec<Completion>>,
@@ -91,20 +92,20 @@
     }
 
     fn set_grant_and_priority(&mut self, request: RequestId, grant_mb: f64, priority: u8) {
-        let Some(request) = self.requests.get_mut(request) else { return };
-        if request.priority != priority {
-            for attempt in &request.attempts {
+        let Some(open_request) = self.requests.get_mut(request) else { return };
+        if open_request.priority != priority {
+            for attempt in &open_request.attempts {
                 self.engines.update_priority(*attempt, priority, &mut self.context);
             }
         }
-        request.grant_mb = grant_mb;
-        request.priority = priority;
+        open_request.grant_mb = grant_mb;
+        open_request.priority = priority;
     }
 
     fn cancel(&mut self, request: RequestId, attempt: usize) {
-        let Some(request) = self.requests.get(request) else { return };
-        if let Some(attempt) = request.attempts.get(attempt) {
-            self.engines.cancel_before_resend(*attempt, &mut self.context);
+        let Some(open_request) = self.requests.get(request) else { return };
+        if let Some(attempt_slot) = open_request.attempts.get(attempt) {
+            self.engines.cancel_before_resend(*attempt_slot, &mut self.context);
         }
     }
 
@@ -183,8 +184,9 @@
         outcome: RequestOutcome,
         encode_answer: impl Fn(u64) -> Vec<u8>,
     ) -> bool {
-        let Some(request) = self.close_request(request, outcome) else { return false };
-        self.clients.send_line(request.client, &encode_answer(request.client_request_id));
+        let Some(closed_request) = self.close_request(request, outcome) else { return false };
+        let answer = encode_answer(closed_request.client_request_id);
+        self.clients.send_line(closed_request.client, &answer);
         true
     }
 
@@ -231,8 +233,9 @@
         }
     }
 
-    /// Feeds the timers to `hasher` that belong to no connection, attempt or client. The due times of the other timers
-    /// are part of the fingerprints of their connections, attempts and clients.
+    /// Feeds to `hasher` the timers of the scheduler, the discovery service, accepting and the shutdown. The due times
+    /// of connections, attempts and clients are part of their fingerprints. The timers of the admission queue and of
+    /// reloads are not included.
     fn fingerprint_timers(&self, now: Duration, hasher: &mut impl Hasher) {
         for (at, timer) in self.context.timers.iter() {
             let is_router_timer = matches!(
--- a/crates/router/src/engine_pool/replies.rs
+++ b/crates/router/src/engine_pool/replies.rs
@@ -22,54 +22,61 @@
 impl EnginePool {
     /// Reads a limited number of bytes from a connection, and handles all complete replies. Returns whether there may
     /// be more input to read.
-    pub fn read(&mut self, slot: Slot, socket: &mut impl Read, context: &mut Context) -> bool {
-        let Some(connection) = self.connections.get_mut(slot) else { return false };
+    pub fn read(&mut self, connection_slot: Slot, socket: &mut impl Read, context: &mut Context) -> bool {
+        let Some(connection) = self.connections.get_mut(connection_slot) else { return false };
         let engine_id = connection.engine;
         let filled = connection.input.fill(socket, MAX_READ_BYTES_PER_ITERATION);
-        if let Err(error) = self.process_input(slot, context) {
+        if let Err(error) = self.process_input(connection_slot, context) {
             context.counters.count("engine_input_malformed");
-            self.log_malformed_input(engine_id, slot, &error);
-            self.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
+            self.log_malformed_input(engine_id, connection_slot, &error);
+            self.close_connection(connection_slot, &error.to_string(), Reachability::Reachable, context);
             return false;
         }
         match filled {
             Ok(FillOutcome::WouldBlock | FillOutcome::LimitReached) => {}
             Ok(FillOutcome::Closed) => {
-                self.close_connection(slot, "engine closed the connection", Reachability::Reachable, context);
+                self.close_connection(
+                    connection_slot,
+                    "engine closed the connection",
+                    Reachability::Reachable,
+                    context,
+                );
             }
             Err(ref error) => {
-                self.close_connection(slot, &error.to_string(), Reachability::Reachable, context);
+                self.close_connection(connection_slot, &error.to_string(), Reachability::Reachable, context);
             }
         }
-        self.schedule_reply_timeout(slot, context);
-        matches!(filled, Ok(FillOutcome::LimitReached)) && self.connections.get(slot).is_some()
+        self.schedule_reply_timeout(connection_slot, context);
+        matches!(filled, Ok(FillOutcome::LimitReached)) && self.connections.get(connection_slot).is_some()
     }
 
-    fn log_malformed_input(&self, engine_id: EngineId, slot: Slot, error: &EngineProtocolError) {
+    fn log_malformed_input(&self, engine_id: EngineId, connection_slot: Slot, error: &EngineProtocolError) {
         let engine = self.engines.get(&engine_id);
         let address = engine.map_or_else(String::new, |engine| engine.address.to_string());
         log::warn!(
-            "malformed engine input: engine={engine_id} address={address} connection={slot:?} error=\"{error}\""
+            "malformed engine input: engine={engine_id} address={address} connection={connection_slot:?} \
+             error=\"{error}\""
         );
     }
 
     /// Sets the reply timeout if a reply has begun to arrive and the timeout is not set yet.
-    fn schedule_reply_timeout(&mut self, slot: Slot, context: &mut Context) {
-        let Some(connection) = self.connections.get_mut(slot) else { return };
+    fn schedule_reply_timeout(&mut self, connection_slot: Slot, context: &mut Context) {
+        let Some(connection) = self.connections.get_mut(connection_slot) else { return };
         if connection.reply_due.is_none() && !connection.input.is_empty() {
             let due = context.now() + self.connect_timeout * REPLY_TIMEOUT_RATIO;
             connection.reply_due = Some(due);
-            context.timers.set(due, Timer::ReplyTimeout(slot));
+            context.timers.set(due, Timer::ReplyTimeout(connection_slot));
         }
     }
 
-    /// Closes a connection whose reply timeout has expired. No other reply can arrive behind an incomplete one.
-    pub fn reply_overdue(&mut self, slot: Slot, context: &mut Context) {
-        let due = self.connections.get(slot).and_then(|connection| connection.reply_due);
+    /// Closes a connection whose reply timeout has expired. No further reply can arrive
+    /// until the incomplete one is complete.
+    pub fn reply_overdue(&mut self, connection_slot: Slot, context: &mut Context) {
+        let due = self.connections.get(connection_slot).and_then(|connection| connection.reply_due);
         if due.is_some_and(|due| due <= context.now()) {
             context.counters.count("engine_input_cut_short");
             self.close_connection(
-                slot,
+                connection_slot,
                 "reply incomplete when its timeout expired",
                 Reachability::Reachable,
                 context,
@@ -78,39 +85,43 @@
     }
 
     /// Handles all complete replies in a connection's input.
-    fn process_input(&mut self, slot: Slot, context: &mut Context) -> Result<(), EngineProtocolError> {
+    fn process_input(
+        &mut self,
+        connection_slot: Slot,
+        context: &mut Context,
+    ) -> Result<(), EngineProtocolError> {
         loop {
-            let Some(connection) = self.connections.get_mut(slot) else { return Ok(()) };
+            let Some(connection) = self.connections.get_mut(connection_slot) else { return Ok(()) };
             let Some((reply, length)) = EngineReply::decode(connection.input.contents())? else {
                 return Ok(());
             };
             connection.input.consume(length);
             connection.last_reply_at = context.now();
             if let Some(due) = connection.reply_due.take() {
-                context.timers.clear(due, Timer::ReplyTimeout(slot));
+                context.timers.clear(due, Timer::ReplyTimeout(connection_slot));
             }
             if connection.pass_health_check() {
-                self.schedule_writes(slot, context);
+                self.schedule_writes(connection_slot, context);
             }
-            self.dispatch_reply(slot, reply, context)?;
+            self.dispatch_reply(connection_slot, reply, context)?;
         }
     }
 
     fn dispatch_reply(
         &mut self,
-        connection: Slot,
+        connection_slot: Slot,
         reply: EngineReply,
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
         if reply.kind == ReplyKind::Pong {
-            // The answer to a health check carries the name of no request.
-            if let Some(attempt) = self.attempt_by_request_name(connection, &reply.id) {
-                self.cancel_acknowledged(attempt, context);
+            // Only a pong after a cancellation carries a request's name; the answer to a health check carries none.
+            if let Some(attempt_slot) = self.attempt_by_request_name(connection_slot, &reply.id) {
+                self.cancel_acknowledged(attempt_slot, context);
             }
             return Ok(());
         }
-        match self.attempt_by_request_name(connection, &reply.id) {
-            Some(attempt) => self.handle_reply(attempt, reply, context),
+        match self.attempt_by_request_name(connection_slot, &reply.id) {
+            Some(attempt_slot) => self.handle_reply(attempt_slot, reply, context),
             None => {
                 context.counters.count("engine_answers_without_attempt");
                 Ok(())
@@ -119,42 +130,43 @@
     }
 
     /// Returns the attempt of the request `request_name` on a connection; `None` if the connection carries none.
-    fn attempt_by_request_name(&self, connection: Slot, request_name: &str) -> Option<Slot> {
-        self.connections.get(connection)?.attempts.get(request_name).copied()
+    fn attempt_by_request_name(&self, connection_slot: Slot, request_name: &str) -> Option<Slot> {
+        self.connections.get(connection_slot)?.attempts.get(request_name).copied()
     }
 
     /// Ends a cancelled attempt after its engine has acknowledged the cancellation with a pong. The engine has stopped
     /// the attempt, and sends no further reply to it.
-    fn cancel_acknowledged(&mut self, attempt: Slot, context: &mut Context) {
-        if self.attempts.get(attempt).is_some_and(Attempt::is_cancellation_pending) {
-            self.end(attempt, AttemptOutcome::Cancelled, None, context);
+    fn cancel_acknowledged(&mut self, attempt_slot: Slot, context: &mut Context) {
+        if self.attempts.get(attempt_slot).is_some_and(Attempt::is_cancellation_pending) {
+            self.end(attempt_slot, AttemptOutcome::Cancelled, None, context);
         }
     }
 
     fn handle_reply(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         reply: EngineReply,
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
-        let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get(attempt_slot) else { return Ok(()) };
         let EngineReply { id: _, kind, fields, body } = reply;
         let load_report = fields.load_report()?;
         if attempt.is_cancellation_pending() && is_ignored_after_cancel(&kind, &fields)? {
             return Ok(());
         }
         match kind {
-            ReplyKind::Result => self.handle_result(slot, &fields, body, load_report, context),
-            ReplyKind::Page => self.handle_page(slot, &fields, body, context),
-            ReplyKind::Progress => self.handle_progress(slot, &fields, context),
+            ReplyKind::Result => self.handle_result(attempt_slot, &fields, body, load_report, context),
+            ReplyKind::Page => self.handle_page(attempt_slot, &fields, body, context),
+            ReplyKind::Progress => self.handle_progress(attempt_slot, &fields, context),
             ReplyKind::Overloaded => {
-                self.end(slot, AttemptOutcome::Overloaded, load_report, context);
+                self.end(attempt_slot, AttemptOutcome::Overloaded, load_report, context);
                 Ok(())
             }
             ReplyKind::Failed => {
-                self.end(slot, AttemptOutcome::Failed, load_report, context);
+                self.end(attempt_slot, AttemptOutcome::Failed, load_report, context);
                 Ok(())
             }
+            // `dispatch_reply` handles pongs.
             ReplyKind::Pong => Ok(()),
             ReplyKind::Unknown(reply_type) => Err(EngineProtocolError::UnknownReply(reply_type)),
         }
@@ -163,13 +175,13 @@
     /// Stores the first page of a result, and requests the further pages. Ignores a second result of the same attempt.
     fn handle_result(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         fields: &ReplyFields,
         body: Vec<u8>,
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
-        let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return Ok(()) };
         if attempt.result.is_some() {
             context.counters.count("engine_answers_repeated");
             return Ok(());
@@ -180,38 +192,38 @@
         let id = attempt.request_name.as_str();
         let page_requests: Vec<Vec<u8>> =
             (1..pages).map(|page| EngineCommand::Page { id, page }.encode()).collect();
-        self.append_message(slot, &page_requests.concat(), context);
-        self.end_if_result_complete(slot, context)
+        self.append_message(attempt_slot, &page_requests.concat(), context);
+        self.end_if_result_complete(attempt_slot, context)
     }
 
     fn handle_page(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         fields: &ReplyFields,
         body: Vec<u8>,
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
-        let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return Ok(()) };
         let page = fields.page_number()?;
         let is_new = attempt.result.as_mut().is_some_and(|result| result.add(page, body));
         if !is_new {
             context.counters.count("engine_answers_repeated");
             return Ok(());
         }
-        self.end_if_result_complete(slot, context)
+        self.end_if_result_complete(attempt_slot, context)
     }
 
     fn handle_progress(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         fields: &ReplyFields,
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
-        let Some(attempt) = self.attempts.get(slot) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get(attempt_slot) else { return Ok(()) };
         let progress = fields.progress()?;
         context.counters.count("progress_updates");
-        let (request, attempt) = (attempt.request, attempt.number);
-        self.events.push_back(PoolEvent::Progress { request, attempt, progress });
+        let event = PoolEvent::Progress { request: attempt.request, attempt: attempt.number, progress };
+        self.events.push_back(event);
         Ok(())
     }
 
@@ -219,20 +231,20 @@
     /// by which the next page must arrive.
     fn end_if_result_complete(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         context: &mut Context,
     ) -> Result<(), EngineProtocolError> {
-        let Some(attempt) = self.attempts.get_mut(slot) else { return Ok(()) };
+        let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return Ok(()) };
         let Some(result) = attempt.result.as_mut() else { return Ok(()) };
         if !result.is_complete() {
             let page_due = context.now() + self.connect_timeout * REPLY_TIMEOUT_RATIO;
-            context.timers.clear(attempt.deadline, Timer::AttemptDeadline(slot));
+            context.timers.clear(attempt.deadline, Timer::AttemptDeadline(attempt_slot));
             attempt.deadline = attempt.deadline.min(page_due);
-            context.timers.set(attempt.deadline, Timer::AttemptDeadline(slot));
+            context.timers.set(attempt.deadline, Timer::AttemptDeadline(attempt_slot));
             return Ok(());
         }
         let body = result.take_body()?;
-        self.end_with_body(slot, AttemptOutcome::Succeeded, Some(body), None, context);
+        self.end_with_body(attempt_slot, AttemptOutcome::Succeeded, Some(body), None, context);
         Ok(())
     }
 }
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -202,7 +202,8 @@
         self.apply_changes();
     }
 
-    /// Logs the counters, and then reloads the configuration at SIGHUP or begins the shutdown at SIGTERM and SIGINT.
+    /// Logs the counters at any signal. Then reloads the configuration at SIGHUP, or begins the graceful shutdown at
+    /// SIGTERM and SIGINT; SIGUSR1 does nothing else.
     fn handle_signal(&mut self, signal: Signal) {
         self.update_time();
         log::info!("counters: {}", self.server.dispatcher.counters_line());
@@ -239,6 +240,8 @@
         self.handle_expired_timers();
     }
 
+    /// Handles the timers that have expired, the earliest first. Reads the clock again after each, since handling takes
+    /// time.
     fn handle_expired_timers(&mut self) {
         loop {
             self.update_time();
