--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -223,8 +223,8 @@
     Mutant {
         name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
-        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent_outcome,",
-        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
+        from: "if attempt.call_offset.is_none() {\n            return self.end(attempt_slot, unsent_outcome,",
+        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(attempt_slot, unsent_outcome,",
     },
     Mutant {
         name: "idle connections stay open",
@@ -253,7 +253,7 @@
     Mutant {
         name: "an attempt without a deadline",
         file: POOL_ATTEMPT,
-        from: "        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt));\n",
+        from: "        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt_slot));\n",
         to: "",
     },
     Mutant {
--- a/crates/router/src/engine_pool/attempt_lifecycle.rs
+++ b/crates/router/src/engine_pool/attempt_lifecycle.rs
@@ -20,47 +20,47 @@
         excluded_connections: &[Slot],
         context: &mut Context,
     ) -> Slot {
-        let attempt =
+        let attempt_slot =
             self.attempts.insert(Attempt::new(&call, engine_id, excluded_connections, context.now()));
-        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt));
+        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt_slot));
         context.counters.count("attempts_sent");
-        self.assign_connection(attempt, context);
-        attempt
+        self.assign_connection(attempt_slot, context);
+        attempt_slot
     }
 
     /// Queues an attempt's call on a connection to its engine. Ends the attempt if the engine is not ready, if the
     /// attempt must not be resent, or if no connection is available.
-    pub(super) fn assign_connection(&mut self, slot: Slot, context: &mut Context) {
-        let Some(attempt) = self.attempts.get_mut(slot) else { return };
+    pub(super) fn assign_connection(&mut self, attempt_slot: Slot, context: &mut Context) {
+        let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         attempt.call_offset = None;
         let engine_id = attempt.engine;
         let request_name = attempt.request_name.clone();
         let excluded = attempt.excluded_connections.clone();
         if attempt.resend_disabled || !self.is_ready(engine_id) {
-            return self.end(slot, AttemptOutcome::NotSent, None, context);
+            return self.end(attempt_slot, AttemptOutcome::NotSent, None, context);
         }
         match self.select_connection(engine_id, &request_name, &excluded, context) {
-            Some(connection) => self.enqueue_call(slot, connection, context),
+            Some(connection) => self.enqueue_call(attempt_slot, connection, context),
             // The router has reached its limit of connections. The outcome must not count as a failure of the engine.
-            None => self.end(slot, AttemptOutcome::NotSent, None, context),
+            None => self.end(attempt_slot, AttemptOutcome::NotSent, None, context),
         }
     }
 
     /// Keeps an attempt from being moved to another connection, because its client may have disconnected. Ends the
     /// attempt if no byte of its call was written.
-    pub fn disable_resend(&mut self, slot: Slot, context: &mut Context) {
-        self.retract_unsent_call(slot);
-        let Some(attempt) = self.attempts.get_mut(slot) else { return };
+    pub fn disable_resend(&mut self, attempt_slot: Slot, context: &mut Context) {
+        self.retract_unsent_call(attempt_slot);
+        let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return };
         attempt.resend_disabled = true;
         if attempt.call_offset.is_none() {
-            self.end(slot, AttemptOutcome::NotSent, None, context);
+            self.end(attempt_slot, AttemptOutcome::NotSent, None, context);
         }
     }
 
     /// Removes a call from the front of its connection's output if no byte of the call was written. Returns whether
     /// the call was removed.
-    pub(super) fn retract_unsent_call(&mut self, slot: Slot) -> bool {
-        let Some(attempt) = self.attempts.get_mut(slot) else { return false };
+    pub(super) fn retract_unsent_call(&mut self, attempt_slot: Slot) -> bool {
+        let Some(attempt) = self.attempts.get_mut(attempt_slot) else { return false };
         let connection = attempt.connection.and_then(|connection| self.connections.get_mut(connection));
         let Some(connection) = connection else { return false };
         let Some(call) = &attempt.call else { return false };
@@ -73,21 +73,22 @@
     }
 
     /// Changes the priority of an attempt. The message with the new priority is sent after the attempt's call.
-    pub fn update_priority(&mut self, slot: Slot, priority: u8, context: &mut Context) {
-        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
+    pub fn update_priority(&mut self, attempt_slot: Slot, priority: u8, context: &mut Context) {
+        let Some(attempt) =
+            self.attempts.get_mut(attempt_slot).filter(|attempt| !attempt.is_cancellation_pending())
         else {
             return;
         };
         let bytes = EngineCommand::Priority { id: &attempt.request_name, priority }.encode();
         match &mut attempt.call {
             Some(call) if attempt.call_offset.is_none() => call.followed_by.extend(bytes),
-            _ => self.append_message(slot, &bytes, context),
+            _ => self.append_message(attempt_slot, &bytes, context),
         }
     }
 
     /// Cancels an attempt whose request is not sent again.
-    pub fn cancel(&mut self, attempt: Slot, context: &mut Context) {
-        self.abandon(attempt, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, context);
+    pub fn cancel(&mut self, attempt_slot: Slot, context: &mut Context) {
+        self.abandon(attempt_slot, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, context);
     }
 
     /// Cancels an attempt whose request may be sent again.
@@ -96,30 +97,31 @@
     /// sent on different connections, and may arrive in either order. Therefore an attempt without a result, whose call
     /// was written at least in part, stays in flight until the engine has answered a ping that was sent after the
     /// cancellation. It also ends with a final reply, when the connection is closed, or at the attempt's deadline.
-    pub fn cancel_before_resend(&mut self, slot: Slot, context: &mut Context) {
-        self.retract_unsent_call(slot);
-        let Some(attempt) = self.attempts.get_mut(slot).filter(|attempt| !attempt.is_cancellation_pending())
+    pub fn cancel_before_resend(&mut self, attempt_slot: Slot, context: &mut Context) {
+        self.retract_unsent_call(attempt_slot);
+        let Some(attempt) =
+            self.attempts.get_mut(attempt_slot).filter(|attempt| !attempt.is_cancellation_pending())
         else {
             return;
         };
         let needs_acknowledgement =
             attempt.call_offset.is_some() && attempt.result.is_none() && !self.allows_concurrent_attempts;
         let Some(connection) = attempt.connection.filter(|_| needs_acknowledgement) else {
-            return self.cancel(slot, context);
+            return self.cancel(attempt_slot, context);
         };
         attempt.cancelled_at = Some(context.now());
         let cancel = EngineCommand::Cancel { id: &attempt.request_name }.encode();
         let ping = EngineCommand::Ping { id: &attempt.request_name }.encode();
         context.counters.count("attempts_cancelled_before_retry");
-        self.append_message(slot, &[cancel, ping].concat(), context);
+        self.append_message(attempt_slot, &[cancel, ping].concat(), context);
         self.schedule_check(connection, context.now() + self.connect_timeout, context);
     }
 
     /// Times out an attempt whose deadline has passed. The caller reads the attempt's connection first, so that a
     /// result that arrived in time counts.
-    pub fn attempt_overdue(&mut self, slot: Slot, context: &mut Context) {
-        if self.attempts.get(slot).is_some_and(|attempt| attempt.deadline <= context.now()) {
-            self.abandon(slot, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
+    pub fn attempt_overdue(&mut self, attempt_slot: Slot, context: &mut Context) {
+        if self.attempts.get(attempt_slot).is_some_and(|attempt| attempt.deadline <= context.now()) {
+            self.abandon(attempt_slot, AttemptOutcome::TimedOut, AttemptOutcome::Unreachable, context);
         }
     }
 
@@ -127,18 +129,18 @@
     /// never ran, and ends with `unsent_outcome`.
     fn abandon(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         outcome: AttemptOutcome,
         unsent_outcome: AttemptOutcome,
         context: &mut Context,
     ) {
-        if self.attempts.get(slot).is_some_and(Attempt::is_cancellation_pending) {
-            return self.end(slot, outcome, None, context);
+        if self.attempts.get(attempt_slot).is_some_and(Attempt::is_cancellation_pending) {
+            return self.end(attempt_slot, outcome, None, context);
         }
-        self.retract_unsent_call(slot);
-        let Some(attempt) = self.attempts.get(slot) else { return };
+        self.retract_unsent_call(attempt_slot);
+        let Some(attempt) = self.attempts.get(attempt_slot) else { return };
         if attempt.call_offset.is_none() {
-            return self.end(slot, unsent_outcome, None, context);
+            return self.end(attempt_slot, unsent_outcome, None, context);
         }
         let id = attempt.request_name.as_str();
         let command = match attempt.result {
@@ -146,34 +148,34 @@
             None => EngineCommand::Cancel { id },
         };
         let bytes = command.encode();
-        self.append_message(slot, &bytes, context);
-        self.end(slot, outcome, None, context);
+        self.append_message(attempt_slot, &bytes, context);
+        self.end(attempt_slot, outcome, None, context);
     }
 
     /// Ends an attempt without a complete result.
     pub(super) fn end(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         outcome: AttemptOutcome,
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) {
-        self.end_with_body(slot, outcome, None, load_report, context);
+        self.end_with_body(attempt_slot, outcome, None, load_report, context);
     }
 
     /// Ends an attempt and queues the event for the scheduler. `body` is the complete result of a successful attempt.
     pub(super) fn end_with_body(
         &mut self,
-        slot: Slot,
+        attempt_slot: Slot,
         outcome: AttemptOutcome,
         body: Option<Vec<u8>>,
         load_report: Option<LoadReport>,
         context: &mut Context,
     ) {
-        let Some(attempt) = self.attempts.remove(slot) else { return };
-        context.timers.clear(attempt.deadline, Timer::AttemptDeadline(slot));
+        let Some(attempt) = self.attempts.remove(attempt_slot) else { return };
+        context.timers.clear(attempt.deadline, Timer::AttemptDeadline(attempt_slot));
         context.counters.count(outcome_counter(outcome));
-        self.release_connection(slot, &attempt, context);
+        self.release_connection(attempt_slot, &attempt, context);
         let late_connection = late_connection(&attempt, outcome);
         let (usage, reported_with_result) =
             attempt.result.map_or((None, None), |result| (result.usage, result.load_report));
@@ -192,11 +194,11 @@
     }
 
     /// Removes an attempt from its connection. Starts the idle timeout of a connection without further attempts.
-    fn release_connection(&mut self, slot: Slot, attempt: &Attempt, context: &mut Context) {
+    fn release_connection(&mut self, attempt_slot: Slot, attempt: &Attempt, context: &mut Context) {
         let Some(connection_slot) = attempt.connection else { return };
         let Some(connection) = self.connections.get_mut(connection_slot) else { return };
         connection.attempts.remove(&attempt.request_name);
-        connection.waiting_attempts.retain(|waiting| *waiting != slot);
+        connection.waiting_attempts.retain(|waiting| *waiting != attempt_slot);
         if connection.attempts.is_empty() {
             let idle_due = context.now() + self.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION);
             connection.idle_due = Some(idle_due);
