--- a/crates/router/src/engine_pool/write_queue.rs
+++ b/crates/router/src/engine_pool/write_queue.rs
@@ -32,30 +32,30 @@
 
     /// Registers a connection for writing if it has output or a waiting call that can be written. Schedules a check of
     /// a connection on which a call is to be written, unless one is scheduled already.
-    pub(super) fn schedule_writes(&mut self, slot: Slot, context: &mut Context) {
-        let Some(connection) = self.connections.get(slot) else { return };
+    pub(super) fn schedule_writes(&mut self, connection_slot: Slot, context: &mut Context) {
+        let Some(connection) = self.connections.get(connection_slot) else { return };
         let is_call_due = connection.accepts_calls() && !connection.waiting_attempts.is_empty();
         let has_writable_output = connection.is_established() && !connection.output.is_empty();
         if is_call_due && connection.check_due.is_none() {
-            self.schedule_check(slot, context.now() + self.inactivity_timeout(), context);
+            self.schedule_check(connection_slot, context.now() + self.inactivity_timeout(), context);
         }
         if is_call_due || has_writable_output {
-            self.pending_writes.push(slot);
+            self.pending_writes.push(connection_slot);
         }
     }
 
     /// Returns the requests whose calls on a connection have not been written completely.
-    pub fn requests_of_unwritten_calls(&self, slot: Slot) -> Vec<RequestId> {
-        let Some(connection) = self.connections.get(slot) else { return Vec::new() };
+    pub fn requests_of_unwritten_calls(&self, connection_slot: Slot) -> Vec<RequestId> {
+        let Some(connection) = self.connections.get(connection_slot) else { return Vec::new() };
         let attempts = connection.attempts.values().filter_map(|attempt| self.attempts.get(*attempt));
         attempts.filter(|attempt| attempt.call.is_some()).map(|attempt| attempt.request).collect()
     }
 
     /// Adds the next waiting call that may be written to a connection's output, if all earlier output was written.
     /// Returns whether a call was added.
-    fn start_next_call(&mut self, slot: Slot, context: &mut Context) -> bool {
+    fn start_next_call(&mut self, connection_slot: Slot, context: &mut Context) -> bool {
         loop {
-            let Some(connection) = self.connections.get_mut(slot) else { return false };
+            let Some(connection) = self.connections.get_mut(connection_slot) else { return false };
             if !connection.accepts_calls()
                 || !connection.output.is_empty()
                 || connection.waiting_attempts.is_empty()
@@ -65,7 +65,7 @@
             let next = connection.waiting_attempts.remove(0);
             match self.may_send(next, context.now()) {
                 Ok(()) => {
-                    self.encode_call(next, slot, context.now());
+                    self.encode_call(next, connection_slot, context.now());
                     return true;
                 }
                 Err(refusal) => self.refuse_call(next, refusal, context),
@@ -74,8 +74,8 @@
     }
 
     /// Checks whether an attempt's call may be written at `now`.
-    fn may_send(&self, slot: Slot, now: Duration) -> Result<(), CallRefusal> {
-        let Some(attempt) = self.attempts.get(slot) else { return Err(CallRefusal::Cancelled) };
+    fn may_send(&self, attempt_slot: Slot, now: Duration) -> Result<(), CallRefusal> {
+        let Some(attempt) = self.attempts.get(attempt_slot) else { return Err(CallRefusal::Cancelled) };
         final_checks::may_send(&CallState {
             is_engine_ready: self.is_ready(attempt.engine),
             may_client_have_left: attempt.resend_disabled,
@@ -85,10 +85,10 @@
     }
 
     /// Ends an attempt whose call may no longer be written. The attempt never ran.
-    fn refuse_call(&mut self, slot: Slot, refusal: CallRefusal, context: &mut Context) {
-        if let Some(attempt) = self.attempts.get(slot) {
+    fn refuse_call(&mut self, attempt_slot: Slot, refusal: CallRefusal, context: &mut Context) {
+        if let Some(attempt) = self.attempts.get(attempt_slot) {
             refusal.record(attempt.request, attempt.number, &mut context.counters);
-            self.end(slot, AttemptOutcome::NotSent, None, context);
+            self.end(attempt_slot, AttemptOutcome::NotSent, None, context);
         }
     }
 
@@ -112,12 +112,12 @@
     /// Moves a call back from a connection's output to the waiting calls if no byte of the call was written, so that
     /// the call is encoded again with the time left when it is written. Only the call at the front of the output can be
     /// such a call.
-    fn requeue_unwritten_call(&mut self, slot: Slot) {
-        let Some(open_connection) = self.connections.get(slot) else { return };
+    fn requeue_unwritten_call(&mut self, connection_slot: Slot) {
+        let Some(open_connection) = self.connections.get(connection_slot) else { return };
         let attempts: Vec<Slot> = open_connection.attempts.values().copied().collect();
         let retracted = attempts.into_iter().find(|attempt| self.retract_unsent_call(*attempt));
         if let Some(attempt) = retracted
-            && let Some(connection) = self.connections.get_mut(slot)
+            && let Some(connection) = self.connections.get_mut(connection_slot)
         {
             connection.waiting_attempts.insert(0, attempt);
         }
@@ -127,10 +127,15 @@
     ///
     /// # Errors
     /// Returns the error of a socket that has failed.
-    pub fn flush(&mut self, slot: Slot, socket: &mut impl Write, context: &mut Context) -> io::Result<()> {
-        self.requeue_unwritten_call(slot);
+    pub fn flush(
+        &mut self,
+        connection_slot: Slot,
+        socket: &mut impl Write,
+        context: &mut Context,
+    ) -> io::Result<()> {
+        self.requeue_unwritten_call(connection_slot);
         loop {
-            let connection = self.connections.get_mut(slot);
+            let connection = self.connections.get_mut(connection_slot);
             let Some(connection) = connection.filter(|connection| connection.is_established()) else {
                 return Ok(());
             };
@@ -138,8 +143,8 @@
             if !connection.output.is_empty() {
                 return Ok(());
             }
-            self.drop_written_calls(slot);
-            if !self.start_next_call(slot, context) {
+            self.drop_written_calls(connection_slot);
+            if !self.start_next_call(connection_slot, context) {
                 return Ok(());
             }
         }
@@ -147,9 +152,12 @@
 
     /// Drops the stored copies of the calls that were written completely on a connection. A written call is never sent
     /// on another connection.
-    fn drop_written_calls(&mut self, slot: Slot) {
-        let attempts =
-            self.connections.get(slot).into_iter().flat_map(|connection| connection.attempts.values());
+    fn drop_written_calls(&mut self, connection_slot: Slot) {
+        let attempts = self
+            .connections
+            .get(connection_slot)
+            .into_iter()
+            .flat_map(|connection| connection.attempts.values());
         for attempt_slot in attempts {
             if let Some(attempt) = self.attempts.get_mut(*attempt_slot)
                 && attempt.call_offset.is_some()
@@ -160,11 +168,14 @@
     }
 
     /// Adds a message to the output of an attempt's connection.
-    pub(super) fn append_message(&mut self, attempt: Slot, bytes: &[u8], context: &mut Context) {
-        let Some(slot) = self.attempts.get(attempt).and_then(|attempt| attempt.connection) else { return };
-        if let Some(connection) = self.connections.get_mut(slot) {
+    pub(super) fn append_message(&mut self, attempt_slot: Slot, bytes: &[u8], context: &mut Context) {
+        let Some(connection_slot) = self.attempts.get(attempt_slot).and_then(|attempt| attempt.connection)
+        else {
+            return;
+        };
+        if let Some(connection) = self.connections.get_mut(connection_slot) {
             connection.output.push(bytes);
-            self.schedule_writes(slot, context);
+            self.schedule_writes(connection_slot, context);
         }
     }
 }
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -81,13 +81,15 @@
 }
 
 impl RouterLoop {
-    /// Serves until a graceful shutdown is complete. Calls `read` for the configuration at the start and at each
-    /// SIGHUP.
+    /// Serves until a graceful shutdown is complete. Calls `read_bootstrap` for the configuration at the start, at
+    /// each SIGHUP, and at the retries of a failed reload.
     ///
     /// # Errors
     /// Fails if the configuration is invalid, if the router cannot listen, or if polling for events fails.
-    pub fn run(read: impl Fn() -> Result<Bootstrap, ConfigError> + 'static) -> Result<(), ServeError> {
-        let bootstrap = read()?;
+    pub fn run(
+        read_bootstrap: impl Fn() -> Result<Bootstrap, ConfigError> + 'static,
+    ) -> Result<(), ServeError> {
+        let bootstrap = read_bootstrap()?;
         for error in &bootstrap.ignored_report_figures {
             log::warn!("load report figure ignored: {error}");
         }
@@ -96,7 +98,7 @@
         signals::watch(&event_loop.handle(), |router_loop: &mut Self, signal| {
             router_loop.signals.push(signal);
         })?;
-        let mut router_loop = Self::start(event_loop.handle(), bootstrap, Box::new(read))?;
+        let mut router_loop = Self::start(event_loop.handle(), bootstrap, Box::new(read_bootstrap))?;
         while !router_loop.server.has_stopped() {
             router_loop.run_iteration(&mut event_loop)?;
         }
