--- a/crates/emulator/src/skewed.rs
+++ b/crates/emulator/src/skewed.rs
@@ -39,7 +39,8 @@
 const PERCENT: f64 = 100.0;
 
 /// Returns the clients of all teams. Three engines of four cores do 12 seconds of work in a second, so the equal share
-/// of each team is 3 seconds. In a second, the flooding team sends 30 seconds of work, each other team a little over 3.
+/// of each team is 3 seconds. In a second, the flooding team sends about 27 seconds of work on average, each other team
+/// a little over 3.
 fn clients(seed: u64) -> Vec<Client> {
     let flooding = [(TEAMS[0], FLOOD_FACTOR); FLOODING_CONNECTIONS];
     let ordinary = TEAMS[1..].iter().map(|team| (*team, ORDINARY_FACTOR));
--- a/crates/model-checker/src/command.rs
+++ b/crates/model-checker/src/command.rs
@@ -138,8 +138,8 @@
     Ok(entries.into_iter().filter(is_selected).collect())
 }
 
-/// Explores scenarios one after another until the first violation. `is_full_set` is true if the scenarios are all there
-/// are, so that every invariant must be exercised.
+/// Explores scenarios one after another until the first violation. `is_full_set` is true if `entries` contains every
+/// scenario; then every invariant must be exercised.
 fn run_exploration(entries: &[ScenarioEntry], is_full_set: bool, options: &Options) -> ExitCode {
     let thread_pool = rayon::ThreadPoolBuilder::new().num_threads(options.threads).build_global();
     if let Err(error) = thread_pool {
--- a/crates/model-checker/src/connection_model/apply.rs
+++ b/crates/model-checker/src/connection_model/apply.rs
@@ -22,7 +22,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(350);
 /// The start of a restarted engine is reported as this much later than the time of the report.
 const RESTART_DELAY: Duration = Duration::from_millis(1);
-/// The name of the command that carries a call, with which its bytes begin.
+/// The name of the command that carries a call, which is the first part of its array.
 const CALL_COMMAND: &[u8] = b"GET";
 /// The priority of every call.
 const PRIORITY: u8 = 1;
@@ -134,7 +134,7 @@
 
     fn unblock(&mut self, connection: Slot) {
         self.state.engine_sides.entry(connection).and_modify(|side| side.peer.capacity = None);
-        self.drain_to_engine(connection);
+        self.flush_to_engine(connection);
     }
 
     fn cancel(&mut self, attempt: usize) {
@@ -210,7 +210,7 @@
                 execute_pool_commands(&mut state.engines.commands, &mut state.engine_sides, new_side);
             for connection in std::mem::take(&mut state.engines.pending_writes) {
                 is_active = true;
-                self.drain_to_engine(connection);
+                self.flush_to_engine(connection);
             }
             while let Some(event) = self.state.engines.events.pop_front() {
                 is_active = true;
@@ -231,8 +231,8 @@
     }
 
     fn record_end(&mut self, request: usize, number: usize, outcome: AttemptOutcome, body: Option<Vec<u8>>) {
-        let is_ended = |attempt: &AttemptRecord| (attempt.request, attempt.number) == (request, number);
-        let Some(attempt) = self.state.attempts.iter().position(is_ended) else {
+        let is_same = |attempt: &AttemptRecord| (attempt.request, attempt.number) == (request, number);
+        let Some(attempt) = self.state.attempts.iter().position(is_same) else {
             self.state.violated_invariant = self.state.violated_invariant.or(Some("one end"));
             return;
         };
@@ -242,7 +242,7 @@
 
     /// Lets the pool write to a connection as many bytes as the engine accepts, and the engine read the complete
     /// commands.
-    fn drain_to_engine(&mut self, connection: Slot) {
+    fn flush_to_engine(&mut self, connection: Slot) {
         let Some(side) = self.state.engine_sides.get_mut(&connection) else { return };
         let received_before = side.peer.inbox.len();
         self.state
--- a/crates/model-checker/src/mutants/runner.rs
+++ b/crates/model-checker/src/mutants/runner.rs
@@ -55,7 +55,8 @@
     check_time: Duration,
 }
 
-/// Makes and explores the mutants with these names or former names, or without names all. Fails unless each is caught.
+/// Makes and explores the mutants with these names or former names; without names, all mutants. Fails unless each is
+/// caught.
 pub fn run(names: &[String]) -> ExitCode {
     let is_unknown = |name: &&String| MUTANTS.iter().all(|mutant| mutant.name != current_mutant_name(name));
     if let Some(name) = names.iter().find(is_unknown) {
--- a/crates/model-checker/src/router_model/apply.rs
+++ b/crates/model-checker/src/router_model/apply.rs
@@ -105,11 +105,11 @@
                 execute_pool_commands(&mut engines.commands, &mut self.state.engine_peers, Peer::default);
             for connection in std::mem::take(&mut engines.pending_writes) {
                 is_active = true;
-                self.drain_to_engine(connection);
+                self.flush_to_engine(connection);
             }
             for slot in std::mem::take(&mut self.state.server.dispatcher.clients.pending_writes) {
                 is_active = true;
-                self.drain_to_client(slot);
+                self.flush_to_client(slot);
             }
             for ClosedClient { slot, output: mut unread } in
                 std::mem::take(&mut self.state.server.closed_clients)
--- a/crates/model-checker/src/router_model/apply/clients.rs
+++ b/crates/model-checker/src/router_model/apply/clients.rs
@@ -44,7 +44,7 @@
 
     pub(super) fn resume_reading(&mut self, client: usize) {
         self.state.clients[client].capacity = None;
-        self.drain_to_client(self.state.clients[client].slot);
+        self.flush_to_client(self.state.clients[client].slot);
     }
 
     fn line_bytes(&self, line: ClientLine) -> Vec<u8> {
@@ -112,7 +112,7 @@
     }
 
     /// Lets a client read the server's output, up to the client's capacity.
-    pub(super) fn drain_to_client(&mut self, slot: Slot) {
+    pub(super) fn flush_to_client(&mut self, slot: Slot) {
         let Some(client) = self.client_at(slot) else { return };
         let mut peer = Peer::with_capacity(self.state.clients[client].capacity);
         let clients = &mut self.state.server.dispatcher.clients;
@@ -132,8 +132,9 @@
     }
 
     fn record_response(&mut self, client: usize, response: Response) {
-        let is_answered = |request: &RequestRecord| (request.client, request.id) == (client, response.id);
-        let request = self.state.requests.iter().position(is_answered);
+        let is_answered_request =
+            |request: &RequestRecord| (request.client, request.id) == (client, response.id);
+        let request = self.state.requests.iter().position(is_answered_request);
         let rows = match response.outcome {
             Outcome::Result { rows } => rows,
             _ => None,
--- a/crates/model-checker/src/scheduler_model/invariants.rs
+++ b/crates/model-checker/src/scheduler_model/invariants.rs
@@ -280,8 +280,8 @@
     *event == Event::Terminal && !is_quiescent(state)
 }
 
-/// Whether every request is finished, and the scheduler, given an empty endpoint list, only forgets engines and then
-/// holds no request and no engine.
+/// Whether every request is finished and the scheduler retains nothing. To check the latter, a copy of the scheduler gets
+/// an empty endpoint list: it may only forget engines, and must then hold no request and no engine.
 fn is_quiescent(state: &SchedulerModelState) -> bool {
     if state.requests.iter().any(RequestRecord::is_unfinished) {
         return false;
--- a/crates/soak/src/connections.rs
+++ b/crates/soak/src/connections.rs
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Returns the connection at an index.
+    /// Returns the connection at an index; `None` if there is none.
     pub fn get(&self, index: usize) -> Option<&C> {
         self.entries.get(index)?.as_ref()
     }
 
-    /// Returns the connection at an index, for changes.
+    /// Returns the connection at an index, for modification; `None` if there is none.
     pub fn get_mut(&mut self, index: usize) -> Option<&mut C> {
         self.entries.get_mut(index)?.as_mut()
     }
@@ -71,7 +71,7 @@
         self.entries.iter_mut().flatten()
     }
 
-    /// Returns the exclusive upper bound of all indices.
+    /// Returns a bound that is larger than each index in use.
     pub fn index_limit(&self) -> usize {
         self.entries.len()
     }
