--- a/crates/soak/src/soak_run/timers.rs
+++ b/crates/soak/src/soak_run/timers.rs
@@ -5,47 +5,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The action of the event loop when a timer expires. `router` and `engines` are indices.
+/// The action of the event loop when a timer expires. `router` and `engines` are indices. A `Heartbeat` also closes idle
+/// connections of clients, and a `Tick` measures how late the event loop is.
 pub enum Timer {
-    SendRequest {
-        router: usize,
-    },
-    CancelRequest {
-        request_id: String,
-    },
-    CloseConnection {
-        request_id: String,
-    },
+    SendRequest { router: usize },
+    CancelRequest { request_id: String },
+    CloseConnection { request_id: String },
     Engine(EngineTimer),
     InjectFault(Fault),
-    EndEngineFault {
-        engines: Vec<usize>,
-    },
-    ResumeAccepting {
-        engines: Vec<usize>,
-    },
-    StopDrainedEngines {
-        engines: Vec<usize>,
-    },
-    RestartEngines {
-        engines: Vec<usize>,
-    },
+    EndEngineFault { engines: Vec<usize> },
+    ResumeAccepting { engines: Vec<usize> },
+    StopDrainedEngines { engines: Vec<usize> },
+    RestartEngines { engines: Vec<usize> },
     EndDiscoveryFault,
-    KillTerminatedRouter {
-        router: usize,
-    },
-    StartRouter {
-        router: usize,
-    },
-    ContinueRouter {
-        router: usize,
-        stopped_at: Duration,
-    },
-    /// Sends the heartbeats of discovery, and closes idle connections of clients.
+    KillTerminatedRouter { router: usize },
+    StartRouter { router: usize },
+    ContinueRouter { router: usize, stopped_at: Duration },
     Heartbeat,
-    /// Sends a status request to each router that is starting.
     RequestStatus,
-    /// Measures how late the event loop is.
     Tick,
     SampleUsage,
 }
