--- a/crates/fault-shim/src/sockets.rs
+++ b/crates/fault-shim/src/sockets.rs
@@ -18,7 +18,8 @@
     function
 }
 
-/// Defines the function `$getter`. It returns the C library's function `$name`, and looks it up at its first call only.
+/// Defines the function `$getter`. It returns the C library's function `$name`, and resolves the symbol at the first
+/// call only.
 macro_rules! c_function {
     ($getter:ident, $name:literal, $signature:ty) => {
         fn $getter() -> $signature {
--- a/crates/model-checker/src/invariants.rs
+++ b/crates/model-checker/src/invariants.rs
@@ -22,7 +22,8 @@
     type Event;
     /// All invariants of the model. If an event violates several, the first is reported.
     const INVARIANTS: &'static [Invariant<Self>];
-    /// The first invariant's bit in the record of exercised invariants ([`witness`]); the others have the next bits.
+    /// The first invariant's bit in the record of exercised invariants ([`witness`]); the others have the
+    /// consecutive bits after it.
     const FIRST_WITNESS_BIT: usize;
 }
 
--- a/crates/model-checker/src/router_model.rs
+++ b/crates/model-checker/src/router_model.rs
@@ -1,9 +1,9 @@
 //! The router model: the complete router without its sockets. It covers client connections, the dispatcher, the
 //! scheduler, the connections to one or two engines, and a graceful shutdown.
 //!
-//! The invariants rely on the answers that clients read and on the calls that arrive at engines. They read the router's
-//! own state in two cases only: to decide whether the router has answered a request of a slow client, and to check at
-//! the end of a run that the router holds no client, request, attempt, connection or timer.
+//! The invariants rely on the answers that clients receive and on the calls that arrive at engines. They read the
+//! router's internal state in two cases only: to decide whether the router has answered a request of a slow client, and
+//! to check at the end of a run that the router holds no client, request, attempt, connection or timer.
 
 pub mod apply;
 pub mod invariants;
--- a/crates/model-checker/src/router_model/apply/clients.rs
+++ b/crates/model-checker/src/router_model/apply/clients.rs
@@ -138,7 +138,7 @@
             Outcome::Result { rows } => rows,
             _ => None,
         };
-        self.check(&Event::ClientReads { request, rows });
+        self.check(&Event::ClientReceives { request, rows });
         if let Some(request) = request {
             self.state.requests[request].answers += 1;
         }
--- a/crates/model-checker/src/router_model/invariants.rs
+++ b/crates/model-checker/src/router_model/invariants.rs
@@ -51,7 +51,7 @@
 ];
 
 fn answers_twice(_: &RouterScenario, state: &RouterState, event: &Event) -> bool {
-    let Event::ClientReads { request, .. } = event else { return false };
+    let Event::ClientReceives { request, .. } = event else { return false };
     request.is_none_or(|request| state.requests[request].answers > 0)
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn alters_result(_: &RouterScenario, state: &RouterState, event: &Event) -> bool {
-    let Event::ClientReads { request: Some(request), rows: Some(rows) } = event else { return false };
+    let Event::ClientReceives { request: Some(request), rows: Some(rows) } = event else { return false };
     let number = state.requests[*request].request_number;
     let mut results = state.results.iter().filter(|result| result.request_number == number);
     !results.any(|result| result.rows.as_bytes() == rows)
--- a/crates/model-checker/src/router_model/state.rs
+++ b/crates/model-checker/src/router_model/state.rs
@@ -21,9 +21,9 @@
 
 /// An observable action of the router, the passing of time, or the end of a run.
 pub enum Event {
-    /// A client reads an answer. `request` is the position of the request in [`RouterState::requests`]; `None` for an
-    /// answer to no request of the client. `rows` are those of a result; `None` for an answer without a result.
-    ClientReads { request: Option<usize>, rows: Option<Vec<u8>> },
+    /// A client receives an answer. `request` is the position of the request in [`RouterState::requests`]; `None` for
+    /// an answer to no request of the client. `rows` are those of a result; `None` for an answer without a result.
+    ClientReceives { request: Option<usize>, rows: Option<Vec<u8>> },
     /// A call has arrived completely at an engine.
     CallArrives { request_number: u64 },
     /// The router closes the connection of `client` while it handles the input of client `by`.
@@ -178,8 +178,8 @@
         let mut events = vec![Event::Terminal, Event::TimePasses { to: Duration::MAX }];
         for (position, record) in self.requests.iter().enumerate() {
             let request = Some(position);
-            events.push(Event::ClientReads { request, rows: None });
-            events.push(Event::ClientReads { request, rows: Some(b"wrong".to_vec()) });
+            events.push(Event::ClientReceives { request, rows: None });
+            events.push(Event::ClientReceives { request, rows: Some(b"wrong".to_vec()) });
             events.push(Event::CallArrives { request_number: record.request_number });
         }
         let is_connected = |client: &usize| self.clients[*client].is_connected;
--- a/crates/peer-protocol/src/number.rs
+++ b/crates/peer-protocol/src/number.rs
@@ -2,8 +2,8 @@
 
 use serde_json::Value;
 
-/// Encodes a whole number from 0 to `u32::MAX` without a decimal point, and any other number with a fraction.
+/// Encodes an integer from 0 to `u32::MAX` without a decimal point, and any other number with a fraction.
 pub fn json_number(number: f64) -> Value {
-    let is_whole = number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX);
-    if is_whole { Value::from(number as u64) } else { Value::from(number) }
+    let is_u32 = number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX);
+    if is_u32 { Value::from(number as u64) } else { Value::from(number) }
 }
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -58,8 +58,8 @@
     pub latency_objective: Duration,
     /// Minimum time between passing the request to the scheduler and the request's deadline.
     pub dispatch_margin: Duration,
-    /// Whether the client has asked for notices of the estimated wait. They are sent only if the operator's file names
-    /// the parameter by which clients ask for them.
+    /// Whether the client has requested notices of the estimated wait. The router sends them only if the operator's
+    /// file names the request parameter for them.
     pub wants_wait_notices: bool,
 }
 
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Converts a duration to whole milliseconds, rounded down.
+/// Converts a duration to milliseconds, rounded down.
 pub fn whole_ms(time: Duration) -> u64 {
     to_ms(time).floor() as u64
 }
--- a/crates/router/tests/sockets/clients.rs
+++ b/crates/router/tests/sockets/clients.rs
@@ -43,7 +43,7 @@
     client_of_same_request.send_request(2, "lookup");
     router.record_answer(&mut client_of_same_request);
     let mut client_without_line_end = router.connect_client();
-    // The router may close the connection before the whole line is written.
+    // The router may close the connection before the complete line is written.
     let _ = client_without_line_end.socket().write_all(&vec![b'x'; 1 << 20]);
     router.record_answer(&mut client_without_line_end);
     let mut other_client = router.connect_client();
--- a/crates/router/tests/unit/listener.rs
+++ b/crates/router/tests/unit/listener.rs
@@ -1,5 +1,5 @@
 //! Tests of the classification of errors of `accept`. The classes matter because closing an idle client only helps if
-//! the process has reached its own limit of descriptors.
+//! the process has reached its limit of file descriptors, as opposed to the system's limit.
 
 use super::AcceptFailure;
 use std::io;
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -18,7 +18,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Wraps a whole message or file. Paths in errors are relative to it.
+    /// Wraps the root value of a message or file. Paths in errors are relative to it.
     pub fn of(value: &'a Value) -> Self {
         Self { value, root: value }
     }
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -1,4 +1,4 @@
-//! Emulated engines, up to thousands in one process. Each engine has its own address in 127.0.0.0/8 and runs calls
+//! Emulated engines, up to thousands in one process. Each engine has a separate address in 127.0.0.0/8 and runs calls
 //! according to a small load model. It has at most one fault at a time.
 
 mod calls;
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,5 +1,5 @@
 //! The invariants of a run. They are checked against the records of clients and engines, and against the exits and
-//! resource usage of the routers' processes. The routers' own data is not used.
+//! resource usage of the routers' processes. Data that the routers report about themselves is not used.
 
 use crate::classes::RequestClass;
 use crate::config::{MAX_ATTEMPTS, ProcessLimits, SlowStart};
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,6 +1,6 @@
 //! Runs real routers between emulated peers on loopback, under overlapping faults that are drawn from a seed, and
-//! checks the service's invariants. The routers' own data is not used for the checks, only the records of the emulated
-//! clients and engines, and the exits and resource usage of the routers' processes.
+//! checks the service's invariants. The checks use the records of the emulated clients and engines, and the exits
+//! and resource usage of the routers' processes, but no data that the routers report about themselves.
 
 pub mod arrivals;
 pub mod classes;
--- a/crates/teams/src/fair_order.rs
+++ b/crates/teams/src/fair_order.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-/// Virtual times are in whole nanoseconds.
+/// Virtual times are integers in nanoseconds.
 const NANOS_PER_SECOND: f64 = 1e9;
 
 /// Whether a budget covers a flow's next request. Flows over their budget come after all others.
--- a/crates/teams/src/identity_charges.rs
+++ b/crates/teams/src/identity_charges.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-/// Largest number of identities whose charges are kept.
+/// Largest number of identities whose charges are stored.
 const MAX_IDENTITIES: usize = 4096;
 
 /// Seconds of work charged for each of the latest [`MAX_IDENTITIES`] identities.
--- a/crates/teams/src/request.rs
+++ b/crates/teams/src/request.rs
@@ -18,7 +18,7 @@
     /// 0 for ordinary requests, up to [`MAX_URGENCY`].
     pub urgency: u8,
     /// Request class. A team queues the requests of each urgency and class separately, so that a request that does
-    /// not fit delays only the requests of its own urgency and class.
+    /// not fit delays only the requests of the same urgency and class.
     pub class: u16,
     /// Expected work, as the time that one core takes for it.
     pub work: Duration,
--- a/crates/teams/src/team_queue.rs
+++ b/crates/teams/src/team_queue.rs
@@ -33,7 +33,7 @@
     /// Work charged for dispatched requests that have not ended.
     in_flight_charge_s: f64,
     in_flight_count: usize,
-    /// Number of dispatches so far; wraps around.
+    /// Number of requests dispatched from this queue; wraps around.
     dispatch_count: u32,
     /// The team's index in its organization's fair order.
     pub(crate) flow: usize,
--- a/crates/teams/tests/digest.rs
+++ b/crates/teams/tests/digest.rs
@@ -56,7 +56,7 @@
         self.below(count) == 0
     }
 
-    /// Returns a time of whole microseconds below `end_ms` milliseconds.
+    /// Returns a random time below `end_ms` milliseconds, a multiple of 1 µs.
     fn time_below(&mut self, end_ms: u64) -> Duration {
         Duration::from_micros(self.below(end_ms * 1000))
     }
--- a/deploy/sites/ready.sh
+++ b/deploy/sites/ready.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Copies the simulator's own files into this folder, where the simulator looks for them. Git ignores the copies.
+# Copies the files that come with the simulator into this folder, where the simulator expects them. Git ignores the
+# copies.
 # Usage: deploy/sites/ready.sh [DIRECTORY OF THE SIMULATOR'S FILES]
 # Exits with 2 and names the missing files if any is not readable, and exits with 2 if a copy fails.
 cd "$(dirname "$0")" || exit 2
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -29,7 +29,7 @@
     }
 
     /// Rejects or fails the requests whose final answer is due. Shortly before the shutdown deadline, these are all
-    /// requests. Before that, a queued request is answered shortly before its own deadline. It is answered at once if
+    /// requests. Before that, a queued request is answered shortly before its deadline. It is answered at once if
     /// its client may have left, if it must not be retried, or if a retry would cost more than a late answer is worth.
     /// Returns whether any request was answered.
     pub fn answer_when_due(&mut self, snapshot: &mut FleetSnapshot, actions: &mut impl Actions) -> bool {
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -17,7 +17,7 @@
 /// Largest change of the memory target by pressure, as a fraction of its initial value.
 const MAX_TARGET_CHANGE: f64 = 0.5;
 /// Fraction of an engine's memory that may be filled if its load is estimated and not reported. Lies halfway
-/// between `MEMORY_TARGET_FRACTION` and the whole memory.
+/// between `MEMORY_TARGET_FRACTION` and 1, which is full memory.
 const UNREPORTED_MEMORY_LIMIT: f64 = (1.0 + MEMORY_TARGET_FRACTION) / 2.0;
 /// Lower bound on an engine's slowdown relative to that of the fleet.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.5;
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -28,8 +28,8 @@
         may_run_again && request.attempts.len() < self.attempt_limits.max_attempts
     }
 
-    /// Returns whether the request may be rejected. A rejection tells the client that a retry is safe. This is true
-    /// if requests of the class may run again at any engine, or if no attempt may have run.
+    /// Returns whether the request may be rejected. A rejection tells the client that a retry is safe. A retry is
+    /// safe if requests of the class may run again at any engine, or if it is certain that no attempt has run.
     pub fn may_reject(&self, request: &Request) -> bool {
         match &self.classes[request.class].idempotency {
             Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: KeyScope::All, .. } => true,
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -90,7 +90,7 @@
     time.as_secs_f64()
 }
 
-/// Converts seconds to a time, rounded down to whole microseconds. The result is limited to the range
+/// Converts seconds to a duration, rounded down to a multiple of 1 µs. The result is limited to the range
 /// from 0 to `MAX_MICROSECONDS`.
 pub fn duration(seconds: f64) -> Duration {
     Duration::from_micros((seconds * MICROSECONDS_PER_SECOND).clamp(0.0, MAX_MICROSECONDS) as u64)
--- a/tests/trace/settings.rs
+++ b/tests/trace/settings.rs
@@ -63,7 +63,7 @@
 }
 
 /// Returns settings like [`base`] with short times, so that a request is finished after few inputs. Request class 0
-/// is idempotent. Classes 1, 2 and 3 have an idempotency key, whose scope is a cell, a location and the whole fleet.
+/// is idempotent. Classes 1, 2 and 3 have an idempotency key, whose scope is a cell, a location and the fleet.
 /// Class 4 is non-idempotent.
 pub fn small() -> (Fleet, Vec<RequestClass>, AttemptLimits) {
     let (mut fleet, mut classes, mut attempt_limits) = base();
