--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -51,7 +51,6 @@
     Mutant { name, file: DISCOVERY, from, to }
 }
 
-/// Returns a mutant of the scheduler.
 const fn scheduler(name: &'static str, file: &'static str, from: &'static str, to: &'static str) -> Mutant {
     Mutant { name, file, from, to }
 }
@@ -247,8 +246,8 @@
     Mutant {
         name: "an answer ends any attempt",
         file: POOL_REPLIES,
-        from: "match self.attempt_named(connection, &reply.id) {",
-        to: "match self.attempt_named(connection, &reply.id).or_else(|| self.connections.get(connection)?.attempts.values().next().copied()) {",
+        from: "match self.attempt_by_request_name(connection, &reply.id) {",
+        to: "match self.attempt_by_request_name(connection, &reply.id).or_else(|| self.connections.get(connection)?.attempts.values().next().copied()) {",
     },
     Mutant {
         name: "an attempt without a deadline",
--- a/crates/router/tests/digest/scenario.rs
+++ b/crates/router/tests/digest/scenario.rs
@@ -31,7 +31,7 @@
     pub connection_count: u64,
     /// The name of the next request, as a number.
     pub next_req: u64,
-    /// The number of calls for each request.
+    /// The number of calls that engines received for each request, by the request's name.
     pub calls_by_request: BTreeMap<String, u64>,
     /// Bytes from the discovery service that the server has not received yet.
     pub discovery_input: Vec<u8>,
@@ -143,7 +143,8 @@
         self.server.dispatcher.context.now = self.server.dispatcher.context.now().max(end);
     }
 
-    /// Reads the input that arrived before a timer expired, as the event loop does, and then handles the timer.
+    /// Handles a timer that has expired. Before that, handles the unread input of the timer's client, as the event loop
+    /// does, or writes the output of the connection of the timer's attempt.
     fn fire_timer(&mut self, timer: Timer) {
         match timer {
             Timer::ClientIdleCheck(slot) => self.read_client(slot, &[], StreamEnd::WouldBlock),
