--- a/crates/model-checker/src/mutants.rs
+++ b/crates/model-checker/src/mutants.rs
@@ -222,8 +222,8 @@
     Mutant {
         name: "a written call ends as not sent",
         file: POOL_ATTEMPT,
-        from: "if attempt.call_offset.is_none() {\n            return self.end(slot, unsent_outcome,",
-        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(slot, unsent_outcome,",
+        from: "if attempt.call_offset.is_none() {\n            return self.end(attempt_slot, unsent_outcome,",
+        to: "if attempt.request_name.is_empty() || attempt.call_offset.is_some() {\n            return self.end(attempt_slot, unsent_outcome,",
     },
     Mutant {
         name: "idle connections stay open",
@@ -246,13 +246,13 @@
     Mutant {
         name: "an answer ends any attempt",
         file: POOL_REPLIES,
-        from: "match self.attempt_by_request_name(connection, &reply.id) {",
-        to: "match self.attempt_by_request_name(connection, &reply.id).or_else(|| self.connections.get(connection)?.attempts.values().next().copied()) {",
+        from: "match self.attempt_by_request_name(connection_slot, &reply.id) {",
+        to: "match self.attempt_by_request_name(connection_slot, &reply.id).or_else(|| self.connections.get(connection_slot)?.attempts.values().next().copied()) {",
     },
     Mutant {
         name: "an attempt without a deadline",
         file: POOL_ATTEMPT,
-        from: "        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt));\n",
+        from: "        context.timers.set(call.deadline, Timer::AttemptDeadline(attempt_slot));\n",
         to: "",
     },
     Mutant {
