--- a/deploy/sites/ready.sh
+++ b/deploy/sites/ready.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Lays the bench's own files beside the sites of this folder, where the bench looks for them; git does not keep them.
-# Usage: deploy/sites/ready.sh [FOLDER OF THE KIT]     ends with 2 and says what it misses
+# Copies the simulator's own files into this folder, where the simulator looks for them. Git ignores the copies.
+# Usage: deploy/sites/ready.sh [DIRECTORY OF THE SIMULATOR'S FILES]
+# Exits with 2 and names the missing files if any is not readable, and exits with 2 if a copy fails.
 cd "$(dirname "$0")" || exit 2
 from=${1:-../../../given/kit/more/mass/other}
 missing=0
